--- a/cmd/spurspread/crowd_test.go
+++ b/cmd/spurspread/crowd_test.go
@@ -19,8 +19,9 @@
 	return len(held)
 }
 
-// A crowd of idle clients, three times as many as the program may hold descriptors, comes while discovery is down. By the
-// kernel's count it never holds more than it may; servers are reached all the same, and discovery once it is back.
+// A crowd of idle clients, three times as many as the program may hold descriptors, comes while discovery is down.
+// By the kernel's count it never holds more than it may; servers are reached all the same, and discovery once it is
+// back.
 func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const most = 160
 	clients, away := freePort(t), freePort(t)
--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -8,11 +8,10 @@
 	"io"
 	"os"
 	"runtime/debug"
+	"spurspread/internal/logging"
 	"strings"
 
 	"github.com/alecthomas/kong"
-
-	"spurspread/internal/logs"
 )
 
 // The exit codes.
@@ -31,14 +30,14 @@
 	Record  recordCmd  `cmd:"" help:"Publish a small named value to the whole fleet of balancers."`
 	Version versionCmd `cmd:"" help:"Print the version and how it was built."`
 
-	LogFormat logs.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"How log lines are written: text or json."`
+	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"How log lines are written: text or json."`
 }
 
 // streams are where a command reads its environment and writes what it has to say.
 type streams struct {
 	getenv   func(string) string
 	out, err io.Writer
-	format   logs.Format
+	format   logging.Format
 }
 
 func main() {
@@ -49,10 +48,16 @@
 func run(args []string, s *streams) (code int) {
 	var c cli
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("spurspread"), kong.Writers(s.out, s.err),
-		kong.Description("A balancer for long-lived connections.\n\nWithout a command it serves, told by GW_CONFIG's file."),
+	parser, err := kong.New(
+		&c,
+		kong.Name("spurspread"),
+		kong.Writers(s.out, s.err),
+		kong.Description(
+			"A balancer for long-lived connections.\n\nWithout a command it serves, told by GW_CONFIG's file.",
+		),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
-		kong.Exit(func(code int) { exited = code }))
+		kong.Exit(func(code int) { exited = code }),
+	)
 	if err != nil {
 		panic(err) // the struct above is at fault
 	}
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -10,21 +10,20 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
+	"spurspread/internal/admin"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/logging"
+	"spurspread/internal/peer"
+	"spurspread/internal/proxy"
+	"spurspread/internal/restartproto"
+	"spurspread/internal/settings"
+	"spurspread/internal/siteconfig"
 	"strconv"
 	"time"
 
 	"github.com/sirupsen/logrus"
 	"github.com/tidwall/gjson"
 	"golang.org/x/sys/unix"
-
-	"spurspread/internal/handover"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/internal/mgmt"
-	"spurspread/internal/peer"
-	"spurspread/internal/relay"
-	"spurspread/internal/settings"
-	"spurspread/internal/site"
 )
 
 // serve runs the balancer.
@@ -61,17 +60,17 @@
 	if err != nil {
 		return err
 	}
-	members, err := membership(own, lim.name, cfg.Seed)
+	members, err := memberConfig(own, lim.name, cfg.Seed)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(lim.cores)))
 	lim.limitMemory()
-	out := logs.NewOutput(s.err)
+	out := logging.NewOutput(s.err)
 	defer out.Close()
-	log := logs.New(out, s.format)
+	log := logging.New(out, s.format)
 
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		return err
 	}
@@ -90,7 +89,7 @@
 		}
 	}
 	if lim.mgmt.IsValid() {
-		if _, err := mgmt.Listen(l, lim.mgmt, p.peers.manage(p.relay.Manage)); err != nil {
+		if _, err := admin.Listen(l, lim.mgmt, p.peers.manage(p.relay.Manage)); err != nil {
 			return errors.Join(err, l.Close())
 		}
 	}
@@ -106,8 +105,8 @@
 type running struct {
 	*serve
 	getenv func(string) string
-	loop   *loop.Loop
-	relay  *relay.Relay
+	loop   *eventloop.Loop
+	relay  *proxy.Relay
 	peers  *fleet // nil where membership is off
 	log    *logrus.Logger
 
@@ -117,20 +116,20 @@
 }
 
 // listen opens the clients' address, and begins to keep what discovery tells.
-func (p *running) listen(cfg relay.Config, lists *lists) error {
+func (p *running) listen(cfg proxy.Config, lists *lists) error {
 	var err error
-	if p.relay, err = relay.New(p.loop, cfg, p.log); err != nil {
+	if p.relay, err = proxy.New(p.loop, cfg, p.log); err != nil {
 		return err
 	}
 	// By the address that was bound: one with port 0 in the configuration may be many balancers'.
 	p.addr = p.relay.Addr()
-	p.note, p.taking = handover.Path(os.TempDir(), p.addr), handover.SocketPath(os.TempDir(), p.addr)
+	p.note, p.taking = restartproto.Path(os.TempDir(), p.addr), restartproto.SocketPath(os.TempDir(), p.addr)
 	lists.start(p.addr)
 	return nil
 }
 
-// obey does what signals ask for, outside the loop: SIGHUP reads the files again; any other hands over to the process that
-// follows, and drains where there is none.
+// obey does what signals ask for, outside the loop: SIGHUP reads the files again; any other hands over to the
+// process that follows, and drains where there is none.
 func (p *running) obey(signals <-chan os.Signal) {
 	for sig := range signals {
 		if sig == unix.SIGHUP {
@@ -146,31 +145,33 @@
 	}
 }
 
-// announce tells an older process on the same address that this one serves. Nobody needs either of its means: what can't be
-// made is logged and changes nothing else. The socket comes first, since whoever reads the note may come to it.
+// announce tells an older process on the same address that this one serves. Nobody needs either of its means: what
+// can't be made is logged and changes nothing else. The socket comes first, since whoever reads the note may come
+// to it.
 func (p *running) announce() {
 	if err := p.relay.TakeOver(p.taking); err != nil {
 		p.log.WithError(err).Warn("takes no standing connections from an older process")
 	}
-	n := handover.Note{PID: os.Getpid(), Listen: p.addr.String(), Since: time.Now().UnixMilli()}
-	if err := handover.Write(p.note, n); err != nil {
+	n := restartproto.Note{PID: os.Getpid(), Listen: p.addr.String(), Since: time.Now().UnixMilli()}
+	if err := restartproto.Write(p.note, n); err != nil {
 		p.log.WithError(err).Warn("no hand-over note")
 	}
-	p.log.WithField(logs.Listen, p.relay.Addr()).Info("started")
+	p.log.WithField(logging.Listen, p.relay.Addr()).Info("started")
 }
 
 // withdraw removes the note and the socket, where they are still this process's: nobody is to take it for a successor.
 func (p *running) withdraw() {
-	if n, err := handover.Read(p.note); err == nil && n.PID == os.Getpid() {
+	if n, err := restartproto.Read(p.note); err == nil && n.PID == os.Getpid() {
 		_ = os.Remove(p.note)
 		_ = os.Remove(p.taking)
 	}
 }
 
-// successor is the other process that serves on the same clients' address, by its hand-over note; 0 where there is none.
+// successor is the other process that serves on the same clients' address, by its hand-over note; 0 where there is
+// none.
 func successor(path string, listen netip.AddrPort) int {
-	n, err := handover.Read(path)
-	if err != nil || !handover.Succeeded(n, os.Getpid(), listen, alive) {
+	n, err := restartproto.Read(path)
+	if err != nil || !restartproto.Succeeded(n, os.Getpid(), listen, alive) {
 		return 0
 	}
 	return n.PID
@@ -182,14 +183,21 @@
 }
 
 // reload reads all files again, outside the loop. What can't be used changes nothing.
-func (c *serve) reload(getenv func(string) string, l *loop.Loop, r *relay.Relay, peers *fleet, log *logrus.Logger) {
+func (c *serve) reload(
+	getenv func(string) string,
+	l *eventloop.Loop,
+	r *proxy.Relay,
+	peers *fleet,
+	log *logrus.Logger,
+) {
 	cfg, lim, own, err := c.read(getenv)
 	var members *peer.Config
 	if err == nil {
-		members, err = membership(own, lim.name, cfg.Seed)
+		members, err = memberConfig(own, lim.name, cfg.Seed)
 	}
 	if err != nil {
-		log.WithField(logs.File, c.Config).Error("the configuration and settings stay as they were, whole: ", oneLine(err))
+		log.WithField(logging.File, c.Config).
+			Error("the configuration and settings stay as they were, whole: ", oneLine(err))
 		return
 	}
 	lim.limitMemory()
@@ -208,13 +216,13 @@
 }
 
 // read reads the configuration and the site file, which is empty where none is named.
-func (c *serve) read(getenv func(string) string) (relay.Config, limits, *site.Site, error) {
-	own := &site.Site{}
+func (c *serve) read(getenv func(string) string) (proxy.Config, limits, *siteconfig.Site, error) {
+	own := &siteconfig.Site{}
 	cfg, lim, err := c.configure(getenv)
 	if err != nil || c.Site == "" {
 		return cfg, lim, own, err
 	}
-	if own, err = site.Load(c.Site); err != nil {
+	if own, err = siteconfig.Load(c.Site); err != nil {
 		return cfg, lim, nil, err
 	}
 	cfg.Channels = channels(own)
@@ -223,8 +231,8 @@
 }
 
 // configure reads the platform's file. The plain variables stand in for what it does not have.
-func (c *serve) configure(getenv func(string) string) (relay.Config, limits, error) {
-	var cfg relay.Config
+func (c *serve) configure(getenv func(string) string) (proxy.Config, limits, error) {
+	var cfg proxy.Config
 	if c.Config == "" {
 		return cfg, limits{}, errors.New("GW_CONFIG names no configuration file")
 	}
@@ -251,8 +259,10 @@
 		}
 	}
 	cfg.Known = []byte(root.Get("known").Raw)
-	lim := limits{cores: root.Get("limits.cores").Float(), memoryMB: root.Get("limits.memory_mb").Int(),
-		sockets: int(root.Get("limits.sockets").Int()), name: root.Get("name").Str}
+	lim := limits{
+		cores: root.Get("limits.cores").Float(), memoryMB: root.Get("limits.memory_mb").Int(),
+		sockets: int(root.Get("limits.sockets").Int()), name: root.Get("name").Str,
+	}
 	// $GW_MGMT comes before the file's, so that a new version beside the old one takes its own.
 	if mg := cmp.Or(getenv("GW_MGMT"), root.Get("mgmt").String()); mg != "" {
 		if lim.mgmt, err = netip.ParseAddrPort(mg); err != nil {
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"strings"
-
-	"spurspread/decide/pool"
-	"spurspread/internal/form"
-	"spurspread/internal/relay"
-	"spurspread/internal/site"
+	"spurspread/decision/upstreampool"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/proxy"
+	"spurspread/internal/siteconfig"
 	"spurspread/internal/token"
+	"spurspread/internal/xmlconfig"
+	"strings"
 )
 
 type siteCmds struct {
@@ -31,7 +31,7 @@
 
 // Run checks the file as serve does.
 func (c siteCheck) Run(s *streams) error {
-	got, err := site.Load(c.File)
+	got, err := siteconfig.Load(c.File)
 	if err != nil {
 		_, _ = fmt.Fprintln(s.err, err)
 		return fmt.Errorf("%s can't be used", c.File)
@@ -39,20 +39,23 @@
 	if _, err := resumption(got); err != nil {
 		return err
 	}
-	if _, err := membership(got, "a-member", 0); err != nil {
+	if _, err := memberConfig(got, "a-member", 0); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.out, "%s: site %q: %s\n", c.File, got.Name, summary(got))
 	return err
 }
 
-func summary(s *site.Site) string {
+func summary(s *siteconfig.Site) string {
 	var on []string
 	if s.Resume != nil {
 		on = append(on, fmt.Sprintf("resume tokens of %v, %d keys", s.Resume.Life.Std(), len(s.Resume.Keys.Key)))
 	}
 	if s.Fleet != nil {
-		on = append(on, fmt.Sprintf("membership at %s with %d seeds%s", s.Fleet.Listen, len(s.Fleet.Seeds.Seed), place(s.Fleet)))
+		on = append(
+			on,
+			fmt.Sprintf("membership at %s with %d seeds%s", s.Fleet.Listen, len(s.Fleet.Seeds.Seed), place(s.Fleet)),
+		)
 	}
 	if s.Channels != nil {
 		on = append(on, fmt.Sprintf("channels (clients %v, nodes %v)", s.Channels.Clients, s.Channels.Nodes))
@@ -64,10 +67,10 @@
 }
 
 // place says where a member stands, if it says so itself.
-func place(f *site.Fleet) (text string) {
+func place(f *siteconfig.Fleet) (text string) {
 	for _, part := range []struct {
 		what string
-		name form.Name
+		name xmlconfig.Name
 	}{{"region", f.Region}, {"zone", f.Zone}, {"rack", f.Rack}} {
 		if part.name != "" {
 			text += fmt.Sprintf(", %s %s", part.what, part.name)
@@ -86,12 +89,12 @@
 
 // Run prints it.
 func (siteSchema) Run(s *streams) error {
-	_, err := s.out.Write(site.Schema())
+	_, err := s.out.Write(siteconfig.Schema())
 	return err
 }
 
 // resumption is what the relay is told of resume tokens, nil where they are off.
-func resumption(s *site.Site) (*relay.Resume, error) {
+func resumption(s *siteconfig.Site) (*proxy.Resume, error) {
 	if s.Resume == nil {
 		return nil, nil
 	}
@@ -99,26 +102,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return &relay.Resume{Ring: ring, Life: s.Resume.Life.Std().Milliseconds(), Skew: s.Resume.Skew.Std().Milliseconds(),
-		Claims: s.Resume.Claims, Spread: s.Resume.Spread.Micros()}, nil
+	return &proxy.Resume{
+		Ring: ring, Life: s.Resume.Life.Std().Milliseconds(), Skew: s.Resume.Skew.Std().Milliseconds(),
+		Claims: s.Resume.Claims, Spread: eventloop.Micros(s.Resume.Spread.Micros()),
+	}, nil
 }
 
 // channels is what the relay is told of multiplexed channels, nil where they are off.
-func channels(s *site.Site) *relay.Channels {
+func channels(s *siteconfig.Site) *proxy.Channels {
 	c := s.Channels
 	if c == nil {
 		return nil
 	}
 	t := c.Trunks
 	if t == nil {
-		t = site.DefaultTrunks()
+		t = siteconfig.DefaultTrunks()
+	}
+	return &proxy.Channels{
+		Clients: c.Clients, Nodes: c.Nodes, Version: version(), Most: c.Most, Opens: float64(c.Opens),
+		Window: uint32(
+			c.Window,
+		), FirstPacket: eventloop.Micros(c.FirstPacket.Micros()), Idle: eventloop.Micros(c.Idle.Micros()),
+		Pool: upstreampool.Limits{
+			Channels: t.Channels,
+			Trunks:   t.Each,
+			All:      t.All,
+			Idle:     eventloop.Micros(t.Idle.Micros()),
+			Plain:    eventloop.Micros(t.Plain.Micros()),
+		},
 	}
-	return &relay.Channels{Clients: c.Clients, Nodes: c.Nodes, Version: version(), Most: c.Most, Opens: float64(c.Opens),
-		Window: uint32(c.Window), FirstPacket: c.FirstPacket.Micros(), Idle: c.Idle.Micros(),
-		Pool: pool.Limits{Channels: t.Channels, Trunks: t.Each, All: t.All, Idle: t.Idle.Micros(), Plain: t.Plain.Micros()}}
 }
 
-func ringOf(keys *site.Keys) (*token.Ring, error) {
+func ringOf(keys *siteconfig.Keys) (*token.Ring, error) {
 	var ring []token.Key
 	for _, k := range keys.Key {
 		ring = append(ring, token.Key{Secret: k.Secret, Mints: k.Use == "mint"})
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -6,10 +6,9 @@
 	"errors"
 	"fmt"
 	"os"
-	"time"
-
-	"spurspread/internal/site"
+	"spurspread/internal/siteconfig"
 	"spurspread/internal/token"
+	"time"
 )
 
 type tokenCmds struct {
@@ -32,7 +31,7 @@
 
 // Run prints a line for each thing that the token says.
 func (c tokenInspect) Run(s *streams) error {
-	at, err := site.Load(c.Site)
+	at, err := siteconfig.Load(c.Site)
 	if err != nil {
 		return err
 	}
@@ -51,9 +50,23 @@
 	if t.Started != 0 {
 		started = moment(t.Started)
 	}
-	_, err = fmt.Fprintf(s.out, "id       %x\nstream   %016x\nclass    %s\nkey      %016x\ngroup    %016x\ntenant   %016x\ntop      %d\n"+
-		"minted   %s\nexpires  %s (%s)\nserver   %s, started %s\n", t.ID, t.Stream, t.Class, t.Key, t.Group, t.Tenant, t.Top,
-		moment(t.Minted), moment(t.Expires), ago(time.UnixMilli(t.Expires)), t.Server, started)
+	_, err = fmt.Fprintf(
+		s.out,
+		"id       %x\nstream   %016x\nclass    %s\nkey      %016x\ngroup    %016x\ntenant   %016x\ntop      %d\n"+
+			"minted   %s\nexpires  %s (%s)\nserver   %s, started %s\n",
+		t.ID,
+		t.Stream,
+		t.Class,
+		t.Key,
+		t.Group,
+		t.Tenant,
+		t.Top,
+		moment(t.Minted),
+		moment(t.Expires),
+		ago(time.UnixMilli(t.Expires)),
+		t.Server,
+		started,
+	)
 	return err
 }
 
@@ -83,7 +96,7 @@
 
 // Run makes the file.
 func (c tokenKey) Run(s *streams) error {
-	secret := make([]byte, site.SecretSize)
+	secret := make([]byte, siteconfig.SecretSize)
 	_, _ = rand.Read(secret) // never fails
 	f, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -93,6 +106,6 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "%s: key %s\n", c.File, site.Fingerprint([site.SecretSize]byte(secret)))
+	_, err = fmt.Fprintf(s.out, "%s: key %s\n", c.File, siteconfig.Fingerprint([siteconfig.SecretSize]byte(secret)))
 	return err
 }
--- a/logic/api.go
+++ b/decision/api.go
@@ -1,9 +1,13 @@
-package logic
+package decision
 
-import "spurspread/decide/retry"
+import (
+	"spurspread/decision/monotime"
+	"spurspread/decision/outcome"
+	"spurspread/decision/retry"
+)
 
-// Micros is a point in time or a span, in microseconds of the caller's clock.
-type Micros int64
+// Micros is the time of all decisions; see monotime.
+type Micros = monotime.Micros
 
 // Effect and Scope are what a class says of repeats; see decide/retry.
 type (
@@ -35,7 +39,7 @@
 
 // Rule is what the class says of repeats.
 func (c *Class) Rule() retry.Policy {
-	return retry.Policy{Effect: c.Effect, Scope: c.Scope, Window: int64(c.Window)}
+	return retry.Policy{Effect: c.Effect, Scope: c.Scope, Window: c.Window}
 }
 
 // Tenant is one customer with a share of the service.
@@ -103,21 +107,6 @@
 	Failed
 )
 
-// Status is how an attempt or a probe ended.
-type Status uint8
-
-// The statuses of outcomes and probe results.
-const (
-	OK Status = iota
-	ErrorAnswer
-	ServerFull
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
-)
-
 // Report is a server's load report: N values in the order of Settings.Columns.
 type Report struct {
 	N      int
@@ -176,7 +165,7 @@
 		ID      uint32
 		Attempt int
 		Server  uint32
-		Status  Status
+		Status  outcome.Status
 		Took    Micros
 		Closed  bool
 		Echo    bool // it has the same cause as another that was told: no further evidence on the server
@@ -197,7 +186,7 @@
 	// Probed is the result of one Probe.
 	Probed struct {
 		Server uint32
-		Status Status
+		Status outcome.Status
 		Took   Micros
 		Load   Report
 	}
--- a/logic/logic.go
+++ b/decision/balancer.go
@@ -1,20 +1,20 @@
 // Package logic makes the decisions of a balancer for long-lived connections: where each request goes, when
 // it is tried again, refused or failed, which servers are trusted, and when discovery and servers are asked.
 // Its words are in api.go. It has no clock, goroutine or I/O: the same events give the same actions.
-package logic
+package decision
 
 import (
 	"math"
 	"math/rand/v2"
 	"slices"
-
-	"spurspread/decide/fleetsize"
-	"spurspread/decide/latency"
-	"spurspread/decide/load"
-	"spurspread/decide/poll"
-	"spurspread/decide/retry"
-	"spurspread/decide/setups"
-	"spurspread/decide/slowstart"
+	"spurspread/decision/concurrency"
+	"spurspread/decision/fleetsize"
+	"spurspread/decision/latency"
+	"spurspread/decision/outcome"
+	"spurspread/decision/polling"
+	"spurspread/decision/retry"
+	"spurspread/decision/serverload"
+	"spurspread/decision/slowstart"
 )
 
 // Every tuned constant. The troubles answered here last seconds to half a minute, not the note's minute.
@@ -74,7 +74,7 @@
 // server is all that this balancer knows of one server.
 type server struct {
 	Entry
-	load.Gauge
+	serverload.Gauge
 	slowstart.Budget
 	latency.Estimate
 	health     Health
@@ -121,18 +121,18 @@
 	started bool
 	servers []*server // in the order in which they were first listed
 	byID    map[uint32]*server
-	fleet   load.Fleet
+	fleet   serverload.Fleet
 	reqs    map[uint32]*request
 	out     []Action
 
-	polling poll.Schedule
+	polling polling.Schedule
 	probes  int // validations under way
 
 	present   fleetsize.Estimate
-	polls     load.Survey
+	polls     serverload.Survey
 	meanUnits float64 // size of a ready server
 
-	pace            setups.Pace
+	pace            concurrency.Pace
 	retries         float64
 	meanWork, hints float64 // the mean hint, and how many there were
 	meanBooked      float64 // work of which a connection is booked, of the mean work
@@ -140,12 +140,14 @@
 
 // New returns a balancer that has just started.
 func New(s Settings, seed uint64, now Micros) *Balancer {
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0x726f62696e6c7567)),
+	b := &Balancer{
+		rng:  rand.New(rand.NewPCG(seed, 0x726f62696e6c7567)),
 		byID: map[uint32]*server{}, reqs: map[uint32]*request{},
-		meanUnits: 1, meanBooked: 1, present: fleetsize.New(int64(now)), pace: setups.New()}
-	b.polling.Jitter = func(d int64) int64 { return int64(b.jitter(Micros(d))) }
+		meanUnits: 1, meanBooked: 1, present: fleetsize.New(now), pace: concurrency.New(),
+	}
+	b.polling.Jitter = b.jitter
 	b.tune(s)
-	b.polling.Begin(int64(now))
+	b.polling.Begin(now)
 	b.retries = max(retryMost*b.share(1), 2)
 	return b
 }
@@ -154,7 +156,7 @@
 func (b *Balancer) tune(s Settings) {
 	b.set, b.fleet.Live, b.fleet.Told = s, s.LiveWeights, s.TellsLoad
 	b.polling.Rank, b.polling.Balancers = s.Rank, s.Balancers
-	b.polling.Every, b.polling.Grace = int64(s.AskEvery), int64(s.DrainGrace)
+	b.polling.Every, b.polling.Grace = s.AskEvery, s.DrainGrace
 }
 
 // aim is the shortest message aim of the classes; 0 where none is stated.
@@ -217,8 +219,6 @@
 // jitter draws from 0 to d.
 func (b *Balancer) jitter(d Micros) Micros { return Micros(b.rng.Float64() * float64(d)) }
 
-func (d Micros) seconds() float64 { return float64(d) / float64(sec) }
-
 // around draws from 3/4 d to 5/4 d, so that balancers which saw one event don't act on it in step.
 func (b *Balancer) around(d Micros) Micros { return d*3/4 + b.jitter(d/2) }
 
@@ -300,7 +300,7 @@
 
 func (b *Balancer) onUpdate(now Micros, ev Update) {
 	if ev.Kind == Failed {
-		b.polling.Failed(int64(now))
+		b.polling.Failed(now)
 		return
 	}
 	if ev.Kind != Delta {
@@ -321,7 +321,7 @@
 		b.meanUnits = units / ready
 	}
 	if ev.Kind != Cached {
-		b.polling.Answered(int64(now))
+		b.polling.Answered(now)
 		return
 	}
 	for _, s := range b.servers {
@@ -357,18 +357,18 @@
 	b.timer(b.around(tickEvery), timerTick)
 	b.pace.Fade()
 	b.census(now)
-	if b.set.Ask && b.polling.Due(int64(now)) {
+	if b.set.Ask && b.polling.Due(now) {
 		b.do(Watch{On: true})
 	}
 	b.survey(now)
 	b.spread(now)
 	for _, s := range b.servers {
-		s.Grow(int64(now), int64(tickEvery))
+		s.Grow(now, tickEvery)
 		switch {
 		case s.State != Ready || s.health != Unhealthy || now < s.validateAt:
 		case s.failed || len(s.conns) == 0:
 			b.validate(now, s)
-		case !s.Told(int64(now)): // its notes told that it was late, and tell no more
+		case !s.Told(now): // its notes told that it was late, and tell no more
 			b.connected(now, s)
 		}
 	}
@@ -400,14 +400,14 @@
 	b.probes--
 	load, told := b.used(ev.Load)
 	if told {
-		s.Read(int64(now), &b.fleet, b.warmth(now, s), load)
+		s.Read(now, &b.fleet, b.warmth(now, s), load)
 	}
 	switch {
 	case s.health != UnhealthyPending:
-	case ev.Status == Moot: // it was never sent, which says nothing of the server
+	case ev.Status == outcome.Inconclusive: // it was never sent, which says nothing of the server
 		b.enter(now, s, Unhealthy)
 		s.validateAt = now + b.around(validateFirst)
-	case ev.Status == OK && load <= loadFull:
+	case ev.Status == outcome.OK && load <= loadFull:
 		b.connected(now, s)
 	default:
 		b.demote(now, s)
@@ -418,7 +418,7 @@
 // goes: those first that were not asked for longest.
 func (b *Balancer) survey(now Micros) {
 	for _, s := range b.servers {
-		s.Look(int64(now), &b.fleet, b.warmth(now, s))
+		s.Look(now, &b.fleet, b.warmth(now, s))
 	}
 	for b.set.MayProbe && b.column() >= 0 && b.probes < probeCap {
 		var longest *server
@@ -428,7 +428,7 @@
 				longest = s
 			}
 		}
-		if longest == nil || !b.polls.Due(int64(now), &longest.Gauge) {
+		if longest == nil || !b.polls.Due(now, &longest.Gauge) {
 			return
 		}
 		b.probe(longest)
@@ -451,8 +451,8 @@
 func (b *Balancer) refreshIfLong(now Micros) {
 	for _, s := range b.servers {
 		if b.set.Ask && s.State == Ready && s.health == Unhealthy &&
-			now-s.entered[Unhealthy] > longUnhealthy && b.polling.MayRefresh(int64(now)) {
-			b.polling.Refresh(int64(now))
+			now-s.entered[Unhealthy] > longUnhealthy && b.polling.MayRefresh(now) {
+			b.polling.Refresh(now)
 		}
 	}
 }
@@ -484,7 +484,7 @@
 	if s.State != Ready || r.only != nil && r.only != s {
 		return false
 	}
-	return r.class.Rule().Allows(&r.past, int64(now), s.place())
+	return r.class.Rule().Allows(&r.past, now, s.place())
 }
 
 func (s *server) place() retry.Place { return retry.Place{Zone: s.Zone, Cell: s.Cell} }
@@ -568,8 +568,10 @@
 	if b.reqs[ev.ID] != nil {
 		return nil
 	}
-	r := &request{id: ev.ID, key: ev.Key, group: ev.Group, work: 1, price: 1,
-		due: now + ev.Left - answerLead, class: Class{Effect: Unsafe}}
+	r := &request{
+		id: ev.ID, key: ev.Key, group: ev.Group, work: 1, price: 1,
+		due: now + ev.Left - answerLead, class: Class{Effect: Unsafe},
+	}
 	if ev.Class < len(b.set.Classes) {
 		r.class = b.set.Classes[ev.Class]
 	}
@@ -663,7 +665,7 @@
 	left := r.due - now
 	// Whose token is given back can come again with it; an attempt that ends too soon would have used it up.
 	stuck := r.only != nil && (r.sent > 0 || r.only.State != Ready || left < tryLeast) ||
-		r.class.Rule().Spent(&r.past, int64(now))
+		r.class.Rule().Spent(&r.past, now)
 	if left <= 0 || stuck || r.sent >= b.set.MostTries || (r.sent > 0 && (b.retries < 1 || b.pace.Shared())) {
 		b.finish(r)
 		return
@@ -750,10 +752,10 @@
 		return
 	}
 	b.connected(now, r.at)
-	b.tally(OK, ev.Took)
+	b.tally(outcome.OK, ev.Took)
 	if r.erred != nil && r.erred != r.at {
-		b.tally(ErrorAnswer, 0)
-		b.judge(now, r.erred, ErrorAnswer, false)
+		b.tally(outcome.ErrorAnswer, 0)
+		b.judge(now, r.erred, outcome.ErrorAnswer, false)
 	}
 	r.erred = nil
 	if r.closed {
@@ -771,7 +773,7 @@
 	s, wasOpen := r.at, r.open
 	if wasOpen {
 		b.fall(r)
-		if ev.Status != OK {
+		if ev.Status != outcome.OK {
 			b.present.Owe()
 		}
 	} else {
@@ -780,7 +782,7 @@
 	b.unbear(r)
 	r.at = nil
 	// An error may be the request's own fault: another server judges it, or one bad client would demote all.
-	unsure := ev.Status == ErrorAnswer && !wasOpen && r.class.Effect == Safe
+	unsure := ev.Status == outcome.ErrorAnswer && !wasOpen && r.class.Effect == Safe
 	if !unsure && !ev.Echo {
 		if !wasOpen {
 			b.tally(ev.Status, ev.Took)
@@ -798,27 +800,31 @@
 	if unsure {
 		r.erred = s
 	}
-	if ev.Status != ServerFull && ev.Status != ConnectFailed && ev.Status != Moot {
-		r.past.Ran(int64(r.lastSent), r.sentTo)
+	if ev.Status != outcome.ServerFull && ev.Status != outcome.ConnectFailed && ev.Status != outcome.Inconclusive {
+		r.past.Ran(r.lastSent, r.sentTo)
 	}
 	b.place(now, r)
 }
 
 // setUpEnds are the outcomes that tell how set-ups go.
-var setUpEnds = map[Status]setups.End{OK: setups.Stood, ErrorAnswer: setups.Failed, TimedOut: setups.TimedOut}
+var setUpEnds = map[outcome.Status]concurrency.End{
+	outcome.OK:          concurrency.Stood,
+	outcome.ErrorAnswer: concurrency.Failed,
+	outcome.TimedOut:    concurrency.TimedOut,
+}
 
-func (b *Balancer) tally(st Status, took Micros) { b.pace.Ended(setUpEnds[st], float64(took)) }
+func (b *Balancer) tally(st outcome.Status, took Micros) { b.pace.Ended(setUpEnds[st], float64(took)) }
 
 // judge draws a server's health from how an attempt ended.
-func (b *Balancer) judge(now Micros, s *server, st Status, wasOpen bool) {
+func (b *Balancer) judge(now Micros, s *server, st outcome.Status, wasOpen bool) {
 	switch st {
-	case OK:
+	case outcome.OK:
 		if !wasOpen {
 			b.connected(now, s)
 		}
-	case ServerFull:
+	case outcome.ServerFull:
 		s.shut(now + b.around(fullPause))
-	case Reset:
+	case outcome.Reset:
 		// Servers with too much piled up drop connections; one that died is shut with as much reason. A
 		// single one may as well be the network's doing.
 		if now-s.resetAt < resetPair {
@@ -826,13 +832,13 @@
 			s.shut(now + b.around(resetPause))
 		}
 		s.resetAt = now
-	case ConnectFailed:
+	case outcome.ConnectFailed:
 		b.demote(now, s)
-	case ErrorAnswer:
+	case outcome.ErrorAnswer:
 		if !b.pace.Shared() {
 			b.demote(now, s)
 		}
-	case TimedOut:
+	case outcome.TimedOut:
 		if !b.pace.Shared() {
 			b.demoteSoft(now, s)
 		}
@@ -847,7 +853,7 @@
 		b.fleet.Learn(r.load)
 	}
 	if s == nil || ev.Kind != DelayNote ||
-		!s.Note(int64(now), ev.Value*float64(ms), float64(b.aim()), float64(len(s.conns)+s.pending)) {
+		!s.Note(now, ev.Value*float64(ms), float64(b.aim()), float64(len(s.conns)+s.pending)) {
 		return
 	}
 	switch {
@@ -856,7 +862,7 @@
 			o.Calm(max(b.share(1), slowstart.Least))
 		}
 		b.demoteSoft(now, s)
-		if s.Late(int64(now)) {
+		if s.Late(now) {
 			s.shut(now + latency.Fresh)
 			b.relieve(now, s)
 		}
@@ -899,7 +905,7 @@
 		}
 	}
 	for _, s := range b.servers {
-		if excess := s.Excess(int64(now), &b.fleet, b.warmth(now, s)); b.fleet.Told && s.State == Ready {
+		if excess := s.Excess(now, &b.fleet, b.warmth(now, s)); b.fleet.Told && s.State == Ready {
 			room -= b.lighten(now, s, min(excess, room))
 		}
 		for i := len(s.conns) - 1; b.fleet.Told && s.State == Draining && i >= 0; i-- {
@@ -914,14 +920,14 @@
 // lighten moves so much load off a server, and returns what it did.
 func (b *Balancer) lighten(now Micros, s *server, want float64) float64 {
 	conns := slices.Clone(s.conns)
-	items := make([]load.Item, len(conns))
+	items := make([]serverload.Item, len(conns))
 	for i, r := range conns {
-		items[i] = load.Item{Group: r.group, Load: r.load}
+		items[i] = serverload.Item{Group: r.group, Load: r.load}
 	}
-	leave, moved := load.Leaving(&b.fleet, items, want)
+	leave, moved := serverload.Leaving(&b.fleet, items, want)
 	for _, i := range leave {
 		if b.pace.Span() < moveSetUp*float64(conns[i].class.Aim) { // else it could not come back
-			s.LeftAt = int64(now)
+			s.LeftAt = now
 			b.move(now, conns[i], false)
 		}
 	}
@@ -931,7 +937,7 @@
 func (b *Balancer) free(now Micros) float64 {
 	free := 0.0
 	for _, s := range b.servers {
-		if s.State == Ready && now >= s.shutUntil && rank(now, s) == 0 && !s.Late(int64(now)) &&
+		if s.State == Ready && now >= s.shutUntil && rank(now, s) == 0 && !s.Late(now) &&
 			b.room(now, &request{price: 1}, s) {
 			free += min(s.Tokens, s.Most-float64(len(s.conns)+s.pending))
 		}
@@ -951,7 +957,7 @@
 // move ends a connection politely; its client comes again, where it can be told to the pick of now.
 func (b *Balancer) move(now Micros, r *request, stay bool) {
 	m, next := Move{ID: r.id}, r.at
-	if r.resumes && !(stay && next.State == Ready && !next.Late(int64(now))) {
+	if r.resumes && !(stay && next.State == Ready && !next.Late(now)) {
 		next.triedBy = r.id + 1 // anywhere else
 		next = b.pick(now, &request{id: r.id, class: r.class, key: r.key, group: r.group})
 	}
@@ -970,17 +976,19 @@
 			units += s.Units * b.warmth(now, s)
 		}
 	}
-	b.present.Count(int64(now), units)
+	b.present.Count(now, units)
 }
 
 // coldRoom tells whether a cold server's budget has room: what it takes by size and warmth, times the rule's
 // multiple, divided among all balancers. A grant is for the mean of what connections are booked at.
 func (b *Balancer) coldRoom(now Micros, s *server) bool {
-	slot, began := slowstart.Slot(int64(now), int64(s.Started), int64(b.set.TipAfter))
+	slot, began := slowstart.Slot(now, s.Started, b.set.TipAfter)
 	rate := slowstart.ColdRate * s.Units / b.meanUnits * b.warmth(Micros(began), s) * b.set.OverloadFactor
-	most := rate * b.set.TipAfter.seconds()
-	return s.Cold(slot, most/b.meanBooked, slowstart.Fleet{Rank: b.set.Rank, Balancers: b.set.Balancers,
-		Zones: b.set.Zones, Server: s.Name, Home: b.away(s) == 0, Uneven: b.fleet.Told})
+	most := rate * b.set.TipAfter.Seconds()
+	return s.Cold(slot, most/b.meanBooked, slowstart.Fleet{
+		Rank: b.set.Rank, Balancers: b.set.Balancers,
+		Zones: b.set.Zones, Server: s.Name, Home: b.away(s) == 0, Uneven: b.fleet.Told,
+	})
 }
 
 // share is this balancer's part of what each of so many parts of the fleet may do together.
@@ -992,7 +1000,7 @@
 // on to other zones. A server that told of lateness gets no more than it had until it has been in time
 // a while.
 func (b *Balancer) room(now Micros, r *request, s *server) bool {
-	s.Fill(int64(now), s.Units/b.meanUnits*max(b.share(1), slowstart.Least), r.price)
+	s.Fill(now, s.Units/b.meanUnits*max(b.share(1), slowstart.Least), r.price)
 	return b.set.Pass || s.Tokens >= r.price && float64(len(s.conns)+s.pending) < s.Most
 }
 
--- a/decide/setups/setups.go
+++ b/decision/concurrency/concurrency.go
@@ -1,7 +1,7 @@
 // Package setups keeps how set-ups of connections went lately, at all servers together, and tells from it how many may
 // be under way at once, how long one is to be given, whether the cause of failures is shared by all servers, and which
 // part of what is asked is not worth beginning. It does not know servers, requests or clocks; spans are microseconds.
-package setups
+package concurrency
 
 import "math"
 
@@ -91,8 +91,8 @@
 // Span is what two thirds of recent set-ups took at most.
 func (p *Pace) Span() float64 { return p.span }
 
-// Shared tells that so many set-ups fail that the cause must lie behind all servers: none is demoted for it, and nothing
-// is tried twice, which would keep the cause alive.
+// Shared tells that so many set-ups fail that the cause must lie behind all servers: none is demoted for it, and
+// nothing is tried twice, which would keep the cause alive.
 func (p *Pace) Shared() bool { return p.failing > failShared }
 
 // Room tells whether one more may begin while so many are under way.
--- a/decide/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -9,10 +9,11 @@
 	"cmp"
 	"math/rand/v2"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Micros is a point in time or a span, in microseconds.
-type Micros = int64
+type Micros = monotime.Micros
 
 // Stream is one connection that stands on the server.
 type Stream struct {
--- a/decide/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -1,8 +1,10 @@
-// Package fleetsize estimates how much of the fleet of servers is there, against the most that was there lately, and how many
-// clients are still to come back from what is out: while a part is gone, what comes back is let in more slowly. It does not
-// know servers, requests or clocks; times are microseconds.
+// Package fleetsize estimates how much of the fleet of servers is there, against the most that was there lately,
+// and how many clients are still to come back from what is out: while a part is gone, what comes back is let in
+// more slowly. It does not know servers, requests or clocks; times are microseconds.
 package fleetsize
 
+import "spurspread/decision/monotime"
+
 const (
 	thinPart  = 0.07 // of the fleet is out: what comes back is more than the rest had
 	thinPrice = 2.5  // of the filling rate, for each of those
@@ -15,14 +17,14 @@
 	most    float64 // size of what was there lately
 	part    float64 // the part of that which is there now
 	owed    float64 // connections that servers ended, and that may come back
-	counted int64
+	counted monotime.Micros
 }
 
 // New returns the estimate for a fleet that is all there.
-func New(now int64) Estimate { return Estimate{part: 1, counted: now} }
+func New(now monotime.Micros) Estimate { return Estimate{part: 1, counted: now} }
 
 // Count notes the size of all that is there now.
-func (e *Estimate) Count(now int64, size float64) {
+func (e *Estimate) Count(now monotime.Micros, size float64) {
 	span := float64(now-e.counted) / 1e6
 	e.owed *= max(1-owedFade*span, 0)
 	e.most = max(size, e.most*max(1-span/memory, 0))
--- a/decide/hotrestart/hotrestart.go
+++ b/decision/hotrestart/hotrestart.go
@@ -1,22 +1,25 @@
-// Package hotrestart decides, when a new process takes the place of an old one, which of the standing connections are
-// transferred to it, whose each of them is after every answer, and when what is left is to be moved instead. It has no clock
-// and no sockets, and knows connections by their numbers only.
+// Package hotrestart decides, when a new process takes the place of an old one, which of the standing connections
+// are transferred to it, whose each of them is after every answer, and when what is left is to be moved instead. It
+// has no clock and no sockets, and knows connections by their numbers only.
 //
-// The invariant: a connection is the old process's until the successor has said yes to it, and never again after that; at
-// most Window are offered at once.
+// The invariant: a connection is the old process's until the successor has said yes to it, and never again after
+// that; at most Window are offered at once.
 package hotrestart
 
-import "slices"
+import (
+	"slices"
+	"spurspread/decision/monotime"
+)
 
 // Micros is a point in time or a span, in microseconds.
-type Micros = int64
+type Micros = monotime.Micros
 
 const (
 	// Window is how many connections are offered at once. Each has its two descriptors in both processes meanwhile, and
 	// both processes together have one balancer's descriptors: 64 are an eighth of the least that a machine may have.
 	Window = 32
-	// Span is how long connections are offered. A line under way ends sooner, and what can't pass by then still has most
-	// of the longest deadline to be moved in.
+	// Span is how long connections are offered. A line under way ends sooner, and what can't pass by then still has
+	// most of the longest deadline to be moved in.
 	Span Micros = 500_000
 )
 
@@ -39,7 +42,12 @@
 
 // New begins to offer, for Span or half of the longest deadline.
 func New(now, longest Micros) *Plan {
-	return &Plan{until: now + min(Span, longest/2), linked: true, offered: map[uint32]bool{}, refused: map[uint32]bool{}}
+	return &Plan{
+		until:   now + min(Span, longest/2),
+		linked:  true,
+		offered: map[uint32]bool{},
+		refused: map[uint32]bool{},
+	}
 }
 
 // Until is when Rest has something to say at the latest.
@@ -48,8 +56,8 @@
 // Room tells whether there is any use in looking at a connection now.
 func (p *Plan) Room() bool { return p.linked && len(p.offered) < Window }
 
-// Offer tells whether a connection is to be offered now, and counts it as offered. What the successor refused once is not
-// offered again.
+// Offer tells whether a connection is to be offered now, and counts it as offered. What the successor refused once
+// is not offered again.
 func (p *Plan) Offer(id uint32, l Look) bool {
 	if !p.Room() || p.offered[id] || p.refused[id] || !l.Between || !l.Clear || !l.Own || l.Bound {
 		return false
@@ -82,8 +90,8 @@
 	return back
 }
 
-// Rest tells whether what stands is to be moved from now on, once: when the time is up, or the link has ended. cut tells
-// that offers are still unanswered: the link is to be cut, so that they come back.
+// Rest tells whether what stands is to be moved from now on, once: when the time is up, or the link has ended. cut
+// tells that offers are still unanswered: the link is to be cut, so that they come back.
 func (p *Plan) Rest(now Micros) (move, cut bool) {
 	if p.moving || p.linked && now < p.until {
 		return false, false
--- a/decide/latency/latency.go
+++ b/decision/latency/latency.go
@@ -1,9 +1,12 @@
-// Package latency estimates, from what notes tell of how long messages take at one server, whether it is late, how many of this
-// balancer's connections it seems to carry, and which part of them is too much. It knows no fleet, no clock and no
-// requests; times are microseconds.
+// Package latency estimates, from what notes tell of how long messages take at one server, whether it is late, how
+// many of this balancer's connections it seems to carry, and which part of them is too much. It knows no fleet, no
+// clock and no requests; times are microseconds.
 package latency
 
-import "math"
+import (
+	"math"
+	"spurspread/decision/monotime"
+)
 
 const (
 	sec = 1_000_000
@@ -23,18 +26,18 @@
 
 // Estimate is what notes told of one server. New makes one.
 type Estimate struct {
-	Most  float64 // connections of this balancer's that the server seems to carry
-	delay float64 // the last note, as a multiple of the shortest message aim
-	at    int64   // when it came
-	rise  float64 // seconds by which the delay grew, a second
+	Most  float64         // connections of this balancer's that the server seems to carry
+	delay float64         // the last note, as a multiple of the shortest message aim
+	at    monotime.Micros // when it came
+	rise  float64         // seconds by which the delay grew, a second
 }
 
 // New returns what is known of a server of which no note has come.
 func New() Estimate { return Estimate{Most: math.Inf(1)} }
 
-// Note takes the time that a message takes at a server which holds so many connections of this balancer's. It returns false
-// where that is no news.
-func (e *Estimate) Note(now int64, took, aim, held float64) bool {
+// Note takes the time that a message takes at a server which holds so many connections of this balancer's. It
+// returns false where that is no news.
+func (e *Estimate) Note(now monotime.Micros, took, aim, held float64) bool {
 	if aim <= 0 || now-e.at < apart {
 		return false
 	}
@@ -55,25 +58,25 @@
 }
 
 // Told tells whether the last note still says something.
-func (e *Estimate) Told(now int64) bool { return now-e.at <= Fresh }
+func (e *Estimate) Told(now monotime.Micros) bool { return now-e.at <= Fresh }
 
 // Slow tells whether the last note, whenever it came, told of a slow server.
 func (e *Estimate) Slow() bool { return e.delay > SlowAt }
 
 // Late tells that messages are known to miss their aim now.
-func (e *Estimate) Late(now int64) bool { return e.delay > MoveAt && now-e.at < Fresh }
+func (e *Estimate) Late(now monotime.Micros) bool { return e.delay > MoveAt && now-e.at < Fresh }
 
 // Times is the last note's time as a multiple of an aim, where aim is the shortest.
 func (e *Estimate) Times(aim, of float64) float64 { return e.delay * aim / of }
 
-// Part is what the server is sent beyond what it can do, and of the rest so much that what waits is done within easeSpan:
-// a part of all connections there, whoever holds them.
+// Part is what the server is sent beyond what it can do, and of the rest so much that what waits is done within
+// easeSpan: a part of all connections there, whoever holds them.
 func (e *Estimate) Part(aim float64) float64 {
 	return (e.rise + e.delay*aim/easeSpan) / (1 + max(e.rise, 0))
 }
 
 // Grow lets the server have some more again; span is the time since the last call.
-func (e *Estimate) Grow(now, span int64) {
+func (e *Estimate) Grow(now, span monotime.Micros) {
 	if !e.Told(now) {
 		e.Most += max(e.Most*mostGrow, leastUp) * float64(span) / sec
 	}
--- a/decide/duty/duty.go
+++ b/decision/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
 // Package duty decides what a call on the management address does to a balancer's duty: whether it takes clients
 // (serving), sends them away but stays (lame duck), or is on its way out (stopping), and what the caller is answered.
 // It knows the calls and the states, and nothing of sockets, clocks or the data path.
-package duty
+package lifecycle
 
 import (
 	"bytes"
@@ -50,8 +50,8 @@
 	Name, Value string
 }
 
-// MaxLine bounds a call without its line end, in bytes, MaxRecordLine one of Record: a name of 32 bytes, a value of 64, and blanks.
-// A longer line is refused without being read further.
+// MaxLine bounds a call without its line end, in bytes, MaxRecordLine one of Record: a name of 32 bytes, a value of
+// 64, and blanks. A longer line is refused without being read further.
 const (
 	MaxLine       = 64
 	MaxRecordLine = 128
--- a/decide/member/member.go
+++ b/decision/membership/membership.go
@@ -1,28 +1,29 @@
-// Package member decides who is in the fleet of balancers: who is alive, suspected, dead or has left, by which incarnation
-// and since when, as one member sees it. It is handed time and messages and says what to send; it has no sockets, no clock
-// and no randomness but its seed, and all that it holds is bounded.
+// Package member decides who is in the fleet of balancers: who is alive, suspected, dead or has left, by which
+// incarnation and since when, as one member sees it. It is handed time and messages and says what to send; it has
+// no sockets, no clock and no randomness but its seed, and all that it holds is bounded.
 //
-// The invariant: a member is held dead only by those who could not reach it themselves, at the end of a suspicion of at least
-// Least that three declared, or as many as there are, or while it speaks and holds this one dead; and by those who were told
-// so. What a member says of itself under a newer incarnation always stands over what others say of an older one, but whoever
-// held it dead by its own judgement has it answer first.
-package member
+// The invariant: a member is held dead only by those who could not reach it themselves, at the end of a suspicion
+// of at least Least that three declared, or as many as there are, or while it speaks and holds this one dead; and
+// by those who were told so. What a member says of itself under a newer incarnation always stands over what others
+// say of an older one, but whoever held it dead by its own judgement has it answer first.
+package membership
 
 import (
 	"math/rand/v2"
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Spans, in microseconds.
 const (
-	ms  int64 = 1000
-	sec       = 1000 * ms
+	ms  monotime.Micros = 1000
+	sec                 = 1000 * ms
 )
 
 const (
-	// Watchers is how many members watch each: enough that a pause of one, or one cut link, leaves three, and that the first
-	// of them asks within a third of a second of a crash on average.
+	// Watchers is how many members watch each: enough that a pause of one, or one cut link, leaves three, and that
+	// the first of them asks within a third of a second of a crash on average.
 	Watchers = 4
 	// Turn is the time between two pings of a member to those that it watches: each is asked once in Watchers turns.
 	Turn = 250 * ms
@@ -33,14 +34,15 @@
 	probeTime = 500 * ms // from a ping to the verdict, the same
 	probeMost = 2 * sec  // both grow with what answers take, the verdict up to this
 	helpers   = 3        // asked to ping a member that does not answer
-	// Least is the least time of a suspicion before its member is held dead. With probeTime before it, a member that was
-	// paused for 2 s has half a second left to say that it is there, and a crash is seen by all in some 3 s.
+	// Least is the least time of a suspicion before its member is held dead. With probeTime before it, a member
+	// that was paused for 2 s has half a second left to say that it is there, and a crash is seen by all in some 3
+	// s.
 	Least = 2000 * ms
 	// Most is the same for one that only one other member has confirmed nothing of.
 	Most        = 6 * sec
 	pendingTime = 2 * sec // an accusation that nobody confirms is forgotten after this
-	// confirms is how many must have failed to reach one by themselves, where so many are heard. Of ten that ask, with one
-	// message in five lost, two fail by chance a hundred times as often as three.
+	// confirms is how many must have failed to reach one by themselves, where so many are heard. Of ten that ask,
+	// with one message in five lost, two fail by chance a hundred times as often as three.
 	confirms  = 3
 	hearTime  = 1200 * ms // who was heard within this can say what it fails to reach
 	hearsay   = 300 * ms  // how long others will have suspected one before this member is told
@@ -55,14 +57,16 @@
 	tries        = 4 // pings of a probe at most, one more each time that an answer is overdue; a power of two
 	manySuspects = 8 // as many more are each asked half as often
 	sweepMost    = 4 // pings of a sweep at each Step
-	sweepEach    = 6 // pings for each that could not be reached, while the part of failures is over sweepFrom: two of three just now
-	sweepFrom    = 0.3
-	failWeight   = 4
-	sweepAll     = 48
-
-	// Bytes a second that a member sends on average, and how many it may have saved up, of news and of all else but pings and
-	// their answers, which are some 900 a second and are sent whatever is left. The reserve of news is enough to tell of the
-	// death of most of a large fleet at once; what asks and accuses has its own, or it would leave none then.
+	// pings for each that could not be reached, while the part of failures is over sweepFrom: two of three just now
+	sweepEach  = 6
+	sweepFrom  = 0.3
+	failWeight = 4
+	sweepAll   = 48
+
+	// Bytes a second that a member sends on average, and how many it may have saved up, of news and of all else but
+	// pings and their answers, which are some 900 a second and are sent whatever is left. The reserve of news is
+	// enough to tell of the death of most of a large fleet at once; what asks and accuses has its own, or it would
+	// leave none then.
 	newsBudget, newsReserve   = 1536, 20 << 10
 	otherBudget, otherReserve = 1024, 12 << 10
 
@@ -187,23 +191,23 @@
 	hash      [Watchers]uint64
 	state     State
 	inc       uint64
-	since     int64 // in this state
-	heard     int64 // anything from it
-	hears     bool  // see listen
-	answersAt int64 // when it answered a ping last
-	busy      bool  // see watchOver
-	deaf      bool  // it held this member dead when it was heard last
-	apart     bool  // and that is not long ago
-	back      int64 // when it was last taken back, 0: never
-	differs   int64 // since its view has differed from this one's, 0 while it does not
-
-	accusers  []accuser // before it is suspected
-	suspectAt int64     // from when on its suspicion counts
-	mine      bool      // the last probe of this member's own failed, at this incarnation
-	againAt   int64     // when others are told so once more; 0: not
-	judged    bool      // dead by what this member found out itself
-	asked     uint32    // the last ping since it was held dead
-	triedAt   int64
+	since     monotime.Micros // in this state
+	heard     monotime.Micros // anything from it
+	hears     bool            // see listen
+	answersAt monotime.Micros // when it answered a ping last
+	busy      bool            // see watchOver
+	deaf      bool            // it held this member dead when it was heard last
+	apart     bool            // and that is not long ago
+	back      monotime.Micros // when it was last taken back, 0: never
+	differs   monotime.Micros // since its view has differed from this one's, 0 while it does not
+
+	accusers  []accuser       // before it is suspected
+	suspectAt monotime.Micros // from when on its suspicion counts
+	mine      bool            // the last probe of this member's own failed, at this incarnation
+	againAt   monotime.Micros // when others are told so once more; 0: not
+	judged    bool            // dead by what this member found out itself
+	asked     uint32          // the last ping since it was held dead
+	triedAt   monotime.Micros
 
 	probe *probe
 	rtt   float64 // of answered pings, microseconds
@@ -215,14 +219,14 @@
 // accuser is one that could not reach a peer, since when.
 type accuser struct {
 	id    ID
-	since int64
+	since monotime.Micros
 }
 
 // probe is the question to one peer under way.
 type probe struct {
 	seq   uint32 // of the first ping; those after it have the next ones
-	began int64
-	sent  [tries]int64
+	began monotime.Micros
+	sent  [tries]monotime.Micros
 	count int  // of pings sent
 	asked bool // helpers are
 }
@@ -231,7 +235,7 @@
 type relayed struct {
 	mine, theirs uint32
 	asker, about ID
-	until        int64
+	until        monotime.Micros
 }
 
 // Fleet is the fleet as one member sees it.
@@ -253,10 +257,10 @@
 	sums         [Buckets]uint64
 	lost         map[uint32]lostPing // pings given up lately, whose answer may still come
 
-	ticked, heard       int64
-	turnAt, gossipAt    int64
-	reviveAt, syncAt    int64
-	doubtUntil, joinAt  int64
+	ticked, heard       monotime.Micros
+	turnAt, gossipAt    monotime.Micros
+	reviveAt, syncAt    monotime.Micros
+	doubtUntil, joinAt  monotime.Micros
 	joined, leaving     bool
 	lonely              bool    // at the last Tick
 	failing             float64 // part of the latest probes that failed
@@ -266,7 +270,7 @@
 	asking              []*peer // held dead, and to be asked since this member was itself
 	suspects            int
 	busy                []*peer
-	tidyAt, listenAt    int64
+	tidyAt, listenAt    monotime.Micros
 	hears               int // members heard within hearTime, this one among them; confirms at most
 	superseded          bool
 	rivals              uint64 // the instance of a later process that was contradicted
@@ -281,16 +285,18 @@
 
 type lostPing struct {
 	id ID
-	at int64
+	at monotime.Micros
 }
 
 // New returns a member that knows nobody yet.
-func New(cfg Config, now int64) *Fleet {
+func New(cfg Config, now monotime.Micros) *Fleet {
 	if cfg.MaxSize <= 0 || cfg.MaxSize > MaxMembers {
 		cfg.MaxSize = MaxMembers
 	}
-	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.ID))), self: cfg.Self, inc: max(cfg.Inc, 1),
-		peers: map[ID]*peer{}, ticked: now, heard: now, turnAt: now, reviveAt: now + reviveTime, lost: map[uint32]lostPing{}, purse: newsReserve, other: otherReserve}
+	f := &Fleet{
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.ID))), self: cfg.Self, inc: max(cfg.Inc, 1),
+		peers: map[ID]*peer{}, ticked: now, heard: now, turnAt: now, reviveAt: now + reviveTime, lost: map[uint32]lostPing{}, purse: newsReserve, other: otherReserve,
+	}
 	f.hash = hashes(f.self.ID)
 	f.mix(f.self.ID, f.inc, Alive)
 	f.announce()
@@ -320,7 +326,7 @@
 }
 
 // Tick does what is due. It is called every Step; one that comes much later says that this process was paused.
-func (f *Fleet) Tick(now int64) ([]Send, []Change) {
+func (f *Fleet) Tick(now monotime.Micros) ([]Send, []Change) {
 	if f.superseded {
 		return nil, nil
 	}
@@ -348,9 +354,9 @@
 	return f.take()
 }
 
-// listen counts who can say what it fails to reach: those that are heard, and do not hold this member dead. Whether it reaches
-// them does not count: the fault may be its own.
-func (f *Fleet) listen(now int64) {
+// listen counts who can say what it fails to reach: those that are heard, and do not hold this member dead. Whether
+// it reaches them does not count: the fault may be its own.
+func (f *Fleet) listen(now monotime.Micros) {
 	if now < f.listenAt {
 		return
 	}
@@ -370,16 +376,16 @@
 
 // paused takes back what was under way: answers may wait unread, and all that was suspected has had no time to be
 // refuted here.
-func (f *Fleet) paused(now int64) {
+func (f *Fleet) paused(now monotime.Micros) {
 	f.Pauses++
 	f.doubtUntil = now + doubtTime
 	f.heard = now
 	f.anew(now)
 }
 
-// anew gives all that are suspected their whole time again, and takes back what this member has failed to reach: it may have
-// been its own fault.
-func (f *Fleet) anew(now int64) {
+// anew gives all that are suspected their whole time again, and takes back what this member has failed to reach: it
+// may have been its own fault.
+func (f *Fleet) anew(now monotime.Micros) {
 	for _, p := range f.order {
 		p.probe, p.mine, p.deaf = nil, false, false
 		if p.state == Suspect {
@@ -389,19 +395,19 @@
 }
 
 // Doubts tells whether this member has reason to doubt itself rather than others: it was paused, or hears nobody.
-func (f *Fleet) Doubts(now int64) bool {
+func (f *Fleet) Doubts(now monotime.Micros) bool {
 	return now < f.doubtUntil || f.alone(now)
 }
 
 // alone tells that nobody was heard for a while. With one other member that may as well be dead: after Most it is
 // taken for that.
-func (f *Fleet) alone(now int64) bool {
+func (f *Fleet) alone(now monotime.Micros) bool {
 	others := len(f.rings[0])
 	return others > 0 && now-f.heard > aloneTime && (others > 1 || now-f.heard < Most)
 }
 
 // join asks the seeds until one has answered, and again while nobody is known to be alive.
-func (f *Fleet) join(now int64) {
+func (f *Fleet) join(now monotime.Micros) {
 	if f.joined && len(f.rings[0]) > 0 || now < f.joinAt {
 		return
 	}
@@ -426,10 +432,12 @@
 // Seeds takes the addresses that the seeds have now.
 func (f *Fleet) Seeds(addrs []netip.AddrPort) { f.cfg.Seeds = addrs }
 
-func (f *Fleet) jitter(d int64) int64 { return f.rng.Int64N(max(d, 1)) }
+func (f *Fleet) jitter(d monotime.Micros) monotime.Micros {
+	return monotime.Micros(f.rng.Int64N(int64(max(d, 1))))
+}
 
 // Leave has all told that this member goes. What it returns is sent at once; Tick goes on spreading it.
-func (f *Fleet) Leave(now int64) ([]Send, []Change) {
+func (f *Fleet) Leave(now monotime.Micros) ([]Send, []Change) {
 	if f.leaving || f.superseded {
 		return f.take()
 	}
@@ -527,7 +535,8 @@
 	}
 	m.From, m.Inc, m.Instance, m.Digest = f.self.ID, f.inc, f.self.Instance, f.digest
 	// Who may be gone is told nothing more: what is sent there would count as spread.
-	if room := MaxRumors - len(m.Rumors); m.Kind != Entries && room > 0 && (p == nil || p.state == Alive && !p.mine && f.ticked-p.heard < newsTime) {
+	if room := MaxRumors - len(m.Rumors); m.Kind != Entries && room > 0 &&
+		(p == nil || p.state == Alive && !p.mine && f.ticked-p.heard < newsTime) {
 		more := f.news.pick(min(f.room(), roomInMessage), room, f.sends())
 		for i := range more {
 			f.purse -= float64(rumorBytes(&more[i]))
--- a/decide/member/receive.go
+++ b/decision/membership/receive.go
@@ -1,12 +1,13 @@
-package member
+package membership
 
 import (
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Receive takes a message that came from an address; whose it is was proved before.
-func (f *Fleet) Receive(now int64, from netip.AddrPort, m Message) ([]Send, []Change) {
+func (f *Fleet) Receive(now monotime.Micros, from netip.AddrPort, m Message) ([]Send, []Change) {
 	if f.superseded || m.Kind == 0 || m.Kind > maxKind || len(m.Rumors) > MaxRumors {
 		return nil, nil
 	}
@@ -30,8 +31,8 @@
 	} else if m.You == Alive && m.YouInc > f.inc && !f.leaving {
 		f.rise(m.YouInc)
 	}
-	// What those say whom this member holds dead, or has taken back and not agreed with since, is old, but for what they say of
-	// themselves: it would set a side of a healed cut against its own.
+	// What those say whom this member holds dead, or has taken back and not agreed with since, is old, but for what
+	// they say of themselves: it would set a side of a healed cut against its own.
 	trusted := p == nil || p.state < Dead && (p.back == 0 || now-p.back >= trustTime)
 	for _, r := range m.Rumors {
 		if trusted || r.ID == m.From || r.ID == f.self.ID || r.State == Alive {
@@ -45,9 +46,9 @@
 	return f.take()
 }
 
-// header takes what a message says of its sender by being sent: under a newer incarnation it lives. Whom this member has held
-// dead by its own judgement has to answer it.
-func (f *Fleet) header(now int64, p *peer, from netip.AddrPort, m Message) {
+// header takes what a message says of its sender by being sent: under a newer incarnation it lives. Whom this
+// member has held dead by its own judgement has to answer it.
+func (f *Fleet) header(now monotime.Micros, p *peer, from netip.AddrPort, m Message) {
 	if m.Inc <= p.inc {
 		return
 	}
@@ -58,7 +59,7 @@
 }
 
 // act does what the message asks.
-func (f *Fleet) act(now int64, from netip.AddrPort, p *peer, m Message) {
+func (f *Fleet) act(now monotime.Micros, from netip.AddrPort, p *peer, m Message) {
 	reply := func(a Message) {
 		if p != nil {
 			a.You, a.YouInc = p.state, p.inc
@@ -94,7 +95,7 @@
 	}
 }
 
-func (f *Fleet) ack(now int64, p *peer, m Message) {
+func (f *Fleet) ack(now monotime.Micros, p *peer, m Message) {
 	if m.About != 0 { // a helper has reached it
 		f.answered(now, m.About, m.Seq, false)
 		return
--- a/decide/member/rumor.go
+++ b/decision/membership/rumor.go
@@ -1,13 +1,14 @@
-package member
+package membership
 
 import (
 	"cmp"
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // hear takes news, from whomever, and passes on what is new.
-func (f *Fleet) hear(now int64, r Rumor) {
+func (f *Fleet) hear(now monotime.Micros, r Rumor) {
 	if r.ID == f.self.ID {
 		f.hearOwn(now, r)
 		return
@@ -36,7 +37,8 @@
 		return
 	}
 	if p.judged && r.State == Alive {
-		f.ask(now, p, r.Addr) // news goes round where answers do not: whom this member could not reach it must reach first
+		// news goes round where answers do not: whom this member could not reach it must reach first
+		f.ask(now, p, r.Addr)
 		return
 	}
 	if r.Inc > p.inc || r.State != p.state {
@@ -45,7 +47,7 @@
 }
 
 // ask pings one that this member holds dead, and that says otherwise.
-func (f *Fleet) ask(now int64, p *peer, at netip.AddrPort) {
+func (f *Fleet) ask(now monotime.Micros, p *peer, at netip.AddrPort) {
 	if now-p.triedAt < ackWait {
 		return
 	}
@@ -60,7 +62,7 @@
 }
 
 // hearOwn takes what is said of this member itself.
-func (f *Fleet) hearOwn(now int64, r Rumor) {
+func (f *Fleet) hearOwn(now monotime.Micros, r Rumor) {
 	switch {
 	case f.leaving:
 	case r.State != Alive && r.Inc >= f.inc:
@@ -76,9 +78,10 @@
 	}
 }
 
-// rival is word of another process that has this member's name. The later one is the member, so that a new version beside
-// the old one is, and of two that claim a name by mistake at least one stays. Of a later one that has gone since, as where this
-// machine's clock was set back, there may be word, too: it is contradicted once, and only one that answers is there.
+// rival is word of another process that has this member's name. The later one is the member, so that a new version
+// beside the old one is, and of two that claim a name by mistake at least one stays. Of a later one that has gone
+// since, as where this machine's clock was set back, there may be word, too: it is contradicted once, and only one
+// that answers is there.
 func (f *Fleet) rival(instance, inc uint64) {
 	switch {
 	case instance <= f.self.Instance || instance != f.rivals:
@@ -92,11 +95,18 @@
 }
 
 // meet takes a member that was not known. Who is said to be dead and was never known is no news.
-func (f *Fleet) meet(now int64, r Rumor) {
+func (f *Fleet) meet(now monotime.Micros, r Rumor) {
 	if r.State != Alive && r.State != Suspect || !r.Addr.IsValid() || len(f.peers) >= f.cfg.MaxSize {
 		return
 	}
-	p := &peer{Self: Self{r.ID, r.Name, r.Addr, r.Instance}, hash: hashes(r.ID), inc: r.Inc, state: Alive, since: now, heard: now}
+	p := &peer{
+		Self:  Self{r.ID, r.Name, r.Addr, r.Instance},
+		hash:  hashes(r.ID),
+		inc:   r.Inc,
+		state: Alive,
+		since: now,
+		heard: now,
+	}
 	f.revision++
 	f.peers[r.ID] = p
 	f.order = append(f.order, p)
@@ -108,7 +118,7 @@
 }
 
 // become changes what a member is held to be.
-func (f *Fleet) become(now int64, p *peer, r Rumor) {
+func (f *Fleet) become(now monotime.Micros, p *peer, r Rumor) {
 	was := p.state
 	f.revision++
 	f.mix(p.ID, p.inc, was)
@@ -132,10 +142,10 @@
 	f.tell(r)
 }
 
-// accused takes word of one that could not reach a member since then, or, from nobody in particular, of as many as it takes.
-// One alone makes nobody suspect: it may be its own link that is cut. Some of those who hear of it find out for themselves;
-// once there are enough, this member among them, it is suspected, and all are told.
-func (f *Fleet) accused(since, now int64, p *peer, r Rumor) {
+// accused takes word of one that could not reach a member since then, or, from nobody in particular, of as many as
+// it takes. One alone makes nobody suspect: it may be its own link that is cut. Some of those who hear of it find
+// out for themselves; once there are enough, this member among them, it is suspected, and all are told.
+func (f *Fleet) accused(since, now monotime.Micros, p *peer, r Rumor) {
 	if r.By == p.ID || p.state != Alive {
 		return
 	}
@@ -153,13 +163,13 @@
 }
 
 // enough has a peer suspected that as many have failed to reach as it takes, this member among them.
-func (f *Fleet) enough(now int64, p *peer) {
+func (f *Fleet) enough(now monotime.Micros, p *peer) {
 	if p.state == Alive && p.mine && len(p.accusers) >= f.needed(p) {
 		f.suspect(now, f.begun(now, p), p)
 	}
 }
 
-func (f *Fleet) suspect(now, since int64, p *peer) {
+func (f *Fleet) suspect(now, since monotime.Micros, p *peer) {
 	p.state, p.since, p.suspectAt, p.accusers = Suspect, now, since, nil
 	f.revision++
 	f.suspects++
@@ -170,9 +180,10 @@
 	f.tell(r)
 }
 
-// begun is from when on a suspicion counts: from the second accusation on, but from little before this member's own, since
-// the others may be by chance, from before the peer fell silent, and its own is taken back when it reaches the peer.
-func (f *Fleet) begun(now int64, p *peer) int64 {
+// begun is from when on a suspicion counts: from the second accusation on, but from little before this member's
+// own, since the others may be by chance, from before the peer fell silent, and its own is taken back when it
+// reaches the peer.
+func (f *Fleet) begun(now monotime.Micros, p *peer) monotime.Micros {
 	slices.SortFunc(p.accusers, func(a, b accuser) int { return cmp.Compare(a.since, b.since) })
 	at := p.accusers[min(1, len(p.accusers)-1)].since
 	for _, a := range p.accusers {
@@ -184,7 +195,7 @@
 }
 
 // compare has views compared that have differed for a while.
-func (f *Fleet) compare(now int64, p *peer, digest uint64) {
+func (f *Fleet) compare(now monotime.Micros, p *peer, digest uint64) {
 	if digest == f.digest {
 		p.differs, p.back = 0, 0
 		f.joined = true
--- a/decide/member/spread.go
+++ b/decision/membership/spread.go
@@ -1,8 +1,9 @@
-package member
+package membership
 
 import (
 	"math/bits"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // About how long a rumor and a message without any are, sealed (packet.Size is exact), and how much news a message has.
@@ -36,8 +37,8 @@
 	sent int // how often it was sent, or came back
 }
 
-// spreading is the news being spread, at most one piece of each member, in queues by how often they were sent. A queue may hold
-// members whose news has moved on; they are passed over.
+// spreading is the news being spread, at most one piece of each member, in queues by how often they were sent. A
+// queue may hold members whose news has moved on; they are passed over.
 type spreading struct {
 	items  map[ID]*item
 	queues [maxSends][]ID
@@ -130,17 +131,18 @@
 // tell begins to spread news.
 func (f *Fleet) tell(r Rumor) { f.news.put(r) }
 
-// sends is how often news is sent by each that has it, or comes back to it: the number of rounds that reach all, and some for
-// those lost. Whoever it does not reach all the same finds that views differ.
+// sends is how often news is sent by each that has it, or comes back to it: the number of rounds that reach all,
+// and some for those lost. Whoever it does not reach all the same finds that views differ.
 func (f *Fleet) sends() int { return 3 + bits.Len(uint(len(f.rings[0])+1)) }
 
 // room is how many bytes of news may be sent now.
 func (f *Fleet) room() int { return max(int(f.purse), 0) }
 
-// gossip sends fresh news on its own: one to anybody, so that those who know each other well are no closed circle, one to
-// whoever was heard lately, since after a crash of many most others are gone, and one to whoever has answered lately, since in a cut
-// one way those who are heard may hear nothing. Who is suspected is asked, and so told, all the same.
-func (f *Fleet) gossip(now int64) {
+// gossip sends fresh news on its own: one to anybody, so that those who know each other well are no closed circle,
+// one to whoever was heard lately, since after a crash of many most others are gone, and one to whoever has
+// answered lately, since in a cut one way those who are heard may hear nothing. Who is suspected is asked, and so
+// told, all the same.
+func (f *Fleet) gossip(now monotime.Micros) {
 	if now < f.gossipAt {
 		return
 	}
--- a/decide/member/view.go
+++ b/decision/membership/view.go
@@ -1,8 +1,9 @@
-package member
+package membership
 
 import (
 	"cmp"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Member is one of the fleet, as this member sees it.
@@ -10,21 +11,28 @@
 	Self
 	State   State
 	Inc     uint64
-	Since   int64   // in this state
-	Heard   int64   // the last word of its own
-	RTT     int64   // microseconds, 0 where none is known
-	Out, In float64 // parts of the pings that are lost on the way there, and of the answers on the way back
+	Since   monotime.Micros // in this state
+	Heard   monotime.Micros // the last word of its own
+	RTT     monotime.Micros // microseconds, 0 where none is known
+	Out, In float64         // parts of the pings that are lost on the way there, and of the answers on the way back
 }
 
 // View is the whole fleet, this member first, the others by their names.
-func (f *Fleet) View(now int64) []Member {
+func (f *Fleet) View(now monotime.Micros) []Member {
 	state := Alive
 	if f.leaving {
 		state = Left
 	}
 	out := []Member{{Self: f.self, State: state, Inc: f.inc, Heard: now}}
 	for _, p := range f.order {
-		m := Member{Self: p.Self, State: p.state, Inc: p.inc, Since: p.since, Heard: p.heard, RTT: int64(p.rtt)}
+		m := Member{
+			Self:  p.Self,
+			State: p.state,
+			Inc:   p.inc,
+			Since: p.since,
+			Heard: p.heard,
+			RTT:   monotime.Micros(p.rtt),
+		}
 		if p.sent >= 1 {
 			m.Out = min(max(1-p.told/p.sent, 0), 1)
 		}
@@ -87,7 +95,8 @@
 	return Unknown
 }
 
-// Place is this member's place among those that are there, by their ids: 0 to Live()-1, the same in all views that agree.
+// Place is this member's place among those that are there, by their ids: 0 to Live()-1, the same in all views that
+// agree.
 func (f *Fleet) Place() (n int) {
 	for _, p := range f.rings[0] {
 		if p.ID < f.self.ID {
--- a/decide/member/watch.go
+++ b/decision/membership/watch.go
@@ -1,9 +1,13 @@
-package member
+package membership
 
-import "slices"
+import (
+	"slices"
+	"spurspread/decision/monotime"
+)
 
-// subjects are those that this member watches: on each ring the next one, and as long as that is suspected, or is late with
-// its answer, the next again, so that whoever is watched by one that may be gone has another watcher at once.
+// subjects are those that this member watches: on each ring the next one, and as long as that is suspected, or is
+// late with its answer, the next again, so that whoever is watched by one that may be gone has another watcher at
+// once.
 func (f *Fleet) subjects() (out []*peer) {
 	for k, ring := range f.rings {
 		at, _ := place(ring, f.hash[k], k, f.self.ID)
@@ -20,8 +24,9 @@
 	return out
 }
 
-// turn pings the next of those that are watched. What is suspected is asked more often, so that it can say that it lives.
-func (f *Fleet) turn(now int64) {
+// turn pings the next of those that are watched. What is suspected is asked more often, so that it can say that it
+// lives.
+func (f *Fleet) turn(now monotime.Micros) {
 	busy := f.busy
 	f.busy = nil
 	for _, p := range busy {
@@ -37,7 +42,8 @@
 	}
 	f.turnAt = now + Turn*9/10 + f.jitter(Turn/5)
 	if len(f.watch) == 0 {
-		f.watch = f.subjects() // always in the same order, so that each is asked once a round, and not early in one and late in the next
+		// always in the same order, so that each is asked once a round, and not early in one and late in the next
+		f.watch = f.subjects()
 	}
 	for range (len(f.watch) + Watchers - 1) / Watchers {
 		p := f.watch[0]
@@ -55,7 +61,7 @@
 }
 
 // ping begins a probe, unless one is under way or none is due.
-func (f *Fleet) ping(now int64, p *peer) {
+func (f *Fleet) ping(now monotime.Micros, p *peer) {
 	if p.probe != nil || p.state != Alive && p.state != Suspect {
 		return
 	}
@@ -66,7 +72,7 @@
 }
 
 // help asks a peer for another member, that could not reach it: if this one fails, too, it says so.
-func (f *Fleet) help(now int64, p *peer, asker ID, theirs uint32) {
+func (f *Fleet) help(now monotime.Micros, p *peer, asker ID, theirs uint32) {
 	if p.probe == nil {
 		if f.ping(now, p); p.probe == nil {
 			return
@@ -76,9 +82,9 @@
 	f.relays = append(f.relays, relayed{p.probe.seq, theirs, asker, p.ID, now + 2*probeMost})
 }
 
-// question sends a probe's ping, the first or one more: each under a number of its own, so that an answer tells how long it
-// took.
-func (f *Fleet) question(now int64, p *peer) {
+// question sends a probe's ping, the first or one more: each under a number of its own, so that an answer tells how
+// long it took.
+func (f *Fleet) question(now monotime.Micros, p *peer) {
 	q := p.probe
 	p.sent++
 	q.sent[q.count] = now
@@ -87,18 +93,20 @@
 }
 
 // usual is how long an answer may take that is no sign of anything: what most take from any member, or from this one.
-func (f *Fleet) usual(p *peer) int64 { return int64(max(p.rtt, f.slow)) }
+func (f *Fleet) usual(p *peer) monotime.Micros { return monotime.Micros(max(p.rtt, f.slow)) }
 
 // againAt, helpAt and endAt are how long after a ping it is repeated, helpers are asked, and the verdict falls.
-func againAt(usual int64) int64 { return min(max(ackWait, usual), probeMost/3) }
-func helpAt(usual int64) int64  { return 2 * againAt(usual) }
-func endAt(usual int64) int64   { return min(helpAt(usual)+max(probeTime-2*ackWait, usual), probeMost) }
+func againAt(usual monotime.Micros) monotime.Micros { return min(max(ackWait, usual), probeMost/3) }
+func helpAt(usual monotime.Micros) monotime.Micros  { return 2 * againAt(usual) }
+func endAt(usual monotime.Micros) monotime.Micros {
+	return min(helpAt(usual)+max(probeTime-2*ackWait, usual), probeMost)
+}
 
 // follow looks after a probe: helpers are asked, and in the end this member has failed to reach the peer.
-func (f *Fleet) follow(now int64, p *peer) {
+func (f *Fleet) follow(now monotime.Micros, p *peer) {
 	switch {
 	case p.state != Suspect || p.probe != nil:
-	case p.mine && now-p.triedAt >= probeTime*int64(1+f.suspects/manySuspects):
+	case p.mine && now-p.triedAt >= probeTime*monotime.Micros(1+f.suspects/manySuspects):
 		f.ping(now, p)
 	case !p.mine && now-max(p.since, p.triedAt) >= ownTry:
 		p.triedAt = now
@@ -117,7 +125,7 @@
 	late := now - q.began
 	usual := f.usual(p)
 	// A suspect is asked again and again, by all that failed to reach it.
-	if p.state == Alive && q.count < tries && late >= int64(q.count)*againAt(usual) {
+	if p.state == Alive && q.count < tries && late >= monotime.Micros(q.count)*againAt(usual) {
 		f.question(now, p)
 	}
 	if !q.asked && late >= helpAt(usual) {
@@ -135,13 +143,14 @@
 	}
 }
 
-// sweep asks whoever was not asked for longest, while much of what this member asks fails: in a crash of many, or a cut, most
-// watchers are gone themselves, and waiting for one to find out after the other would take too long.
-func (f *Fleet) sweep(now int64) {
+// sweep asks whoever was not asked for longest, while much of what this member asks fails: in a crash of many, or a
+// cut, most watchers are gone themselves, and waiting for one to find out after the other would take too long.
+func (f *Fleet) sweep(now monotime.Micros) {
 	for range min(sweepMost, f.sweeps) {
 		var oldest *peer
 		for _, p := range f.order {
-			if p.state == Alive && p.probe == nil && now-p.triedAt >= Turn*Watchers && (oldest == nil || p.triedAt < oldest.triedAt) {
+			if p.state == Alive && p.probe == nil && now-p.triedAt >= Turn*Watchers &&
+				(oldest == nil || p.triedAt < oldest.triedAt) {
 				oldest = p
 			}
 		}
@@ -153,9 +162,9 @@
 	}
 }
 
-// second has some of those who hear of a suspicion find out for themselves, besides its watchers: as many in a fleet of any
-// size, all in a small one, since its watchers may be gone as well.
-func (f *Fleet) second(now int64, p *peer) {
+// second has some of those who hear of a suspicion find out for themselves, besides its watchers: as many in a
+// fleet of any size, all in a small one, since its watchers may be gone as well.
+func (f *Fleet) second(now monotime.Micros, p *peer) {
 	if f.rng.IntN(max(f.count(Alive), 1)) < Watchers || slices.Contains(f.subjects(), p) {
 		f.ping(now, p)
 	}
@@ -166,7 +175,7 @@
 }
 
 // accuse says that this member could not reach the peer. It says nothing while it doubts itself.
-func (f *Fleet) accuse(now int64, p *peer, q *probe) {
+func (f *Fleet) accuse(now monotime.Micros, p *peer, q *probe) {
 	if f.Doubts(now) || p.state != Alive && p.state != Suspect {
 		return
 	}
@@ -180,8 +189,8 @@
 	if p.state != Alive {
 		return
 	}
-	// Not enough have failed to reach it: those who asked are told, or where nobody did, a few are asked to try, and once more
-	// a little later, since either may be lost.
+	// Not enough have failed to reach it: those who asked are told, or where nobody did, a few are asked to try,
+	// and once more a little later, since either may be lost.
 	asked := false
 	for _, a := range f.relays {
 		if o := f.peers[a.asker]; a.mine == q.seq && o != nil {
@@ -195,24 +204,30 @@
 	}
 }
 
-// tellAccused tells some what this member has failed to reach, so that they find out for themselves: all of it in one message.
+// tellAccused tells some what this member has failed to reach, so that they find out for themselves: all of it in
+// one message.
 func (f *Fleet) tellAccused() {
-	f.accusing = slices.DeleteFunc(f.accusing, func(r Rumor) bool { p := f.peers[r.ID]; return p == nil || p.state != Alive || !p.mine })
+	f.accusing = slices.DeleteFunc(
+		f.accusing,
+		func(r Rumor) bool { p := f.peers[r.ID]; return p == nil || p.state != Alive || !p.mine },
+	)
 	part := f.accusing[:fitting(f.accusing, roomInMessage)]
 	if f.accusing = f.accusing[len(part):]; len(part) == 0 {
 		return
 	}
 	to := f.some(Watchers, func(o *peer) bool { return o.hears && !o.mine })
 	if len(to) < Watchers {
-		to = append(to, f.some(Watchers-len(to), func(o *peer) bool { return o.state == Alive && !o.hears && !o.mine })...)
+		to = append(
+			to,
+			f.some(Watchers-len(to), func(o *peer) bool { return o.state == Alive && !o.hears && !o.mine })...)
 	}
 	for _, o := range to {
 		f.send(o.Addr, o, Message{Kind: Gossip, Rumors: slices.Clone(part)})
 	}
 }
 
-// needed is how many must have failed to reach one that is suspected: as many as there are that could say so, this member
-// among them, up to confirms.
+// needed is how many must have failed to reach one that is suspected: as many as there are that could say so, this
+// member among them, up to confirms.
 func (f *Fleet) needed(p *peer) int {
 	if p.apart { // whoever of the two is right, they are apart
 		return 1
@@ -228,7 +243,7 @@
 }
 
 // judge holds those dead whose suspicion has lasted, as far as this member could not reach them itself.
-func (f *Fleet) judge(now int64) {
+func (f *Fleet) judge(now monotime.Micros) {
 	if f.suspects == 0 || f.Doubts(now) {
 		return
 	}
@@ -245,7 +260,7 @@
 }
 
 // answered takes the sign of life that an answer is.
-func (f *Fleet) answered(now int64, id ID, seq uint32, direct bool) {
+func (f *Fleet) answered(now monotime.Micros, id ID, seq uint32, direct bool) {
 	p := f.peers[id]
 	if p == nil {
 		return
@@ -282,7 +297,8 @@
 	}
 }
 
-// cleared forgets what was said against one that this member has just reached itself, as far as nobody else holds to it.
+// cleared forgets what was said against one that this member has just reached itself, as far as nobody else holds
+// to it.
 func (f *Fleet) cleared(p *peer) {
 	if p.mine = false; p.state == Alive {
 		p.accusers = nil
@@ -290,7 +306,7 @@
 }
 
 // revive asks one of the dead: where a cut has healed, it learns what it is held to be, and says otherwise.
-func (f *Fleet) revive(now int64) {
+func (f *Fleet) revive(now monotime.Micros) {
 	f.askDead(now)
 	if now < f.reviveAt {
 		return
@@ -301,9 +317,9 @@
 	}
 }
 
-// returned is what a member does that was held dead, and is there: what it found out meanwhile about others is as likely its own
-// fault, so it is not spread, and all whom it holds dead are asked, some at each Tick.
-func (f *Fleet) returned(now int64) {
+// returned is what a member does that was held dead, and is there: what it found out meanwhile about others is as
+// likely its own fault, so it is not spread, and all whom it holds dead are asked, some at each Tick.
+func (f *Fleet) returned(now monotime.Micros) {
 	f.news.drop(func(r *Rumor) bool { return r.State == Suspect || r.State == Dead })
 	f.asking = f.asking[:0]
 	for _, p := range f.order {
@@ -313,7 +329,7 @@
 	}
 }
 
-func (f *Fleet) askDead(now int64) {
+func (f *Fleet) askDead(now monotime.Micros) {
 	n := min(len(f.asking), sweepMost)
 	for _, p := range f.asking[:n] {
 		if p.state == Dead {
@@ -324,7 +340,7 @@
 }
 
 // tidy forgets what is over.
-func (f *Fleet) tidy(now int64) {
+func (f *Fleet) tidy(now monotime.Micros) {
 	if now < f.tidyAt {
 		return
 	}
--- /dev/null
+++ b/decision/monotime/monotime.go
@@ -0,0 +1,16 @@
+// Package monotime has the one type for time that all decisions share. It is a leaf: it knows nothing of this module,
+// and reads no clock. Whoever calls a decision hands it the time of a monotonic clock of its own.
+package monotime
+
+// Micros is a point in time on the caller's monotonic clock or a span of time, in microseconds.
+type Micros int64
+
+// Units of time.
+const (
+	Microsecond Micros = 1
+	Millisecond        = 1000 * Microsecond
+	Second             = 1000 * Millisecond
+)
+
+// Seconds returns the span in seconds.
+func (d Micros) Seconds() float64 { return float64(d) / float64(Second) }
--- a/decide/poll/poll.go
+++ b/decision/polling/polling.go
@@ -1,12 +1,15 @@
-// Package poll is the discovery polling schedule: it decides when one of many balancers asks discovery, where that answers
-// only when asked. All ask by turns, each at its own moment of a cycle that all share by the clock, since discovery takes
-// one call after another, and what waits too long is lost work to it: asked faster than it answers, it answers nobody. It
-// does not know what is asked for, nor any clock; times are microseconds.
+// Package poll is the discovery polling schedule: it decides when one of many balancers asks discovery, where that
+// answers only when asked. All ask by turns, each at its own moment of a cycle that all share by the clock, since
+// discovery takes one call after another, and what waits too long is lost work to it: asked faster than it answers,
+// it answers nobody. It does not know what is asked for, nor any clock; times are microseconds.
 //
-// However many balancers there are, each asks so soon after a failure that it can have the answer by when it may no longer
-// act on an older list. A failure does not tell whether discovery is away or has too many callers, so that a cycle grows
-// only after several failures in a row, and not where discovery was seen to answer fast enough for all of them.
-package poll
+// However many balancers there are, each asks so soon after a failure that it can have the answer by when it may no
+// longer act on an older list. A failure does not tell whether discovery is away or has too many callers, so that a
+// cycle grows only after several failures in a row, and not where discovery was seen to answer fast enough for all
+// of them.
+package polling
+
+import "spurspread/decision/monotime"
 
 const (
 	ms  = 1000
@@ -33,32 +36,36 @@
 // Schedule is one balancer's part. Jitter draws from 0 to d.
 type Schedule struct {
 	Rank, Balancers  int
-	Every            int64 // the longest that a balancer may go without asking
-	Grace            int64 // for how long it may act on the list before, once told
-	Jitter           func(d int64) int64
+	Every            monotime.Micros // the longest that a balancer may go without asking
+	Grace            monotime.Micros // for how long it may act on the list before, once told
+	Jitter           func(d monotime.Micros) monotime.Micros
 	watching, asking bool
 	refresh          bool // asked for again though watching, at next
-	next             int64
-	asked            int64 // the last ask
-	heard            int64 // discovery's last answer
-	least            int64 // that an answer took; 0 until there was one
-	fails, late      int   // in a row, and those of them after patience
-	since            int64 // the first of them
+	next             monotime.Micros
+	asked            monotime.Micros // the last ask
+	heard            monotime.Micros // discovery's last answer
+	least            monotime.Micros // that an answer took; 0 until there was one
+	fails, late      int             // in a row, and those of them after patience
+	since            monotime.Micros // the first of them
 }
 
 // Begin has the first ask made in this balancer's turn.
-func (a *Schedule) Begin(now int64) { a.heard, a.next = now, a.turn(now, a.Span()) }
+func (a *Schedule) Begin(now monotime.Micros) { a.heard, a.next = now, a.turn(now, a.Span()) }
 
 // each is a time for each of the balancers.
-func (a *Schedule) each(d int64) int64 { return d * int64(max(a.Balancers, 1)) }
+func (a *Schedule) each(d monotime.Micros) monotime.Micros {
+	return d * monotime.Micros(max(a.Balancers, 1))
+}
 
 // Span is the time over which all balancers' calls of one cause are spread; settings may give no time at all.
-func (a *Schedule) Span() int64 { return max(min(a.each(share), a.Every, a.Every+a.Grace-rest), ms) }
+func (a *Schedule) Span() monotime.Micros {
+	return max(min(a.each(share), a.Every, a.Every+a.Grace-rest), ms)
+}
 
 // turn is this balancer's next moment, by its rank, in a cycle of length d that all share by the clock.
-func (a *Schedule) turn(now, d int64) int64 {
-	n := int64(max(a.Balancers, 1))
-	at := now - now%d + d*(int64(a.Rank)%n)/n + a.Jitter(d/n)
+func (a *Schedule) turn(now, d monotime.Micros) monotime.Micros {
+	n := monotime.Micros(max(a.Balancers, 1))
+	at := now - now%d + d*(monotime.Micros(a.Rank)%n)/n + a.Jitter(d/n)
 	if at <= now {
 		at += d
 	}
@@ -66,7 +73,7 @@
 }
 
 // Due tells whether to subscribe now, or to ask again on the watch, which is a cheap refresh. It counts as done.
-func (a *Schedule) Due(now int64) bool {
+func (a *Schedule) Due(now monotime.Micros) bool {
 	if now < a.next || a.watching && !a.asking && !a.refresh {
 		return false
 	}
@@ -76,7 +83,7 @@
 }
 
 // Answered notes that discovery has spoken.
-func (a *Schedule) Answered(now int64) {
+func (a *Schedule) Answered(now monotime.Micros) {
 	if took := max(now-a.asked, 1); a.asking && (a.least == 0 || took < a.least) {
 		a.least = took
 	}
@@ -84,8 +91,8 @@
 }
 
 // Failed notes that an ask failed, or that the watch has ended.
-func (a *Schedule) Failed(now int64) {
-	before := int64(giveUp)
+func (a *Schedule) Failed(now monotime.Micros) {
+	before := monotime.Micros(giveUp)
 	if a.watching && !a.asking {
 		before = silence
 	}
@@ -101,7 +108,7 @@
 }
 
 // cycle is the time within which all balancers ask again after a failure; longest is what leaves time for an answer.
-func (a *Schedule) cycle(longest int64) int64 {
+func (a *Schedule) cycle(longest monotime.Micros) monotime.Micros {
 	d := min(max(a.each(share), backoff)<<min(a.fails, 2), longest)
 	if a.least > 0 && a.each(a.least) <= longest {
 		return d
@@ -113,9 +120,9 @@
 }
 
 // MayRefresh tells whether asking again on a live watch would be no more than is bearable.
-func (a *Schedule) MayRefresh(now int64) bool {
+func (a *Schedule) MayRefresh(now monotime.Micros) bool {
 	return !a.asking && !a.refresh && a.watching && now-a.heard >= refreshGap
 }
 
 // Refresh has discovery asked again, in this balancer's turn.
-func (a *Schedule) Refresh(now int64) { a.refresh, a.next = true, a.turn(now, a.Span()) }
+func (a *Schedule) Refresh(now monotime.Micros) { a.refresh, a.next = true, a.turn(now, a.Span()) }
--- a/decide/resume/gate.go
+++ b/decision/resume/gate.go
@@ -1,6 +1,6 @@
 package resume
 
-import "spurspread/logic"
+import "spurspread/decision/outcome"
 
 // Gate is a balancer's part: it looks at tokens as they come in, before any server is asked, and tells what the ends
 // of attempts mean for their clients. A gate that is new, or has lost what it knew, is as good as one that has not:
@@ -55,16 +55,16 @@
 // Outcome takes how an attempt ended that did not come to stand, and tells what its client is to hear. Honoured means
 // that the token is as good as before, and may be presented again after a while: the client is told BUSY. reached
 // tells whether the first line's last byte was written.
-func (g *Gate) Outcome(id ID, st logic.Status, reached bool) Reason {
+func (g *Gate) Outcome(id ID, st outcome.Status, reached bool) Reason {
 	switch st {
-	case logic.ServerFull, logic.Moot:
+	case outcome.ServerFull, outcome.Inconclusive:
 		g.claims.release(id)
 		return Honoured
-	case logic.ConnectFailed:
+	case outcome.ConnectFailed:
 		// It never ran, but with nobody there to honour the token, the client should not wait for it.
 		g.claims.release(id)
 		return g.Refuse(Unreachable)
-	case logic.Cancelled:
+	case outcome.Cancelled:
 		if !reached {
 			g.claims.release(id)
 			return Honoured
--- a/decide/resume/resume.go
+++ b/decision/resume/resume.go
@@ -45,8 +45,10 @@
 	reasons
 )
 
-var words = [reasons]string{"honoured", "malformed", "key", "forged", "early", "expired", "stream", "tenant", "ahead",
-	"elsewhere", "gone", "draining", "taken", "spent", "full", "gap", "unreachable", "unsure", "unsupported"}
+var words = [reasons]string{
+	"honoured", "malformed", "key", "forged", "early", "expired", "stream", "tenant", "ahead",
+	"elsewhere", "gone", "draining", "taken", "spent", "full", "gap", "unreachable", "unsure", "unsupported",
+}
 
 // String is the reason's word.
 func (r Reason) String() string { return words[r] }
@@ -189,11 +191,13 @@
 	h[i], h[j] = h[j], h[i]
 	h[i].pos, h[j].pos = i, j
 }
+
 func (h *byExpiry) Push(x any) {
 	e := x.(*claim)
 	e.pos = len(*h)
 	*h = append(*h, e)
 }
+
 func (h *byExpiry) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
--- a/decide/retry/retry.go
+++ b/decision/retry/retry.go
@@ -1,15 +1,18 @@
-// Package retry is the retry policy: it decides what may still be done with a request of which an attempt may have run, whether,
-// where and until when it may be sent again, and whether its client may be told that a repeat is harmless. It knows the effects
-// of classes and the places of servers, and nothing of sockets, of which server is best, or of any clock; times are microseconds.
+// Package retry is the retry policy: it decides what may still be done with a request of which an attempt may have
+// run, whether, where and until when it may be sent again, and whether its client may be told that a repeat is
+// harmless. It knows the effects of classes and the places of servers, and nothing of sockets, of which server is
+// best, or of any clock; times are microseconds.
 //
 // Invariant: no effect is brought about twice, by this balancer or by a client that it told to come again.
 package retry
 
+import "spurspread/decision/monotime"
+
 // Effect says what repeating a request of a class may do.
 type Effect uint8
 
-// The effects: a Safe request may be repeated freely, a Keyed one only to the group of servers that discards its repeats,
-// an Unsafe one only when no earlier attempt can have run.
+// The effects: a Safe request may be repeated freely, a Keyed one only to the group of servers that discards its
+// repeats, an Unsafe one only when no earlier attempt can have run.
 const (
 	Safe Effect = iota
 	Keyed
@@ -26,15 +29,15 @@
 	Cell
 )
 
-// lead is how long before the end of the window a repeat must have been written: it still has to reach its server, across
-// sites, whose clock counts.
+// lead is how long before the end of the window a repeat must have been written: it still has to reach its server,
+// across sites, whose clock counts.
 const lead = 20_000
 
 // Policy is what a class says of repeats.
 type Policy struct {
 	Effect Effect
 	Scope  Scope
-	Window int64 // how long a keyed request's repeats are discarded, from the first attempt that may have run
+	Window monotime.Micros // how long a keyed request's repeats are discarded, from the first attempt that may have run
 }
 
 // Place is where a server stands.
@@ -46,12 +49,12 @@
 // Past is what a request's attempts may have done. The zero Past is that of one that has not run.
 type Past struct {
 	ran   bool
-	at    int64
+	at    monotime.Micros
 	place Place
 }
 
 // Ran notes an attempt that may have run, sent then to a server there. Only the first counts.
-func (p *Past) Ran(at int64, place Place) {
+func (p *Past) Ran(at monotime.Micros, place Place) {
 	if !p.ran {
 		*p = Past{ran: true, at: at, place: place}
 	}
@@ -61,18 +64,18 @@
 func (p *Past) MayHaveRun() bool { return p.ran }
 
 // Until is when a repeat must have been written at the latest; bound is false where time does not matter.
-func (r Policy) Until(p *Past) (until int64, bound bool) {
+func (r Policy) Until(p *Past) (until monotime.Micros, bound bool) {
 	return p.at + r.Window - lead, p.ran && r.Effect == Keyed
 }
 
 // Spent tells that no server may have the request any more.
-func (r Policy) Spent(p *Past, now int64) bool {
+func (r Policy) Spent(p *Past, now monotime.Micros) bool {
 	until, bound := r.Until(p)
 	return p.ran && r.Effect == Unsafe || bound && now >= until
 }
 
 // Allows tells whether a server there may have the request now.
-func (r Policy) Allows(p *Past, now int64, at Place) bool {
+func (r Policy) Allows(p *Past, now monotime.Micros, at Place) bool {
 	switch {
 	case r.Spent(p, now):
 		return false
