--- a/decide/load/load.go
+++ b/decision/serverload/serverload.go
@@ -1,13 +1,14 @@
-// Package load estimates how much of what a server can do is asked of it, from what is told: the loads of connections
-// and hints of them, the size and the crowd behind a weight that falls with use, and load reports. From that it says how
-// well one more connection would go there, and when a report is worth its price. It knows no sockets, no clock and no
-// rules, and does not decide who is sent where. Loads are cores, times microseconds.
-package load
+// Package load estimates how much of what a server can do is asked of it, from what is told: the loads of
+// connections and hints of them, the size and the crowd behind a weight that falls with use, and load reports. From
+// that it says how well one more connection would go there, and when a report is worth its price. It knows no
+// sockets, no clock and no rules, and does not decide who is sent where. Loads are cores, times microseconds.
+package serverload
 
 import (
 	"cmp"
 	"math"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 const (
@@ -37,8 +38,8 @@
 	awayTimes = 3.0
 
 	// What a server may be asked for with one more connection: messages of a class that is worth nothing beside the
-	// others still have room to swing at leastFull, and at mostFull those of the class that is worth most are kept while
-	// what is worth less is refused.
+	// others still have room to swing at leastFull, and at mostFull those of the class that is worth most are kept
+	// while what is worth less is refused.
 	leastFull, mostFull = 0.65, 0.8
 	// Asked for more than over, a server answers hardly a message in time, and connections leave it until it is asked
 	// for calm. They show there no sooner than after settle.
@@ -93,19 +94,19 @@
 }
 
 type sample struct {
-	at    int64
+	at    monotime.Micros
 	value float64
 }
 
 // Gauge is what one server carries.
 type Gauge struct {
-	Size    float64 // cores, where loads are told
-	Own     float64 // load of this balancer's connections and attempts
-	Conns   int     // how many they are
-	Groups  int     // and of how many groups
-	Others  float64 // connections of other balancers
-	AskedAt int64   // when a report was last asked for
-	LeftAt  int64   // when connections were last sent away
+	Size    float64         // cores, where loads are told
+	Own     float64         // load of this balancer's connections and attempts
+	Conns   int             // how many they are
+	Groups  int             // and of how many groups
+	Others  float64         // connections of other balancers
+	AskedAt monotime.Micros // when a report was last asked for
+	LeftAt  monotime.Micros // when connections were last sent away
 
 	offset float64 // what reports show beyond what is known
 	past   [samples]sample
@@ -124,7 +125,7 @@
 func (g *Gauge) Used(f *Fleet, warmth float64) float64 { return max(g.known(f, warmth)+g.offset, 0) }
 
 // Look notes what is known now, for reports that will tell of this moment. It is called some times a second.
-func (g *Gauge) Look(now int64, f *Fleet, warmth float64) {
+func (g *Gauge) Look(now monotime.Micros, f *Fleet, warmth float64) {
 	if now-g.past[(g.next+samples-1)%samples].at >= sampleGap {
 		g.past[g.next] = sample{now, g.known(f, warmth)}
 		g.next = (g.next + 1) % samples
@@ -133,7 +134,7 @@
 
 // Read takes a report of what is asked of the server over what it can do. One within what was known to be asked lately
 // tells nothing new.
-func (g *Gauge) Read(now int64, f *Fleet, warmth, used float64) {
+func (g *Gauge) Read(now monotime.Micros, f *Fleet, warmth, used float64) {
 	low := g.known(f, warmth)
 	high := low
 	for _, p := range g.past {
@@ -147,7 +148,8 @@
 // Restarted forgets what reports told of a server before it began anew.
 func (g *Gauge) Restarted() { g.offset, g.past = 0, [samples]sample{} }
 
-// add is what one more connection of this load takes of the server. A group that is there already is not paid for again.
+// add is what one more connection of this load takes of the server. A group that is there already is not paid for
+// again.
 func (g *Gauge) add(f *Fleet, warmth, load float64, grouped bool) float64 {
 	add := max(load, leastLoad)
 	if !grouped {
@@ -156,9 +158,9 @@
 	return add / (g.Size * warmth)
 }
 
-// Fits tells whether the server can do one more connection of this load, whose class is worth this part (0 to 1) of the
-// one that is worth most. While less than half is asked of the server it takes any: a connection that would fill a server
-// by itself finds no better place by being refused.
+// Fits tells whether the server can do one more connection of this load, whose class is worth this part (0 to 1) of
+// the one that is worth most. While less than half is asked of the server it takes any: a connection that would
+// fill a server by itself finds no better place by being refused.
 func (g *Gauge) Fits(f *Fleet, warmth, load float64, grouped bool, worth float64) bool {
 	full := leastFull + (mostFull-leastFull)*worth
 	return g.Used(f, warmth)+min(g.add(f, warmth, load, grouped), full/2) <= full
@@ -180,8 +182,9 @@
 	return max(calm-g.Used(f, warmth), 0) * g.Size * warmth
 }
 
-// Excess is how much of this balancer's load is to leave the server: of what is asked too much, the part that is its own.
-func (g *Gauge) Excess(now int64, f *Fleet, warmth float64) float64 {
+// Excess is how much of this balancer's load is to leave the server: of what is asked too much, the part that is
+// its own.
+func (g *Gauge) Excess(now monotime.Micros, f *Fleet, warmth float64) float64 {
 	used := g.Used(f, warmth)
 	if used < over || now-g.LeftAt < settle {
 		return 0
@@ -195,8 +198,9 @@
 	Load  float64
 }
 
-// Leaving names those of the connections whose leaving takes so much load off, and how much that is. What frees most for
-// each that leaves goes first: the last few of a group, with which its cost goes, before the heavy ones of others.
+// Leaving names those of the connections whose leaving takes so much load off, and how much that is. What frees
+// most for each that leaves goes first: the last few of a group, with which its cost goes, before the heavy ones of
+// others.
 func Leaving(f *Fleet, items []Item, want float64) (leave []int, load float64) {
 	type group struct {
 		items []int
@@ -247,7 +251,7 @@
 }
 
 // Due tells whether to ask the server for a report now, and counts it as asked.
-func (s *Survey) Due(now int64, g *Gauge) bool {
+func (s *Survey) Due(now monotime.Micros, g *Gauge) bool {
 	if s.saved < 1 || now-g.AskedAt < surveyGap {
 		return false
 	}
--- a/decide/pool/pool.go
+++ b/decision/upstreampool/upstreampool.go
@@ -1,15 +1,18 @@
-// Package pool decides on trunks, the shared connections to servers that speak channels: how many a server has, which one
-// a channel takes, when one more is opened ahead of need, when one is retired, and what is remembered of servers that
-// can't be reached or speak plain lines only. It has no clock and no sockets.
+// Package pool decides on trunks, the shared connections to servers that speak channels: how many a server has,
+// which one a channel takes, when one more is opened ahead of need, when one is retired, and what is remembered of
+// servers that can't be reached or speak plain lines only. It has no clock and no sockets.
 //
-// The invariant: no trunk carries more than its limit, no server and no balancer has more trunks than theirs, at most one
-// trunk to a server is being opened at a time, and after a failure none before its wait is over.
-package pool
+// The invariant: no trunk carries more than its limit, no server and no balancer has more trunks than theirs, at
+// most one trunk to a server is being opened at a time, and after a failure none before its wait is over.
+package upstreampool
 
-import "slices"
+import (
+	"slices"
+	"spurspread/decision/monotime"
+)
 
 // Micros is a point in time or a span, in microseconds.
-type Micros = int64
+type Micros = monotime.Micros
 
 // Limits bound a pool.
 type Limits struct {
--- a/decide/zone/compare.go
+++ b/decision/zonedirectory/compare.go
@@ -1,13 +1,15 @@
-package zone
+package zonedirectory
 
 import (
 	"math"
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 const (
-	// syncEvery is the least time between two comparisons that a member begins in its own zone; half as long while it is new.
+	// syncEvery is the least time between two comparisons that a member begins in its own zone; half as long while
+	// it is new.
 	syncEvery = 1 * sec
 	// rangeVersions is how many versions one Compare has, besides its two ends.
 	rangeVersions = MaxVersions - 2
@@ -18,7 +20,7 @@
 )
 
 // noticedHere takes the digest of a member of this zone. What is new comes by itself: who differs for longer is asked.
-func (d *Directory) noticedHere(now int64, from netip.AddrPort, id MemberID, digest uint64) {
+func (d *Directory) noticedHere(now monotime.Micros, from netip.AddrPort, id MemberID, digest uint64) {
 	if digest == d.digest {
 		delete(d.differs, id)
 		d.synced = true
@@ -40,11 +42,11 @@
 }
 
 // ask has another's directory compared with this one.
-func (d *Directory) ask(now int64, to netip.AddrPort, id MemberID, zone ID) {
+func (d *Directory) ask(now monotime.Micros, to netip.AddrPort, id MemberID, zone ID) {
 	if zone == d.own || !d.synced {
 		d.syncAt = now + syncEvery/2
 		if d.synced {
-			d.syncAt += syncEvery/2 + d.rng.Int64N(syncEvery/2)
+			d.syncAt += syncEvery/2 + monotime.Micros(d.rng.Int64N(int64(syncEvery/2)))
 		}
 	}
 	d.sendRepair(to, id, Message{Kind: Compare, Versions: d.versions(zone == d.own)})
@@ -106,7 +108,8 @@
 			continue
 		}
 		at, listed := slices.BinarySearchFunc(m.Versions, ItemVersion{Key: k}, byKey)
-		if !listed && !m.Back || listed && (e.after(m.Versions[at]) || m.Versions[at].Check == 0 && e.key == summaryKey(d.own)) {
+		if !listed && !m.Back ||
+			listed && (e.after(m.Versions[at]) || m.Versions[at].Check == 0 && e.key == summaryKey(d.own)) {
 			newer = append(newer, e)
 		}
 	}
@@ -119,7 +122,8 @@
 	}
 }
 
-// forgetToo forgets zones that a member of this one has forgotten, which knew of them longer: they are gone for this one as well.
+// forgetToo forgets zones that a member of this one has forgotten, which knew of them longer: they are gone for
+// this one as well.
 func (d *Directory) forgetToo(versions []ItemVersion) {
 	for _, v := range versions {
 		e := d.items[v.Key]
@@ -182,8 +186,9 @@
 	d.send(to, id, m)
 }
 
-// updated takes note of what an Update says of its sender. A new process asks who tells it of another zone for all the rest.
-func (d *Directory) updated(now int64, from netip.AddrPort, m *Message) {
+// updated takes note of what an Update says of its sender. A new process asks who tells it of another zone for all
+// the rest.
+func (d *Directory) updated(now monotime.Micros, from netip.AddrPort, m *Message) {
 	d.noteSeed(from, m.Zone)
 	switch {
 	case m.Zone == d.own:
--- a/decide/zone/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -1,4 +1,4 @@
-package zone
+package zonedirectory
 
 import (
 	"cmp"
@@ -6,12 +6,13 @@
 	"math/rand/v2"
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Spans, in microseconds.
 const (
-	ms  int64 = 1000
-	sec       = 1000 * ms
+	ms  monotime.Micros = 1000
+	sec                 = 1000 * ms
 	// Step is how often Tick is to be called.
 	Step = 50 * ms
 )
@@ -29,8 +30,8 @@
 	Seeds    []netip.AddrPort // of any zone
 	Expected int              // members of the fleet by its settings: what the rate divisor begins at
 	Seed     uint64
-	// Divisor is the rule by which the fleet's budgets are divided: how many members are there and how many are known it is told at
-	// each Tick. It is needed.
+	// Divisor is the rule by which the fleet's budgets are divided: how many members are there and how many are
+	// known it is told at each Tick. It is needed.
 	Divisor Divisor
 	// Rank orders the members of a zone, the lowest first, where it is not nil: a laboratory plants a fault here.
 	Rank func(zone ID, id MemberID) uint64
@@ -38,8 +39,8 @@
 
 // Divisor follows the size of the fleet, from a number that it begins with.
 type Divisor interface {
-	Begin(now int64, members int)
-	Note(now int64, live, known int)
+	Begin(now monotime.Micros, members int)
+	Note(now monotime.Micros, live, known int)
 	Value() float64
 }
 
@@ -63,15 +64,15 @@
 	cfg   Config
 	own   ID
 	rng   *rand.Rand
-	born  int64
-	now   int64
+	born  monotime.Micros
+	now   monotime.Micros
 	local Local
 
 	items          map[uint64]*entry
-	keys           []uint64 // of items, ascending
-	digest, global uint64   // of all items, and of those that go to all zones
-	changedAt      int64    // when global did
-	counts         [3]int   // items by kind
+	keys           []uint64        // of items, ascending
+	digest, global uint64          // of all items, and of those that go to all zones
+	changedAt      monotime.Micros // when global did
+	counts         [3]int          // items by kind
 	zones          []*zoneState
 	forgotten      map[uint64]forgotten
 
@@ -87,27 +88,28 @@
 
 	spread    spreading
 	repair    bucket
-	syncAt    int64
-	differs   map[MemberID]int64 // members of this zone whose directories differ, since when
-	cursor    uint64             // from which key on the next Compare is
-	answered  map[netip.AddrPort]int64
+	syncAt    monotime.Micros
+	differs   map[MemberID]monotime.Micros // members of this zone whose directories differ, since when
+	cursor    uint64                       // from which key on the next Compare is
+	answered  map[netip.AddrPort]monotime.Micros
 	seq       uint32
-	seedsAt   int64
+	seedsAt   monotime.Micros
 	seedAt    int
 	seedZones map[netip.AddrPort]ID // by what answered there
 
-	joinAt      int64
+	joinAt      monotime.Micros
 	joins       []netip.AddrPort // see JoinSeeds
-	introduceAt int64
-	judgeAt     int64
+	introduceAt monotime.Micros
+	judgeAt     monotime.Micros
 	missing     []ID // see unreachable
 	// Members of this zone that are not in the view are heard, since when and when last.
-	strangerSince, strangerAt int64
+	strangerSince, strangerAt monotime.Micros
 	live, known               int
 	before                    int // members of the zones before this one
 	out                       []Send
 
-	// Issued and Yielded count the own zone's summaries that this member issued, and how often it let another issuer's stand.
+	// Issued and Yielded count the own zone's summaries that this member issued, and how often it let another
+	// issuer's stand.
 	Issued, Yielded int
 	Saved           int // messages not sent, for want of budget
 }
@@ -117,8 +119,8 @@
 	*Summary
 	id       ID
 	state    Reachability
-	since    int64
-	cutSince int64 // from when on it would be Cut, 0 where it would not
+	since    monotime.Micros
+	cutSince monotime.Micros // from when on it would be Cut, 0 where it would not
 	link     link
 }
 
@@ -126,15 +128,25 @@
 type forgotten struct {
 	zone    ID
 	version ItemVersion
-	until   int64
+	until   monotime.Micros
 }
 
 // New returns a directory that knows no zone.
-func New(cfg Config, now int64) *Directory {
-	d := &Directory{cfg: cfg, own: cfg.Site.ID(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.ID))), born: now, now: now,
-		items: map[uint64]*entry{}, forgotten: map[uint64]forgotten{}, rank: MaxContacts, differs: map[MemberID]int64{},
-		answered: map[netip.AddrPort]int64{}, seedZones: map[netip.AddrPort]ID{}, changedAt: now}
-	d.spread.gossip, d.spread.push = newBucket(gossipBudget, gossipReserve, now), newBucket(pushBudget, pushReserve, now)
+func New(cfg Config, now monotime.Micros) *Directory {
+	d := &Directory{
+		cfg: cfg, own: cfg.Site.ID(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.ID))), born: now, now: now,
+		items: map[uint64]*entry{}, forgotten: map[uint64]forgotten{}, rank: MaxContacts, differs: map[MemberID]monotime.Micros{},
+		answered: map[netip.AddrPort]monotime.Micros{}, seedZones: map[netip.AddrPort]ID{}, changedAt: now,
+	}
+	d.spread.gossip, d.spread.push = newBucket(
+		gossipBudget,
+		gossipReserve,
+		now,
+	), newBucket(
+		pushBudget,
+		pushReserve,
+		now,
+	)
 	d.repair = newBucket(repairBudget, repairReserve, now)
 	if d.cfg.Rank == nil {
 		d.cfg.Rank = rankHash
@@ -143,8 +155,9 @@
 	return d
 }
 
-// Tick does what is due, each Step. It takes the view of the own zone as it is; nil where that has not changed in anything.
-func (d *Directory) Tick(now int64, local *Local) []Send {
+// Tick does what is due, each Step. It takes the view of the own zone as it is; nil where that has not changed in
+// anything.
+func (d *Directory) Tick(now monotime.Micros, local *Local) []Send {
 	d.now = now
 	if local != nil {
 		d.view(*local)
@@ -173,8 +186,9 @@
 }
 
 // Receive takes a message that came from an address; whose it is was proved before. Noticed need not be called for it.
-func (d *Directory) Receive(now int64, from netip.AddrPort, m Message) []Send {
-	if m.Kind == 0 || m.Kind > maxKind || m.Zone == 0 || m.From == d.cfg.Self.ID || len(m.Items) > MaxItems || len(m.Versions) > MaxVersions {
+func (d *Directory) Receive(now monotime.Micros, from netip.AddrPort, m Message) []Send {
+	if m.Kind == 0 || m.Kind > maxKind || m.Zone == 0 || m.From == d.cfg.Self.ID || len(m.Items) > MaxItems ||
+		len(m.Versions) > MaxVersions {
 		return nil
 	}
 	d.now = now
@@ -194,9 +208,9 @@
 	return d.take()
 }
 
-// Noticed takes what any datagram of member messages says of its sender's zone and directory. One of another zone is not to be
-// given to member.Fleet; it is answered with this zone's summary here.
-func (d *Directory) Noticed(now int64, from netip.AddrPort, id MemberID, zone ID, digest uint64) []Send {
+// Noticed takes what any datagram of member messages says of its sender's zone and directory. One of another zone
+// is not to be given to member.Fleet; it is answered with this zone's summary here.
+func (d *Directory) Noticed(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID, digest uint64) []Send {
 	d.now = now
 	if id == d.cfg.Self.ID || zone == 0 {
 		return nil
@@ -210,9 +224,9 @@
 	return d.take()
 }
 
-// introduce tells a member of another zone, which has this one's address as a seed, of this zone and of what its own is said
-// to be.
-func (d *Directory) introduce(now int64, from netip.AddrPort, id MemberID, zone ID) {
+// introduce tells a member of another zone, which has this one's address as a seed, of this zone and of what its
+// own is said to be.
+func (d *Directory) introduce(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID) {
 	if len(d.answered) > maxAnswered {
 		clear(d.answered)
 	}
@@ -231,7 +245,8 @@
 	}
 }
 
-// Digest stands for all items that this member has, those of its own zone among them: what datagrams of member messages carry.
+// Digest stands for all items that this member has, those of its own zone among them: what datagrams of member
+// messages carry.
 func (d *Directory) Digest() uint64 { return d.digest }
 
 // Records are all records by their names.
@@ -246,7 +261,7 @@
 }
 
 // Publish begins to spread a new value of a record.
-func (d *Directory) Publish(now int64, name, value string) (Record, error) {
+func (d *Directory) Publish(now monotime.Micros, name, value string) (Record, error) {
 	r := Record{Name: name, Value: value, Version: d.version(now, recordKey(name))}
 	if !r.valid() {
 		return Record{}, ErrRecord
@@ -258,8 +273,9 @@
 	return r, nil
 }
 
-// version is the next one of an item: later than the one that is held, and than those of before, as far as the clock tells.
-func (d *Directory) version(now int64, key uint64) uint64 {
+// version is the next one of an item: later than the one that is held, and than those of before, as far as the
+// clock tells.
+func (d *Directory) version(now monotime.Micros, key uint64) uint64 {
 	v := uint64(max(now/ms, 1))
 	if e := d.items[key]; e != nil {
 		v = max(v, e.version+1)
--- a/decide/zone/issue.go
+++ b/decision/zonedirectory/issue.go
@@ -1,9 +1,10 @@
-package zone
+package zonedirectory
 
 import (
 	"cmp"
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 const (
@@ -14,15 +15,16 @@
 	// observeEvery is the same of a delegate's observations.
 	observeEvery = 500 * ms
 
-	// readyMost is when a new process speaks for its zone even if it has met nobody there; of several that begin at once each
-	// waits up to readySpread longer, by its rank, so that one is heard by the others before they speak.
+	// readyMost is when a new process speaks for its zone even if it has met nobody there; of several that begin at
+	// once each waits up to readySpread longer, by its rank, so that one is heard by the others before they speak.
 	readyMost   = 2 * sec
 	readySpread = 4 * sec
 	// readyTime is the same for one that has met its zone: its view is mostly whole by then.
 	readyTime = 1 * sec
 
-	// A summary by another issuer of a zone with as many members, or more, is contradicted after contestMost; after contestLeast
-	// by one that sees the most of all it knows, which may have lost its delegates. One that is alone may just have started.
+	// A summary by another issuer of a zone with as many members, or more, is contradicted after contestMost; after
+	// contestLeast by one that sees the most of all it knows, which may have lost its delegates. One that is alone
+	// may just have started.
 	contestLeast = 300 * ms
 	contestMost  = 1 * sec
 	contestAlone = 3 * sec
@@ -31,34 +33,35 @@
 	backOffMost  = 60 * sec
 
 	introduceEvery = 1 * sec
-	// strangerTime is how long a member that is heard counts as there; half of it is longer than it takes to get to know one.
+	// strangerTime is how long a member that is heard counts as there; half of it is longer than it takes to get to
+	// know one.
 	strangerTime = 2 * sec
 )
 
 // opinion is what this member tells its zone as a delegate.
 type opinion struct {
 	formed bool // all zones were probed since it became one
-	at     int64
+	at     monotime.Micros
 }
 
 // contest is how this member stands to another issuer of its own zone's summary.
 type contest struct {
-	issuedAt   int64
-	since      int64 // another's summary contradicts this member's view, 0 where none does
-	challenged bool  // and was contradicted
-	until      int64 // back-off
-	backOff    int64
+	issuedAt   monotime.Micros
+	since      monotime.Micros // another's summary contradicts this member's view, 0 where none does
+	challenged bool            // and was contradicted
+	until      monotime.Micros // back-off
+	backOff    monotime.Micros
 
-	unreachable []ID  // as the summary would have it
-	changedAt   int64 // when that changed
-	changing    int64 // since when it differs from what was issued, 0 where it does not
+	unreachable []ID            // as the summary would have it
+	changedAt   monotime.Micros // when that changed
+	changing    monotime.Micros // since when it differs from what was issued, 0 where it does not
 }
 
 // rankHash orders the members of a zone, the same for all and each time.
 func rankHash(zone ID, id MemberID) uint64 { return blend(uint64(zone) ^ blend(uint64(id))) }
 
-// view takes the view of the own zone. Who is to speak for it follows from that alone, so that all whose views agree choose
-// the same.
+// view takes the view of the own zone. Who is to speak for it follows from that alone, so that all whose views
+// agree choose the same.
 func (d *Directory) view(local Local) {
 	same := local.Revision == d.local.Revision && local.Leaving == d.local.Leaving && len(d.local.Members) > 0
 	if local.Known != d.local.Known || local.Live != d.local.Live {
@@ -79,7 +82,10 @@
 		d.last = local.Leaving
 		d.ranked = append(d.ranked, Member{d.cfg.Self.ID, d.cfg.Self.Addr})
 	}
-	slices.SortFunc(d.ranked, func(a, b Member) int { return cmp.Compare(d.cfg.Rank(d.own, a.ID), d.cfg.Rank(d.own, b.ID)) })
+	slices.SortFunc(
+		d.ranked,
+		func(a, b Member) int { return cmp.Compare(d.cfg.Rank(d.own, a.ID), d.cfg.Rank(d.own, b.ID)) },
+	)
 	d.ranked = d.ranked[:min(len(d.ranked), MaxContacts)]
 	was := d.rank
 	d.rank = MaxContacts
@@ -98,19 +104,20 @@
 func (d *Directory) dropObservations() {
 	for _, k := range slices.Clone(d.keys) {
 		e := d.items[k]
-		if e.Observation != nil && !slices.ContainsFunc(d.ranked, func(m Member) bool { return m.ID == e.Observation.Delegate }) {
+		if e.Observation != nil &&
+			!slices.ContainsFunc(d.ranked, func(m Member) bool { return m.ID == e.Observation.Delegate }) {
 			d.drop(e)
 		}
 	}
 }
 
 // settle finds out when a new process may speak for its zone.
-func (d *Directory) settle(now int64) {
+func (d *Directory) settle(now monotime.Micros) {
 	if d.ready {
 		return
 	}
 	age := now - d.born
-	wait := int64(float64(readySpread) * float64(rankHash(d.own, d.cfg.Self.ID)>>11) / (1 << 53))
+	wait := monotime.Micros(float64(readySpread) * float64(rankHash(d.own, d.cfg.Self.ID)>>11) / (1 << 53))
 	d.ready = d.synced && len(d.others) > 0 && age >= readyTime || age >= readyMost+wait
 }
 
@@ -120,7 +127,7 @@
 }
 
 // heard notes members of this zone that are heard and are not in the view.
-func (d *Directory) heard(now int64, id MemberID) {
+func (d *Directory) heard(now monotime.Micros, id MemberID) {
 	if slices.ContainsFunc(d.others, func(m Member) bool { return m.ID == id }) {
 		return
 	}
@@ -130,18 +137,19 @@
 	d.strangerAt = now
 }
 
-// deaf tells that this member holds the most of its zone dead, and goes on hearing others of it: whom it holds dead are there,
-// and hold it dead as rightly.
+// deaf tells that this member holds the most of its zone dead, and goes on hearing others of it: whom it holds dead
+// are there, and hold it dead as rightly.
 func (d *Directory) deaf() bool {
-	return d.local.Live <= d.local.Dead && d.now-d.strangerAt < strangerTime && d.now-d.strangerSince >= strangerTime/2
+	return d.local.Live <= d.local.Dead && d.now-d.strangerAt < strangerTime &&
+		d.now-d.strangerSince >= strangerTime/2
 }
 
 // delegates are the members that speak for this zone.
 func (d *Directory) delegates() []Member { return d.ranked[:min(len(d.ranked), Delegates)] }
 
-// observe tells the zone what this member, as a delegate, does not reach. One that is no delegate any more takes back what it
-// said: see void.
-func (d *Directory) observe(now int64) {
+// observe tells the zone what this member, as a delegate, does not reach. One that is no delegate any more takes
+// back what it said: see void.
+func (d *Directory) observe(now monotime.Micros) {
 	if !d.ready || d.local.Doubts || d.deaf() || now-d.opinion.at < observeEvery {
 		return
 	}
@@ -180,8 +188,8 @@
 	return true
 }
 
-// unreached are the zones that this member does not reach; those that it has forgotten, too, or others that have not yet would
-// take them for reached.
+// unreached are the zones that this member does not reach; those that it has forgotten, too, or others that have
+// not yet would take them for reached.
 func (d *Directory) unreached() (out []ID) {
 	for _, z := range d.zones {
 		if z.id != d.own && len(z.Contacts) > 0 && z.link.down {
@@ -198,7 +206,8 @@
 	return out[:min(len(out), MaxZones)]
 }
 
-// unreachable are the zones that no delegate reaches, as far as they say; where none has an opinion yet, what was said before.
+// unreachable are the zones that no delegate reaches, as far as they say; where none has an opinion yet, what was
+// said before.
 func (d *Directory) unreachable() []ID {
 	var out []ID
 	said := false
@@ -221,7 +230,13 @@
 
 // summary is what this member would say of its zone.
 func (d *Directory) summary() Summary {
-	s := Summary{Site: d.cfg.Site, Issuer: d.cfg.Self.ID, Live: d.local.Live, Known: max(d.local.Known, d.local.Live), Unreachable: d.unreachable()}
+	s := Summary{
+		Site:        d.cfg.Site,
+		Issuer:      d.cfg.Self.ID,
+		Live:        d.local.Live,
+		Known:       max(d.local.Known, d.local.Live),
+		Unreachable: d.unreachable(),
+	}
 	if d.last {
 		s.Live, s.Unreachable = 0, nil
 		return s
@@ -237,11 +252,12 @@
 
 // says tells whether two summaries say the same.
 func (s *Summary) says(o *Summary) bool {
-	return s.Live == o.Live && s.Known == o.Known && slices.Equal(s.Contacts, o.Contacts) && slices.Equal(s.Unreachable, o.Unreachable)
+	return s.Live == o.Live && s.Known == o.Known && slices.Equal(s.Contacts, o.Contacts) &&
+		slices.Equal(s.Unreachable, o.Unreachable)
 }
 
 // issue says of this zone what has changed, where this member is the first by rank.
-func (d *Directory) issue(now int64) {
+func (d *Directory) issue(now monotime.Micros) {
 	if d.rank != 0 || !d.delegate() {
 		return
 	}
@@ -266,9 +282,9 @@
 	d.put(now, newEntry(Item{Summary: &want}))
 }
 
-// unsettled tells that what this zone does not reach is changing: more of it comes in a moment, and a summary of a part would put
-// off the next one.
-func (d *Directory) unsettled(now int64, held *zoneState, want *Summary) bool {
+// unsettled tells that what this zone does not reach is changing: more of it comes in a moment, and a summary of a
+// part would put off the next one.
+func (d *Directory) unsettled(now monotime.Micros, held *zoneState, want *Summary) bool {
 	c := &d.contest
 	switch {
 	case held == nil || d.last || slices.Equal(held.Unreachable, want.Unreachable):
@@ -283,8 +299,8 @@
 	return now-c.changedAt < settleTime && now-c.changing < issueEvery
 }
 
-// stands tells whether a summary is to be preferred to another one of the same zone: it has more members, or as many and the
-// issuer that ranks first.
+// stands tells whether a summary is to be preferred to another one of the same zone: it has more members, or as
+// many and the issuer that ranks first.
 func (z *zoneState) stands(o *Summary) bool {
 	if z.Live != o.Live {
 		return z.Live > o.Live
@@ -292,9 +308,9 @@
 	return rankHash(z.id, z.Issuer) < rankHash(z.id, o.Issuer)
 }
 
-// challenge tells whether another's summary that is to be preferred is to be contradicted now: it may be of one that is gone.
-// One that was contradicted in turn is of one that is there; it is left to stand for a while.
-func (d *Directory) challenge(now int64, want *Summary) bool {
+// challenge tells whether another's summary that is to be preferred is to be contradicted now: it may be of one
+// that is gone. One that was contradicted in turn is of one that is there; it is left to stand for a while.
+func (d *Directory) challenge(now monotime.Micros, want *Summary) bool {
 	c := &d.contest
 	if c.challenged {
 		c.backOff = min(max(2*c.backOff, backOffLeast), backOffMost)
@@ -318,9 +334,9 @@
 	return true
 }
 
-// Introductions are addresses at which members of this zone are said to be who are not in its view. They are to be given to
-// member.Fleet.Introduce after each Tick; mostly there are none.
-func (d *Directory) Introductions(now int64) []netip.AddrPort {
+// Introductions are addresses at which members of this zone are said to be who are not in its view. They are to be
+// given to member.Fleet.Introduce after each Tick; mostly there are none.
+func (d *Directory) Introductions(now monotime.Micros) []netip.AddrPort {
 	held := d.zone(d.own)
 	if now < d.introduceAt || held == nil || d.rank >= Delegates || d.local.Leaving {
 		return nil
--- a/decide/zone/item.go
+++ b/decision/zonedirectory/item.go
@@ -1,4 +1,4 @@
-package zone
+package zonedirectory
 
 import (
 	"cmp"
@@ -75,7 +75,14 @@
 
 // content is all that a summary says, as bytes.
 func (s *Summary) content() []byte {
-	b := appendNumbers(make([]byte, 0, 256), s.Version, uint64(s.Issuer), uint64(s.Live), uint64(s.Known), uint64(len(s.Contacts)))
+	b := appendNumbers(
+		make([]byte, 0, 256),
+		s.Version,
+		uint64(s.Issuer),
+		uint64(s.Live),
+		uint64(s.Known),
+		uint64(len(s.Contacts)),
+	)
 	for _, c := range s.Contacts {
 		ip := c.Addr.Addr().As16()
 		b = append(appendNumbers(b, uint64(c.ID), uint64(c.Addr.Port())), ip[:]...)
@@ -111,7 +118,8 @@
 
 func (s *Summary) valid() bool {
 	return s.Site.Zone != "" && len(s.Site.Zone) <= MaxName && len(s.Site.Region) <= MaxName && validVersion(s.Version) &&
-		s.Live >= 0 && s.Known >= s.Live && s.Known <= maxCount && len(s.Contacts) <= MaxContacts && ascending(s.Unreachable) &&
+		s.Live >= 0 && s.Known >= s.Live && s.Known <= maxCount && len(s.Contacts) <= MaxContacts &&
+		ascending(s.Unreachable) &&
 		!slices.ContainsFunc(s.Contacts, func(c Contact) bool { return !c.Addr.IsValid() })
 }
 
@@ -123,8 +131,9 @@
 	return r.Name != "" && len(r.Name) <= MaxName && len(r.Value) <= MaxValue && validVersion(r.Version)
 }
 
-// newer orders the items of one key: by version, then summaries by their issuers and records by their values, and by content
-// where all of that is the same. The order is total, so that it does not matter in which order items come.
+// newer orders the items of one key: by version, then summaries by their issuers and records by their values, and
+// by content where all of that is the same. The order is total, so that it does not matter in which order items
+// come.
 func (e *entry) newer(old *entry) bool {
 	order := cmp.Compare(e.version, old.version)
 	switch {
--- a/decide/zone/merge.go
+++ b/decision/zonedirectory/merge.go
@@ -1,7 +1,8 @@
-package zone
+package zonedirectory
 
 import (
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 // Kinds of items, as they are counted.
@@ -22,12 +23,13 @@
 }
 
 // merge takes an item that came with a message.
-func (d *Directory) merge(now int64, it Item, m *Message) {
+func (d *Directory) merge(now monotime.Micros, it Item, m *Message) {
 	e := newEntry(it)
 	if e == nil || e.Observation != nil && !d.takes(e.Observation, m) {
 		return
 	}
-	if f, ok := d.forgotten[e.key]; ok && e.version <= f.version.Version && (e.Summary == nil || m.Zone != e.Summary.Site.ID()) {
+	if f, ok := d.forgotten[e.key]; ok && e.version <= f.version.Version &&
+		(e.Summary == nil || m.Zone != e.Summary.Site.ID()) {
 		return
 	}
 	if !d.put(now, e) {
@@ -49,7 +51,7 @@
 }
 
 // put holds an item in place of an older one, and has it told to others. It says whether that was so.
-func (d *Directory) put(now int64, e *entry) bool {
+func (d *Directory) put(now monotime.Micros, e *entry) bool {
 	old := d.items[e.key]
 	if old != nil && (old.kind() != e.kind() || !e.newer(old)) {
 		return false
@@ -80,13 +82,15 @@
 	return true
 }
 
-// noteIssuer remembers who issued a summary that another's has replaced, and that the new one does not name: it is told.
+// noteIssuer remembers who issued a summary that another's has replaced, and that the new one does not name: it is
+// told.
 func (e *entry) noteIssuer(old *entry) {
 	if e.Summary == nil || e.Summary.Issuer == old.Summary.Issuer {
 		return
 	}
 	for _, c := range old.Summary.Contacts {
-		if c.ID == old.Summary.Issuer && !slices.ContainsFunc(e.Summary.Contacts, func(o Contact) bool { return o.ID == c.ID }) {
+		if c.ID == old.Summary.Issuer &&
+			!slices.ContainsFunc(e.Summary.Contacts, func(o Contact) bool { return o.ID == c.ID }) {
 			e.before = &c
 		}
 	}
@@ -101,8 +105,8 @@
 	}
 }
 
-// room makes room for one more item. Where there are as many as there may be, those with the smallest keys stay, whatever order
-// they come in; the own zone's summary stays in any case.
+// room makes room for one more item. Where there are as many as there may be, those with the smallest keys stay,
+// whatever order they come in; the own zone's summary stays in any case.
 func (d *Directory) room(e *entry) bool {
 	most := [...]int{MaxZones, maxObservations, MaxRecords}[e.kind()]
 	if d.counts[e.kind()] < most {
@@ -137,7 +141,7 @@
 }
 
 // forget drops the summary of a zone that has been gone for long. Others may have it a little longer, and tell of it.
-func (d *Directory) forget(now int64, z *zoneState) {
+func (d *Directory) forget(now monotime.Micros, z *zoneState) {
 	e := d.items[summaryKey(z.id)]
 	d.drop(e)
 	for k, f := range d.forgotten {
@@ -177,7 +181,7 @@
 }
 
 // summarized takes a zone's new summary.
-func (d *Directory) summarized(now int64, s *Summary) {
+func (d *Directory) summarized(now monotime.Micros, s *Summary) {
 	id := s.Site.ID()
 	at, known := d.place(id)
 	if !known {
--- a/decide/zone/probe.go
+++ b/decision/zonedirectory/probe.go
@@ -1,22 +1,25 @@
-package zone
+package zonedirectory
 
 import (
 	"net/netip"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 const (
-	// probeEvery is how often a delegate probes each other zone. The first of three finds a cut in a third of it and the time of
-	// the tries, and has the others look. With 11 other zones a delegate sends and receives 1,200 bytes a second of probes and
-	// answers, spread unevenly over 10 s, which with member.Fleet's stays under 4,096: 3.25 s had 4,509 in the worst 10 s of 1,500.
+	// probeEvery is how often a delegate probes each other zone. The first of three finds a cut in a third of it
+	// and the time of the tries, and has the others look. With 11 other zones a delegate sends and receives 1,200
+	// bytes a second of probes and answers, spread unevenly over 10 s, which with member.Fleet's stays under 4,096:
+	// 3.25 s had 4,509 in the worst 10 s of 1,500.
 	probeEvery = 4250 * ms
 	// downEvery is the same for a zone that it does not reach.
 	downEvery = 1250 * ms
 	// tryTime is how long an answer is waited for, or twice what answers took, up to tryMost.
 	tryTime = 400 * ms
 	tryMost = 2 * sec
-	// rounds is how often it tries before it holds the zone unreachable, with one probe more each time: the first contact, two
-	// others, and three more, so that all six are asked, and one message in twenty may be lost without being missed.
+	// rounds is how often it tries before it holds the zone unreachable, with one probe more each time: the first
+	// contact, two others, and three more, so that all six are asked, and one message in twenty may be lost without
+	// being missed.
 	rounds    = 3
 	mostTries = rounds * (rounds + 1) / 2
 	// hastenTime is within which all others are probed when a zone is no longer reached, or is again.
@@ -39,17 +42,17 @@
 type link struct {
 	at       int // the contact that is asked first
 	contacts []Contact
-	dueAt    int64
+	dueAt    monotime.Micros
 	// The probe under way: its numbers from seq on, when each was sent, and how often it was tried.
 	seq         uint32
-	sent        [mostTries]int64
+	sent        [mostTries]monotime.Micros
 	count       int
 	round       int
-	triedAt     int64
+	triedAt     monotime.Micros
 	known, down bool
 	hurried     bool // the next probe asks two contacts at first
 	rtt         float64
-	differs     int64 // since when its directory differs
+	differs     monotime.Micros // since when its directory differs
 }
 
 // begin has this member, that became a delegate, find out for itself what it reaches.
@@ -62,14 +65,15 @@
 	}
 }
 
-// slot is when a zone is to be probed next, about probeEvery after a time. Each zone and each delegate has its own moment in that
-// span, so that the first probe that fails comes soon after whatever befalls a zone, a region or all.
-func (d *Directory) slot(after int64, z *zoneState) int64 {
+// slot is when a zone is to be probed next, about probeEvery after a time. Each zone and each delegate has its own
+// moment in that span, so that the first probe that fails comes soon after whatever befalls a zone, a region or
+// all.
+func (d *Directory) slot(after monotime.Micros, z *zoneState) monotime.Micros {
 	at, _ := d.place(z.id)
-	phase := (int64(at)*probeEvery/int64(len(d.zones)) + int64(d.rank)*probeEvery/Delegates) % probeEvery
+	phase := (monotime.Micros(at)*probeEvery/monotime.Micros(len(d.zones)) + monotime.Micros(d.rank)*probeEvery/Delegates) % probeEvery
 	soonest := after + probeEvery/2
 	wait := (phase - soonest%probeEvery + probeEvery) % probeEvery
-	return soonest + wait + d.rng.Int64N(probeEvery/20)
+	return soonest + wait + monotime.Micros(d.rng.Int64N(int64(probeEvery/20)))
 }
 
 // turnTo has this member, whose rank has changed, ask the contacts that it is to ask by its rank.
@@ -80,9 +84,9 @@
 	}
 }
 
-// relink takes a zone's new contacts: each delegate asks another one first. Whoever has answered instead is asked as long as the
-// contacts stay.
-func (d *Directory) relink(now int64, z *zoneState) {
+// relink takes a zone's new contacts: each delegate asks another one first. Whoever has answered instead is asked
+// as long as the contacts stay.
+func (d *Directory) relink(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	if n := min(len(z.Contacts), Delegates); n > 0 && !slices.Equal(l.contacts, z.Contacts) {
 		l.at, l.contacts = d.rank%n, z.Contacts
@@ -93,7 +97,7 @@
 }
 
 // probe asks the other zones what is due, and finds out what is not answered.
-func (d *Directory) probe(now int64) {
+func (d *Directory) probe(now monotime.Micros) {
 	if !d.delegate() {
 		for _, z := range d.zones {
 			z.link.round = 0
@@ -120,10 +124,10 @@
 }
 
 // wait is how long an answer may take.
-func (l *link) wait() int64 { return min(max(tryTime, int64(2*l.rtt)), tryMost) }
+func (l *link) wait() monotime.Micros { return min(max(tryTime, monotime.Micros(2*l.rtt)), tryMost) }
 
 // try sends the probes of one round more.
-func (d *Directory) try(now int64, z *zoneState) {
+func (d *Directory) try(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	l.round++
 	l.triedAt = now
@@ -140,7 +144,7 @@
 }
 
 // unanswered tries again, or holds the zone unreachable. From then on its contacts are asked in turn.
-func (d *Directory) unanswered(now int64, z *zoneState) {
+func (d *Directory) unanswered(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	if !l.down && l.round < rounds {
 		d.try(now, z)
@@ -152,20 +156,20 @@
 		d.hasten(now)
 	}
 	l.known, l.down, l.round = true, true, 0
-	l.dueAt = now + downEvery*3/4 + d.rng.Int64N(downEvery/4)
+	l.dueAt = now + downEvery*3/4 + monotime.Micros(d.rng.Int64N(int64(downEvery/4)))
 }
 
 // hasten has all zones probed soon: what befell one connection has mostly befallen others.
-func (d *Directory) hasten(now int64) {
+func (d *Directory) hasten(now monotime.Micros) {
 	for _, z := range d.zones {
 		if l := &z.link; l.round == 0 {
-			l.hurried, l.dueAt = true, min(l.dueAt, now+d.rng.Int64N(hastenTime))
+			l.hurried, l.dueAt = true, min(l.dueAt, now+monotime.Micros(d.rng.Int64N(int64(hastenTime))))
 		}
 	}
 }
 
 // doubt probes zones at once that others do not reach and this member does, as far as it knows, and all others soon.
-func (d *Directory) doubt(now int64, unreachable []ID) {
+func (d *Directory) doubt(now monotime.Micros, unreachable []ID) {
 	for _, id := range unreachable {
 		if z := d.zone(id); z != nil && z.link.round == 0 && !z.link.down && id != d.own {
 			d.hasten(now)
@@ -175,7 +179,7 @@
 }
 
 // acknowledged takes the answer to a probe.
-func (d *Directory) acknowledged(now int64, from netip.AddrPort, m *Message) {
+func (d *Directory) acknowledged(now monotime.Micros, from netip.AddrPort, m *Message) {
 	d.noteSeed(from, m.Zone)
 	z := d.zone(m.Zone)
 	if z == nil || z.id == d.own || d.seq-m.Seq > lateSeqs {
@@ -206,7 +210,7 @@
 }
 
 // differ has the directories compared where they differ: at once after a zone was not reached, else if that lasts.
-func (d *Directory) differ(now int64, from netip.AddrPort, m *Message, l *link, atOnce bool) {
+func (d *Directory) differ(now monotime.Micros, from netip.AddrPort, m *Message, l *link, atOnce bool) {
 	switch {
 	case m.Digest == d.global:
 		l.differs = 0
@@ -233,17 +237,19 @@
 	d.seedZones[from] = zone
 }
 
-// probeSeeds asks seeds that this zone may not know of: those that have not answered, and those whose zone is not reached.
-func (d *Directory) probeSeeds(now int64) {
+// probeSeeds asks seeds that this zone may not know of: those that have not answered, and those whose zone is not
+// reached.
+func (d *Directory) probeSeeds(now monotime.Micros) {
 	if now < d.seedsAt || len(d.cfg.Seeds) == 0 {
 		return
 	}
-	d.seedsAt = now + seedsEvery*9/10 + d.rng.Int64N(seedsEvery/5)
+	d.seedsAt = now + seedsEvery*9/10 + monotime.Micros(d.rng.Int64N(int64(seedsEvery/5)))
 	asked := 0
 	for range d.cfg.Seeds {
 		d.seedAt = (d.seedAt + 1) % len(d.cfg.Seeds)
 		at := d.cfg.Seeds[d.seedAt]
-		if at == d.cfg.Self.Addr || slices.ContainsFunc(d.others, func(m Member) bool { return m.Addr == at }) || d.reaches(d.seedZones[at]) {
+		if at == d.cfg.Self.Addr || slices.ContainsFunc(d.others, func(m Member) bool { return m.Addr == at }) ||
+			d.reaches(d.seedZones[at]) {
 			continue
 		}
 		d.send(at, 0, Message{Kind: Probe, Seq: d.seq})
@@ -260,9 +266,9 @@
 	return id != 0 && z != nil && id != d.own && z.link.known && !z.link.down
 }
 
-// JoinSeeds are the seeds that member.Fleet is to ask from now on: a few of those that may be of this zone, and one of another,
-// which tells of this zone's contacts. They are to be given to member.Fleet.Seeds before each Tick.
-func (d *Directory) JoinSeeds(now int64) []netip.AddrPort {
+// JoinSeeds are the seeds that member.Fleet is to ask from now on: a few of those that may be of this zone, and one
+// of another, which tells of this zone's contacts. They are to be given to member.Fleet.Seeds before each Tick.
+func (d *Directory) JoinSeeds(now monotime.Micros) []netip.AddrPort {
 	if now < d.joinAt || len(d.others) > 0 && len(d.joins) > 0 {
 		return d.joins
 	}
--- a/decide/zone/reach.go
+++ b/decision/zonedirectory/reach.go
@@ -1,22 +1,23 @@
-package zone
+package zonedirectory
 
 import (
 	"cmp"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
 const (
 	// forgetTime is how long a zone that is Unknown or has Left counts as known.
 	forgetTime = 600 * sec
-	// cutTime is how long a zone has to be reached by others only before it is held Cut: when one dies, or a region is cut off,
-	// some zones find it out a little later than others.
+	// cutTime is how long a zone has to be reached by others only before it is held Cut: when one dies, or a region
+	// is cut off, some zones find it out a little later than others.
 	cutTime = 2500 * ms
 	// judgeEvery is how often states are looked at where no item is new.
 	judgeEvery = 500 * ms
 )
 
 // judge says what each zone is held to be, and counts the fleet. A member that doubts itself leaves states as they are.
-func (d *Directory) judge(now int64) {
+func (d *Directory) judge(now monotime.Micros) {
 	if now < d.judgeAt {
 		return
 	}
@@ -68,7 +69,7 @@
 }
 
 // become changes what a zone is held to be; to Cut only after a while.
-func (d *Directory) become(now int64, z *zoneState, s Reachability) {
+func (d *Directory) become(now monotime.Micros, z *zoneState, s Reachability) {
 	if s != Cut {
 		z.cutSince = 0
 	} else if z.cutSince == 0 {
@@ -89,7 +90,7 @@
 }
 
 // Views are all zones that are known, this one first, the others by region and name.
-func (d *Directory) Views(int64) []View {
+func (d *Directory) Views(monotime.Micros) []View {
 	out := make([]View, 0, len(d.zones))
 	for _, z := range d.zones {
 		out = append(out, View{Summary: *z.Summary, Own: z.id == d.own, State: z.state, Since: z.since})
--- a/decide/zone/spread.go
+++ b/decision/zonedirectory/spread.go
@@ -1,14 +1,15 @@
-package zone
+package zonedirectory
 
 import (
 	"cmp"
 	"math/bits"
 	"slices"
+	"spurspread/decision/monotime"
 )
 
-// Bytes a second that a member sends on average, and how many it may have saved up: of new items within its zone, of new items
-// to other zones, and of answers where directories differ. Together with what member.Fleet sends and what comes in, a member
-// stays under 28,000 bytes a second in any ten seconds.
+// Bytes a second that a member sends on average, and how many it may have saved up: of new items within its zone,
+// of new items to other zones, and of answers where directories differ. Together with what member.Fleet sends and
+// what comes in, a member stays under 28,000 bytes a second in any ten seconds.
 const (
 	gossipBudget, gossipReserve = 4096, 16 << 10
 	pushBudget, pushReserve     = 4096, 16 << 10
@@ -24,13 +25,15 @@
 // bucket is a token bucket of bytes.
 type bucket struct {
 	left, rate, most float64
-	at               int64
+	at               monotime.Micros
 }
 
-func newBucket(rate, reserve float64, now int64) bucket { return bucket{reserve, rate, reserve, now} }
+func newBucket(rate, reserve float64, now monotime.Micros) bucket {
+	return bucket{reserve, rate, reserve, now}
+}
 
 // has tells whether something may be sent.
-func (p *bucket) has(now int64) bool {
+func (p *bucket) has(now monotime.Micros) bool {
 	p.left = min(p.left+p.rate*float64(now-p.at)/float64(sec), p.most)
 	p.at = now
 	return p.left > 0
@@ -41,19 +44,19 @@
 	gossip, push bucket
 	fresh        bool // some entries are to be sent to members of this zone
 	pushes       bool // some are to be sent to other zones
-	gossipAt     int64
+	gossipAt     monotime.Micros
 }
 
-// sends is to how many members each that has an item sends it: the number that reaches all, and some for those lost. Whoever it
-// does not reach all the same finds that directories differ.
+// sends is to how many members each that has an item sends it: the number that reaches all, and some for those
+// lost. Whoever it does not reach all the same finds that directories differ.
 func (d *Directory) sends() int { return 3 + bits.Len(uint(len(d.others)+1)) }
 
 // gossip sends new items to some members of this zone, those first that were sent least often.
-func (d *Directory) gossip(now int64) {
+func (d *Directory) gossip(now monotime.Micros) {
 	if !d.spread.fresh || now < d.spread.gossipAt || !d.spread.gossip.has(now) {
 		return
 	}
-	d.spread.gossipAt = now + gossipEvery*9/10 + d.rng.Int64N(gossipEvery/5)
+	d.spread.gossipAt = now + gossipEvery*9/10 + monotime.Micros(d.rng.Int64N(int64(gossipEvery/5)))
 	var fresh []*entry
 	for _, k := range d.keys {
 		if e := d.items[k]; e.spreading {
@@ -109,7 +112,7 @@
 }
 
 // pushOut sends new items to one contact of each other zone that is to have them from this one.
-func (d *Directory) pushOut(now int64) {
+func (d *Directory) pushOut(now monotime.Micros) {
 	if !d.spread.pushes || d.delegate() && !d.spread.push.has(now) {
 		return
 	}
@@ -153,8 +156,8 @@
 	d.send(to.Addr, to.ID, m)
 }
 
-// pushes tells whether this zone is to tell another of an item: what it says of itself, records, and what those say who have no
-// connection of their own.
+// pushes tells whether this zone is to tell another of an item: what it says of itself, records, and what those say
+// who have no connection of their own.
 func (d *Directory) pushes(e *entry, to *zoneState) bool {
 	if e.Summary == nil {
 		return true
@@ -167,8 +170,8 @@
 	return of != nil && of.misses(to.id) || to.misses(id)
 }
 
-// tellBefore tells the issuer of a summary that another's has replaced: in a zone that is torn in two it learns it only from
-// others.
+// tellBefore tells the issuer of a summary that another's has replaced: in a zone that is torn in two it learns it
+// only from others.
 func (d *Directory) tellBefore(fresh []*entry) {
 	for _, e := range fresh {
 		if e.before != nil {
--- a/decide/zone/zone.go
+++ b/decision/zonedirectory/zonedirectory.go
@@ -1,16 +1,17 @@
-// Package zone decides what one balancer knows of the other zones of its fleet: how many members live there, whether the zone
-// can be reached, and through which members. Within its own zone a balancer has the full view of package member; of each other
-// zone it holds one summary. It is handed time and messages and says what to send; it has no sockets, no clock and no
-// randomness but its seed, and all that it holds is bounded.
+// Package zone decides what one balancer knows of the other zones of its fleet: how many members live there,
+// whether the zone can be reached, and through which members. Within its own zone a balancer has the full view of
+// package member; of each other zone it holds one summary. It is handed time and messages and says what to send; it
+// has no sockets, no clock and no randomness but its seed, and all that it holds is bounded.
 //
-// The invariant: of each zone, delegate and record the newest item stands, in whatever order items come; and a zone that cannot be
-// reached is one fact, its state, never a death of its members: what they count for in rates ends slowly, and in 600 s at the
-// earliest.
-package zone
+// The invariant: of each zone, delegate and record the newest item stands, in whatever order items come; and a zone
+// that cannot be reached is one fact, its state, never a death of its members: what they count for in rates ends
+// slowly, and in 600 s at the earliest.
+package zonedirectory
 
 import (
 	"hash/fnv"
 	"net/netip"
+	"spurspread/decision/monotime"
 )
 
 // Bounds on what a directory holds and sends.
@@ -19,7 +20,8 @@
 	Delegates = 3
 	// MaxContacts is how many members a summary names: the delegates, and those that would replace them, in order.
 	MaxContacts = 6
-	// MaxZones bounds the zones of a fleet, MaxRecords the records, MaxName a name and MaxValue a record's value (bytes).
+	// MaxZones bounds the zones of a fleet, MaxRecords the records, MaxName a name and MaxValue a record's value
+	// (bytes).
 	MaxZones   = 64
 	MaxRecords = 64
 	MaxName    = 32
@@ -79,7 +81,8 @@
 	Unreachable []ID
 }
 
-// Record is a small named value that spreads to all members. The newest Version stands; of two that are the same the greater Value.
+// Record is a small named value that spreads to all members. The newest Version stands; of two that are the same
+// the greater Value.
 type Record struct {
 	Name    string
 	Version uint64
@@ -93,8 +96,8 @@
 	Record      *Record
 }
 
-// ItemVersion names an item and its version, where directories are compared. Version 0 says that there is none. Check tells two
-// contents of one version apart; it is 0 of an item that was dropped after its time.
+// ItemVersion names an item and its version, where directories are compared. Version 0 says that there is none.
+// Check tells two contents of one version apart; it is 0 of an item that was dropped after its time.
 type ItemVersion struct {
 	Key     uint64
 	Version uint64
@@ -109,8 +112,9 @@
 	Probe    Kind = iota + 1 // of a delegate to a contact of another zone; answered by ProbeAck with the same Seq
 	ProbeAck                 // the answer
 	Update                   // carries items; with Back set it answers a Compare
-	Compare                  // carries the versions of all that the sender has between the first key and the last; see Back
-	maxKind  = Compare
+	// carries the versions of all that the sender has between the first key and the last; see Back
+	Compare
+	maxKind = Compare
 )
 
 // Message is one datagram's content.
@@ -136,8 +140,9 @@
 // Reachability is what a zone is held to be.
 type Reachability uint8
 
-// A zone is Reachable, or Cut where others that can be reached do reach it, or Unknown where nobody who can be reached does: it
-// may have died or be cut off from all of them. A zone that said that its last member goes has Left.
+// A zone is Reachable, or Cut where others that can be reached do reach it, or Unknown where nobody who can be
+// reached does: it may have died or be cut off from all of them. A zone that said that its last member goes has
+// Left.
 const (
 	Reachable Reachability = iota + 1
 	Cut
@@ -154,5 +159,5 @@
 	Summary
 	Own   bool
 	State Reachability
-	Since int64 // in this state, microseconds
+	Since monotime.Micros // in this state, microseconds
 }
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -37,7 +37,11 @@
 	for _, n := range d.nodes {
 		items = append(items, n.entry())
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, d.generation, strings.Join(items, ",")), d.changed
+	return fmt.Sprintf(
+		`{"generation":%d,"reset":true,"instances":[%s]}`,
+		d.generation,
+		strings.Join(items, ","),
+	), d.changed
 }
 
 // ServeHTTP answers with the list, or watches it.
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
 // Command toy is two index nodes and discovery for them, just enough to try the balancer by hand. Typing a node's
-// number (1 or 2) makes it drain. With --pushed the nodes tell the loads of connections, answer STATS with a load report
-// and are listed with weights that fall with use, by an agent that says so unasked.
+// number (1 or 2) makes it drain. With --pushed the nodes tell the loads of connections, answer STATS with a load
+// report and are listed with weights that fall with use, by an agent that says so unasked.
 package main
 
 import (
@@ -41,7 +41,12 @@
 func start(at []net.Listener, pushed bool) *discovery {
 	d := &discovery{pushed: pushed, generation: 1, changed: make(chan struct{})}
 	for i, ln := range at {
-		n := &node{name: "toy-" + strconv.Itoa(i+1), addr: ln.Addr().String(), tells: pushed, loads: map[net.Conn]float64{}}
+		n := &node{
+			name:  "toy-" + strconv.Itoa(i+1),
+			addr:  ln.Addr().String(),
+			tells: pushed,
+			loads: map[net.Conn]float64{},
+		}
 		d.nodes = append(d.nodes, n)
 		go n.accept(ln)
 	}
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// serve answers PING and STATS, takes OPEN unless it drains, and then sends every line back. A client's "work N" sets the
-// load of its connection, where loads are told.
+// serve answers PING and STATS, takes OPEN unless it drains, and then sends every line back. A client's "work N"
+// sets the load of its connection, where loads are told.
 func (n *node) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewScanner(c)
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Both installations are served by one binary, told apart by what their settings say alone: lines pass, a node that drains
-// is left, and where loads are told a server that has much to do is left alone.
+// Both installations are served by one binary, told apart by what their settings say alone: lines pass, a node that
+// drains is left, and where loads are told a server that has much to do is left alone.
 func TestBothInstallations(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurspread")
 	if out, err := exec.Command("go", "build", "-o", program, "spurspread/cmd/spurspread").CombinedOutput(); err != nil {
--- a/internal/mgmt/mgmt.go
+++ b/internal/admin/admin.go
@@ -2,7 +2,7 @@
 // at once with a line that begins with +OK or -ERR. It bounds each caller in time, bytes and number, so that callers
 // who send nothing, half a line or garbage cost nobody else a wait. It knows the loop and the words of the calls; what
 // a call does is its Handler's.
-package mgmt
+package admin
 
 import (
 	"bytes"
@@ -11,13 +11,12 @@
 	"fmt"
 	"io"
 	"net/netip"
-
-	"spurspread/decide/duty"
-	"spurspread/internal/loop"
+	"spurspread/decision/lifecycle"
+	"spurspread/internal/eventloop"
 )
 
 // Handler carries out a call and returns the answer's line without its end.
-type Handler func(duty.Command) string
+type Handler func(lifecycle.Command) string
 
 const (
 	// A call has to come whole within this span after the connection: each answer is due within 1 s.
@@ -32,8 +31,8 @@
 
 // Server is a listener on the management address.
 type Server struct {
-	l       *loop.Loop
-	ln      *loop.Listener
+	l       *eventloop.Loop
+	ln      *eventloop.Listener
 	handle  Handler
 	waiting list.List // of *caller, oldest first, not yet answered
 	scratch [512]byte
@@ -41,7 +40,7 @@
 }
 
 // Listen binds addr on the loop and serves calls there with handle.
-func Listen(l *loop.Loop, addr netip.AddrPort, handle Handler) (*Server, error) {
+func Listen(l *eventloop.Loop, addr netip.AddrPort, handle Handler) (*Server, error) {
 	s := &Server{l: l, handle: handle}
 	ln, err := l.Listen(addr, s.accept)
 	if err != nil {
@@ -60,7 +59,7 @@
 // Close stops listening; callers that are there keep their connection until they are answered.
 func (s *Server) Close() { s.ln.Close() }
 
-func (s *Server) accept(adopt func(loop.Owner) (*loop.Conn, error)) {
+func (s *Server) accept(adopt func(eventloop.Owner) (*eventloop.Conn, error)) {
 	if s.held >= MaxCallers {
 		oldest := s.waiting.Front()
 		if oldest == nil {
@@ -84,11 +83,11 @@
 // caller is one connection on the management address.
 type caller struct {
 	s       *Server
-	conn    *loop.Conn
-	line    [duty.MaxRecordLine + 2]byte
+	conn    *eventloop.Conn
+	line    [lifecycle.MaxRecordLine + 2]byte
 	n       int
 	place   *list.Element // in waiting, until answered
-	timer   loop.Ref
+	timer   eventloop.Ref
 	done    bool // answered
 	left    bool // the caller has ended its side
 	closed  bool
@@ -96,17 +95,17 @@
 }
 
 // Connected is part of loop.Owner; nothing is dialled here.
-func (c *caller) Connected(*loop.Conn, error) {}
+func (c *caller) Connected(*eventloop.Conn, error) {}
 
 // Flushed is part of loop.Owner.
-func (c *caller) Flushed(*loop.Conn) {
+func (c *caller) Flushed(*eventloop.Conn) {
 	if c.done && c.left {
 		c.close()
 	}
 }
 
 // Readable is part of loop.Owner.
-func (c *caller) Readable(*loop.Conn) {
+func (c *caller) Readable(*eventloop.Conn) {
 	for !c.closed {
 		buf := c.line[c.n:c.room()]
 		if c.done {
@@ -114,7 +113,7 @@
 		}
 		n, err := c.conn.Read(buf)
 		switch {
-		case errors.Is(err, loop.ErrAgain):
+		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case err != nil:
 			c.ended(errors.Is(err, io.EOF))
@@ -128,19 +127,19 @@
 		c.n += n
 		if end := bytes.IndexByte(c.line[:c.n], '\n'); end >= 0 {
 			call := bytes.TrimSuffix(c.line[:end], []byte{'\r'})
-			if op, err := duty.Parse(call); err != nil {
+			if op, err := lifecycle.Parse(call); err != nil {
 				c.answer("-ERR " + err.Error())
 			} else {
 				c.answer(c.s.handle(op))
 			}
 		} else if c.n == c.room() {
-			c.answer("-ERR " + duty.ErrLong.Error())
+			c.answer("-ERR " + lifecycle.ErrLong.Error())
 		}
 	}
 }
 
 // room is how many bytes the line may have with its end, by how it begins.
-func (c *caller) room() int { return duty.Limit(c.line[:c.n]) + len("\r\n") }
+func (c *caller) room() int { return lifecycle.Limit(c.line[:c.n]) + len("\r\n") }
 
 // ended takes the caller's end, before or after its answer.
 func (c *caller) ended(plain bool) {
--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -62,8 +62,10 @@
 	MaxPacket uint32 // Open, OpenConfirm: data that one message may carry to the sender
 	Code      uint32 // Disconnect, OpenFailure: reason; ExtendedData: kind; Unimplemented: sequence number
 	Name      []byte // ServiceRequest, ServiceAccept, GlobalRequest, Request, Open: the name
-	Data      []byte // Data, ExtendedData: data; Open, OpenConfirm, Request, GlobalRequest: their own; OpenFailure, Disconnect: description
-	WantReply bool   // GlobalRequest, Request
+	// Data, ExtendedData: data; Open, OpenConfirm, Request, GlobalRequest: their own; OpenFailure, Disconnect:
+	// description
+	Data      []byte
+	WantReply bool // GlobalRequest, Request
 }
 
 // reader takes fields off a payload.
--- a/internal/route/discovery.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-package route
+package discovery
 
 import (
 	"bytes"
@@ -6,8 +6,7 @@
 	"fmt"
 	"io"
 	"net/netip"
-
-	"spurspread/internal/loop"
+	"spurspread/internal/eventloop"
 )
 
 const (
@@ -35,7 +34,7 @@
 
 // Discovery asks discovery for the route table over one watch, and single calls.
 type Discovery struct {
-	l          *loop.Loop
+	l          *eventloop.Loop
 	addr       netip.AddrPort
 	table      *Table
 	to         Watcher
@@ -43,13 +42,13 @@
 	live       *call // the watch that has answered
 	asking     *call // a watch that has not answered yet
 	foreign    bool  // generation and live are of the address before
-	repeatTill loop.Micros
-	again      loop.Ref
+	repeatTill eventloop.Micros
+	again      eventloop.Ref
 	scratch    []byte
 }
 
 // NewDiscovery returns a client that asks nothing yet.
-func NewDiscovery(l *loop.Loop, addr netip.AddrPort, table *Table, to Watcher) *Discovery {
+func NewDiscovery(l *eventloop.Loop, addr netip.AddrPort, table *Table, to Watcher) *Discovery {
 	return &Discovery{l: l, addr: addr, table: table, to: to, scratch: make([]byte, 16<<10)}
 }
 
@@ -60,8 +59,8 @@
 	return c, err
 }
 
-// Whole is the table as discovery last told it, in discovery's own form, and the address at which that is told. It is nil
-// after a move until the new address has answered: whose generation it would have is not known.
+// Whole is the table as discovery last told it, in discovery's own form, and the address at which that is told. It
+// is nil after a move until the new address has answered: whose generation it would have is not known.
 func (d *Discovery) Whole() (netip.AddrPort, []byte) {
 	if d.foreign {
 		return d.addr, nil
@@ -140,13 +139,13 @@
 type call struct {
 	d      *Discovery
 	stream bool
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	resp   response
 	text   []byte // of the object under way
 	depth  nesting
 	looked int // bytes of text that are counted in depth
 	err    error
-	timer  loop.Ref
+	timer  eventloop.Ref
 	over   bool
 }
 
@@ -164,27 +163,27 @@
 	conn.Write([]byte("GET "+target+" HTTP/1.1\r\nHost: "), []byte(c.d.addr.String()), []byte("\r\n\r\n"))
 }
 
-func (c *call) wait(span loop.Micros) {
+func (c *call) wait(span eventloop.Micros) {
 	c.d.l.Cancel(&c.timer)
 	c.timer = c.d.l.After(span, func() { c.fail(errSilent) })
 }
 
 // Connected is part of loop.Owner.
-func (c *call) Connected(_ *loop.Conn, err error) {
+func (c *call) Connected(_ *eventloop.Conn, err error) {
 	if err != nil {
 		c.fail(err)
 	}
 }
 
 // Flushed is part of loop.Owner.
-func (c *call) Flushed(*loop.Conn) {}
+func (c *call) Flushed(*eventloop.Conn) {}
 
 // Readable is part of loop.Owner.
-func (c *call) Readable(conn *loop.Conn) {
+func (c *call) Readable(conn *eventloop.Conn) {
 	for !c.over {
 		n, err := conn.Read(c.d.scratch)
 		switch {
-		case errors.Is(err, loop.ErrAgain):
+		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case errors.Is(err, io.EOF) && !c.stream && c.resp.complete():
 			c.finish()
--- a/internal/route/http.go
+++ b/internal/discovery/http.go
@@ -1,4 +1,4 @@
-package route
+package discovery
 
 import (
 	"bytes"
--- a/internal/route/table.go
+++ b/internal/discovery/table.go
@@ -1,5 +1,5 @@
 // Package route keeps the route table, the list of egress targets as discovery has it, and asks discovery for it.
-package route
+package discovery
 
 import (
 	"encoding/json"
@@ -128,8 +128,10 @@
 		if at.Addr.IsValid() {
 			addr = at.Addr.String()
 		}
-		list.Instances = append(list.Instances, listed{at.ID, addr, at.Zone, at.Machine, at.Cell, lifecycles[at.State], at.Weight,
-			at.StartedMillis})
+		list.Instances = append(list.Instances, listed{
+			at.ID, addr, at.Zone, at.Machine, at.Cell, lifecycles[at.State], at.Weight,
+			at.StartedMillis,
+		})
 	}
 	text, _ := json.Marshal(list) // of these types it can't fail
 	return text
@@ -152,7 +154,9 @@
 	}
 	// An address that can't be read leaves a target that can't be connected to.
 	addr, _ := netip.ParseAddrPort(item.Get("hostPort").String())
-	return Target{ID: id.Str, Addr: addr, Zone: item.Get("zone").String(), Machine: item.Get("machineType").String(),
+	return Target{
+		ID: id.Str, Addr: addr, Zone: item.Get("zone").String(), Machine: item.Get("machineType").String(),
 		Cell: uint16(item.Get("cell").Uint()), State: state, Weight: item.Get("weight").Float(),
-		StartedMillis: started.Int()}, true
+		StartedMillis: started.Int(),
+	}, true
 }
--- a/internal/loop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -113,9 +113,9 @@
 	}
 }
 
-// Settle looks whether a connection that is coming up has done so by now, its event still unread, and has the owner told. Deadlines
-// of a turn come before the next turn's events: a loop that was held up would else take every connection for one that never
-// came up.
+// Settle looks whether a connection that is coming up has done so by now, its event still unread, and has the owner
+// told. Deadlines of a turn come before the next turn's events: a loop that was held up would else take every
+// connection for one that never came up.
 func (c *Conn) Settle() {
 	if c.fd < 0 || !c.connecting {
 		return
@@ -260,7 +260,11 @@
 	return l.listen(addr, true, accept)
 }
 
-func (l *Loop) listen(addr netip.AddrPort, shared bool, accept func(adopt func(Owner) (*Conn, error))) (*Listener, error) {
+func (l *Loop) listen(
+	addr netip.AddrPort,
+	shared bool,
+	accept func(adopt func(Owner) (*Conn, error)),
+) (*Listener, error) {
 	sa, family := sockaddr(addr)
 	fd, err := l.socket(family)
 	if err != nil {
--- a/internal/loop/deadlines.go
+++ b/internal/eventloop/deadlines.go
@@ -1,9 +1,12 @@
-package loop
+package eventloop
 
-import "container/heap"
+import (
+	"container/heap"
+	"spurspread/decision/monotime"
+)
 
 // Micros is a point in time or a span, in microseconds.
-type Micros = int64
+type Micros = monotime.Micros
 
 type deadline struct {
 	at  Micros
@@ -19,15 +22,18 @@
 func (h deadlineHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
+
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].pos, h[j].pos = i, j
 }
+
 func (h *deadlineHeap) Push(x any) {
 	d := x.(*deadline)
 	d.pos = len(*h)
 	*h = append(*h, d)
 }
+
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	d := (*h)[last]
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,7 +1,7 @@
 // Package loop runs everything on one goroutine: an edge-triggered epoll loop over numbered slots, one heap of all
 // deadlines, stream sockets with gathered writes, and packets with descriptors beside them between processes of one
 // user. It knows no protocol.
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -42,7 +42,7 @@
 		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), unix.Close(ep))
 	}
 	start := time.Now()
-	l := &Loop{epoll: ep, wake: wake, start: start, wall: start.UnixMicro()}
+	l := &Loop{epoll: ep, wake: wake, start: start, wall: Micros(start.UnixMicro())}
 	l.now = l.wall
 	if _, err := l.add(wake, waker{l}, unix.EPOLLIN); err != nil {
 		return nil, errors.Join(err, l.Close())
@@ -57,7 +57,7 @@
 // other machines' clocks but never jumps. It stands still while one event is handled.
 func (l *Loop) Now() Micros { return l.now }
 
-func (l *Loop) tick() { l.now = l.wall + time.Since(l.start).Microseconds() }
+func (l *Loop) tick() { l.now = l.wall + Micros(time.Since(l.start).Microseconds()) }
 
 // Descriptors tells how many sockets are open.
 func (l *Loop) Descriptors() int { return l.open }
--- a/internal/loop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -21,6 +21,7 @@
 func (b *box) Packet(_ *Packets, text []byte, fds []int) {
 	b.texts, b.fds = append(b.texts, string(text)), append(b.fds, fds...)
 }
+
 func (b *box) Ended(p *Packets) {
 	b.ended++
 	p.Close()
--- a/internal/loop/shut_test.go
+++ b/internal/eventloop/shut_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"bufio"
--- a/internal/loop/slots.go
+++ b/internal/eventloop/slots.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // Ref names one use of one slot: the index in the lower bits, the slot's generation above them. No slot starts
 // at generation 0, so the zero Ref names nothing.
--- a/internal/line/line.go
+++ b/internal/lineproto/lineproto.go
@@ -1,6 +1,6 @@
 // Package line reads the lines that clients and servers speak, in place: what it returns points into the caller's
 // buffer. It knows no sockets and decides nothing.
-package line
+package lineproto
 
 import (
 	"bytes"
--- a/internal/logs/logs.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logs has the log's one vocabulary of field names, and an output that never holds up its writer. It knows
 // logrus, and nothing of what is logged.
-package logs
+package logging
 
 import (
 	"io"
@@ -65,8 +65,14 @@
 	log := logrus.New()
 	log.SetOutput(out)
 	if format == JSON {
-		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano,
-			FieldMap: logrus.FieldMap{logrus.FieldKeyTime: "time", logrus.FieldKeyMsg: "msg", logrus.FieldKeyLevel: "level"}})
+		log.SetFormatter(&logrus.JSONFormatter{
+			TimestampFormat: time.RFC3339Nano,
+			FieldMap: logrus.FieldMap{
+				logrus.FieldKeyTime:  "time",
+				logrus.FieldKeyMsg:   "msg",
+				logrus.FieldKeyLevel: "level",
+			},
+		})
 	}
 	return log
 }
--- a/internal/logs/output_test.go
+++ b/internal/logging/output_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/mux/budget.go
+++ b/internal/mux/budget.go
@@ -1,7 +1,8 @@
 package mux
 
-// Budget bounds what a process may come to buffer for its channels: a window that is granted is a promise to take as
-// much. While there is plenty, channels have the whole window; the less there is, the smaller windows get, down to Floor.
+// Budget bounds what a process may come to buffer for its channels: a window that is granted is a promise to take
+// as much. While there is plenty, channels have the whole window; the less there is, the smaller windows get, down
+// to Floor.
 type Budget struct {
 	Limit    int64  // bytes that may be promised before only Floor is granted
 	Floor    uint32 // the least window, so that every channel goes on
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -6,9 +6,8 @@
 import (
 	"errors"
 	"fmt"
-
 	"spurspread/internal/channel"
-	"spurspread/internal/loop"
+	"spurspread/internal/eventloop"
 )
 
 // Wire is what a connection writes to. What it does not get rid of at once it keeps, and tells how much that is.
@@ -102,7 +101,7 @@
 	stage   stage
 	buf     []byte // the start of a packet
 	seq     uint32 // packets taken
-	chans   loop.Slots[*Channel]
+	chans   eventloop.Slots[*Channel]
 	first   *Channel // of those that wait for their turn
 	last    *Channel
 	pumping bool
@@ -242,7 +241,8 @@
 		c.owner.Ready()
 		return nil
 	}
-	known := m.Type >= channel.GlobalRequest && m.Type <= channel.RequestFailure || m.Type >= channel.Open && m.Type <= channel.Failure
+	known := m.Type >= channel.GlobalRequest && m.Type <= channel.RequestFailure ||
+		m.Type >= channel.Open && m.Type <= channel.Failure
 	switch {
 	case !known:
 		c.send(&channel.Message{Type: channel.Unimplemented, Code: seq})
@@ -265,7 +265,7 @@
 		c.opened(m)
 		return nil
 	}
-	ch, ok := c.chans.Get(loop.Ref(m.Channel))
+	ch, ok := c.chans.Get(eventloop.Ref(m.Channel))
 	if !ok {
 		return wrong("message %d for channel %d, which there is not", m.Type, m.Channel)
 	}
@@ -332,8 +332,10 @@
 		return nil
 	}
 	ch.grant(c.cfg.Budget.target(c.cfg.Window))
-	c.send(&channel.Message{Type: channel.Open, Name: []byte(channel.Stream), Channel: uint32(ch.num), Window: ch.window,
-		MaxPacket: channel.MaxData, Data: channel.AppendString(nil, data)})
+	c.send(&channel.Message{
+		Type: channel.Open, Name: []byte(channel.Stream), Channel: uint32(ch.num), Window: ch.window,
+		MaxPacket: channel.MaxData, Data: channel.AppendString(nil, data),
+	})
 	return ch
 }
 
--- a/internal/mux/stream.go
+++ b/internal/mux/stream.go
@@ -3,9 +3,8 @@
 import (
 	"io"
 	"math"
-
 	"spurspread/internal/channel"
-	"spurspread/internal/loop"
+	"spurspread/internal/eventloop"
 )
 
 type state uint8
@@ -22,8 +21,8 @@
 type Channel struct {
 	c     *Conn
 	owner ChannelOwner
-	num   loop.Ref // our number for it
-	peer  uint32   // the peer's
+	num   eventloop.Ref // our number for it
+	peer  uint32        // the peer's
 	state state
 	next  *Channel // in the queue for a turn
 
@@ -56,8 +55,10 @@
 	}
 	ch.state = opened
 	ch.grant(ch.c.cfg.Budget.target(ch.c.cfg.Window))
-	ch.c.send(&channel.Message{Type: channel.OpenConfirm, Channel: ch.peer, Sender: uint32(ch.num), Window: ch.window,
-		MaxPacket: channel.MaxData, Data: data})
+	ch.c.send(&channel.Message{
+		Type: channel.OpenConfirm, Channel: ch.peer, Sender: uint32(ch.num), Window: ch.window,
+		MaxPacket: channel.MaxData, Data: data,
+	})
 }
 
 // Refuse turns it away.
@@ -91,7 +92,8 @@
 	if n == 0 {
 		return
 	}
-	if len(ch.out) == 0 && n <= int(min(ch.room, ch.most, turn)) && ch.c.first == nil && ch.c.wire.Pending() < highWater {
+	if len(ch.out) == 0 && n <= int(min(ch.room, ch.most, turn)) && ch.c.first == nil &&
+		ch.c.wire.Pending() < highWater {
 		ch.sendData(n, parts...)
 		return
 	}
@@ -246,7 +248,7 @@
 	case ch.peerClose:
 		return 0, errClosed
 	}
-	return 0, loop.ErrAgain
+	return 0, eventloop.ErrAgain
 }
 
 // grant adds to what the peer may send.
--- a/internal/peer/packet/codec.go
+++ b/internal/peer/packet/codec.go
@@ -1,14 +1,13 @@
-// Package packet is the codec of the datagrams between members of a fleet: their encoding, their seal, and the window that
-// tells what has come before. It knows no sockets and no clock, and not what a message means.
+// Package packet is the codec of the datagrams between members of a fleet: their encoding, their seal, and the
+// window that tells what has come before. It knows no sockets and no clock, and not what a message means.
 package packet
 
 import (
 	"encoding/binary"
 	"errors"
 	"net/netip"
-
-	"spurspread/decide/member"
-	"spurspread/decide/zone"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
 )
 
 // The encoding, all numbers big-endian; uv is a varint as encoding/binary has it:
@@ -58,21 +57,21 @@
 	To    uint64 // instance of the receiver, 0 where it is not known
 	Count uint64
 	Addr  netip.AddrPort
-	Zone  zone.ID // of the sender, 0 in a fleet without zones
-	Items uint64  // digest of all items of the sender's directory; 0 without zones
+	Zone  zonedirectory.ID // of the sender, 0 in a fleet without zones
+	Items uint64           // digest of all items of the sender's directory; 0 without zones
 }
 
 // Datagram is what was decoded: a message between directories where there is one, else one of members.
 type Datagram struct {
 	Envelope
-	Member    member.Message
-	Directory *zone.Message
+	Member    membership.Message
+	Directory *zonedirectory.Message
 }
 
 // From is the member that the datagram says it is from.
-func (d *Datagram) From() member.ID {
+func (d *Datagram) From() membership.ID {
 	if d.Directory != nil {
-		return member.ID(d.Directory.From)
+		return membership.ID(d.Directory.From)
 	}
 	return d.Member.From
 }
@@ -98,7 +97,7 @@
 }
 
 // appendStart appends the version, the kind, and whom the datagram is for and from.
-func appendStart(b []byte, e *Envelope, kind byte, from member.ID) []byte {
+func appendStart(b []byte, e *Envelope, kind byte, from membership.ID) []byte {
 	version := byte(versionFlat)
 	if e.Zone != 0 {
 		version = versionZones
@@ -120,8 +119,9 @@
 	return binary.BigEndian.AppendUint64(b, e.Items)
 }
 
-// Encode appends a message between members. Rumors that would make it too long are left out; they go along with another.
-func Encode(b []byte, e Envelope, m *member.Message) []byte {
+// Encode appends a message between members. Rumors that would make it too long are left out; they go along with
+// another.
+func Encode(b []byte, e Envelope, m *membership.Message) []byte {
 	start := len(b)
 	b = appendStart(b, &e, byte(m.Kind), m.From)
 	b = binary.AppendUvarint(b, m.Inc)
@@ -156,7 +156,7 @@
 	return 0
 }
 
-func appendRumor(b []byte, r *member.Rumor) []byte {
+func appendRumor(b []byte, r *membership.Rumor) []byte {
 	name := r.Name[:min(len(r.Name), MaxName)]
 	head := byte(r.State)
 	if r.By != 0 {
@@ -226,14 +226,14 @@
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(r.take(2)))
 }
 
-func (r *reader) state() member.State { return r.isState(r.u8()) }
+func (r *reader) state() membership.State { return r.isState(r.u8()) }
 
-func (r *reader) isState(b byte) member.State {
-	if member.State(b) > member.Left {
+func (r *reader) isState(b byte) membership.State {
+	if membership.State(b) > membership.Left {
 		r.bad = true
-		return member.Unknown
+		return membership.Unknown
 	}
-	return member.State(b)
+	return membership.State(b)
 }
 
 // Decode reads what Encode and EncodeDirectory wrote, and nothing else. The datagram keeps nothing of b. Errors are
@@ -250,9 +250,9 @@
 	kind := r.u8()
 	d.To, d.Count = r.u64(), r.u64()
 	if kind > byte(Hello) {
-		r.directory(&d, b[0], zone.Kind(kind-byte(Hello)))
+		r.directory(&d, b[0], zonedirectory.Kind(kind-byte(Hello)))
 	} else {
-		r.member(&d, b[0], member.Kind(kind))
+		r.member(&d, b[0], membership.Kind(kind))
 	}
 	if r.bad || len(r.b) != 0 {
 		return Datagram{}, ErrMalformed
@@ -266,20 +266,20 @@
 	if version == versionFlat {
 		return
 	}
-	e.Zone, e.Items = zone.ID(r.u64()), r.u64()
+	e.Zone, e.Items = zonedirectory.ID(r.u64()), r.u64()
 	r.bad = r.bad || e.Zone == 0
 }
 
 // member reads a message between members from its sender on.
-func (r *reader) member(d *Datagram, version byte, kind member.Kind) {
+func (r *reader) member(d *Datagram, version byte, kind membership.Kind) {
 	m := &d.Member
 	m.Kind = kind
-	m.From, m.Inc, m.Instance = member.ID(r.u64()), r.uvarint(), r.u64()
+	m.From, m.Inc, m.Instance = membership.ID(r.u64()), r.uvarint(), r.u64()
 	r.place(&d.Envelope, version)
 	m.You, m.YouInc = r.state(), r.uvarint()
-	m.Seq, m.About, m.Got = r.u32(), member.ID(r.u64()), r.u32()
+	m.Seq, m.About, m.Got = r.u32(), membership.ID(r.u64()), r.u32()
 	m.Back, m.Digest = r.flag(), r.u64()
-	if sums := int(r.u8()); sums == member.Buckets {
+	if sums := int(r.u8()); sums == membership.Buckets {
 		for range sums {
 			m.Sums = append(m.Sums, r.u32())
 		}
@@ -292,7 +292,7 @@
 		}
 		m.Rumors = append(m.Rumors, r.rumor())
 	}
-	r.bad = r.bad || len(m.Rumors) > member.MaxRumors || m.Kind == 0
+	r.bad = r.bad || len(m.Rumors) > membership.MaxRumors || m.Kind == 0
 }
 
 // flag reads the byte of flags, of which there is one.
@@ -303,11 +303,11 @@
 }
 
 // rumor takes the one form that a rumor has: what is told to be there is not empty.
-func (r *reader) rumor() (out member.Rumor) {
+func (r *reader) rumor() (out membership.Rumor) {
 	head := r.u8()
-	out.State, out.ID, out.Inc = r.isState(head&^(rumorBy|rumorSelf)), member.ID(r.u64()), r.uvarint()
+	out.State, out.ID, out.Inc = r.isState(head&^(rumorBy|rumorSelf)), membership.ID(r.u64()), r.uvarint()
 	if head&rumorBy != 0 {
-		out.By = member.ID(r.u64())
+		out.By = membership.ID(r.u64())
 		r.bad = r.bad || out.By == 0
 	}
 	if head&rumorSelf == 0 {
@@ -327,6 +327,8 @@
 // somewhere is an address as long as most are.
 var somewhere = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 1)
 
-// Size is how long the datagram of a message between members is in a fleet without zones, in bytes, sealed. With zones it
-// is 16 more.
-func Size(m *member.Message) int { return len(Encode(nil, Envelope{Addr: somewhere}, m)) + Overhead }
+// Size is how long the datagram of a message between members is in a fleet without zones, in bytes, sealed. With
+// zones it is 16 more.
+func Size(m *membership.Message) int {
+	return len(Encode(nil, Envelope{Addr: somewhere}, m)) + Overhead
+}
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -2,9 +2,8 @@
 
 import (
 	"encoding/binary"
-
-	"spurspread/decide/member"
-	"spurspread/decide/zone"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
 )
 
 // maxCount bounds the members that a summary may say its zone has; package zone takes no more.
@@ -17,11 +16,11 @@
 	itemRecord
 )
 
-// EncodeDirectory appends a message between directories, whose sender stands in the zone that the envelope tells. Items that
-// would make it too long are left out; the sender's digest tells of them later.
-func EncodeDirectory(b []byte, e Envelope, m *zone.Message) []byte {
+// EncodeDirectory appends a message between directories, whose sender stands in the zone that the envelope tells.
+// Items that would make it too long are left out; the sender's digest tells of them later.
+func EncodeDirectory(b []byte, e Envelope, m *zonedirectory.Message) []byte {
 	start := len(b)
-	b = appendStart(b, &e, byte(Hello)+byte(m.Kind), member.ID(m.From))
+	b = appendStart(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
 	b = appendPlace(b, &e, m.Instance)
 	return appendDirectory(b, start, m)
 }
@@ -36,11 +35,11 @@
 //	         3: name, uv version, value
 //
 // where region, zone, name and value are 1 byte of length and as many.
-func appendDirectory(b []byte, start int, m *zone.Message) []byte {
+func appendDirectory(b []byte, start int, m *zonedirectory.Message) []byte {
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
 	b = append(b, flags(m.Back))
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	versions := m.Versions[:min(len(m.Versions), zone.MaxVersions)]
+	versions := m.Versions[:min(len(m.Versions), zonedirectory.MaxVersions)]
 	b = append(b, byte(len(versions)))
 	for _, v := range versions {
 		b = binary.BigEndian.AppendUint64(b, v.Key)
@@ -49,7 +48,7 @@
 	}
 	at := len(b)
 	b = append(b, 0)
-	for i := range m.Items[:min(len(m.Items), zone.MaxItems)] {
+	for i := range m.Items[:min(len(m.Items), zonedirectory.MaxItems)] {
 		before := len(b)
 		if b = appendItem(b, &m.Items[i]); len(b)-start > MaxPlain {
 			return b[:before]
@@ -59,7 +58,7 @@
 	return b
 }
 
-func appendItem(b []byte, it *zone.Item) []byte {
+func appendItem(b []byte, it *zonedirectory.Item) []byte {
 	switch {
 	case it.Summary != nil:
 		return appendSummary(append(b, itemSummary), it.Summary)
@@ -71,19 +70,19 @@
 		return appendZones(b, o.Unreachable)
 	}
 	rec := it.Record
-	b = appendText(append(b, itemRecord), rec.Name, zone.MaxName)
+	b = appendText(append(b, itemRecord), rec.Name, zonedirectory.MaxName)
 	b = binary.AppendUvarint(b, rec.Version)
-	return appendText(b, rec.Value, zone.MaxValue)
+	return appendText(b, rec.Value, zonedirectory.MaxValue)
 }
 
-func appendSummary(b []byte, s *zone.Summary) []byte {
-	b = appendText(b, s.Site.Region, zone.MaxName)
-	b = appendText(b, s.Site.Zone, zone.MaxName)
+func appendSummary(b []byte, s *zonedirectory.Summary) []byte {
+	b = appendText(b, s.Site.Region, zonedirectory.MaxName)
+	b = appendText(b, s.Site.Zone, zonedirectory.MaxName)
 	b = binary.AppendUvarint(b, s.Version)
 	b = binary.BigEndian.AppendUint64(b, uint64(s.Issuer))
 	b = binary.AppendUvarint(b, uint64(min(max(s.Live, 0), maxCount)))
 	b = binary.AppendUvarint(b, uint64(min(max(s.Known, 0), maxCount)))
-	contacts := s.Contacts[:min(len(s.Contacts), zone.MaxContacts)]
+	contacts := s.Contacts[:min(len(s.Contacts), zonedirectory.MaxContacts)]
 	b = append(b, byte(len(contacts)))
 	for _, c := range contacts {
 		b = binary.BigEndian.AppendUint64(b, uint64(c.ID))
@@ -92,8 +91,8 @@
 	return appendZones(b, s.Unreachable)
 }
 
-func appendZones(b []byte, zones []zone.ID) []byte {
-	zones = zones[:min(len(zones), zone.MaxZones)]
+func appendZones(b []byte, zones []zonedirectory.ID) []byte {
+	zones = zones[:min(len(zones), zonedirectory.MaxZones)]
 	b = append(b, byte(len(zones)))
 	for _, z := range zones {
 		b = binary.BigEndian.AppendUint64(b, uint64(z))
@@ -107,23 +106,23 @@
 }
 
 // directory reads a message between directories from its sender on.
-func (r *reader) directory(d *Datagram, version byte, kind zone.Kind) {
-	m := &zone.Message{Kind: kind}
+func (r *reader) directory(d *Datagram, version byte, kind zonedirectory.Kind) {
+	m := &zonedirectory.Message{Kind: kind}
 	d.Directory = m
-	m.From, m.Instance = zone.MemberID(r.u64()), r.u64()
+	m.From, m.Instance = zonedirectory.MemberID(r.u64()), r.u64()
 	r.place(&d.Envelope, version)
 	m.Zone = d.Zone
 	m.Seq, m.Back, m.Digest = r.u32(), r.flag(), r.u64()
-	for range r.count(zone.MaxVersions) {
-		m.Versions = append(m.Versions, zone.ItemVersion{Key: r.u64(), Version: r.uvarint(), Check: r.u32()})
+	for range r.count(zonedirectory.MaxVersions) {
+		m.Versions = append(m.Versions, zonedirectory.ItemVersion{Key: r.u64(), Version: r.uvarint(), Check: r.u32()})
 	}
-	for range r.count(zone.MaxItems) {
+	for range r.count(zonedirectory.MaxItems) {
 		if r.bad {
 			break
 		}
 		m.Items = append(m.Items, r.item())
 	}
-	r.bad = r.bad || version != versionZones || kind > zone.Compare
+	r.bad = r.bad || version != versionZones || kind > zonedirectory.Compare
 }
 
 // count reads how many there are of something that there may be so many of.
@@ -136,30 +135,42 @@
 	return n
 }
 
-func (r *reader) item() zone.Item {
+func (r *reader) item() zonedirectory.Item {
 	switch r.u8() {
 	case itemSummary:
-		return zone.Item{Summary: r.summary()}
+		return zonedirectory.Item{Summary: r.summary()}
 	case itemObservation:
-		o := &zone.Observation{Zone: zone.ID(r.u64()), Delegate: zone.MemberID(r.u64()), Version: r.uvarint()}
+		o := &zonedirectory.Observation{
+			Zone:     zonedirectory.ID(r.u64()),
+			Delegate: zonedirectory.MemberID(r.u64()),
+			Version:  r.uvarint(),
+		}
 		o.Unreachable = r.zones()
-		return zone.Item{Observation: o}
+		return zonedirectory.Item{Observation: o}
 	case itemRecord:
-		rec := &zone.Record{Name: r.text(zone.MaxName), Version: r.uvarint(), Value: r.text(zone.MaxValue)}
+		rec := &zonedirectory.Record{
+			Name:    r.text(zonedirectory.MaxName),
+			Version: r.uvarint(),
+			Value:   r.text(zonedirectory.MaxValue),
+		}
 		r.bad = r.bad || rec.Name == ""
-		return zone.Item{Record: rec}
+		return zonedirectory.Item{Record: rec}
 	}
 	r.bad = true
-	return zone.Item{}
+	return zonedirectory.Item{}
 }
 
-func (r *reader) summary() *zone.Summary {
-	s := &zone.Summary{Site: zone.Site{Region: r.text(zone.MaxName), Zone: r.text(zone.MaxName)}, Version: r.uvarint(), Issuer: zone.MemberID(r.u64())}
+func (r *reader) summary() *zonedirectory.Summary {
+	s := &zonedirectory.Summary{
+		Site:    zonedirectory.Site{Region: r.text(zonedirectory.MaxName), Zone: r.text(zonedirectory.MaxName)},
+		Version: r.uvarint(),
+		Issuer:  zonedirectory.MemberID(r.u64()),
+	}
 	live, known := r.uvarint(), r.uvarint()
 	r.bad = r.bad || s.Site.Zone == "" || live > maxCount || known > maxCount
 	s.Live, s.Known = int(min(live, maxCount)), int(min(known, maxCount))
-	for range r.count(zone.MaxContacts) {
-		c := zone.Contact{ID: zone.MemberID(r.u64()), Addr: r.addr()}
+	for range r.count(zonedirectory.MaxContacts) {
+		c := zonedirectory.Contact{ID: zonedirectory.MemberID(r.u64()), Addr: r.addr()}
 		r.bad = r.bad || !c.Addr.IsValid()
 		s.Contacts = append(s.Contacts, c)
 	}
@@ -167,9 +178,9 @@
 	return s
 }
 
-func (r *reader) zones() (out []zone.ID) {
-	for range r.count(zone.MaxZones) {
-		out = append(out, zone.ID(r.u64()))
+func (r *reader) zones() (out []zonedirectory.ID) {
+	for range r.count(zonedirectory.MaxZones) {
+		out = append(out, zonedirectory.ID(r.u64()))
 	}
 	return out
 }
@@ -177,6 +188,6 @@
 func (r *reader) text(most int) string { return string(r.take(r.count(most))) }
 
 // DirectorySize is how long the datagram of a message between directories is, in bytes, sealed.
-func DirectorySize(m *zone.Message) int {
+func DirectorySize(m *zonedirectory.Message) int {
 	return len(EncodeDirectory(nil, Envelope{Addr: somewhere, Zone: 1}, m)) + Overhead
 }
--- a/internal/peer/packet/seal.go
+++ b/internal/peer/packet/seal.go
@@ -6,10 +6,9 @@
 	"crypto/sha256"
 	"errors"
 	"fmt"
+	"spurspread/decision/membership"
 
 	"golang.org/x/crypto/chacha20poly1305"
-
-	"spurspread/decide/member"
 )
 
 const (
@@ -17,7 +16,7 @@
 	Overhead = keySize + chacha20poly1305.NonceSizeX + chacha20poly1305.Overhead
 	// Hello is not a member's message: it tells who has not been told yet which process of a name this is. Its content
 	// counts for nothing else.
-	Hello = member.Entries + 1
+	Hello = membership.Entries + 1
 )
 
 // Key is one of a site's keys. One seals; all open.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between members of a fleet of balancers in datagrams, on the program's one loop, and bounds
-// what a flood of them may cost. What a message means, and who is in the fleet, is decided elsewhere (decide/member, and
-// decide/zone for the other zones of a fleet that has them).
+// Package peer carries messages between members of a fleet of balancers in datagrams, on the program's one loop,
+// and bounds what a flood of them may cost. What a message means, and who is in the fleet, is decided elsewhere
+// (decide/member, and decide/zone for the other zones of a fleet that has them).
 package peer
 
 import (
@@ -9,14 +9,13 @@
 	"hash/fnv"
 	"math"
 	"net/netip"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/logging"
+	"spurspread/internal/peer/packet"
 
 	"github.com/sirupsen/logrus"
-
-	"spurspread/decide/member"
-	"spurspread/decide/zone"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/internal/peer/packet"
 )
 
 const (
@@ -26,9 +25,9 @@
 	openOthers = 400
 
 	// senders are remembered for what they have sent.
-	maxSenders = 2 * member.MaxMembers
-	// relieveTimes is how often a process before this one is asked for: each question has one chance in two to reach it, if
-	// there is one.
+	maxSenders = 2 * membership.MaxMembers
+	// relieveTimes is how often a process before this one is asked for: each question has one chance in two to
+	// reach it, if there is one.
 	relieveTimes = 20
 	relieveEvery = 100_000
 
@@ -48,13 +47,14 @@
 	// Reach has the addresses at which members are reached from here, by name, where those are not what they tell.
 	Reach map[string]netip.AddrPort
 	// Site is where this member stands; the zero Site in a fleet without zones.
-	Site zone.Site
+	Site zonedirectory.Site
 	// Expected is how many members the fleet has by its settings: with zones, what the rate divisor begins at.
 	Expected int
-	// Rank orders the members of a zone in place of the decider's own way, where it is not nil: a laboratory plants a fault here.
-	Rank func(of zone.ID, id zone.MemberID) uint64
-	// Changed is told by how many budgets are divided, and which place this member has among all: by its id, with zones by its
-	// zone first.
+	// Rank orders the members of a zone in place of the decider's own way, where it is not nil: a laboratory plants
+	// a fault here.
+	Rank func(of zonedirectory.ID, id zonedirectory.MemberID) uint64
+	// Changed is told by how many budgets are divided, and which place this member has among all: by its id, with
+	// zones by its zone first.
 	Changed func(members, place int)
 	// Open binds a socket; the loop's own where it is nil. A laboratory puts links that fail before it.
 	Open func(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (Socket, error)
@@ -69,16 +69,16 @@
 
 // Host is this process's part in the fleet.
 type Host struct {
-	l     *loop.Loop
+	l     *eventloop.Loop
 	log   *logrus.Logger
 	cfg   Config
-	self  member.Self
-	fleet *member.Fleet
+	self  membership.Self
+	fleet *membership.Fleet
 	sock  Socket
 	// asking is the socket at which a process before this one is asked for.
 	asking Socket
 	closed bool
-	timer  loop.Ref
+	timer  eventloop.Ref
 	// place is this member's place in its own zone, as of a revision of the view.
 	place    int
 	placeRev uint64
@@ -88,20 +88,20 @@
 	plain    []byte
 	sealed   []byte
 	senders  map[sender]*packet.Window
-	instance map[member.ID]uint64
-	reach    map[member.ID]netip.AddrPort
-	whose    map[netip.AddrPort]member.ID // the members at addresses that were heard from
+	instance map[membership.ID]uint64
+	reach    map[membership.ID]netip.AddrPort
+	whose    map[netip.AddrPort]membership.ID // the members at addresses that were heard from
 	known    map[netip.AddrPort]bool
-	hellos   map[netip.AddrPort]loop.Micros
+	hellos   map[netip.AddrPort]eventloop.Micros
 
 	ours, others int // opened in this second, see mayOpen
-	second       loop.Micros
+	second       eventloop.Micros
 	counts       Counts
 }
 
 // sender is one process of a member.
 type sender struct {
-	id       member.ID
+	id       membership.ID
 	instance uint64
 }
 
@@ -115,16 +115,18 @@
 }
 
 // NameID is the id that stands for a member's name.
-func NameID(name string) member.ID {
+func NameID(name string) membership.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
-	return member.ID(max(h.Sum64(), 1))
+	return membership.ID(max(h.Sum64(), 1))
 }
 
 // Start joins the fleet.
-func Start(l *loop.Loop, cfg Config, log *logrus.Logger) (*Host, error) {
-	h := &Host{l: l, log: log, cfg: cfg, senders: map[sender]*packet.Window{}, instance: map[member.ID]uint64{},
-		reach: map[member.ID]netip.AddrPort{}, whose: map[netip.AddrPort]member.ID{}, known: map[netip.AddrPort]bool{}, hellos: map[netip.AddrPort]loop.Micros{}}
+func Start(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Host, error) {
+	h := &Host{
+		l: l, log: log, cfg: cfg, senders: map[sender]*packet.Window{}, instance: map[membership.ID]uint64{},
+		reach: map[membership.ID]netip.AddrPort{}, whose: map[netip.AddrPort]membership.ID{}, known: map[netip.AddrPort]bool{}, hellos: map[netip.AddrPort]eventloop.Micros{},
+	}
 	if h.cfg.Open == nil {
 		h.cfg.Open = func(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (Socket, error) {
 			return l.ListenDatagrams(addr, take)
@@ -144,11 +146,19 @@
 		h.reach[NameID(name)], h.whose[at] = at, NameID(name)
 	}
 	// A later process has a later instance, as far as the clock tells; the last bits tell two of one moment apart.
-	h.self = member.Self{ID: NameID(cfg.Name), Name: cfg.Name, Addr: tells, Instance: uint64(l.Now())<<12 | cfg.Seed&0xfff}
-	h.fleet = member.New(member.Config{Self: h.self, Inc: uint64(l.Now() / 1000), Seeds: cfg.Seeds, Seed: cfg.Seed}, l.Now())
+	h.self = membership.Self{
+		ID:       NameID(cfg.Name),
+		Name:     cfg.Name,
+		Addr:     tells,
+		Instance: uint64(l.Now())<<12 | cfg.Seed&0xfff,
+	}
+	h.fleet = membership.New(
+		membership.Config{Self: h.self, Inc: uint64(l.Now() / 1000), Seeds: cfg.Seeds, Seed: cfg.Seed},
+		l.Now(),
+	)
 	h.place, h.placeRev = h.fleet.Place(), h.fleet.Revision()
 	h.zones = h.startZones()
-	log.WithFields(logrus.Fields{logs.Listen: sock.Addr(), logs.Member: cfg.Name}).Info("in the fleet")
+	log.WithFields(logrus.Fields{logging.Listen: sock.Addr(), logging.Member: cfg.Name}).Info("in the fleet")
 	h.tick()
 	h.relieve(relieveTimes)
 	return h, nil
@@ -167,14 +177,20 @@
 }
 
 // View is the fleet as this member sees it; with zones, its own zone.
-func (h *Host) View() []member.Member { return h.fleet.View(h.l.Now()) }
+func (h *Host) View() []membership.Member { return h.fleet.View(h.l.Now()) }
 
 // Doubts tells whether this member has reason to doubt itself.
 func (h *Host) Doubts() bool { return h.fleet.Doubts(h.l.Now()) }
 
 // Counts are what has happened so far.
 func (h *Host) Counts() Counts {
-	h.counts.Saved, h.counts.Pauses, h.counts.Accusations = int64(h.fleet.Saved), int64(h.fleet.Pauses), int64(h.fleet.Accusations)
+	h.counts.Saved, h.counts.Pauses, h.counts.Accusations = int64(
+		h.fleet.Saved,
+	), int64(
+		h.fleet.Pauses,
+	), int64(
+		h.fleet.Accusations,
+	)
 	return h.counts
 }
 
@@ -203,7 +219,7 @@
 }
 
 // Site is where this member stands; the zero Site in a fleet without zones.
-func (h *Host) Site() zone.Site { return h.cfg.Site }
+func (h *Host) Site() zonedirectory.Site { return h.cfg.Site }
 
 // Place is this member's place in the fleet: by zones where there are some, and by ids.
 func (h *Host) Place() int {
@@ -232,14 +248,14 @@
 }
 
 func (h *Host) tick() {
-	h.timer = h.l.After(member.Step, h.tick)
+	h.timer = h.l.After(membership.Step, h.tick)
 	now := h.l.Now()
 	if h.zones.on() {
 		h.fleet.Seeds(h.zones.directory.JoinSeeds(now))
 	}
 	h.carry(h.fleet.Tick(now))
 	if h.fleet.Superseded() {
-		h.log.WithField(logs.Member, h.cfg.Name).Warn("a later process has this name: it is the member now")
+		h.log.WithField(logging.Member, h.cfg.Name).Warn("a later process has this name: it is the member now")
 		h.Close()
 		return
 	}
@@ -250,9 +266,9 @@
 }
 
 // carry sends what the decisions say, and logs what has changed.
-func (h *Host) carry(out []member.Send, changes []member.Change) {
+func (h *Host) carry(out []membership.Send, changes []membership.Change) {
 	for _, c := range changes {
-		h.log.WithFields(logrus.Fields{logs.Member: c.Name, logs.State: c.To.String(), logs.Before: c.From.String(), logs.Incarnation: c.Inc}).
+		h.log.WithFields(logrus.Fields{logging.Member: c.Name, logging.State: c.To.String(), logging.Before: c.From.String(), logging.Incarnation: c.Inc}).
 			Info("a member has changed")
 	}
 	for i := range out {
@@ -260,14 +276,14 @@
 	}
 }
 
-func (h *Host) send(to netip.AddrPort, id member.ID, m *member.Message) {
+func (h *Host) send(to netip.AddrPort, id membership.ID, m *membership.Message) {
 	to, id = h.reached(to, id)
 	h.plain = packet.Encode(h.plain[:0], h.envelope(h.instance[id]), m)
 	h.post(to)
 }
 
 // reached is where a member is reached, and who it is where that is known by its address.
-func (h *Host) reached(to netip.AddrPort, id member.ID) (netip.AddrPort, member.ID) {
+func (h *Host) reached(to netip.AddrPort, id membership.ID) (netip.AddrPort, membership.ID) {
 	if id == 0 {
 		id = h.whose[to]
 	}
@@ -338,7 +354,7 @@
 }
 
 // heard notes where a member is.
-func (h *Host) heard(from, tells netip.AddrPort, id member.ID) {
+func (h *Host) heard(from, tells netip.AddrPort, id membership.ID) {
 	if len(h.whose) > 2*maxSenders {
 		clear(h.whose)
 	}
@@ -364,9 +380,9 @@
 	return h.others <= openOthers
 }
 
-// fresh tells whether a datagram was made for this very process and has not come before. One made for a process before
-// this, or for one whose instance its sender did not know, may have been recorded: its sender is told which process this
-// is, and says again what it has to say.
+// fresh tells whether a datagram was made for this very process and has not come before. One made for a process
+// before this, or for one whose instance its sender did not know, may have been recorded: its sender is told which
+// process this is, and says again what it has to say.
 func (h *Host) fresh(from netip.AddrPort, d *packet.Datagram) bool {
 	if d.To != h.self.Instance {
 		if now := h.l.Now(); !d.Hello() && now-h.hellos[from] >= helloEvery {
@@ -376,7 +392,8 @@
 			h.hellos[from] = now
 			h.answerHello(from, d.From())
 		}
-		// A hello is believed as far as it names an instance: told wrongly, this process is not heard until it is told again.
+		// A hello is believed as far as it names an instance: told wrongly, this process is not heard until it is
+		// told again.
 		return d.Hello() && d.To == 0
 	}
 	key := sender{d.From(), d.Instance()}
@@ -396,15 +413,15 @@
 	return true
 }
 
-func (h *Host) answerHello(from netip.AddrPort, id member.ID) {
+func (h *Host) answerHello(from netip.AddrPort, id membership.ID) {
 	if at, ok := h.reach[id]; ok {
 		from = at
 	}
 	h.sock.Send(from, h.greeting(0))
 }
 
-// namesake takes what another process of this name says. A later one, which has been told which process this is, takes its
-// place; all others are told.
+// namesake takes what another process of this name says. A later one, which has been told which process this is,
+// takes its place; all others are told.
 func (h *Host) namesake(from netip.AddrPort, d *packet.Datagram) {
 	switch {
 	case d.Instance() == h.self.Instance: // what this process asks itself, see relieve
@@ -420,14 +437,15 @@
 // greeting says which process of its name this is, to one of that instance where it is known.
 func (h *Host) greeting(for_ uint64) []byte {
 	h.plain = packet.Encode(h.plain[:0], h.envelope(for_),
-		&member.Message{Kind: packet.Hello, From: h.self.ID, Instance: h.self.Instance})
+		&membership.Message{Kind: packet.Hello, From: h.self.ID, Instance: h.self.Instance})
 	h.sealed = h.cfg.Ring.Seal(h.sealed[:0], h.plain)
 	return h.sealed
 }
 
-// relieve asks for a process before this one at the same address, as there is in an upgrade. While both are bound, the kernel
-// deals out datagrams by where they come from, and the others' may all reach the one before: so it is asked from a port of
-// its own each time, until one question has reached it; once it has said which process it is, it is told to yield.
+// relieve asks for a process before this one at the same address, as there is in an upgrade. While both are bound,
+// the kernel deals out datagrams by where they come from, and the others' may all reach the one before: so it is
+// asked from a port of its own each time, until one question has reached it; once it has said which process it is,
+// it is told to yield.
 func (h *Host) relieve(left int) {
 	if h.asking != nil {
 		h.asking.Close()
@@ -442,7 +460,8 @@
 		if err != nil {
 			return
 		}
-		if d, err := packet.Decode(plain); err == nil && d.Hello() && d.From() == h.self.ID && d.Instance() < h.self.Instance {
+		if d, err := packet.Decode(plain); err == nil && d.Hello() && d.From() == h.self.ID &&
+			d.Instance() < h.self.Instance {
 			h.asking.Send(from, h.greeting(d.Instance()))
 		}
 	})
--- a/internal/relay/door.go
+++ b/internal/proxy/door.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -6,10 +6,9 @@
 	"errors"
 	"io"
 	"slices"
-
 	"spurspread/internal/channel"
-	"spurspread/internal/line"
-	"spurspread/internal/loop"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
 )
 
 const (
@@ -22,7 +21,7 @@
 // door is a client connection at the ingress: before its first line, while a session has it, and after its last answer.
 type door struct {
 	r       *Relay
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	head    []byte // the first line, as far as it has come; never more than a line may hold
 	pinged  int    // lines of a front that were answered
 	shed    bool   // taken in only to be told that it is shed
@@ -34,10 +33,10 @@
 	left    bool          // its client has ended its side
 	idle    *list.Element // its place in the waiting room
 	idleIn  *list.List
-	timer   loop.Ref
+	timer   eventloop.Ref
 }
 
-func (r *Relay) accept(adopt func(loop.Owner) (*loop.Conn, error)) {
+func (r *Relay) accept(adopt func(eventloop.Owner) (*eventloop.Conn, error)) {
 	r.makeRoom()
 	d := &door{r: r, shed: r.tight()}
 	conn, err := adopt(d)
@@ -51,10 +50,10 @@
 }
 
 // Connected is part of loop.Owner; the ingress dials nothing.
-func (d *door) Connected(*loop.Conn, error) {}
+func (d *door) Connected(*eventloop.Conn, error) {}
 
 // Flushed is part of loop.Owner: the client has caught up.
-func (d *door) Flushed(*loop.Conn) {
+func (d *door) Flushed(*eventloop.Conn) {
 	if d.session != nil {
 		d.session.Flushed()
 	} else if d.mux != nil && !d.mux.over {
@@ -65,7 +64,7 @@
 }
 
 // Readable is part of loop.Owner.
-func (d *door) Readable(*loop.Conn) {
+func (d *door) Readable(*eventloop.Conn) {
 	for range fairRounds {
 		if d.session != nil {
 			d.session.Readable()
@@ -79,7 +78,7 @@
 			return // in the last case it is left alone until its time is up: a close now would destroy its answer
 		}
 		n, err := d.conn.Read(d.r.scratch)
-		if errors.Is(err, loop.ErrAgain) {
+		if errors.Is(err, eventloop.ErrAgain) {
 			return
 		}
 		if err != nil {
@@ -106,25 +105,26 @@
 // begin reads the first line, or one ping after another.
 func (d *door) begin(b []byte) {
 	had, all := len(d.head), len(d.head)+len(b)
-	d.head = append(d.head, b[:min(len(b), line.Max-had)]...)
-	if ch := d.r.cfg.Channels; ch != nil && ch.Clients && d.pinged == 0 && bytes.HasPrefix(d.head, []byte(channel.Prefix)) {
-		rest := bytes.Clone(b[min(len(b), line.Max-had):]) // sessions read into where it came from
+	d.head = append(d.head, b[:min(len(b), lineproto.Max-had)]...)
+	if ch := d.r.cfg.Channels; ch != nil && ch.Clients && d.pinged == 0 &&
+		bytes.HasPrefix(d.head, []byte(channel.Prefix)) {
+		rest := bytes.Clone(b[min(len(b), lineproto.Max-had):]) // sessions read into where it came from
 		if d.turn(); len(rest) > 0 && !d.mux.over {
 			d.mux.feed(rest)
 		}
 		return
 	}
-	text, n, err := line.Cut(d.head)
-	switch verb := line.First(text); {
+	text, n, err := lineproto.Cut(d.head)
+	switch verb := lineproto.First(text); {
 	case err != nil:
 		d.fail()
 	case n == 0:
 		if had == 0 && d.pinged > 0 {
 			d.arm(headTime) // a further line has begun
 		}
-	case verb == line.Ping && bytes.IndexByte(d.head[n:], '\n') < 0:
+	case verb == lineproto.Ping && bytes.IndexByte(d.head[n:], '\n') < 0:
 		d.ping(n)
-	case verb == line.OpenLine && n == all:
+	case verb == lineproto.OpenLine && n == all:
 		d.r.l.Cancel(&d.timer)
 		d.r.room.leave(d)
 		whole := d.head
@@ -166,9 +166,9 @@
 }
 
 // arm has it ended after a span, unless it has asked by then.
-func (d *door) arm(span loop.Micros) { d.armFor(span, d.expire) }
+func (d *door) arm(span eventloop.Micros) { d.armFor(span, d.expire) }
 
-func (d *door) armFor(span loop.Micros, due func()) {
+func (d *door) armFor(span eventloop.Micros, due func()) {
 	d.r.l.Cancel(&d.timer)
 	d.timer = d.r.l.After(span, due)
 }
--- a/internal/relay/drain.go
+++ b/internal/proxy/drain.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
-	"spurspread/decide/duty"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/logic"
+	"spurspread/decision/lifecycle"
+	"spurspread/decision/outcome"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/logging"
 )
 
 const (
@@ -23,38 +23,38 @@
 	stopping bool // once they are, the loop ends
 	handing  bool // another process listens on the same port and takes what is new
 	shut     bool // nobody can connect here any more
-	began    loop.Micros
-	span     loop.Micros // what a planned stop waits for, by the settings as they were when it began
-	round    int         // counts drains, so that what a drain taken back had planned does nothing
-	passer   *passer     // to a successor that takes standing connections
+	began    eventloop.Micros
+	span     eventloop.Micros // what a planned stop waits for, by the settings as they were when it began
+	round    int              // counts drains, so that what a drain taken back had planned does nothing
+	passer   *passer          // to a successor that takes standing connections
 }
 
 // longest is the longest deadline of a request, as far as a planned restart waits for it.
-func (r *Relay) longest() loop.Micros {
-	var d loop.Micros
+func (r *Relay) longest() eventloop.Micros {
+	var d eventloop.Micros
 	for _, c := range r.cfg.Settings.Logic.Classes {
-		d = max(d, loop.Micros(c.Deadline))
+		d = max(d, eventloop.Micros(c.Deadline))
 	}
 	return min(d, drainMost)
 }
 
 // Duty is what the relay is there for now.
-func (r *Relay) Duty() duty.State {
+func (r *Relay) Duty() lifecycle.State {
 	switch {
 	case r.drain.stopping:
-		return duty.Stopping
+		return lifecycle.Stopping
 	case r.drain.on:
-		return duty.LameDuck
+		return lifecycle.LameDuck
 	}
-	return duty.Serving
+	return lifecycle.Serving
 }
 
 // Manage carries out a call of the management address and returns its answer, without the line end.
-func (r *Relay) Manage(c duty.Call) string {
-	a := duty.Apply(r.Duty(), c)
+func (r *Relay) Manage(c lifecycle.Call) string {
+	a := lifecycle.Apply(r.Duty(), c)
 	if a.Changed {
-		if a.Next == duty.LameDuck {
-			r.log.WithField(logs.Standing, r.sessions.Len()).Info("lame duck: moving all clients away")
+		if a.Next == lifecycle.LameDuck {
+			r.log.WithField(logging.Standing, r.sessions.Len()).Info("lame duck: moving all clients away")
 			r.evacuateAll(lameSpan)
 		} else {
 			r.drain.on = false
@@ -71,7 +71,7 @@
 	if r.drain.stopping {
 		return
 	}
-	r.log.WithField(logs.Standing, r.sessions.Len()).Info("draining")
+	r.log.WithField(logging.Standing, r.sessions.Len()).Info("draining")
 	r.evacuateAll(r.longest())
 	r.drain.stopping = true
 	r.l.After(drainLook, r.drained)
@@ -85,7 +85,7 @@
 	if r.drain.stopping {
 		return
 	}
-	r.log.WithField(logs.Standing, r.sessions.Len()).Info("draining")
+	r.log.WithField(logging.Standing, r.sessions.Len()).Info("draining")
 	r.startDrain()
 	r.drain.stopping, r.drain.handing = true, true
 	r.shut()
@@ -96,7 +96,7 @@
 
 // evacuateAll moves every standing connection, spread within the span, for all clients moved at one moment would come
 // back in one moment.
-func (r *Relay) evacuateAll(span loop.Micros) {
+func (r *Relay) evacuateAll(span eventloop.Micros) {
 	r.startDrain()
 	r.moveStanding(span)
 }
@@ -112,7 +112,7 @@
 }
 
 // moveStanding moves what stands within what is left of the span since the drain began.
-func (r *Relay) moveStanding(span loop.Micros) {
+func (r *Relay) moveStanding(span eventloop.Micros) {
 	round, left := r.drain.round, max(span-(r.l.Now()-r.drain.began), 0)
 	var standing []*session
 	for _, s := range r.sessions.All {
@@ -126,7 +126,7 @@
 	for i, s := range standing {
 		r.l.After(moveAt(left, i, len(standing)), func() {
 			if r.drain.round == round {
-				s.leave(logic.Cancelled, true)
+				s.leave(outcome.Cancelled, true)
 			}
 		})
 	}
@@ -139,18 +139,18 @@
 				s.expire()
 				continue
 			}
-			s.leave(logic.Cancelled, true)
+			s.leave(outcome.Cancelled, true)
 		}
 	})
 }
 
-// moveAt is when the i-th of n that stand is moved, where all are to be within the span: spread over its second half. Until
-// then each is served; and where balancers are restarted one after another, the one before this may still be away. The
-// last is told early enough for a line that is under way then to end before the loop does.
-func moveAt(span loop.Micros, i, n int) loop.Micros {
+// moveAt is when the i-th of n that stand is moved, where all are to be within the span: spread over its second
+// half. Until then each is served; and where balancers are restarted one after another, the one before this may
+// still be away. The last is told early enough for a line that is under way then to end before the loop does.
+func moveAt(span eventloop.Micros, i, n int) eventloop.Micros {
 	last := max(span-(moveTime-drainRoom), drainFirst)
 	first := min(max(drainFirst, span/2), last)
-	return first + (last-first)*loop.Micros(i)/loop.Micros(n)
+	return first + (last-first)*eventloop.Micros(i)/eventloop.Micros(n)
 }
 
 // shedding tells whether a new request is to be refused: all while stopping, unless handed over; a lame duck, and one
@@ -167,7 +167,7 @@
 			return
 		}
 		if p := r.drain.passer; p == nil || s.phase != passing && !p.offer(s) {
-			s.leave(logic.Cancelled, true)
+			s.leave(outcome.Cancelled, true)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 		r.shut()
 	}
 	if timeUp || spent >= drainLeast && r.sessions.Len()+r.ending+len(r.muxes) == 0 {
-		r.log.WithField(logs.Left, r.sessions.Len()).Info("drained")
+		r.log.WithField(logging.Left, r.sessions.Len()).Info("drained")
 		r.l.Stop()
 		return
 	}
--- a/internal/relay/hop.go
+++ b/internal/proxy/hop.go
@@ -1,32 +1,32 @@
-package relay
+package proxy
 
 import (
 	"errors"
 	"io"
 	"net/netip"
+	"spurspread/decision"
+	"spurspread/decision/outcome"
+	"spurspread/internal/discovery"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
 	"strconv"
-
-	"spurspread/internal/line"
-	"spurspread/internal/loop"
-	"spurspread/internal/route"
-	"spurspread/logic"
 )
 
 // hop is one attempt: a connection of its own to an egress target.
 type hop struct {
 	r         *Relay
 	s         *session
-	target    *route.Target
+	target    *discovery.Target
 	chosen    listing // the target as it was listed when it was chosen
 	attempt   int
 	out       side
-	began     loop.Micros
-	until     loop.Micros // given up then, unless it is up
-	writeBy   loop.Micros // the first line is written by then or not at all; 0 where that does not matter
+	began     eventloop.Micros
+	until     eventloop.Micros // given up then, unless it is up
+	writeBy   eventloop.Micros // the first line is written by then or not at all; 0 where that does not matter
 	connected bool
 	sent      bool   // the first line's last byte is written: the target may have run it
 	buf       []byte // the answer, as far as it has come
-	timer     loop.Ref
+	timer     eventloop.Ref
 	trunk     *trunk // that it goes over; nil where it has a connection of its own
 	echo      bool   // its outcome was told already, as evidence of its target's health
 	over      bool
@@ -34,15 +34,15 @@
 
 // listing is what of a target's listing matters to what is sent there.
 type listing struct {
-	state   route.State
+	state   discovery.State
 	started int64
 	addr    netip.AddrPort
 }
 
-func listingOf(t *route.Target) listing { return listing{t.State, t.StartedMillis, t.Addr} }
+func listingOf(t *discovery.Target) listing { return listing{t.State, t.StartedMillis, t.Addr} }
 
 // dial starts an attempt that is given up after wait. Where within is not 0, its line is written within that or never.
-func (r *Relay) dial(s *session, t *route.Target, attempt int, wait, within loop.Micros) *hop {
+func (r *Relay) dial(s *session, t *discovery.Target, attempt int, wait, within eventloop.Micros) *hop {
 	now := r.l.Now()
 	h := &hop{r: r, s: s, target: t, attempt: attempt, began: now, until: now + wait, chosen: listingOf(t)}
 	if within > 0 {
@@ -63,16 +63,16 @@
 		h.endSoon(refusal(err))
 		return
 	}
-	wait := min(h.until-h.r.l.Now(), loop.Micros(h.r.cfg.Settings.ConnectTimeout))
+	wait := min(h.until-h.r.l.Now(), eventloop.Micros(h.r.cfg.Settings.ConnectTimeout))
 	h.timer = h.r.l.After(wait, func() {
 		if conn.Settle(); !h.connected {
-			h.end(logic.ConnectFailed)
+			h.end(outcome.ConnectFailed)
 		}
 	})
 }
 
 // dialTarget starts a connection to a target, for a hop or a probe.
-func (r *Relay) dialTarget(t *route.Target, owner loop.Owner) (*loop.Conn, error) {
+func (r *Relay) dialTarget(t *discovery.Target, owner eventloop.Owner) (*eventloop.Conn, error) {
 	if t == nil || !t.Addr.IsValid() {
 		return nil, errors.New("no address")
 	}
@@ -81,17 +81,17 @@
 
 // refusal is the outcome of a dial that failed at once. What this machine lacks says nothing of the target: taken
 // for a refusal, a crowd that used up the descriptors would have every target demoted.
-func refusal(err error) logic.Status {
-	if loop.Exhausted(err) {
-		return logic.Moot
+func refusal(err error) outcome.Status {
+	if eventloop.Exhausted(err) {
+		return outcome.Inconclusive
 	}
-	return logic.ConnectFailed
+	return outcome.ConnectFailed
 }
 
 // Connected is part of loop.Owner.
-func (h *hop) Connected(conn *loop.Conn, err error) {
+func (h *hop) Connected(conn *eventloop.Conn, err error) {
 	if err != nil {
-		h.end(logic.ConnectFailed)
+		h.end(outcome.ConnectFailed)
 		return
 	}
 	h.connected = true
@@ -103,27 +103,28 @@
 	h.await()
 }
 
-// mayWrite looks once more before the first line goes out: a connection takes a while to come up, and meanwhile the client
-// may have left, its end still unread behind this very event, and the time may be over in which the request may be
-// repeated. It then never runs, and the hop has ended. What discovery told meanwhile has been heeded at once: see recall.
+// mayWrite looks once more before the first line goes out: a connection takes a while to come up, and meanwhile the
+// client may have left, its end still unread behind this very event, and the time may be over in which the request
+// may be repeated. It then never runs, and the hop has ended. What discovery told meanwhile has been heeded at
+// once: see recall.
 func (h *hop) mayWrite() bool {
 	if h.s.Readable(); h.over {
 		return false
 	}
 	if h.writeBy > 0 && h.r.l.Now() >= h.writeBy {
-		h.end(logic.Moot)
+		h.end(outcome.Inconclusive)
 		return false
 	}
 	return true
 }
 
-// recall ends what is on its way, its first line not written, to targets that have just been listed as draining, gone,
-// begun anew or elsewhere: the module would not choose them now. What an earlier process of this deployment had open at a
-// target goes there whatever it is now.
+// recall ends what is on its way, its first line not written, to targets that have just been listed as draining,
+// gone, begun anew or elsewhere: the module would not choose them now. What an earlier process of this deployment
+// had open at a target goes there whatever it is now.
 func (r *Relay) recall() {
 	for s := range r.underWay.each {
 		if h := s.hop; h != nil && s.phase == asked && !h.sent && h.changed() {
-			h.end(logic.Moot)
+			h.end(outcome.Inconclusive)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 // changed tells that the target is not what it was when it was chosen, in what matters to what is sent there.
 func (h *hop) changed() bool {
 	now := listingOf(h.target)
-	return now.state != route.Ready || now.started != h.chosen.started || now.addr != h.chosen.addr
+	return now.state != discovery.Ready || now.started != h.chosen.started || now.addr != h.chosen.addr
 }
 
 // await has the hop end when its target has not answered in time, or the first line could not be written in time.
@@ -150,20 +151,20 @@
 			h.await()
 			return
 		}
-		h.end(h.unanswered(logic.TimedOut))
+		h.end(h.unanswered(outcome.TimedOut))
 	})
 }
 
-// firstLine is what the target is sent: d tells it how long this hop will wait, and all else goes as the client sent it,
-// byte for byte.
+// firstLine is what the target is sent: d tells it how long this hop will wait, and all else goes as the client
+// sent it, byte for byte.
 func (h *hop) firstLine() (head, d, tail []byte) {
 	text, first := h.s.text, &h.s.first
-	d = strconv.AppendInt(make([]byte, 0, 20), max((h.until-h.r.l.Now())/ms, 1), 10)
+	d = strconv.AppendInt(make([]byte, 0, 20), int64(max((h.until-h.r.l.Now())/ms, 1)), 10)
 	return text[:first.DFrom], d, text[first.DTo:]
 }
 
 // Flushed is part of loop.Owner.
-func (h *hop) Flushed(*loop.Conn) { h.flushed() }
+func (h *hop) Flushed(*eventloop.Conn) { h.flushed() }
 
 // flushed tells that the target has caught up.
 func (h *hop) flushed() {
@@ -174,15 +175,15 @@
 }
 
 // unanswered is the outcome of a hop that ended without an answer: before its last byte it can't have run.
-func (h *hop) unanswered(status logic.Status) logic.Status {
+func (h *hop) unanswered(status outcome.Status) outcome.Status {
 	if !h.sent {
-		return logic.ConnectFailed
+		return outcome.ConnectFailed
 	}
 	return status
 }
 
 // Readable is part of loop.Owner.
-func (h *hop) Readable(*loop.Conn) { h.read() }
+func (h *hop) Readable(*eventloop.Conn) { h.read() }
 
 // read reads what the target sends.
 func (h *hop) read() {
@@ -195,7 +196,7 @@
 			return
 		}
 		n, err := h.out.Read(h.r.scratch)
-		if errors.Is(err, loop.ErrAgain) {
+		if errors.Is(err, eventloop.ErrAgain) {
 			return
 		}
 		if err != nil {
@@ -214,9 +215,9 @@
 // answer reads the target's first line.
 func (h *hop) answer(b []byte) {
 	h.buf = append(h.buf, b...)
-	text, n, err := line.Cut(h.buf)
+	text, n, err := lineproto.Cut(h.buf)
 	if err != nil {
-		h.end(logic.ErrorAnswer)
+		h.end(outcome.ErrorAnswer)
 		return
 	}
 	if n > 0 {
@@ -231,8 +232,8 @@
 // answered takes the target's answer, a line without its end.
 func (h *hop) answered(text []byte) {
 	s := h.s
-	switch kind, _ := line.Server(text); kind {
-	case line.Up:
+	switch kind, _ := lineproto.Server(text); kind {
+	case lineproto.Up:
 		// What the client sent before its answer shows now at the latest.
 		if s.Readable(); h.over {
 			return
@@ -242,21 +243,21 @@
 		}
 		h.r.l.Cancel(&h.timer)
 		s.served(text)
-	case line.Bye:
+	case lineproto.Bye:
 		// Served to its end at once: the target's word is the answer.
 		s.in.refuse(append(text, "\r\n"...))
-		s.finish(logic.OK)
-	case line.Move:
-		h.end(logic.Cancelled)
-	case line.Busy:
-		h.end(logic.ServerFull)
-	case line.Stale:
-		s.denied(line.Word(text))
-	case line.Err:
-		h.end(logic.ErrorAnswer)
+		s.finish(outcome.OK)
+	case lineproto.Move:
+		h.end(outcome.Cancelled)
+	case lineproto.Busy:
+		h.end(outcome.ServerFull)
+	case lineproto.Stale:
+		s.denied(lineproto.Word(text))
+	case lineproto.Err:
+		h.end(outcome.ErrorAnswer)
 	default:
 		h.r.counts.odd++
-		h.end(logic.ErrorAnswer)
+		h.end(outcome.ErrorAnswer)
 	}
 }
 
@@ -270,8 +271,8 @@
 			return
 		}
 		status := s.verdict
-		if s.phase == leaving && status == logic.Reset {
-			status = logic.Cancelled // it ended because its client had left
+		if s.phase == leaving && status == outcome.Reset {
+			status = outcome.Cancelled // it ended because its client had left
 		}
 		if plain {
 			s.finish(status)
@@ -280,12 +281,12 @@
 		h.end(status)
 		s.abort()
 	default:
-		h.end(h.unanswered(logic.Reset))
+		h.end(h.unanswered(outcome.Reset))
 	}
 }
 
 // end closes the hop and tells the module its outcome, once.
-func (h *hop) end(status logic.Status) {
+func (h *hop) end(status outcome.Status) {
 	if h.over {
 		return
 	}
@@ -305,8 +306,10 @@
 	s.hop = nil
 	s.unclaim(h, status)
 	if s.known {
-		h.r.tell(logic.Outcome{ID: uint32(s.ref), Attempt: h.attempt, Server: h.target.Num, Status: status,
-			Took: logic.Micros(h.r.l.Now() - h.began), Closed: s.phase != asked, Echo: h.echo})
+		h.r.tell(decision.Outcome{
+			ID: uint32(s.ref), Attempt: h.attempt, Server: h.target.Num, Status: status,
+			Took: decision.Micros(h.r.l.Now() - h.began), Closed: s.phase != asked, Echo: h.echo,
+		})
 	} else if s.phase == resuming {
 		s.resumeFailed(status)
 	}
