--- a/internal/relay/muxed.go
+++ b/internal/proxy/muxed.go
@@ -1,16 +1,15 @@
-package relay
+package proxy
 
 import (
 	"bytes"
 	"errors"
 	"io"
-	"strconv"
-
-	"spurspread/decide/pool"
+	"spurspread/decision/upstreampool"
 	"spurspread/internal/channel"
-	"spurspread/internal/line"
-	"spurspread/internal/loop"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
 	"spurspread/internal/mux"
+	"strconv"
 )
 
 // Channels has client connections and targets speak SSH-style channels; see docs/protocol/channels.md.
@@ -22,9 +21,9 @@
 	Most        int     // channels on one client connection
 	Opens       float64 // of channels a second on one, and as many at once
 	Window      uint32  // bytes that a peer is granted on each channel, at most
-	FirstPacket loop.Micros
-	Idle        loop.Micros // without a word from a client
-	Pool        pool.Limits
+	FirstPacket eventloop.Micros
+	Idle        eventloop.Micros // without a word from a client
+	Pool        upstreampool.Limits
 }
 
 const (
@@ -42,11 +41,11 @@
 type muxed struct {
 	d     *door
 	c     *mux.Conn
-	heard loop.Micros
-	began bool        // the service was asked for
-	count int         // sessions on it
-	opens float64     // that it may still do now
-	at    loop.Micros // when they were counted
+	heard eventloop.Micros
+	began bool             // the service was asked for
+	count int              // sessions on it
+	opens float64          // that it may still do now
+	at    eventloop.Micros // when they were counted
 	over  bool
 }
 
@@ -55,7 +54,11 @@
 	r := d.r
 	cfg := r.cfg.Channels
 	m := &muxed{d: d, heard: r.l.Now(), opens: cfg.Opens, at: r.l.Now()}
-	m.c = mux.New(d.conn, mux.Config{Server: true, Version: cfg.Version, Most: cfg.Most, Window: cfg.Window, Budget: &r.budget}, m)
+	m.c = mux.New(
+		d.conn,
+		mux.Config{Server: true, Version: cfg.Version, Most: cfg.Most, Window: cfg.Window, Budget: &r.budget},
+		m,
+	)
 	d.mux = m
 	r.muxes[m] = true
 	greeting := d.head
@@ -72,7 +75,7 @@
 			return
 		}
 		n, err := m.d.conn.Read(m.d.r.wide)
-		if errors.Is(err, loop.ErrAgain) {
+		if errors.Is(err, eventloop.ErrAgain) {
 			return
 		}
 		if err != nil {
@@ -167,7 +170,7 @@
 // Alive is part of mux.Owner: whatever comes is a sign of life.
 func (m *muxed) Alive() {}
 
-var holdOff = strconv.FormatInt(shedHold/ms, 10)
+var holdOff = strconv.FormatInt(int64(shedHold/ms), 10)
 
 // Admit is part of mux.Owner.
 func (m *muxed) Admit([]byte) (code uint32, why string) {
@@ -185,7 +188,8 @@
 // Open is part of mux.Owner.
 func (m *muxed) Open(ch *mux.Channel, data []byte) {
 	text, err := channel.String(data)
-	if err != nil || len(text) > line.Max-2 || bytes.ContainsAny(text, "\r\n") || line.First(text) != line.OpenLine {
+	if err != nil || len(text) > lineproto.Max-2 || bytes.ContainsAny(text, "\r\n") ||
+		lineproto.First(text) != lineproto.OpenLine {
 		m.d.r.counts.failed++
 		ch.Refuse(channel.Prohibited, []byte("ERR"))
 		return
@@ -264,7 +268,7 @@
 func (k *chanClient) refuse(answer []byte) {
 	answer = bytes.TrimRight(answer, "\r\n")
 	code := channel.ConnectError
-	if kind, _ := line.Server(answer); kind == line.Busy {
+	if kind, _ := lineproto.Server(answer); kind == lineproto.Busy {
 		code = channel.NoResources
 	}
 	k.answered = true
@@ -306,7 +310,7 @@
 		r.budget.Limit = r.cfg.Memory / budgetPart
 	}
 	if r.pool == nil {
-		r.pool, r.wide = pool.New(cfg.Pool), make([]byte, wideRead)
+		r.pool, r.wide = upstreampool.New(cfg.Pool), make([]byte, wideRead)
 		r.l.After(sec, r.retire)
 		return
 	}
--- a/internal/relay/pace.go
+++ b/internal/proxy/pace.go
@@ -1,11 +1,11 @@
-package relay
+package proxy
 
 import (
 	"cmp"
 	"slices"
-
-	"spurspread/internal/loop"
-	"spurspread/logic"
+	"spurspread/decision"
+	"spurspread/decision/outcome"
+	"spurspread/internal/eventloop"
 )
 
 const (
@@ -15,29 +15,34 @@
 	noteShare = 3 // a note is due while messages take over this part of the shortest aim
 )
 
-type sample struct{ at, took loop.Micros }
+type sample struct{ at, took eventloop.Micros }
 
 // pace is how long one target's messages take, from the lines that are passed on, for targets that do not tell it.
 type pace struct {
 	samples []sample
-	ages    []loop.Micros // of lines that are unanswered now
-	stands  roster        // sessions that stand there
+	ages    []eventloop.Micros // of lines that are unanswered now
+	stands  roster             // sessions that stand there
 	slow    bool
-	noted   loop.Micros
-	toldAt  loop.Micros // the target's last word of its own
+	noted   eventloop.Micros
+	toldAt  eventloop.Micros // the target's last word of its own
 }
 
 // took notes that a line was answered. Times never go back.
-func (p *pace) took(now, took loop.Micros) { p.samples = append(p.samples, sample{now, took}) }
+func (p *pace) took(now, took eventloop.Micros) { p.samples = append(p.samples, sample{now, took}) }
 
 // forget drops what was long ago.
-func (p *pace) forget(now loop.Micros) {
-	old, _ := slices.BinarySearchFunc(p.samples, now-paceSpan, func(s sample, from loop.Micros) int { return cmp.Compare(s.at, from) })
+func (p *pace) forget(now eventloop.Micros) {
+	old, _ := slices.BinarySearchFunc(
+		p.samples,
+		now-paceSpan,
+		func(s sample, from eventloop.Micros) int { return cmp.Compare(s.at, from) },
+	)
 	p.samples = slices.Delete(p.samples, 0, old)
 }
 
-// late tells whether delay is over the limit, without the work of ordering all lines. It comes for each target at each sweep.
-func (p *pace) late(now, limit loop.Micros) (late, seen bool) {
+// late tells whether delay is over the limit, without the work of ordering all lines. It comes for each target at
+// each sweep.
+func (p *pace) late(now, limit eventloop.Micros) (late, seen bool) {
 	p.forget(now)
 	over, all := 0, len(p.samples)
 	for _, s := range p.samples {
@@ -55,9 +60,9 @@
 
 // delay is the median of what lines took lately. A line that is unanswered for longer than the limit counts with
 // its age: a target that answers nothing would otherwise look as it did before.
-func (p *pace) delay(now, limit loop.Micros) (loop.Micros, bool) {
+func (p *pace) delay(now, limit eventloop.Micros) (eventloop.Micros, bool) {
 	p.forget(now)
-	var all []loop.Micros
+	var all []eventloop.Micros
 	for _, s := range p.samples {
 		all = append(all, s.took)
 	}
@@ -74,7 +79,7 @@
 }
 
 // due tells whether a note is to be sent now: one a second while messages are slow, and one when they no longer are.
-func (p *pace) due(now loop.Micros, slow bool) bool {
+func (p *pace) due(now eventloop.Micros, slow bool) bool {
 	if slow && (!p.slow || now-p.noted >= noteEvery) || !slow && p.slow {
 		p.slow, p.noted = slow, now
 		return true
@@ -96,7 +101,7 @@
 		}
 		if s.silent(now) {
 			r.counts.silent++
-			s.leave(logic.Reset, false)
+			s.leave(outcome.Reset, false)
 			continue
 		}
 		if len(s.waiting) > 0 {
@@ -115,8 +120,8 @@
 }
 
 // noteLimit is how long a message may take without a note; 0 where the module expects none.
-func (r *Relay) noteLimit() loop.Micros {
-	var aim logic.Micros
+func (r *Relay) noteLimit() eventloop.Micros {
+	var aim decision.Micros
 	for _, c := range r.cfg.Settings.Logic.Classes {
 		if c.MessageAim > 0 && (aim == 0 || c.MessageAim < aim) {
 			aim = c.MessageAim
@@ -125,21 +130,23 @@
 	if !r.cfg.Settings.TellsDelay {
 		return 0
 	}
-	return loop.Micros(aim) / noteShare
+	return eventloop.Micros(aim) / noteShare
 }
 
 // told takes a LOAD line. What it tells is what the settings promise notes of: a target that tells no connection's
 // load, but how long messages take, says so with the same line, in milliseconds.
 func (r *Relay) told(s *session, value float64) {
-	kind := logic.LoadNote
+	kind := decision.LoadNote
 	if set := &r.cfg.Settings; set.TellsDelay && !set.TellsLoad {
-		kind = logic.DelayNote
+		kind = decision.DelayNote
 		r.pace(s.hop.target.Num).toldAt = r.l.Now()
 	}
-	r.tell(logic.Note{ID: uint32(s.ref), Attempt: s.hop.attempt, Server: s.hop.target.Num, Kind: kind, Value: value})
+	r.tell(
+		decision.Note{ID: uint32(s.ref), Attempt: s.hop.attempt, Server: s.hop.target.Num, Kind: kind, Value: value},
+	)
 }
 
-func (r *Relay) note(now loop.Micros, num uint32, p *pace, limit loop.Micros) {
+func (r *Relay) note(now eventloop.Micros, num uint32, p *pace, limit eventloop.Micros) {
 	slow, seen := p.late(now, limit)
 	if !slow && p.toldAt != 0 && now-p.toldAt < toldSpan {
 		return // its lines come back at once, but it says itself that messages wait
@@ -150,7 +157,15 @@
 		return
 	}
 	took, _ := p.delay(now, limit)
-	r.tell(logic.Note{ID: uint32(s.ref), Attempt: s.hop.attempt, Server: num, Kind: logic.DelayNote, Value: float64(took) / float64(ms)})
+	r.tell(
+		decision.Note{
+			ID:      uint32(s.ref),
+			Attempt: s.hop.attempt,
+			Server:  num,
+			Kind:    decision.DelayNote,
+			Value:   float64(took) / float64(ms),
+		},
+	)
 }
 
 // on is a connection that stands there, nil where none does.
--- a/internal/relay/pass.go
+++ b/internal/proxy/pass.go
@@ -1,22 +1,23 @@
-package relay
+package proxy
 
 import (
-	"golang.org/x/sys/unix"
+	"spurspread/decision"
+	"spurspread/decision/hotrestart"
+	"spurspread/decision/outcome"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
+	"spurspread/internal/logging"
+	"spurspread/internal/restartproto"
 
-	"spurspread/decide/hotrestart"
-	"spurspread/internal/handover"
-	"spurspread/internal/line"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/logic"
+	"golang.org/x/sys/unix"
 )
 
-// passer carries out what the plan says of passing standing connections to the successor. A connection that is offered is
-// frozen: nobody reads it until the successor has said yes, and has it, or no.
+// passer carries out what the plan says of passing standing connections to the successor. A connection that is
+// offered is frozen: nobody reads it until the successor has said yes, and has it, or no.
 type passer struct {
 	r    *Relay
 	plan *hotrestart.Plan
-	link *loop.Packets
+	link *eventloop.Packets
 	next []*session // still to be looked at in this round
 }
 
@@ -63,13 +64,15 @@
 		return false
 	}
 	d, single := s.in.(*door)
-	out, own := s.hop.out.(*loop.Conn)
-	if !p.plan.Offer(uint32(s.ref), hotrestart.Look{Between: s.up.Between() && s.down.Between(), Own: single && own,
-		Clear: s.in.Pending() == 0 && s.hop.out.Pending() == 0 && !s.stalled, Bound: s.moving || s.stream != nil}) {
+	out, own := s.hop.out.(*eventloop.Conn)
+	if !p.plan.Offer(uint32(s.ref), hotrestart.Look{
+		Between: s.up.Between() && s.down.Between(), Own: single && own,
+		Clear: s.in.Pending() == 0 && s.hop.out.Pending() == 0 && !s.stalled, Bound: s.moving || s.stream != nil,
+	}) {
 		return false
 	}
 	packet, err := s.described().Encode()
-	if err != nil || len(packet) > loop.MaxPacket || p.link.Send(packet, d.conn, out) != nil {
+	if err != nil || len(packet) > eventloop.MaxPacket || p.link.Send(packet, d.conn, out) != nil {
 		p.plan.Unsent(uint32(s.ref))
 		return false
 	}
@@ -78,22 +81,24 @@
 }
 
 // described is what the successor is told of a connection that stands.
-func (s *session) described() handover.Standing {
+func (s *session) described() restartproto.Standing {
 	now := s.r.l.Now()
-	st := handover.Standing{Ref: uint32(s.ref), ID: s.first.ID, Key: s.first.Key, Group: s.first.Group,
+	st := restartproto.Standing{
+		Ref: uint32(s.ref), ID: s.first.ID, Key: s.first.Key, Group: s.first.Group,
 		Class: s.classes[s.class], Hint: s.first.Hint, HasHint: s.first.HasHint, Retry: s.first.Retry,
-		Returned: s.first.Returned, Target: s.hop.target.ID, Verdict: uint8(s.verdict), Quiet: max(now-s.lastBack, 0)}
+		Returned: s.first.Returned, Target: s.hop.target.ID, Verdict: uint8(s.verdict), Quiet: int64(max(now-s.lastBack, 0)),
+	}
 	for _, at := range s.waiting {
-		st.Waiting = append(st.Waiting, max(now-at, 0))
+		st.Waiting = append(st.Waiting, int64(max(now-at, 0)))
 	}
 	return st
 }
 
 // Packet is part of loop.PacketOwner: the successor's answer.
-func (p *passer) Packet(_ *loop.Packets, b []byte, fds []int) {
+func (p *passer) Packet(_ *eventloop.Packets, b []byte, fds []int) {
 	closeAll(fds) // none are wanted
-	ref, taken, err := handover.ParseAnswer(b)
-	s, _ := p.r.sessions.Get(loop.Ref(ref))
+	ref, taken, err := restartproto.ParseAnswer(b)
+	s, _ := p.r.sessions.Get(eventloop.Ref(ref))
 	switch {
 	case err != nil || !p.plan.Answer(ref, taken):
 		p.r.log.WithError(err).Warn("the successor's answer makes no sense")
@@ -102,7 +107,7 @@
 	case taken:
 		p.r.counts.passed++
 		s.in.(*door).conn.Release()
-		s.hop.out.(*loop.Conn).Release()
+		s.hop.out.(*eventloop.Conn).Release()
 		s.phase = open
 		s.close()
 	default:
@@ -120,15 +125,15 @@
 		s.hop.read()
 	}
 	if p.plan.Moving() {
-		s.leave(logic.Cancelled, true)
+		s.leave(outcome.Cancelled, true)
 	}
 }
 
 // Ended is part of loop.PacketOwner. The successor says yes before it has a connection: what has no yes is ours.
-func (p *passer) Ended(link *loop.Packets) {
+func (p *passer) Ended(link *eventloop.Packets) {
 	link.Close()
 	for _, ref := range p.plan.Ended() {
-		if s, ok := p.r.sessions.Get(loop.Ref(ref)); ok {
+		if s, ok := p.r.sessions.Get(eventloop.Ref(ref)); ok {
 			p.keep(s)
 		}
 	}
@@ -144,7 +149,7 @@
 	if cut {
 		p.link.Shut() // what is still answered counts, then Ended takes the rest back
 	}
-	p.r.log.WithField(logs.Passed, p.r.counts.passed).WithField(logs.Standing, p.r.sessions.Len()).
+	p.r.log.WithField(logging.Passed, p.r.counts.passed).WithField(logging.Standing, p.r.sessions.Len()).
 		Info("passed standing connections to the successor")
 	p.r.moveStanding(p.r.drain.span)
 }
@@ -157,7 +162,7 @@
 
 // TakeOver listens at the path for connections that an older process passes on when it ends.
 func (r *Relay) TakeOver(path string) error {
-	_, err := r.l.ListenPackets(path, func(*loop.Packets) loop.PacketOwner { return taker{r} })
+	_, err := r.l.ListenPackets(path, func(*eventloop.Packets) eventloop.PacketOwner { return taker{r} })
 	return err
 }
 
@@ -165,44 +170,50 @@
 type taker struct{ r *Relay }
 
 // Ended is part of loop.PacketOwner.
-func (taker) Ended(link *loop.Packets) { link.Close() }
+func (taker) Ended(link *eventloop.Packets) { link.Close() }
 
 // Packet is part of loop.PacketOwner: one standing connection.
-func (t taker) Packet(link *loop.Packets, b []byte, fds []int) {
-	st, err := handover.DecodeStanding(b)
+func (t taker) Packet(link *eventloop.Packets, b []byte, fds []int) {
+	st, err := restartproto.DecodeStanding(b)
 	r := t.r
-	if err != nil || !hotrestart.Take(hotrestart.Arrival{Sockets: len(fds), Known: r.table.ByID([]byte(st.Target)) != nil,
-		New: !r.ids.known(st.ID), Leaving: r.drain.on, Shortage: r.tight()}) {
+	if err != nil || !hotrestart.Take(hotrestart.Arrival{
+		Sockets: len(fds), Known: r.table.ByID([]byte(st.Target)) != nil,
+		New: !r.ids.known(st.ID), Leaving: r.drain.on, Shortage: r.tight(),
+	}) {
 		closeAll(fds)
-		_ = link.Send(handover.Answer(st.Ref, false))
+		_ = link.Send(restartproto.Answer(st.Ref, false))
 		return
 	}
 	r.ids.take(st.ID)
 	s := t.r.admit(st, fds)
-	if s == nil || link.Send(handover.Answer(st.Ref, true)) != nil {
+	if s == nil || link.Send(restartproto.Answer(st.Ref, true)) != nil {
 		t.r.ids.leave(st.ID)
 		if s == nil {
-			_ = link.Send(handover.Answer(st.Ref, false))
+			_ = link.Send(restartproto.Answer(st.Ref, false))
 			return
 		}
 		// The old process has it back.
 		s.in.(*door).conn.Release()
-		s.hop.out.(*loop.Conn).Release()
+		s.hop.out.(*eventloop.Conn).Release()
 		t.r.sessions.Drop(s.ref)
 		return
 	}
 	t.r.counts.adopted++
-	t.r.tell(logic.Open{Request: s.request(), Server: s.hop.target.Num})
+	t.r.tell(decision.Open{Request: s.request(), Server: s.hop.target.Num})
 }
 
 // admit builds the session of a connection that stands, without reading from it yet; nil where it can't.
-func (r *Relay) admit(st handover.Standing, fds []int) *session {
+func (r *Relay) admit(st restartproto.Standing, fds []int) *session {
 	now := r.l.Now()
 	d := &door{r: r}
-	s := &session{r: r, in: d, phase: open, named: true, known: true, class: 0, classes: []string{st.Class},
-		first: line.Open{ID: st.ID, Key: st.Key, Group: st.Group, Hint: st.Hint, HasHint: st.HasHint, Retry: st.Retry,
-			Returned: st.Returned},
-		due: now, lastBack: now - st.Quiet, verdict: logic.Status(st.Verdict)}
+	s := &session{
+		r: r, in: d, phase: open, named: true, known: true, class: 0, classes: []string{st.Class},
+		first: lineproto.Open{
+			ID: st.ID, Key: st.Key, Group: st.Group, Hint: st.Hint, HasHint: st.HasHint, Retry: st.Retry,
+			Returned: st.Returned,
+		},
+		due: now, lastBack: now - eventloop.Micros(st.Quiet), verdict: outcome.Status(st.Verdict),
+	}
 	s.hop = &hop{r: r, s: s, target: r.table.ByID([]byte(st.Target)), began: now, connected: true, sent: true}
 	d.session = s
 	client, err := r.l.Adopt(fds[0], d)
@@ -228,7 +239,7 @@
 	}
 	s.stands()
 	for _, age := range st.Waiting {
-		s.expects(now - age)
+		s.expects(now - eventloop.Micros(age))
 	}
 	return s
 }
--- a/internal/relay/probe.go
+++ b/internal/proxy/probe.go
@@ -1,11 +1,11 @@
-package relay
+package proxy
 
 import (
 	"errors"
-
-	"spurspread/internal/line"
-	"spurspread/internal/loop"
-	"spurspread/logic"
+	"spurspread/decision"
+	"spurspread/decision/outcome"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
 )
 
 // probeRoom is what a probe may take beyond the time that a connection may take to come up.
@@ -15,13 +15,13 @@
 type probe struct {
 	r      *Relay
 	server uint32
-	conn   *loop.Conn
-	began  loop.Micros
+	conn   *eventloop.Conn
+	began  eventloop.Micros
 	up     bool
 	buf    []byte
-	timer  loop.Ref
+	timer  eventloop.Ref
 	over   bool
-	load   logic.Report
+	load   decision.Report
 }
 
 func (r *Relay) probe(server uint32) {
@@ -38,75 +38,77 @@
 		question = "STATS\r\n"
 	}
 	p.conn.Write([]byte(question))
-	connect := loop.Micros(r.cfg.Settings.ConnectTimeout)
+	connect := eventloop.Micros(r.cfg.Settings.ConnectTimeout)
 	p.timer = r.l.After(connect, func() {
 		if p.conn.Settle(); p.over {
 			return
 		}
 		if !p.up {
-			p.end(logic.ConnectFailed)
+			p.end(outcome.ConnectFailed)
 			return
 		}
-		p.timer = r.l.After(probeRoom, func() { p.end(logic.TimedOut) })
+		p.timer = r.l.After(probeRoom, func() { p.end(outcome.TimedOut) })
 	})
 }
 
 // Connected is part of loop.Owner.
-func (p *probe) Connected(_ *loop.Conn, err error) {
+func (p *probe) Connected(_ *eventloop.Conn, err error) {
 	if p.up = err == nil; !p.up {
-		p.end(logic.ConnectFailed)
+		p.end(outcome.ConnectFailed)
 	}
 }
 
 // Flushed is part of loop.Owner.
-func (p *probe) Flushed(*loop.Conn) {}
+func (p *probe) Flushed(*eventloop.Conn) {}
 
 // Readable is part of loop.Owner.
-func (p *probe) Readable(conn *loop.Conn) {
+func (p *probe) Readable(conn *eventloop.Conn) {
 	for !p.over {
 		n, err := conn.Read(p.r.scratch)
 		switch {
-		case errors.Is(err, loop.ErrAgain):
+		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case err != nil:
-			p.end(logic.Reset)
+			p.end(outcome.Reset)
 			return
 		}
 		p.buf = append(p.buf, p.r.scratch[:n]...)
-		text, n, err := line.Cut(p.buf)
+		text, n, err := lineproto.Cut(p.buf)
 		if err != nil {
-			p.end(logic.ErrorAnswer)
+			p.end(outcome.ErrorAnswer)
 		} else if n > 0 {
-			switch kind, _ := line.Server(text); kind {
-			case line.Pong:
+			switch kind, _ := lineproto.Server(text); kind {
+			case lineproto.Pong:
 				p.load = p.r.loadReport(text)
-				p.end(logic.OK)
-			case line.Busy:
-				p.end(logic.ServerFull)
+				p.end(outcome.OK)
+			case lineproto.Busy:
+				p.end(outcome.ServerFull)
 			default:
-				p.end(logic.ErrorAnswer)
+				p.end(outcome.ErrorAnswer)
 			}
 		}
 	}
 }
 
-func (p *probe) end(status logic.Status) {
+func (p *probe) end(status outcome.Status) {
 	if p.over {
 		return
 	}
 	p.over = true
 	p.r.l.Cancel(&p.timer)
 	p.conn.Close()
-	p.r.tell(logic.Probed{Server: p.server, Status: status, Took: logic.Micros(p.r.l.Now() - p.began), Load: p.load})
+	p.r.tell(
+		decision.Probed{Server: p.server, Status: status, Took: decision.Micros(p.r.l.Now() - p.began), Load: p.load},
+	)
 }
 
 // loadReport reads the load report behind a target's word, in the order of the columns that the settings name.
-func (r *Relay) loadReport(text []byte) (rep logic.Report) {
+func (r *Relay) loadReport(text []byte) (rep decision.Report) {
 	for i, name := range r.cfg.Settings.Logic.Columns {
 		if i < len(rep.Values) {
-			v, ok := line.Field(text, name)
+			v, ok := lineproto.Field(text, name)
 			if !ok {
-				return logic.Report{}
+				return decision.Report{}
 			}
 			rep.Values[i] = float32(v)
 			rep.N = i + 1
--- a/internal/relay/relay.go
+++ b/internal/proxy/proxy.go
@@ -1,24 +1,24 @@
 // Package relay takes clients in at the ingress, carries out what the decision module decides about them on hops to
 // the egress targets, and passes lines on. It turns what happens on sockets into the module's events.
-package relay
+package proxy
 
 import (
 	"fmt"
 	"net/netip"
 	"reflect"
 	"slices"
+	"spurspread/decision"
+	"spurspread/decision/outcome"
+	"spurspread/decision/upstreampool"
+	"spurspread/internal/discovery"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/logging"
+	"spurspread/internal/mux"
+	"spurspread/internal/settings"
 	"strings"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
-
-	"spurspread/decide/pool"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/internal/mux"
-	"spurspread/internal/route"
-	"spurspread/internal/settings"
-	"spurspread/logic"
 )
 
 // Config is what a relay is started with.
@@ -36,26 +36,26 @@
 }
 
 const (
-	ms  loop.Micros = 1000
-	sec loop.Micros = 1000 * ms
+	ms  eventloop.Micros = 1000
+	sec eventloop.Micros = 1000 * ms
 )
 
 // decider is the decision module, as far as the relay knows it.
 type decider interface {
-	Handle(now logic.Micros, ev logic.Event, out []logic.Action) []logic.Action
+	Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action
 }
 
 // Relay is one balancer: its loop's sockets, its route table and its decision module.
 type Relay struct {
-	l         *loop.Loop
+	l         *eventloop.Loop
 	cfg       Config
 	log       *logrus.Logger
 	bal       decider
-	table     *route.Table
-	discovery *route.Discovery
-	ingress   *loop.Listener
+	table     *discovery.Table
+	discovery *discovery.Discovery
+	ingress   *eventloop.Listener
 
-	sessions loop.Slots[*session]
+	sessions eventloop.Slots[*session]
 	underWay roster // sessions that have no answer yet
 	awaited  roster // sessions with lines that have not been answered
 	ending   int    // connections that have their answer, and are given a moment to take it
@@ -63,14 +63,14 @@
 	ids      ids
 	gone     []*session // answered and closed; their slots are freed once the module's queue is empty
 	targets  []*pace    // by the target's number
-	queue    []logic.Event
+	queue    []decision.Event
 	telling  bool
-	actions  []logic.Action
+	actions  []decision.Action
 	scratch  []byte
 	wide     []byte // what connections with channels read into
 	budget   mux.Budget
 	muxes    map[*muxed]bool
-	pool     *pool.Pool
+	pool     *upstreampool.Pool
 	trunks   map[uint32]*trunk
 	idle     []uint32
 	// Bytes kept for a slow reader before its sender is left alone.
@@ -88,19 +88,21 @@
 type counts struct{ taken, up, shed, failed, moved, silent, odd, evicted, trunksFailed, echoes, passed, adopted int }
 
 // New starts a relay on the loop: it listens, and its module starts from the known list.
-func New(l *loop.Loop, cfg Config, log *logrus.Logger) (*Relay, error) {
-	return start(l, cfg, log, logic.New(cfg.Settings.Logic, cfg.Seed, logic.Micros(l.Now())))
+func New(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Relay, error) {
+	return start(l, cfg, log, decision.New(cfg.Settings.Logic, cfg.Seed, decision.Micros(l.Now())))
 }
 
-func start(l *loop.Loop, cfg Config, log *logrus.Logger, bal decider) (*Relay, error) {
-	r := &Relay{l: l, cfg: cfg, log: log, bal: bal, table: route.NewTable(), ids: newIDs(),
-		scratch: make([]byte, 8<<10), muxes: map[*muxed]bool{}, trunks: map[uint32]*trunk{}}
+func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, bal decider) (*Relay, error) {
+	r := &Relay{
+		l: l, cfg: cfg, log: log, bal: bal, table: discovery.NewTable(), ids: newIDs(),
+		scratch: make([]byte, 8<<10), muxes: map[*muxed]bool{}, trunks: map[uint32]*trunk{},
+	}
 	r.rosters()
 	r.limit()
 	r.setChannels(cfg.Channels)
 	r.resumption.set(cfg.Resume, cfg.Seed)
-	r.discovery = route.NewDiscovery(l, cfg.Discovery, r.table, r)
-	known := route.Change{}
+	r.discovery = discovery.NewDiscovery(l, cfg.Discovery, r.table, r)
+	known := discovery.Change{}
 	if len(cfg.Known) > 0 {
 		var err error
 		if known, err = r.discovery.Known(cfg.Known); err != nil {
@@ -111,7 +113,7 @@
 	if r.ingress, err = l.ListenShared(cfg.Listen, r.accept); err != nil {
 		return nil, err
 	}
-	r.tell(r.update(logic.Cached, known))
+	r.tell(r.update(decision.Cached, known))
 	r.evacuate(known)
 	r.heedPushed()
 	r.l.After(sweepEvery, r.sweep)
@@ -128,19 +130,19 @@
 // Addr is where the relay listens.
 func (r *Relay) Addr() netip.AddrPort { return r.ingress.Addr() }
 
-// Fleet tells how many balancers share the fleet's budgets now, and which place this one has among them. Until then, and
-// where nobody tells, the settings' numbers hold.
+// Fleet tells how many balancers share the fleet's budgets now, and which place this one has among them. Until
+// then, and where nobody tells, the settings' numbers hold.
 func (r *Relay) Fleet(members, place int) {
 	if members == r.members && place == r.place {
 		return
 	}
 	r.members, r.place = members, place
 	r.counted(&r.cfg.Settings.Logic)
-	r.tell(logic.Retuned{Settings: r.cfg.Settings.Logic})
+	r.tell(decision.Retuned{Settings: r.cfg.Settings.Logic})
 }
 
 // counted puts what was told of the fleet in place of the settings' numbers.
-func (r *Relay) counted(s *logic.Settings) {
+func (r *Relay) counted(s *decision.Settings) {
 	if r.members > 0 {
 		s.Balancers, s.Rank = r.members, r.place
 	}
@@ -156,8 +158,8 @@
 	r.counted(&cfg.Settings.Logic)
 	if !reflect.DeepEqual(cfg.Settings, r.cfg.Settings) {
 		r.cfg.Settings = cfg.Settings
-		r.tell(logic.Retuned{Settings: cfg.Settings.Logic})
-		r.log.WithField(logs.Classes, strings.Join(cfg.Settings.Classes, ",")).Info("settings retuned")
+		r.tell(decision.Retuned{Settings: cfg.Settings.Logic})
+		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.Classes, ",")).Info("settings retuned")
 	}
 	r.cfg.Descriptors, r.cfg.Memory = cfg.Descriptors, cfg.Memory
 	r.limit()
@@ -168,19 +170,19 @@
 		r.discovery.Move(cfg.Discovery)
 	}
 	r.heedPushed()
-	r.log.WithField(logs.Discovery, cfg.Discovery).Info("configuration read again")
+	r.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration read again")
 }
 
 // tell hands an event to the module and carries out what it decides. What that brings about in turn waits in line,
 // so that the module never hears of an event in the middle of another.
-func (r *Relay) tell(ev logic.Event) {
+func (r *Relay) tell(ev decision.Event) {
 	r.queue = append(r.queue, ev)
 	if r.telling {
 		return
 	}
 	r.telling = true
 	for i := 0; i < len(r.queue); i++ {
-		r.actions = r.bal.Handle(logic.Micros(r.l.Now()), r.queue[i], r.actions[:0])
+		r.actions = r.bal.Handle(decision.Micros(r.l.Now()), r.queue[i], r.actions[:0])
 		for _, a := range r.actions {
 			r.do(a)
 		}
@@ -201,48 +203,48 @@
 	r.gone = r.gone[:0]
 }
 
-func (r *Relay) do(a logic.Action) {
+func (r *Relay) do(a decision.Action) {
 	switch a := a.(type) {
-	case logic.Watch:
+	case decision.Watch:
 		if a.On {
 			r.discovery.Watch()
 		} else {
 			r.discovery.Unwatch()
 		}
-	case logic.Fetch:
+	case decision.Fetch:
 		r.discovery.Fetch()
-	case logic.Probe:
+	case decision.Probe:
 		r.probe(a.Server)
-	case logic.SetTimer:
-		r.l.After(loop.Micros(a.Delay), func() { r.tell(logic.Timer{Token: a.Token}) })
-	case logic.Send:
-		if s, ok := r.sessions.Get(loop.Ref(a.ID)); ok {
+	case decision.SetTimer:
+		r.l.After(eventloop.Micros(a.Delay), func() { r.tell(decision.Timer{Token: a.Token}) })
+	case decision.Send:
+		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
 			s.send(a)
 		}
-	case logic.Refuse:
-		if s, ok := r.sessions.Get(loop.Ref(a.ID)); ok {
-			s.shed(loop.Micros(a.HoldOff))
+	case decision.Refuse:
+		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
+			s.shed(eventloop.Micros(a.HoldOff))
 		}
-	case logic.Fail:
-		if s, ok := r.sessions.Get(loop.Ref(a.ID)); ok {
+	case decision.Fail:
+		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
 			s.fail()
 		}
-	case logic.Cancel:
-		if s, ok := r.sessions.Get(loop.Ref(a.ID)); ok && s.hop != nil && s.hop.attempt == a.Attempt && s.phase != open {
-			s.hop.end(logic.Cancelled)
+	case decision.Cancel:
+		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok && s.hop != nil && s.hop.attempt == a.Attempt && s.phase != open {
+			s.hop.end(outcome.Cancelled)
 		}
-	case logic.Move:
-		if s, ok := r.sessions.Get(loop.Ref(a.ID)); ok {
+	case decision.Move:
+		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
 			s.bid(a)
 		}
 	}
 }
 
 // Listed is part of route.Watcher.
-func (r *Relay) Listed(c route.Change) {
-	kind := logic.Delta
+func (r *Relay) Listed(c discovery.Change) {
+	kind := decision.Delta
 	if c.Whole {
-		kind = logic.Full
+		kind = decision.Full
 	}
 	r.tell(r.update(kind, c))
 	r.recall()
@@ -267,7 +269,7 @@
 // Failed is part of route.Watcher.
 func (r *Relay) Failed(err error) {
 	r.log.WithError(err).Warn("discovery failed")
-	r.tell(logic.Update{Kind: logic.Failed})
+	r.tell(decision.Update{Kind: decision.Failed})
 	if !r.cfg.Settings.Logic.Ask {
 		r.l.After(pushedAgain, r.heedPushed)
 	}
@@ -281,17 +283,17 @@
 	}
 }
 
-var listStates = map[route.State]logic.ListState{
-	route.Ready: logic.Ready, route.Terminating: logic.Draining, route.Gone: logic.Gone,
+var listStates = map[discovery.State]decision.ListState{
+	discovery.Ready: decision.Ready, discovery.Terminating: decision.Draining, discovery.Gone: decision.Gone,
 }
 
-func (r *Relay) update(kind logic.ListKind, c route.Change) logic.Update {
-	u := logic.Update{Kind: kind}
+func (r *Relay) update(kind decision.ListKind, c discovery.Change) decision.Update {
+	u := decision.Update{Kind: kind}
 	for _, t := range c.Targets {
-		u.Entries = append(u.Entries, logic.Entry{
+		u.Entries = append(u.Entries, decision.Entry{
 			Server: t.Num, Name: xxhash.Sum64String(t.ID), Zone: uint8(place(r.cfg.Settings.Zones, t.Zone, 255)),
 			Kind: uint16(place(r.cfg.Settings.Kinds, t.Machine, 65535)), State: listStates[t.State], Units: t.Weight,
-			Cell: t.Cell, Started: logic.Micros(t.StartedMillis * ms),
+			Cell: t.Cell, Started: decision.Micros(t.StartedMillis) * ms,
 		})
 	}
 	return u
@@ -334,16 +336,16 @@
 func (r *Relay) report() {
 	r.l.After(reportEvery, r.report)
 	fields := logrus.Fields{
-		logs.Standing: r.sessions.Len(), logs.Sockets: r.l.Descriptors(), logs.Taken: r.counts.taken, logs.Up: r.counts.up,
-		logs.Shed: r.counts.shed, logs.Failed: r.counts.failed, logs.Moved: r.counts.moved, logs.Silent: r.counts.silent,
-		logs.Odd: r.counts.odd, logs.Evicted: r.counts.evicted, logs.Adopted: r.counts.adopted,
+		logging.Standing: r.sessions.Len(), logging.Sockets: r.l.Descriptors(), logging.Taken: r.counts.taken, logging.Up: r.counts.up,
+		logging.Shed: r.counts.shed, logging.Failed: r.counts.failed, logging.Moved: r.counts.moved, logging.Silent: r.counts.silent,
+		logging.Odd: r.counts.odd, logging.Evicted: r.counts.evicted, logging.Adopted: r.counts.adopted,
 	}
 	r.resumption.report(fields)
 	if r.cfg.Channels != nil {
 		trunks, hops := r.pool.Len()
-		fields[logs.Muxed], fields[logs.Trunks], fields[logs.TrunkHops] = len(r.muxes), trunks, hops
-		fields[logs.Promised], fields[logs.Kept] = r.budget.Promised(), r.kept()
-		fields[logs.TrunksFailed], fields[logs.Echoes] = r.counts.trunksFailed, r.counts.echoes
+		fields[logging.Muxed], fields[logging.Trunks], fields[logging.TrunkHops] = len(r.muxes), trunks, hops
+		fields[logging.Promised], fields[logging.Kept] = r.budget.Promised(), r.kept()
+		fields[logging.TrunksFailed], fields[logging.Echoes] = r.counts.trunksFailed, r.counts.echoes
 	}
 	r.log.WithFields(fields).Info("so far")
 }
--- a/internal/relay/resume.go
+++ b/internal/proxy/resume.go
@@ -1,28 +1,28 @@
-package relay
+package proxy
 
 import (
 	"bytes"
 	"math/rand/v2"
+	"spurspread/decision"
+	"spurspread/decision/drainorder"
+	"spurspread/decision/outcome"
+	"spurspread/decision/resume"
+	"spurspread/internal/discovery"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
+	"spurspread/internal/logging"
+	"spurspread/internal/token"
 
 	"github.com/sirupsen/logrus"
-
-	"spurspread/decide/drainorder"
-	"spurspread/decide/resume"
-	"spurspread/internal/line"
-	"spurspread/internal/logs"
-	"spurspread/internal/loop"
-	"spurspread/internal/route"
-	"spurspread/internal/token"
-	"spurspread/logic"
 )
 
 // Resume has connections that move carry a token and continue where they left off; see docs/protocol/resume.md. It
 // is for clients that ask for it; nobody else notices anything.
 type Resume struct {
 	Ring       *token.Ring
-	Life, Skew int64       // of tokens, and of clocks; milliseconds
-	Claims     int         // tokens remembered at once
-	Spread     loop.Micros // of the moves off a draining target
+	Life, Skew int64            // of tokens, and of clocks; milliseconds
+	Claims     int              // tokens remembered at once
+	Spread     eventloop.Micros // of the moves off a draining target
 }
 
 // resumption is what a relay has for it. What it knows of tokens outlasts a reload, also one that turns it off.
@@ -30,7 +30,7 @@
 	cfg      *Resume
 	gate     *resume.Gate
 	plan     *drainorder.Plan
-	timer    loop.Ref // of the plan
+	timer    eventloop.Ref // of the plan
 	due      []uint32
 	opened   token.Token // scratch of Open
 	minted   int
@@ -55,10 +55,10 @@
 	if p.gate == nil {
 		return
 	}
-	fields[logs.Minted], fields[logs.Resumed] = p.minted, p.resumed
+	fields[logging.Minted], fields[logging.Resumed] = p.minted, p.resumed
 	for why, n := range p.gate.Told {
 		if n > 0 && resume.Reason(why) != resume.Honoured {
-			fields[logs.Stale+resume.Reason(why).String()] = n
+			fields[logging.Stale+resume.Reason(why).String()] = n
 		}
 	}
 }
@@ -70,12 +70,12 @@
 	claimed bool      // the gate has that token from this session
 	pinned  bool      // it came with one, and so goes to one target
 	to      uint32
-	cursor  uint64        // the last message that the client has
-	why     resume.Reason // what the client hears instead of a refusal
-	numbers bool          // its target numbers the messages, so that it can be continued
-	top     uint64        // the last message that was passed on
-	leaving logic.Status  // how its hop will have ended when it is moved
-	next    *route.Target // where its client is to go
+	cursor  uint64            // the last message that the client has
+	why     resume.Reason     // what the client hears instead of a refusal
+	numbers bool              // its target numbers the messages, so that it can be continued
+	top     uint64            // the last message that was passed on
+	leaving outcome.Status    // how its hop will have ended when it is moved
+	next    *discovery.Target // where its client is to go
 }
 
 // present takes what a first line says of tokens. False: the client has its answer.
@@ -86,14 +86,14 @@
 	}
 	cursor, ok := uint64(0), true
 	if len(s.first.Cur) > 0 {
-		cursor, ok = line.Cursor(s.first.Cur)
+		cursor, ok = lineproto.Cursor(s.first.Cur)
 	}
 	if string(s.first.Tok) == "ask" {
 		if !ok {
 			s.fail()
 			return false
 		}
-		s.stream = &stream{id: p.newcomer.Uint64(), cursor: cursor, leaving: logic.Cancelled}
+		s.stream = &stream{id: p.newcomer.Uint64(), cursor: cursor, leaving: outcome.Cancelled}
 		return true
 	}
 	why := resume.Malformed
@@ -106,21 +106,29 @@
 		return false
 	}
 	t := &p.opened
-	r := resume.Right{ID: resume.ID(t.ID), Minted: resume.Millis(t.Minted), Expires: resume.Millis(t.Expires),
-		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, Top: t.Top, Started: resume.Millis(t.Started)}
-	l := resume.Line{Class: string(s.first.Class), Key: s.first.Key, Group: s.first.Group, Tenant: s.first.Tenant,
-		Cursor: cursor}
+	r := resume.Right{
+		ID: resume.ID(t.ID), Minted: resume.Millis(t.Minted), Expires: resume.Millis(t.Expires),
+		Class: string(
+			t.Class,
+		), Key: t.Key, Group: t.Group, Tenant: t.Tenant, Top: t.Top, Started: resume.Millis(t.Started),
+	}
+	l := resume.Line{
+		Class: string(s.first.Class), Key: s.first.Key, Group: s.first.Group, Tenant: s.first.Tenant,
+		Cursor: cursor,
+	}
 	var listed resume.Listed
 	target := s.r.table.ByID(t.Server)
 	if target != nil {
-		listed = resume.Listed{Ready: target.State == route.Ready, Started: resume.Millis(target.StartedMillis)}
+		listed = resume.Listed{Ready: target.State == discovery.Ready, Started: resume.Millis(target.StartedMillis)}
 	}
 	if why = p.gate.Present(now, &r, &l, listed); why != resume.Honoured {
 		s.refuseToken(why)
 		return false
 	}
-	s.stream = &stream{id: t.Stream, claim: r.ID, claimed: true, pinned: true, to: target.Num, cursor: cursor,
-		leaving: logic.Cancelled}
+	s.stream = &stream{
+		id: t.Stream, claim: r.ID, claimed: true, pinned: true, to: target.Num, cursor: cursor,
+		leaving: outcome.Cancelled,
+	}
 	return true
 }
 
@@ -145,7 +153,7 @@
 }
 
 // unclaim tells the gate how a token's attempt ended, or that there was none.
-func (s *session) unclaim(h *hop, status logic.Status) {
+func (s *session) unclaim(h *hop, status outcome.Status) {
 	x := s.stream
 	if x == nil || !x.claimed {
 		return
@@ -167,7 +175,7 @@
 	why, ok := resume.ReasonOf(word)
 	if s.stream == nil || !s.stream.claimed || !ok {
 		s.r.counts.odd++
-		s.hop.end(logic.ErrorAnswer)
+		s.hop.end(outcome.ErrorAnswer)
 		return
 	}
 	s.notHonoured(why)
@@ -177,7 +185,7 @@
 	x := s.stream
 	x.claimed, x.why = false, s.r.resumption.gate.Denied(x.claim, why)
 	// It never ran, and says nothing of the target's health; the module hears that the request is over.
-	s.hop.end(logic.Moot)
+	s.hop.end(outcome.Inconclusive)
 	if s.phase <= resuming {
 		s.stale()
 	}
@@ -190,7 +198,7 @@
 	if x == nil {
 		return true
 	}
-	x.top, x.numbers = line.From(up)
+	x.top, x.numbers = lineproto.From(up)
 	if !x.pinned {
 		return true
 	}
@@ -225,7 +233,7 @@
 		k.torn = nil
 	}
 	end := bytes.LastIndexByte(b, '\n') + 1
-	if rest := b[end:]; len(rest) > line.Max {
+	if rest := b[end:]; len(rest) > lineproto.Max {
 		k.raw = true // no line that may be; it goes on as in a plain connection
 		return b, false
 	} else if len(rest) > 0 {
@@ -233,7 +241,7 @@
 	}
 	for at := 0; at < end; {
 		n := bytes.IndexByte(b[at:end], '\n') + 1
-		if kind, _ := line.Server(bytes.TrimRight(b[at:at+n], "\r\n")); kind == line.Move {
+		if kind, _ := lineproto.Server(bytes.TrimRight(b[at:at+n], "\r\n")); kind == lineproto.Move {
 			return b[:at], true
 		}
 		at += n
@@ -246,19 +254,19 @@
 	if x == nil || !x.numbers {
 		return
 	}
-	if n, ok := line.Number(start); ok {
+	if n, ok := lineproto.Number(start); ok {
 		x.top = n
 	}
 }
 
 // continues tells that a stream that stands can go on elsewhere.
 func (s *session) continues() bool {
-	return s.phase == open && s.stream != nil && s.stream.numbers && s.verdict != logic.OK && s.down.Between()
+	return s.phase == open && s.stream != nil && s.stream.numbers && s.verdict != outcome.OK && s.down.Between()
 }
 
 // leave has a connection end politely, because its target drains or is gone, or this balancer stops; with stay it may
 // go on at the same target. The module says where a client that takes tokens is to go.
-func (s *session) leave(status logic.Status, stay bool) {
+func (s *session) leave(status outcome.Status, stay bool) {
 	if s.phase != open || s.moving {
 		return
 	}
@@ -267,13 +275,13 @@
 		return
 	}
 	s.stream.leaving = status
-	s.r.tell(logic.Leaving{ID: uint32(s.ref), Stay: stay})
+	s.r.tell(decision.Leaving{ID: uint32(s.ref), Stay: stay})
 	s.r.l.After(0, func() { s.move(status) }) // were the module ever not to answer
 }
 
 // bid carries out the module's word that a connection is to move.
-func (s *session) bid(a logic.Move) {
-	status := logic.Cancelled
+func (s *session) bid(a decision.Move) {
+	status := outcome.Cancelled
 	if s.stream != nil {
 		status = s.stream.leaving
 		if s.stream.next = nil; a.Named {
@@ -293,24 +301,26 @@
 	if len(class) > token.MaxName || len(server) > token.MaxName {
 		return to
 	}
-	now := s.r.l.Now() / ms
+	now := int64(s.r.l.Now() / ms)
 	p.minted++
-	return p.cfg.Ring.Seal(to, &token.Token{Minted: now, Expires: now + p.cfg.Life, Stream: x.id,
+	return p.cfg.Ring.Seal(to, &token.Token{
+		Minted: now, Expires: now + p.cfg.Life, Stream: x.id,
 		Key: s.first.Key, Group: s.first.Group, Tenant: s.first.Tenant, Top: x.top, Started: x.next.StartedMillis,
-		Class: []byte(class), Server: []byte(server)})
+		Class: []byte(class), Server: []byte(server),
+	})
 }
 
 // evacuate has what stands on targets that began to drain moved away, and stops that where they no longer do.
-func (r *Relay) evacuate(c route.Change) {
+func (r *Relay) evacuate(c discovery.Change) {
 	p := &r.resumption
 	if p.cfg == nil {
 		return
 	}
 	for _, t := range c.Targets {
 		switch t.State {
-		case route.Ready, route.Gone:
+		case discovery.Ready, discovery.Gone:
 			p.plan.Withdraw(t.Num)
-		case route.Terminating:
+		case discovery.Terminating:
 			var standing []drainorder.Stream
 			for s := range r.pace(t.Num).stands.each {
 				if s.phase == open && s.stream != nil && s.stream.numbers {
@@ -326,7 +336,8 @@
 // join has a stream moved that came to stand on a target while others are moved off it.
 func (s *session) join() {
 	p := &s.r.resumption
-	if s.phase == open && s.stream != nil && s.stream.numbers && p.plan.Join(s.r.l.Now(), s.hop.target.Num, uint32(s.ref)) {
+	if s.phase == open && s.stream != nil && s.stream.numbers &&
+		p.plan.Join(s.r.l.Now(), s.hop.target.Num, uint32(s.ref)) {
 		s.r.moveDue()
 	}
 }
@@ -334,11 +345,11 @@
 func (r *Relay) moveDue() {
 	p := &r.resumption
 	r.l.Cancel(&p.timer)
-	var next loop.Micros
+	var next eventloop.Micros
 	p.due, next = p.plan.Due(r.l.Now(), p.due[:0])
 	for _, id := range p.due {
-		if s, ok := r.sessions.Get(loop.Ref(id)); ok {
-			s.leave(logic.Cancelled, false)
+		if s, ok := r.sessions.Get(eventloop.Ref(id)); ok {
+			s.leave(outcome.Cancelled, false)
 		}
 	}
 	if next >= 0 {
--- a/internal/relay/room.go
+++ b/internal/proxy/room.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import "container/list"
 
--- a/internal/relay/session.go
+++ b/internal/proxy/session.go
@@ -1,15 +1,15 @@
-package relay
+package proxy
 
 import (
 	"bytes"
 	"errors"
 	"io"
 	"slices"
-
-	"spurspread/decide/retry"
-	"spurspread/internal/line"
-	"spurspread/internal/loop"
-	"spurspread/logic"
+	"spurspread/decision"
+	"spurspread/decision/outcome"
+	"spurspread/decision/retry"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
 )
 
 type phase uint8
@@ -65,29 +65,29 @@
 // session is one request of a client's and, once it stands, its stream.
 type session struct {
 	r       *Relay
-	ref     loop.Ref // also the request's id at the module
+	ref     eventloop.Ref // also the request's id at the module
 	in      client
 	phase   phase
 	text    []byte // the first line with its end, until the target has answered it
-	first   line.Open
-	named   bool         // its id is among those that the relay has seen
-	class   int          // in classes
-	classes []string     // the names of the classes as they were when it asked
-	rule    retry.Policy // its class's, as it was then
-	due     loop.Micros  // when the client gives up
+	first   lineproto.Open
+	named   bool             // its id is among those that the relay has seen
+	class   int              // in classes
+	classes []string         // the names of the classes as they were when it asked
+	rule    retry.Policy     // its class's, as it was then
+	due     eventloop.Micros // when the client gives up
 	hop     *hop
 	sends   int
 	known   bool // the module has heard of it
-	timer   loop.Ref
+	timer   eventloop.Ref
 
-	up, down line.Scanner  // the lines to and from the target
-	waiting  []loop.Micros // when its lines went that are unanswered; see expects and caughtUp
-	lastBack loop.Micros
-	verdict  logic.Status // what the target's last words make of its end
-	stalled  bool         // its client does not read, and so its target is not read either
-	moving   bool         // moved as soon as the line under way has ended
-	kept     keeper       // of lines, where only whole ones are passed on
-	stream   *stream      // of a client that takes tokens
+	up, down lineproto.Scanner  // the lines to and from the target
+	waiting  []eventloop.Micros // when its lines went that are unanswered; see expects and caughtUp
+	lastBack eventloop.Micros
+	verdict  outcome.Status // what the target's last words make of its end
+	stalled  bool           // its client does not read, and so its target is not read either
+	moving   bool           // moved as soon as the line under way has ended
+	kept     keeper         // of lines, where only whole ones are passed on
+	stream   *stream        // of a client that takes tokens
 
 	at                              *pace // of the target that it stands at
 	inUnderWay, inAwaited, inStands int32 // places in rosters
@@ -98,7 +98,7 @@
 func (r *Relay) take(in client, text, whole []byte, shed bool) *session {
 	s := &session{r: r, in: in, text: whole}
 	if s.ref = r.sessions.Put(s); s.ref == 0 {
-		in.refuse(line.AppendBusy(nil, shedHold/ms))
+		in.refuse(lineproto.AppendBusy(nil, int64(shedHold/ms)))
 		in.end()
 		s.phase = over
 		return s
@@ -127,11 +127,12 @@
 // Readable reads what the client sends.
 func (s *session) Readable() {
 	for range fairRounds {
-		if s.phase == over || s.phase == leaving || s.phase == passing || s.phase == open && s.hop.out.Pending() > s.r.maxPending {
+		if s.phase == over || s.phase == leaving || s.phase == passing ||
+			s.phase == open && s.hop.out.Pending() > s.r.maxPending {
 			return // in the last case it is read on once there is room
 		}
 		n, err := s.in.Read(s.r.scratch)
-		if errors.Is(err, loop.ErrAgain) {
+		if errors.Is(err, eventloop.ErrAgain) {
 			return
 		}
 		if err != nil {
@@ -157,7 +158,7 @@
 	}
 }
 
-func (s *session) arm(span loop.Micros, due func()) {
+func (s *session) arm(span eventloop.Micros, due func()) {
 	s.r.l.Cancel(&s.timer)
 	s.timer = s.r.l.After(span, due)
 }
@@ -166,7 +167,7 @@
 func (s *session) ask(text []byte, shed bool) {
 	var err error
 	// The id is new for every connection; a target that sees one again answers ERR, whoever used it before.
-	if s.first, err = line.ParseOpen(text); err != nil || !s.r.ids.take(s.first.ID) {
+	if s.first, err = lineproto.ParseOpen(text); err != nil || !s.r.ids.take(s.first.ID) {
 		s.fail()
 		return
 	}
@@ -186,7 +187,7 @@
 		return
 	}
 	if len(s.first.At) > 0 {
-		left := min(s.first.Millis*ms, resumeTime)
+		left := min(eventloop.Micros(s.first.Millis)*ms, resumeTime)
 		s.due = s.r.l.Now() + left
 		s.phase = resuming
 		s.arm(left, s.fail)
@@ -194,7 +195,10 @@
 		return
 	}
 	// No client waits longer than its class allows, whatever it says.
-	left := min(s.first.Millis*ms, loop.Micros(s.r.cfg.Settings.Logic.Classes[s.class].Deadline))
+	left := min(
+		eventloop.Micros(s.first.Millis)*ms,
+		eventloop.Micros(s.r.cfg.Settings.Logic.Classes[s.class].Deadline),
+	)
 	s.due = s.r.l.Now() + left
 	s.phase, s.known = asked, true
 	// The module answers before; were it ever not to, the client must still get its answer.
@@ -202,12 +206,15 @@
 	s.r.tell(s.request())
 }
 
-func (s *session) request() logic.Request {
-	// Settings read again since it asked may number the classes otherwise; one that they dropped has the strictest rules.
+func (s *session) request() decision.Request {
+	// Settings read again since it asked may number the classes otherwise; one that they dropped has the strictest
+	// rules.
 	class := place(s.r.cfg.Settings.Classes, s.classes[s.class], len(s.r.cfg.Settings.Classes))
-	q := logic.Request{ID: uint32(s.ref), Left: logic.Micros(s.due - s.r.l.Now()), Class: class, Key: s.first.Key,
+	q := decision.Request{
+		ID: uint32(s.ref), Left: decision.Micros(s.due - s.r.l.Now()), Class: class, Key: s.first.Key,
 		Group: s.first.Group, Hint: s.first.Hint, HasHint: s.first.HasHint, Retry: s.first.Retry,
-		Returned: s.first.Returned}
+		Returned: s.first.Returned,
+	}
 	if s.stream != nil {
 		q.Resumes, q.Pinned, q.To = true, s.stream.pinned, s.stream.to
 	}
@@ -221,7 +228,7 @@
 
 // expire has the request answered at once. What the answer may promise is for the module to say.
 func (s *session) expire() {
-	if s.r.tell(logic.Expire{ID: uint32(s.ref)}); s.phase == asked {
+	if s.r.tell(decision.Expire{ID: uint32(s.ref)}); s.phase == asked {
 		s.fail()
 		s.withdraw()
 	}
@@ -251,8 +258,8 @@
 }
 
 // resumeFailed tries again where the target was never reached, else tells the client.
-func (s *session) resumeFailed(status logic.Status) {
-	if status == logic.ConnectFailed {
+func (s *session) resumeFailed(status outcome.Status) {
+	if status == outcome.ConnectFailed {
 		s.r.l.After(resumeAgain, s.resume)
 		return
 	}
@@ -260,7 +267,7 @@
 }
 
 // send starts the hop that the module decided on.
-func (s *session) send(a logic.Send) {
+func (s *session) send(a decision.Send) {
 	attempt := s.sends
 	s.sends++
 	t := s.r.table.ByNum(a.Server)
@@ -268,22 +275,24 @@
 		s.Readable() // a client that has left, its end not read yet, or that does not wait, is not sent on
 	}
 	if s.phase != asked || s.hop != nil || t == nil {
-		s.r.tell(logic.Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Status: logic.Moot,
-			Closed: s.phase != asked})
+		s.r.tell(decision.Outcome{
+			ID: a.ID, Attempt: attempt, Server: a.Server, Status: outcome.Inconclusive,
+			Closed: s.phase != asked,
+		})
 		return
 	}
-	wait := loop.Micros(a.GiveUp)
+	wait := eventloop.Micros(a.GiveUp)
 	if left := s.due - s.r.l.Now(); wait == 0 || wait > left {
 		wait = left
 	}
-	s.hop = s.r.dial(s, t, attempt, max(wait, 0), loop.Micros(a.Within))
+	s.hop = s.r.dial(s, t, attempt, max(wait, 0), eventloop.Micros(a.Within))
 }
 
 // shed refuses the client, which may try again after the hold-off.
-func (s *session) shed(holdOff loop.Micros) {
+func (s *session) shed(holdOff eventloop.Micros) {
 	if s.phase <= resuming && !s.stale() {
 		s.r.counts.shed++
-		s.answer(line.AppendBusy(nil, (holdOff+ms-1)/ms))
+		s.answer(lineproto.AppendBusy(nil, int64((holdOff+ms-1)/ms)))
 	}
 }
 
@@ -297,11 +306,11 @@
 
 func (s *session) answer(text []byte) {
 	s.in.refuse(text)
-	s.finish(logic.Cancelled)
+	s.finish(outcome.Cancelled)
 }
 
 // finish ends both sides politely; status is what the module hears of a hop that is still there.
-func (s *session) finish(status logic.Status) {
+func (s *session) finish(status outcome.Status) {
 	if s.phase == over {
 		return
 	}
@@ -316,14 +325,14 @@
 	}
 	owed := s.known && (s.phase == asked || s.phase == open)
 	s.in.Close()
-	s.done(logic.Cancelled)
+	s.done(outcome.Cancelled)
 	if owed {
 		s.withdraw()
 	}
 }
 
 // done frees the session. Its slot stays until the module has heard all that is in line for it.
-func (s *session) done(status logic.Status) {
+func (s *session) done(status outcome.Status) {
 	s.phase = over
 	s.r.l.Cancel(&s.timer)
 	if s.named {
@@ -344,7 +353,7 @@
 	s.r.release()
 }
 
-func (s *session) withdraw() { s.r.tell(logic.Withdrawn{ID: uint32(s.ref)}) }
+func (s *session) withdraw() { s.r.tell(decision.Withdrawn{ID: uint32(s.ref)}) }
 
 // left takes the client's end: a plain one, or a reset. Ends are passed on in kind.
 func (s *session) left(plain bool) {
@@ -372,7 +381,7 @@
 	s.phase, s.known = open, true
 	s.r.underWay.drop(s)
 	s.stands()
-	s.lastBack, s.verdict = s.r.l.Now(), logic.Reset
+	s.lastBack, s.verdict = s.r.l.Now(), outcome.Reset
 	s.r.l.Cancel(&s.timer)
 	s.text = nil
 	if s.stream == nil {
@@ -380,10 +389,12 @@
 	}
 	s.in.up(append(up, "\r\n"...))
 	if resumed {
-		s.r.tell(logic.Open{Request: s.request(), Server: h.target.Num})
+		s.r.tell(decision.Open{Request: s.request(), Server: h.target.Num})
 	} else {
-		s.r.tell(logic.Established{ID: uint32(s.ref), Attempt: h.attempt, Server: h.target.Num,
-			Took: logic.Micros(s.r.l.Now() - h.began)})
+		s.r.tell(decision.Established{
+			ID: uint32(s.ref), Attempt: h.attempt, Server: h.target.Num,
+			Took: decision.Micros(s.r.l.Now() - h.began),
+		})
 	}
 	if s.r.drain.on {
 		s.r.moveSoon(s)
@@ -410,7 +421,7 @@
 }
 
 // expects notes that a line which went at a time is to be answered.
-func (s *session) expects(went loop.Micros) {
+func (s *session) expects(went eventloop.Micros) {
 	s.waiting = append(s.waiting, went)
 	s.r.awaited.add(s)
 }
@@ -427,7 +438,7 @@
 	if s.keeps() {
 		var left bool
 		if b, left = s.kept.whole(b); left {
-			defer s.leave(logic.Cancelled, false)
+			defer s.leave(outcome.Cancelled, false)
 		}
 	}
 	if end := bytes.IndexByte(b, '\n'); s.moving && end >= 0 {
@@ -437,12 +448,12 @@
 	s.down.Feed(b, func(start []byte) {
 		s.lastBack = now
 		s.stream.passed(start)
-		switch kind, value := line.Server(start); kind {
-		case line.Bye:
-			s.verdict = logic.OK
-		case line.Move:
-			s.verdict = logic.Cancelled
-		case line.Load:
+		switch kind, value := lineproto.Server(start); kind {
+		case lineproto.Bye:
+			s.verdict = outcome.OK
+		case lineproto.Move:
+			s.verdict = outcome.Cancelled
+		case lineproto.Load:
 			load = value
 		default:
 			if len(s.waiting) > 0 {
@@ -456,12 +467,12 @@
 		s.r.told(s, load)
 	}
 	if s.moving {
-		s.move(logic.Cancelled)
+		s.move(outcome.Cancelled)
 	}
 }
 
 // move ends the connection politely, between two lines; status is what the module hears of its hop.
-func (s *session) move(status logic.Status) {
+func (s *session) move(status outcome.Status) {
 	if s.phase != open {
 		return
 	}
@@ -483,6 +494,6 @@
 
 // silent tells that a connection brings nothing back. The module moves clients away from slow targets long before;
 // this is the protocol's limit, held for what the module leaves standing.
-func (s *session) silent(now loop.Micros) bool {
+func (s *session) silent(now eventloop.Micros) bool {
 	return s.phase == open && len(s.waiting) > 0 && now-max(s.lastBack, s.waiting[0]-clientEvery) > tooSilent
 }
--- a/internal/handover/list.go
+++ b/internal/restartproto/list.go
@@ -1,4 +1,4 @@
-package handover
+package restartproto
 
 import (
 	"encoding/json"
@@ -44,8 +44,9 @@
 	return l, known(path, l.Version)
 }
 
-// Inherits tells whether a process that starts may go on from the list: another one that is alive serves the same clients'
-// address and has heard the same discovery.
+// Inherits tells whether a process that starts may go on from the list: another one that is alive serves the same
+// clients' address and has heard the same discovery.
 func Inherits(l List, self int, listen, discovery netip.AddrPort, alive func(pid int) bool) bool {
-	return l.PID > 0 && l.PID != self && l.Listen == listen.String() && l.Discovery == discovery.String() && alive(l.PID)
+	return l.PID > 0 && l.PID != self && l.Listen == listen.String() && l.Discovery == discovery.String() &&
+		alive(l.PID)
 }
--- a/internal/handover/handover.go
+++ b/internal/restartproto/note.go
@@ -1,8 +1,9 @@
-// Package handover holds what two versions of a balancer on the same clients' address tell each other: a small versioned
-// file under $TMPDIR, in which the newer one says that it serves, and which the older one reads at SIGTERM, to know that
-// its listener may close without shutting anybody out; and the packets in which the older one offers what stands. It
-// knows their forms, and nothing of sockets or of the loop. No process needs the file to start: one that is missing, broken or of another version says nothing.
-package handover
+// Package handover holds what two versions of a balancer on the same clients' address tell each other: a small
+// versioned file under $TMPDIR, in which the newer one says that it serves, and which the older one reads at
+// SIGTERM, to know that its listener may close without shutting anybody out; and the packets in which the older one
+// offers what stands. It knows their forms, and nothing of sockets or of the loop. No process needs the file to
+// start: one that is missing, broken or of another version says nothing.
+package restartproto
 
 import (
 	"bytes"
@@ -43,8 +44,8 @@
 	return write(path, n)
 }
 
-// write puts a value in place whole: it is written beside the file and renamed over it, so a reader sees the old value or
-// the new one, never part of one.
+// write puts a value in place whole: it is written beside the file and renamed over it, so a reader sees the old
+// value or the new one, never part of one.
 func write(path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/restartproto/note_test.go
@@ -1,4 +1,4 @@
-package handover
+package restartproto
 
 import (
 	"net/netip"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,12 +8,11 @@
 	"fmt"
 	"math"
 	"slices"
+	"spurspread/decision"
 	"strconv"
 	"strings"
 
 	"github.com/tidwall/gjson"
-
-	"spurspread/logic"
 )
 
 const (
@@ -21,7 +20,7 @@
 	maxText = 1 << 20
 
 	// connectTimeout is for settings that name none, or none that anything could connect in.
-	connectTimeout logic.Micros = 1_000_000
+	connectTimeout decision.Micros = 1_000_000
 )
 
 // settings reads path=value pairs and collects what is wrong with them.
@@ -33,9 +32,9 @@
 // Settings is what the decisions go by, and what only a real balancer needs: the names that lines and lists use
 // for what the decisions number, and the limits of its sockets.
 type Settings struct {
-	Logic                 logic.Settings
+	Logic                 decision.Settings
 	Classes, Zones, Kinds []string
-	ConnectTimeout        logic.Micros
+	ConnectTimeout        decision.Micros
 	TellsLoad, TellsDelay bool // what the decisions expect notes of: a connection's load, how long messages take
 }
 
@@ -137,8 +136,8 @@
 	return out, nil
 }
 
-func (s *settings) read() logic.Settings {
-	out := logic.Settings{
+func (s *settings) read() decision.Settings {
+	out := decision.Settings{
 		Rank:           int(s.num("rank", true, 0)),
 		Balancers:      int(s.num("balancers", true, 1)),
 		Zone:           int(s.num("zone", true, 0)),
@@ -174,7 +173,7 @@
 }
 
 // classes are the request classes, each with its worth as a part of the highest.
-func (s *settings) classes() (out []logic.Class) {
+func (s *settings) classes() (out []decision.Class) {
 	aims := s.list("specifics.message_aim")
 	most := 0.0
 	for i := range s.count("request_classes", true) {
@@ -191,11 +190,11 @@
 }
 
 // tenants are the tenants with what each may have.
-func (s *settings) tenants() (out []logic.Tenant) {
+func (s *settings) tenants() (out []decision.Tenant) {
 	quotas := s.list("specifics.tenant_quota_connections")
 	for i := range s.count("tenants", false) {
 		at := fmt.Sprintf("tenants.%d.", i)
-		out = append(out, logic.Tenant{
+		out = append(out, decision.Tenant{
 			Portion: s.num(at+"portion", false, 0), QuotaPerS: s.num(at+"quota_per_s", false, 0),
 			QuotaConnections: s.item("specifics.tenant_quota_connections", quotas, i),
 		})
@@ -203,28 +202,28 @@
 	return out
 }
 
-func (s *settings) class(i int, aims []string) logic.Class {
+func (s *settings) class(i int, aims []string) decision.Class {
 	at := fmt.Sprintf("request_classes.%d.", i)
-	c := logic.Class{
+	c := decision.Class{
 		Aim:        s.time(at+"slo", true, 0),
 		Deadline:   s.time(at+"deadline", true, 0),
 		Window:     s.time(at+"window", false, 0),
 		Worth:      s.num(at+"worth", false, 1),
 		Stream:     s.flag(at + "streaming"),
-		MessageAim: logic.Micros(s.item("specifics.message_aim", aims, i)),
+		MessageAim: decision.Micros(s.item("specifics.message_aim", aims, i)),
 	}
 	s.over0(at + "deadline")
 	switch s.word(at+"effect", "", "read_like", "idempotency_key", "non_idempotent") {
 	case "idempotency_key":
-		c.Effect = logic.Keyed
+		c.Effect = decision.Keyed
 		switch s.word(at+"key_scope", "", "all", "zone", "cell") {
 		case "zone":
-			c.Scope = logic.ScopeZone
+			c.Scope = decision.ScopeZone
 		case "cell":
-			c.Scope = logic.ScopeCell
+			c.Scope = decision.ScopeCell
 		}
 	case "non_idempotent":
-		c.Effect = logic.Unsafe
+		c.Effect = decision.Unsafe
 	}
 	return c
 }
@@ -257,8 +256,8 @@
 	}
 }
 
-func (s *settings) time(key string, required bool, otherwise logic.Micros) logic.Micros {
-	return logic.Micros(s.num(key, required, float64(otherwise)))
+func (s *settings) time(key string, required bool, otherwise decision.Micros) decision.Micros {
+	return decision.Micros(s.num(key, required, float64(otherwise)))
 }
 
 func (s *settings) count(key string, required bool) int {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -150,7 +150,16 @@
 }
 
 func (t *Token) numbers() [8]uint64 {
-	return [8]uint64{uint64(t.Minted), uint64(t.Expires), t.Stream, t.Key, t.Group, t.Tenant, t.Top, uint64(t.Started)}
+	return [8]uint64{
+		uint64(t.Minted),
+		uint64(t.Expires),
+		t.Stream,
+		t.Key,
+		t.Group,
+		t.Tenant,
+		t.Top,
+		uint64(t.Started),
+	}
 }
 
 // plain holds the letters of base64 in its URL form.
--- a/internal/form/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -1,4 +1,4 @@
-package form
+package xmlconfig
 
 import (
 	"bytes"
@@ -55,7 +55,11 @@
 		}
 	}
 	if t.root == nil && len(f.faults) == 0 {
-		f.fault(place{line: 1}, fmt.Sprintf("begin with <%s xmlns=%q>", d.Root, d.Namespace), "the file holds no element")
+		f.fault(
+			place{line: 1},
+			fmt.Sprintf("begin with <%s xmlns=%q>", d.Root, d.Namespace),
+			"the file holds no element",
+		)
 	}
 	return t.root
 }
@@ -83,7 +87,13 @@
 // begin adds an element to the one that it stands in. It returns false where nothing more is to be read.
 func (t *tree) begin(tok xml.StartElement, raw []byte, line int) bool {
 	if t.count++; t.count > maxElements || len(t.open) >= maxDepth {
-		t.f.fault(place{line, tok.Name.Local}, "make it smaller", "over %d elements, or %d inside each other", maxElements, maxDepth)
+		t.f.fault(
+			place{line, tok.Name.Local},
+			"make it smaller",
+			"over %d elements, or %d inside each other",
+			maxElements,
+			maxDepth,
+		)
 		return false
 	}
 	n := &node{name: tok.Name.Local, line: line}
@@ -102,7 +112,11 @@
 	case t.root == nil && n.name == t.d.Root:
 		t.root = n
 	default:
-		t.f.fault(place{line, n.name}, fmt.Sprintf("the root element is <%s>, once", t.d.Root), "not the root element of this kind of file")
+		t.f.fault(
+			place{line, n.name},
+			fmt.Sprintf("the root element is <%s>, once", t.d.Root),
+			"not the root element of this kind of file",
+		)
 		return false
 	}
 	t.open = append(t.open, n)
@@ -153,7 +167,11 @@
 			at = lines[i]
 		}
 		if a.Name.Space != "" {
-			f.fault(place{at, tok.Name.Local + "@" + a.Name.Local}, "remove it", "attributes of other namespaces are not read")
+			f.fault(
+				place{at, tok.Name.Local + "@" + a.Name.Local},
+				"remove it",
+				"attributes of other namespaces are not read",
+			)
 			continue
 		}
 		out = append(out, attribute{a.Name.Local, a.Value, at})
--- a/internal/form/schema.go
+++ b/internal/xmlconfig/schema.go
@@ -1,4 +1,4 @@
-package form
+package xmlconfig
 
 import (
 	"bytes"
@@ -14,8 +14,11 @@
 	w := &writer{}
 	t := reflect.TypeOf(of)
 	w.line(`<?xml version="1.0" encoding="UTF-8"?>`)
-	w.open(`<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" xmlns:f=%q targetNamespace=%q elementFormDefault="qualified">`,
-		d.Namespace, d.Namespace)
+	w.open(
+		`<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" xmlns:f=%q targetNamespace=%q elementFormDefault="qualified">`,
+		d.Namespace,
+		d.Namespace,
+	)
 	w.doc(doc)
 	w.open(`<xs:element name=%q>`, d.Root)
 	w.complex(t)
--- a/internal/form/value.go
+++ b/internal/xmlconfig/value.go
@@ -1,4 +1,4 @@
-package form
+package xmlconfig
 
 import (
 	"encoding"
@@ -234,9 +234,11 @@
 		if name == "" || name == "-" {
 			continue
 		}
-		m := member{name: name, index: i, doc: f.Tag.Get("doc"), required: f.Tag.Get("use") == "required",
+		m := member{
+			name: name, index: i, doc: f.Tag.Get("doc"), required: f.Tag.Get("use") == "required",
 			otherwise: f.Tag.Get("default"), min: f.Tag.Get("min"), max: f.Tag.Get("max"), key: f.Tag.Get("key"),
-			ref: f.Tag.Get("ref"), typ: f.Type}
+			ref: f.Tag.Get("ref"), typ: f.Type,
+		}
 		if e := f.Tag.Get("enum"); e != "" {
 			m.enum = strings.Split(e, ",")
 		}
--- a/internal/form/form.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -14,7 +14,7 @@
 //
 // An element holds either single children, in any order, or repeated ones, never both: XSD 1.0 can say no more.
 // An attribute that is absent has its default, or its zero value where it has none.
-package form
+package xmlconfig
 
 import (
 	"cmp"
@@ -146,7 +146,12 @@
 	for _, kid := range n.kids {
 		m, ok := shape.child(kid.name)
 		if !ok {
-			f.fault(place{kid.line, kid.name}, oneOf("remove it, or use", shape.childNames()), "unknown element inside <%s>", n.name)
+			f.fault(
+				place{kid.line, kid.name},
+				oneOf("remove it, or use", shape.childNames()),
+				"unknown element inside <%s>",
+				n.name,
+			)
 			continue
 		}
 		seen[kid.name]++
@@ -159,8 +164,15 @@
 	for _, m := range shape.children {
 		switch had := seen[m.name]; {
 		case m.required && had == 0, had < m.least:
-			f.fault(here, fmt.Sprintf("add <%s>", m.name), "has %d of the elements <%s>, at least %d %s needed", had, m.name,
-				max(m.least, 1), plural(max(m.least, 1), "is", "are"))
+			f.fault(
+				here,
+				fmt.Sprintf("add <%s>", m.name),
+				"has %d of the elements <%s>, at least %d %s needed",
+				had,
+				m.name,
+				max(m.least, 1),
+				plural(max(m.least, 1), "is", "are"),
+			)
 		case m.most > 0 && had > m.most:
 			f.fault(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.most)
 		}
@@ -210,7 +222,8 @@
 			f.fault(at, fmt.Sprintf("add %s=%q", m.name, m.sample()), "missing")
 		case m.otherwise != "":
 			if err := m.set(v.Field(m.index), m.otherwise); err != nil {
-				panic("form: default of " + at.where + ": " + err.Error()) // a fault of the struct, found by any test of it
+				// a fault of the struct, found by any test of it
+				panic("form: default of " + at.where + ": " + err.Error())
 			}
 		}
 	}
--- a/lab/gate/gate.go
+++ b/lab/barrier/barrier.go
@@ -1,5 +1,5 @@
 // Package gate lets goroutines be held up, all at once, for as long as someone wants.
-package gate
+package barrier
 
 import "sync"
 
--- a/lab/capacity/formula.go
+++ b/lab/capacity/formula.go
@@ -11,9 +11,9 @@
 	"strings"
 )
 
-// A formula on the page is NAME = EXPRESSION, EXPRESSION = NUMBER, or both in one: NAME = EXPRESSION = NUMBER. Expressions have
-// numbers (1,500 or 1e6), names given before, + - * /, brackets and the functions below. The number has to be what the
-// expression gives, rounded to the decimals shown.
+// A formula on the page is NAME = EXPRESSION, EXPRESSION = NUMBER, or both in one: NAME = EXPRESSION = NUMBER.
+// Expressions have numbers (1,500 or 1e6), names given before, + - * /, brackets and the functions below. The
+// number has to be what the expression gives, rounded to the decimals shown.
 type formulas map[string]float64
 
 var functions = map[string]func(v ...float64) float64{
@@ -132,8 +132,8 @@
 	return text
 }
 
-// shows tells whether a text shows this value: whether its first number is the value rounded to as many decimals; with a per cent sign
-// behind the number, of the hundredfold value.
+// shows tells whether a text shows this value: whether its first number is the value rounded to as many decimals;
+// with a per cent sign behind the number, of the hundredfold value.
 func shows(text string, v float64) bool {
 	at := numberForm.FindStringIndex(text)
 	if at == nil {
--- a/lab/capacity/kept.go
+++ b/lab/capacity/kept.go
@@ -1,6 +1,6 @@
-// Package capacity holds docs/CAPACITY.md against what it rests on: each figure marked as measured against the kept result that
-// it names, and each calculation against its own operands. It also fits lines through kept scale runs, so that a reader can
-// compute each slope on the page again. It measures nothing itself.
+// Package capacity holds docs/CAPACITY.md against what it rests on: each figure marked as measured against the kept
+// result that it names, and each calculation against its own operands. It also fits lines through kept scale runs,
+// so that a reader can compute each slope on the page again. It measures nothing itself.
 package capacity
 
 import (
@@ -13,10 +13,9 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"spurspread/lab/report"
 	"strconv"
 	"strings"
-
-	"spurspread/lab/report"
 )
 
 // Run is what a kept result says of one run: its figures, and the words beside them, as the experiment or the script.
@@ -25,14 +24,15 @@
 	Seed            uint64
 	Figures         map[string]float64
 	Words           map[string]string
-	NotValid        string // why its figures are none, as a harness that was short of processor time; empty where they are
+	// why its figures are none, as a harness that was short of processor time; empty where they are
+	NotValid string
 }
 
 // notValid is the note of a report by which a harness says that its figures are not to be used.
 const notValid = "not valid"
 
-// Read reads a kept result: the JSON of one report or of a list of them, or the CSV of one report (name and measured in the
-// first columns) or of many runs (a row each, with a column named seed).
+// Read reads a kept result: the JSON of one report or of a list of them, or the CSV of one report (name and
+// measured in the first columns) or of many runs (a row each, with a column named seed).
 func Read(path string) ([]Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -162,8 +162,8 @@
 	return r.Words[name] == value
 }
 
-// Find is the figure that a reference names: NAME, or NAME&name=value&... for the runs that have these values only. Of several
-// runs it is the median, or with &least or &most at the end the least or the greatest.
+// Find is the figure that a reference names: NAME, or NAME&name=value&... for the runs that have these values only.
+// Of several runs it is the median, or with &least or &most at the end the least or the greatest.
 func Find(runs []Run, reference string) (float64, error) {
 	parts := strings.Split(reference, "&")
 	quantile := 0.5
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -10,19 +10,21 @@
 )
 
 // The forms that the page has for what it says. A measured figure is a link to the kept result in which it stands,
-// [1,234](results/FILE.json#NAME), and a name may be given to it with `name` = before. A formula stands in a code span with
-// an equals sign in it, see formulas.
+// [1,234](results/FILE.json#NAME), and a name may be given to it with `name` = before. A formula stands in a code
+// span with an equals sign in it, see formulas.
 var (
-	measuredForm = regexp.MustCompile("(?:`([a-z][a-z0-9_]*)` = )?" + `\[([^\]]*)\]\((results/[^)#]+\.(?:json|csv))#([^)]+)\)`)
-	formulaForm  = regexp.MustCompile("`([^`]+ = [^`]+)`")
-	basisForm    = regexp.MustCompile(`^(measured|worked out|published \(.+\)|not measured(: .+)?|told by .+)$`)
+	measuredForm = regexp.MustCompile(
+		"(?:`([a-z][a-z0-9_]*)` = )?" + `\[([^\]]*)\]\((results/[^)#]+\.(?:json|csv))#([^)]+)\)`,
+	)
+	formulaForm = regexp.MustCompile("`([^`]+ = [^`]+)`")
+	basisForm   = regexp.MustCompile(`^(measured|worked out|published \(.+\)|not measured(: .+)?|told by .+)$`)
 )
 
 // basisColumn heads the column of a table that tells what a row's figures rest on.
 const basisColumn = "basis"
 
-// computedColumns head the columns in which a plain number of a row that was worked out has to be one that the row computes, or
-// one that has a name.
+// computedColumns head the columns in which a plain number of a row that was worked out has to be one that the row
+// computes, or one that has a name.
 var computedColumns = []string{"at the target", "ratio"}
 
 // Page is what a page was found to hold.
@@ -43,8 +45,8 @@
 	fenced   bool
 }
 
-// Check holds each measured figure against its kept result, each formula against its operands, and each row's basis against
-// what stands in it: a measured row has a measured figure, and one that was worked out has a formula.
+// Check holds each measured figure against its kept result, each formula against its operands, and each row's basis
+// against what stands in it: a measured row has a measured figure, and one that was worked out has a formula.
 func Check(text []byte, read func(file string) ([]Run, error)) Page {
 	c := &checker{read: read, names: formulas{}, basis: -1}
 	lines := bufio.NewScanner(bytes.NewReader(text))
--- a/lab/capacity/page/main.go
+++ b/lab/capacity/page/main.go
@@ -1,17 +1,16 @@
-// Command page helps to fill docs/CAPACITY.md in: it joins reports of many runs to one kept file, fits lines through kept runs, and
-// prints rows and cells with their links.
+// Command page helps to fill docs/CAPACITY.md in: it joins reports of many runs to one kept file, fits lines
+// through kept runs, and prints rows and cells with their links.
 package main
 
 import (
 	"fmt"
 	"os"
 	"path/filepath"
+	"spurspread/lab/capacity"
 	"strings"
 	"text/tabwriter"
 
 	"github.com/alecthomas/kong"
-
-	"spurspread/lab/capacity"
 )
 
 type cli struct {
@@ -28,7 +27,7 @@
 
 type joinCmd struct {
 	Out     string   `required:"" placeholder:"FILE" help:"The list of all reports (JSON)."`
-	Reports []string `arg:"" help:"Reports, as bin/spurlab run --json writes them, or lists of them."`
+	Reports []string `arg:"" help:"Reports, as bin/spurspread-lab run --json writes them, or lists of them."`
 }
 
 // Run joins them. A run given twice is refused.
@@ -72,8 +71,10 @@
 // Run fits, keeps and prints the lines.
 func (c *fitCmd) Run() error {
 	dir := filepath.Dir(c.Out)
-	f := capacity.Fits{Size: c.Size, Target: c.Target, Held: c.Held, Without: c.Without, Only: c.Only, Lines: c.Lines,
-		Command: "go run ./lab/capacity/page " + strings.Join(os.Args[1:], " ")}
+	f := capacity.Fits{
+		Size: c.Size, Target: c.Target, Held: c.Held, Without: c.Without, Only: c.Only, Lines: c.Lines,
+		Command: "go run ./lab/capacity/page " + strings.Join(os.Args[1:], " "),
+	}
 	for _, run := range c.Runs {
 		if filepath.Dir(run) != dir {
 			return fmt.Errorf("%s is not kept beside %s", run, c.Out)
@@ -114,7 +115,18 @@
 // table writes a row for each line, residuals and errors as parts of 1.
 func table(f *capacity.Fits) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	columns := []string{"slope", "intercept", "rms", "most", "exponent", "target", "at_target", "held_line", "held", "prediction_error"}
+	columns := []string{
+		"slope",
+		"intercept",
+		"rms",
+		"most",
+		"exponent",
+		"target",
+		"at_target",
+		"held_line",
+		"held",
+		"prediction_error",
+	}
 	fmt.Fprintf(w, "figure\t%s\n", strings.Join(columns, "\t"))
 	for _, name := range f.Lines {
 		if why := f.Refused[name]; why != "" {
--- a/lab/check/check.go
+++ b/lab/checker/checker.go
@@ -1,25 +1,24 @@
 // Package check judges a run by what crossed the sockets of clients and nodes, and by nothing else: it does not ask the
 // stand-ins what they believe. It knows the protocol's lines and the index that messages must come from.
-package check
+package checker
 
 import (
 	"bytes"
 	"cmp"
 	"fmt"
 	"slices"
+	"spurspread/lab/packageindex"
+	"spurspread/lab/proto"
+	"spurspread/lab/recorder"
 	"strings"
 	"sync"
 	"time"
-
-	"spurspread/lab/index"
-	"spurspread/lab/proto"
-	"spurspread/lab/recorder"
 )
 
 // Checker follows all streams of a run. It is a recorder.Sink.
 type Checker struct {
 	mu      sync.Mutex
-	index   *index.Index
+	index   *packageindex.Index
 	clients map[uint64]*clientConn
 	nodes   map[uint64]*nodeConn
 	streams map[uint64]*stream // by the flow's key, which each emulated client has for itself
@@ -106,9 +105,11 @@
 }
 
 // New returns a checker of streams from an index.
-func New(x *index.Index) *Checker {
-	c := &Checker{index: x, clients: map[uint64]*clientConn{}, nodes: map[uint64]*nodeConn{}, streams: map[uint64]*stream{},
-		tokens: map[string]*tokenUse{}, opens: map[string]string{}, up: map[string]int{}, copies: map[string]int{}, emptied: map[string]time.Time{}}
+func New(x *packageindex.Index) *Checker {
+	c := &Checker{
+		index: x, clients: map[uint64]*clientConn{}, nodes: map[uint64]*nodeConn{}, streams: map[uint64]*stream{},
+		tokens: map[string]*tokenUse{}, opens: map[string]string{}, up: map[string]int{}, copies: map[string]int{}, emptied: map[string]time.Time{},
+	}
 	c.reset()
 	return c
 }
@@ -274,8 +275,8 @@
 	s.heard = at
 }
 
-// Watch has the streams that choose picks counted in Focus from now on: it is given a stream's key, and the node where it
-// stands. It returns how many there are.
+// Watch has the streams that choose picks counted in Focus from now on: it is given a stream's key, and the node
+// where it stands. It returns how many there are.
 func (c *Checker) Watch(choose func(key uint64, node string) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -414,7 +415,16 @@
 	f.Honoured += g.Honoured
 	f.Moves += g.Moves
 	f.SecondCopies += g.SecondCopies
-	f.MaxLive, f.MaxEver, f.MaxStream = max(f.MaxLive, g.MaxLive), max(f.MaxEver, g.MaxEver), max(f.MaxStream, g.MaxStream)
+	f.MaxLive, f.MaxEver, f.MaxStream = max(
+		f.MaxLive,
+		g.MaxLive,
+	), max(
+		f.MaxEver,
+		g.MaxEver,
+	), max(
+		f.MaxStream,
+		g.MaxStream,
+	)
 	for _, m := range []struct{ to, from map[string]int }{{f.SessionOpens, g.SessionOpens}, {f.StartOvers, g.StartOvers}, {f.Answers, g.Answers}} {
 		for k, n := range m.from {
 			m.to[k] += n
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -7,12 +7,11 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"strings"
-	"time"
-
-	"spurspread/lab/gate"
+	"spurspread/lab/barrier"
 	"spurspread/lab/proto"
 	"spurspread/lab/recorder"
+	"strings"
+	"time"
 )
 
 // Config says what a client is like.
@@ -45,7 +44,7 @@
 
 // Client is one of them.
 type Client struct {
-	Reads  gate.Gate // shut, it reads nothing more from a connection that stands
+	Reads  barrier.Gate // shut, it reads nothing more from a connection that stands
 	cfg    Config
 	rng    *rand.Rand
 	cursor uint64
@@ -78,9 +77,11 @@
 // line is the first line of the next connection; every id is new.
 func (c *Client) line() *proto.Open {
 	c.opened++
-	o := &proto.Open{ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
+	o := &proto.Open{
+		ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
 		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opened > 1, Cur: c.has, Cursor: c.cursor,
-		Token: c.token, Asks: c.cfg.Tokens && c.token == ""}
+		Token: c.token, Asks: c.cfg.Tokens && c.token == "",
+	}
 	if c.opened == 1 {
 		o.At = c.cfg.At
 	}
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -14,8 +14,8 @@
 // garbageTime is how long a bad client waits for the error that it is owed.
 const garbageTime = 3 * time.Second
 
-// Garbage presents tokens that nobody sealed, one connection after another, as fast as it is answered, until the context
-// is done. It counts what it has sent, and what was answered as it should be.
+// Garbage presents tokens that nobody sealed, one connection after another, as fast as it is answered, until the
+// context is done. It counts what it has sent, and what was answered as it should be.
 func Garbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
 	const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 	var word strings.Builder
