--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -6,19 +6,18 @@
 	"errors"
 	"io"
 	"net"
+	"spurspread/lab/proto"
+	"spurspread/lab/recorder"
+	"spurspread/lab/sshchan"
 	"strings"
 	"sync"
 	"time"
 
 	"golang.org/x/sync/singleflight"
-
-	"spurspread/lab/proto"
-	"spurspread/lab/recorder"
-	"spurspread/lab/sshchan"
 )
 
-// Link is how a client reaches a balancer: by a connection of its own for each open, or by a channel of one that several
-// clients share.
+// Link is how a client reaches a balancer: by a connection of its own for each open, or by a channel of one that
+// several clients share.
 type Link interface {
 	open(ctx context.Context, o *proto.Open, deadline time.Time, watch func(recorder.Stream) *recorder.Conn) *conn
 }
@@ -53,7 +52,12 @@
 	Counted func() // called for each connection, if set
 }
 
-func (l Own) open(ctx context.Context, o *proto.Open, deadline time.Time, watch func(recorder.Stream) *recorder.Conn) *conn {
+func (l Own) open(
+	ctx context.Context,
+	o *proto.Open,
+	deadline time.Time,
+	watch func(recorder.Stream) *recorder.Conn,
+) *conn {
 	d := net.Dialer{Deadline: deadline}
 	raw, err := d.DialContext(ctx, "tcp", l.Addr)
 	if err != nil {
@@ -74,7 +78,8 @@
 	return k
 }
 
-// Shared reaches a balancer by channels of one connection, which is made anew when it has ended. Counted tells how often.
+// Shared reaches a balancer by channels of one connection, which is made anew when it has ended. Counted tells how
+// often.
 type Shared struct {
 	Addr    string
 	Window  uint32
@@ -85,8 +90,8 @@
 	group singleflight.Group
 }
 
-// connect gives the connection, and makes one if there is none that stands. Those that ask meanwhile share what comes of
-// it.
+// connect gives the connection, and makes one if there is none that stands. Those that ask meanwhile share what
+// comes of it.
 func (l *Shared) connect(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
 	if c := l.Conn(); c != nil && c.Err() == nil {
 		return c, nil
@@ -135,7 +140,12 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-func (l *Shared) open(ctx context.Context, o *proto.Open, deadline time.Time, watch func(recorder.Stream) *recorder.Conn) *conn {
+func (l *Shared) open(
+	ctx context.Context,
+	o *proto.Open,
+	deadline time.Time,
+	watch func(recorder.Stream) *recorder.Conn,
+) *conn {
 	c, err := l.connect(ctx, deadline)
 	if err != nil {
 		return &conn{err: err}
--- a/lab/world/world_test.go
+++ b/lab/deployment/deployment_test.go
@@ -1,4 +1,4 @@
-package world
+package deployment
 
 import (
 	"net"
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A port that the kernel has dealt out once is dealt out again as soon as it is free, to any process: an address that a balancer
-// is told of before it binds it must be one that this does not reach.
+// A port that the kernel has dealt out once is dealt out again as soon as it is free, to any process: an address
+// that a balancer is told of before it binds it must be one that this does not reach.
 func TestFreeAddrIsOutOfTheKernelsReach(t *testing.T) {
 	text, err := freeAddr()
 	if err != nil {
--- a/lab/discovery/discovery.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -1,6 +1,6 @@
-// Package discovery is the emulated discovery: the list of nodes over HTTP, whole or as a watch on changes, as late as it
-// is told to be. Every balancer is told the same.
-package discovery
+// Package discovery is the emulated discovery: the list of nodes over HTTP, whole or as a watch on changes, as late
+// as it is told to be. Every balancer is told the same.
+package discoveryserver
 
 import (
 	"encoding/json"
--- a/lab/echo/echo.go
+++ b/lab/echo/echo.go
@@ -6,15 +6,14 @@
 	"bufio"
 	"io"
 	"net"
-
 	"spurspread/lab/sshchan"
 )
 
 // Window is what a node promises to take on a channel, in bytes.
 const Window = 64 << 10
 
-// Serve serves plain connections and such with channels until the listener closes. asked, if it is set, is called with the
-// first line of each plain one, from a goroutine of its own.
+// Serve serves plain connections and such with channels until the listener closes. asked, if it is set, is called
+// with the first line of each plain one, from a goroutine of its own.
 func Serve(ln net.Listener, asked func(first string)) {
 	for {
 		c, err := ln.Accept()
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a proxy between processes that send each other datagrams, with a link for every ordered pair: each direction
-// fails by itself. It loses, delays, repeats, reorders, spoils, cuts, and plays again what it has recorded; it knows
-// addresses and bytes, and nothing of what they mean.
+// Package faultproxy is a proxy between processes that send each other datagrams, with a link for every ordered
+// pair: each direction fails by itself. It loses, delays, repeats, reorders, spoils, cuts, and plays again what it
+// has recorded; it knows addresses and bytes, and nothing of what they mean.
 package faultproxy
 
 import (
@@ -9,10 +9,9 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"spurspread/lab/link"
 	"sync"
 	"time"
-
-	"spurspread/lab/link"
 )
 
 // maxRecorded datagrams of a link are kept to be played again.
@@ -73,7 +72,8 @@
 	return n.links[a][b].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// forward takes what comes to one pair's socket: from the one that reaches the other there, or from the other, answering.
+// forward takes what comes to one pair's socket: from the one that reaches the other there, or from the other,
+// answering.
 func (n *Proxy) forward(p *pair) {
 	defer n.wg.Done()
 	buf := make([]byte, 2048)
--- a/lab/frontend/frontend.go
+++ b/lab/frontend/frontend.go
@@ -1,5 +1,6 @@
-// Package frontend is a stand-in for the front end before the balancers: it hands clients' connections out in turn, uses one once
-// it has answered PING, and notices only after a while that one has died. It forwards bytes and ends, and reads nothing.
+// Package frontend is a stand-in for the front end before the balancers: it hands clients' connections out in turn,
+// uses one once it has answered PING, and notices only after a while that one has died. It forwards bytes and ends,
+// and reads nothing.
 package frontend
 
 import (
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -1,5 +1,5 @@
-// Package link says how one direction between two processes is, and draws what becomes of each message that is sent there. It
-// is the same for real datagrams (lab/faultproxy) and in virtual time (lab/virtual), and knows neither.
+// Package link says how one direction between two processes is, and draws what becomes of each message that is sent
+// there. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/virtual), and knows neither.
 package link
 
 import (
@@ -31,7 +31,8 @@
 	return 1
 }
 
-// passes tells whether the next message comes through. Losses come in rows: a state that is left with probability 1/Burst.
+// passes tells whether the next message comes through. Losses come in rows: a state that is left with probability
+// 1/Burst.
 func (l *Link) passes(rng *rand.Rand) bool {
 	switch {
 	case l.Cut:
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -6,14 +6,13 @@
 	"net"
 	"os"
 	"path/filepath"
-	"time"
-
+	"spurspread/lab/deployment"
 	"spurspread/lab/echo"
 	"spurspread/lab/experiment"
 	"spurspread/lab/loadgen"
 	"spurspread/lab/procs"
 	"spurspread/lab/report"
-	"spurspread/lab/world"
+	"time"
 )
 
 const (
@@ -27,7 +26,13 @@
 )
 
 // cost measures one balancer with membership on, in a fleet, beside one with it off, in turn.
-func (c *Trial) cost(ctx context.Context, o experiment.Options, dir string, r *report.Report, log func(string, ...any)) error {
+func (c *Trial) cost(
+	ctx context.Context,
+	o experiment.Options,
+	dir string,
+	r *report.Report,
+	log func(string, ...any),
+) error {
 	known, stop, err := echoServers()
 	defer stop()
 	if err != nil {
@@ -66,8 +71,8 @@
 	return nil
 }
 
-// echoServers starts servers that echo lines, and lists them as discovery does. stop closes those that were started, also
-// after an error.
+// echoServers starts servers that echo lines, and lists them as discovery does. stop closes those that were
+// started, also after an error.
 func echoServers() (known []any, stop func(), err error) {
 	var open []net.Listener
 	stop = func() {
@@ -87,8 +92,8 @@
 	return known, stop, nil
 }
 
-// costFleet prepares n processes that are not started. Each is told that the fleet has the trial's number of balancers, so that
-// what one may send does not depend on n.
+// costFleet prepares n processes that are not started. Each is told that the fleet has the trial's number of
+// balancers, so that what one may send does not depend on n.
 func (c *Trial) costFleet(o experiment.Options, dir string, n int, known []any) (*procs.Fleet, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -109,7 +114,10 @@
 
 // measureIdle reports the resident memory of both, and the processor time that membership has used.
 func measureIdle(measured [2]*procs.Proc, r *report.Report) {
-	idle := [2]float64{world.Resident(measured[0].Pid()) / (1 << 20), world.Resident(measured[1].Pid()) / (1 << 20)}
+	idle := [2]float64{
+		deployment.Resident(measured[0].Pid()) / (1 << 20),
+		deployment.Resident(measured[1].Pid()) / (1 << 20),
+	}
 	cpu := loadgen.CPUTime(measured[1].Pid())
 	r.Figures["idle_cpu_ms_per_s"] = float64(cpu.Milliseconds()) / idleTime.Seconds()
 	r.Figures["idle_mb"], r.Figures["idle_mb_off"], r.Figures["idle_mb_more"] = idle[1], idle[0], idle[1]-idle[0]
@@ -132,7 +140,8 @@
 	return nil
 }
 
-// report reports medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a round.
+// report reports medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a
+// round.
 func (t *throughput) report(r *report.Report) {
 	for name, v := range map[string][2][]float64{"lines_per_s": t.lines, "lines_per_cpu_s": t.byCPU, "set_ups_per_s": t.setUps} {
 		r.Figures[name], r.Figures[name+"_off"] = report.Quantile(v[1], 0.5), report.Quantile(v[0], 0.5)
--- a/lab/members/node.go
+++ b/lab/members/node.go
@@ -43,8 +43,10 @@
 	if !started.IsZero() {
 		at = started.UnixMilli()
 	}
-	return map[string]any{"instanceId": fmt.Sprintf("s-%08x", i+1), "hostPort": addr.String(), "zone": "a", "machineType": "m",
-		"cell": i, "lifecycle": "Ready", "weight": 1, "startedAtMs": at}
+	return map[string]any{
+		"instanceId": fmt.Sprintf("s-%08x", i+1), "hostPort": addr.String(), "zone": "a", "machineType": "m",
+		"cell": i, "lifecycle": "Ready", "weight": 1, "startedAtMs": at,
+	}
 }
 
 func (n *node) serve(c net.Conn) {
--- a/lab/netloop/conn.go
+++ b/lab/netloop/conn.go
@@ -13,13 +13,13 @@
 
 // Owner is told of its connection, and may close it then.
 type Owner interface {
-	// Readable tells that there may be something to read, an end or an error. It is told once: the owner reads until ErrAgain
-	// or an error.
+	// Readable tells that there may be something to read, an end or an error. It is told once: the owner reads
+	// until ErrAgain or an error.
 	Readable(c *Conn)
 }
 
-// Conn is a TCP connection that never blocks. One registration, edge-triggered and for both directions, serves it until it is
-// closed, so that neither a full send buffer nor an empty one costs a system call.
+// Conn is a TCP connection that never blocks. One registration, edge-triggered and for both directions, serves it
+// until it is closed, so that neither a full send buffer nor an empty one costs a system call.
 type Conn struct {
 	loop   *Loop
 	fd     int // -1 once closed
@@ -51,8 +51,8 @@
 	}
 }
 
-// Read reads what has come into b, which must not be empty. The error is ErrAgain where there is nothing for now, io.EOF after
-// the peer's end, else the connection's, also that of an earlier Write.
+// Read reads what has come into b, which must not be empty. The error is ErrAgain where there is nothing for now,
+// io.EOF after the peer's end, else the connection's, also that of an earlier Write.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := unix.Read(c.fd, b)
 	for errors.Is(err, unix.EINTR) {
@@ -71,8 +71,8 @@
 	return 0, ErrAgain
 }
 
-// Write sends b, and keeps a copy of what the kernel does not take at once until it does. What is kept has no bound. An error
-// is returned by Read. On a closed connection it does nothing.
+// Write sends b, and keeps a copy of what the kernel does not take at once until it does. What is kept has no
+// bound. An error is returned by Read. On a closed connection it does nothing.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.failed != nil {
 		return
--- a/lab/netloop/loop_test.go
+++ b/lab/netloop/loop_test.go
@@ -60,8 +60,8 @@
 	return must(l.Adopt(fd, owner))(t)
 }
 
-// Far more than the kernel's buffers hold comes back whole and in order, though both sides write it at once; then the end of
-// one side is told to the other.
+// Far more than the kernel's buffers hold comes back whole and in order, though both sides write it at once; then
+// the end of one side is told to the other.
 func TestEchoOfPartialWrites(t *testing.T) {
 	l, sent, client, server := must(New())(t), make([]byte, 8<<20), &reader{}, &reader{}
 	must(rand.NewChaCha8([32]byte{}).Read(sent))(t)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Timers are called by their time, and those of one time as they were set; what is cancelled, also by one of the same round,
-// is not. A timer of no delay waits for the next round.
+// Timers are called by their time, and those of one time as they were set; what is cancelled, also by one of the
+// same round, is not. A timer of no delay waits for the next round.
 func TestTimers(t *testing.T) {
 	l := must(New())(t)
 	var got, want []int
@@ -139,8 +139,8 @@
 	run(t, l)
 }
 
-// A listener that finds no descriptor free goes on once there is one, though no event comes again; events of a descriptor that
-// was closed with them unread are not those of the next one of the same number.
+// A listener that finds no descriptor free goes on once there is one, though no event comes again; events of a
+// descriptor that was closed with them unread are not those of the next one of the same number.
 func TestDescriptors(t *testing.T) {
 	l, events := must(New())(t), make([]unix.EpollEvent, batch)
 	c, ln := pair(t, l, nil, nil) // an event that is told to an owner fails the test
--- a/lab/netloop/timers.go
+++ b/lab/netloop/timers.go
@@ -16,8 +16,8 @@
 // notQueued is the place of a timer that is not in the heap.
 const notQueued = -1
 
-// After has f called once the delay has passed, in a later round of the loop, also where the delay is 0 or less: a timer that
-// sets itself anew never keeps sockets waiting.
+// After has f called once the delay has passed, in a later round of the loop, also where the delay is 0 or less: a
+// timer that sets itself anew never keeps sockets waiting.
 func (l *Loop) After(delay Micros, f func()) *Timer {
 	return l.timers.set(l.now+max(delay, 0), f)
 }
@@ -57,8 +57,8 @@
 	return ts.queue[0].at, true
 }
 
-// fire calls all timers that are due. They are taken out of the heap before the first is called: what a call sets is of the next
-// round, and what it cancels is not called.
+// fire calls all timers that are due. They are taken out of the heap before the first is called: what a call sets
+// is of the next round, and what it cancels is not called.
 func (ts *timers) fire(now Micros) {
 	for len(ts.queue) > 0 && ts.queue[0].at <= now {
 		ts.due = append(ts.due, heap.Pop(&ts.queue).(*Timer))
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -4,14 +4,13 @@
 	"bufio"
 	"context"
 	"fmt"
-	"strings"
-	"time"
-
-	"spurspread/decide/resume"
+	"spurspread/decision/resume"
 	"spurspread/internal/token"
 	"spurspread/lab/proto"
 	"spurspread/lab/recorder"
 	"spurspread/lab/sshchan"
+	"strings"
+	"time"
 )
 
 // conn is one connection, or one channel.
@@ -147,7 +146,10 @@
 	refuse := n.draining && o.At == "" || n.cfg.Most > 0 && len(n.conns) > n.cfg.Most
 	n.mu.Unlock()
 	if !refuse && o.Token == "" && o.At == "" {
-		ctx, stop := context.WithTimeout(context.Background(), min(storeTime, time.Duration(o.Millis)*time.Millisecond))
+		ctx, stop := context.WithTimeout(
+			context.Background(),
+			min(storeTime, time.Duration(o.Millis)*time.Millisecond),
+		)
 		err := n.session.Call(ctx)
 		stop()
 		if err != nil {
@@ -190,9 +192,11 @@
 		return resume.Malformed
 	}
 	now := time.Now()
-	r := resume.Right{ID: resume.ID(t.ID), Minted: resume.Millis(t.Minted), Expires: resume.Millis(t.Expires),
+	r := resume.Right{
+		ID: resume.ID(t.ID), Minted: resume.Millis(t.Minted), Expires: resume.Millis(t.Expires),
 		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, Top: t.Top, Server: string(t.Server),
-		Started: resume.Millis(t.Started)}
+		Started: resume.Millis(t.Started),
+	}
 	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
 	l := resume.Line{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
 	log := resume.Log{Floor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
@@ -284,8 +288,8 @@
 	}
 }
 
-// startAt is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the index
-// where it has none. A client whose cursor is no more kept sees where it goes on by the answer's from=.
+// startAt is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the
+// index where it has none. A client whose cursor is no more kept sees where it goes on by the answer's from=.
 func (c *conn) startAt() uint64 {
 	x, key, now := c.n.cfg.Index, c.open.Key, time.Now().Add(-c.n.cfg.Lag)
 	floor, head := x.Floor(key, now), x.Head(key, now)
@@ -309,7 +313,8 @@
 	return cursor
 }
 
-// send sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's number.
+// send sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's
+// number.
 func (c *conn) send(cursor uint64) (uint64, error) {
 	x, key := c.n.cfg.Index, c.open.Key
 	c.n.awake.Pass()
--- a/lab/index/index.go
+++ b/lab/packageindex/packageindex.go
@@ -1,7 +1,7 @@
 // Package index is the emulated package index: for every stream, numbered messages that fall due at known times. Each
 // message is a pure function of the stream's key and its number, so that every emulated node has the same index without
 // talk, and a checker can tell whether what a client was sent is what it should have been.
-package index
+package packageindex
 
 import (
 	"math/rand/v2"
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -7,11 +7,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"spurspread/lab/link"
 	"strings"
 	"testing"
 	"time"
-
-	"spurspread/lab/link"
 )
 
 // patience bounds every wait; nothing is proved by its passing.
@@ -106,7 +105,8 @@
 	}
 }
 
-// A process that is paused for long is dead to the others, says otherwise when it goes on, and holds nobody dead for it.
+// A process that is paused for long is dead to the others, says otherwise when it goes on, and holds nobody dead
+// for it.
 func TestPauseAndReturn(t *testing.T) {
 	f := fleet(t, 4)
 	f.Procs[2].Pause()
@@ -125,8 +125,9 @@
 // gotDead tells whether a log line says that somebody was held dead.
 func gotDead(line string) bool { return len(line) > 0 && strings.Contains(line, `"state":"dead"`) }
 
-// Each direction of a link fails by itself: one member that only sends is dead to the others, and all agree again once it
-// hears them. Halves that do not hear each other hold each other dead, whichever way is cut, and have each other back.
+// Each direction of a link fails by itself: one member that only sends is dead to the others, and all agree again
+// once it hears them. Halves that do not hear each other hold each other dead, whichever way is cut, and have each
+// other back.
 func TestCutsOneWayAndHealed(t *testing.T) {
 	f := fleet(t, 6)
 	cutOff := func(l *link.Link) { l.Cut = true }
--- a/lab/recorder/recorder.go
+++ b/lab/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Package recorder records what crosses sockets: it wraps the connections and channels of clients and nodes, and hands on every
-// line, and every end, in the order in which it was read or written. It knows lines, and not what any of them means.
+// Package recorder records what crosses sockets: it wraps the connections and channels of clients and nodes, and
+// hands on every line, and every end, in the order in which it was read or written. It knows lines, and not what
+// any of them means.
 package recorder
 
 import (
--- a/lab/report/chart.go
+++ b/lab/report/chart.go
@@ -23,9 +23,16 @@
 }
 
 // The colours tell series apart also where colours are seen differently (Okabe and Ito).
-var colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}}
+var colours = []color.RGBA{
+	{0, 114, 178, 255},
+	{213, 94, 0, 255},
+	{0, 158, 115, 255},
+	{204, 121, 167, 255},
+	{230, 159, 0, 255},
+}
 
-// draw writes the chart as SVG and PNG. A series without points is in the legend only; one with a single point is a dot.
+// draw writes the chart as SVG and PNG. A series without points is in the legend only; one with a single point is a
+// dot.
 func (c Chart) draw(base string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
--- a/lab/scale/connections/client.go
+++ b/lab/scale/connections/client.go
@@ -6,17 +6,16 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
+	"spurspread/lab/netloop"
 	"strconv"
 	"sync/atomic"
 
 	"golang.org/x/sys/unix"
-
-	"spurspread/lab/netloop"
 )
 
 const (
-	// sources are the loopback addresses that the clients of one loop come from: one address has 28,000 ports, and closed
-	// connections keep theirs for a minute.
+	// sources are the loopback addresses that the clients of one loop come from: one address has 28,000 ports, and
+	// closed connections keep theirs for a minute.
 	sources = 8
 	// againAfter is when a client comes again that was refused without a word on when, or cut off.
 	againAfter = 100 * ms
@@ -91,7 +90,9 @@
 	g.n.connected.Add(1)
 	if ask {
 		c.state = asking
-		c.conn.Write([]byte(fmt.Sprintf("OPEN %x %x c=%s,d=%d\r\n", g.n.ids.Add(1), g.rng.Uint64(), g.class, g.patient)))
+		c.conn.Write(
+			[]byte(fmt.Sprintf("OPEN %x %x c=%s,d=%d\r\n", g.n.ids.Add(1), g.rng.Uint64(), g.class, g.patient)),
+		)
 	}
 }
 
@@ -239,8 +240,8 @@
 
 var message = append(bytes.Repeat([]byte("t"), lineLength-2), "\r\n"...)
 
-// pace calls act at moments with exponential gaps, at so many a second, until count moments or the span are over. It turns
-// the loop without a pause meanwhile: the kernel's wait has whole milliseconds.
+// pace calls act at moments with exponential gaps, at so many a second, until count moments or the span are over.
+// It turns the loop without a pause meanwhile: the kernel's wait has whole milliseconds.
 func (g *generator) pace(rate float64, count int, span netloop.Micros, act func(due netloop.Micros)) {
 	g.paced = true
 	next, end := float64(g.l.Now()), g.l.Now()+span
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -5,13 +5,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"spurspread/lab/deployment"
 	"strconv"
 	"strings"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"spurspread/lab/world"
 )
 
 // cost is what the kernel has of a process at one moment.
@@ -25,15 +24,22 @@
 
 // costOf reads it from outside.
 func costOf(pid int) cost {
-	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd")) // none: it has ended, which other figures tell
-	return cost{at: time.Now(), resident: world.Resident(pid), cpu: cpuTime(pid), fds: len(entries), slab: slab()}
+	// none: it has ended, which other figures tell
+	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
+	return cost{
+		at:       time.Now(),
+		resident: deployment.Resident(pid),
+		cpu:      cpuTime(pid),
+		fds:      len(entries),
+		slab:     slab(),
+	}
 }
 
 // cpuSched is the kernel's clock of the time that threads ran, in the lower bits of a process's clock id.
 const cpuSched = 2
 
-// cpuTime is the processor time of a process by its own clock, see clock_getcpuclockid(3): /proc's ticks of 10 ms are too
-// coarse for single steps here.
+// cpuTime is the processor time of a process by its own clock, see clock_getcpuclockid(3): /proc's ticks of 10 ms
+// are too coarse for single steps here.
 func cpuTime(pid int) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid)<<3|cpuSched, &t); err != nil {
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"math"
+	"spurspread/lab/report"
 
 	"gonum.org/v1/gonum/stat"
-
-	"spurspread/lab/report"
 )
 
 // fit is a straight line through a cost by the number of connections.
@@ -66,7 +65,14 @@
 }
 
 // growing are the costs that ought to be the same for any number of connections.
-var growing = []string{"us_per_accept", "us_per_set_up", "us_per_set_up_churn", "us_per_line_common", "us_per_reconnect", "p99_ms_at_rest"}
+var growing = []string{
+	"us_per_accept",
+	"us_per_set_up",
+	"us_per_set_up_churn",
+	"us_per_line_common",
+	"us_per_reconnect",
+	"p99_ms_at_rest",
+}
 
 // tell makes the report of all points.
 func (x *run) tell() {
@@ -116,7 +122,12 @@
 	for _, name := range []string{"us_per_accept", "us_per_set_up", "us_per_line_common", "us_per_reconnect"} {
 		work.Series = append(work.Series, x.series(name, 1))
 	}
-	idle := report.Chart{Name: "idle", Title: Name + ": processor time at rest", X: "connections", Y: "part of a core"}
+	idle := report.Chart{
+		Name:  "idle",
+		Title: Name + ": processor time at rest",
+		X:     "connections",
+		Y:     "part of a core",
+	}
 	idle.Series = append(idle.Series, x.series("cpu_share_idle", 1), x.series("cpu_share_waiting", 1))
 	delay := report.Chart{Name: "delay", Title: Name + ": p99 from when a line was due", X: "lines a second", Y: "ms"}
 	for i, p := range x.points {
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -3,9 +3,8 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-	"time"
-
 	"spurspread/lab/netloop"
+	"time"
 )
 
 // load is all clients, on some loops.
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -4,13 +4,12 @@
 	"bytes"
 	"errors"
 	"net/netip"
-	"sync/atomic"
-
 	"spurspread/lab/netloop"
+	"sync/atomic"
 )
 
-// servers are the stand-in servers: they answer a first line with UP and send each further line back, or keep all answers
-// back while they hold.
+// servers are the stand-in servers: they answer a first line with UP and send each further line back, or keep all
+// answers back while they hold.
 type servers struct {
 	ws       workers
 	addrs    []netip.AddrPort
@@ -25,7 +24,12 @@
 // startServers listens on so many loopback addresses, in turn on so many loops.
 func startServers(loops, listeners int) (*servers, error) {
 	ws, err := newWorkers(loops)
-	s := &servers{ws: ws, waiting: make([][]*backend, loops), all: make([]map[*backend]bool, loops), lns: make([][]*netloop.Listener, loops)}
+	s := &servers{
+		ws:      ws,
+		waiting: make([][]*backend, loops),
+		all:     make([]map[*backend]bool, loops),
+		lns:     make([][]*netloop.Listener, loops),
+	}
 	for i := range s.all {
 		s.all[i] = map[*backend]bool{}
 	}
--- a/lab/scale/connections/worker.go
+++ b/lab/scale/connections/worker.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"runtime"
 	"slices"
+	"spurspread/lab/netloop"
 	"sync"
 	"time"
-
-	"spurspread/lab/netloop"
 )
 
 // Spans of a loop's clock.
--- a/lab/scale/kernel.go
+++ b/lab/scale/kernel.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"spurspread/lab/deployment"
+	"spurspread/lab/loadgen"
 	"strconv"
 	"strings"
 	"time"
-
-	"spurspread/lab/loadgen"
-	"spurspread/lab/world"
 )
 
 // usage is what the kernel says of the processes of a run.
@@ -32,7 +31,7 @@
 			continue
 		}
 		u.processes++
-		u.bytes += world.Resident(pid)
+		u.bytes += deployment.Resident(pid)
 		u.cpu += loadgen.CPUTime(pid)
 	}
 	return u, nil
--- a/lab/scale/play.go
+++ b/lab/scale/play.go
@@ -6,15 +6,14 @@
 	"errors"
 	"fmt"
 	"os"
+	"spurspread/lab/report"
 	"strings"
 	"time"
-
-	"spurspread/lab/report"
 )
 
 const (
-	// joinMost bounds how long all may take to find each other, awaitMost how long anything else is awaited: more than its
-	// bound, so that the report says by how much that is missed.
+	// joinMost bounds how long all may take to find each other, awaitMost how long anything else is awaited: more
+	// than its bound, so that the report says by how much that is missed.
 	joinMost  = 90 * time.Second
 	awaitMost = 25 * time.Second
 	// holdTime is for how long something must hold to count as reached: longer than two looks at a real member.
@@ -46,7 +45,7 @@
 
 // playFleet starts a fleet, has it play, and measures it; an error means that it could not be played.
 func playFleet(ctx context.Context, o Options, t *Topology, r *report.Report, do func(p *play) error) (err error) {
-	dir, err := os.MkdirTemp("", "spurlab")
+	dir, err := os.MkdirTemp("", "spurspread-lab")
 	if err != nil {
 		return err
 	}
@@ -58,7 +57,16 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
-	p := &play{fleet: f, ctx: ctx, report: r, restTime: o.rest, patience: cmp.Or(o.patience, awaitMost), joinMost: o.patience, hasty: o.hasty, killed: map[int]int64{}}
+	p := &play{
+		fleet:    f,
+		ctx:      ctx,
+		report:   r,
+		restTime: o.rest,
+		patience: cmp.Or(o.patience, awaitMost),
+		joinMost: o.patience,
+		hasty:    o.hasty,
+		killed:   map[int]int64{},
+	}
 	if err := p.join(); err != nil {
 		return err
 	}
@@ -160,7 +168,8 @@
 	return m, do()
 }
 
-// within waits until something holds, and keeps how long after a fault it did as the figure of a bound and of this fault.
+// within waits until something holds, and keeps how long after a fault it did as the figure of a bound and of this
+// fault.
 func (p *play) within(m mark, bound, of string, c condition) error {
 	r := p.await(m, p.patience, c)
 	if p.ctx.Err() != nil {
@@ -233,7 +242,10 @@
 // spread publishes a record, and waits until all whom its member reaches have it.
 func (p *play) spread(of string, i int) (value string, err error) {
 	value = fmt.Sprintf("%016x", p.rng.Uint64())
-	m, err := p.fault(fmt.Sprintf("%s: %s publishes a record", of, p.t.Name(i)), func() error { return p.publish(i, recordName, value) })
+	m, err := p.fault(
+		fmt.Sprintf("%s: %s publishes a record", of, p.t.Name(i)),
+		func() error { return p.publish(i, recordName, value) },
+	)
 	if err != nil {
 		return "", err
 	}
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -53,14 +53,16 @@
 	Errors        []string     `json:",omitempty"`
 }
 
-// Change says that an observer holds a member to be something else. Only what ends in Dead or Left, or begins there, is told.
+// Change says that an observer holds a member to be something else. Only what ends in Dead or Left, or begins
+// there, is told.
 type Change struct {
 	Observer, Of int
 	From, To     string
 	At           int64
 }
 
-// MemberLive is how many members an observer counts now, in its own zone and in all, and whether it speaks for its zone.
+// MemberLive is how many members an observer counts now, in its own zone and in all, and whether it speaks for its
+// zone.
 type MemberLive struct {
 	Member, Own, All int
 	Delegate         bool
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -5,14 +5,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"time"
-
 	"spurspread/lab/report"
+	"time"
 )
 
 // Region is the run in which regions lose each other.
-var Region = Experiment{Name: "scale-region", Play: playRegion,
-	About: "a region is cut off from all others, whole and one way, and two from each other only: nobody is held dead"}
+var Region = Experiment{
+	Name: "scale-region", Play: playRegion,
+	About: "a region is cut off from all others, whole and one way, and two from each other only: nobody is held dead",
+}
 
 const (
 	// regionMembers are those of the fleet that the balancer is built for.
@@ -41,7 +42,14 @@
 	if o.Cut > 0 && o.Cut < cutTime {
 		r.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.Cut, cutTime)
 	}
-	t, err := layOut(members, cmp.Or(o.reals, realsOf(members)), cmp.Or(o.Regions, targetRegions), cmp.Or(o.Zones, targetZones), false, o.Seed)
+	t, err := layOut(
+		members,
+		cmp.Or(o.reals, realsOf(members)),
+		cmp.Or(o.Regions, targetRegions),
+		cmp.Or(o.Zones, targetZones),
+		false,
+		o.Seed,
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +84,14 @@
 		return nil // nobody sees both
 	}
 	other := (one + 1 + p.rng.IntN(p.t.Regions-1)) % p.t.Regions
-	pair := cut{"pair", fmt.Sprintf("regions %d and %d are cut off from each other only", one, other), in, p.t.ZonesOf(other), true, true}
+	pair := cut{
+		"pair",
+		fmt.Sprintf("regions %d and %d are cut off from each other only", one, other),
+		in,
+		p.t.ZonesOf(other),
+		true,
+		true,
+	}
 	return p.cutOff(pair, lasts/2)
 }
 
@@ -109,8 +124,8 @@
 	return err
 }
 
-// cutOff cuts zones off for a while, in which a member of each side crashes and a record is published on one of them, and heals
-// them: within the bounds all count as many as they reach, and have the record.
+// cutOff cuts zones off for a while, in which a member of each side crashes and a record is published on one of
+// them, and heals them: within the bounds all count as many as they reach, and have the record.
 func (p *play) cutOff(c cut, lasts time.Duration) error {
 	m, err := p.fault(c.what, func() error { return p.set(c, true) })
 	if err != nil {
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -4,9 +4,8 @@
 	"cmp"
 	"context"
 	"fmt"
-	"time"
-
 	"spurspread/lab/report"
+	"time"
 )
 
 // Sizes are those that scale-rest plays one after another where none is given.
@@ -16,14 +15,17 @@
 const (
 	targetRegions = 5
 	targetZones   = 12
-	// restTime is how long nothing happens, settleTime how long before that members are given to tell what they have found.
+	// restTime is how long nothing happens, settleTime how long before that members are given to tell what they
+	// have found.
 	restTime   = 30 * time.Second
 	settleTime = 3 * time.Second
 )
 
 // Rest is the run in which nothing happens, and then one thing at a time.
-var Rest = Experiment{Name: "scale-rest", Play: playRest,
-	About: "a fleet at rest, then one crash, one restart and one record: cost and time until all know"}
+var Rest = Experiment{
+	Name: "scale-rest", Play: playRest,
+	About: "a fleet at rest, then one crash, one restart and one record: cost and time until all know",
+}
 
 func playRest(ctx context.Context, o Options) (*report.Report, error) {
 	if o.Members != 0 {
@@ -41,8 +43,10 @@
 }
 
 func newReport(name string, o Options) *report.Report {
-	return &report.Report{Experiment: name,
-		Seed: o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{}, Notes: map[string]string{}}
+	return &report.Report{
+		Experiment: name,
+		Seed:       o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{}, Notes: map[string]string{},
+	}
 }
 
 // playRestAt plays one size.
@@ -52,7 +56,14 @@
 		name += "-flat"
 	}
 	r := newReport(name, o)
-	t, err := layOut(members, cmp.Or(o.reals, realsOf(members)), cmp.Or(o.Regions, targetRegions), cmp.Or(o.Zones, targetZones), o.Flat, o.Seed)
+	t, err := layOut(
+		members,
+		cmp.Or(o.reals, realsOf(members)),
+		cmp.Or(o.Regions, targetRegions),
+		cmp.Or(o.Zones, targetZones),
+		o.Flat,
+		o.Seed,
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,13 +1,13 @@
-// Package scale plays a fleet of balancers at the size that it is built for: some real processes beside hollow members, which
-// run the production decider and transport without clients, servers, discovery and admin listener, many to a process.
+// Package scale plays a fleet of balancers at the size that it is built for: some real processes beside hollow
+// members, which run the production decider and transport without clients, servers, discovery and admin listener,
+// many to a process.
 package scale
 
 import (
 	"context"
-	"time"
-
 	"spurspread/lab/experiment"
 	"spurspread/lab/report"
+	"time"
 )
 
 // Options are what a run is played with. A number of 0 stands for the run's own default.
@@ -20,8 +20,8 @@
 	Cut     time.Duration // how long each cut lasts
 	Loss    float64       // part of the datagrams between regions that is lost, for the whole run
 
-	// What tests set: how many members are real, how long nothing happens, how long anything is awaited, that a run is judged also
-	// where timers came late, and that it ends with the first thing that is awaited in vain.
+	// What tests set: how many members are real, how long nothing happens, how long anything is awaited, that a run
+	// is judged also where timers came late, and that it ends with the first thing that is awaited in vain.
 	reals          int
 	rest, patience time.Duration
 	starvedToo     bool
--- a/lab/scale/series.go
+++ b/lab/scale/series.go
@@ -41,7 +41,8 @@
 // span is a part of a run, wall clock in microseconds.
 type span struct{ from, to int64 }
 
-// rates are what the sums of some series grew by a second, in each window of a span; in the whole of it where that is shorter.
+// rates are what the sums of some series grew by a second, in each window of a span; in the whole of it where that
+// is shorter.
 func rates(all []*series, over span) (out []float64) {
 	width := min(int64(window), over.to-over.from)
 	if width <= 0 {
--- a/lab/scale/slope/slope.go
+++ b/lab/scale/slope/slope.go
@@ -1,6 +1,7 @@
-// Package slope fits a straight line through what was measured at several sizes, and predicts from it what was not measured:
-// a figure at the target size, and at a size that was held out to check the line. A line is by least squares, each run
-// counting the same. It refuses too few sizes or seeds, since a line through them would say nothing.
+// Package slope fits a straight line through what was measured at several sizes, and predicts from it what was not
+// measured: a figure at the target size, and at a size that was held out to check the line. A line is by least
+// squares, each run counting the same. It refuses too few sizes or seeds, since a line through them would say
+// nothing.
 package slope
 
 import (
@@ -14,9 +15,11 @@
 
 // What a line has to rest on at least.
 const (
-	// MinSizes is the least number of different sizes: through two there is always a line, and a third leaves one residual only.
+	// MinSizes is the least number of different sizes: through two there is always a line, and a third leaves one
+	// residual only.
 	MinSizes = 4
-	// MinSeeds is the least number of different seeds at each size: less does not tell a size's effect from a run's chance.
+	// MinSeeds is the least number of different seeds at each size: less does not tell a size's effect from a run's
+	// chance.
 	MinSeeds = 3
 )
 
@@ -41,16 +44,16 @@
 	// RMS is the root of the mean of the squared relative residuals, Most the greatest; a point's relative residual is
 	// |measured - fitted| / |measured|.
 	RMS, Most float64
-	// Exponent is the slope of the logarithm of the value over that of the size: 0 for a constant, 1 for what is proportional,
-	// over 1 for what grows faster than the size. NaN where a value is not over 0.
+	// Exponent is the slope of the logarithm of the value over that of the size: 0 for a constant, 1 for what is
+	// proportional, over 1 for what grows faster than the size. NaN where a value is not over 0.
 	Exponent        float64
 	Sizes           []float64 // that the line rests on, ascending
 	Runs            int
 	Least, Greatest float64 // of the values measured
 }
 
-// Fit fits a line by least squares. It refuses less than MinSizes sizes, less than MinSeeds seeds at any of them, a run given
-// twice, and values that are not finite or are 0.
+// Fit fits a line by least squares. It refuses less than MinSizes sizes, less than MinSeeds seeds at any of them, a
+// run given twice, and values that are not finite or are 0.
 func Fit(points []Point) (Line, error) {
 	sizes, err := check(points)
 	if err != nil {
@@ -60,7 +63,13 @@
 	for i, p := range points {
 		x[i], y[i] = p.Size, p.Value
 	}
-	l := Line{Sizes: sizes, Runs: len(points), Exponent: exponent(x, y), Least: slices.Min(y), Greatest: slices.Max(y)}
+	l := Line{
+		Sizes:    sizes,
+		Runs:     len(points),
+		Exponent: exponent(x, y),
+		Least:    slices.Min(y),
+		Greatest: slices.Max(y),
+	}
 	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
 	squares := 0.0
 	for i := range x {
--- a/lab/scale/sweep.go
+++ b/lab/scale/sweep.go
@@ -2,9 +2,8 @@
 
 import (
 	"fmt"
-	"strings"
-
 	"spurspread/lab/report"
+	"strings"
 )
 
 // charted are the figures that a sweep draws over the size.
@@ -12,9 +11,16 @@
 	name, title, unit string
 	figures           []string
 }{
-	{"bytes", "bytes sent and received by a member, in its worst 10 s", "bytes/s",
-		[]string{"control_bytes_per_s", "control_rest_bytes_per_s", "control_rest_mean_bytes_per_s"}},
-	{"cpu", "processor time of a real member", "cores", []string{"control_core_share", "control_rest_mean_core_share"}},
+	{
+		"bytes", "bytes sent and received by a member, in its worst 10 s", "bytes/s",
+		[]string{"control_bytes_per_s", "control_rest_bytes_per_s", "control_rest_mean_bytes_per_s"},
+	},
+	{
+		"cpu",
+		"processor time of a real member",
+		"cores",
+		[]string{"control_core_share", "control_rest_mean_core_share"},
+	},
 	{"memory", "resident memory of a real member", "MB", []string{"control_memory_mb", "control_memory_mean_mb"}},
 	{"times", "time until all know", "ms", []string{"zone_seen_ms", "count_everywhere_ms", "record_everywhere_ms"}},
 }
@@ -49,7 +55,10 @@
 	}
 	for _, b := range one.Bounds {
 		if !b.OK {
-			s.r.Notes["broken"] = strings.TrimPrefix(s.r.Notes["broken"]+fmt.Sprintf("; %s at %d members", b.Name, members), "; ")
+			s.r.Notes["broken"] = strings.TrimPrefix(
+				s.r.Notes["broken"]+fmt.Sprintf("; %s at %d members", b.Name, members),
+				"; ",
+			)
 		}
 		was, had := s.r.Figures[b.Name]
 		if v, measured := one.Figures[b.Name]; measured && (!had || v > was) {
@@ -64,7 +73,10 @@
 		}
 	}
 	if why, void := one.Notes["not valid"]; void {
-		s.r.Notes["not valid"] = strings.TrimPrefix(s.r.Notes["not valid"]+fmt.Sprintf("; %d members: %s", members, why), "; ")
+		s.r.Notes["not valid"] = strings.TrimPrefix(
+			s.r.Notes["not valid"]+fmt.Sprintf("; %d members: %s", members, why),
+			"; ",
+		)
 	}
 }
 
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"time"
-
-	"spurspread/decide/zone"
+	"spurspread/decision/zonedirectory"
 	"spurspread/lab/link"
+	"time"
 )
 
 // The delays of links, one way. Within a zone a datagram takes what loopback takes.
@@ -21,8 +20,9 @@
 // racksPerZone is how many failure domains a zone has.
 const racksPerZone = 4
 
-// Topology is where each member of a fleet stands, and where it takes datagrams. The first Reals members are processes of the
-// program; the others are hollow. All that is drawn follows from Seed, so that each process of a run comes to the same.
+// Topology is where each member of a fleet stands, and where it takes datagrams. The first Reals members are
+// processes of the program; the others are hollow. All that is drawn follows from Seed, so that each process of a
+// run comes to the same.
 type Topology struct {
 	Members, Reals int
 	Regions, Zones int
@@ -69,15 +69,15 @@
 }
 
 // Site is what a zone is called, the zero Site in a flat fleet.
-func (t *Topology) Site(z int) zone.Site {
+func (t *Topology) Site(z int) zonedirectory.Site {
 	if t.Flat {
-		return zone.Site{}
+		return zonedirectory.Site{}
 	}
-	return zone.Site{Region: fmt.Sprint("region-", t.Region(z)), Zone: fmt.Sprint("zone-", z)}
+	return zonedirectory.Site{Region: fmt.Sprint("region-", t.Region(z)), Zone: fmt.Sprint("zone-", z)}
 }
 
-// Seeds are the members that one is told of at its start: two of its own zone, and one each of two others, which differ from
-// member to member so that none is asked by all. In a flat fleet they are the first three.
+// Seeds are the members that one is told of at its start: two of its own zone, and one each of two others, which
+// differ from member to member so that none is asked by all. In a flat fleet they are the first three.
 func (t *Topology) Seeds(member int) (out []int) {
 	if t.Flat {
 		return notItself(member, []int{0, 1, 2})
@@ -108,10 +108,14 @@
 	rng   *rand.Rand
 }
 
-// Links are those of a fleet without faults: delays are drawn from the seed, a direction and its opposite alike. salt tells
-// apart what different holders of the same links draw for each datagram.
+// Links are those of a fleet without faults: delays are drawn from the seed, a direction and its opposite alike.
+// salt tells apart what different holders of the same links draw for each datagram.
 func (t *Topology) Links(salt uint64) *Links {
-	l := &Links{racks: t.Racks(), links: make([]link.Link, t.Racks()*t.Racks()), rng: rand.New(rand.NewPCG(t.Seed, 0x6c696e6b00+salt))}
+	l := &Links{
+		racks: t.Racks(),
+		links: make([]link.Link, t.Racks()*t.Racks()),
+		rng:   rand.New(rand.NewPCG(t.Seed, 0x6c696e6b00+salt)),
+	}
 	delays := t.regionDelays()
 	for a := range t.Racks() {
 		for b := range t.Racks() {
--- a/lab/scale/zones.go
+++ b/lab/scale/zones.go
@@ -3,8 +3,7 @@
 import (
 	"fmt"
 	"slices"
-
-	"spurspread/decide/zone"
+	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer"
 )
 
@@ -35,8 +34,8 @@
 			s.States = append(s.States, ZoneState{m.index, z, v.State.String()})
 		}
 		if v.Own {
-			m.delegate = slices.ContainsFunc(v.Contacts[:min(len(v.Contacts), zone.Delegates)],
-				func(c zone.Contact) bool { return c.Addr == m.host.Addr() })
+			m.delegate = slices.ContainsFunc(v.Contacts[:min(len(v.Contacts), zonedirectory.Delegates)],
+				func(c zonedirectory.Contact) bool { return c.Addr == m.host.Addr() })
 		}
 	}
 }
--- a/lab/virtual/zoned/plant.go
+++ b/lab/simulation/zoned/plant.go
@@ -2,14 +2,13 @@
 
 import (
 	"slices"
-
-	"spurspread/decide/zone"
+	"spurspread/decision/zonedirectory"
 )
 
 // Plant is a fault that can be planted in all members, to see that the checker finds it.
 type Plant struct {
-	rank    func() func(zone.ID, zone.MemberID) uint64
-	receive func(*balancer, *zone.Message)
+	rank    func() func(zonedirectory.ID, zonedirectory.MemberID) uint64
+	receive func(*balancer, *zonedirectory.Message)
 }
 
 // Plants are the faults that can be planted.
@@ -19,9 +18,9 @@
 }
 
 // joinOrder ranks members by when this one has heard of them, which is another order for each.
-func joinOrder() func(zone.ID, zone.MemberID) uint64 {
-	order := map[zone.MemberID]uint64{}
-	return func(_ zone.ID, id zone.MemberID) uint64 {
+func joinOrder() func(zonedirectory.ID, zonedirectory.MemberID) uint64 {
+	order := map[zonedirectory.MemberID]uint64{}
+	return func(_ zonedirectory.ID, id zonedirectory.MemberID) uint64 {
 		at, ok := order[id]
 		if !ok {
 			at = uint64(len(order))
@@ -32,7 +31,7 @@
 }
 
 // anyVersion takes each summary of another zone that comes for a newer one than is held.
-func anyVersion(b *balancer, m *zone.Message) {
+func anyVersion(b *balancer, m *zonedirectory.Message) {
 	m.Items = slices.Clone(m.Items)
 	for i, it := range m.Items {
 		if it.Summary == nil || it.Summary.Site.ID() == b.of {
