--- a/lab/virtual/zoned/zoned_test.go
+++ b/lab/simulation/zoned/zoned_test.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"os"
 	"runtime/debug"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
 	"strconv"
 	"testing"
 	"time"
-
-	"spurspread/decide/member"
-	"spurspread/decide/zone"
 )
 
 // Bounds, as the scale runs have them.
@@ -66,16 +65,22 @@
 // held asks for what is to hold whatever happens. A part of a zone that is cut off holds the others dead rightly.
 func (p *play) held(changes bool) {
 	p.t.Helper()
-	if p.FalseDead > 0 || p.Flaps > 1 || p.Factor > member.Factor || !changes && p.Changes > 0 {
-		p.errorf("%d falsely dead, %d flaps, %d changes of zones' states, sum of parts %.2f", p.FalseDead, p.Flaps, p.Changes, p.Factor)
+	if p.FalseDead > 0 || p.Flaps > 1 || p.Factor > membership.Factor || !changes && p.Changes > 0 {
+		p.errorf(
+			"%d falsely dead, %d flaps, %d changes of zones' states, sum of parts %.2f",
+			p.FalseDead,
+			p.Flaps,
+			p.Changes,
+			p.Factor,
+		)
 	}
 }
 
 func (p *play) count(zones []int, live int) func() bool {
-	return func() bool { return p.Count(zones, live, func(zone.Reachability) bool { return true }) }
+	return func() bool { return p.Count(zones, live, func(zonedirectory.Reachability) bool { return true }) }
 }
 
-func (p *play) mustPublish(i int, name, value string) zone.Record {
+func (p *play) mustPublish(i int, name, value string) zonedirectory.Record {
 	r, err := p.Publish(i, name, value)
 	if err != nil {
 		p.t.Fatal(err)
@@ -98,7 +103,7 @@
 		p.held(false)
 	}},
 	"all delegates die": {small, func(p *play) {
-		p.Crash(p.Delegates(1, zone.Delegates)...)
+		p.Crash(p.Delegates(1, zonedirectory.Delegates)...)
 		p.within(countTime, "all count the rest", p.Whole)
 		r := p.mustPublish(p.Zones[0][2], "a", "1")
 		p.within(recordTime, "all have a record", func() bool { return p.HaveRecord(nil, r) })
@@ -128,7 +133,7 @@
 		p.held(false)
 	}},
 	"all delegates pause": {small, func(p *play) {
-		for _, i := range p.Delegates(1, zone.Delegates) {
+		for _, i := range p.Delegates(1, zonedirectory.Delegates) {
 			p.Pause(i, 2*time.Second)
 		}
 		p.For(20 * time.Second)
@@ -144,7 +149,11 @@
 		if p.seed%2 == 0 {
 			p.Cut(b, a, true)
 		}
-		p.within(12*time.Second, "both hold each other cut", func() bool { return p.Hold(a, b, zone.Cut) && p.Hold(b, a, zone.Cut) })
+		p.within(
+			12*time.Second,
+			"both hold each other cut",
+			func() bool { return p.Hold(a, b, zonedirectory.Cut) && p.Hold(b, a, zonedirectory.Cut) },
+		)
 		p.Crash(p.Zones[a[0]][3])
 		p.within(countTime, "all count the rest", p.count(nil, 29))
 		r := p.mustPublish(p.Zones[a[1]][1], "a", "1")
@@ -162,7 +171,11 @@
 		p.For(20 * time.Second)
 		p.held(false)
 		p.Crash(p.Zones[1][0])
-		p.within(countTime, "it is unknown", func() bool { return p.Hold([]int{0, 2, 3}, []int{1}, zone.Unknown) })
+		p.within(
+			countTime,
+			"it is unknown",
+			func() bool { return p.Hold([]int{0, 2, 3}, []int{1}, zonedirectory.Unknown) },
+		)
 		p.For(5 * time.Second)
 		p.held(true)
 		p.Mark()
@@ -183,7 +196,11 @@
 	"a zone dies": {small, func(p *play) {
 		p.Crash(p.Zones[1]...)
 		p.within(countTime, "all count the rest", p.count(nil, 24))
-		p.within(0, "it is unknown", func() bool { return p.Hold([]int{0, 2, 3, 4}, []int{1}, zone.Unknown) })
+		p.within(
+			0,
+			"it is unknown",
+			func() bool { return p.Hold([]int{0, 2, 3, 4}, []int{1}, zonedirectory.Unknown) },
+		)
 		p.For(20 * time.Second)
 		p.held(true)
 		p.Mark()
@@ -205,7 +222,11 @@
 		p.within(recordTime, "all on one side have the newer", func() bool { return p.HaveRecord(out, newer) })
 		p.Cut(in, out, false)
 		p.Cut(out, in, false)
-		p.within(recordTime, "all have both", func() bool { return p.HaveRecord(nil, newer) && p.HaveRecord(nil, only) })
+		p.within(
+			recordTime,
+			"all have both",
+			func() bool { return p.HaveRecord(nil, newer) && p.HaveRecord(nil, only) },
+		)
 		p.For(10 * time.Second)
 		p.held(true)
 	}},
@@ -231,7 +252,7 @@
 		p.Cut(out, in, false)
 		p.within(12*time.Second, "all count all again", p.Whole)
 		p.For(5 * time.Second)
-		if p.FalseDead > 0 || p.Factor > member.Factor {
+		if p.FalseDead > 0 || p.Factor > membership.Factor {
 			p.errorf("%d falsely dead, sum of parts %.2f", p.FalseDead, p.Factor)
 		}
 	}},
@@ -247,7 +268,11 @@
 			p.Leave(i)
 			p.For(1500 * time.Millisecond)
 		}
-		p.within(countTime, "all hold that it has left", func() bool { return p.Hold([]int{0, 2, 3, 4}, []int{1}, zone.Left) })
+		p.within(
+			countTime,
+			"all hold that it has left",
+			func() bool { return p.Hold([]int{0, 2, 3, 4}, []int{1}, zonedirectory.Left) },
+		)
 		p.held(true)
 		p.Mark()
 		p.Restart(p.Zones[1]...)
@@ -274,7 +299,7 @@
 
 // oneWay has a delegate, the issuer or another one, not be heard by other zones, or not hear them.
 func oneWay(p *play, receives bool) {
-	d := p.Delegates(1, zone.Delegates)[p.seed%zone.Delegates : p.seed%zone.Delegates+1]
+	d := p.Delegates(1, zonedirectory.Delegates)[p.seed%zonedirectory.Delegates : p.seed%zonedirectory.Delegates+1]
 	rest := p.MembersOf([]int{0, 2, 3, 4})
 	if receives {
 		p.Apart(d, rest)
@@ -297,7 +322,11 @@
 	in, out := p.In(0), p.Outside(0)
 	p.Cut(in, out, from)
 	p.Cut(out, in, to)
-	p.within(countTime, "both sides hold the other unknown", func() bool { return p.Hold(in, out, zone.Unknown) && p.Hold(out, in, zone.Unknown) })
+	p.within(
+		countTime,
+		"both sides hold the other unknown",
+		func() bool { return p.Hold(in, out, zonedirectory.Unknown) && p.Hold(out, in, zonedirectory.Unknown) },
+	)
 	p.Crash(p.Zones[out[0]][3])
 	p.within(countTime, "all count the rest of their side", func() bool {
 		return p.count(in, len(p.MembersOf(in)))() && p.count(out, len(p.MembersOf(out))-1)()
@@ -381,8 +410,8 @@
 	}
 }
 
-// What the bounds are for is found: delegates that each chooses by itself cost more than a fleet has at rest, and summaries of which
-// the last to come stands let the count and the states go back and forth.
+// What the bounds are for is found: delegates that each chooses by itself cost more than a fleet has at rest, and
+// summaries of which the last to come stands let the count and the states go back and forth.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, plant := range Plants {
 		t.Run(name, func(t *testing.T) {
@@ -396,7 +425,14 @@
 				costly := most > atRest
 				f.Crash(f.Zones[1][2])
 				took := f.Until(countTime, f.Whole)
-				t.Logf("seed %d: %.0f bytes a second, %v until all count the rest, %d issuers, %d flaps", seed, most, took, f.Issuers, f.Flaps)
+				t.Logf(
+					"seed %d: %.0f bytes a second, %v until all count the rest, %d issuers, %d flaps",
+					seed,
+					most,
+					took,
+					f.Issuers,
+					f.Flaps,
+				)
 				if costly || took >= countTime {
 					return
 				}
@@ -406,14 +442,19 @@
 	}
 }
 
-// A region that is cut off for longer than its members are known is forgotten, by both sides, and found again by the seeds.
+// A region that is cut off for longer than its members are known is forgotten, by both sides, and found again by
+// the seeds.
 func TestForgottenAndFoundAgain(t *testing.T) {
 	p := begin(t, small, 1)
 	in, out := p.In(0), p.Outside(0)
 	p.Cut(in, out, true)
 	p.Cut(out, in, true)
 	p.For(640 * time.Second)
-	p.within(0, "both sides have forgotten the other", func() bool { return p.Hold(in, out, 0) && p.Hold(out, in, 0) })
+	p.within(
+		0,
+		"both sides have forgotten the other",
+		func() bool { return p.Hold(in, out, 0) && p.Hold(out, in, 0) },
+	)
 	p.Mark()
 	p.Cut(in, out, false)
 	p.Cut(out, in, false)
--- a/lab/sshchan/sshchan.go
+++ b/lab/sshchan/sshchan.go
@@ -1,6 +1,7 @@
-// Package sshchan speaks multiplexed channels for the laboratory's clients and nodes, from docs/protocol/channels.md and
-// the RFCs alone: its messages are written and read by golang.org/x/crypto/ssh, and it shares no code with the balancer.
-// It blocks, has goroutines, and is made to be simple; a peer that it talks to must keep the rules.
+// Package sshchan speaks multiplexed channels for the laboratory's clients and nodes, from
+// docs/protocol/channels.md and the RFCs alone: its messages are written and read by golang.org/x/crypto/ssh, and
+// it shares no code with the balancer. It blocks, has goroutines, and is made to be simple; a peer that it talks to
+// must keep the rules.
 package sshchan
 
 import (
@@ -168,7 +169,14 @@
 }
 
 func newConn(raw net.Conn, rd *bufio.Reader, server bool, window uint32) *Conn {
-	c := &Conn{raw: raw, rd: rd, server: server, window: window, chans: map[uint32]*Channel{}, accept: make(chan *Channel, 4096)}
+	c := &Conn{
+		raw:    raw,
+		rd:     rd,
+		server: server,
+		window: window,
+		chans:  map[uint32]*Channel{},
+		accept: make(chan *Channel, 4096),
+	}
 	c.wr.L = &c.mu
 	return c
 }
@@ -516,7 +524,8 @@
 	}
 	n := copy(b, ch.in)
 	ch.in = ch.in[n:]
-	if given := ch.c.window - ch.window - uint32(len(ch.in)); given >= ch.c.window/2 && !ch.hold && ch.err == nil && !ch.sent {
+	if given := ch.c.window - ch.window - uint32(len(ch.in)); given >= ch.c.window/2 && !ch.hold && ch.err == nil &&
+		!ch.sent {
 		ch.window += given
 		if err := ch.c.write(ssh.Marshal(adjustMsg{ch.peer, given})); err != nil {
 			return n, nil // the end shows with the next
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the emulated session store: one service that every index node calls for a connection that is new to
-// it. It serves calls one after another at a given rate, and fails those that have waited too long. It speaks lines over
-// TCP: "CALL ID" is answered "OK ID" or "NO ID".
+// Package store is the emulated session store: one service that every index node calls for a connection that is new
+// to it. It serves calls one after another at a given rate, and fails those that have waited too long. It speaks
+// lines over TCP: "CALL ID" is answered "OK ID" or "NO ID".
 package store
 
 import (
