--- a/Makefile
+++ b/Makefile
@@ -6,13 +6,17 @@
 build:
 	mkdir -p bin && go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# All but what KNOWN-RED.txt lists, which has to fail: see .ci/test.
+# All but what KNOWN-RED.txt lists, which has to fail: see .ci/test. What the tests need beside Go, .ci/setup installs or names.
 test:
+	.ci/setup
 	.ci/test
 
+# The linters and formatters of .golangci.yml, in the version that tools/go.mod pins.
 lint:
-	test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go vet ./...
+	cd tools && go build -o ../bin/tools/ tool
+	bin/tools/golangci-lint fmt --diff
+	bin/tools/golangci-lint run ./...
 
 # The balancer in front of two toy servers, with the toy discovery; see example/README.md.
 run: build
--- a/cmd/spurspread-lab/main.go
+++ b/cmd/spurspread-lab/main.go
@@ -93,13 +93,13 @@
 	return nil
 }
 
-// playable is an experiment of any kind.
-type playable interface {
+// runner is an experiment of any kind.
+type runner interface {
 	Run(ctx context.Context, o experiment.Options) (*report.Report, error)
 }
 
 // find finds an experiment by its name, and what it is about.
-func find(name string) (playable, string, error) {
+func find(name string) (runner, string, error) {
 	if slices.Contains(members.Names(), name) {
 		t, err := members.Find(name)
 		return t, string(t.About), err
@@ -170,11 +170,11 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	return c.tell(s, all)
+	return c.writeReport(s, all)
 }
 
-// tell prints and keeps what was measured.
-func (c *runCmd) tell(s *streams, all report.Repeats) error {
+// writeReport prints and keeps what was measured.
+func (c *runCmd) writeReport(s *streams, all report.Repeats) error {
 	var err error
 	if len(all) > 1 {
 		err = all.Table(s.out)
@@ -223,15 +223,15 @@
 	}
 	build := simulation.Members(3)
 	if c.Way != "" {
-		if build = simulation.Ways[c.Way]; build == nil {
+		if build = simulation.Alternatives[c.Way]; build == nil {
 			return fmt.Errorf("no way %q", c.Way)
 		}
 	}
 	if c.Plant != "" {
-		if simulation.Plants[c.Plant] == nil {
+		if simulation.Faults[c.Plant] == nil {
 			return fmt.Errorf("no fault %q", c.Plant)
 		}
-		build = simulation.Planted(c.Plant, build)
+		build = simulation.WithFault(c.Plant, build)
 	}
 	var log func(string, ...any)
 	if c.Log {
@@ -278,7 +278,7 @@
 		all = append(all, got...)
 	}
 	if c.Out != "" {
-		if err := keepPlays(c.Out, all); err != nil {
+		if err := writePlays(c.Out, all); err != nil {
 			return err
 		}
 	}
@@ -306,8 +306,8 @@
 	)
 }
 
-// keepPlays writes a row for each play.
-func keepPlays(path string, all []*scenario.Result) error {
+// writePlays writes a row for each play.
+func writePlays(path string, all []*scenario.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -26,12 +26,12 @@
 
 // scaleFlags are the flags of scale runs.
 type scaleFlags struct {
-	Members int           `help:"Balancers of the fleet, real ones among them; 0: each of the run's sizes in turn."`
-	Regions int           `help:"Regions that zones are laid out in; 0: the run's own number."`
-	Zones   int           `help:"Zones of all regions together; 0: the run's own number."`
-	Flat    bool          `help:"One membership for all, without zones."`
-	Loss    float64       `help:"Part of the datagrams between regions that is lost for the whole run, such as 0.05."`
-	Cut     time.Duration `help:"How long each cut lasts; 0: as long as the bounds ask for."`
+	Members   int           `help:"Balancers of the fleet, real ones among them; 0: each of the run's sizes in turn."`
+	Regions   int           `help:"Regions that zones are laid out in; 0: the run's own number."`
+	Zones     int           `help:"Zones of all regions together; 0: the run's own number."`
+	Flat      bool          `help:"One membership for all, without zones."`
+	Loss      float64       `help:"Part of the datagrams between regions that is lost for the whole run, such as 0.05."`
+	Partition time.Duration `name:"cut" help:"How long each cut lasts; 0: as long as the bounds ask for."`
 }
 
 // given are the flags as they were written, each with a blank before it.
@@ -50,14 +50,14 @@
 	if f.Loss != 0 {
 		out += fmt.Sprintf(" --loss %v", f.Loss)
 	}
-	if f.Cut != 0 {
-		out += fmt.Sprintf(" --cut %v", f.Cut)
+	if f.Partition != 0 {
+		out += fmt.Sprintf(" --cut %v", f.Partition)
 	}
 	return out
 }
 
 // give hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
-func (f scaleFlags) give(e playable, name, plant string) error {
+func (f scaleFlags) give(e runner, name, plant string) error {
 	ofScale := slices.Contains(scale.Plants, scale.Plant(plant))
 	s, is := e.(*scaleRun)
 	switch {
@@ -87,13 +87,13 @@
 	return s.Play(
 		ctx,
 		scale.Options{
-			Options: o,
-			Members: s.Members,
-			Regions: s.Regions,
-			Zones:   s.Zones,
-			Flat:    s.Flat,
-			Cut:     s.Cut,
-			Loss:    s.Loss,
+			Options:       o,
+			Members:       s.Members,
+			Regions:       s.Regions,
+			Zones:         s.Zones,
+			Flat:          s.Flat,
+			PartitionTime: s.Partition,
+			Loss:          s.Loss,
 		},
 	)
 }
--- a/cmd/spurspread-sim/main.go
+++ b/cmd/spurspread-sim/main.go
@@ -23,8 +23,8 @@
 // host keeps the balancers by instance, and the lists of servers that updates refer to.
 type host struct {
 	balancers map[uint16]*decision.Balancer
-	pages     [16][]decision.Entry
-	known     [16]bool
+	lists     [16][]decision.ServerEntry
+	listKnown [16]bool
 	reply     simwire.Reply
 	actions   []decision.Action
 }
@@ -40,21 +40,21 @@
 		if err != nil {
 			return err
 		}
-		if err := h.batch(b); err != nil {
+		if err := h.handleBatch(b); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
-			return fmt.Errorf("batch %d: reply: %w", b.Seq, err)
+			return fmt.Errorf("batch %d: reply: %w", b.Sequence, err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("batch %d: reply: %w", b.Seq, err)
+			return fmt.Errorf("batch %d: reply: %w", b.Sequence, err)
 		}
 	}
 }
 
-// batch hands each record to the instance that it is for and collects the actions, instance by instance.
-func (h *host) batch(b simwire.Batch) error {
-	h.reply.Begin(b.Seq)
+// handleBatch hands each record to the instance that it is for and collects the actions, instance by instance.
+func (h *host) handleBatch(b simwire.Batch) error {
+	h.reply.Begin(b.Sequence)
 	h.actions = h.actions[:0]
 	who, targeted := uint16(0), false
 	for i := range b.Count {
@@ -63,23 +63,23 @@
 			return err
 		}
 		switch rec.Kind {
-		case simwire.Target:
+		case simwire.SelectInstance:
 			if err := h.flush(who); err != nil {
 				return err
 			}
-			who, targeted = rec.Who, true
+			who, targeted = rec.Instance, true
 			continue
-		case simwire.Census:
-			h.pages[rec.Page], h.known[rec.Page] = rec.Entries, true
+		case simwire.ServerList:
+			h.lists[rec.ListNumber], h.listKnown[rec.ListNumber] = rec.Entries, true
 			continue
 		}
 		if !targeted {
 			err = errors.New("no instance was named before it")
 		} else {
-			err = h.record(who, b.Now, rec)
+			err = h.handleRecord(who, b.Now, rec)
 		}
 		if err != nil {
-			return fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
+			return fmt.Errorf("batch %d, record %d: %w", b.Sequence, i, err)
 		}
 	}
 	return h.flush(who)
@@ -91,17 +91,17 @@
 	return err
 }
 
-func (h *host) record(who uint16, now decision.Micros, rec simwire.Record) error {
+func (h *host) handleRecord(who uint16, now decision.Micros, rec simwire.Record) error {
 	switch rec.Kind {
-	case simwire.Boot:
+	case simwire.Start:
 		s, err := settings.ParseText(rec.Text)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", who, err)
 		}
 		h.actions = h.actions[:0]
-		h.balancers[who] = decision.New(s.Logic, rec.Seed, now)
+		h.balancers[who] = decision.New(s.Decision, rec.Seed, now)
 		return nil
-	case simwire.PowerOff:
+	case simwire.Stop:
 		// What the instance decided earlier in this batch dies with it.
 		delete(h.balancers, who)
 		h.actions = h.actions[:0]
@@ -114,13 +114,13 @@
 		return fmt.Errorf("instance %d was not started", who)
 	}
 	ev := rec.Event
-	if rec.Kind == simwire.Update {
-		u := decision.Update{Kind: rec.List}
-		if rec.List != decision.Failed {
-			if !h.known[rec.Page] {
-				return fmt.Errorf("list %d was never sent", rec.Page)
+	if rec.Kind == simwire.ListUpdate {
+		u := decision.ServerListUpdate{Kind: rec.ListKind}
+		if rec.ListKind != decision.UpdateFailed {
+			if !h.listKnown[rec.ListNumber] {
+				return fmt.Errorf("list %d was never sent", rec.ListNumber)
 			}
-			u.Entries = h.pages[rec.Page]
+			u.Entries = h.lists[rec.ListNumber]
 		}
 		ev = u
 	}
--- a/cmd/spurspread/crowd_test.go
+++ b/cmd/spurspread/crowd_test.go
@@ -25,7 +25,7 @@
 func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const most = 160
 	clients, away := freePort(t), freePort(t)
-	path, _ := configured(t, append(nodes(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", away,
+	path, _ := configured(t, append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", away,
 		`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, most))...)
 	p := start(t, "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	peak := 0
@@ -57,7 +57,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // only so that a fault ends the test
-	if call := asked(t, ln.(*net.TCPListener)); !strings.HasPrefix(call, "GET ") {
+	if call := acceptDiscoveryRequest(t, ln.(*net.TCPListener)); !strings.HasPrefix(call, "GET ") {
 		t.Errorf("%q came to discovery", call)
 	}
 }
--- a/cmd/spurspread/fleet.go
+++ b/cmd/spurspread/fleet.go
@@ -23,29 +23,33 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lookUpEvery is how often the seeds' names are looked up again, and lookUpTime how long that may take.
+// seedLookupInterval is how often the seeds' names are looked up again, and lookUpTime how long that may take.
 const (
-	lookUpEvery = 30 * time.Second
-	lookUpTime  = 5 * time.Second
+	seedLookupInterval = 30 * time.Second
+	seedLookupTimeout  = 5 * time.Second
 )
 
-// foundTime is in which members have mostly found each other.
-const foundTime = 5 * time.Second
+// joinSettleTime is in which members have mostly found each other.
+const joinSettleTime = 5 * time.Second
 
-// fleet is what the process has of membership; nil where the site file does not turn it on.
-type fleet struct {
+// fleetMember is what the process has of membership; nil where the site file does not turn it on.
+type fleetMember struct {
 	host *peer.Host
 	rack string
 	stop context.CancelFunc
 }
 
-// memberConfig is what a member is started with, nil where it is off.
-func memberConfig(s *siteconfig.Site, name string, seed uint64) (*peer.Config, error) {
-	f := s.Fleet
+// peerConfig is what a member is started with, nil where it is off.
+func peerConfig(s *siteconfig.Site, name string, seed uint64) (*peer.Config, error) {
+	f := s.Membership
 	if f == nil {
 		return nil, nil
 	}
-	cfg := &peer.Config{Name: cmp.Or(string(f.Member), name), Seed: seed, Reach: map[string]netip.AddrPort{}}
+	cfg := &peer.Config{
+		Name:             cmp.Or(string(f.Member), name),
+		RandomSeed:       seed,
+		AddressOverrides: map[string]netip.AddrPort{},
+	}
 	if cfg.Name == "" || len(cfg.Name) > packet.MaxName {
 		return nil, fmt.Errorf(
 			"fleet: a member's name of 1 to %d characters is needed, not %q",
@@ -55,27 +59,27 @@
 	}
 	var keys []packet.Key
 	for _, k := range f.Keys.Key {
-		keys = append(keys, packet.Key{Secret: k.Secret, Seals: k.Use == "mint"})
+		keys = append(keys, packet.Key{Secret: k.Secret, Primary: k.Use == "mint"})
 	}
 	var err error
-	if cfg.Ring, err = packet.NewRing(keys); err != nil {
+	if cfg.Keyring, err = packet.NewKeyring(keys); err != nil {
 		return nil, err
 	}
-	if cfg.Site, err = placed(f); err != nil {
+	if cfg.Site, err = localSite(f); err != nil {
 		return nil, err
 	}
 	if cfg.Listen, err = netip.ParseAddrPort(string(f.Listen)); err != nil {
 		return nil, fmt.Errorf("fleet: listen %q is not an address and port", f.Listen)
 	}
-	if f.Tells != "" {
-		if cfg.Tells, err = netip.ParseAddrPort(string(f.Tells)); err != nil {
-			return nil, fmt.Errorf("fleet: tells %q is not an address and port", f.Tells)
+	if f.Advertise != "" {
+		if cfg.Advertise, err = netip.ParseAddrPort(string(f.Advertise)); err != nil {
+			return nil, fmt.Errorf("fleet: tells %q is not an address and port", f.Advertise)
 		}
 	}
-	if f.Reach != nil {
-		for _, m := range f.Reach.Member {
-			if cfg.Reach[string(m.Name)], err = netip.ParseAddrPort(string(m.At)); err != nil {
-				return nil, fmt.Errorf("fleet: %q is not an address and port", m.At)
+	if f.Overrides != nil {
+		for _, m := range f.Overrides.Member {
+			if cfg.AddressOverrides[string(m.Name)], err = netip.ParseAddrPort(string(m.Address)); err != nil {
+				return nil, fmt.Errorf("fleet: %q is not an address and port", m.Address)
 			}
 		}
 	}
@@ -86,11 +90,11 @@
 func joinFleet(
 	l *eventloop.Loop,
 	cfg *peer.Config,
-	own *siteconfig.Fleet,
-	r *proxy.Relay,
+	own *siteconfig.Membership,
+	r *proxy.Proxy,
 	log *logrus.Logger,
-) (*fleet, error) {
-	cfg.Changed = r.Fleet
+) (*fleetMember, error) {
+	cfg.OnTick = r.SetFleet
 	host, err := peer.Start(l, *cfg, log)
 	if err != nil {
 		return nil, err
@@ -98,25 +102,25 @@
 	ctx, stop := context.WithCancel(context.Background())
 	// What reading the file and finding the others took, two megabytes and the pages of the program for it, nothing
 	// needs again.
-	l.After(eventloop.Micros(foundTime.Microseconds()), func() {
+	l.After(eventloop.Micros(joinSettleTime.Microseconds()), func() {
 		debug.FreeOSMemory()
 		releasePages()
 	})
-	go lookUp(ctx, own.Seeds.Seed, func(addrs []netip.AddrPort) { l.Post(func() { host.Seeds(addrs) }) })
-	return &fleet{host, string(own.Rack), stop}, nil
+	go resolveSeeds(ctx, own.Seeds.Seed, func(addrs []netip.AddrPort) { l.Post(func() { host.SetSeeds(addrs) }) })
+	return &fleetMember{host, string(own.Rack), stop}, nil
 }
 
-// lookUp finds the seeds' addresses, again and again, outside the loop. A name that can't be found is left out
+// resolveSeeds finds the seeds' addresses, again and again, outside the loop. A name that can't be found is left out
 // until it can.
-func lookUp(ctx context.Context, seeds []*siteconfig.Seed, found func([]netip.AddrPort)) {
+func resolveSeeds(ctx context.Context, seeds []*siteconfig.Seed, found func([]netip.AddrPort)) {
 	for {
 		var all []netip.AddrPort
 		for _, s := range seeds {
-			host, port, err := net.SplitHostPort(string(s.At))
+			host, port, err := net.SplitHostPort(string(s.Address))
 			if err != nil {
 				continue
 			}
-			limited, cancel := context.WithTimeout(ctx, lookUpTime)
+			limited, cancel := context.WithTimeout(ctx, seedLookupTimeout)
 			ips, err := net.DefaultResolver.LookupNetIP(limited, "ip", host)
 			cancel()
 			number, err2 := net.DefaultResolver.LookupPort(ctx, "udp", port)
@@ -131,89 +135,89 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookUpEvery):
+		case <-time.After(seedLookupInterval):
 		}
 	}
 }
 
-// manage answers what is asked of the fleet, and leaves all else to the relay.
-func (f *fleet) manage(next func(lifecycle.Call) string) func(lifecycle.Command) string {
+// handleAdmin answers what is asked of the fleet, and leaves all else to the relay.
+func (f *fleetMember) handleAdmin(next func(lifecycle.CommandKind) string) func(lifecycle.Command) string {
 	return func(c lifecycle.Command) string {
 		switch {
-		case f != nil && c.Call == lifecycle.Members:
-			text, err := json.Marshal(f.told())
+		case f != nil && c.Kind == lifecycle.CommandMembers:
+			text, err := json.Marshal(f.report())
 			if err != nil {
 				return "-ERR " + err.Error()
 			}
 			return "+OK " + string(text)
-		case f != nil && c.Call == lifecycle.Record:
-			return f.publish(c.Name, c.Value)
+		case f != nil && c.Kind == lifecycle.CommandRecord:
+			return f.publish(c.RecordName, c.RecordValue)
 		}
-		return next(c.Call)
+		return next(c.Kind)
 	}
 }
 
-// told is what MEMBERS answers.
-func (f *fleet) told() view {
+// report is what MEMBERS answers.
+func (f *fleetMember) report() membersReport {
 	now := time.Now()
-	v := view{
-		Doubts:    f.host.Doubts(),
-		Divisor:   f.host.Divisor(),
-		Counts:    f.host.Counts(),
-		Rack:      f.rack,
-		ZonesTold: f.zonesTold(),
+	v := membersReport{
+		Degraded:    f.host.Unhealthy(),
+		Divisor:     f.host.RateDivisor(),
+		Counts:      f.host.Counts(),
+		Rack:        f.rack,
+		ZonesReport: f.zonesReport(),
 	}
 	for _, m := range f.host.View() {
-		one := memberTold{
-			Name: m.Name, Addr: m.Addr.String(), State: m.State.String(), Incarnation: m.Inc, RTTMicros: int64(m.RTT),
-			LostOut: m.Out, LostIn: m.In,
+		one := memberReport{
+			Name: m.Name, Addr: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation, RTTMicros: int64(m.RTT),
+			LostOut: m.OutboundLoss, LostIn: m.InboundLoss,
 		}
 		if m.Since > 0 {
 			one.SinceMillis = now.UnixMilli() - int64(m.Since/1000)
 		}
-		if m.Heard > 0 {
-			one.HeardMillis = now.UnixMilli() - int64(m.Heard/1000)
+		if m.LastContact > 0 {
+			one.LastReceivedMillis = now.UnixMilli() - int64(m.LastContact/1000)
 		}
 		v.Members = append(v.Members, one)
 	}
 	return v
 }
 
-// rekey takes the keys of a site file that was read again; all else of its fleet holds until the process ends.
-func (f *fleet) rekey(cfg *peer.Config) {
+// rotateKeys takes the keys of a site file that was read again; all else of its fleet holds until the process ends.
+func (f *fleetMember) rotateKeys(cfg *peer.Config) {
 	if f != nil && cfg != nil {
-		f.host.Rekey(cfg.Ring)
+		f.host.SetKeyring(cfg.Keyring)
 	}
 }
 
 // leave has the fleet told that this member goes.
-func (f *fleet) leave() {
+func (f *fleetMember) leave() {
 	if f != nil {
 		f.host.Leave()
 		f.stop()
 	}
 }
 
-// view is the fleet as a member tells it on the management address. The first member is that member itself.
-type view struct {
-	Doubts  bool         `json:"doubts"`
-	Divisor float64      `json:"divisor"`
-	Members []memberTold `json:"members"`
-	Counts  peer.Counts  `json:"counts"`
-	Rack    string       `json:"rack,omitempty"`
-	*ZonesTold
+// membersReport is the fleet as a member tells it on the management address. The first member is that member itself.
+type membersReport struct {
+	Degraded bool           `json:"doubts"`
+	Divisor  float64        `json:"divisor"`
+	Members  []memberReport `json:"members"`
+	Counts   peer.Counts    `json:"counts"`
+	Rack     string         `json:"rack,omitempty"`
+	*ZonesReport
 }
 
-type memberTold struct {
-	Name        string  `json:"name"`
-	Addr        string  `json:"addr"`
-	State       string  `json:"state"`
-	Incarnation uint64  `json:"incarnation"`
-	SinceMillis int64   `json:"since_ms"`
-	HeardMillis int64   `json:"heard_ms"`
-	RTTMicros   int64   `json:"rtt_us"`
-	LostOut     float64 `json:"lost_out"`
-	LostIn      float64 `json:"lost_in"`
+type memberReport struct {
+	Name               string  `json:"name"`
+	Addr               string  `json:"addr"`
+	State              string  `json:"state"`
+	Incarnation        uint64  `json:"incarnation"`
+	SinceMillis        int64   `json:"since_ms"`
+	LastReceivedMillis int64   `json:"heard_ms"`
+	RTTMicros          int64   `json:"rtt_us"`
+	LostOut            float64 `json:"lost_out"`
+	LostIn             float64 `json:"lost_in"`
 }
 
 type membersCmd struct {
@@ -233,7 +237,7 @@
 
 // Run asks and prints.
 func (c membersCmd) Run(s *streams) error {
-	answer, err := askMgmt(c.Mgmt, "MEMBERS")
+	answer, err := callAdmin(c.Mgmt, "MEMBERS")
 	if err != nil {
 		return err
 	}
@@ -241,20 +245,20 @@
 		_, err = fmt.Fprintln(s.out, answer)
 		return err
 	}
-	var v view
+	var v membersReport
 	if err := json.Unmarshal([]byte(answer), &v); err != nil {
 		return fmt.Errorf("%s answered something else than a view: %w", c.Mgmt, err)
 	}
-	if v.Doubts {
+	if v.Degraded {
 		_, _ = fmt.Fprintln(s.out, "this member doubts itself: it was paused, or hears nobody")
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "member\tstate\tsince\tincarnation\theard\tround trip\tlost out\tlost back\taddress")
 	for i, m := range v.Members {
-		since, heard, rtt := span(
+		since, heard, rtt := ageText(
 			m.SinceMillis,
-		)+" ago", span(
-			m.HeardMillis,
+		)+" ago", ageText(
+			m.LastReceivedMillis,
 		)+" ago", fmt.Sprintf(
 			"%.1f ms",
 			float64(m.RTTMicros)/1000,
@@ -282,18 +286,18 @@
 	return v.printZones(s.out)
 }
 
-func span(millis int64) string {
+func ageText(millis int64) string {
 	return (time.Duration(millis) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// askMgmt makes a call of a management address, and returns what stands behind +OK.
-func askMgmt(at, call string) (string, error) {
-	c, err := net.DialTimeout("tcp", at, lookUpTime)
+// callAdmin makes a call of a management address, and returns what stands behind +OK.
+func callAdmin(at, call string) (string, error) {
+	c, err := net.DialTimeout("tcp", at, seedLookupTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(lookUpTime))
+	_ = c.SetDeadline(time.Now().Add(seedLookupTimeout))
 	if _, err := fmt.Fprint(c, call, "\r\n"); err != nil {
 		return "", err
 	}
--- a/cmd/spurspread/lists.go
+++ b/cmd/spurspread/lists.go
@@ -13,49 +13,49 @@
 	"github.com/tidwall/gjson"
 )
 
-// inherit has the process start from what discovery told the one that still serves on the same address, where that
+// inheritServerList has the process start from what discovery told the one that still serves on the same address, where that
 // is newer than the list in the configuration. Nothing depends on it: what can't be used is as if it were not
 // there.
-func (serve) inherit(cfg *proxy.Config, log *logrus.Logger) {
-	l, err := restartproto.ReadList(restartproto.ListPath(os.TempDir(), cfg.Listen))
-	if err != nil || !restartproto.Inherits(l, os.Getpid(), cfg.Listen, cfg.Discovery, alive) {
+func (serve) inheritServerList(cfg *proxy.Config, log *logrus.Logger) {
+	l, err := restartproto.ReadServerList(restartproto.ServerListPath(os.TempDir(), cfg.Listen))
+	if err != nil || !restartproto.CanInherit(l, os.Getpid(), cfg.Listen, cfg.Discovery, processAlive) {
 		return
 	}
-	told, err := discovery.NewTable().Apply(l.List)
-	if err != nil || told.Generation <= gjson.GetBytes(cfg.Known, "generation").Uint() {
+	told, err := discovery.NewServerList().Apply(l.Snapshot)
+	if err != nil || told.Generation <= gjson.GetBytes(cfg.CachedList, "generation").Uint() {
 		return
 	}
-	cfg.Known = l.List
-	log.WithField(logging.Count, len(told.Targets)).Info("takes over what discovery told the process before this one")
+	cfg.CachedList = l.Snapshot
+	log.WithField(logging.Count, len(told.Servers)).Info("takes over what discovery told the process before this one")
 }
 
-// lists writes what discovery told into its file, on a goroutine of its own: the loop never waits for it. Of lists
+// serverListWriter writes what discovery told into its file, on a goroutine of its own: the loop never waits for it. Of lists
 // that come faster than they are written only the last is.
-type lists struct {
-	log  *logrus.Logger
-	last chan restartproto.List // the one to be written next
-	done sync.WaitGroup
-	path string
-	own  restartproto.List // what all of them say of this process
+type serverListWriter struct {
+	log      *logrus.Logger
+	pending  chan restartproto.ServerList // the one to be written next
+	done     sync.WaitGroup
+	path     string
+	template restartproto.ServerList // what all of them say of this process
 }
 
-func newLists(log *logrus.Logger) *lists {
-	return &lists{log: log, last: make(chan restartproto.List, 1)}
+func newServerListWriter(log *logrus.Logger) *serverListWriter {
+	return &serverListWriter{log: log, pending: make(chan restartproto.ServerList, 1)}
 }
 
 // start begins to write for the clients' address; what was kept before is written now.
-func (w *lists) start(listen netip.AddrPort) {
-	w.path, w.own = restartproto.ListPath(
+func (w *serverListWriter) start(listen netip.AddrPort) {
+	w.path, w.template = restartproto.ServerListPath(
 		os.TempDir(),
 		listen,
-	), restartproto.List{
+	), restartproto.ServerList{
 		PID:    os.Getpid(),
 		Listen: listen.String(),
 	}
 	w.done.Go(func() {
 		told := false
-		for l := range w.last {
-			if err := restartproto.WriteList(w.path, l); err != nil && !told {
+		for l := range w.pending {
+			if err := restartproto.WriteServerList(w.path, l); err != nil && !told {
 				w.log.WithError(err).Warn("what discovery tells is not kept for a new version")
 				told = true
 			}
@@ -63,25 +63,25 @@
 	})
 }
 
-// keep is called on the loop only.
-func (w *lists) keep(discovery netip.AddrPort, list []byte) {
-	l := w.own
-	l.Discovery, l.List = discovery.String(), list
+// save is called on the loop only.
+func (w *serverListWriter) save(discovery netip.AddrPort, list []byte) {
+	l := w.template
+	l.Discovery, l.Snapshot = discovery.String(), list
 	select {
-	case <-w.last:
+	case <-w.pending:
 	default:
 	}
-	w.last <- l // there is room: nobody else puts one in
+	w.pending <- l // there is room: nobody else puts one in
 }
 
 // close writes what is left, and removes the file if it is still this process's: nobody is to start from it later.
-func (w *lists) close() {
-	close(w.last)
+func (w *serverListWriter) close() {
+	close(w.pending)
 	w.done.Wait()
 	if w.path == "" {
 		return
 	}
-	if l, err := restartproto.ReadList(w.path); err == nil && l.PID == os.Getpid() {
+	if l, err := restartproto.ReadServerList(w.path); err == nil && l.PID == os.Getpid() {
 		_ = os.Remove(w.path)
 	}
 }
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -53,9 +53,9 @@
 	return path, text
 }
 
-// nodes are index nodes in place of the example's, and the pairs that put them there; asked hears of each first
+// startServers are index nodes in place of the example's, and the pairs that put them there; asked hears of each first
 // line, with the node's number.
-func nodes(t *testing.T, asked func(node int, first string)) (pairs []string) {
+func startServers(t *testing.T, asked func(node int, first string)) (pairs []string) {
 	t.Helper()
 	for i, at := range []string{"127.0.0.1:9001", "127.0.0.1:9002"} {
 		ln := listener(t)
@@ -70,8 +70,8 @@
 	return pairs
 }
 
-// withMgmt adds $GW_MGMT to what getenv tells.
-func withMgmt(getenv func(string) string, addr string) func(string) string {
+// withAdminAddr adds $GW_MGMT to what getenv tells.
+func withAdminAddr(getenv func(string) string, addr string) func(string) string {
 	return func(name string) string {
 		if name == "GW_MGMT" {
 			return addr
@@ -94,8 +94,8 @@
 		"rules.cold: missing":                             env(t, `"cold": 23000000`, `"warm": 1`),
 		"known: discovery's list is":                      env(t, `"generation": 1`, `"generation": "x"`),
 		"listen on 192.0.2.1:8081":                        env(t, "127.0.0.1:8081", "192.0.2.1:8081"),
-		"management address: listen on 192.0.2.1:9901":    withMgmt(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "192.0.2.1:9901"),
-		`management address "9901" is not an address`:     withMgmt(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "9901"),
+		"management address: listen on 192.0.2.1:9901":    withAdminAddr(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "192.0.2.1:9901"),
+		`management address "9901" is not an address`:     withAdminAddr(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "9901"),
 	} {
 		var out, said bytes.Buffer
 		code := run(
@@ -129,8 +129,8 @@
 	return ln
 }
 
-// asked takes the next call that comes to discovery.
-func asked(t *testing.T, ln *net.TCPListener) string {
+// acceptDiscoveryRequest takes the next call that comes to discovery.
+func acceptDiscoveryRequest(t *testing.T, ln *net.TCPListener) string {
 	t.Helper()
 	c, err := ln.Accept()
 	if err != nil {
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := asked(t, was); !strings.Contains(got, "index=1 ") {
+	if got := acceptDiscoveryRequest(t, was); !strings.Contains(got, "index=1 ") {
 		t.Errorf("asked %q", got)
 	}
 	c, err := net.Dial("tcp", addr)
@@ -213,7 +213,7 @@
 	keyed("two")
 	signal(unix.SIGHUP)
 	// The versions of the new address may be its own, so the whole list is asked for.
-	if got := asked(t, is); !strings.Contains(got, "index=0 ") {
+	if got := acceptDiscoveryRequest(t, is); !strings.Contains(got, "index=0 ") {
 		t.Errorf("asked %q", got)
 	}
 	answers()
@@ -289,11 +289,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ring, err := ringOf(&s.Resume.Keys)
+	ring, err := tokenRing(&s.Resume.Keys)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := ring.Seal(nil, &token.Token{Top: 41, Class: []byte("sync"), Server: []byte("s1")})
+	text := ring.Seal(nil, &token.Token{LastSequence: 41, Class: []byte("sync"), Server: []byte("s1")})
 	code, out, said := command(t, "token", "inspect", "--site="+file, string(text))
 	if code != exitOK || !strings.Contains(out, "top      41\n") ||
 		!strings.Contains(out, "server   s1, started long ago") {
@@ -347,8 +347,8 @@
 	return ""
 }
 
-// say sends one line to addr and returns the line that answers it, or what went wrong.
-func say(t *testing.T, addr, line string) string {
+// exchangeLine sends one line to addr and returns the line that answers it, or what went wrong.
+func exchangeLine(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -401,11 +401,11 @@
 		tmp := t.TempDir()
 		oldMgmt, newMgmt := freePort(t), freePort(t)
 		old := start(t, "GW_CONFIG="+path, "GW_MGMT="+oldMgmt, "TMPDIR="+tmp)
-		if got := say(t, oldMgmt, "PING\r\n"); got != "+OK serving" {
+		if got := exchangeLine(t, oldMgmt, "PING\r\n"); got != "+OK serving" {
 			t.Fatalf("old PING: %q", got)
 		}
 		start(t, "GW_CONFIG="+path, "GW_MGMT="+newMgmt, "TMPDIR="+tmp)
-		if got := say(t, newMgmt, "PING\r\n"); got != "+OK serving" {
+		if got := exchangeLine(t, newMgmt, "PING\r\n"); got != "+OK serving" {
 			t.Fatalf("new PING: %q", got)
 		}
 		if err := old.cmd.Process.Signal(unix.SIGTERM); err != nil {
@@ -419,7 +419,7 @@
 		}
 		// Were the old one still listening, about half of these would reach it and hear that it drains.
 		for i := range 40 {
-			if got := say(t, clients, "PING\r\n"); got != "PONG" {
+			if got := exchangeLine(t, clients, "PING\r\n"); got != "PONG" {
 				t.Fatalf("killed %v, client %d after the hand-over: %q", kill, i, got)
 			}
 		}
--- a/cmd/spurspread/retune_test.go
+++ b/cmd/spurspread/retune_test.go
@@ -14,7 +14,7 @@
 	clients, silent := freePort(t), listener(t)
 	path, good := configured(
 		t,
-		append(nodes(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
+		append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -70,7 +70,7 @@
 	if old, fresh := answer("index-sync"), answer("renamed"); old != "ERR\r\n" || fresh != "UP 1\r\n" {
 		t.Errorf("retuned: the old class is answered %q, the file's %q", old, fresh)
 	}
-	if err := standing.round(); err != nil {
+	if err := standing.exchange(); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -43,11 +43,11 @@
 
 // limits are what the machine gives the process, 0 where it does not say, and where the process is managed.
 type limits struct {
-	cores    float64
-	memoryMB int64
-	sockets  int
-	mgmt     netip.AddrPort // the management address; none where it is not told
-	name     string         // the balancer's
+	cores     float64
+	memoryMB  int64
+	sockets   int
+	adminAddr netip.AddrPort // the management address; none where it is not told
+	name      string         // the balancer's
 }
 
 // Run serves until it is told to stop.
@@ -56,17 +56,17 @@
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, unix.SIGTERM, unix.SIGINT, unix.SIGHUP)
 	defer signal.Stop(signals)
-	cfg, lim, own, err := c.read(s.getenv)
+	cfg, lim, own, err := c.load(s.getenv)
 	if err != nil {
 		return err
 	}
-	members, err := memberConfig(own, lim.name, cfg.Seed)
+	members, err := peerConfig(own, lim.name, cfg.Seed)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(lim.cores)))
 	lim.limitMemory()
-	out := logging.NewOutput(s.err)
+	out := logging.NewAsyncWriter(s.err)
 	defer out.Close()
 	log := logging.New(out, s.format)
 
@@ -74,26 +74,26 @@
 	if err != nil {
 		return err
 	}
-	c.inherit(&cfg, log)
-	lists := newLists(log)
+	c.inheritServerList(&cfg, log)
+	lists := newServerListWriter(log)
 	defer lists.close()
-	cfg.Keep = lists.keep
-	p := &running{serve: c, getenv: s.getenv, loop: l, log: log}
+	cfg.SaveList = lists.save
+	p := &balancerProcess{serve: c, getenv: s.getenv, loop: l, log: log}
 	if err := p.listen(cfg, lists); err != nil {
 		return errors.Join(err, l.Close())
 	}
 	if members != nil {
-		members.Expected = cfg.Settings.Logic.Balancers
-		if p.peers, err = joinFleet(l, members, own.Fleet, p.relay, log); err != nil {
+		members.ExpectedMembers = cfg.Settings.Decision.Balancers
+		if p.member, err = joinFleet(l, members, own.Membership, p.proxy, log); err != nil {
 			return errors.Join(err, l.Close())
 		}
 	}
-	if lim.mgmt.IsValid() {
-		if _, err := admin.Listen(l, lim.mgmt, p.peers.manage(p.relay.Manage)); err != nil {
+	if lim.adminAddr.IsValid() {
+		if _, err := admin.Listen(l, lim.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCall)); err != nil {
 			return errors.Join(err, l.Close())
 		}
 	}
-	go p.obey(signals)
+	go p.handleSignals(signals)
 	p.announce()
 	releasePages()
 	err = errors.Join(l.Run(), l.Close())
@@ -101,45 +101,51 @@
 	return err
 }
 
-// running is one balancer at work: the loop, and what is on it.
-type running struct {
+// balancerProcess is one balancer at work: the loop, and what is on it.
+type balancerProcess struct {
 	*serve
 	getenv func(string) string
 	loop   *eventloop.Loop
-	relay  *proxy.Relay
-	peers  *fleet // nil where membership is off
+	proxy  *proxy.Proxy
+	member *fleetMember // nil where membership is off
 	log    *logrus.Logger
 
-	addr   netip.AddrPort // where clients connect
-	note   string         // the path of the hand-over note
-	taking string         // and of the socket by which an older process hands over its connections
+	listenAddr         netip.AddrPort // where clients connect
+	announcementPath   string         // the path of the hand-over note
+	transferSocketPath string         // and of the socket by which an older process hands over its connections
 }
 
 // listen opens the clients' address, and begins to keep what discovery tells.
-func (p *running) listen(cfg proxy.Config, lists *lists) error {
+func (p *balancerProcess) listen(cfg proxy.Config, lists *serverListWriter) error {
 	var err error
-	if p.relay, err = proxy.New(p.loop, cfg, p.log); err != nil {
+	if p.proxy, err = proxy.New(p.loop, cfg, p.log); err != nil {
 		return err
 	}
 	// By the address that was bound: one with port 0 in the configuration may be many balancers'.
-	p.addr = p.relay.Addr()
-	p.note, p.taking = restartproto.Path(os.TempDir(), p.addr), restartproto.SocketPath(os.TempDir(), p.addr)
-	lists.start(p.addr)
+	p.listenAddr = p.proxy.Addr()
+	p.announcementPath, p.transferSocketPath = restartproto.AnnouncementPath(
+		os.TempDir(),
+		p.listenAddr,
+	), restartproto.SocketPath(
+		os.TempDir(),
+		p.listenAddr,
+	)
+	lists.start(p.listenAddr)
 	return nil
 }
 
-// obey does what signals ask for, outside the loop: SIGHUP reads the files again; any other hands over to the
+// handleSignals does what signals ask for, outside the loop: SIGHUP reads the files again; any other hands over to the
 // process that follows, and drains where there is none.
-func (p *running) obey(signals <-chan os.Signal) {
+func (p *balancerProcess) handleSignals(signals <-chan os.Signal) {
 	for sig := range signals {
 		if sig == unix.SIGHUP {
-			p.reload(p.getenv, p.loop, p.relay, p.peers, p.log)
-		} else if pid := successor(p.note, p.addr); pid != 0 {
-			p.loop.Post(func() { p.relay.HandOver(p.taking, pid) })
+			p.reload(p.getenv, p.loop, p.proxy, p.member, p.log)
+		} else if pid := successorPID(p.announcementPath, p.listenAddr); pid != 0 {
+			p.loop.Post(func() { p.proxy.HotRestart(p.transferSocketPath, pid) })
 		} else {
 			p.loop.Post(func() {
-				p.peers.leave()
-				p.relay.Drain()
+				p.member.leave()
+				p.proxy.Drain()
 			})
 		}
 	}
@@ -148,36 +154,36 @@
 // announce tells an older process on the same address that this one serves. Nobody needs either of its means: what
 // can't be made is logged and changes nothing else. The socket comes first, since whoever reads the note may come
 // to it.
-func (p *running) announce() {
-	if err := p.relay.TakeOver(p.taking); err != nil {
+func (p *balancerProcess) announce() {
+	if err := p.proxy.AcceptTransfers(p.transferSocketPath); err != nil {
 		p.log.WithError(err).Warn("takes no standing connections from an older process")
 	}
-	n := restartproto.Note{PID: os.Getpid(), Listen: p.addr.String(), Since: time.Now().UnixMilli()}
-	if err := restartproto.Write(p.note, n); err != nil {
+	n := restartproto.Announcement{PID: os.Getpid(), Listen: p.listenAddr.String(), Since: time.Now().UnixMilli()}
+	if err := restartproto.WriteAnnouncement(p.announcementPath, n); err != nil {
 		p.log.WithError(err).Warn("no hand-over note")
 	}
-	p.log.WithField(logging.Listen, p.relay.Addr()).Info("started")
+	p.log.WithField(logging.Listen, p.proxy.Addr()).Info("started")
 }
 
 // withdraw removes the note and the socket, where they are still this process's: nobody is to take it for a successor.
-func (p *running) withdraw() {
-	if n, err := restartproto.Read(p.note); err == nil && n.PID == os.Getpid() {
-		_ = os.Remove(p.note)
-		_ = os.Remove(p.taking)
+func (p *balancerProcess) withdraw() {
+	if n, err := restartproto.ReadAnnouncement(p.announcementPath); err == nil && n.PID == os.Getpid() {
+		_ = os.Remove(p.announcementPath)
+		_ = os.Remove(p.transferSocketPath)
 	}
 }
 
-// successor is the other process that serves on the same clients' address, by its hand-over note; 0 where there is
+// successorPID is the other process that serves on the same clients' address, by its hand-over note; 0 where there is
 // none.
-func successor(path string, listen netip.AddrPort) int {
-	n, err := restartproto.Read(path)
-	if err != nil || !restartproto.Succeeded(n, os.Getpid(), listen, alive) {
+func successorPID(path string, listen netip.AddrPort) int {
+	n, err := restartproto.ReadAnnouncement(path)
+	if err != nil || !restartproto.IsSuccessor(n, os.Getpid(), listen, processAlive) {
 		return 0
 	}
 	return n.PID
 }
 
-func alive(pid int) bool {
+func processAlive(pid int) bool {
 	err := unix.Kill(pid, 0)
 	return err == nil || errors.Is(err, unix.EPERM)
 }
@@ -186,14 +192,14 @@
 func (c *serve) reload(
 	getenv func(string) string,
 	l *eventloop.Loop,
-	r *proxy.Relay,
-	peers *fleet,
+	r *proxy.Proxy,
+	peers *fleetMember,
 	log *logrus.Logger,
 ) {
-	cfg, lim, own, err := c.read(getenv)
+	cfg, lim, own, err := c.load(getenv)
 	var members *peer.Config
 	if err == nil {
-		members, err = memberConfig(own, lim.name, cfg.Seed)
+		members, err = peerConfig(own, lim.name, cfg.Seed)
 	}
 	if err != nil {
 		log.WithField(logging.File, c.Config).
@@ -203,7 +209,7 @@
 	lim.limitMemory()
 	l.Post(func() {
 		r.Reload(cfg)
-		peers.rekey(members)
+		peers.rotateKeys(members)
 	})
 }
 
@@ -215,28 +221,28 @@
 	}
 }
 
-// read reads the configuration and the site file, which is empty where none is named.
-func (c *serve) read(getenv func(string) string) (proxy.Config, limits, *siteconfig.Site, error) {
+// load reads the configuration and the site file, which is empty where none is named.
+func (c *serve) load(getenv func(string) string) (proxy.Config, limits, *siteconfig.Site, error) {
 	own := &siteconfig.Site{}
-	cfg, lim, err := c.configure(getenv)
+	cfg, lim, err := c.loadPlatformConfig(getenv)
 	if err != nil || c.Site == "" {
 		return cfg, lim, own, err
 	}
 	if own, err = siteconfig.Load(c.Site); err != nil {
 		return cfg, lim, nil, err
 	}
-	cfg.Channels = channels(own)
-	cfg.Resume, err = resumption(own)
+	cfg.Channels = channelsConfig(own)
+	cfg.Resume, err = resumeConfig(own)
 	return cfg, lim, own, err
 }
 
-// configure reads the platform's file. The plain variables stand in for what it does not have.
-func (c *serve) configure(getenv func(string) string) (proxy.Config, limits, error) {
+// loadPlatformConfig reads the platform's file. The plain variables stand in for what it does not have.
+func (c *serve) loadPlatformConfig(getenv func(string) string) (proxy.Config, limits, error) {
 	var cfg proxy.Config
 	if c.Config == "" {
 		return cfg, limits{}, errors.New("GW_CONFIG names no configuration file")
 	}
-	text, err := readSome(c.Config)
+	text, err := readLimited(c.Config)
 	if err != nil {
 		return cfg, limits{}, fmt.Errorf("configuration: %w", err)
 	}
@@ -244,10 +250,10 @@
 	if !gjson.ValidBytes(text) || !root.IsObject() {
 		return cfg, limits{}, fmt.Errorf("configuration: %s is not a JSON object", c.Config)
 	}
-	if cfg.Listen, err = address(root, "listen", getenv("GW_LISTEN")); err != nil {
+	if cfg.Listen, err = addressSetting(root, "listen", getenv("GW_LISTEN")); err != nil {
 		return cfg, limits{}, err
 	}
-	if cfg.Discovery, err = address(root, "discovery", getenv("GW_DISCOVERY")); err != nil {
+	if cfg.Discovery, err = addressSetting(root, "discovery", getenv("GW_DISCOVERY")); err != nil {
 		return cfg, limits{}, err
 	}
 	if cfg.Settings, err = settings.ParseJSON([]byte(root.Get("settings").Raw)); err != nil {
@@ -258,38 +264,38 @@
 			return cfg, limits{}, fmt.Errorf("configuration: seed %q is not hexadecimal", seed.String())
 		}
 	}
-	cfg.Known = []byte(root.Get("known").Raw)
+	cfg.CachedList = []byte(root.Get("known").Raw)
 	lim := limits{
 		cores: root.Get("limits.cores").Float(), memoryMB: root.Get("limits.memory_mb").Int(),
 		sockets: int(root.Get("limits.sockets").Int()), name: root.Get("name").Str,
 	}
 	// $GW_MGMT comes before the file's, so that a new version beside the old one takes its own.
 	if mg := cmp.Or(getenv("GW_MGMT"), root.Get("mgmt").String()); mg != "" {
-		if lim.mgmt, err = netip.ParseAddrPort(mg); err != nil {
+		if lim.adminAddr, err = netip.ParseAddrPort(mg); err != nil {
 			return cfg, limits{}, fmt.Errorf("management address %q is not an address and port", mg)
 		}
 	}
-	cfg.Descriptors, cfg.Memory = lim.sockets, lim.memoryMB<<20
+	cfg.MaxDescriptors, cfg.MemoryLimit = lim.sockets, lim.memoryMB<<20
 	return cfg, lim, nil
 }
 
-// maxConfig bounds a configuration, with its list of some thousands of servers, in bytes.
-const maxConfig = 64 << 20
+// maxConfigBytes bounds a configuration, with its list of some thousands of servers, in bytes.
+const maxConfigBytes = 64 << 20
 
-func readSome(path string) ([]byte, error) {
+func readLimited(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	text, err := io.ReadAll(io.LimitReader(f, maxConfig+1))
-	if err == nil && len(text) > maxConfig {
-		err = fmt.Errorf("%s has over %d bytes", path, maxConfig)
+	text, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
+	if err == nil && len(text) > maxConfigBytes {
+		err = fmt.Errorf("%s has over %d bytes", path, maxConfigBytes)
 	}
 	return text, err
 }
 
-func address(root gjson.Result, name, otherwise string) (netip.AddrPort, error) {
+func addressSetting(root gjson.Result, name, otherwise string) (netip.AddrPort, error) {
 	text := root.Get(name).String()
 	if text == "" {
 		text = otherwise
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -36,10 +36,10 @@
 		_, _ = fmt.Fprintln(s.err, err)
 		return fmt.Errorf("%s can't be used", c.File)
 	}
-	if _, err := resumption(got); err != nil {
+	if _, err := resumeConfig(got); err != nil {
 		return err
 	}
-	if _, err := memberConfig(got, "a-member", 0); err != nil {
+	if _, err := peerConfig(got, "a-member", 0); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.out, "%s: site %q: %s\n", c.File, got.Name, summary(got))
@@ -49,16 +49,21 @@
 func summary(s *siteconfig.Site) string {
 	var on []string
 	if s.Resume != nil {
-		on = append(on, fmt.Sprintf("resume tokens of %v, %d keys", s.Resume.Life.Std(), len(s.Resume.Keys.Key)))
+		on = append(on, fmt.Sprintf("resume tokens of %v, %d keys", s.Resume.Lifetime.Std(), len(s.Resume.Keys.Key)))
 	}
-	if s.Fleet != nil {
+	if s.Membership != nil {
 		on = append(
 			on,
-			fmt.Sprintf("membership at %s with %d seeds%s", s.Fleet.Listen, len(s.Fleet.Seeds.Seed), place(s.Fleet)),
+			fmt.Sprintf(
+				"membership at %s with %d seeds%s",
+				s.Membership.Listen,
+				len(s.Membership.Seeds.Seed),
+				placement(s.Membership),
+			),
 		)
 	}
 	if s.Channels != nil {
-		on = append(on, fmt.Sprintf("channels (clients %v, nodes %v)", s.Channels.Clients, s.Channels.Nodes))
+		on = append(on, fmt.Sprintf("channels (clients %v, nodes %v)", s.Channels.Clients, s.Channels.Upstreams))
 	}
 	if len(on) == 0 {
 		return "nothing turned on"
@@ -66,8 +71,8 @@
 	return strings.Join(on, "; ")
 }
 
-// place says where a member stands, if it says so itself.
-func place(f *siteconfig.Fleet) (text string) {
+// placement says where a member stands, if it says so itself.
+func placement(f *siteconfig.Membership) (text string) {
 	for _, part := range []struct {
 		what string
 		name xmlconfig.Name
@@ -93,50 +98,50 @@
 	return err
 }
 
-// resumption is what the relay is told of resume tokens, nil where they are off.
-func resumption(s *siteconfig.Site) (*proxy.Resume, error) {
+// resumeConfig is what the relay is told of resume tokens, nil where they are off.
+func resumeConfig(s *siteconfig.Site) (*proxy.ResumeConfig, error) {
 	if s.Resume == nil {
 		return nil, nil
 	}
-	ring, err := ringOf(&s.Resume.Keys)
+	ring, err := tokenRing(&s.Resume.Keys)
 	if err != nil {
 		return nil, err
 	}
-	return &proxy.Resume{
-		Ring: ring, Life: s.Resume.Life.Std().Milliseconds(), Skew: s.Resume.Skew.Std().Milliseconds(),
-		Claims: s.Resume.Claims, Spread: eventloop.Micros(s.Resume.Spread.Micros()),
+	return &proxy.ResumeConfig{
+		Ring: ring, TokenLifetime: s.Resume.Lifetime.Std().Milliseconds(), ClockSkew: s.Resume.Skew.Std().Milliseconds(),
+		MaxClaims: s.Resume.MaxClaims, DrainSpread: eventloop.Micros(s.Resume.MoveSpread.Micros()),
 	}, nil
 }
 
-// channels is what the relay is told of multiplexed channels, nil where they are off.
-func channels(s *siteconfig.Site) *proxy.Channels {
+// channelsConfig is what the relay is told of multiplexed channels, nil where they are off.
+func channelsConfig(s *siteconfig.Site) *proxy.ChannelConfig {
 	c := s.Channels
 	if c == nil {
 		return nil
 	}
-	t := c.Trunks
+	t := c.UpstreamPool
 	if t == nil {
-		t = siteconfig.DefaultTrunks()
+		t = siteconfig.DefaultUpstreamPool()
 	}
-	return &proxy.Channels{
-		Clients: c.Clients, Nodes: c.Nodes, Version: version(), Most: c.Most, Opens: float64(c.Opens),
+	return &proxy.ChannelConfig{
+		Downstreams: c.Clients, Upstreams: c.Upstreams, Version: version(), MaxChannels: c.MaxChannels, OpensPerSecond: float64(c.OpenRate),
 		Window: uint32(
 			c.Window,
-		), FirstPacket: eventloop.Micros(c.FirstPacket.Micros()), Idle: eventloop.Micros(c.Idle.Micros()),
+		), SetupTimeout: eventloop.Micros(c.FirstPacket.Micros()), IdleTimeout: eventloop.Micros(c.Idle.Micros()),
 		Pool: upstreampool.Limits{
-			Channels: t.Channels,
-			Trunks:   t.Each,
-			All:      t.All,
-			Idle:     eventloop.Micros(t.Idle.Micros()),
-			Plain:    eventloop.Micros(t.Plain.Micros()),
+			ChannelsPerConnection: t.ChannelsPerConnection,
+			ConnectionsPerServer:  t.ConnectionsPerServer,
+			Connections:           t.MaxConnections,
+			IdleTimeout:           eventloop.Micros(t.Idle.Micros()),
+			PlainTTL:              eventloop.Micros(t.PlainOnlyTTL.Micros()),
 		},
 	}
 }
 
-func ringOf(keys *siteconfig.Keys) (*token.Ring, error) {
+func tokenRing(keys *siteconfig.Keys) (*token.Ring, error) {
 	var ring []token.Key
 	for _, k := range keys.Key {
-		ring = append(ring, token.Key{Secret: k.Secret, Mints: k.Use == "mint"})
+		ring = append(ring, token.Key{Secret: k.Secret, Issues: k.Use == "mint"})
 	}
 	return token.NewRing(ring)
 }
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -38,7 +38,7 @@
 	if at.Resume == nil {
 		return fmt.Errorf("%s has no element <resume>, so it names no keys", c.Site)
 	}
-	ring, err := ringOf(&at.Resume.Keys)
+	ring, err := tokenRing(&at.Resume.Keys)
 	if err != nil {
 		return err
 	}
@@ -47,8 +47,8 @@
 		return fmt.Errorf("the token does not open: %w", err)
 	}
 	started := "long ago"
-	if t.Started != 0 {
-		started = moment(t.Started)
+	if t.ServerStarted != 0 {
+		started = timestamp(t.ServerStarted)
 	}
 	_, err = fmt.Fprintf(
 		s.out,
@@ -60,21 +60,21 @@
 		t.Key,
 		t.Group,
 		t.Tenant,
-		t.Top,
-		moment(t.Minted),
-		moment(t.Expires),
-		ago(time.UnixMilli(t.Expires)),
+		t.LastSequence,
+		timestamp(t.IssuedAt),
+		timestamp(t.ExpiresAt),
+		expiryText(time.UnixMilli(t.ExpiresAt)),
 		t.Server,
 		started,
 	)
 	return err
 }
 
-func moment(millis int64) string {
+func timestamp(millis int64) string {
 	return time.UnixMilli(millis).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func ago(at time.Time) string {
+func expiryText(at time.Time) string {
 	if left := time.Until(at).Round(time.Second); left > 0 {
 		return fmt.Sprintf("in %v", left)
 	}
--- a/cmd/spurspread/upgrade_test.go
+++ b/cmd/spurspread/upgrade_test.go
@@ -17,20 +17,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// stream is a client that stands; it says a line and waits until that has come back, over and over.
-type stream struct {
+// clientStream is a client that stands; it says a line and waits until that has come back, over and over.
+type clientStream struct {
 	c    net.Conn
 	in   *bufio.Reader
 	said int
 }
 
-func open(addr, class string, id int) (*stream, string, error) {
+func open(addr, class string, id int) (*clientStream, string, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, "", err
 	}
 	_ = c.SetDeadline(time.Now().Add(60 * time.Second)) // only so that a fault ends the test
-	s := &stream{c: c, in: bufio.NewReader(c)}
+	s := &clientStream{c: c, in: bufio.NewReader(c)}
 	if _, err := fmt.Fprintf(c, "OPEN %08x 7f3a c=%s,d=1200\r\n", id, class); err != nil {
 		return s, "", err
 	}
@@ -38,8 +38,8 @@
 	return s, answer, err
 }
 
-// round says one line and reads it back.
-func (s *stream) round() error {
+// exchange says one line and reads it back.
+func (s *clientStream) exchange() error {
 	s.said++
 	text := fmt.Sprintf("line %d\r\n", s.said)
 	if _, err := s.c.Write([]byte(text)); err != nil {
@@ -58,14 +58,14 @@
 	silent, clients := listener(t), freePort(t)
 	var asked sync.Map // ids, of those that asked after the upgrade began
 	var counting atomic.Bool
-	path, _ := configured(t, append(nodes(t, func(_ int, first string) {
+	path, _ := configured(t, append(startServers(t, func(_ int, first string) {
 		if counting.Load() {
 			asked.Store(strings.Fields(first)[1], true)
 		}
 	}), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
 	tmp := "TMPDIR=" + t.TempDir()
 	old := start(t, "GW_CONFIG="+path, tmp)
-	var streams []*stream
+	var streams []*clientStream
 	for i := range standing {
 		s, answer, err := open(clients, "index-sync", i)
 		if answer != "UP 1\r\n" {
@@ -80,7 +80,7 @@
 	for i, s := range streams {
 		load.Go(func() {
 			for !stop.Load() {
-				if err := s.round(); err != nil {
+				if err := s.exchange(); err != nil {
 					t.Errorf("stream %d: %v", i, err)
 					return
 				}
@@ -144,7 +144,7 @@
 	}
 	clients := freePort(t)
 	var asked [2]atomic.Int64
-	pairs := nodes(t, func(i int, _ string) { asked[i].Add(1) })
+	pairs := startServers(t, func(i int, _ string) { asked[i].Add(1) })
 	// the configuration's list is of generation 1
 	for i, state := range []string{discoveryserver.Ready, discoveryserver.Terminating} {
 		told.Set(discoveryserver.Entry{
@@ -155,10 +155,10 @@
 	path, _ := configured(t, append(pairs, "127.0.0.1:8081", clients, "127.0.0.1:8500", told.Addr())...)
 	dir := t.TempDir()
 	old := start(t, "GW_CONFIG="+path, "TMPDIR="+dir)
-	kept := restartproto.ListPath(dir, netip.MustParseAddrPort(clients))
+	kept := restartproto.ServerListPath(dir, netip.MustParseAddrPort(clients))
 	for until := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if l, err := restartproto.ReadList(kept); err == nil &&
-			strings.Contains(string(l.List), discoveryserver.Terminating) {
+		if l, err := restartproto.ReadServerList(kept); err == nil &&
+			strings.Contains(string(l.Snapshot), discoveryserver.Terminating) {
 			break
 		} else if time.Now().After(until) {
 			t.Fatalf("nothing was kept: %v", err)
--- a/cmd/spurspread/zones.go
+++ b/cmd/spurspread/zones.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// placed is where the site file says that this member stands; the zero Site where it names no zone.
-func placed(f *siteconfig.Fleet) (zonedirectory.Site, error) {
+// localSite is where the site file says that this member stands; the zero Site where it names no zone.
+func localSite(f *siteconfig.Membership) (zonedirectory.Site, error) {
 	for _, name := range []string{string(f.Region), string(f.Zone)} {
 		if len(name) > zonedirectory.MaxName {
 			return zonedirectory.Site{}, fmt.Errorf(
@@ -27,18 +27,18 @@
 	return zonedirectory.Site{Region: string(f.Region), Zone: string(f.Zone)}, nil
 }
 
-// ZonesTold is what MEMBERS answers besides, in a fleet with zones.
-type ZonesTold struct {
-	Zone    string       `json:"zone"`
-	Region  string       `json:"region"`
-	Live    int          `json:"live"`
-	Known   int          `json:"known"`
-	Zones   []zoneTold   `json:"zones"`
-	Records []recordTold `json:"records"`
+// ZonesReport is what MEMBERS answers besides, in a fleet with zones.
+type ZonesReport struct {
+	Zone    string         `json:"zone"`
+	Region  string         `json:"region"`
+	Live    int            `json:"live"`
+	Known   int            `json:"known"`
+	Zones   []zoneReport   `json:"zones"`
+	Records []recordReport `json:"records"`
 }
 
-// zoneTold is one zone. Delegates are names where they are known, as those of the own zone are, else addresses.
-type zoneTold struct {
+// zoneReport is one zone. Delegates are names where they are known, as those of the own zone are, else addresses.
+type zoneReport struct {
 	Region      string   `json:"region"`
 	Zone        string   `json:"zone"`
 	State       string   `json:"state"`
@@ -50,14 +50,14 @@
 	SinceMillis int64    `json:"since_ms"`
 }
 
-type recordTold struct {
+type recordReport struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 	Value   string `json:"value"`
 }
 
-// zonesTold tells of the zones; nil in a fleet without.
-func (f *fleet) zonesTold() *ZonesTold {
+// zonesReport tells of the zones; nil in a fleet without.
+func (f *fleetMember) zonesReport() *ZonesReport {
 	views := f.host.Zones()
 	if views == nil {
 		return nil
@@ -67,24 +67,24 @@
 		names[m.ID] = m.Name
 	}
 	at := f.host.Site()
-	told := &ZonesTold{
+	told := &ZonesReport{
 		Zone:    at.Zone,
 		Region:  at.Region,
 		Live:    f.host.Live(),
 		Known:   f.host.Known(),
-		Records: []recordTold{},
+		Records: []recordReport{},
 	}
 	for i := range views {
-		told.Zones = append(told.Zones, tellZone(&views[i], names))
+		told.Zones = append(told.Zones, newZoneReport(&views[i], names))
 	}
 	for _, r := range f.host.Records() {
-		told.Records = append(told.Records, recordTold{r.Name, r.Version, r.Value})
+		told.Records = append(told.Records, recordReport{r.Name, r.Version, r.Value})
 	}
 	return told
 }
 
-func tellZone(v *zonedirectory.View, names map[membership.ID]string) zoneTold {
-	one := zoneTold{
+func newZoneReport(v *zonedirectory.View, names map[membership.ID]string) zoneReport {
+	one := zoneReport{
 		Region: v.Site.Region, Zone: v.Site.Zone, State: v.State.String(), Live: v.Live, Known: v.Known, Version: v.Version,
 		Delegates: []string{}, Own: v.Own,
 	}
@@ -98,7 +98,7 @@
 }
 
 // publish answers RECORD.
-func (f *fleet) publish(name, value string) string {
+func (f *fleetMember) publish(name, value string) string {
 	r, err := f.host.Publish(name, value)
 	if err != nil {
 		return "-ERR " + err.Error()
@@ -107,8 +107,8 @@
 }
 
 // printZones prints the zones and records of a fleet that has zones.
-func (v *view) printZones(out io.Writer) error {
-	if v.ZonesTold == nil {
+func (v *membersReport) printZones(out io.Writer) error {
+	if v.ZonesReport == nil {
 		return nil
 	}
 	_, _ = fmt.Fprintf(
@@ -121,7 +121,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "region\tzone\tstate\tsince\tlive\tknown\tversion\tdelegates")
 	for _, z := range v.Zones {
-		since := span(z.SinceMillis) + " ago"
+		since := ageText(z.SinceMillis) + " ago"
 		if z.Own {
 			since = "own"
 		}
@@ -164,19 +164,19 @@
   spurspread record limits 7 --mgmt 127.0.0.1:9901`
 }
 
-// errRecord is why a record is not even sent.
-var errRecord = errors.New(
+// errInvalidRecord is why a record is not even sent.
+var errInvalidRecord = errors.New(
 	"a record's name has 1 to 32 characters without blanks, its value 1 to 64, all printable ASCII",
 )
 
 // Run asks a member to publish it, and prints the version.
 func (c recordCmd) Run(s *streams) error {
-	if !plain(c.Name, zonedirectory.MaxName) || strings.Contains(c.Name, " ") ||
-		!plain(c.Value, zonedirectory.MaxValue) ||
+	if !isPrintable(c.Name, zonedirectory.MaxName) || strings.Contains(c.Name, " ") ||
+		!isPrintable(c.Value, zonedirectory.MaxValue) ||
 		strings.TrimSpace(c.Value) != c.Value {
-		return errRecord
+		return errInvalidRecord
 	}
-	answer, err := askMgmt(c.Mgmt, "RECORD "+c.Name+" "+c.Value)
+	answer, err := callAdmin(c.Mgmt, "RECORD "+c.Name+" "+c.Value)
 	if err != nil {
 		return err
 	}
@@ -184,8 +184,8 @@
 	return err
 }
 
-// plain tells whether a text has 1 to most characters, all printable ASCII.
-func plain(text string, most int) bool {
+// isPrintable tells whether a text has 1 to most characters, all printable ASCII.
+func isPrintable(text string, most int) bool {
 	for _, c := range []byte(text) {
 		if c < 0x20 || c >= 0x7f {
 			return false
--- a/cmd/spurspread/zones_test.go
+++ b/cmd/spurspread/zones_test.go
@@ -36,8 +36,8 @@
 
 // What a member without zones tells has no word of them; printed, it ends with the members.
 func TestMembersWithoutZones(t *testing.T) {
-	var v view
-	if err := json.Unmarshal([]byte(withoutZones), &v); err != nil || v.ZonesTold != nil {
+	var v membersReport
+	if err := json.Unmarshal([]byte(withoutZones), &v); err != nil || v.ZonesReport != nil {
 		t.Fatalf("%+v, %v", v, err)
 	}
 	if again, err := json.Marshal(v); err != nil || string(again) != withoutZones {
@@ -79,7 +79,7 @@
 	}
 	for _, c := range [][2]string{{"two words", "x"}, {"", "x"}, {"n", ""}, {"n", " x"}, {"n", "a\nb"}, {strings.Repeat("n", 33), "x"}, {"n", strings.Repeat("v", 65)}} {
 		if code, _, said := command(t, "record", c[0], c[1], "--mgmt", "127.0.0.1:1"); code != exitFailed ||
-			!strings.Contains(said, errRecord.Error()) {
+			!strings.Contains(said, errInvalidRecord.Error()) {
 			t.Errorf("%q: code %d, %q", c, code, said)
 		}
 	}
@@ -115,11 +115,12 @@
 
 // A zone's name is bounded by what datagrams carry.
 func TestPlaced(t *testing.T) {
-	if at, err := placed(&siteconfig.Fleet{Region: "east", Zone: "east-1"}); err != nil || at.Region != "east" ||
+	if at, err := localSite(&siteconfig.Membership{Region: "east", Zone: "east-1"}); err != nil ||
+		at.Region != "east" ||
 		at.Zone != "east-1" {
 		t.Errorf("%+v, %v", at, err)
 	}
-	if _, err := placed(&siteconfig.Fleet{Zone: "a-name-that-has-more-than-32-bytes"}); err == nil {
+	if _, err := localSite(&siteconfig.Membership{Zone: "a-name-that-has-more-than-32-bytes"}); err == nil {
 		t.Error("a zone's name that no datagram carries is taken")
 	}
 }
--- a/decision/api.go
+++ b/decision/api.go
@@ -9,107 +9,107 @@
 // Micros is the time of all decisions; see monotime.
 type Micros = monotime.Micros
 
-// Effect and Scope are what a class says of repeats; see decide/retry.
+// Idempotency and Scope are what a class says of repeats; see decide/retry.
 type (
-	Effect = retry.Effect
-	Scope  = retry.Scope
+	Idempotency = retry.Idempotency
+	DedupScope  = retry.DedupScope
 )
 
 // Their values.
 const (
-	Safe      = retry.Safe
-	Keyed     = retry.Keyed
-	Unsafe    = retry.Unsafe
-	ScopeAll  = retry.All
-	ScopeZone = retry.Zone
-	ScopeCell = retry.Cell
+	Idempotent        = retry.Idempotent
+	IdempotentWithKey = retry.IdempotentWithKey
+	NonIdempotent     = retry.NonIdempotent
+	ScopeAll          = retry.ScopeAll
+	ScopeZone         = retry.ScopeZone
+	ScopeCell         = retry.ScopeCell
 )
 
 // Class is one class of requests.
 type Class struct {
-	Aim, Deadline Micros
-	Effect        Effect
-	Scope         Scope
-	Window        Micros // how long a keyed request's repeats are discarded
-	Worth         float64
-	WorthPart     float64 // of what the class that is worth most is worth
-	Stream        bool
-	MessageAim    Micros // aim of a message on an open connection; 0 where not stated
+	LatencyObjective, Deadline Micros
+	Idempotency                Idempotency
+	DedupScope                 DedupScope
+	DedupWindow                Micros // how long a keyed request's repeats are discarded
+	Priority                   float64
+	RelativePriority           float64 // of what the class that is worth most is worth
+	Streaming                  bool
+	MessageLatencyObjective    Micros // aim of a message on an open connection; 0 where not stated
 }
 
-// Rule is what the class says of repeats.
-func (c *Class) Rule() retry.Policy {
-	return retry.Policy{Effect: c.Effect, Scope: c.Scope, Window: c.Window}
+// RetryPolicy is what the class says of repeats.
+func (c *Class) RetryPolicy() retry.Policy {
+	return retry.Policy{Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow}
 }
 
 // Tenant is one customer with a share of the service.
 type Tenant struct {
-	Portion          float64
-	QuotaPerS        float64 // requests a second within its share, over all proxies
-	QuotaConnections float64 // open connections within its share, over all proxies; 0 where not stated
+	Share           float64
+	RequestQuota    float64 // requests a second within its share, over all proxies
+	ConnectionQuota float64 // open connections within its share, over all proxies; 0 where not stated
 }
 
 // Settings is what an instance is told at its start.
 type Settings struct {
 	Rank, Balancers, Zone, Zones int
-	Ask                          bool // discovery answers only when asked
-	Pass                         bool // packets pass through; connections outlive the proxy
-	TellsLoad                    bool // notes tell the load of a connection
-	LiveWeights                  bool // an entry's Units are the server's size over 1 + what it holds for each core
-	Tick                         Micros
+	PollDiscovery                bool // discovery answers only when asked
+	Passthrough                  bool // packets pass through; connections outlive the proxy
+	ReportsConnectionLoad        bool // notes tell the load of a connection
+	DynamicWeights               bool // an entry's Units are the server's size over 1 + what it holds for each core
+	ClockResolution              Micros
 	Classes                      []Class
 	Tenants                      []Tenant
-	OverShareWorth               float64
+	OverQuotaPriority            float64
 
-	MostTries                        int
-	MostHeld                         int
-	MayProbe, MayCancel, MayHold     bool // Probe, Cancel and Refuse.HoldOff are allowed
-	MaxRetryAfter                    Micros
-	AnswerSlack, AskEvery            Micros
-	ColdFrom                         float64
-	Cold, DrainGrace, TipAfter, Park Micros
-	OverloadFactor                   float64
+	MaxAttempts                                      int
+	MaxHeldRequests                                  int
+	AllowProbes, AllowCancel, AllowRetryAfter        bool // Probe, Cancel and Refuse.HoldOff are allowed
+	MaxRetryAfter                                    Micros
+	AnswerTolerance, PollInterval                    Micros
+	InitialCapacity                                  float64
+	WarmupTime, DrainGrace, OverloadWindow, ParkTime Micros
+	OverloadFactor                                   float64
 
-	FeeCrossZone, FeeMoves, FeeProbe float64
-	Columns                          []string // names of the values of a load report, in order
+	CrossZoneCost, MoveCost, ProbeCost float64
+	LoadReportColumns                  []string // names of the values of a load report, in order
 }
 
-// ListState is a server's state as discovery lists it.
-type ListState uint8
+// ServerState is a server's state as discovery lists it.
+type ServerState uint8
 
 // The listed states.
 const (
-	Draining ListState = iota
-	Gone
+	Draining ServerState = iota
+	Removed
 	Ready
 )
 
-// Entry is one server as discovery lists it. Entries are shared between instances and read only.
-type Entry struct {
-	Server  uint32
-	Name    uint64 // stands for its id, the same at every proxy, where Server may not be
-	Zone    uint8
-	Kind    uint16
-	State   ListState
-	Units   float64
-	Cell    uint16
-	Started Micros // 0: in the distant past
+// ServerEntry is one server as discovery lists it. Entries are shared between instances and read only.
+type ServerEntry struct {
+	Server      uint32
+	StableID    uint64 // stands for its id, the same at every proxy, where Server may not be
+	Zone        uint8
+	MachineType uint16
+	State       ServerState
+	Weight      float64
+	Cell        uint16
+	StartedAt   Micros // 0: in the distant past
 }
 
-// ListKind says what an Update carries.
-type ListKind uint8
+// UpdateKind says what an Update carries.
+type UpdateKind uint8
 
 // The kinds of updates.
 const (
-	Delta ListKind = iota
-	Full
-	Cached
-	Failed
+	UpdateDelta UpdateKind = iota
+	UpdateFull
+	UpdateCached
+	UpdateFailed
 )
 
-// Report is a server's load report: N values in the order of Settings.Columns.
-type Report struct {
-	N      int
+// LoadReport is a server's load report: N values in the order of Settings.Columns.
+type LoadReport struct {
+	Count  int
 	Values [4]float32
 }
 
@@ -118,143 +118,143 @@
 
 // The events.
 type (
-	// Update is discovery's word on the servers.
-	Update struct {
-		Kind    ListKind
-		Entries []Entry
+	// ServerListUpdate is discovery's word on the servers.
+	ServerListUpdate struct {
+		Kind    UpdateKind
+		Entries []ServerEntry
 	}
 	// Request is a client request that is owed one final answer within Left.
 	Request struct {
-		ID       uint32
-		Left     Micros
-		Class    int
-		Tenant   int
-		Key      uint64
-		Group    uint64
-		Hint     float64 // expected load, microseconds of work a second; see HasHint
-		HasHint  bool
-		Retry    bool
-		MidFlow  bool // packets of an open connection now arrive at this proxy
-		Returned bool // the client came back after a break or a move
-		Resumes  bool // the client, when it is moved, can be told where to come again: see Move
-		Pinned   bool // it was: only To may have it, in one attempt
-		To       uint32
+		ID            uint32
+		TimeLeft      Micros
+		Class         int
+		Tenant        int
+		Key           uint64
+		Group         uint64
+		LoadHint      float64 // expected load, microseconds of work a second; see HasHint
+		HasLoadHint   bool
+		Retry         bool
+		MidConnection bool // packets of an open connection now arrive at this proxy
+		Reconnected   bool // the client came back after a break or a move
+		Resumable     bool // the client, when it is moved, can be told where to come again: see Move
+		Pinned        bool // it was: only To may have it, in one attempt
+		PinnedServer  uint32
 	}
-	// Open is a connection that was already routed through the instance at its start.
-	Open struct {
+	// ExistingConnection is a connection that was already routed through the instance at its start.
+	ExistingConnection struct {
 		Request
 		Server uint32
 	}
 	// Established says that an attempt's connection stands.
 	Established struct {
-		ID      uint32
-		Attempt int
-		Server  uint32
-		Took    Micros
+		ID        uint32
+		Attempt   int
+		Server    uint32
+		SetupTime Micros
 	}
-	// Note carries news of an attempt that is still outstanding.
-	Note struct {
+	// ConnectionMetric carries news of an attempt that is still outstanding.
+	ConnectionMetric struct {
 		ID      uint32
 		Attempt int
 		Server  uint32
-		Kind    NoteKind
+		Kind    MetricKind
 		Value   float64
 	}
-	// Outcome is the end of an attempt; Closed says that the request is closed too.
-	Outcome struct {
-		ID      uint32
-		Attempt int
-		Server  uint32
-		Status  outcome.Status
-		Took    Micros
-		Closed  bool
-		Echo    bool // it has the same cause as another that was told: no further evidence on the server
-		Load    Report
+	// AttemptEnded is the end of an attempt; Closed says that the request is closed too.
+	AttemptEnded struct {
+		ID            uint32
+		Attempt       int
+		Server        uint32
+		Status        outcome.Status
+		Duration      Micros
+		RequestClosed bool
+		SharedCause   bool // it has the same cause as another that was told: no further evidence on the server
+		LoadReport    LoadReport
 	}
-	// Leaving says that a connection which stands must leave its server: that drains, or has ended it. With Stay the
+	// MoveRequested says that a connection which stands must leave its server: that drains, or has ended it. With Stay the
 	// server is not the cause, and may have it again. A Move answers it.
-	Leaving struct {
-		ID   uint32
-		Stay bool
+	MoveRequested struct {
+		ID                uint32
+		SameServerAllowed bool
 	}
-	// Withdrawn says that the client has left, or that its answer is overdue.
-	Withdrawn struct{ ID uint32 }
-	// Expire asks for the final answer of a request at once, if it has had none: its time is up, or the balancer's.
-	Expire struct{ ID uint32 }
-	// Timer is a timer that has fallen due.
-	Timer struct{ Token uint64 }
-	// Probed is the result of one Probe.
-	Probed struct {
-		Server uint32
-		Status outcome.Status
-		Took   Micros
-		Load   Report
+	// RequestCancelled says that the client has left, or that its answer is overdue.
+	RequestCancelled struct{ ID uint32 }
+	// RequestExpired asks for the final answer of a request at once, if it has had none: its time is up, or the balancer's.
+	RequestExpired struct{ ID uint32 }
+	// TimerFired is a timer that has fallen due.
+	TimerFired struct{ Token uint64 }
+	// ProbeResult is the result of one Probe.
+	ProbeResult struct {
+		Server     uint32
+		Status     outcome.Status
+		Duration   Micros
+		LoadReport LoadReport
 	}
-	// Retuned brings settings read again, whole and checked. Requests from then on are decided by them, with the
+	// SettingsChanged brings settings read again, whole and checked. Requests from then on are decided by them, with the
 	// classes numbered as they number them; what was asked before keeps the class it was asked under.
-	Retuned struct{ Settings Settings }
+	SettingsChanged struct{ Settings Settings }
 )
 
-// NoteKind says what a Note's value is.
-type NoteKind uint8
+// MetricKind says what a Note's value is.
+type MetricKind uint8
 
 // The kinds of notes.
 const (
-	LoadNote  NoteKind = 1 // the connection's load now, microseconds of work a second
-	DelayNote NoteKind = 2 // milliseconds that a message takes at its server now
+	LoadMetric           MetricKind = 1 // the connection's load now, microseconds of work a second
+	MessageLatencyMetric MetricKind = 2 // milliseconds that a message takes at its server now
 )
 
-func (Update) isEvent()      {}
-func (Request) isEvent()     {}
-func (Open) isEvent()        {}
-func (Established) isEvent() {}
-func (Note) isEvent()        {}
-func (Outcome) isEvent()     {}
-func (Leaving) isEvent()     {}
-func (Withdrawn) isEvent()   {}
-func (Expire) isEvent()      {}
-func (Timer) isEvent()       {}
-func (Probed) isEvent()      {}
-func (Retuned) isEvent()     {}
+func (ServerListUpdate) isEvent()   {}
+func (Request) isEvent()            {}
+func (ExistingConnection) isEvent() {}
+func (Established) isEvent()        {}
+func (ConnectionMetric) isEvent()   {}
+func (AttemptEnded) isEvent()       {}
+func (MoveRequested) isEvent()      {}
+func (RequestCancelled) isEvent()   {}
+func (RequestExpired) isEvent()     {}
+func (TimerFired) isEvent()         {}
+func (ProbeResult) isEvent()        {}
+func (SettingsChanged) isEvent()    {}
 
 // Action is something the balancer wants done.
 type Action interface{ isAction() }
 
 // The actions.
 type (
-	// Watch subscribes to discovery's changes.
-	Watch struct{ On bool }
-	// Fetch asks discovery once for the whole list.
-	Fetch struct{}
-	// Send starts an attempt; GiveUp is its time-out. Where Within is not 0, the request has to be written whole
+	// WatchDiscovery subscribes to discovery's changes.
+	WatchDiscovery struct{ On bool }
+	// FetchServerList asks discovery once for the whole list.
+	FetchServerList struct{}
+	// StartAttempt starts an attempt; GiveUp is its time-out. Where Within is not 0, the request has to be written whole
 	// within that time, or not at all: later it might bring about again what an earlier attempt did.
-	Send struct {
-		ID     uint32
-		GiveUp Micros
-		Within Micros
-		Server uint32
+	StartAttempt struct {
+		ID          uint32
+		Timeout     Micros
+		WriteWithin Micros
+		Server      uint32
 	}
-	// Refuse is the final answer that lets the client try again.
-	Refuse struct {
-		ID      uint32
-		HoldOff Micros
+	// Reject is the final answer that lets the client try again.
+	Reject struct {
+		ID         uint32
+		RetryAfter Micros
 	}
 	// Fail is the final answer that promises nothing.
 	Fail struct{ ID uint32 }
-	// Cancel stops waiting for an attempt.
-	Cancel struct {
+	// CancelAttempt stops waiting for an attempt.
+	CancelAttempt struct {
 		ID      uint32
 		Attempt int
 	}
-	// Move ends an open connection politely; the client comes again. Where it can be told (see Request.Resumes) and
+	// MoveConnection ends an open connection politely; the client comes again. Where it can be told (see Request.Resumes) and
 	// Named is set, it is to come to Next.
-	Move struct {
-		ID    uint32
-		Next  uint32
-		Named bool
+	MoveConnection struct {
+		ID            uint32
+		NextServer    uint32
+		HasNextServer bool
 	}
-	// Probe asks a server how it is.
-	Probe struct{ Server uint32 }
+	// ProbeServer asks a server how it is.
+	ProbeServer struct{ Server uint32 }
 	// SetTimer asks for a Timer event after a delay.
 	SetTimer struct {
 		Delay Micros
@@ -262,12 +262,12 @@
 	}
 )
 
-func (Watch) isAction()    {}
-func (Fetch) isAction()    {}
-func (Send) isAction()     {}
-func (Refuse) isAction()   {}
-func (Fail) isAction()     {}
-func (Cancel) isAction()   {}
-func (Move) isAction()     {}
-func (Probe) isAction()    {}
-func (SetTimer) isAction() {}
+func (WatchDiscovery) isAction()  {}
+func (FetchServerList) isAction() {}
+func (StartAttempt) isAction()    {}
+func (Reject) isAction()          {}
+func (Fail) isAction()            {}
+func (CancelAttempt) isAction()   {}
+func (MoveConnection) isAction()  {}
+func (ProbeServer) isAction()     {}
+func (SetTimer) isAction()        {}
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -19,42 +19,42 @@
 
 // Every tuned constant. The troubles answered here last seconds to half a minute, not the note's minute.
 const (
-	tickEvery = 250 * ms // how often the slow work is looked at: validation, discovery, moves
+	tickInterval = 250 * ms // how often the slow work is looked at: validation, discovery, moves
 
 	// Health and validation.
-	longUnhealthy  = 10 * sec // Unhealthy so long: the next placement starts a refresh (the note's minute)
-	pendingLapse   = 10 * sec // UnhealthyPending for so long ranks with Connected again (the note's minute)
-	validateFirst  = 1 * sec  // from a demotion to its validation
-	validateLast   = 6 * sec  // the same after many relapses, each of which doubles it
-	forgiveAfter   = 10 * sec // a server that stayed Connected so long starts again at validateFirst
-	probeCap       = 4        // validations under way at once
-	softDemotedMax = 0.5      // share of home above which slowness is shared, no server's fault
+	longUnhealthyAfter    = 10 * sec // Unhealthy so long: the next placement starts a refresh (the note's minute)
+	pendingTimeout        = 10 * sec // UnhealthyPending for so long ranks with Connected again (the note's minute)
+	minValidationDelay    = 1 * sec  // from a demotion to its validation
+	maxValidationDelay    = 6 * sec  // the same after many relapses, each of which doubles it
+	demotionResetAfter    = 10 * sec // a server that stayed Connected so long starts again at validateFirst
+	maxConcurrentProbes   = 4        // validations under way at once
+	maxSlowUnhealthyShare = 0.5      // share of home above which slowness is shared, no server's fault
 
 	// Placement.
-	holdStep   = 40 * ms // a request that no server may have now is looked at again after this
-	answerLead = 12 * ms // final answers leave so long before the client's time is up
-	tryShare   = 0.45    // of the time left goes to one attempt while further ones are possible
-	tryLeast   = 80 * ms
-	setUpRoom  = 4.0  // times what set-ups take now is the least for an attempt
-	retryGrant = 0.5  // retries that each request adds to the budget
-	retryMost  = 60.0 // saved up by all balancers together; each may save up two
+	holdInterval          = 40 * ms // a request that no server may have now is looked at again after this
+	answerMargin          = 12 * ms // final answers leave so long before the client's time is up
+	attemptTimeoutShare   = 0.45    // of the time left goes to one attempt while further ones are possible
+	minAttemptTimeout     = 80 * ms
+	setupTimeoutFactor    = 4.0  // times what set-ups take now is the least for an attempt
+	retryTokensPerRequest = 0.5  // retries that each request adds to the budget
+	fleetRetryTokens      = 60.0 // saved up by all balancers together; each may save up two
 
 	// Slow servers.
-	moveSetUp = 0.4    // of a class's aim: while set-ups take longer, nothing of it is moved
-	shedAt    = 1.5    // of a class aim: moved though no other server has room
-	moveMost  = 0.7    // of its connections, at one note
-	drainPart = 1. / 8 // of what stands on a draining server leaves at each tick: half of all in 1.5 s
+	maxMoveSetupShare      = 0.4    // of a class's aim: while set-ups take longer, nothing of it is moved
+	forcedMoveLatencyRatio = 1.5    // of a class aim: moved though no other server has room
+	maxMovedShare          = 0.7    // of its connections, at one note
+	drainSharePerTick      = 1. / 8 // of what stands on a draining server leaves at each tick: half of all in 1.5 s
 
-	loadFull   = 0.85     // of its capacity asked: no validation
-	fullPause  = 300 * ms // nothing new to a server that turned an attempt away as full
-	resetPause = 2 * sec  // the same after a reset
-	resetPair  = 1 * sec  // two resets within this are the doing of the server
+	maxValidationUtilization = 0.85     // of its capacity asked: no validation
+	serverFullPause          = 300 * ms // nothing new to a server that turned an attempt away as full
+	resetPause               = 2 * sec  // the same after a reset
+	resetPairWindow          = 1 * sec  // two resets within this are the doing of the server
 
 	// Filling servers.
-	groupBonus = 50   // times as likely is a server that has others of the group
-	groupLoad  = 0.5  // connections that a group counts as, besides its own
-	evenness   = 2.0  // how strongly a server's load tells against it
-	evenLeast  = 10.0 // connections; fewer of a balancer's own say little against a group's hash
+	groupAffinity       = 50   // times as likely is a server that has others of the group
+	connectionsPerGroup = 0.5  // connections that a group counts as, besides its own
+	loadExponent        = 2.0  // how strongly a server's load tells against it
+	loadOffset          = 10.0 // connections; fewer of a balancer's own say little against a group's hash
 
 	ms  Micros = 1000
 	sec Micros = 1000 * ms
@@ -73,97 +73,97 @@
 
 // server is all that this balancer knows of one server.
 type server struct {
-	Entry
+	ServerEntry
 	serverload.Gauge
 	slowstart.Budget
 	latency.Estimate
-	health     Health
-	entered    [4]Micros // when it last entered each state
-	strikes    int       // demotions in a row without forgiveAfter of good service
-	validateAt Micros    // when an Unhealthy server may be validated
-	probing    bool
-	failed     bool           // demoted for a failure, not for slowness
-	pending    int            // attempts under way
-	groups     map[uint64]int // how many of them each group has
-	conns      []*request     // connections that stand, in no order that matters but a fixed one
-	shutUntil  Micros         // nothing new until then
-	resetAt    Micros         // the last reset by it
-	triedBy    uint32         // request that has tried it last, plus one
+	health               Health
+	enteredAt            [4]Micros // when it last entered each state
+	consecutiveDemotions int       // demotions in a row without forgiveAfter of good service
+	validateAt           Micros    // when an Unhealthy server may be validated
+	probing              bool
+	demotedForFailure    bool           // demoted for a failure, not for slowness
+	pendingAttempts      int            // attempts under way
+	groupSizes           map[uint64]int // how many of them each group has
+	connections          []*request     // connections that stand, in no order that matters but a fixed one
+	pausedUntil          Micros         // nothing new until then
+	lastResetAt          Micros         // the last reset by it
+	lastTriedBy          uint32         // request that has tried it last, plus one
 }
 
 // request is one client request that this balancer has taken, until its last outcome.
 type request struct {
-	id         uint32
-	class      Class
-	key, group uint64
-	due        Micros // the final answer leaves by then
-	work       float64
-	sent       int     // attempts made
-	price      float64 // of a server's filling rate; see room
-	at         *server // server of the attempt under way or of the connection
-	load       float64 // cores, as told, hinted or guessed
-	borne      *server // whose load it is counted to
-	open       bool    // the connection stands
-	closed     bool    // answered or withdrawn; only an outcome is awaited
-	past       retry.Past
-	erred      *server // server that answered an error, until another has judged the request
-	lastSent   Micros
-	sentTo     retry.Place // as it was then
-	slot       int         // place in at.conns while open
-	only       *server     // nobody else may have it: its client was told to come there
-	resumes    bool        // its client can be told where to come
+	id              uint32
+	class           Class
+	key, group      uint64
+	deadline        Micros // the final answer leaves by then
+	relativeWork    float64
+	attempts        int     // attempts made
+	admissionCost   float64 // of a server's filling rate; see room
+	server          *server // server of the attempt under way or of the connection
+	load            float64 // cores, as told, hinted or guessed
+	chargedTo       *server // whose load it is counted to
+	open            bool    // the connection stands
+	closed          bool    // answered or withdrawn; only an outcome is awaited
+	attemptHistory  retry.AttemptHistory
+	erroredServer   *server // server that answered an error, until another has judged the request
+	lastAttemptAt   Micros
+	lastLocation    retry.Location // as it was then
+	connectionIndex int            // place in at.conns while open
+	pinnedTo        *server        // nobody else may have it: its client was told to come there
+	resumable       bool           // its client can be told where to come
 }
 
 // Balancer decides for one proxy.
 type Balancer struct {
-	set     Settings
-	rng     *rand.Rand
-	started bool
-	servers []*server // in the order in which they were first listed
-	byID    map[uint32]*server
-	fleet   serverload.Fleet
-	reqs    map[uint32]*request
-	out     []Action
-
-	polling polling.Schedule
-	probes  int // validations under way
-
-	present   fleetsize.Estimate
-	polls     serverload.Survey
-	meanUnits float64 // size of a ready server
-
-	pace            concurrency.Pace
-	retries         float64
-	meanWork, hints float64 // the mean hint, and how many there were
-	meanBooked      float64 // work of which a connection is booked, of the mean work
+	settings    Settings
+	rng         *rand.Rand
+	started     bool
+	servers     []*server // in the order in which they were first listed
+	serversByID map[uint32]*server
+	fleetLoad   serverload.LoadModel
+	requests    map[uint32]*request
+	actions     []Action
+
+	polling        polling.Schedule
+	probesUnderWay int // validations under way
+
+	fleetSize    fleetsize.Estimate
+	reportBudget serverload.ReportBudget
+	meanWeight   float64 // size of a ready server
+
+	setups              concurrency.Limiter
+	retryTokens         float64
+	meanHint, hintCount float64 // the mean hint, and how many there were
+	meanChargedWork     float64 // work of which a connection is booked, of the mean work
 }
 
 // New returns a balancer that has just started.
 func New(s Settings, seed uint64, now Micros) *Balancer {
 	b := &Balancer{
-		rng:  rand.New(rand.NewPCG(seed, 0x726f62696e6c7567)),
-		byID: map[uint32]*server{}, reqs: map[uint32]*request{},
-		meanUnits: 1, meanBooked: 1, present: fleetsize.New(now), pace: concurrency.New(),
+		rng:         rand.New(rand.NewPCG(seed, 0x726f62696e6c7567)),
+		serversByID: map[uint32]*server{}, requests: map[uint32]*request{},
+		meanWeight: 1, meanChargedWork: 1, fleetSize: fleetsize.New(now), setups: concurrency.NewLimiter(),
 	}
 	b.polling.Jitter = b.jitter
-	b.tune(s)
-	b.polling.Begin(now)
-	b.retries = max(retryMost*b.share(1), 2)
+	b.applySettings(s)
+	b.polling.Start(now)
+	b.retryTokens = max(fleetRetryTokens*b.fleetShare(1), 2)
 	return b
 }
 
-// tune has all go by these settings from now on.
-func (b *Balancer) tune(s Settings) {
-	b.set, b.fleet.Live, b.fleet.Told = s, s.LiveWeights, s.TellsLoad
+// applySettings has all go by these settings from now on.
+func (b *Balancer) applySettings(s Settings) {
+	b.settings, b.fleetLoad.DynamicWeights, b.fleetLoad.LoadsReported = s, s.DynamicWeights, s.ReportsConnectionLoad
 	b.polling.Rank, b.polling.Balancers = s.Rank, s.Balancers
-	b.polling.Every, b.polling.Grace = s.AskEvery, s.DrainGrace
+	b.polling.MaxInterval, b.polling.Grace = s.PollInterval, s.DrainGrace
 }
 
-// aim is the shortest message aim of the classes; 0 where none is stated.
-func (b *Balancer) aim() (aim Micros) {
-	for _, c := range b.set.Classes {
-		if c.MessageAim > 0 && (aim == 0 || c.MessageAim < aim) {
-			aim = c.MessageAim
+// shortestMessageObjective is the shortest message aim of the classes; 0 where none is stated.
+func (b *Balancer) shortestMessageObjective() (aim Micros) {
+	for _, c := range b.settings.Classes {
+		if c.MessageLatencyObjective > 0 && (aim == 0 || c.MessageLatencyObjective < aim) {
+			aim = c.MessageLatencyObjective
 		}
 	}
 	return aim
@@ -171,81 +171,81 @@
 
 // Timer tokens: the kind in the upper half, a request in the lower.
 const (
-	timerTick uint64 = iota << 32
-	timerDue
-	timerHold
+	tickTimer uint64 = iota << 32
+	deadlineTimer
+	holdTimer
 )
 
 // Handle takes one event and appends to out what is to be done.
 func (b *Balancer) Handle(now Micros, ev Event, out []Action) []Action {
-	b.out = out
+	b.actions = out
 	if !b.started {
 		b.started = true
-		b.timer(b.jitter(tickEvery), timerTick)
+		b.setTimer(b.jitter(tickInterval), tickTimer)
 	}
 	switch ev := ev.(type) {
-	case Update:
-		b.onUpdate(now, ev)
+	case ServerListUpdate:
+		b.onServerListUpdate(now, ev)
 	case Request:
 		b.onRequest(now, ev)
-	case Open:
-		b.onOpen(now, ev)
+	case ExistingConnection:
+		b.onExistingConnection(now, ev)
 	case Established:
 		b.onEstablished(now, ev)
-	case Note:
-		b.onNote(now, ev)
-	case Outcome:
-		b.onOutcome(now, ev)
-	case Leaving:
-		b.onLeaving(now, ev)
-	case Withdrawn:
-		b.onWithdrawn(ev)
-	case Expire:
-		b.onTimer(now, Timer{timerDue | uint64(ev.ID)})
-	case Timer:
-		b.onTimer(now, ev)
-	case Probed:
-		b.onProbed(now, ev)
-	case Retuned:
-		b.tune(ev.Settings)
-	}
-	out, b.out = b.out, nil
+	case ConnectionMetric:
+		b.onConnectionMetric(now, ev)
+	case AttemptEnded:
+		b.onAttemptEnded(now, ev)
+	case MoveRequested:
+		b.onMoveRequested(now, ev)
+	case RequestCancelled:
+		b.onRequestCancelled(ev)
+	case RequestExpired:
+		b.onTimerFired(now, TimerFired{deadlineTimer | uint64(ev.ID)})
+	case TimerFired:
+		b.onTimerFired(now, ev)
+	case ProbeResult:
+		b.onProbeResult(now, ev)
+	case SettingsChanged:
+		b.applySettings(ev.Settings)
+	}
+	out, b.actions = b.actions, nil
 	return out
 }
 
-func (b *Balancer) do(a Action)                  { b.out = append(b.out, a) }
-func (b *Balancer) timer(d Micros, token uint64) { b.do(SetTimer{max(d, 1), token}) }
+func (b *Balancer) emit(a Action)                   { b.actions = append(b.actions, a) }
+func (b *Balancer) setTimer(d Micros, token uint64) { b.emit(SetTimer{max(d, 1), token}) }
 
 // jitter draws from 0 to d.
 func (b *Balancer) jitter(d Micros) Micros { return Micros(b.rng.Float64() * float64(d)) }
 
-// around draws from 3/4 d to 5/4 d, so that balancers which saw one event don't act on it in step.
-func (b *Balancer) around(d Micros) Micros { return d*3/4 + b.jitter(d/2) }
+// jitterAround draws from 3/4 d to 5/4 d, so that balancers which saw one event don't act on it in step.
+func (b *Balancer) jitterAround(d Micros) Micros { return d*3/4 + b.jitter(d/2) }
 
-func (b *Balancer) onTimer(now Micros, ev Timer) {
-	r := b.reqs[uint32(ev.Token)]
+func (b *Balancer) onTimerFired(now Micros, ev TimerFired) {
+	r := b.requests[uint32(ev.Token)]
 	switch kind := ev.Token >> 32 << 32; {
-	case kind == timerTick:
-		b.tick(now)
+	case kind == tickTimer:
+		b.onTick(now)
 	case r == nil || r.open || r.closed:
-	case kind == timerDue:
-		b.finish(r)
-	case kind == timerHold && r.at == nil:
-		b.place(now, r)
+	case kind == deadlineTimer:
+		b.answerFinally(r)
+	case kind == holdTimer && r.server == nil:
+		b.placeRequest(now, r)
 	}
 }
 
 // ---- Health transitions ----
 
-func (b *Balancer) enter(now Micros, s *server, h Health) {
-	s.health, s.entered[h] = h, now
+func (b *Balancer) setHealth(now Micros, s *server, h Health) {
+	s.health, s.enteredAt[h] = h, now
 }
 
-// connected notes that a connection, an answer or a validation succeeded.
-func (b *Balancer) connected(now Micros, s *server) {
-	s.failed = false
+// markConnected notes that a connection, an answer or a validation succeeded.
+func (b *Balancer) markConnected(now Micros, s *server) {
+	s.demotedForFailure = false
 	if s.health != Connected {
-		b.enter(now, s, Connected)
+		b.setHealth(now, s, Connected)
 	}
 }
 
@@ -254,19 +254,19 @@
 	if s.health == Unhealthy {
 		return
 	}
-	if s.health == Connected && now-s.entered[Connected] > forgiveAfter {
-		s.strikes = 0
+	if s.health == Connected && now-s.enteredAt[Connected] > demotionResetAfter {
+		s.consecutiveDemotions = 0
 	}
-	b.enter(now, s, Unhealthy)
-	s.failed = true
-	b.census(now)
-	s.validateAt = now + b.around(min(validateFirst<<min(s.strikes, 8), validateLast))
-	s.strikes++
+	b.setHealth(now, s, Unhealthy)
+	s.demotedForFailure = true
+	b.updateFleetSize(now)
+	s.validateAt = now + b.jitterAround(min(minValidationDelay<<min(s.consecutiveDemotions, 8), maxValidationDelay))
+	s.consecutiveDemotions++
 }
 
-// demoteSoft demotes for slowness, unless so much of home is demoted that the cause must be shared (a store,
+// demoteForSlowness demotes for slowness, unless so much of home is demoted that the cause must be shared (a store,
 // a link, overload): demoting all for it would only move the crowd.
-func (b *Balancer) demoteSoft(now Micros, s *server) {
+func (b *Balancer) demoteForSlowness(now Micros, s *server) {
 	all, low := 0, 0
 	for _, o := range b.servers {
 		if o.State == Ready && o.Zone == s.Zone {
@@ -276,20 +276,20 @@
 			}
 		}
 	}
-	if float64(low+1) <= softDemotedMax*float64(all) && s.health != Unhealthy {
+	if float64(low+1) <= maxSlowUnhealthyShare*float64(all) && s.health != Unhealthy {
 		b.demote(now, s)
-		s.failed = false
-		b.census(now)
+		s.demotedForFailure = false
+		b.updateFleetSize(now)
 	}
 }
 
-// rank orders servers for the pick: 0 is best.
-func rank(now Micros, s *server) int {
+// healthRank orders servers for the pick: 0 is best.
+func healthRank(now Micros, s *server) int {
 	switch s.health {
 	case Unhealthy:
 		return 2
 	case UnhealthyPending:
-		if now-s.entered[UnhealthyPending] < pendingLapse {
+		if now-s.enteredAt[UnhealthyPending] < pendingTimeout {
 			return 1
 		}
 	}
@@ -298,219 +298,224 @@
 
 // ---- Refresh and validation ----
 
-func (b *Balancer) onUpdate(now Micros, ev Update) {
-	if ev.Kind == Failed {
+func (b *Balancer) onServerListUpdate(now Micros, ev ServerListUpdate) {
+	if ev.Kind == UpdateFailed {
 		b.polling.Failed(now)
 		return
 	}
-	if ev.Kind != Delta {
+	if ev.Kind != UpdateDelta {
 		for _, s := range b.servers {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	for _, e := range ev.Entries {
-		b.list(now, e)
+		b.updateServer(now, e)
 	}
 	units, ready := 0.0, 0.0
 	for _, s := range b.servers {
 		if s.State == Ready {
-			units, ready = units+s.Units, ready+1
+			units, ready = units+s.Weight, ready+1
 		}
 	}
 	if ready > 0 {
-		b.meanUnits = units / ready
+		b.meanWeight = units / ready
 	}
-	if ev.Kind != Cached {
+	if ev.Kind != UpdateCached {
 		b.polling.Answered(now)
 		return
 	}
 	for _, s := range b.servers {
-		s.Tokens = slowstart.First * s.Units / b.meanUnits
+		s.Tokens = slowstart.StartupTokens * s.Weight / b.meanWeight
 	}
 }
 
-// list takes one entry. A server that restarted is Unknown again, whatever it was.
-func (b *Balancer) list(now Micros, e Entry) {
-	s := b.byID[e.Server]
+// updateServer takes one entry. A server that restarted is Unknown again, whatever it was.
+func (b *Balancer) updateServer(now Micros, e ServerEntry) {
+	s := b.serversByID[e.Server]
 	if s == nil {
-		s = &server{Estimate: latency.New(), groups: map[uint64]int{}}
-		b.byID[e.Server] = s
+		s = &server{Estimate: latency.New(), groupSizes: map[uint64]int{}}
+		b.serversByID[e.Server] = s
 		b.servers = append(b.servers, s)
-		b.enter(now, s, Unknown)
-	} else if e.Started != s.Started && e.State == Ready {
-		b.enter(now, s, Unknown)
-		s.strikes, s.Most = 0, math.Inf(1)
-		s.Restarted()
-		s.Restart()
-	}
-	s.Entry = e
-	if s.Units <= 0 {
-		s.Units = 1 // not told
-	}
-	size, held := b.fleet.Size(e.Kind, s.Units)
-	s.List(size, held)
-	s.Units = size
-}
-
-// tick does what no event starts: it asks discovery, and validates demoted servers.
-func (b *Balancer) tick(now Micros) {
-	b.timer(b.around(tickEvery), timerTick)
-	b.pace.Fade()
-	b.census(now)
-	if b.set.Ask && b.polling.Due(now) {
-		b.do(Watch{On: true})
-	}
-	b.survey(now)
-	b.spread(now)
+		b.setHealth(now, s, Unknown)
+	} else if e.StartedAt != s.StartedAt && e.State == Ready {
+		b.setHealth(now, s, Unknown)
+		s.consecutiveDemotions, s.ConnectionCapacity = 0, math.Inf(1)
+		s.ResetReports()
+		s.ResetGrants()
+	}
+	s.ServerEntry = e
+	if s.Weight <= 0 {
+		s.Weight = 1 // not told
+	}
+	size, held := b.fleetLoad.SizeFromWeight(e.MachineType, s.Weight)
+	s.SetListed(size, held)
+	s.Weight = size
+}
+
+// onTick does what no event starts: it asks discovery, and validates demoted servers.
+func (b *Balancer) onTick(now Micros) {
+	b.setTimer(b.jitterAround(tickInterval), tickTimer)
+	b.setups.Decay()
+	b.updateFleetSize(now)
+	if b.settings.PollDiscovery && b.polling.PollDue(now) {
+		b.emit(WatchDiscovery{On: true})
+	}
+	b.requestLoadReports(now)
+	b.rebalance(now)
 	for _, s := range b.servers {
-		s.Grow(now, tickEvery)
+		s.GrowCapacity(now, tickInterval)
 		switch {
 		case s.State != Ready || s.health != Unhealthy || now < s.validateAt:
-		case s.failed || len(s.conns) == 0:
-			b.validate(now, s)
-		case !s.Told(now): // its notes told that it was late, and tell no more
-			b.connected(now, s)
+		case s.demotedForFailure || len(s.connections) == 0:
+			b.validateServer(now, s)
+		case !s.DelayKnown(now): // its notes told that it was late, and tell no more
+			b.markConnected(now, s)
 		}
 	}
 }
 
-// validate turns a listed Unhealthy server UnhealthyPending and probes it, if the cap has room, else not now.
-func (b *Balancer) validate(now Micros, s *server) {
-	if b.set.MayProbe {
-		if b.probes >= probeCap || s.probing {
+// validateServer turns a listed Unhealthy server UnhealthyPending and probes it, if the cap has room, else not now.
+func (b *Balancer) validateServer(now Micros, s *server) {
+	if b.settings.AllowProbes {
+		if b.probesUnderWay >= maxConcurrentProbes || s.probing {
 			return
 		}
-		b.probe(s)
+		b.probeServer(s)
 	}
-	b.enter(now, s, UnhealthyPending)
+	b.setHealth(now, s, UnhealthyPending)
 }
 
-func (b *Balancer) probe(s *server) {
+func (b *Balancer) probeServer(s *server) {
 	s.probing = true
-	b.probes++
-	b.do(Probe{s.Server})
+	b.probesUnderWay++
+	b.emit(ProbeServer{s.Server})
 }
 
-func (b *Balancer) onProbed(now Micros, ev Probed) {
-	s := b.byID[ev.Server]
+func (b *Balancer) onProbeResult(now Micros, ev ProbeResult) {
+	s := b.serversByID[ev.Server]
 	if s == nil || !s.probing {
 		return
 	}
 	s.probing = false
-	b.probes--
-	load, told := b.used(ev.Load)
+	b.probesUnderWay--
+	load, told := b.reportedUtilization(ev.LoadReport)
 	if told {
-		s.Read(now, &b.fleet, b.warmth(now, s), load)
+		s.ApplyReport(now, &b.fleetLoad, b.warmupFactor(now, s), load)
 	}
 	switch {
 	case s.health != UnhealthyPending:
 	case ev.Status == outcome.Inconclusive: // it was never sent, which says nothing of the server
-		b.enter(now, s, Unhealthy)
-		s.validateAt = now + b.around(validateFirst)
-	case ev.Status == outcome.OK && load <= loadFull:
-		b.connected(now, s)
+		b.setHealth(now, s, Unhealthy)
+		s.validateAt = now + b.jitterAround(minValidationDelay)
+	case ev.Status == outcome.OK && load <= maxValidationUtilization:
+		b.markConnected(now, s)
 	default:
 		b.demote(now, s)
 	}
 }
 
-// survey keeps the account of what servers carry, and asks them how they are, as far as the price of probes
+// requestLoadReports keeps the account of what servers carry, and asks them how they are, as far as the price of probes
 // goes: those first that were not asked for longest.
-func (b *Balancer) survey(now Micros) {
+func (b *Balancer) requestLoadReports(now Micros) {
 	for _, s := range b.servers {
-		s.Look(now, &b.fleet, b.warmth(now, s))
+		s.SampleUtilization(now, &b.fleetLoad, b.warmupFactor(now, s))
 	}
-	for b.set.MayProbe && b.column() >= 0 && b.probes < probeCap {
+	for b.settings.AllowProbes && b.utilizationColumn() >= 0 && b.probesUnderWay < maxConcurrentProbes {
 		var longest *server
 		for _, s := range b.servers {
-			if s.State == Ready && !s.probing && (s.Conns > 0 || b.away(s) == 0 || s.AskedAt == 0) &&
-				(longest == nil || s.AskedAt < longest.AskedAt) {
+			if s.State == Ready && !s.probing &&
+				(s.OwnConnections > 0 || b.zoneIndex(s) == 0 || s.ReportRequestedAt == 0) &&
+				(longest == nil || s.ReportRequestedAt < longest.ReportRequestedAt) {
 				longest = s
 			}
 		}
-		if longest == nil || !b.polls.Due(now, &longest.Gauge) {
+		if longest == nil || !b.reportBudget.RequestDue(now, &longest.Gauge) {
 			return
 		}
-		b.probe(longest)
+		b.probeServer(longest)
 	}
 }
 
-// column is where load reports tell what is asked of a server over what it can do, -1 where they don't.
-func (b *Balancer) column() int { return slices.Index(b.set.Columns, "x0") }
+// utilizationColumn is where load reports tell what is asked of a server over what it can do, -1 where they don't.
+func (b *Balancer) utilizationColumn() int { return slices.Index(b.settings.LoadReportColumns, "x0") }
 
-// used reads that; what is absent or no number says nothing.
-func (b *Balancer) used(r Report) (float64, bool) {
-	at := b.column()
-	if at < 0 || at >= r.N || !(r.Values[at] >= 0) || math.IsInf(float64(r.Values[at]), 0) {
+// reportedUtilization reads that; what is absent or no number says nothing.
+func (b *Balancer) reportedUtilization(r LoadReport) (float64, bool) {
+	at := b.utilizationColumn()
+	if at < 0 || at >= r.Count || !(r.Values[at] >= 0) || math.IsInf(float64(r.Values[at]), 0) {
 		return 0, false
 	}
 	return float64(r.Values[at]), true
 }
 
-// refreshIfLong asks discovery again when a server has been Unhealthy for long, as others will have seen.
-func (b *Balancer) refreshIfLong(now Micros) {
+// refreshServerListIfLongUnhealthy asks discovery again when a server has been Unhealthy for long, as others will have seen.
+func (b *Balancer) refreshServerListIfLongUnhealthy(now Micros) {
 	for _, s := range b.servers {
-		if b.set.Ask && s.State == Ready && s.health == Unhealthy &&
-			now-s.entered[Unhealthy] > longUnhealthy && b.polling.MayRefresh(now) {
-			b.polling.Refresh(now)
+		if b.settings.PollDiscovery && s.State == Ready && s.health == Unhealthy &&
+			now-s.enteredAt[Unhealthy] > longUnhealthyAfter && b.polling.RefreshAllowed(now) {
+			b.polling.ScheduleRefresh(now)
 		}
 	}
 }
 
 // ---- Pick ----
 
-// shut keeps s from getting anything new for a while: one more would cost all that are there.
-func (s *server) shut(until Micros) { s.shutUntil = max(s.shutUntil, until) }
+// pauseUntil keeps s from getting anything new for a while: one more would cost all that are there.
+func (s *server) pauseUntil(until Micros) { s.pausedUntil = max(s.pausedUntil, until) }
 
-// warmth is the part of its capacity that a server surely has: ColdFrom, and more as evenly as it warms.
-func (b *Balancer) warmth(now Micros, s *server) float64 {
-	age := now - s.Started
-	if s.Started <= 0 || age >= b.set.Cold {
+// warmupFactor is the part of its capacity that a server surely has: ColdFrom, and more as evenly as it warms.
+func (b *Balancer) warmupFactor(now Micros, s *server) float64 {
+	age := now - s.StartedAt
+	if s.StartedAt <= 0 || age >= b.settings.WarmupTime {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*float64(max(age, 0))/float64(b.set.Cold)
+	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*float64(
+		max(age, 0),
+	)/float64(
+		b.settings.WarmupTime,
+	)
 }
 
-// away is 0 for a server of the home zone, 1 for another.
-func (b *Balancer) away(s *server) int {
-	if int(s.Zone) == b.set.Zone {
+// zoneIndex is 0 for a server of the home zone, 1 for another.
+func (b *Balancer) zoneIndex(s *server) int {
+	if int(s.Zone) == b.settings.Zone {
 		return 0
 	}
 	return 1
 }
 
-// allowed tells whether the rules let r go to s at all.
-func (b *Balancer) allowed(now Micros, r *request, s *server) bool {
-	if s.State != Ready || r.only != nil && r.only != s {
+// mayServe tells whether the rules let r go to s at all.
+func (b *Balancer) mayServe(now Micros, r *request, s *server) bool {
+	if s.State != Ready || r.pinnedTo != nil && r.pinnedTo != s {
 		return false
 	}
-	return r.class.Rule().Allows(&r.past, now, s.place())
+	return r.class.RetryPolicy().RetryAllowedAt(&r.attemptHistory, now, s.location())
 }
 
-func (s *server) place() retry.Place { return retry.Place{Zone: s.Zone, Cell: s.Cell} }
+func (s *server) location() retry.Location { return retry.Location{Zone: s.Zone, Cell: s.Cell} }
 
-// pick draws by share among the best-ranked ready servers of the home zone, and of the others where home has
+// pickServer draws by share among the best-ranked ready servers of the home zone, and of the others where home has
 // only lower ranks. It returns nil where no server may have the request now.
-func (b *Balancer) pick(now Micros, r *request) *server {
+func (b *Balancer) pickServer(now Micros, r *request) *server {
 	var best [2][3]*server // home or away, by rank
 	var least [2][3]float64
 	for _, s := range b.servers {
-		if !b.allowed(now, r, s) {
+		if !b.mayServe(now, r, s) {
 			continue
 		}
-		zone, rk, share := b.away(s), rank(now, s), b.warmth(now, s)
-		if b.fleet.Told { // the crossing is in the appeal
+		zone, rk, share := b.zoneIndex(s), healthRank(now, s), b.warmupFactor(now, s)
+		if b.fleetLoad.LoadsReported { // the crossing is in the appeal
 			zone = 0
 		}
-		if now < s.shutUntil || s.triedBy == r.id+1 || !b.room(now, r, s) ||
-			(share < 1 && (r.price == 0 || !b.coldRoom(now, s))) || b.fleet.Told &&
-			!s.Fits(&b.fleet, share, r.load, s.holds(r), r.class.WorthPart) {
+		if now < s.pausedUntil || s.lastTriedBy == r.id+1 || !b.hasSpareCapacity(now, r, s) ||
+			(share < 1 && (r.admissionCost == 0 || !b.slowStartAllows(now, s))) || b.fleetLoad.LoadsReported &&
+			!s.HasCapacityFor(&b.fleetLoad, share, r.load, s.hasGroupOf(r), r.class.RelativePriority) {
 			continue
 		}
 		// The least of exponential draws with these rates falls on each server by its share.
-		draw := -math.Log(1-b.draw(r, s)) / b.appeal(now, r, s)
+		draw := -math.Log(1-b.selectionDraw(r, s)) / b.selectionWeight(now, r, s)
 		if share < 1 { // what its budget allows is little, and would be lost
-			if draw = 0; b.present.Thin() {
+			if draw = 0; b.fleetSize.Reduced() {
 				zone = 0
 			}
 		}
@@ -528,35 +533,35 @@
 	return nil
 }
 
-// appeal is how likely s is to be picked for r: by its size, less for what it carries, much more where it has
+// selectionWeight is how likely s is to be picked for r: by its size, less for what it carries, much more where it has
 // others of r's group, whose work it then does only once; the size alone, alike to all, where packets pass.
-func (b *Balancer) appeal(now Micros, r *request, s *server) float64 {
-	size := s.Units / b.meanUnits
-	if b.set.Pass {
+func (b *Balancer) selectionWeight(now Micros, r *request, s *server) float64 {
+	size := s.Weight / b.meanWeight
+	if b.settings.Passthrough {
 		return size
 	}
-	if b.fleet.Told {
-		return s.Appeal(&b.fleet, b.warmth(now, s), r.load, s.holds(r), b.away(s) == 1)
+	if b.fleetLoad.LoadsReported {
+		return s.SelectionWeight(&b.fleetLoad, b.warmupFactor(now, s), r.load, s.hasGroupOf(r), b.zoneIndex(s) == 1)
 	}
-	load := float64(len(s.conns)+s.pending) + groupLoad*float64(len(s.groups))
-	appeal := size * math.Pow(1+load/(evenLeast*size), -evenness)
-	if s.groups[r.group] > 0 {
-		appeal *= groupBonus
+	load := float64(len(s.connections)+s.pendingAttempts) + connectionsPerGroup*float64(len(s.groupSizes))
+	appeal := size * math.Pow(1+load/(loadOffset*size), -loadExponent)
+	if s.groupSizes[r.group] > 0 {
+		appeal *= groupAffinity
 	}
 	return appeal
 }
 
-// draw is a random number from 0 to 1 that every proxy draws alike: by the group, which so comes together, or
+// selectionDraw is a random number from 0 to 1 that every proxy draws alike: by the group, which so comes together, or
 // where connections pass through by the key, so that one that changes proxies finds its server again.
-func (b *Balancer) draw(r *request, s *server) float64 {
+func (b *Balancer) selectionDraw(r *request, s *server) float64 {
 	of := r.group
-	if b.set.Pass {
+	if b.settings.Passthrough {
 		of = r.key
 	}
 	if of == 0 {
 		return b.rng.Float64()
 	}
-	h := of ^ s.Name*0x9e3779b97f4a7c15
+	h := of ^ s.StableID*0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return float64((h^h>>31)>>11) / (1 << 53)
@@ -564,447 +569,477 @@
 
 // ---- Request life ----
 
-func (b *Balancer) take(now Micros, ev Request) *request {
-	if b.reqs[ev.ID] != nil {
+func (b *Balancer) addRequest(now Micros, ev Request) *request {
+	if b.requests[ev.ID] != nil {
 		return nil
 	}
 	r := &request{
-		id: ev.ID, key: ev.Key, group: ev.Group, work: 1, price: 1,
-		due: now + ev.Left - answerLead, class: Class{Effect: Unsafe},
+		id: ev.ID, key: ev.Key, group: ev.Group, relativeWork: 1, admissionCost: 1,
+		deadline: now + ev.TimeLeft - answerMargin, class: Class{Idempotency: NonIdempotent},
 	}
-	if ev.Class < len(b.set.Classes) {
-		r.class = b.set.Classes[ev.Class]
+	if ev.Class < len(b.settings.Classes) {
+		r.class = b.settings.Classes[ev.Class]
 	}
-	if r.resumes = ev.Resumes; ev.Pinned {
-		if r.only = b.byID[ev.To]; r.only == nil {
-			r.only = &server{} // which is not ready
+	if r.resumable = ev.Resumable; ev.Pinned {
+		if r.pinnedTo = b.serversByID[ev.PinnedServer]; r.pinnedTo == nil {
+			r.pinnedTo = &server{} // which is not ready
 		}
 	}
-	if ev.Returned {
-		r.price = b.present.Returned()
+	if ev.Reconnected {
+		r.admissionCost = b.fleetSize.TakeReturn()
 	}
-	if ev.HasHint && ev.Hint > 0 {
-		b.hints++
-		b.meanWork += (ev.Hint - b.meanWork) / min(b.hints, 500)
-		r.work = ev.Hint / b.meanWork
-		b.meanBooked += (max(r.work, 1) - b.meanBooked) / min(b.hints, 500)
-		r.load = ev.Hint / 1e6
-		b.fleet.Hinted(r.load)
+	if ev.HasLoadHint && ev.LoadHint > 0 {
+		b.hintCount++
+		b.meanHint += (ev.LoadHint - b.meanHint) / min(b.hintCount, 500)
+		r.relativeWork = ev.LoadHint / b.meanHint
+		b.meanChargedWork += (max(r.relativeWork, 1) - b.meanChargedWork) / min(b.hintCount, 500)
+		r.load = ev.LoadHint / 1e6
+		b.fleetLoad.ObserveHint(r.load)
 	} else {
-		r.load = b.fleet.Mean()
+		r.load = b.fleetLoad.MeanLoad()
 	}
-	b.reqs[ev.ID] = r
+	b.requests[ev.ID] = r
 	return r
 }
 
 func (b *Balancer) onRequest(now Micros, ev Request) {
-	r := b.take(now, ev)
+	r := b.addRequest(now, ev)
 	if r == nil {
 		return
 	}
-	b.retries = min(b.retries+retryGrant, max(retryMost*b.share(1), 2))
-	b.timer(r.due-now, timerDue|uint64(r.id))
-	b.polls.Earn(b.set.FeeProbe)
-	b.refreshIfLong(now)
-	b.place(now, r)
+	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, max(fleetRetryTokens*b.fleetShare(1), 2))
+	b.setTimer(r.deadline-now, deadlineTimer|uint64(r.id))
+	b.reportBudget.Earn(b.settings.ProbeCost)
+	b.refreshServerListIfLongUnhealthy(now)
+	b.placeRequest(now, r)
 }
 
-func (b *Balancer) onOpen(now Micros, ev Open) {
-	s := b.byID[ev.Server]
+func (b *Balancer) onExistingConnection(now Micros, ev ExistingConnection) {
+	s := b.serversByID[ev.Server]
 	if s == nil {
 		return
 	}
-	if r := b.take(now, ev.Request); r != nil {
-		r.sent, r.at = 1, s
-		b.bear(s, r)
-		b.stand(r)
-		b.connected(now, s)
+	if r := b.addRequest(now, ev.Request); r != nil {
+		r.attempts, r.server = 1, s
+		b.charge(s, r)
+		b.establish(r)
+		b.markConnected(now, s)
 	}
 }
 
-func (b *Balancer) stand(r *request) {
-	r.open, r.slot = true, len(r.at.conns)
-	r.at.conns = append(r.at.conns, r)
+func (b *Balancer) establish(r *request) {
+	r.open, r.connectionIndex = true, len(r.server.connections)
+	r.server.connections = append(r.server.connections, r)
 }
 
-// holds tells that r brings s no group that it does not have.
-func (s *server) holds(r *request) bool { return r.group == 0 || s.groups[r.group] > 0 }
+// hasGroupOf tells that r brings s no group that it does not have.
+func (s *server) hasGroupOf(r *request) bool { return r.group == 0 || s.groupSizes[r.group] > 0 }
 
-// bear counts a request's load to the server that has it.
-func (b *Balancer) bear(s *server, r *request) {
-	r.borne = s
-	s.Own, s.Conns = s.Own+r.load, s.Conns+1
+// charge counts a request's load to the server that has it.
+func (b *Balancer) charge(s *server, r *request) {
+	r.chargedTo = s
+	s.OwnLoad, s.OwnConnections = s.OwnLoad+r.load, s.OwnConnections+1
 	if r.group != 0 {
-		s.groups[r.group]++
+		s.groupSizes[r.group]++
 	}
-	s.Groups = len(s.groups)
+	s.GroupCount = len(s.groupSizes)
 }
 
-// unbear takes it away again.
-func (b *Balancer) unbear(r *request) {
-	if s := r.borne; s != nil {
-		r.borne, s.Own, s.Conns = nil, max(s.Own-r.load, 0), s.Conns-1
-		if s.groups[r.group]--; s.groups[r.group] <= 0 {
-			delete(s.groups, r.group)
+// release takes it away again.
+func (b *Balancer) release(r *request) {
+	if s := r.chargedTo; s != nil {
+		r.chargedTo, s.OwnLoad, s.OwnConnections = nil, max(s.OwnLoad-r.load, 0), s.OwnConnections-1
+		if s.groupSizes[r.group]--; s.groupSizes[r.group] <= 0 {
+			delete(s.groupSizes, r.group)
 		}
-		s.Groups = len(s.groups)
+		s.GroupCount = len(s.groupSizes)
 	}
 }
 
-func (b *Balancer) fall(r *request) {
-	conns := r.at.conns
+func (b *Balancer) closeConnection(r *request) {
+	conns := r.server.connections
 	last := conns[len(conns)-1]
-	conns[r.slot], last.slot = last, r.slot
-	r.at.conns = conns[:len(conns)-1]
-	b.unbear(r)
+	conns[r.connectionIndex], last.connectionIndex = last, r.connectionIndex
+	r.server.connections = conns[:len(conns)-1]
+	b.release(r)
 	r.open = false
 }
 
-// place sends a request to the server picked for it, or holds it until one may have it.
-func (b *Balancer) place(now Micros, r *request) {
-	left := r.due - now
+// placeRequest sends a request to the server picked for it, or holds it until one may have it.
+func (b *Balancer) placeRequest(now Micros, r *request) {
+	left := r.deadline - now
 	// Whose token is given back can come again with it; an attempt that ends too soon would have used it up.
-	stuck := r.only != nil && (r.sent > 0 || r.only.State != Ready || left < tryLeast) ||
-		r.class.Rule().Spent(&r.past, now)
-	if left <= 0 || stuck || r.sent >= b.set.MostTries || (r.sent > 0 && (b.retries < 1 || b.pace.Shared())) {
-		b.finish(r)
+	stuck := r.pinnedTo != nil && (r.attempts > 0 || r.pinnedTo.State != Ready || left < minAttemptTimeout) ||
+		r.class.RetryPolicy().RetryForbidden(&r.attemptHistory, now)
+	if left <= 0 || stuck || r.attempts >= b.settings.MaxAttempts ||
+		(r.attempts > 0 && (b.retryTokens < 1 || b.setups.FailuresShared())) {
+		b.answerFinally(r)
 		return
 	}
 	var s *server
 	under := 0
 	for _, o := range b.servers {
-		under += o.pending
+		under += o.pendingAttempts
 	}
-	if b.set.Pass || b.pace.Room(under) {
-		s = b.pick(now, r)
+	if b.settings.Passthrough || b.setups.Allows(under) {
+		s = b.pickServer(now, r)
 	}
 	if s == nil {
-		b.timer(min(b.around(holdStep), left), timerHold|uint64(r.id))
+		b.setTimer(min(b.jitterAround(holdInterval), left), holdTimer|uint64(r.id))
 		return
 	}
-	if b.rng.Float64() < b.pace.Refuses(b.share(1)) {
-		b.pace.NotBegun()
-		b.finish(r)
+	if b.rng.Float64() < b.setups.ShedProbability(b.fleetShare(1)) {
+		b.setups.RecordShed()
+		b.answerFinally(r)
 		return
 	}
-	if r.sent > 0 {
-		b.retries--
+	if r.attempts > 0 {
+		b.retryTokens--
 	}
-	b.spend(now, s, r)
-	b.bear(s, r)
-	s.pending++
-	s.triedBy = r.id + 1
-	r.sent++
-	r.at, r.lastSent, r.sentTo = s, now, s.place()
-	send := Send{ID: r.id, GiveUp: b.giveUp(r, left), Server: s.Server}
-	if until, bound := r.class.Rule().Until(&r.past); bound {
-		send.Within = Micros(until) - now
+	b.spendConnectionBudget(now, s, r)
+	b.charge(s, r)
+	s.pendingAttempts++
+	s.lastTriedBy = r.id + 1
+	r.attempts++
+	r.server, r.lastAttemptAt, r.lastLocation = s, now, s.location()
+	send := StartAttempt{ID: r.id, Timeout: b.attemptTimeout(r, left), Server: s.Server}
+	if until, bound := r.class.RetryPolicy().RetryDeadline(&r.attemptHistory); bound {
+		send.WriteWithin = Micros(until) - now
 	}
-	b.do(send)
+	b.emit(send)
 }
 
-// giveUp is an attempt's time-out: it leaves room for another try, but cuts nothing short that would stand.
-func (b *Balancer) giveUp(r *request, left Micros) Micros {
-	if r.sent >= b.set.MostTries || left < 2*tryLeast || r.only != nil || r.class.Effect == Unsafe {
+// attemptTimeout is an attempt's time-out: it leaves room for another try, but cuts nothing short that would stand.
+func (b *Balancer) attemptTimeout(r *request, left Micros) Micros {
+	if r.attempts >= b.settings.MaxAttempts || left < 2*minAttemptTimeout || r.pinnedTo != nil ||
+		r.class.Idempotency == NonIdempotent {
 		return left
 	}
-	return min(max(Micros(float64(left)*tryShare), tryLeast, Micros(setUpRoom*b.pace.Span())), left)
+	return min(
+		max(
+			Micros(float64(left)*attemptTimeoutShare),
+			minAttemptTimeout,
+			Micros(setupTimeoutFactor*b.setups.SetupLatency()),
+		),
+		left,
+	)
 }
 
-// finish gives the final answer: a refusal where a repeat is harmless, else a failure.
-func (b *Balancer) finish(r *request) {
-	unsure := r.past.MayHaveRun() || r.at != nil
-	b.end(r)
-	if r.class.Rule().Harmless(unsure) {
+// answerFinally gives the final answer: a refusal where a repeat is harmless, else a failure.
+func (b *Balancer) answerFinally(r *request) {
+	unsure := r.attemptHistory.MayHaveExecuted() || r.server != nil
+	b.endRequest(r)
+	if r.class.RetryPolicy().ClientRetrySafe(unsure) {
 		hold := Micros(0)
-		if b.set.MayHold {
-			hold = min(200*ms+b.jitter(400*ms), b.set.MaxRetryAfter)
+		if b.settings.AllowRetryAfter {
+			hold = min(200*ms+b.jitter(400*ms), b.settings.MaxRetryAfter)
 		}
-		b.do(Refuse{r.id, hold})
+		b.emit(Reject{r.id, hold})
 	} else {
-		b.do(Fail{r.id})
+		b.emit(Fail{r.id})
 	}
 }
 
-// end gives up what a request has under way, and forgets it or keeps it closed until its last outcome.
-func (b *Balancer) end(r *request) {
+// endRequest gives up what a request has under way, and forgets it or keeps it closed until its last outcome.
+func (b *Balancer) endRequest(r *request) {
 	r.closed = true
 	switch {
-	case r.at == nil:
-		delete(b.reqs, r.id)
+	case r.server == nil:
+		delete(b.requests, r.id)
 	case r.open:
-		b.fall(r)
-		r.at.pending++
-	case b.set.MayCancel:
-		b.do(Cancel{r.id, r.sent - 1})
+		b.closeConnection(r)
+		r.server.pendingAttempts++
+	case b.settings.AllowCancel:
+		b.emit(CancelAttempt{r.id, r.attempts - 1})
 	}
 }
 
-func (b *Balancer) onWithdrawn(ev Withdrawn) {
-	if r := b.reqs[ev.ID]; r != nil && !r.closed {
-		b.end(r)
+func (b *Balancer) onRequestCancelled(ev RequestCancelled) {
+	if r := b.requests[ev.ID]; r != nil && !r.closed {
+		b.endRequest(r)
 	}
 }
 
 func (b *Balancer) onEstablished(now Micros, ev Established) {
-	r := b.reqs[ev.ID]
-	if r == nil || r.at == nil || r.open || ev.Attempt != r.sent-1 || r.at.Server != ev.Server {
+	r := b.requests[ev.ID]
+	if r == nil || r.server == nil || r.open || ev.Attempt != r.attempts-1 || r.server.Server != ev.Server {
 		return
 	}
-	b.connected(now, r.at)
-	b.tally(outcome.OK, ev.Took)
-	if r.erred != nil && r.erred != r.at {
-		b.tally(outcome.ErrorAnswer, 0)
-		b.judge(now, r.erred, outcome.ErrorAnswer, false)
+	b.markConnected(now, r.server)
+	b.recordSetup(outcome.OK, ev.SetupTime)
+	if r.erroredServer != nil && r.erroredServer != r.server {
+		b.recordSetup(outcome.ErrorResponse, 0)
+		b.updateHealth(now, r.erroredServer, outcome.ErrorResponse, false)
 	}
-	r.erred = nil
+	r.erroredServer = nil
 	if r.closed {
 		return
 	}
-	r.at.pending--
-	b.stand(r)
+	r.server.pendingAttempts--
+	b.establish(r)
 }
 
-func (b *Balancer) onOutcome(now Micros, ev Outcome) {
-	r := b.reqs[ev.ID]
-	if r == nil || r.at == nil || ev.Attempt != r.sent-1 || r.at.Server != ev.Server {
+func (b *Balancer) onAttemptEnded(now Micros, ev AttemptEnded) {
+	r := b.requests[ev.ID]
+	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 || r.server.Server != ev.Server {
 		return
 	}
-	s, wasOpen := r.at, r.open
+	s, wasOpen := r.server, r.open
 	if wasOpen {
-		b.fall(r)
+		b.closeConnection(r)
 		if ev.Status != outcome.OK {
-			b.present.Owe()
+			b.fleetSize.ExpectReturn()
 		}
 	} else {
-		s.pending--
+		s.pendingAttempts--
 	}
-	b.unbear(r)
-	r.at = nil
+	b.release(r)
+	r.server = nil
 	// An error may be the request's own fault: another server judges it, or one bad client would demote all.
-	unsure := ev.Status == outcome.ErrorAnswer && !wasOpen && r.class.Effect == Safe
-	if !unsure && !ev.Echo {
+	unsure := ev.Status == outcome.ErrorResponse && !wasOpen && r.class.Idempotency == Idempotent
+	if !unsure && !ev.SharedCause {
 		if !wasOpen {
-			b.tally(ev.Status, ev.Took)
+			b.recordSetup(ev.Status, ev.Duration)
 		}
-		b.judge(now, s, ev.Status, wasOpen)
+		b.updateHealth(now, s, ev.Status, wasOpen)
 	}
-	if ev.Closed || r.closed || wasOpen {
-		b.end(r)
+	if ev.RequestClosed || r.closed || wasOpen {
+		b.endRequest(r)
 		return
 	}
-	if unsure && r.erred != nil {
-		b.finish(r)
+	if unsure && r.erroredServer != nil {
+		b.answerFinally(r)
 		return
 	}
 	if unsure {
-		r.erred = s
+		r.erroredServer = s
 	}
 	if ev.Status != outcome.ServerFull && ev.Status != outcome.ConnectFailed && ev.Status != outcome.Inconclusive {
-		r.past.Ran(r.lastSent, r.sentTo)
+		r.attemptHistory.RecordAttempt(r.lastAttemptAt, r.lastLocation)
 	}
-	b.place(now, r)
+	b.placeRequest(now, r)
 }
 
-// setUpEnds are the outcomes that tell how set-ups go.
-var setUpEnds = map[outcome.Status]concurrency.End{
-	outcome.OK:          concurrency.Stood,
-	outcome.ErrorAnswer: concurrency.Failed,
-	outcome.TimedOut:    concurrency.TimedOut,
+// setupResults are the outcomes that tell how set-ups go.
+var setupResults = map[outcome.Status]concurrency.Outcome{
+	outcome.OK:            concurrency.Established,
+	outcome.ErrorResponse: concurrency.Failed,
+	outcome.TimedOut:      concurrency.TimedOut,
 }
 
-func (b *Balancer) tally(st outcome.Status, took Micros) { b.pace.Ended(setUpEnds[st], float64(took)) }
+func (b *Balancer) recordSetup(st outcome.Status, took Micros) {
+	b.setups.Record(setupResults[st], float64(took))
+}
 
-// judge draws a server's health from how an attempt ended.
-func (b *Balancer) judge(now Micros, s *server, st outcome.Status, wasOpen bool) {
+// updateHealth draws a server's health from how an attempt ended.
+func (b *Balancer) updateHealth(now Micros, s *server, st outcome.Status, wasOpen bool) {
 	switch st {
 	case outcome.OK:
 		if !wasOpen {
-			b.connected(now, s)
+			b.markConnected(now, s)
 		}
 	case outcome.ServerFull:
-		s.shut(now + b.around(fullPause))
+		s.pauseUntil(now + b.jitterAround(serverFullPause))
 	case outcome.Reset:
 		// Servers with too much piled up drop connections; one that died is shut with as much reason. A
 		// single one may as well be the network's doing.
-		if now-s.resetAt < resetPair {
+		if now-s.lastResetAt < resetPairWindow {
 			b.demote(now, s)
-			s.shut(now + b.around(resetPause))
+			s.pauseUntil(now + b.jitterAround(resetPause))
 		}
-		s.resetAt = now
+		s.lastResetAt = now
 	case outcome.ConnectFailed:
 		b.demote(now, s)
-	case outcome.ErrorAnswer:
-		if !b.pace.Shared() {
+	case outcome.ErrorResponse:
+		if !b.setups.FailuresShared() {
 			b.demote(now, s)
 		}
 	case outcome.TimedOut:
-		if !b.pace.Shared() {
-			b.demoteSoft(now, s)
+		if !b.setups.FailuresShared() {
+			b.demoteForSlowness(now, s)
 		}
 	}
 }
 
-func (b *Balancer) onNote(now Micros, ev Note) {
-	s := b.byID[ev.Server]
-	if r := b.reqs[ev.ID]; r != nil && r.borne != nil && ev.Kind == LoadNote {
-		r.borne.Own += ev.Value/1e6 - r.load
+func (b *Balancer) onConnectionMetric(now Micros, ev ConnectionMetric) {
+	s := b.serversByID[ev.Server]
+	if r := b.requests[ev.ID]; r != nil && r.chargedTo != nil && ev.Kind == LoadMetric {
+		r.chargedTo.OwnLoad += ev.Value/1e6 - r.load
 		r.load = ev.Value / 1e6
-		b.fleet.Learn(r.load)
-	}
-	if s == nil || ev.Kind != DelayNote ||
-		!s.Note(now, ev.Value*float64(ms), float64(b.aim()), float64(len(s.conns)+s.pending)) {
+		b.fleetLoad.Observe(r.load)
+	}
+	if s == nil || ev.Kind != MessageLatencyMetric ||
+		!s.ObserveDelay(
+			now,
+			ev.Value*float64(ms),
+			float64(b.shortestMessageObjective()),
+			float64(len(s.connections)+s.pendingAttempts),
+		) {
 		return
 	}
 	switch {
-	case s.Slow():
+	case s.MeasuredSlow():
 		for _, o := range b.servers {
-			o.Calm(max(b.share(1), slowstart.Least))
+			o.CapTokens(max(b.fleetShare(1), slowstart.MinFleetShare))
 		}
-		b.demoteSoft(now, s)
-		if s.Late(now) {
-			s.shut(now + latency.Fresh)
-			b.relieve(now, s)
+		b.demoteForSlowness(now, s)
+		if s.MissesObjective(now) {
+			s.pauseUntil(now + latency.ReportLifetime)
+			b.moveFromLateServer(now, s)
 		}
 	case s.health != Connected:
-		b.connected(now, s)
+		b.markConnected(now, s)
 	}
 }
 
-// relieve moves the part off a late server that its notes tell is too much. All proxies hear one note and
+// moveFromLateServer moves the part off a late server that its notes tell is too much. All proxies hear one note and
 // move one part, however many they are. Nothing is moved without a place to go, unless so late that staying
 // is worth nothing.
-func (b *Balancer) relieve(now Micros, s *server) {
-	free, part := b.free(now), min(s.Part(float64(b.aim())), moveMost*b.present.Part()*b.present.Part())
-	if b.fleet.Told {
+func (b *Balancer) moveFromLateServer(now Micros, s *server) {
+	free, part := b.spareConnections(
+		now,
+	), min(
+		s.ExcessPart(float64(b.shortestMessageObjective())),
+		maxMovedShare*b.fleetSize.PresentPart()*b.fleetSize.PresentPart(),
+	)
+	if b.fleetLoad.LoadsReported {
 		if free >= 1 {
-			b.lighten(now, s, part*s.Own)
+			b.moveLoad(now, s, part*s.OwnLoad)
 		}
 		return
 	}
-	for i := len(s.conns) - 1; i >= 0; i-- {
-		r := s.conns[i]
-		if r.class.MessageAim <= 0 || b.pace.Span() >= moveSetUp*float64(r.class.Aim) {
+	for i := len(s.connections) - 1; i >= 0; i-- {
+		r := s.connections[i]
+		if r.class.MessageLatencyObjective <= 0 ||
+			b.setups.SetupLatency() >= maxMoveSetupShare*float64(r.class.LatencyObjective) {
 			continue
 		}
-		over := s.Times(float64(b.aim()), float64(r.class.MessageAim))
-		if over > latency.MoveAt && (free >= 1 || over > shedAt) && b.rng.Float64() < part {
-			b.move(now, r, false)
+		over := s.DelayRatio(float64(b.shortestMessageObjective()), float64(r.class.MessageLatencyObjective))
+		if over > latency.MoveThreshold && (free >= 1 || over > forcedMoveLatencyRatio) && b.rng.Float64() < part {
+			b.moveConnection(now, r, false)
 			free--
 		}
 	}
 }
 
-// spread moves connections off servers that are asked for more than they can do, as far as others have room,
+// rebalance moves connections off servers that are asked for more than they can do, as far as others have room,
 // and off draining ones bit by bit: what still stands when those stop is cut off, and comes back at once.
-func (b *Balancer) spread(now Micros) {
+func (b *Balancer) rebalance(now Micros) {
 	room := 0.0
 	for _, s := range b.servers {
-		if s.State == Ready && now >= s.shutUntil && rank(now, s) == 0 {
-			room += s.Room(&b.fleet, b.warmth(now, s))
+		if s.State == Ready && now >= s.pausedUntil && healthRank(now, s) == 0 {
+			room += s.SpareCapacity(&b.fleetLoad, b.warmupFactor(now, s))
 		}
 	}
 	for _, s := range b.servers {
-		if excess := s.Excess(now, &b.fleet, b.warmth(now, s)); b.fleet.Told && s.State == Ready {
-			room -= b.lighten(now, s, min(excess, room))
+		if excess := s.ExcessLoad(now, &b.fleetLoad, b.warmupFactor(now, s)); b.fleetLoad.LoadsReported &&
+			s.State == Ready {
+			room -= b.moveLoad(now, s, min(excess, room))
 		}
-		for i := len(s.conns) - 1; b.fleet.Told && s.State == Draining && i >= 0; i-- {
-			if r := s.conns[i]; room > 0 && !r.resumes && b.rng.Float64() < drainPart { // else a plan has it
+		for i := len(s.connections) - 1; b.fleetLoad.LoadsReported && s.State == Draining && i >= 0; i-- {
+			if r := s.connections[i]; room > 0 && !r.resumable &&
+				b.rng.Float64() < drainSharePerTick { // else a plan has it
 				room -= r.load
-				b.move(now, r, false)
+				b.moveConnection(now, r, false)
 			}
 		}
 	}
 }
 
-// lighten moves so much load off a server, and returns what it did.
-func (b *Balancer) lighten(now Micros, s *server, want float64) float64 {
-	conns := slices.Clone(s.conns)
-	items := make([]serverload.Item, len(conns))
+// moveLoad moves so much load off a server, and returns what it did.
+func (b *Balancer) moveLoad(now Micros, s *server, want float64) float64 {
+	conns := slices.Clone(s.connections)
+	items := make([]serverload.Connection, len(conns))
 	for i, r := range conns {
-		items[i] = serverload.Item{Group: r.group, Load: r.load}
+		items[i] = serverload.Connection{Group: r.group, Load: r.load}
 	}
-	leave, moved := serverload.Leaving(&b.fleet, items, want)
+	leave, moved := serverload.SelectConnectionsToMove(&b.fleetLoad, items, want)
 	for _, i := range leave {
-		if b.pace.Span() < moveSetUp*float64(conns[i].class.Aim) { // else it could not come back
-			s.LeftAt = now
-			b.move(now, conns[i], false)
+		if b.setups.SetupLatency() < maxMoveSetupShare*float64(
+			conns[i].class.LatencyObjective,
+		) { // else it could not come back
+			s.RebalancedAt = now
+			b.moveConnection(now, conns[i], false)
 		}
 	}
 	return moved
 }
 
-func (b *Balancer) free(now Micros) float64 {
+func (b *Balancer) spareConnections(now Micros) float64 {
 	free := 0.0
 	for _, s := range b.servers {
-		if s.State == Ready && now >= s.shutUntil && rank(now, s) == 0 && !s.Late(now) &&
-			b.room(now, &request{price: 1}, s) {
-			free += min(s.Tokens, s.Most-float64(len(s.conns)+s.pending))
+		if s.State == Ready && now >= s.pausedUntil && healthRank(now, s) == 0 && !s.MissesObjective(now) &&
+			b.hasSpareCapacity(now, &request{admissionCost: 1}, s) {
+			free += min(s.Tokens, s.ConnectionCapacity-float64(len(s.connections)+s.pendingAttempts))
 		}
 	}
 	return free
 }
 
-func (b *Balancer) onLeaving(now Micros, ev Leaving) {
-	if r := b.reqs[ev.ID]; r != nil && r.open {
-		if !ev.Stay {
-			b.present.Owe()
+func (b *Balancer) onMoveRequested(now Micros, ev MoveRequested) {
+	if r := b.requests[ev.ID]; r != nil && r.open {
+		if !ev.SameServerAllowed {
+			b.fleetSize.ExpectReturn()
 		}
-		b.move(now, r, ev.Stay)
+		b.moveConnection(now, r, ev.SameServerAllowed)
 	}
 }
 
-// move ends a connection politely; its client comes again, where it can be told to the pick of now.
-func (b *Balancer) move(now Micros, r *request, stay bool) {
-	m, next := Move{ID: r.id}, r.at
-	if r.resumes && !(stay && next.State == Ready && !next.Late(now)) {
-		next.triedBy = r.id + 1 // anywhere else
-		next = b.pick(now, &request{id: r.id, class: r.class, key: r.key, group: r.group})
+// moveConnection ends a connection politely; its client comes again, where it can be told to the pick of now.
+func (b *Balancer) moveConnection(now Micros, r *request, stay bool) {
+	m, next := MoveConnection{ID: r.id}, r.server
+	if r.resumable && !(stay && next.State == Ready && !next.MissesObjective(now)) {
+		next.lastTriedBy = r.id + 1 // anywhere else
+		next = b.pickServer(now, &request{id: r.id, class: r.class, key: r.key, group: r.group})
 	}
-	if r.resumes && next != nil {
-		m.Next, m.Named = next.Server, true
+	if r.resumable && next != nil {
+		m.NextServer, m.HasNextServer = next.Server, true
 	}
-	b.do(m)
-	b.end(r)
+	b.emit(m)
+	b.endRequest(r)
 }
 
-// census looks how much of the fleet is there; while a part is gone, what comes back is let in more slowly.
-func (b *Balancer) census(now Micros) {
+// updateFleetSize looks how much of the fleet is there; while a part is gone, what comes back is let in more slowly.
+func (b *Balancer) updateFleetSize(now Micros) {
 	units := 0.0
 	for _, s := range b.servers {
-		if s.State == Ready && !s.failed {
-			units += s.Units * b.warmth(now, s)
+		if s.State == Ready && !s.demotedForFailure {
+			units += s.Weight * b.warmupFactor(now, s)
 		}
 	}
-	b.present.Count(now, units)
+	b.fleetSize.Update(now, units)
 }
 
-// coldRoom tells whether a cold server's budget has room: what it takes by size and warmth, times the rule's
+// slowStartAllows tells whether a cold server's budget has room: what it takes by size and warmth, times the rule's
 // multiple, divided among all balancers. A grant is for the mean of what connections are booked at.
-func (b *Balancer) coldRoom(now Micros, s *server) bool {
-	slot, began := slowstart.Slot(now, s.Started, b.set.TipAfter)
-	rate := slowstart.ColdRate * s.Units / b.meanUnits * b.warmth(Micros(began), s) * b.set.OverloadFactor
-	most := rate * b.set.TipAfter.Seconds()
-	return s.Cold(slot, most/b.meanBooked, slowstart.Fleet{
-		Rank: b.set.Rank, Balancers: b.set.Balancers,
-		Zones: b.set.Zones, Server: s.Name, Home: b.away(s) == 0, Uneven: b.fleet.Told,
+func (b *Balancer) slowStartAllows(now Micros, s *server) bool {
+	slot, began := slowstart.SlotAt(now, s.StartedAt, b.settings.OverloadWindow)
+	rate := slowstart.WarmUpRate * s.Weight / b.meanWeight * b.warmupFactor(
+		Micros(began),
+		s,
+	) * b.settings.OverloadFactor
+	most := rate * b.settings.OverloadWindow.Seconds()
+	return s.GrantAvailable(slot, most/b.meanChargedWork, slowstart.Fleet{
+		Rank: b.settings.Rank, Balancers: b.settings.Balancers,
+		Zones: b.settings.Zones, ServerID: s.StableID, SameZone: b.zoneIndex(s) == 0, UnevenLoads: b.fleetLoad.LoadsReported,
 	})
 }
 
-// share is this balancer's part of what each of so many parts of the fleet may do together.
-func (b *Balancer) share(parts int) float64 {
-	return min(float64(parts)/float64(max(b.set.Balancers, 1)), 1)
+// fleetShare is this balancer's part of what each of so many parts of the fleet may do together.
+func (b *Balancer) fleetShare(parts int) float64 {
+	return min(float64(parts)/float64(max(b.settings.Balancers, 1)), 1)
 }
 
-// room tells whether s may be sent one more connection now, each server by its size; what finds none goes
+// hasSpareCapacity tells whether s may be sent one more connection now, each server by its size; what finds none goes
 // on to other zones. A server that told of lateness gets no more than it had until it has been in time
 // a while.
-func (b *Balancer) room(now Micros, r *request, s *server) bool {
-	s.Fill(now, s.Units/b.meanUnits*max(b.share(1), slowstart.Least), r.price)
-	return b.set.Pass || s.Tokens >= r.price && float64(len(s.conns)+s.pending) < s.Most
+func (b *Balancer) hasSpareCapacity(now Micros, r *request, s *server) bool {
+	s.Refill(now, s.Weight/b.meanWeight*max(b.fleetShare(1), slowstart.MinFleetShare), r.admissionCost)
+	return b.settings.Passthrough ||
+		s.Tokens >= r.admissionCost && float64(len(s.connections)+s.pendingAttempts) < s.ConnectionCapacity
 }
 
-// spend books an attempt on its budget. A light one costs as much to set up as any.
-func (b *Balancer) spend(now Micros, s *server, r *request) {
-	s.Spend(b.warmth(now, s) < 1, max(r.work, 1), b.meanBooked, r.price)
+// spendConnectionBudget books an attempt on its budget. A light one costs as much to set up as any.
+func (b *Balancer) spendConnectionBudget(now Micros, s *server, r *request) {
+	s.Spend(b.warmupFactor(now, s) < 1, max(r.relativeWork, 1), b.meanChargedWork, r.admissionCost)
 }
--- a/decision/balancer_bench_test.go
+++ b/decision/balancer_bench_test.go
@@ -9,59 +9,59 @@
 // benchSizes are the numbers of standing connections over which a cost is looked at.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// crowd is a balancer whose n connections stand at so many servers.
-func crowd(servers, n int) (*Balancer, uint32) {
+// balancerWithConnections is a balancer whose n connections stand at so many servers.
+func balancerWithConnections(servers, n int) (*Balancer, uint32) {
 	b := New(Settings{
-		Balancers: 1, Zones: 1, MostTries: 4, MayCancel: true, MayHold: true, MaxRetryAfter: sec, Cold: 23 * sec,
-		ColdFrom: 0.13, OverloadFactor: 3, TipAfter: sec, Classes: []Class{{Aim: 300 * ms, Deadline: 1200 * ms, MessageAim: 250 * ms}},
+		Balancers: 1, Zones: 1, MaxAttempts: 4, AllowCancel: true, AllowRetryAfter: true, MaxRetryAfter: sec, WarmupTime: 23 * sec,
+		InitialCapacity: 0.13, OverloadFactor: 3, OverloadWindow: sec, Classes: []Class{{LatencyObjective: 300 * ms, Deadline: 1200 * ms, MessageLatencyObjective: 250 * ms}},
 	}, 1, sec)
-	u := Update{Kind: Full}
+	u := ServerListUpdate{Kind: UpdateFull}
 	for i := range servers {
 		u.Entries = append(
 			u.Entries,
-			Entry{Server: uint32(i), Name: uint64(i) * 0x9e3779b97f4a7c15, State: Ready, Units: 1},
+			ServerEntry{Server: uint32(i), StableID: uint64(i) * 0x9e3779b97f4a7c15, State: Ready, Weight: 1},
 		)
 	}
 	b.Handle(sec, u, nil)
 	id := uint32(0)
 	for range n {
 		id++
-		q := Request{ID: id, Key: uint64(id), Left: 1200 * ms}
-		b.Handle(sec, Open{Request: q, Server: id % uint32(servers)}, nil)
+		q := Request{ID: id, Key: uint64(id), TimeLeft: 1200 * ms}
+		b.Handle(sec, ExistingConnection{Request: q, Server: id % uint32(servers)}, nil)
 	}
 	return b, id
 }
 
-// setUp is one connection's life: asked for, established, left again. It returns how often it was sent to a server.
-func setUp(b *Balancer, now Micros, id uint32) (sent int) {
-	for _, a := range b.Handle(now, Request{ID: id, Key: uint64(id), Left: 1200 * ms}, nil) {
-		if s, ok := a.(Send); ok {
+// playSetup is one connection's life: asked for, established, left again. It returns how often it was sent to a server.
+func playSetup(b *Balancer, now Micros, id uint32) (sent int) {
+	for _, a := range b.Handle(now, Request{ID: id, Key: uint64(id), TimeLeft: 1200 * ms}, nil) {
+		if s, ok := a.(StartAttempt); ok {
 			sent++
-			b.Handle(now, Established{ID: id, Server: s.Server, Took: ms}, nil)
-			b.Handle(now, Withdrawn{ID: id}, nil)
-			b.Handle(now, Outcome{ID: id, Server: s.Server, Status: outcome.Cancelled, Closed: true}, nil)
+			b.Handle(now, Established{ID: id, Server: s.Server, SetupTime: ms}, nil)
+			b.Handle(now, RequestCancelled{ID: id}, nil)
+			b.Handle(now, AttemptEnded{ID: id, Server: s.Server, Status: outcome.Cancelled, RequestClosed: true}, nil)
 		}
 	}
 	return sent
 }
 
 // A set-up while n stand.
-func BenchmarkSetUp(b *testing.B) {
+func BenchmarkSetup(b *testing.B) {
 	for _, n := range benchSizes {
-		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchSetUp(b, 400, n) })
+		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchSetup(b, 400, n) })
 	}
 	for _, servers := range []int{10, 100, 1_000, 5_000} {
-		b.Run(fmt.Sprint("servers-", servers), func(b *testing.B) { benchSetUp(b, servers, 5_000) })
+		b.Run(fmt.Sprint("servers-", servers), func(b *testing.B) { benchSetup(b, servers, 5_000) })
 	}
 }
 
-func benchSetUp(b *testing.B, servers, n int) {
-	bal, id := crowd(servers, n)
+func benchSetup(b *testing.B, servers, n int) {
+	bal, id := balancerWithConnections(servers, n)
 	now, sent := sec, 0
 	for b.Loop() {
 		id++
 		now += 100 * ms // so that no budget is spent
-		sent += setUp(bal, now, id)
+		sent += playSetup(bal, now, id)
 	}
 	if sent < b.N {
 		b.Fatalf("%d of %d set-ups were sent", sent, b.N)
@@ -79,11 +79,11 @@
 }
 
 func benchTick(b *testing.B, servers, n int) {
-	bal, _ := crowd(servers, n)
+	bal, _ := balancerWithConnections(servers, n)
 	now := sec
 	for b.Loop() {
-		now += tickEvery
-		bal.Handle(now, Timer{Token: timerTick}, nil)
+		now += tickInterval
+		bal.Handle(now, TimerFired{Token: tickTimer}, nil)
 	}
 }
 
@@ -92,13 +92,13 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, servers := range []int{10, 100, 400, 1_000, 5_000} {
 		b.Run(fmt.Sprint("servers-", servers), func(b *testing.B) {
-			bal, id := crowd(servers, 0)
+			bal, id := balancerWithConnections(servers, 0)
 			for range 100 { // more than may be under way
 				id++
-				bal.Handle(sec, Request{ID: id, Key: uint64(id), Left: 3600 * sec}, nil)
+				bal.Handle(sec, Request{ID: id, Key: uint64(id), TimeLeft: 3600 * sec}, nil)
 			}
 			for b.Loop() {
-				bal.Handle(sec, Timer{Token: timerHold | uint64(id)}, nil)
+				bal.Handle(sec, TimerFired{Token: holdTimer | uint64(id)}, nil)
 			}
 		})
 	}
--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -6,99 +6,101 @@
 import "math"
 
 const (
-	ms = 1000.0
+	millisecond = 1000.0
 
-	failMemory = 0.1
-	failShared = 0.5 // of recent set-ups fail: the cause is shared
+	failureWeight     = 0.1
+	sharedFailureRate = 0.5 // of recent set-ups fail: the cause is shared
 
-	rise, fall = 1.6, 1.25 // settle where about two thirds of set-ups are quicker
-	least      = 1 * ms
+	quantileUp, quantileDown = 1.6, 1.25 // settle where about two thirds of set-ups are quicker
+	minLatency               = 1 * millisecond
 
 	// While set-ups fail, what is sent is so many times what comes to stand, and some to find out.
-	throttleTimes = 2.0
-	throttleFree  = 160.0 // by all balancers together, in the memory
-	throttleFade  = 0.975 // a tick; a memory of 10 s
+	throttleRatio        = 2.0
+	throttleFreeAttempts = 160.0 // by all balancers together, in the memory
+	throttleDecay        = 0.975 // a tick; a memory of 10 s
 
 	// Set-ups at once.
-	widthAt    = 200 * ms // set-ups that take longer wait for something that all share: fewer at once
-	widthCut   = 0.8      // for each that ends while they do
-	widthGrow  = 1.0      // for each that ends while they don't
-	widthLeast = 2.0
-	widthMost  = 40.0
-	widthStart = 12.0
+	slowSetupLatency = 200 * millisecond // set-ups that take longer wait for something that all share: fewer at once
+	limitDecrease    = 0.8               // for each that ends while they do
+	limitIncrease    = 1.0               // for each that ends while they don't
+	minLimit         = 2.0
+	maxLimit         = 40.0
+	initialLimit     = 12.0
 )
 
-// Pace is how set-ups go. Its zero value is not usable; see New.
-type Pace struct {
-	failing      float64 // part of recent set-ups that failed
-	Width        float64 // how many may be under way
-	span         float64 // two thirds of recent set-ups were quicker
-	tries, goods float64 // set-ups that ended or were not begun, and those that stood; they fade
+// Limiter is how set-ups go. Its zero value is not usable; see New.
+type Limiter struct {
+	failureRate           float64 // part of recent set-ups that failed
+	Limit                 float64 // how many may be under way
+	setupLatency          float64 // two thirds of recent set-ups were quicker
+	attempts, established float64 // set-ups that ended or were not begun, and those that stood; they fade
 }
 
-// New returns the pace of a balancer that has seen no set-up yet.
-func New() Pace { return Pace{Width: widthStart} }
+// NewLimiter returns the pace of a balancer that has seen no set-up yet.
+func NewLimiter() Limiter { return Limiter{Limit: initialLimit} }
 
-// End is how a set-up ended.
-type End uint8
+// Outcome is how a set-up ended.
+type Outcome uint8
 
 // The ends; Unheard says nothing of how set-ups go.
 const (
-	Unheard  End = iota
-	Stood        // it came to stand
-	Failed       // inside a server
-	TimedOut     // no answer came
+	Inconclusive Outcome = iota
+	Established          // it came to stand
+	Failed               // inside a server
+	TimedOut             // no answer came
 )
 
-// Ended notes the end of a set-up that took so long.
-func (p *Pace) Ended(end End, took float64) {
+// Record notes the end of a set-up that took so long.
+func (p *Limiter) Record(end Outcome, took float64) {
 	switch end {
-	case Stood:
-		p.failing -= p.failing * failMemory
-		p.tries, p.goods = p.tries+1, p.goods+1
+	case Established:
+		p.failureRate -= p.failureRate * failureWeight
+		p.attempts, p.established = p.attempts+1, p.established+1
 	case Failed, TimedOut:
-		p.failing += (1 - p.failing) * failMemory
-		p.tries++
+		p.failureRate += (1 - p.failureRate) * failureWeight
+		p.attempts++
 	}
-	if end == Stood || end == TimedOut {
-		p.timed(took)
+	if end == Established || end == TimedOut {
+		p.observeLatency(took)
 	}
 }
 
-// NotBegun notes one that was refused by Refuses.
-func (p *Pace) NotBegun() { p.tries++ }
+// RecordShed notes one that was refused by Refuses.
+func (p *Limiter) RecordShed() { p.attempts++ }
 
-// timed follows what two thirds take at most: a mean would take a few servers that hang for a slow store.
-func (p *Pace) timed(took float64) {
-	if took > p.span {
-		p.span *= rise
+// observeLatency follows what two thirds take at most: a mean would take a few servers that hang for a slow store.
+func (p *Limiter) observeLatency(took float64) {
+	if took > p.setupLatency {
+		p.setupLatency *= quantileUp
 	} else {
-		p.span /= fall
+		p.setupLatency /= quantileDown
 	}
-	p.span = max(p.span, least)
+	p.setupLatency = max(p.setupLatency, minLatency)
 	// A crowd that comes back outruns the store: tried all at once, each would take too long and be tried again, which
 	// keeps the store busy with what nobody waits for any more.
-	if p.span > widthAt {
-		p.Width = max(p.Width*widthCut, widthLeast)
+	if p.setupLatency > slowSetupLatency {
+		p.Limit = max(p.Limit*limitDecrease, minLimit)
 	} else {
-		p.Width = min(p.Width+widthGrow, widthMost)
+		p.Limit = min(p.Limit+limitIncrease, maxLimit)
 	}
 }
 
-// Fade lets the memory of tries fade; it is called four times a second.
-func (p *Pace) Fade() { p.tries, p.goods = p.tries*throttleFade, p.goods*throttleFade }
+// Decay lets the memory of tries fade; it is called four times a second.
+func (p *Limiter) Decay() {
+	p.attempts, p.established = p.attempts*throttleDecay, p.established*throttleDecay
+}
 
-// Span is what two thirds of recent set-ups took at most.
-func (p *Pace) Span() float64 { return p.span }
+// SetupLatency is what two thirds of recent set-ups took at most.
+func (p *Limiter) SetupLatency() float64 { return p.setupLatency }
 
-// Shared tells that so many set-ups fail that the cause must lie behind all servers: none is demoted for it, and
+// FailuresShared tells that so many set-ups fail that the cause must lie behind all servers: none is demoted for it, and
 // nothing is tried twice, which would keep the cause alive.
-func (p *Pace) Shared() bool { return p.failing > failShared }
+func (p *Limiter) FailuresShared() bool { return p.failureRate > sharedFailureRate }
 
-// Room tells whether one more may begin while so many are under way.
-func (p *Pace) Room(underWay int) bool { return float64(underWay) < p.Width }
+// Allows tells whether one more may begin while so many are under way.
+func (p *Limiter) Allows(underWay int) bool { return float64(underWay) < p.Limit }
 
-// Refuses is how likely a set-up is not to be begun, by a balancer that has this share of the fleet.
-func (p *Pace) Refuses(share float64) float64 {
-	return math.Max(p.tries-throttleTimes*p.goods-throttleFree*share, 0) / (p.tries + 1)
+// ShedProbability is how likely a set-up is not to be begun, by a balancer that has this share of the fleet.
+func (p *Limiter) ShedProbability(share float64) float64 {
+	return math.Max(p.attempts-throttleRatio*p.established-throttleFreeAttempts*share, 0) / (p.attempts + 1)
 }
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -83,7 +83,7 @@
 // eventGenerator plays a small world of its own against one module.
 type eventGenerator struct {
 	rng      *rand.Rand
-	module   *decision.Balancer
+	balancer *decision.Balancer
 	settings decision.Settings
 	now      decision.Micros
 	timers   timerHeap
@@ -107,15 +107,15 @@
 		failing: []float64{0.5, 0.02, 0.15, 0.8}[seed/2%4], slow: seed%6 == 5,
 	}
 	g.settings = g.drawSettings(seed)
-	g.module = decision.New(g.settings, seed, g.now)
-	g.tell(g.list(decision.Cached, 12))
+	g.balancer = decision.New(g.settings, seed, g.now)
+	g.handle(g.list(decision.UpdateCached, 12))
 	for range 20 {
 		g.open()
 	}
 	for range digestSteps {
 		g.now += decision.Micros(g.rng.IntN(25_000))
 		for len(g.timers) > 0 && g.timers[0].due <= g.now {
-			g.tell(decision.Timer{Token: heap.Pop(&g.timers).(digestTimer).token})
+			g.handle(decision.TimerFired{Token: heap.Pop(&g.timers).(digestTimer).token})
 		}
 		g.step()
 	}
@@ -127,19 +127,19 @@
 	const second = 1_000_000
 	bit := func(n uint) bool { return seed>>n&1 == 1 }
 	s := decision.Settings{
-		Rank: int(seed) % 3, Balancers: 3 + 7*int(seed%3), Zone: 0, Zones: 2, Ask: !bit(1),
-		Pass: seed%5 == 4, TellsLoad: bit(0), LiveWeights: bit(2), Tick: 1000, OverShareWorth: 0.1,
-		MostTries: 3, MostHeld: 100, MayProbe: seed%4 != 3, MayCancel: seed%3 != 2, MayHold: !bit(3),
-		MaxRetryAfter: 2 * second, AnswerSlack: 20_000, AskEvery: second, ColdFrom: 0.2, Cold: 20 * second,
-		DrainGrace: 5 * second, TipAfter: 2 * second, OverloadFactor: 3, FeeCrossZone: 0.1, FeeMoves: 0.02,
-		FeeProbe: 0.0001, Columns: []string{"inflight", "x0", "x1"},
+		Rank: int(seed) % 3, Balancers: 3 + 7*int(seed%3), Zone: 0, Zones: 2, PollDiscovery: !bit(1),
+		Passthrough: seed%5 == 4, ReportsConnectionLoad: bit(0), DynamicWeights: bit(2), ClockResolution: 1000, OverQuotaPriority: 0.1,
+		MaxAttempts: 3, MaxHeldRequests: 100, AllowProbes: seed%4 != 3, AllowCancel: seed%3 != 2, AllowRetryAfter: !bit(3),
+		MaxRetryAfter: 2 * second, AnswerTolerance: 20_000, PollInterval: second, InitialCapacity: 0.2, WarmupTime: 20 * second,
+		DrainGrace: 5 * second, OverloadWindow: 2 * second, OverloadFactor: 3, CrossZoneCost: 0.1, MoveCost: 0.02,
+		ProbeCost: 0.0001, LoadReportColumns: []string{"inflight", "x0", "x1"},
 	}
-	for i, effect := range []decision.Effect{decision.Safe, decision.Keyed, decision.Unsafe, decision.Keyed} {
+	for i, effect := range []decision.Idempotency{decision.Idempotent, decision.IdempotentWithKey, decision.NonIdempotent, decision.IdempotentWithKey} {
 		s.Classes = append(s.Classes, decision.Class{
-			Aim: 500_000, Deadline: 3 * second, Effect: effect,
-			Scope:  []decision.Scope{decision.ScopeAll, decision.ScopeZone, decision.ScopeCell, decision.ScopeAll}[i],
-			Window: 2 * second, Worth: 1 / float64(1+i), WorthPart: 1 / float64(1+i), Stream: i < 2,
-			MessageAim: decision.Micros(100_000 * (1 + i%2)),
+			LatencyObjective: 500_000, Deadline: 3 * second, Idempotency: effect,
+			DedupScope:  []decision.DedupScope{decision.ScopeAll, decision.ScopeZone, decision.ScopeCell, decision.ScopeAll}[i],
+			DedupWindow: 2 * second, Priority: 1 / float64(1+i), RelativePriority: 1 / float64(1+i), Streaming: i < 2,
+			MessageLatencyObjective: decision.Micros(100_000 * (1 + i%2)),
 		})
 	}
 	return s
@@ -148,8 +148,8 @@
 func (g *eventGenerator) chance(p float64) bool { return g.rng.Float64() < p }
 
 // list tells of n servers, some of them cold, draining or gone.
-func (g *eventGenerator) list(kind decision.ListKind, n int) decision.Update {
-	update := decision.Update{Kind: kind}
+func (g *eventGenerator) list(kind decision.UpdateKind, n int) decision.ServerListUpdate {
+	update := decision.ServerListUpdate{Kind: kind}
 	for range n {
 		server := uint32(g.rng.IntN(16))
 		if g.chance(0.1) {
@@ -157,12 +157,12 @@
 		}
 		state := decision.Ready
 		if g.chance(0.12) {
-			state = decision.ListState(g.rng.IntN(2))
+			state = decision.ServerState(g.rng.IntN(2))
 		}
-		update.Entries = append(update.Entries, decision.Entry{
-			Server: server, Name: uint64(server) * 0x9e37,
-			Zone: uint8(server % 2), Kind: uint16(server % 3), State: state, Units: float64(1 + server%4),
-			Cell: uint16(server % 4), Started: g.started[server],
+		update.Entries = append(update.Entries, decision.ServerEntry{
+			Server: server, StableID: uint64(server) * 0x9e37,
+			Zone: uint8(server % 2), MachineType: uint16(server % 3), State: state, Weight: float64(1 + server%4),
+			Cell: uint16(server % 4), StartedAt: g.started[server],
 		})
 	}
 	return update
@@ -171,18 +171,18 @@
 func (g *eventGenerator) request() decision.Request {
 	g.nextID++
 	r := decision.Request{
-		ID: g.nextID, Left: decision.Micros(50_000 + g.rng.IntN(3_000_000)), Class: g.rng.IntN(5),
-		Tenant: g.rng.IntN(2), Key: g.rng.Uint64(), Retry: g.chance(0.1), MidFlow: g.chance(0.05),
-		Returned: g.chance(0.15), Resumes: g.chance(0.3),
+		ID: g.nextID, TimeLeft: decision.Micros(50_000 + g.rng.IntN(3_000_000)), Class: g.rng.IntN(5),
+		Tenant: g.rng.IntN(2), Key: g.rng.Uint64(), Retry: g.chance(0.1), MidConnection: g.chance(0.05),
+		Reconnected: g.chance(0.15), Resumable: g.chance(0.3),
 	}
 	if g.chance(0.5) {
 		r.Group = uint64(1 + g.rng.IntN(6))
 	}
 	if g.chance(0.6) {
-		r.HasHint, r.Hint = true, 1000*math.Exp(3*g.rng.Float64())
+		r.HasLoadHint, r.LoadHint = true, 1000*math.Exp(3*g.rng.Float64())
 	}
 	if g.chance(0.05) {
-		r.Pinned, r.To = true, uint32(g.rng.IntN(17))
+		r.Pinned, r.PinnedServer = true, uint32(g.rng.IntN(17))
 	}
 	return r
 }
@@ -191,31 +191,31 @@
 	server, r := uint32(g.rng.IntN(16)), g.request()
 	g.attempts = append(g.attempts, attempt{id: r.ID, server: server, established: true})
 	g.sent[r.ID] = 1
-	g.tell(decision.Open{Request: r, Server: server})
+	g.handle(decision.ExistingConnection{Request: r, Server: server})
 }
 
 // step tells one event, drawn by weight.
 func (g *eventGenerator) step() {
 	switch draw := g.rng.IntN(100); {
 	case draw < 30:
-		g.tell(g.request())
+		g.handle(g.request())
 	case draw < 75 && len(g.attempts) > 0:
 		g.advance(g.rng.IntN(len(g.attempts)))
 	case draw < 80:
 		g.probed()
 	case draw < 88:
-		g.tell(g.list(decision.Delta, 1+g.rng.IntN(3)))
+		g.handle(g.list(decision.UpdateDelta, 1+g.rng.IntN(3)))
 	case draw < 89:
-		g.tell(g.list([]decision.ListKind{decision.Full, decision.Failed}[g.rng.IntN(2)], 14))
+		g.handle(g.list([]decision.UpdateKind{decision.UpdateFull, decision.UpdateFailed}[g.rng.IntN(2)], 14))
 	case draw < 92:
-		g.tell(decision.Withdrawn{ID: 1 + g.rng.Uint32N(g.nextID)})
+		g.handle(decision.RequestCancelled{ID: 1 + g.rng.Uint32N(g.nextID)})
 	case draw < 94:
-		g.tell(decision.Expire{ID: 1 + g.rng.Uint32N(g.nextID)})
+		g.handle(decision.RequestExpired{ID: 1 + g.rng.Uint32N(g.nextID)})
 	case draw < 97:
-		g.tell(decision.Leaving{ID: 1 + g.rng.Uint32N(g.nextID), Stay: g.chance(0.5)})
+		g.handle(decision.MoveRequested{ID: 1 + g.rng.Uint32N(g.nextID), SameServerAllowed: g.chance(0.5)})
 	case draw == 97 && g.chance(0.02):
 		g.settings.Balancers = 1 + g.rng.IntN(40)
-		g.tell(decision.Retuned{Settings: g.settings})
+		g.handle(decision.SettingsChanged{Settings: g.settings})
 	case draw == 98:
 		g.now += decision.Micros(g.rng.IntN(1_000_000))
 	}
@@ -231,16 +231,16 @@
 	switch {
 	case !a.established && g.chance(1-g.failing):
 		g.attempts[i].established = true
-		g.tell(decision.Established{ID: a.id, Attempt: a.number, Server: a.server, Took: took})
+		g.handle(decision.Established{ID: a.id, Attempt: a.number, Server: a.server, SetupTime: took})
 	case a.established && g.chance(0.7):
-		note := decision.Note{
-			ID: a.id, Attempt: a.number, Server: a.server, Kind: decision.LoadNote,
+		note := decision.ConnectionMetric{
+			ID: a.id, Attempt: a.number, Server: a.server, Kind: decision.LoadMetric,
 			Value: 50_000 * g.rng.Float64(),
 		}
 		if g.chance(0.6) {
-			note.Kind, note.Value = decision.DelayNote, 400*g.rng.Float64()*g.rng.Float64()
+			note.Kind, note.Value = decision.MessageLatencyMetric, 400*g.rng.Float64()*g.rng.Float64()
 		}
-		g.tell(note)
+		g.handle(note)
 	default:
 		status := outcome.Status(g.rng.IntN(8))
 		if !g.chance(g.failing) {
@@ -248,16 +248,16 @@
 		}
 		g.attempts[i] = g.attempts[len(g.attempts)-1]
 		g.attempts = g.attempts[:len(g.attempts)-1]
-		g.tell(decision.Outcome{
-			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Took: took,
-			Closed: a.established || status == outcome.OK, Echo: g.chance(0.1), Load: g.report(),
+		g.handle(decision.AttemptEnded{
+			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Duration: took,
+			RequestClosed: a.established || status == outcome.OK, SharedCause: g.chance(0.1), LoadReport: g.report(),
 		})
 	}
 }
 
-func (g *eventGenerator) report() decision.Report {
-	return decision.Report{
-		N:      g.rng.IntN(4),
+func (g *eventGenerator) report() decision.LoadReport {
+	return decision.LoadReport{
+		Count:  g.rng.IntN(4),
 		Values: [4]float32{g.rng.Float32() * 9, g.rng.Float32() * 1.3, g.rng.Float32()},
 	}
 }
@@ -272,12 +272,12 @@
 	if g.chance(g.failing / 2) {
 		status = outcome.Status(g.rng.IntN(8))
 	}
-	g.tell(decision.Probed{Server: server, Status: status, Took: 900, Load: g.report()})
+	g.handle(decision.ProbeResult{Server: server, Status: status, Duration: 900, LoadReport: g.report()})
 }
 
-// tell hands the module one event and takes in what it wants done.
-func (g *eventGenerator) tell(event decision.Event) {
-	g.out = g.module.Handle(g.now, event, g.out[:0])
+// handle hands the module one event and takes in what it wants done.
+func (g *eventGenerator) handle(event decision.Event) {
+	g.out = g.balancer.Handle(g.now, event, g.out[:0])
 	for _, action := range g.out {
 		g.encode(action)
 	}
@@ -286,23 +286,23 @@
 // encode adds one action to the digest and does what it asks for.
 func (g *eventGenerator) encode(action decision.Action) {
 	switch a := action.(type) {
-	case decision.Watch:
+	case decision.WatchDiscovery:
 		g.add(0, flag(a.On))
-	case decision.Fetch:
+	case decision.FetchServerList:
 		g.add(actionFetch)
-	case decision.Send:
-		g.add(2, uint64(a.ID), uint64(a.GiveUp), uint64(a.Within), uint64(a.Server))
+	case decision.StartAttempt:
+		g.add(2, uint64(a.ID), uint64(a.Timeout), uint64(a.WriteWithin), uint64(a.Server))
 		g.attempts = append(g.attempts, attempt{id: a.ID, server: a.Server, number: g.sent[a.ID]})
 		g.sent[a.ID]++
-	case decision.Refuse:
-		g.add(3, uint64(a.ID), uint64(a.HoldOff))
+	case decision.Reject:
+		g.add(3, uint64(a.ID), uint64(a.RetryAfter))
 	case decision.Fail:
 		g.add(4, uint64(a.ID))
-	case decision.Cancel:
+	case decision.CancelAttempt:
 		g.add(5, uint64(a.ID), uint64(a.Attempt))
-	case decision.Move:
-		g.add(6, uint64(a.ID), uint64(a.Next), flag(a.Named))
-	case decision.Probe:
+	case decision.MoveConnection:
+		g.add(6, uint64(a.ID), uint64(a.NextServer), flag(a.HasNextServer))
+	case decision.ProbeServer:
 		g.add(7, uint64(a.Server))
 		g.probes = append(g.probes, a.Server)
 	case decision.SetTimer:
--- a/decision/drainorder/drainorder_test.go
+++ b/decision/drainorder/drainorder_test.go
@@ -29,13 +29,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 300).Draw(t, "n")
 		span := Micros(rapid.IntRange(1, 3_000_000).Draw(t, "span"))
-		var standing []Stream
+		var standing []Connection
 		for i := range n {
-			standing = append(standing, Stream{uint32(i), uint64(rapid.IntRange(0, 9).Draw(t, "group"))})
+			standing = append(standing, Connection{uint32(i), uint64(rapid.IntRange(0, 9).Draw(t, "group"))})
 		}
 		p := New(rapid.Uint64().Draw(t, "seed"))
-		p.Order(0, 1, standing, span)
-		p.Order(0, 1, standing, span) // told again: nothing new
+		p.StartDrain(0, 1, standing, span)
+		p.StartDrain(0, 1, standing, span) // told again: nothing new
 		ids, at := run(p, 0)
 		if len(ids) != n {
 			t.Fatalf("%d of %d", len(ids), n)
@@ -64,21 +64,21 @@
 
 func TestJoinAndWithdraw(t *testing.T) {
 	p := New(1)
-	if p.Join(0, 1, 5) {
+	if p.AddConnection(0, 1, 5) {
 		t.Error("joined without an order")
 	}
-	p.Order(0, 1, []Stream{{1, 0}, {2, 0}}, 100*ms)
-	p.Order(0, 2, []Stream{{3, 0}}, 100*ms)
-	if !p.Join(50*ms, 1, 4) || !p.Join(500*ms, 1, 9) {
+	p.StartDrain(0, 1, []Connection{{1, 0}, {2, 0}}, 100*ms)
+	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
+	if !p.AddConnection(50*ms, 1, 4) || !p.AddConnection(500*ms, 1, 9) {
 		t.Error("not joined")
 	}
-	p.Withdraw(2)
+	p.CancelDrain(2)
 	ids, at := run(p, 0)
 	slices.Sort(ids)
 	if !slices.Equal(ids, []uint32{1, 2, 4, 9}) {
 		t.Errorf("%v at %v", ids, at)
 	}
-	p.Order(0, 2, []Stream{{3, 0}}, 100*ms)
+	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
 	if ids, _ = run(p, 0); len(ids) != 1 {
 		t.Errorf("after a withdrawal: %v", ids)
 	}
--- a/decision/lifecycle/lifecycle.go
+++ b/decision/lifecycle/lifecycle.go
@@ -31,23 +31,23 @@
 	return "stopping"
 }
 
-// Call is one of the management calls.
-type Call uint8
+// CommandKind is one of the management calls.
+type CommandKind uint8
 
 const (
-	Ping Call = iota
-	LameDuckCall
-	Rejoin
-	// Members asks for the fleet as this member sees it; it changes no duty.
-	Members
-	// Record publishes a small named value to the whole fleet; it changes no duty. It is the one call with arguments.
-	Record
+	CommandPing CommandKind = iota
+	CommandLameDuck
+	CommandRejoin
+	// CommandMembers asks for the fleet as this member sees it; it changes no duty.
+	CommandMembers
+	// CommandRecord publishes a small named value to the whole fleet; it changes no duty. It is the one call with arguments.
+	CommandRecord
 )
 
 // Command is a call with its arguments, which only Record has.
 type Command struct {
-	Call        Call
-	Name, Value string
+	Kind                    CommandKind
+	RecordName, RecordValue string
 }
 
 // MaxLine bounds a call without its line end, in bytes, MaxRecordLine one of Record: a name of 32 bytes, a value of
@@ -57,12 +57,12 @@
 	MaxRecordLine = 128
 )
 
-// recordWord is what a call of Record begins with.
-var recordWord = []byte("RECORD ")
+// recordPrefix is what a call of Record begins with.
+var recordPrefix = []byte("RECORD ")
 
-// Limit is how long the line may be that begins so, in bytes, without its end.
-func Limit(begin []byte) int {
-	if bytes.HasPrefix(bytes.TrimLeft(begin, " \t"), recordWord) {
+// LineLimit is how long the line may be that begins so, in bytes, without its end.
+func LineLimit(begin []byte) int {
+	if bytes.HasPrefix(bytes.TrimLeft(begin, " \t"), recordPrefix) {
 		return MaxRecordLine
 	}
 	return MaxLine
@@ -70,64 +70,64 @@
 
 // Errors of Parse; their text is what the caller reads after -ERR.
 var (
-	ErrEmpty   = errors.New("empty call")
-	ErrText    = errors.New("not text")
-	ErrUnknown = errors.New("unknown call")
-	ErrLong    = errors.New("line too long")
+	ErrEmptyCommand   = errors.New("empty call")
+	ErrNotText        = errors.New("not text")
+	ErrUnknownCommand = errors.New("unknown call")
+	ErrLineTooLong    = errors.New("line too long")
 )
 
-var calls = []struct {
+var commandWords = []struct {
 	word []byte
-	call Call
-}{{[]byte("PING"), Ping}, {[]byte("LAMEDUCK"), LameDuckCall}, {[]byte("REJOIN"), Rejoin}, {[]byte("MEMBERS"), Members}, {[]byte("RECORD"), Record}}
+	call CommandKind
+}{{[]byte("PING"), CommandPing}, {[]byte("LAMEDUCK"), CommandLameDuck}, {[]byte("REJOIN"), CommandRejoin}, {[]byte("MEMBERS"), CommandMembers}, {[]byte("RECORD"), CommandRecord}}
 
 // Parse reads one call from a line without its end ("\n" or "\r\n" cut off). Words are upper case, as in the
 // protocol; a call but Record takes no arguments, and blanks around it are forgiven.
 func Parse(line []byte) (Command, error) {
-	if len(line) > Limit(line) {
-		return Command{}, ErrLong
+	if len(line) > LineLimit(line) {
+		return Command{}, ErrLineTooLong
 	}
 	for _, c := range line {
 		if c < 0x20 && c != '\t' || c >= 0x7f {
-			return Command{}, ErrText
+			return Command{}, ErrNotText
 		}
 	}
 	word := bytes.TrimSpace(line)
 	if len(word) == 0 {
-		return Command{}, ErrEmpty
+		return Command{}, ErrEmptyCommand
 	}
-	if rest, ok := bytes.CutPrefix(word, recordWord); ok {
+	if rest, ok := bytes.CutPrefix(word, recordPrefix); ok {
 		name, value, _ := strings.Cut(string(bytes.TrimSpace(rest)), " ")
-		return Command{Record, name, strings.TrimSpace(value)}, nil
+		return Command{CommandRecord, name, strings.TrimSpace(value)}, nil
 	}
-	for _, c := range calls {
+	for _, c := range commandWords {
 		if bytes.Equal(word, c.word) {
-			return Command{Call: c.call}, nil
+			return Command{Kind: c.call}, nil
 		}
 	}
-	return Command{}, ErrUnknown
+	return Command{}, ErrUnknownCommand
 }
 
-// Answer is what a call brings: the state after it, whether that differs, and the line to answer without its end.
-type Answer struct {
+// Transition is what a call brings: the state after it, whether that differs, and the line to answer without its end.
+type Transition struct {
 	Next    State
 	Changed bool
-	Line    string
+	Reply   string
 }
 
 // Apply decides a call in a state. PING changes nothing and says yes until the balancer stops; LAMEDUCK twice acts
 // once; REJOIN without a drain changes nothing; after SIGTERM neither can be taken back.
-func Apply(s State, c Call) Answer {
+func Apply(s State, c CommandKind) Transition {
 	switch {
-	case c == Members || c == Record: // who has a fleet answers these before they get here
-		return Answer{s, false, "-ERR " + ErrUnknown.Error()}
+	case c == CommandMembers || c == CommandRecord: // who has a fleet answers these before they get here
+		return Transition{s, false, "-ERR " + ErrUnknownCommand.Error()}
 	case s == Stopping:
-		return Answer{s, false, "-ERR stopping"}
-	case c == Ping:
-		return Answer{s, false, "+OK " + s.String()}
-	case c == LameDuckCall:
-		return Answer{LameDuck, s != LameDuck, "+OK lameduck"}
+		return Transition{s, false, "-ERR stopping"}
+	case c == CommandPing:
+		return Transition{s, false, "+OK " + s.String()}
+	case c == CommandLameDuck:
+		return Transition{LameDuck, s != LameDuck, "+OK lameduck"}
 	default:
-		return Answer{Serving, s != Serving, "+OK serving"}
+		return Transition{Serving, s != Serving, "+OK serving"}
 	}
 }
--- a/decision/lifecycle/lifecycle_test.go
+++ b/decision/lifecycle/lifecycle_test.go
@@ -8,25 +8,25 @@
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
-		call Call
+		call CommandKind
 		err  error
 	}{
-		{"PING", Ping, nil},
-		{" LAMEDUCK\t", LameDuckCall, nil},
-		{"REJOIN", Rejoin, nil},
-		{"", 0, ErrEmpty},
-		{"   ", 0, ErrEmpty},
-		{"ping", 0, ErrUnknown},
-		{"PING now", 0, ErrUnknown},
-		{"INFO", 0, ErrUnknown},
-		{"PI\x00NG", 0, ErrText},
-		{"PING\xff", 0, ErrText},
-		{"PING\r", 0, ErrText},
-		{strings.Repeat("P", MaxLine), 0, ErrUnknown},
-		{strings.Repeat("P", MaxLine+1), 0, ErrLong},
+		{"PING", CommandPing, nil},
+		{" LAMEDUCK\t", CommandLameDuck, nil},
+		{"REJOIN", CommandRejoin, nil},
+		{"", 0, ErrEmptyCommand},
+		{"   ", 0, ErrEmptyCommand},
+		{"ping", 0, ErrUnknownCommand},
+		{"PING now", 0, ErrUnknownCommand},
+		{"INFO", 0, ErrUnknownCommand},
+		{"PI\x00NG", 0, ErrNotText},
+		{"PING\xff", 0, ErrNotText},
+		{"PING\r", 0, ErrNotText},
+		{strings.Repeat("P", MaxLine), 0, ErrUnknownCommand},
+		{strings.Repeat("P", MaxLine+1), 0, ErrLineTooLong},
 	} {
 		call, err := Parse([]byte(c.line))
-		if err != c.err || err == nil && call != (Command{Call: c.call}) {
+		if err != c.err || err == nil && call != (Command{Kind: c.call}) {
 			t.Errorf("Parse(%q) = %v, %v; want %v, %v", c.line, call, err, c.call, c.err)
 		}
 	}
@@ -44,13 +44,13 @@
 		{"  RECORD  limits   of two words ", "limits", "of two words", nil},
 		{"RECORD limits", "limits", "", nil},
 		{"RECORD", "", "", nil},
-		{"RECORDlimits 7", "", "", ErrUnknown},
-		{"RECORD a\x00 b", "", "", ErrText},
+		{"RECORDlimits 7", "", "", ErrUnknownCommand},
+		{"RECORD a\x00 b", "", "", ErrNotText},
 		{long, strings.Repeat("n", 32), strings.Repeat("v", 64), nil},
-		{long + strings.Repeat("v", MaxRecordLine+1-len(long)), "", "", ErrLong},
+		{long + strings.Repeat("v", MaxRecordLine+1-len(long)), "", "", ErrLineTooLong},
 	} {
 		got, err := Parse([]byte(c.line))
-		if err != c.err || err == nil && got != (Command{Record, c.name, c.value}) {
+		if err != c.err || err == nil && got != (Command{CommandRecord, c.name, c.value}) {
 			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
 		}
 	}
@@ -59,24 +59,24 @@
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
 		in      State
-		call    Call
+		call    CommandKind
 		next    State
 		changed bool
 		line    string
 	}{
-		{Serving, Ping, Serving, false, "+OK serving"},
-		{LameDuck, Ping, LameDuck, false, "+OK lameduck"},
-		{Stopping, Ping, Stopping, false, "-ERR stopping"},
-		{Serving, LameDuckCall, LameDuck, true, "+OK lameduck"},
-		{LameDuck, LameDuckCall, LameDuck, false, "+OK lameduck"}, // twice acts once
-		{Serving, Rejoin, Serving, false, "+OK serving"},          // without a drain nothing changes
-		{LameDuck, Rejoin, Serving, true, "+OK serving"},
-		{Stopping, Rejoin, Stopping, false, "-ERR stopping"},
-		{Serving, Record, Serving, false, "-ERR unknown call"}, // without a fleet there is none
-		{Stopping, LameDuckCall, Stopping, false, "-ERR stopping"},
+		{Serving, CommandPing, Serving, false, "+OK serving"},
+		{LameDuck, CommandPing, LameDuck, false, "+OK lameduck"},
+		{Stopping, CommandPing, Stopping, false, "-ERR stopping"},
+		{Serving, CommandLameDuck, LameDuck, true, "+OK lameduck"},
+		{LameDuck, CommandLameDuck, LameDuck, false, "+OK lameduck"}, // twice acts once
+		{Serving, CommandRejoin, Serving, false, "+OK serving"},      // without a drain nothing changes
+		{LameDuck, CommandRejoin, Serving, true, "+OK serving"},
+		{Stopping, CommandRejoin, Stopping, false, "-ERR stopping"},
+		{Serving, CommandRecord, Serving, false, "-ERR unknown call"}, // without a fleet there is none
+		{Stopping, CommandLameDuck, Stopping, false, "-ERR stopping"},
 	} {
 		a := Apply(c.in, c.call)
-		if a != (Answer{c.next, c.changed, c.line}) {
+		if a != (Transition{c.next, c.changed, c.line}) {
 			t.Errorf("Apply(%v, %v) = %+v; want %v %v %q", c.in, c.call, a, c.next, c.changed, c.line)
 		}
 	}
@@ -89,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		call, err := Parse(b)
 		if err == nil &&
-			(len(b) > Limit(b) || call.Call > Record || call.Call != Record && call != (Command{Call: call.Call})) {
+			(len(b) > LineLimit(b) || call.Kind > CommandRecord || call.Kind != CommandRecord && call != (Command{Kind: call.Kind})) {
 			t.Fatalf("Parse(%q) = %v", b, call)
 		}
 	})
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -19,54 +19,66 @@
 	return Self{ID: ID(i * 1_000_003), Name: fmt.Sprint("n", i), Addr: addr(i), Instance: uint64(100 + i)}
 }
 
-func rumor(i int, s State, inc uint64, by int) Rumor {
+func rumor(i int, s State, inc uint64, by int) Update {
 	w := who(i)
-	return Rumor{ID: w.ID, State: s, Inc: inc, By: who(by).ID, Instance: w.Instance, Name: w.Name, Addr: w.Addr}
+	return Update{
+		ID:          w.ID,
+		State:       s,
+		Incarnation: inc,
+		ReportedBy:  who(by).ID,
+		Instance:    w.Instance,
+		Name:        w.Name,
+		Addr:        w.Addr,
+	}
 }
 
 // fleetOf is member 1's view of n members, all alive under incarnation 1.
 func fleetOf(n int) (*Fleet, monotime.Micros) {
-	f := New(Config{Self: who(1), Inc: 1, Seed: 5}, start)
-	var all []Rumor
+	f := New(Config{Self: who(1), Incarnation: 1, RandomSeed: 5}, start)
+	var all []Update
 	for i := 2; i <= n; i++ {
 		all = append(all, rumor(i, Alive, 1, 0))
 	}
-	f.Receive(start, addr(2), Message{Kind: Gossip, From: who(2).ID, Inc: 1, Instance: who(2).Instance, Rumors: all})
+	f.Receive(
+		start,
+		addr(2),
+		Message{Kind: Gossip, From: who(2).ID, Incarnation: 1, Instance: who(2).Instance, Updates: all},
+	)
 	return f, start
 }
 
 // gossip has member i tell something.
-func (f *Fleet) isTold(now monotime.Micros, i int, rumors ...Rumor) ([]Send, []Change) {
+func (f *Fleet) isTold(now monotime.Micros, i int, rumors ...Update) ([]Outgoing, []StateChange) {
 	return f.Receive(
 		now,
 		addr(i),
 		Message{
-			Kind:     Gossip,
-			From:     who(i).ID,
-			Inc:      1,
-			Instance: who(i).Instance,
-			You:      Alive,
-			YouInc:   f.inc,
-			Rumors:   rumors,
+			Kind:                Gossip,
+			From:                who(i).ID,
+			Incarnation:         1,
+			Instance:            who(i).Instance,
+			ReceiverState:       Alive,
+			ReceiverIncarnation: f.incarnation,
+			Updates:             rumors,
 		},
 	)
 }
 
 // answer has all but some answer what this member asked in a span, and returns what changed.
-func (f *Fleet) answer(now *monotime.Micros, span monotime.Micros, silent ...int) (changes []Change) {
+func (f *Fleet) answer(now *monotime.Micros, span monotime.Micros, silent ...int) (changes []StateChange) {
 	dead := map[netip.AddrPort]bool{}
 	for _, i := range silent {
 		dead[addr(i)] = true
 	}
 	for end := *now + span; *now < end; {
-		*now += Step
+		*now += TickInterval
 		out, c := f.Tick(*now)
 		changes = append(changes, c...)
 		for _, s := range out {
-			if s.Msg.Kind == Ping && !dead[s.To] {
+			if s.Message.Kind == Ping && !dead[s.To] {
 				_, c := f.Receive(*now, s.To, Message{
-					Kind: Ack, Seq: s.Msg.Seq, From: s.ID, Inc: s.Msg.YouInc, Instance: f.peers[s.ID].Instance,
-					You: Alive, YouInc: f.inc, Digest: f.digest,
+					Kind: Ack, Seq: s.Message.Seq, From: s.Receiver, Incarnation: s.Message.ReceiverIncarnation, Instance: f.peers[s.Receiver].Instance,
+					ReceiverState: Alive, ReceiverIncarnation: f.incarnation, Digest: f.digest,
 				})
 				changes = append(changes, c...)
 			}
@@ -80,22 +92,22 @@
 func TestOneObserverSuspectsNobody(t *testing.T) {
 	f, now := fleetOf(6)
 	f.answer(&now, 10*sec, 3)
-	if s := f.Holds(who(3).ID); s != Alive {
+	if s := f.StateOf(who(3).ID); s != Alive {
 		t.Fatalf("%v by one's own word", s)
 	}
 	f.isTold(now, 4, rumor(3, Suspect, 1, 4))
 	f.answer(&now, sec, 3)
-	if s := f.Holds(who(3).ID); s != Alive {
+	if s := f.StateOf(who(3).ID); s != Alive {
 		t.Fatalf("%v by two members' word of six", s)
 	}
 	f.isTold(now, 5, rumor(3, Suspect, 1, 5))
 	f.answer(&now, sec, 3)
-	if s := f.Holds(who(3).ID); s != Suspect {
+	if s := f.StateOf(who(3).ID); s != Suspect {
 		t.Fatalf("%v after three could not reach it", s)
 	}
-	f.answer(&now, Least, 3)
-	if s := f.Holds(who(3).ID); s != Dead {
-		t.Fatalf("%v after %d ms more", s, Least/ms)
+	f.answer(&now, MinSuspicionTimeout, 3)
+	if s := f.StateOf(who(3).ID); s != Dead {
+		t.Fatalf("%v after %d ms more", s, MinSuspicionTimeout/ms)
 	}
 }
 
@@ -103,7 +115,7 @@
 func TestOnlyWhoFailedHoldsDead(t *testing.T) {
 	f, now := fleetOf(6)
 	f.isTold(now, 4, rumor(3, Suspect, 1, 0), rumor(3, Suspect, 1, 5))
-	if f.answer(&now, 3*Least); f.Holds(who(3).ID) == Dead {
+	if f.answer(&now, 3*MinSuspicionTimeout); f.StateOf(who(3).ID) == Dead {
 		t.Fatal("dead, though it answers")
 	}
 }
@@ -115,14 +127,14 @@
 	f.isTold(now, 4, rumor(3, Suspect, 1, 4))
 	f.isTold(now, 5, rumor(3, Suspect, 1, 5))
 	f.answer(&now, sec, 3)
-	accused := f.Accusations
+	accused := f.FailureReports
 	now += 10 * sec
-	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Doubts(now) {
+	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Unhealthy(now) {
 		t.Fatalf("%v, %d pauses", changes, f.Pauses)
 	}
-	f.answer(&now, doubtTime-Step, 3)
-	if f.Accusations != accused || f.Holds(who(3).ID) != Suspect {
-		t.Fatalf("%d accusations after a pause, %v", f.Accusations-accused, f.Holds(who(3).ID))
+	f.answer(&now, unhealthyAfterPause-TickInterval, 3)
+	if f.FailureReports != accused || f.StateOf(who(3).ID) != Suspect {
+		t.Fatalf("%d accusations after a pause, %v", f.FailureReports-accused, f.StateOf(who(3).ID))
 	}
 }
 
@@ -131,15 +143,23 @@
 	f, now := fleetOf(4)
 	f.isTold(now, 2, rumor(1, Suspect, 1, 2))
 	f.isTold(now, 3, rumor(1, Dead, 7, 3))
-	if f.Inc() != 8 {
-		t.Fatalf("incarnation %d", f.Inc())
+	if f.Incarnation() != 8 {
+		t.Fatalf("incarnation %d", f.Incarnation())
 	}
 	out, _ := f.Receive(
 		now,
 		addr(2),
-		Message{Kind: Ping, Seq: 9, From: who(2).ID, Inc: 1, Instance: who(2).Instance, You: Dead, YouInc: 8},
+		Message{
+			Kind:                Ping,
+			Seq:                 9,
+			From:                who(2).ID,
+			Incarnation:         1,
+			Instance:            who(2).Instance,
+			ReceiverState:       Dead,
+			ReceiverIncarnation: 8,
+		},
 	)
-	if len(out) != 1 || out[0].Msg.Kind != Ack || out[0].Msg.Inc != 9 {
+	if len(out) != 1 || out[0].Message.Kind != Ack || out[0].Message.Incarnation != 9 {
 		t.Fatalf("%+v", out)
 	}
 }
@@ -150,46 +170,46 @@
 	f, now := fleetOf(3)
 	older := rumor(1, Alive, 5, 0)
 	older.Instance = 1
-	if f.isTold(now, 2, older); f.Superseded() || f.Inc() != 6 {
-		t.Fatalf("superseded %v, incarnation %d", f.Superseded(), f.Inc())
+	if f.isTold(now, 2, older); f.Superseded() || f.Incarnation() != 6 {
+		t.Fatalf("superseded %v, incarnation %d", f.Superseded(), f.Incarnation())
 	}
 	later := rumor(1, Alive, 9, 0)
 	later.Instance = 1000
 	for range 3 {
-		if f.isTold(now, 2, later); f.Superseded() || f.Inc() != 10 {
-			t.Fatalf("superseded %v, incarnation %d", f.Superseded(), f.Inc())
+		if f.isTold(now, 2, later); f.Superseded() || f.Incarnation() != 10 {
+			t.Fatalf("superseded %v, incarnation %d", f.Superseded(), f.Incarnation())
 		}
 	}
-	later.Inc = 11
+	later.Incarnation = 11
 	f.isTold(now, 3, later)
-	if out, _ := f.Tick(now + Step); !f.Superseded() || len(out) > 0 {
+	if out, _ := f.Tick(now + TickInterval); !f.Superseded() || len(out) > 0 {
 		t.Fatalf("superseded %v, and says %v", f.Superseded(), out)
 	}
 }
 
 // The part of a budget falls at once when members come, slowly when they go, and two sides of a cut stay within Factor.
 func TestShare(t *testing.T) {
-	var s share
-	s.note(start, 16, 16)
-	s.note(start+Step, 40, 40)
-	if s.divisor() != 40 {
-		t.Fatalf("divided by %v after 24 have come", s.divisor())
-	}
-	now := start + Step
-	was := s.divisor()
+	var s rateDivisor
+	s.observe(start, 16, 16)
+	s.observe(start+TickInterval, 40, 40)
+	if s.current() != 40 {
+		t.Fatalf("divided by %v after 24 have come", s.current())
+	}
+	now := start + TickInterval
+	was := s.current()
 	for range 20 * 20 {
-		now += Step
-		s.note(now, 20, 40)
-		if d := s.divisor(); d > was || was-d > 0.1 {
+		now += TickInterval
+		s.observe(now, 20, 40)
+		if d := s.current(); d > was || was-d > 0.1 {
 			t.Fatalf("divided by %v, and then by %v", was, d)
 		}
-		was = s.divisor()
+		was = s.current()
 	}
 	for range 20 * 300 {
-		now += Step
-		s.note(now, 3, 40)
+		now += TickInterval
+		s.observe(now, 3, 40)
 	}
-	if d := s.divisor(); d < 40/Factor {
+	if d := s.current(); d < 40/MaxBudgetExcess {
 		t.Fatalf("divided by %v, where 40 may be there", d)
 	}
 }
@@ -198,29 +218,39 @@
 // nothing that is held or sent is unbounded. The model is the last word on each, by incarnation and then by state.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		f := New(Config{Self: who(1), Inc: 1, Seed: rapid.Uint64().Draw(r, "seed"), MaxSize: 6}, start)
+		f := New(
+			Config{Self: who(1), Incarnation: 1, RandomSeed: rapid.Uint64().Draw(r, "seed"), MaxMembers: 6},
+			start,
+		)
 		now, own := monotime.Micros(start), uint64(1)
 		type word struct {
 			inc   uint64
 			state State
 		}
 		held := map[ID]word{}
-		check := func(out []Send, changes []Change) {
+		check := func(out []Outgoing, changes []StateChange) {
 			for _, c := range changes {
-				if was := held[c.ID]; c.Inc < was.inc || was.state >= Dead && c.To < Dead && c.Inc <= was.inc {
+				if was := held[c.ID]; c.Incarnation < was.inc ||
+					was.state >= Dead && c.To < Dead && c.Incarnation <= was.inc {
 					r.Fatalf("%v after %+v", c, was)
 				}
-				held[c.ID] = word{c.Inc, c.To}
+				held[c.ID] = word{c.Incarnation, c.To}
 			}
 			for _, s := range out {
-				if len(s.Msg.Rumors) > MaxRumors {
-					r.Fatalf("%d rumors in one message", len(s.Msg.Rumors))
+				if len(s.Message.Updates) > MaxUpdates {
+					r.Fatalf("%d rumors in one message", len(s.Message.Updates))
 				}
 			}
-			if f.inc < own || len(f.peers) > 6 || len(f.news.items) > maxNews {
-				r.Fatalf("incarnation %d after %d, %d members, %d news", f.inc, own, len(f.peers), len(f.news.items))
+			if f.incarnation < own || len(f.peers) > 6 || len(f.dissemination.items) > maxQueuedUpdates {
+				r.Fatalf(
+					"incarnation %d after %d, %d members, %d news",
+					f.incarnation,
+					own,
+					len(f.peers),
+					len(f.dissemination.items),
+				)
 			}
-			own = f.inc
+			own = f.incarnation
 		}
 		draw := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(r, name) }
 		for range draw("steps", 1, 120) {
@@ -232,17 +262,17 @@
 			m := Message{
 				Kind: Kind(
 					draw("kind", 0, int(maxKind)+1),
-				), Seq: uint32(draw("seq", 0, 30)), Inc: uint64(draw("inc", 0, 6)),
-				You: State(
+				), Seq: uint32(draw("seq", 0, 30)), Incarnation: uint64(draw("inc", 0, 6)),
+				ReceiverState: State(
 					draw("you", 0, 4),
-				), YouInc: uint64(draw("you inc", 0, 9)), About: who(draw("about", 0, 9)).ID,
-				Digest: uint64(draw("digest", 0, 2)), Sums: make([]uint32, draw("sums", 0, 1)*Buckets),
+				), ReceiverIncarnation: uint64(draw("you inc", 0, 9)), Target: who(draw("about", 0, 9)).ID,
+				Digest: uint64(draw("digest", 0, 2)), BucketSums: make([]uint32, draw("sums", 0, 1)*SyncBuckets),
 			}
 			from := who(draw("from", 1, 9))
 			m.From, m.Instance = from.ID, from.Instance
 			for range draw("rumors", 0, 5) {
-				m.Rumors = append(
-					m.Rumors,
+				m.Updates = append(
+					m.Updates,
 					rumor(
 						draw("of", 1, 9),
 						State(draw("state", 0, 4)),
@@ -260,70 +290,78 @@
 func TestBudget(t *testing.T) {
 	f, now := fleetOf(6)
 	f.answer(&now, 60*sec)
-	if f.purse != newsReserve || f.other != otherReserve {
-		t.Fatalf("%v and %v bytes saved up", f.purse, f.other)
+	if f.updateBudget != updateBytesBurst || f.controlBudget != controlBytesBurst {
+		t.Fatalf("%v and %v bytes saved up", f.updateBudget, f.controlBudget)
 	}
-	f.purse, f.other = -10*newsBudget, -10*otherBudget
-	saved := f.Saved
+	f.updateBudget, f.controlBudget = -10*updateBytesPerSecond, -10*controlBytesPerSecond
+	saved := f.Suppressed
 	out, _ := f.isTold(now, 2, rumor(3, Alive, 7, 0))
 	f.Receive(
 		now,
 		addr(2),
-		Message{Kind: Compare, From: who(2).ID, Inc: 1, Instance: who(2).Instance, Sums: make([]uint32, Buckets)},
+		Message{
+			Kind:        SyncSums,
+			From:        who(2).ID,
+			Incarnation: 1,
+			Instance:    who(2).Instance,
+			BucketSums:  make([]uint32, SyncBuckets),
+		},
 	)
 	pinged := false
 	for range 100 {
-		now += Step
+		now += TickInterval
 		more, _ := f.Tick(now)
 		for _, s := range append(out, more...) {
-			pinged = pinged || s.Msg.Kind == Ping
-			if s.Msg.Kind != Ping && s.Msg.Kind != Ack || len(s.Msg.Rumors) > 0 {
-				t.Fatalf("sent %+v", s.Msg)
+			pinged = pinged || s.Message.Kind == Ping
+			if s.Message.Kind != Ping && s.Message.Kind != Ack || len(s.Message.Updates) > 0 {
+				t.Fatalf("sent %+v", s.Message)
 			}
 		}
 		out = nil
 	}
-	if !pinged || f.Saved == saved {
-		t.Fatalf("pinged %v, %d messages saved", pinged, f.Saved-saved)
+	if !pinged || f.Suppressed == saved {
+		t.Fatalf("pinged %v, %d messages saved", pinged, f.Suppressed-saved)
 	}
 }
 
 // News is sent least often first, once in a message, and as often as it takes; what comes back counts as sent.
 func TestSpreading(t *testing.T) {
-	var s spreading
+	var s disseminationQueue
 	for i := range 3 {
-		s.put(rumor(i+1, Alive, 1, 0))
+		s.enqueue(rumor(i+1, Alive, 1, 0))
 	}
-	first := s.pick(2*rumorBytes(&Rumor{Name: "n1"}), MaxRumors, 4)
+	first := s.takeBatch(2*updateBytes(&Update{Name: "n1"}), MaxUpdates, 4)
 	if len(first) != 2 {
 		t.Fatalf("%d of three where two go in", len(first))
 	}
-	if next := s.pick(roomInMessage, 1, 4); len(next) != 1 || next[0].ID == first[0].ID || next[0].ID == first[1].ID {
+	if next := s.takeBatch(maxUpdateBytes, 1, 4); len(next) != 1 || next[0].ID == first[0].ID ||
+		next[0].ID == first[1].ID {
 		t.Fatalf("%v after %v", next, first)
 	}
-	s.put(rumor(1, Dead, 1, 0))
-	if again := s.pick(roomInMessage, 1, 4); again[0].ID != who(1).ID || again[0].State != Dead {
+	s.enqueue(rumor(1, Dead, 1, 0))
+	if again := s.takeBatch(maxUpdateBytes, 1, 4); again[0].ID != who(1).ID || again[0].State != Dead {
 		t.Fatalf("%+v before the newest", again[0])
 	}
 	total := 0
 	for {
-		out := s.pick(roomInMessage, MaxRumors, 4)
+		out := s.takeBatch(maxUpdateBytes, MaxUpdates, 4)
 		if total += len(out); len(out) == 0 {
 			break
 		}
-		if s.heard(out[0], 4); total > 12 {
+		if s.countReceived(out[0], 4); total > 12 {
 			t.Fatal("news has no end")
 		}
 	}
-	if len(s.items) != 0 || s.fresh != 0 {
-		t.Fatalf("%d items are left, %d of them fresh", len(s.items), s.fresh)
+	if len(s.items) != 0 || s.freshCount != 0 {
+		t.Fatalf("%d items are left, %d of them fresh", len(s.items), s.freshCount)
 	}
-	s.put(rumor(2, Dead, 3, 0))
-	s.heard(rumor(2, Dead, 2, 0), 4) // older
+	s.enqueue(rumor(2, Dead, 3, 0))
+	s.countReceived(rumor(2, Dead, 2, 0), 4) // older
 	for range 3 {
-		s.heard(rumor(2, Dead, 3, 0), 4)
+		s.countReceived(rumor(2, Dead, 3, 0), 4)
 	}
-	if once, again := s.pick(roomInMessage, 1, 4), s.pick(roomInMessage, 1, 4); len(once) != 1 || len(again) != 0 {
+	if once, again := s.takeBatch(maxUpdateBytes, 1, 4), s.takeBatch(maxUpdateBytes, 1, 4); len(once) != 1 ||
+		len(again) != 0 {
 		t.Fatalf("sent %d and %d times after it came back three times of four", len(once), len(again))
 	}
 }
@@ -332,8 +370,13 @@
 func TestAsksWhoIsNotKnown(t *testing.T) {
 	f, now := fleetOf(3)
 	now += 2 * sec
-	out, _ := f.Receive(now, addr(9), Message{Kind: Ping, Seq: 4, From: who(9).ID, Inc: 1, Instance: who(9).Instance})
-	if len(out) != 2 || out[0].Msg.Kind != Ack || out[1].Msg.Kind != Compare || out[1].ID != who(9).ID {
+	out, _ := f.Receive(
+		now,
+		addr(9),
+		Message{Kind: Ping, Seq: 4, From: who(9).ID, Incarnation: 1, Instance: who(9).Instance},
+	)
+	if len(out) != 2 || out[0].Message.Kind != Ack || out[1].Message.Kind != SyncSums ||
+		out[1].Receiver != who(9).ID {
 		t.Fatalf("%+v", out)
 	}
 }
@@ -344,8 +387,8 @@
 	f.answer(now, 3*sec, i)
 	f.isTold(*now, 4, rumor(i, Suspect, 1, 4))
 	f.isTold(*now, 5, rumor(i, Suspect, 1, 5))
-	f.answer(now, 2*Least, i)
-	if s := f.Holds(who(i).ID); s != Dead {
+	f.answer(now, 2*MinSuspicionTimeout, i)
+	if s := f.StateOf(who(i).ID); s != Dead {
 		t.Fatalf("%v", s)
 	}
 }
@@ -357,15 +400,16 @@
 	dead(t, f, &now, 3)
 	now += sec
 	out, _ := f.isTold(now, 2, rumor(3, Alive, 2, 0))
-	if s := f.Holds(who(3).ID); s != Dead || len(out) != 1 || out[0].Msg.Kind != Ping || out[0].ID != who(3).ID {
+	if s := f.StateOf(who(3).ID); s != Dead || len(out) != 1 || out[0].Message.Kind != Ping ||
+		out[0].Receiver != who(3).ID {
 		t.Fatalf("%v, sent %+v", s, out)
 	}
-	back := Message{Kind: Ack, Seq: out[0].Msg.Seq, From: who(3).ID, Inc: 2, Instance: who(3).Instance}
-	if f.Receive(now+ms, addr(3), back); f.Holds(who(3).ID) != Alive {
+	back := Message{Kind: Ack, Seq: out[0].Message.Seq, From: who(3).ID, Incarnation: 2, Instance: who(3).Instance}
+	if f.Receive(now+ms, addr(3), back); f.StateOf(who(3).ID) != Alive {
 		t.Fatal("it has answered")
 	}
 	f.isTold(now, 2, rumor(6, Dead, 1, 0))
-	if f.isTold(now, 2, rumor(6, Alive, 2, 0)); f.Holds(who(6).ID) != Alive {
+	if f.isTold(now, 2, rumor(6, Alive, 2, 0)); f.StateOf(who(6).ID) != Alive {
 		t.Fatal("dead by the word of others, and not alive by it")
 	}
 }
@@ -373,7 +417,7 @@
 // One that speaks, and holds this member dead, is apart as soon as this one fails to reach it, whatever others say.
 func TestApart(t *testing.T) {
 	f, now := fleetOf(6)
-	watched := f.subjects()[0]
+	watched := f.watchTargets()[0]
 	var i int
 	_, _ = fmt.Sscanf(watched.Name, "n%d", &i)
 	for watched.state != Dead && now-start < 10*sec {
@@ -381,10 +425,17 @@
 		f.Receive(
 			now,
 			watched.Addr,
-			Message{Kind: Gossip, From: watched.ID, Inc: 1, Instance: watched.Instance, You: Dead, YouInc: f.inc},
+			Message{
+				Kind:                Gossip,
+				From:                watched.ID,
+				Incarnation:         1,
+				Instance:            watched.Instance,
+				ReceiverState:       Dead,
+				ReceiverIncarnation: f.incarnation,
+			},
 		)
 	}
-	if watched.state != Dead || now-start >= Least {
+	if watched.state != Dead || now-start >= MinSuspicionTimeout {
 		t.Fatalf("%v after %d ms", watched.state, (now-start)/ms)
 	}
 }
@@ -396,13 +447,13 @@
 	f.isTold(now, 4, rumor(3, Suspect, 1, 4))
 	f.isTold(now, 5, rumor(3, Suspect, 1, 5))
 	f.answer(&now, sec/2, 3)
-	if s := f.Holds(who(3).ID); s != Suspect {
+	if s := f.StateOf(who(3).ID); s != Suspect {
 		t.Fatalf("%v", s)
 	}
 	f.answer(&now, 5*sec, 2, 3, 4, 5, 6)
 	f.isTold(now, 2)
-	now += Step
-	if f.Tick(now); f.Holds(who(3).ID) == Dead {
+	now += TickInterval
+	if f.Tick(now); f.StateOf(who(3).ID) == Dead {
 		t.Fatal("dead by a suspicion from before")
 	}
 }
@@ -412,21 +463,28 @@
 	f, now := fleetOf(6)
 	dead(t, f, &now, 3)
 	f.isTold(now, 4, rumor(6, Dead, 1, 0))
-	if f.news.items[who(6).ID] == nil {
+	if f.dissemination.items[who(6).ID] == nil {
 		t.Fatal("a death is no news")
 	}
 	f.Receive(
 		now,
 		addr(2),
-		Message{Kind: Gossip, From: who(2).ID, Inc: 1, Instance: who(2).Instance, You: Dead, YouInc: f.inc},
+		Message{
+			Kind:                Gossip,
+			From:                who(2).ID,
+			Incarnation:         1,
+			Instance:            who(2).Instance,
+			ReceiverState:       Dead,
+			ReceiverIncarnation: f.incarnation,
+		},
 	)
-	if it := f.news.items[who(6).ID]; it != nil {
+	if it := f.dissemination.items[who(6).ID]; it != nil {
 		t.Fatalf("still spread: %+v", it)
 	}
-	now += Step
+	now += TickInterval
 	out, _ := f.Tick(now)
 	for _, s := range out {
-		if s.ID == who(3).ID && s.Msg.Kind == Ping {
+		if s.Receiver == who(3).ID && s.Message.Kind == Ping {
 			return
 		}
 	}
@@ -438,7 +496,7 @@
 func TestRevision(t *testing.T) {
 	f, now := fleetOf(4)
 	for _, c := range []struct {
-		told               Rumor
+		told               Update
 		alive, live, known int
 	}{
 		{rumor(3, Suspect, 1, 0), 3, 4, 4},
@@ -448,7 +506,7 @@
 	} {
 		was := f.Revision()
 		if c.told.State == Suspect {
-			c.told.By = 0
+			c.told.ReportedBy = 0
 		}
 		f.isTold(now, 2, c.told)
 		if f.Revision() == was || len(f.Alive()) != c.alive || f.Live() != c.live || f.Known() != c.known ||
@@ -468,8 +526,8 @@
 // Whom a member is introduced to is asked for its view, though the member has joined long ago; not one's own address.
 func TestIntroduce(t *testing.T) {
 	f, _ := fleetOf(4)
-	out, _ := f.Introduce([]netip.AddrPort{addr(1), addr(9)})
-	if len(out) != 1 || out[0].To != addr(9) || out[0].Msg.Kind != Compare {
+	out, _ := f.SyncWith([]netip.AddrPort{addr(1), addr(9)})
+	if len(out) != 1 || out[0].To != addr(9) || out[0].Message.Kind != SyncSums {
 		t.Fatalf("%+v", out)
 	}
 }
@@ -478,20 +536,20 @@
 // at once.
 func TestRateDivisor(t *testing.T) {
 	var r RateDivisor
-	r.Begin(start, 1000)
-	for now := monotime.Micros(start); now <= start+30*sec; now += Step {
-		r.Note(now, 10, 10)
+	r.Start(start, 1000)
+	for now := monotime.Micros(start); now <= start+30*sec; now += TickInterval {
+		r.Observe(now, 10, 10)
 	}
 	if v := r.Value(); v < 400 || v > 650 {
 		t.Errorf("%.0f after half a minute", v)
 	}
 	for now := monotime.Micros(start + 30*sec); now <= start+600*sec; now += sec {
-		r.Note(now, 10, 100)
+		r.Observe(now, 10, 100)
 	}
 	if v := r.Value(); v != 50 {
 		t.Errorf("%.0f in the end", v)
 	}
-	if r.Note(start+601*sec, 700, 800); r.Value() != 700 {
+	if r.Observe(start+601*sec, 700, 800); r.Value() != 700 {
 		t.Error("it does not rise at once")
 	}
 }
