--- a/decision/membership/rumor.go
+++ b/decision/membership/rumor.go
@@ -7,238 +7,242 @@
 	"spurspread/decision/monotime"
 )
 
-// hear takes news, from whomever, and passes on what is new.
-func (f *Fleet) hear(now monotime.Micros, r Rumor) {
+// applyUpdate takes news, from whomever, and passes on what is new.
+func (f *Fleet) applyUpdate(now monotime.Micros, r Update) {
 	if r.ID == f.self.ID {
-		f.hearOwn(now, r)
+		f.applyOwnUpdate(now, r)
 		return
 	}
 	p := f.peers[r.ID]
 	if p == nil {
-		f.meet(now, r)
+		f.addPeer(now, r)
 		return
 	}
-	if r.Inc < p.inc || r.Inc == p.inc && r.State < p.state {
+	if r.Incarnation < p.incarnation || r.Incarnation == p.incarnation && r.State < p.state {
 		return
 	}
-	if r.Inc == p.inc && r.State == p.state && r.By == 0 {
-		f.news.heard(r, f.sends())
+	if r.Incarnation == p.incarnation && r.State == p.state && r.ReportedBy == 0 {
+		f.dissemination.countReceived(r, f.transmitLimit())
 		return
 	}
-	if r.Inc == p.inc && r.State == Suspect {
-		f.accused(now, now, p, r)
+	if r.Incarnation == p.incarnation && r.State == Suspect {
+		f.recordFailureReport(now, now, p, r)
 		return
 	}
 	if r.State == Suspect { // under an incarnation that was not heard of: it lives there
 		alive := r
-		alive.State, alive.By = Alive, 0
-		f.become(now, p, alive)
-		f.accused(now, now, p, r)
+		alive.State, alive.ReportedBy = Alive, 0
+		f.setState(now, p, alive)
+		f.recordFailureReport(now, now, p, r)
 		return
 	}
-	if p.judged && r.State == Alive {
+	if p.deadByOwnProbe && r.State == Alive {
 		// news goes round where answers do not: whom this member could not reach it must reach first
-		f.ask(now, p, r.Addr)
+		f.pingDead(now, p, r.Addr)
 		return
 	}
-	if r.Inc > p.inc || r.State != p.state {
-		f.become(now, p, r)
+	if r.Incarnation > p.incarnation || r.State != p.state {
+		f.setState(now, p, r)
 	}
 }
 
-// ask pings one that this member holds dead, and that says otherwise.
-func (f *Fleet) ask(now monotime.Micros, p *peer, at netip.AddrPort) {
-	if now-p.triedAt < ackWait {
+// pingDead pings one that this member holds dead, and that says otherwise.
+func (f *Fleet) pingDead(now monotime.Micros, p *peer, at netip.AddrPort) {
+	if now-p.lastProbe < ackTimeout {
 		return
 	}
 	if !at.IsValid() {
 		at = p.Addr
 	}
-	f.seq += tries
-	if p.triedAt = now; p.asked == 0 {
-		p.asked = f.seq
+	f.lastSeq += maxPingAttempts
+	if p.lastProbe = now; p.firstDeadPing == 0 {
+		p.firstDeadPing = f.lastSeq
 	}
-	f.send(at, p, Message{Kind: Ping, Seq: f.seq})
+	f.send(at, p, Message{Kind: Ping, Seq: f.lastSeq})
 }
 
-// hearOwn takes what is said of this member itself.
-func (f *Fleet) hearOwn(now monotime.Micros, r Rumor) {
+// applyOwnUpdate takes what is said of this member itself.
+func (f *Fleet) applyOwnUpdate(now monotime.Micros, r Update) {
 	switch {
 	case f.leaving:
-	case r.State != Alive && r.Inc >= f.inc:
-		if f.rise(r.Inc); r.State == Dead {
-			f.returned(now)
+	case r.State != Alive && r.Incarnation >= f.incarnation:
+		if f.refute(r.Incarnation); r.State == Dead {
+			f.recoverFromDeath(now)
 		}
 	case r.State == Alive && r.Instance != f.self.Instance && r.Instance != 0:
-		if r.Inc >= f.inc || r.Instance > f.self.Instance {
-			f.rival(r.Instance, r.Inc)
+		if r.Incarnation >= f.incarnation || r.Instance > f.self.Instance {
+			f.handleDuplicate(r.Instance, r.Incarnation)
 		}
-	case r.State == Alive && r.Inc > f.inc:
-		f.rise(r.Inc) // from before this process, whose clock was ahead
+	case r.State == Alive && r.Incarnation > f.incarnation:
+		f.refute(r.Incarnation) // from before this process, whose clock was ahead
 	}
 }
 
-// rival is word of another process that has this member's name. The later one is the member, so that a new version
+// handleDuplicate is word of another process that has this member's name. The later one is the member, so that a new version
 // beside the old one is, and of two that claim a name by mistake at least one stays. Of a later one that has gone
 // since, as where this machine's clock was set back, there may be word, too: it is contradicted once, and only one
 // that answers is there.
-func (f *Fleet) rival(instance, inc uint64) {
+func (f *Fleet) handleDuplicate(instance, inc uint64) {
 	switch {
-	case instance <= f.self.Instance || instance != f.rivals:
-		f.rise(max(inc, f.inc))
+	case instance <= f.self.Instance || instance != f.duplicateInstance:
+		f.refute(max(inc, f.incarnation))
 		if instance > f.self.Instance {
-			f.rivals, f.told = instance, f.inc
+			f.duplicateInstance, f.refutedIncarnation = instance, f.incarnation
 		}
-	case inc > f.told:
+	case inc > f.refutedIncarnation:
 		f.superseded = true
 	}
 }
 
-// meet takes a member that was not known. Who is said to be dead and was never known is no news.
-func (f *Fleet) meet(now monotime.Micros, r Rumor) {
-	if r.State != Alive && r.State != Suspect || !r.Addr.IsValid() || len(f.peers) >= f.cfg.MaxSize {
+// addPeer takes a member that was not known. Who is said to be dead and was never known is no news.
+func (f *Fleet) addPeer(now monotime.Micros, r Update) {
+	if r.State != Alive && r.State != Suspect || !r.Addr.IsValid() || len(f.peers) >= f.cfg.MaxMembers {
 		return
 	}
 	p := &peer{
-		Self:  Self{r.ID, r.Name, r.Addr, r.Instance},
-		hash:  hashes(r.ID),
-		inc:   r.Inc,
-		state: Alive,
-		since: now,
-		heard: now,
+		Self:        Self{r.ID, r.Name, r.Addr, r.Instance},
+		ringHash:    ringHashes(r.ID),
+		incarnation: r.Incarnation,
+		state:       Alive,
+		stateSince:  now,
+		lastContact: now,
 	}
 	f.revision++
 	f.peers[r.ID] = p
-	f.order = append(f.order, p)
-	f.ringIn(p)
-	f.mix(p.ID, p.inc, Alive)
-	f.changes = append(f.changes, Change{p.ID, p.Name, Unknown, Alive, p.inc})
-	r.State, r.By = Alive, 0
-	f.tell(r)
+	f.peerList = append(f.peerList, p)
+	f.addToRings(p)
+	f.toggleDigest(p.ID, p.incarnation, Alive)
+	f.changes = append(f.changes, StateChange{p.ID, p.Name, Unknown, Alive, p.incarnation})
+	r.State, r.ReportedBy = Alive, 0
+	f.disseminate(r)
 }
 
-// become changes what a member is held to be.
-func (f *Fleet) become(now monotime.Micros, p *peer, r Rumor) {
+// setState changes what a member is held to be.
+func (f *Fleet) setState(now monotime.Micros, p *peer, r Update) {
 	was := p.state
 	f.revision++
-	f.mix(p.ID, p.inc, was)
-	f.mix(p.ID, r.Inc, r.State)
-	newer := r.Inc > p.inc
-	if p.inc = r.Inc; newer && r.Addr.IsValid() {
+	f.toggleDigest(p.ID, p.incarnation, was)
+	f.toggleDigest(p.ID, r.Incarnation, r.State)
+	newer := r.Incarnation > p.incarnation
+	if p.incarnation = r.Incarnation; newer && r.Addr.IsValid() {
 		p.Addr, p.Instance = r.Addr, r.Instance
 	}
-	p.accusers, p.mine, p.judged, p.asked, p.state = nil, false, false, 0, r.State
+	p.failureReports, p.ownProbeFailed, p.deadByOwnProbe, p.firstDeadPing, p.state = nil, false, false, 0, r.State
 	if was != r.State {
-		p.since = now
-		f.changes = append(f.changes, Change{p.ID, p.Name, was, r.State, r.Inc})
+		p.stateSince = now
+		f.changes = append(f.changes, StateChange{p.ID, p.Name, was, r.State, r.Incarnation})
 	}
 	if r.State >= Dead {
-		f.ringOut(p)
+		f.removeFromRings(p)
 		p.probe = nil
 	} else if was >= Dead {
-		f.ringIn(p)
-		p.heard, p.back, p.differs = now, now, 0
+		f.addToRings(p)
+		p.lastContact, p.restoredAt, p.divergedSince = now, now, 0
 	}
-	f.tell(r)
+	f.disseminate(r)
 }
 
-// accused takes word of one that could not reach a member since then, or, from nobody in particular, of as many as
+// recordFailureReport takes word of one that could not reach a member since then, or, from nobody in particular, of as many as
 // it takes. One alone makes nobody suspect: it may be its own link that is cut. Some of those who hear of it find
 // out for themselves; once there are enough, this member among them, it is suspected, and all are told.
-func (f *Fleet) accused(since, now monotime.Micros, p *peer, r Rumor) {
-	if r.By == p.ID || p.state != Alive {
+func (f *Fleet) recordFailureReport(since, now monotime.Micros, p *peer, r Update) {
+	if r.ReportedBy == p.ID || p.state != Alive {
 		return
 	}
-	if r.By != 0 && !slices.ContainsFunc(p.accusers, func(a accuser) bool { return a.id == r.By }) {
-		p.accusers = append(p.accusers, accuser{r.By, since})
-		f.watchOver(p)
+	if r.ReportedBy != 0 &&
+		!slices.ContainsFunc(p.failureReports, func(a failureReport) bool { return a.by == r.ReportedBy }) {
+		p.failureReports = append(p.failureReports, failureReport{r.ReportedBy, since})
+		f.track(p)
 	}
-	if r.By == 0 {
-		f.suspect(now, now-hearsay, p)
+	if r.ReportedBy == 0 {
+		f.suspect(now, now-indirectEvidenceDelay, p)
 	}
-	f.enough(now, p)
-	if !p.mine && !f.leaving {
-		f.second(now, p)
+	f.suspectIfConfirmed(now, p)
+	if !p.ownProbeFailed && !f.leaving {
+		f.corroborate(now, p)
 	}
 }
 
-// enough has a peer suspected that as many have failed to reach as it takes, this member among them.
-func (f *Fleet) enough(now monotime.Micros, p *peer) {
-	if p.state == Alive && p.mine && len(p.accusers) >= f.needed(p) {
-		f.suspect(now, f.begun(now, p), p)
+// suspectIfConfirmed has a peer suspected that as many have failed to reach as it takes, this member among them.
+func (f *Fleet) suspectIfConfirmed(now monotime.Micros, p *peer) {
+	if p.state == Alive && p.ownProbeFailed && len(p.failureReports) >= f.requiredReports(p) {
+		f.suspect(now, f.suspicionStart(now, p), p)
 	}
 }
 
 func (f *Fleet) suspect(now, since monotime.Micros, p *peer) {
-	p.state, p.since, p.suspectAt, p.accusers = Suspect, now, since, nil
+	p.state, p.stateSince, p.suspicionStart, p.failureReports = Suspect, now, since, nil
 	f.revision++
-	f.suspects++
-	f.watchOver(p)
-	f.changes = append(f.changes, Change{p.ID, p.Name, Alive, Suspect, p.inc})
-	r := f.accusation(p)
-	r.By = 0
-	f.tell(r)
+	f.suspectCount++
+	f.track(p)
+	f.changes = append(f.changes, StateChange{p.ID, p.Name, Alive, Suspect, p.incarnation})
+	r := f.suspectUpdate(p)
+	r.ReportedBy = 0
+	f.disseminate(r)
 }
 
-// begun is from when on a suspicion counts: from the second accusation on, but from little before this member's
+// suspicionStart is from when on a suspicion counts: from the second accusation on, but from little before this member's
 // own, since the others may be by chance, from before the peer fell silent, and its own is taken back when it
 // reaches the peer.
-func (f *Fleet) begun(now monotime.Micros, p *peer) monotime.Micros {
-	slices.SortFunc(p.accusers, func(a, b accuser) int { return cmp.Compare(a.since, b.since) })
-	at := p.accusers[min(1, len(p.accusers)-1)].since
-	for _, a := range p.accusers {
-		if a.id == f.self.ID {
-			at = max(at, a.since-hearsay-f.usual(p))
+func (f *Fleet) suspicionStart(now monotime.Micros, p *peer) monotime.Micros {
+	slices.SortFunc(p.failureReports, func(a, b failureReport) int { return cmp.Compare(a.since, b.since) })
+	at := p.failureReports[min(1, len(p.failureReports)-1)].since
+	for _, a := range p.failureReports {
+		if a.by == f.self.ID {
+			at = max(at, a.since-indirectEvidenceDelay-f.expectedRTT(p))
 		}
 	}
-	return max(at, now-backdate)
+	return max(at, now-maxSuspicionBackdate)
 }
 
-// compare has views compared that have differed for a while.
-func (f *Fleet) compare(now monotime.Micros, p *peer, digest uint64) {
+// syncIfDiverged has views compared that have differed for a while.
+func (f *Fleet) syncIfDiverged(now monotime.Micros, p *peer, digest uint64) {
 	if digest == f.digest {
-		p.differs, p.back = 0, 0
+		p.divergedSince, p.restoredAt = 0, 0
 		f.joined = true
 		return
 	}
-	if p.differs == 0 {
-		p.differs = now
+	if p.divergedSince == 0 {
+		p.divergedSince = now
 	}
-	if now-p.differs >= differTime && now >= f.syncAt {
-		f.syncAt, p.differs = now+syncTime+f.jitter(syncTime/2), now
-		f.send(p.Addr, p, Message{Kind: Compare, Sums: f.sum()})
+	if now-p.divergedSince >= divergenceTolerance && now >= f.nextSyncAt {
+		f.nextSyncAt, p.divergedSince = now+syncInterval+f.jitter(syncInterval/2), now
+		f.send(p.Addr, p, Message{Kind: SyncSums, BucketSums: f.foldedSums()})
 	}
 }
 
-// entries answers with what this view has in the buckets that differ, as far as a few messages hold; which ones changes
+// replyEntries answers with what this view has in the buckets that differ, as far as a few messages hold; which ones changes
 // with each answer, so that all come in time.
-func (f *Fleet) entries(m Message, reply func(Message)) {
-	if len(m.Sums) != Buckets {
+func (f *Fleet) replyEntries(m Message, reply func(Message)) {
+	if len(m.BucketSums) != SyncBuckets {
 		return
 	}
-	sums := f.sum()
-	var out []Rumor
-	add := func(id ID, r Rumor) {
-		if b := uint64(id) % Buckets; sums[b] != m.Sums[b] {
+	sums := f.foldedSums()
+	var out []Update
+	add := func(id ID, r Update) {
+		if b := uint64(id) % SyncBuckets; sums[b] != m.BucketSums[b] {
 			out = append(out, r)
 		}
 	}
-	if add(f.self.ID, f.own(Alive)); f.leaving {
+	if add(f.self.ID, f.ownUpdate(Alive)); f.leaving {
 		out = nil
 	}
-	for _, p := range f.order {
+	for _, p := range f.peerList {
 		s := p.state
 		if s == Suspect {
 			s = Alive
 		}
-		add(p.ID, Rumor{ID: p.ID, State: s, Inc: p.inc, Instance: p.Instance, Name: p.Name, Addr: p.Addr})
+		add(
+			p.ID,
+			Update{ID: p.ID, State: s, Incarnation: p.incarnation, Instance: p.Instance, Name: p.Name, Addr: p.Addr},
+		)
 	}
 	f.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	for range syncParts {
-		part := out[:fitting(out, max(int(f.other), 0))]
+	for range maxSyncReplies {
+		part := out[:countFitting(out, max(int(f.controlBudget), 0))]
 		if out = out[len(part):]; len(part) == 0 {
 			return
 		}
-		reply(Message{Kind: Entries, Rumors: part})
+		reply(Message{Kind: SyncEntries, Updates: part})
 	}
 }
--- a/decision/membership/view.go
+++ b/decision/membership/view.go
@@ -9,12 +9,13 @@
 // Member is one of the fleet, as this member sees it.
 type Member struct {
 	Self
-	State   State
-	Inc     uint64
-	Since   monotime.Micros // in this state
-	Heard   monotime.Micros // the last word of its own
-	RTT     monotime.Micros // microseconds, 0 where none is known
-	Out, In float64         // parts of the pings that are lost on the way there, and of the answers on the way back
+	State       State
+	Incarnation uint64
+	Since       monotime.Micros // in this state
+	LastContact monotime.Micros // the last word of its own
+	RTT         monotime.Micros // microseconds, 0 where none is known
+	// parts of the pings that are lost on the way there, and of the answers on the way back
+	OutboundLoss, InboundLoss float64
 }
 
 // View is the whole fleet, this member first, the others by their names.
@@ -23,21 +24,21 @@
 	if f.leaving {
 		state = Left
 	}
-	out := []Member{{Self: f.self, State: state, Inc: f.inc, Heard: now}}
-	for _, p := range f.order {
+	out := []Member{{Self: f.self, State: state, Incarnation: f.incarnation, LastContact: now}}
+	for _, p := range f.peerList {
 		m := Member{
-			Self:  p.Self,
-			State: p.state,
-			Inc:   p.inc,
-			Since: p.since,
-			Heard: p.heard,
-			RTT:   monotime.Micros(p.rtt),
+			Self:        p.Self,
+			State:       p.state,
+			Incarnation: p.incarnation,
+			Since:       p.stateSince,
+			LastContact: p.lastContact,
+			RTT:         monotime.Micros(p.rtt),
 		}
-		if p.sent >= 1 {
-			m.Out = min(max(1-p.told/p.sent, 0), 1)
+		if p.pingsSent >= 1 {
+			m.OutboundLoss = min(max(1-p.pingsDelivered/p.pingsSent, 0), 1)
 		}
-		if p.told >= 1 {
-			m.In = min(max(1-p.answered/p.told, 0), 1)
+		if p.pingsDelivered >= 1 {
+			m.InboundLoss = min(max(1-p.acksReceived/p.pingsDelivered, 0), 1)
 		}
 		out = append(out, m)
 	}
@@ -49,16 +50,16 @@
 func (f *Fleet) Live() int { return len(f.rings[0]) + 1 }
 
 // Known is how many members are known, this one and those that have died or left and are not forgotten among them.
-func (f *Fleet) Known() int { return len(f.order) + 1 }
+func (f *Fleet) Known() int { return len(f.peerList) + 1 }
 
 // Dead is how many members are held dead.
-func (f *Fleet) Dead() int { return f.count(Dead) }
+func (f *Fleet) Dead() int { return f.countState(Dead) }
 
 // Alive lists this member and those that it holds alive and does not suspect.
 func (f *Fleet) Alive() []Self {
 	out := make([]Self, 1, len(f.rings[0])+1)
 	out[0] = f.self
-	for _, p := range f.order {
+	for _, p := range f.peerList {
 		if p.state == Alive {
 			out = append(out, p.Self)
 		}
@@ -72,8 +73,8 @@
 // Leaving tells that this member has said that it goes.
 func (f *Fleet) Leaving() bool { return f.leaving }
 
-// Inc is this member's incarnation.
-func (f *Fleet) Inc() uint64 { return f.inc }
+// Incarnation is this member's incarnation.
+func (f *Fleet) Incarnation() uint64 { return f.incarnation }
 
 // Supersede has this member know that a later process has its name.
 func (f *Fleet) Supersede() { f.superseded = true }
@@ -81,11 +82,11 @@
 // Superseded tells that a later process has this member's name, and is the member now.
 func (f *Fleet) Superseded() bool { return f.superseded }
 
-// Divisor is by how much a budget of the whole fleet is divided to have this member's part; see share.
-func (f *Fleet) Divisor() float64 { return f.share.divisor() }
+// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part; see share.
+func (f *Fleet) RateDivisor() float64 { return f.divisor.current() }
 
-// Holds is what a member is held to be.
-func (f *Fleet) Holds(id ID) State {
+// StateOf is what a member is held to be.
+func (f *Fleet) StateOf(id ID) State {
 	if id == f.self.ID {
 		return Alive
 	}
@@ -95,9 +96,9 @@
 	return Unknown
 }
 
-// Place is this member's place among those that are there, by their ids: 0 to Live()-1, the same in all views that
+// Position is this member's place among those that are there, by their ids: 0 to Live()-1, the same in all views that
 // agree.
-func (f *Fleet) Place() (n int) {
+func (f *Fleet) Position() (n int) {
 	for _, p := range f.rings[0] {
 		if p.ID < f.self.ID {
 			n++
--- a/decision/membership/watch.go
+++ b/decision/membership/watch.go
@@ -5,18 +5,18 @@
 	"spurspread/decision/monotime"
 )
 
-// subjects are those that this member watches: on each ring the next one, and as long as that is suspected, or is
+// watchTargets are those that this member watches: on each ring the next one, and as long as that is suspected, or is
 // late with its answer, the next again, so that whoever is watched by one that may be gone has another watcher at
 // once.
-func (f *Fleet) subjects() (out []*peer) {
+func (f *Fleet) watchTargets() (out []*peer) {
 	for k, ring := range f.rings {
-		at, _ := place(ring, f.hash[k], k, f.self.ID)
-		for i := range min(len(ring), 2*Watchers) {
+		at, _ := ringPosition(ring, f.ringHash[k], k, f.self.ID)
+		for i := range min(len(ring), 2*WatchersPerMember) {
 			p := ring[(at+i)%len(ring)]
 			if !slices.Contains(out, p) {
 				out = append(out, p)
 			}
-			if p.state == Alive && (p.probe == nil || !p.probe.asked) {
+			if p.state == Alive && (p.probe == nil || !p.probe.indirectSent) {
 				break
 			}
 		}
@@ -24,344 +24,357 @@
 	return out
 }
 
-// turn pings the next of those that are watched. What is suspected is asked more often, so that it can say that it
+// runProbes pings the next of those that are watched. What is suspected is asked more often, so that it can say that it
 // lives.
-func (f *Fleet) turn(now monotime.Micros) {
-	busy := f.busy
-	f.busy = nil
+func (f *Fleet) runProbes(now monotime.Micros) {
+	busy := f.trackedPeers
+	f.trackedPeers = nil
 	for _, p := range busy {
-		p.busy = false
-		if f.follow(now, p); p.probe != nil || p.state == Suspect || p.againAt > 0 || len(p.accusers) > 0 {
-			f.watchOver(p)
+		p.tracked = false
+		if f.advanceProbe(now, p); p.probe != nil || p.state == Suspect || p.reportAgainAt > 0 ||
+			len(p.failureReports) > 0 {
+			f.track(p)
 		}
 	}
-	f.tellAccused()
+	f.sendFailureReports()
 	f.sweep(now)
-	if now < f.turnAt {
+	if now < f.nextProbeAt {
 		return
 	}
-	f.turnAt = now + Turn*9/10 + f.jitter(Turn/5)
-	if len(f.watch) == 0 {
+	f.nextProbeAt = now + ProbeInterval*9/10 + f.jitter(ProbeInterval/5)
+	if len(f.probeQueue) == 0 {
 		// always in the same order, so that each is asked once a round, and not early in one and late in the next
-		f.watch = f.subjects()
+		f.probeQueue = f.watchTargets()
 	}
-	for range (len(f.watch) + Watchers - 1) / Watchers {
-		p := f.watch[0]
-		f.watch = f.watch[1:]
-		f.ping(now, p)
+	for range (len(f.probeQueue) + WatchersPerMember - 1) / WatchersPerMember {
+		p := f.probeQueue[0]
+		f.probeQueue = f.probeQueue[1:]
+		f.startProbe(now, p)
 	}
 }
 
-// watchOver has a peer looked after at each Tick: there is something about it.
-func (f *Fleet) watchOver(p *peer) {
-	if !p.busy {
-		p.busy = true
-		f.busy = append(f.busy, p)
+// track has a peer looked after at each Tick: there is something about it.
+func (f *Fleet) track(p *peer) {
+	if !p.tracked {
+		p.tracked = true
+		f.trackedPeers = append(f.trackedPeers, p)
 	}
 }
 
-// ping begins a probe, unless one is under way or none is due.
-func (f *Fleet) ping(now monotime.Micros, p *peer) {
+// startProbe begins a probe, unless one is under way or none is due.
+func (f *Fleet) startProbe(now monotime.Micros, p *peer) {
 	if p.probe != nil || p.state != Alive && p.state != Suspect {
 		return
 	}
-	f.seq += tries
-	p.probe, p.triedAt = &probe{seq: f.seq, began: now}, now
-	f.watchOver(p)
-	f.question(now, p)
+	f.lastSeq += maxPingAttempts
+	p.probe, p.lastProbe = &probe{firstSeq: f.lastSeq, startedAt: now}, now
+	f.track(p)
+	f.sendPing(now, p)
 }
 
-// help asks a peer for another member, that could not reach it: if this one fails, too, it says so.
-func (f *Fleet) help(now monotime.Micros, p *peer, asker ID, theirs uint32) {
+// startIndirectProbe asks a peer for another member, that could not reach it: if this one fails, too, it says so.
+func (f *Fleet) startIndirectProbe(now monotime.Micros, p *peer, asker ID, theirs uint32) {
 	if p.probe == nil {
-		if f.ping(now, p); p.probe == nil {
+		if f.startProbe(now, p); p.probe == nil {
 			return
 		}
-		p.probe.asked = true // helpers need no helpers
+		p.probe.indirectSent = true // helpers need no helpers
 	}
-	f.relays = append(f.relays, relayed{p.probe.seq, theirs, asker, p.ID, now + 2*probeMost})
+	f.indirectPings = append(
+		f.indirectPings,
+		indirectPing{p.probe.firstSeq, theirs, asker, p.ID, now + 2*maxProbeTimeout},
+	)
 }
 
-// question sends a probe's ping, the first or one more: each under a number of its own, so that an answer tells how
+// sendPing sends a probe's ping, the first or one more: each under a number of its own, so that an answer tells how
 // long it took.
-func (f *Fleet) question(now monotime.Micros, p *peer) {
+func (f *Fleet) sendPing(now monotime.Micros, p *peer) {
 	q := p.probe
-	p.sent++
-	q.sent[q.count] = now
-	f.send(p.Addr, p, Message{Kind: Ping, Seq: q.seq + uint32(q.count)})
-	q.count++
+	p.pingsSent++
+	q.sentAt[q.attempts] = now
+	f.send(p.Addr, p, Message{Kind: Ping, Seq: q.firstSeq + uint32(q.attempts)})
+	q.attempts++
 }
 
-// usual is how long an answer may take that is no sign of anything: what most take from any member, or from this one.
-func (f *Fleet) usual(p *peer) monotime.Micros { return monotime.Micros(max(p.rtt, f.slow)) }
+// expectedRTT is how long an answer may take that is no sign of anything: what most take from any member, or from this one.
+func (f *Fleet) expectedRTT(p *peer) monotime.Micros { return monotime.Micros(max(p.rtt, f.fleetRTT)) }
 
 // againAt, helpAt and endAt are how long after a ping it is repeated, helpers are asked, and the verdict falls.
-func againAt(usual monotime.Micros) monotime.Micros { return min(max(ackWait, usual), probeMost/3) }
-func helpAt(usual monotime.Micros) monotime.Micros  { return 2 * againAt(usual) }
-func endAt(usual monotime.Micros) monotime.Micros {
-	return min(helpAt(usual)+max(probeTime-2*ackWait, usual), probeMost)
+func retransmitAfter(usual monotime.Micros) monotime.Micros {
+	return min(max(ackTimeout, usual), maxProbeTimeout/3)
+}
+func indirectAfter(usual monotime.Micros) monotime.Micros { return 2 * retransmitAfter(usual) }
+func probeFailsAfter(usual monotime.Micros) monotime.Micros {
+	return min(indirectAfter(usual)+max(probeTimeout-2*ackTimeout, usual), maxProbeTimeout)
 }
 
-// follow looks after a probe: helpers are asked, and in the end this member has failed to reach the peer.
-func (f *Fleet) follow(now monotime.Micros, p *peer) {
+// advanceProbe looks after a probe: helpers are asked, and in the end this member has failed to reach the peer.
+func (f *Fleet) advanceProbe(now monotime.Micros, p *peer) {
 	switch {
 	case p.state != Suspect || p.probe != nil:
-	case p.mine && now-p.triedAt >= probeTime*monotime.Micros(1+f.suspects/manySuspects):
-		f.ping(now, p)
-	case !p.mine && now-max(p.since, p.triedAt) >= ownTry:
-		p.triedAt = now
-		f.second(now, p)
-	}
-	f.enough(now, p) // fewer may be enough than a moment ago
-	if p.againAt > 0 && now >= p.againAt {
-		if p.againAt = 0; p.mine && p.state == Alive {
-			f.accusing = append(f.accusing, f.accusation(p))
+	case p.ownProbeFailed && now-p.lastProbe >= probeTimeout*monotime.Micros(1+f.suspectCount/suspectsPerSlowdown):
+		f.startProbe(now, p)
+	case !p.ownProbeFailed && now-max(p.stateSince, p.lastProbe) >= ownProbeDelay:
+		p.lastProbe = now
+		f.corroborate(now, p)
+	}
+	f.suspectIfConfirmed(now, p) // fewer may be enough than a moment ago
+	if p.reportAgainAt > 0 && now >= p.reportAgainAt {
+		if p.reportAgainAt = 0; p.ownProbeFailed && p.state == Alive {
+			f.pendingReports = append(f.pendingReports, f.suspectUpdate(p))
 		}
 	}
 	q := p.probe
 	if q == nil {
 		return
 	}
-	late := now - q.began
-	usual := f.usual(p)
+	late := now - q.startedAt
+	usual := f.expectedRTT(p)
 	// A suspect is asked again and again, by all that failed to reach it.
-	if p.state == Alive && q.count < tries && late >= monotime.Micros(q.count)*againAt(usual) {
-		f.question(now, p)
+	if p.state == Alive && q.attempts < maxPingAttempts &&
+		late >= monotime.Micros(q.attempts)*retransmitAfter(usual) {
+		f.sendPing(now, p)
 	}
-	if !q.asked && late >= helpAt(usual) {
-		if q.asked = true; f.failing > sweepFrom {
+	if !q.indirectSent && late >= indirectAfter(usual) {
+		if q.indirectSent = true; f.failureRatio > sweepFailureRatio {
 			return // as many helpers would be gone, and all find out by themselves
 		}
-		for _, h := range f.some(helpers, func(o *peer) bool { return o != p && o.state == Alive && !o.mine }) {
-			f.send(h.Addr, h, Message{Kind: Ask, Seq: q.seq, About: p.ID})
+		for _, h := range f.randomPeers(indirectPingHelpers, func(o *peer) bool { return o != p && o.state == Alive && !o.ownProbeFailed }) {
+			f.send(h.Addr, h, Message{Kind: IndirectPing, Seq: q.firstSeq, Target: p.ID})
 		}
 	}
-	if late >= endAt(usual) {
+	if late >= probeFailsAfter(usual) {
 		p.probe = nil
-		f.lost[q.seq] = lostPing{p.ID, now}
-		f.accuse(now, p, q)
+		f.expiredProbes[q.firstSeq] = expiredProbe{p.ID, now}
+		f.reportFailure(now, p, q)
 	}
 }
 
 // sweep asks whoever was not asked for longest, while much of what this member asks fails: in a crash of many, or a
 // cut, most watchers are gone themselves, and waiting for one to find out after the other would take too long.
 func (f *Fleet) sweep(now monotime.Micros) {
-	for range min(sweepMost, f.sweeps) {
+	for range min(maxSweepPingsPerTick, f.pendingSweepPings) {
 		var oldest *peer
-		for _, p := range f.order {
-			if p.state == Alive && p.probe == nil && now-p.triedAt >= Turn*Watchers &&
-				(oldest == nil || p.triedAt < oldest.triedAt) {
+		for _, p := range f.peerList {
+			if p.state == Alive && p.probe == nil && now-p.lastProbe >= ProbeInterval*WatchersPerMember &&
+				(oldest == nil || p.lastProbe < oldest.lastProbe) {
 				oldest = p
 			}
 		}
 		if oldest == nil {
 			return
 		}
-		f.sweeps--
-		f.ping(now, oldest)
+		f.pendingSweepPings--
+		f.startProbe(now, oldest)
 	}
 }
 
-// second has some of those who hear of a suspicion find out for themselves, besides its watchers: as many in a
+// corroborate has some of those who hear of a suspicion find out for themselves, besides its watchers: as many in a
 // fleet of any size, all in a small one, since its watchers may be gone as well.
-func (f *Fleet) second(now monotime.Micros, p *peer) {
-	if f.rng.IntN(max(f.count(Alive), 1)) < Watchers || slices.Contains(f.subjects(), p) {
-		f.ping(now, p)
+func (f *Fleet) corroborate(now monotime.Micros, p *peer) {
+	if f.rng.IntN(max(f.countState(Alive), 1)) < WatchersPerMember || slices.Contains(f.watchTargets(), p) {
+		f.startProbe(now, p)
 	}
 }
 
-func (f *Fleet) accusation(p *peer) Rumor {
-	return Rumor{ID: p.ID, State: Suspect, Inc: p.inc, By: f.self.ID}
+func (f *Fleet) suspectUpdate(p *peer) Update {
+	return Update{ID: p.ID, State: Suspect, Incarnation: p.incarnation, ReportedBy: f.self.ID}
 }
 
-// accuse says that this member could not reach the peer. It says nothing while it doubts itself.
-func (f *Fleet) accuse(now monotime.Micros, p *peer, q *probe) {
-	if f.Doubts(now) || p.state != Alive && p.state != Suspect {
+// reportFailure says that this member could not reach the peer. It says nothing while it doubts itself.
+func (f *Fleet) reportFailure(now monotime.Micros, p *peer, q *probe) {
+	if f.Unhealthy(now) || p.state != Alive && p.state != Suspect {
 		return
 	}
-	f.Accusations++
-	r := f.accusation(p)
-	if f.failing += (1 - f.failing) / failWeight; f.failing > sweepFrom {
-		f.sweeps = min(f.sweeps+sweepEach, sweepAll)
+	f.FailureReports++
+	r := f.suspectUpdate(p)
+	if f.failureRatio += (1 - f.failureRatio) / failureRatioWeight; f.failureRatio > sweepFailureRatio {
+		f.pendingSweepPings = min(f.pendingSweepPings+sweepPingsPerFailure, maxPendingSweepPings)
 	}
-	p.mine = true
-	f.accused(q.began+max(probeTime, 2*f.usual(p)), now, p, r)
+	p.ownProbeFailed = true
+	f.recordFailureReport(q.startedAt+max(probeTimeout, 2*f.expectedRTT(p)), now, p, r)
 	if p.state != Alive {
 		return
 	}
 	// Not enough have failed to reach it: those who asked are told, or where nobody did, a few are asked to try,
 	// and once more a little later, since either may be lost.
 	asked := false
-	for _, a := range f.relays {
-		if o := f.peers[a.asker]; a.mine == q.seq && o != nil {
+	for _, a := range f.indirectPings {
+		if o := f.peers[a.requester]; a.ownSeq == q.firstSeq && o != nil {
 			asked = true
-			f.send(o.Addr, o, Message{Kind: Gossip, Rumors: []Rumor{r}})
+			f.send(o.Addr, o, Message{Kind: Gossip, Updates: []Update{r}})
 		}
 	}
 	if !asked {
-		f.accusing = append(f.accusing, r)
-		p.againAt = now + ackWait + f.usual(p)
+		f.pendingReports = append(f.pendingReports, r)
+		p.reportAgainAt = now + ackTimeout + f.expectedRTT(p)
 	}
 }
 
-// tellAccused tells some what this member has failed to reach, so that they find out for themselves: all of it in
+// sendFailureReports tells some what this member has failed to reach, so that they find out for themselves: all of it in
 // one message.
-func (f *Fleet) tellAccused() {
-	f.accusing = slices.DeleteFunc(
-		f.accusing,
-		func(r Rumor) bool { p := f.peers[r.ID]; return p == nil || p.state != Alive || !p.mine },
+func (f *Fleet) sendFailureReports() {
+	f.pendingReports = slices.DeleteFunc(
+		f.pendingReports,
+		func(r Update) bool { p := f.peers[r.ID]; return p == nil || p.state != Alive || !p.ownProbeFailed },
 	)
-	part := f.accusing[:fitting(f.accusing, roomInMessage)]
-	if f.accusing = f.accusing[len(part):]; len(part) == 0 {
+	part := f.pendingReports[:countFitting(f.pendingReports, maxUpdateBytes)]
+	if f.pendingReports = f.pendingReports[len(part):]; len(part) == 0 {
 		return
 	}
-	to := f.some(Watchers, func(o *peer) bool { return o.hears && !o.mine })
-	if len(to) < Watchers {
+	to := f.randomPeers(WatchersPerMember, func(o *peer) bool { return o.canConfirm && !o.ownProbeFailed })
+	if len(to) < WatchersPerMember {
 		to = append(
 			to,
-			f.some(Watchers-len(to), func(o *peer) bool { return o.state == Alive && !o.hears && !o.mine })...)
+			f.randomPeers(
+				WatchersPerMember-len(to),
+				func(o *peer) bool { return o.state == Alive && !o.canConfirm && !o.ownProbeFailed },
+			)...)
 	}
 	for _, o := range to {
-		f.send(o.Addr, o, Message{Kind: Gossip, Rumors: slices.Clone(part)})
+		f.send(o.Addr, o, Message{Kind: Gossip, Updates: slices.Clone(part)})
 	}
 }
 
-// needed is how many must have failed to reach one that is suspected: as many as there are that could say so, this
+// requiredReports is how many must have failed to reach one that is suspected: as many as there are that could say so, this
 // member among them, up to confirms.
-func (f *Fleet) needed(p *peer) int {
-	if p.apart { // whoever of the two is right, they are apart
+func (f *Fleet) requiredReports(p *peer) int {
+	if p.partitioned { // whoever of the two is right, they are apart
 		return 1
 	}
-	able := f.hears + 1
-	if p.hears {
+	able := f.confirmers + 1
+	if p.canConfirm {
 		able--
 	}
 	if len(f.rings[0]) > 1 { // besides the peer there is somebody who has to say so, too, though he is not heard now
 		able = max(able, 2)
 	}
-	return min(confirms, able)
+	return min(maxRequiredReports, able)
 }
 
-// judge holds those dead whose suspicion has lasted, as far as this member could not reach them itself.
-func (f *Fleet) judge(now monotime.Micros) {
-	if f.suspects == 0 || f.Doubts(now) {
+// declareDead holds those dead whose suspicion has lasted, as far as this member could not reach them itself.
+func (f *Fleet) declareDead(now monotime.Micros) {
+	if f.suspectCount == 0 || f.Unhealthy(now) {
 		return
 	}
-	for _, p := range slices.Clone(f.order) {
-		if p.state != Suspect || !p.mine {
+	for _, p := range slices.Clone(f.peerList) {
+		if p.state != Suspect || !p.ownProbeFailed {
 			continue
 		}
 		// One that speaks, and holds this member dead, is not paused: there is nothing to wait for.
-		if p.apart || now-p.suspectAt >= Least {
-			f.hear(now, Rumor{ID: p.ID, State: Dead, Inc: p.inc})
-			p.judged = true
+		if p.partitioned || now-p.suspicionStart >= MinSuspicionTimeout {
+			f.applyUpdate(now, Update{ID: p.ID, State: Dead, Incarnation: p.incarnation})
+			p.deadByOwnProbe = true
 		}
 	}
 }
 
-// answered takes the sign of life that an answer is.
-func (f *Fleet) answered(now monotime.Micros, id ID, seq uint32, direct bool) {
+// recordAck takes the sign of life that an answer is.
+func (f *Fleet) recordAck(now monotime.Micros, id ID, seq uint32, direct bool) {
 	p := f.peers[id]
 	if p == nil {
 		return
 	}
-	if q := p.probe; q != nil && q.seq == seq-seq%tries {
-		if nth := int(seq % tries); direct && nth < q.count {
-			p.answered++
-			p.answersAt = now
-			f.failing -= f.failing / failWeight
-			took := float64(now - q.sent[nth])
+	if q := p.probe; q != nil && q.firstSeq == seq-seq%maxPingAttempts {
+		if nth := int(seq % maxPingAttempts); direct && nth < q.attempts {
+			p.acksReceived++
+			p.lastAck = now
+			f.failureRatio -= f.failureRatio / failureRatioWeight
+			took := float64(now - q.sentAt[nth])
 			if p.rtt == 0 {
 				p.rtt = took
 			}
 			p.rtt += (took - p.rtt) / 8
-			f.took(took)
+			f.recordRTT(took)
 		}
 		p.probe = nil
-		f.cleared(p)
+		f.clearFailure(p)
 		return
 	}
-	if l, ok := f.lost[seq-seq%tries]; ok && l.id == id {
-		delete(f.lost, seq-seq%tries)
-		f.cleared(p)
-		p.rtt = max(p.rtt, float64(now-l.at)+float64(probeTime)) // it is slow, not gone
+	if l, ok := f.expiredProbes[seq-seq%maxPingAttempts]; ok && l.id == id {
+		delete(f.expiredProbes, seq-seq%maxPingAttempts)
+		f.clearFailure(p)
+		p.rtt = max(p.rtt, float64(now-l.expiredAt)+float64(probeTimeout)) // it is slow, not gone
 	}
 }
 
-// took notes how long an answer has taken: what most take rises fast and falls slowly.
-func (f *Fleet) took(t float64) {
-	if t > f.slow {
-		f.slow += (t - f.slow) / 8
+// recordRTT notes how long an answer has taken: what most take rises fast and falls slowly.
+func (f *Fleet) recordRTT(t float64) {
+	if t > f.fleetRTT {
+		f.fleetRTT += (t - f.fleetRTT) / 8
 	} else {
-		f.slow += (t - f.slow) / 32
+		f.fleetRTT += (t - f.fleetRTT) / 32
 	}
 }
 
-// cleared forgets what was said against one that this member has just reached itself, as far as nobody else holds
+// clearFailure forgets what was said against one that this member has just reached itself, as far as nobody else holds
 // to it.
-func (f *Fleet) cleared(p *peer) {
-	if p.mine = false; p.state == Alive {
-		p.accusers = nil
+func (f *Fleet) clearFailure(p *peer) {
+	if p.ownProbeFailed = false; p.state == Alive {
+		p.failureReports = nil
 	}
 }
 
-// revive asks one of the dead: where a cut has healed, it learns what it is held to be, and says otherwise.
-func (f *Fleet) revive(now monotime.Micros) {
-	f.askDead(now)
-	if now < f.reviveAt {
+// probeDead asks one of the dead: where a cut has healed, it learns what it is held to be, and says otherwise.
+func (f *Fleet) probeDead(now monotime.Micros) {
+	f.probeQueuedDead(now)
+	if now < f.nextDeadProbeAt {
 		return
 	}
-	f.reviveAt = now + reviveTime*3/4 + f.jitter(reviveTime/2)
-	for _, p := range f.some(1, func(p *peer) bool { return p.state == Dead }) {
-		f.ask(now, p, p.Addr)
+	f.nextDeadProbeAt = now + deadProbeInterval*3/4 + f.jitter(deadProbeInterval/2)
+	for _, p := range f.randomPeers(1, func(p *peer) bool { return p.state == Dead }) {
+		f.pingDead(now, p, p.Addr)
 	}
 }
 
-// returned is what a member does that was held dead, and is there: what it found out meanwhile about others is as
+// recoverFromDeath is what a member does that was held dead, and is there: what it found out meanwhile about others is as
 // likely its own fault, so it is not spread, and all whom it holds dead are asked, some at each Tick.
-func (f *Fleet) returned(now monotime.Micros) {
-	f.news.drop(func(r *Rumor) bool { return r.State == Suspect || r.State == Dead })
-	f.asking = f.asking[:0]
-	for _, p := range f.order {
+func (f *Fleet) recoverFromDeath(now monotime.Micros) {
+	f.dissemination.remove(func(r *Update) bool { return r.State == Suspect || r.State == Dead })
+	f.deadToProbe = f.deadToProbe[:0]
+	for _, p := range f.peerList {
 		if p.state == Dead {
-			f.asking = append(f.asking, p)
+			f.deadToProbe = append(f.deadToProbe, p)
 		}
 	}
 }
 
-func (f *Fleet) askDead(now monotime.Micros) {
-	n := min(len(f.asking), sweepMost)
-	for _, p := range f.asking[:n] {
+func (f *Fleet) probeQueuedDead(now monotime.Micros) {
+	n := min(len(f.deadToProbe), maxSweepPingsPerTick)
+	for _, p := range f.deadToProbe[:n] {
 		if p.state == Dead {
-			f.ask(now, p, p.Addr)
+			f.pingDead(now, p, p.Addr)
 		}
 	}
-	f.asking = f.asking[n:]
+	f.deadToProbe = f.deadToProbe[n:]
 }
 
-// tidy forgets what is over.
-func (f *Fleet) tidy(now monotime.Micros) {
-	if now < f.tidyAt {
+// cleanup forgets what is over.
+func (f *Fleet) cleanup(now monotime.Micros) {
+	if now < f.nextCleanupAt {
 		return
 	}
-	f.tidyAt = now + tidyTime
-	f.relays = slices.DeleteFunc(f.relays, func(r relayed) bool { return now >= r.until })
-	for seq, l := range f.lost {
-		if now-l.at > 4*probeMost {
-			delete(f.lost, seq)
+	f.nextCleanupAt = now + cleanupInterval
+	f.indirectPings = slices.DeleteFunc(f.indirectPings, func(r indirectPing) bool { return now >= r.expiresAt })
+	for seq, l := range f.expiredProbes {
+		if now-l.expiredAt > 4*maxProbeTimeout {
+			delete(f.expiredProbes, seq)
 		}
 	}
-	for _, p := range f.order {
-		if p.state == Alive && len(p.accusers) > 0 {
-			p.accusers = slices.DeleteFunc(p.accusers, func(a accuser) bool { return now-a.since > pendingTime })
-			p.mine = p.mine && len(p.accusers) > 0
+	for _, p := range f.peerList {
+		if p.state == Alive && len(p.failureReports) > 0 {
+			p.failureReports = slices.DeleteFunc(
+				p.failureReports,
+				func(a failureReport) bool { return now-a.since > failureReportTimeout },
+			)
+			p.ownProbeFailed = p.ownProbeFailed && len(p.failureReports) > 0
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(p *peer) bool {
-		over := p.state >= Dead && now-p.since > forgetTime
+	f.peerList = slices.DeleteFunc(f.peerList, func(p *peer) bool {
+		over := p.state >= Dead && now-p.stateSince > deadRetention
 		if over {
 			f.revision++
-			f.mix(p.ID, p.inc, p.state)
+			f.toggleDigest(p.ID, p.incarnation, p.state)
 			delete(f.peers, p.ID)
 		}
 		return over
--- a/decision/outcome/outcome.go
+++ b/decision/outcome/outcome.go
@@ -8,7 +8,7 @@
 // The statuses.
 const (
 	OK            Status = iota // the connection was established, or ended in the planned way
-	ErrorAnswer                 // the server answered with an error
+	ErrorResponse               // the server answered with an error
 	ServerFull                  // the server turned the attempt away and has not run it
 	TimedOut                    // no answer within the attempt's time-out
 	ConnectFailed               // no connection came up; the attempt has not run
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -77,12 +77,12 @@
 	nodes := make([]node, f.n)
 	for i := range nodes {
 		d := &nodes[i]
-		d.Schedule = Schedule{Rank: i, Balancers: f.n, Every: 10 * sec, Grace: f.grace, Jitter: jitter}
-		d.Begin(begin - 60*sec)
-		d.Due(d.next)
-		d.Answered(d.asked + f.each)
+		d.Schedule = Schedule{Rank: i, Balancers: f.n, MaxInterval: 10 * sec, Grace: f.grace, Jitter: jitter}
+		d.Start(begin - 60*sec)
+		d.PollDue(d.nextPoll)
+		d.Answered(d.lastPoll + f.each)
 		if d.broken = begin; t.span == 0 {
-			d.broken += silence - jitter(2*sec) // the last empty line came up to 2 s before
+			d.broken += watchSilenceTimeout - jitter(2*sec) // the last empty line came up to 2 s before
 		}
 		d.looks = begin + jitter(tick)
 	}
@@ -108,7 +108,7 @@
 				continue
 			}
 			d.looks = now + tick*3/4 + jitter(tick/2)
-			if !d.Due(now) {
+			if !d.PollDue(now) {
 				continue
 			}
 			switch {
@@ -116,7 +116,7 @@
 				d.answer, d.listed = s.call(now)
 				out.calls[(now-end)/sec]++
 			case t.silent:
-				d.answer, d.listed = now+giveUp, false
+				d.answer, d.listed = now+callTimeout, false
 			default:
 				d.answer, d.listed = now+ms, false
 			}
@@ -148,7 +148,7 @@
 					r.last/ms,
 					r.most(),
 				)
-				if most := told + grace - slack; r.last < 0 || r.last > most {
+				if most := listDeadline + grace - latenessMargin; r.last < 0 || r.last > most {
 					t.Errorf(
 						"%d balancers, grace %d ms, %+v: told after %d ms, not within %d",
 						n,
@@ -175,7 +175,7 @@
 				r.last/ms,
 				r.most(),
 			)
-			if most := told + grace; r.last < 0 || r.last > most {
+			if most := listDeadline + grace; r.last < 0 || r.last > most {
 				t.Errorf(
 					"%d balancers, grace %d ms: told after %d ms, not within %d",
 					n,
--- a/decision/polling/polling_test.go
+++ b/decision/polling/polling_test.go
@@ -9,41 +9,42 @@
 
 func schedule(rank, balancers int) *Schedule {
 	a := &Schedule{
-		Rank:      rank,
-		Balancers: balancers,
-		Every:     10 * sec,
-		Grace:     2500 * ms,
-		Jitter:    func(d monotime.Micros) monotime.Micros { return d / 2 },
+		Rank:        rank,
+		Balancers:   balancers,
+		MaxInterval: 10 * sec,
+		Grace:       2500 * ms,
+		Jitter:      func(d monotime.Micros) monotime.Micros { return d / 2 },
 	}
-	a.Begin(start)
+	a.Start(start)
 	return a
 }
 
 func TestBacksOffOnFailure(t *testing.T) {
 	a := schedule(2, 4)
-	now := a.next
-	if a.Due(now-1) || !a.Due(now) || a.Due(now+sec) {
+	now := a.nextPoll
+	if a.PollDue(now-1) || !a.PollDue(now) || a.PollDue(now+sec) {
 		t.Fatal("not asked once, in its turn")
 	}
-	if !a.Due(now + guard*5/4) {
+	if !a.PollDue(now + answerTimeout*5/4) {
 		t.Fatal("an ask without an answer holds for good")
 	}
 	last := monotime.Micros(0)
 	for i := range 3 {
-		now = a.next
+		now = a.nextPoll
 		a.Failed(now)
-		wait := a.next - now
-		if most := monotime.Micros(backoff/2 + backoff<<i); wait < backoff/2 || wait > most || a.Due(a.next-1) {
+		wait := a.nextPoll - now
+		if most := monotime.Micros(minBackoff/2 + minBackoff<<i); wait < minBackoff/2 || wait > most ||
+			a.PollDue(a.nextPoll-1) {
 			t.Fatalf("failure %d waits %d of %d at most", i, wait, most)
 		}
 		last = max(last, wait)
 	}
-	if last <= backoff*3/2 {
+	if last <= minBackoff*3/2 {
 		t.Fatalf("failures in a row wait %d at most", last)
 	}
-	a.Due(a.next)
+	a.PollDue(a.nextPoll)
 	a.Answered(now)
-	if a.Due(now+60*sec) || a.fails != 0 {
+	if a.PollDue(now+60*sec) || a.failures != 0 {
 		t.Fatal("an answer does not count as the watch")
 	}
 }
@@ -54,10 +55,10 @@
 		seconds := map[monotime.Micros]int{}
 		for rank := range n {
 			a := schedule(rank, n)
-			if a.next <= start || a.next-start > a.Every {
-				t.Fatalf("%d of %d first asks after %d", rank, n, a.next-start)
+			if a.nextPoll <= start || a.nextPoll-start > a.MaxInterval {
+				t.Fatalf("%d of %d first asks after %d", rank, n, a.nextPoll-start)
 			}
-			seconds[a.next/sec]++
+			seconds[a.nextPoll/sec]++
 		}
 		for s, asks := range seconds {
 			if most := max(11, n/10+1); asks > most {
@@ -70,16 +71,17 @@
 // A refresh on a live watch is asked for once in a while only, and not beside an ask that is under way.
 func TestRefresh(t *testing.T) {
 	a := schedule(0, 3)
-	a.Due(a.next)
-	if a.Answered(start); a.MayRefresh(start + refreshGap - 1) {
+	a.PollDue(a.nextPoll)
+	if a.Answered(start); a.RefreshAllowed(start + minRefreshInterval - 1) {
 		t.Fatal("refreshes too soon")
 	}
-	now := monotime.Micros(start + refreshGap)
-	if !a.MayRefresh(now) {
+	now := monotime.Micros(start + minRefreshInterval)
+	if !a.RefreshAllowed(now) {
 		t.Fatal("never refreshes")
 	}
-	a.Refresh(now)
-	if a.MayRefresh(now) || a.next <= now || a.next > now+a.Span() || !a.Due(a.next) || a.MayRefresh(a.next) {
+	a.ScheduleRefresh(now)
+	if a.RefreshAllowed(now) || a.nextPoll <= now || a.nextPoll > now+a.SpreadTime() || !a.PollDue(a.nextPoll) ||
+		a.RefreshAllowed(a.nextPoll) {
 		t.Fatal("not asked once more, in its turn")
 	}
 }
--- a/decision/resume/gate.go
+++ b/decision/resume/gate.go
@@ -2,86 +2,88 @@
 
 import "spurspread/decision/outcome"
 
-// Gate is a balancer's part: it looks at tokens as they come in, before any server is asked, and tells what the ends
+// Validator is a balancer's part: it looks at tokens as they come in, before any server is asked, and tells what the ends
 // of attempts mean for their clients. A gate that is new, or has lost what it knew, is as good as one that has not:
 // the server that a token names has the last word.
-type Gate struct {
-	skew   Millis
-	claims claims
-	Told   [reasons]int // how many were refused, by reason, since the start
+type Validator struct {
+	skew     UnixMillis
+	claims   claimTable
+	Rejected [reasonCount]int // how many were refused, by reason, since the start
 }
 
-// NewGate returns a gate that remembers most tokens at once, for clocks that are at most skew apart.
-func NewGate(skew Millis, most int) *Gate { return &Gate{skew: skew, claims: newClaims(most)} }
+// NewValidator returns a gate that remembers most tokens at once, for clocks that are at most skew apart.
+func NewValidator(skew UnixMillis, most int) *Validator {
+	return &Validator{skew: skew, claims: newClaimTable(most)}
+}
 
-// Listed is what the balancer's route table says of the server that a token names.
-type Listed struct {
-	Ready   bool // listed as ready; what is not listed is not
-	Started Millis
+// ListedServer is what the balancer's route table says of the server that a token names.
+type ListedServer struct {
+	Ready     bool // listed as ready; what is not listed is not
+	StartedAt UnixMillis
 }
 
-// Limit changes what the gate was made with. What it remembers stays.
-func (g *Gate) Limit(skew Millis, most int) { g.skew, g.claims.max = skew, most }
+// SetLimits changes what the gate was made with. What it remembers stays.
+func (g *Validator) SetLimits(skew UnixMillis, most int) { g.skew, g.claims.limit = skew, most }
 
-// Present decides whether a token may be sent on to the server that it names. If it is Honoured, Withdrawn or Outcome
+// Claim decides whether a token may be sent on to the server that it names. If it is Honoured, Withdrawn or Outcome
 // tells what has become of it.
-func (g *Gate) Present(now Millis, r *Right, l *Line, s Listed) Reason {
-	why := r.check(now, g.skew, l)
-	if why == Honoured && (!s.Ready || s.Started != r.Started) {
-		why = Gone
+func (g *Validator) Claim(now UnixMillis, r *Grant, l *StreamRequest, s ListedServer) Reason {
+	why := r.checkRequest(now, g.skew, l)
+	if why == Accepted && (!s.Ready || s.StartedAt != r.ServerStartedAt) {
+		why = ServerGone
 	}
-	if why == Honoured {
-		why = g.claims.present(now, r)
+	if why == Accepted {
+		why = g.claims.claim(now, r)
 	}
-	return g.Refuse(why)
+	return g.Reject(why)
 }
 
-// Refuse counts a refusal, and returns it.
-func (g *Gate) Refuse(why Reason) Reason {
-	g.Told[why]++
+// Reject counts a refusal, and returns it.
+func (g *Validator) Reject(why Reason) Reason {
+	g.Rejected[why]++
 	return why
 }
 
-// Up notes that an attempt stands.
-func (g *Gate) Up(id ID) { g.claims.become(id, live) }
+// Established notes that an attempt stands.
+func (g *Validator) Established(id ID) { g.claims.advance(id, stateLive) }
 
-// Ended notes the end of a connection that stood.
-func (g *Gate) Ended(id ID) { g.claims.become(id, spent) }
+// Closed notes the end of a connection that stood.
+func (g *Validator) Closed(id ID) { g.claims.advance(id, stateUsed) }
 
-// Withdrawn notes that the request is over without an attempt: its client has left, or was refused. The token is as
+// Release notes that the request is over without an attempt: its client has left, or was refused. The token is as
 // good as before.
-func (g *Gate) Withdrawn(id ID) { g.claims.release(id) }
+func (g *Validator) Release(id ID) { g.claims.release(id) }
 
-// Outcome takes how an attempt ended that did not come to stand, and tells what its client is to hear. Honoured means
+// AttemptFailed takes how an attempt ended that did not come to stand, and tells what its client is to hear. Honoured means
 // that the token is as good as before, and may be presented again after a while: the client is told BUSY. reached
 // tells whether the first line's last byte was written.
-func (g *Gate) Outcome(id ID, st outcome.Status, reached bool) Reason {
+func (g *Validator) AttemptFailed(id ID, st outcome.Status, reached bool) Reason {
 	switch st {
 	case outcome.ServerFull, outcome.Inconclusive:
 		g.claims.release(id)
-		return Honoured
+		return Accepted
 	case outcome.ConnectFailed:
 		// It never ran, but with nobody there to honour the token, the client should not wait for it.
 		g.claims.release(id)
-		return g.Refuse(Unreachable)
+		return g.Reject(Unreachable)
 	case outcome.Cancelled:
 		if !reached {
 			g.claims.release(id)
-			return Honoured
+			return Accepted
 		}
 	}
-	g.claims.become(id, spent)
-	return g.Refuse(Unsure)
+	g.claims.advance(id, stateUsed)
+	return g.Reject(OutcomeUnknown)
 }
 
-// Denied takes the refusal of the server itself, which is final: it never ran, and never will.
-func (g *Gate) Denied(id ID, why Reason) Reason {
-	g.claims.become(id, spent)
-	return g.Refuse(why)
+// RejectedByServer takes the refusal of the server itself, which is final: it never ran, and never will.
+func (g *Validator) RejectedByServer(id ID, why Reason) Reason {
+	g.claims.advance(id, stateUsed)
+	return g.Reject(why)
 }
 
-// Count tells how many tokens are presented, live and spent.
-func (g *Gate) Count() (presented, live, spent int) {
-	n := g.claims.count()
+// Counts tells how many tokens are presented, live and spent.
+func (g *Validator) Counts() (presented, live, spent int) {
+	n := g.claims.counts()
 	return n[0], n[1], n[2]
 }
--- a/decision/resume/resume.go
+++ b/decision/resume/resume.go
@@ -12,8 +12,8 @@
 
 import "container/heap"
 
-// Millis is Unix time, or a span, in milliseconds.
-type Millis int64
+// UnixMillis is Unix time, or a span, in milliseconds.
+type UnixMillis int64
 
 // ID tells tokens apart.
 type ID [16]byte
@@ -23,182 +23,182 @@
 
 // The reasons. Honoured is none.
 const (
-	Honoured    Reason = iota
-	Malformed          // it is no token
-	UnknownKey         // its key was withdrawn, or never known
-	Forged             // its seal is broken
-	Early              // minted later than now: the clocks disagree
-	Expired            // its time is over
-	OtherStream        // the first line asks for another class, key or group
-	OtherTenant        // or comes from another tenant
-	Ahead              // the cursor is beyond what the stream had delivered
-	Elsewhere          // it names another server
-	Gone               // the server that it names is not listed as ready, or has started again since
-	Draining           // that server wants nothing new
-	Taken              // another attempt with it is under way, or stands
-	Spent              // it has been used
-	Full               // there is no room to remember one more
-	Gap                // the server's log no longer reaches back to the cursor
-	Unreachable        // the server can't be connected to
-	Unsure             // an attempt has ended so that it may have run, or may yet
-	Unsupported        // the server does not know tokens
-	reasons
+	Accepted       Reason = iota
+	Malformed             // it is no token
+	UnknownKey            // its key was withdrawn, or never known
+	Forged                // its seal is broken
+	NotYetValid           // minted later than now: the clocks disagree
+	Expired               // its time is over
+	StreamMismatch        // the first line asks for another class, key or group
+	TenantMismatch        // or comes from another tenant
+	CursorAhead           // the cursor is beyond what the stream had delivered
+	WrongServer           // it names another server
+	ServerGone            // the server that it names is not listed as ready, or has started again since
+	ServerDraining        // that server wants nothing new
+	InUse                 // another attempt with it is under way, or stands
+	AlreadyUsed           // it has been used
+	TableFull             // there is no room to remember one more
+	LogGap                // the server's log no longer reaches back to the cursor
+	Unreachable           // the server can't be connected to
+	OutcomeUnknown        // an attempt has ended so that it may have run, or may yet
+	Unsupported           // the server does not know tokens
+	reasonCount
 )
 
-var words = [reasons]string{
+var reasonWords = [reasonCount]string{
 	"honoured", "malformed", "key", "forged", "early", "expired", "stream", "tenant", "ahead",
 	"elsewhere", "gone", "draining", "taken", "spent", "full", "gap", "unreachable", "unsure", "unsupported",
 }
 
 // String is the reason's word.
-func (r Reason) String() string { return words[r] }
+func (r Reason) String() string { return reasonWords[r] }
 
-// ReasonOf finds the reason of a word.
-func ReasonOf(word []byte) (Reason, bool) {
-	for i, w := range words {
-		if w == string(word) && i != int(Honoured) {
+// ParseReason finds the reason of a word.
+func ParseReason(word []byte) (Reason, bool) {
+	for i, w := range reasonWords {
+		if w == string(word) && i != int(Accepted) {
 			return Reason(i), true
 		}
 	}
-	return Honoured, false
+	return Accepted, false
 }
 
-// Right is what a token that opened says, as far as it is decided on here.
-type Right struct {
-	ID      ID
-	Minted  Millis
-	Expires Millis
-	Class   string // compared only
-	Key     uint64
-	Group   uint64
-	Tenant  uint64
-	Top     uint64 // the last message that was passed on when it was minted
-	Server  string
-	Started Millis // of the server that it names; 0: long ago
+// Grant is what a token that opened says, as far as it is decided on here.
+type Grant struct {
+	ID              ID
+	IssuedAt        UnixMillis
+	ExpiresAt       UnixMillis
+	Class           string // compared only
+	Key             uint64
+	Group           uint64
+	Tenant          uint64
+	LastDelivered   uint64 // the last message that was passed on when it was minted
+	Server          string
+	ServerStartedAt UnixMillis // of the server that it names; 0: long ago
 }
 
-// Line is what the first line that presents a token asks.
-type Line struct {
+// StreamRequest is what the first line that presents a token asks.
+type StreamRequest struct {
 	Class              string
 	Key, Group, Tenant uint64
 	Cursor             uint64
 }
 
-// check holds what both sides look at, whoever keeps the claim.
-func (r *Right) check(now, skew Millis, l *Line) Reason {
+// checkRequest holds what both sides look at, whoever keeps the claim.
+func (r *Grant) checkRequest(now, skew UnixMillis, l *StreamRequest) Reason {
 	switch {
-	case r.Minted > now+skew:
-		return Early
-	case now >= r.Expires:
+	case r.IssuedAt > now+skew:
+		return NotYetValid
+	case now >= r.ExpiresAt:
 		return Expired
 	case r.Tenant != l.Tenant:
-		return OtherTenant
+		return TenantMismatch
 	case r.Class != l.Class || r.Key != l.Key || r.Group != l.Group:
-		return OtherStream
-	case l.Cursor > r.Top:
-		return Ahead
+		return StreamMismatch
+	case l.Cursor > r.LastDelivered:
+		return CursorAhead
 	}
-	return Honoured
+	return Accepted
 }
 
-// state is what is known of a token that was presented. One that is not in the table was never presented, or was
+// claimState is what is known of a token that was presented. One that is not in the table was never presented, or was
 // released: it may be presented again.
-type state uint8
+type claimState uint8
 
 const (
-	presented state = iota // an attempt is under way
-	live                   // it stands
-	spent                  // it has stood, or may have
+	statePending claimState = iota // an attempt is under way
+	stateLive                      // it stands
+	stateUsed                      // it has stood, or may have
 )
 
 type claim struct {
-	id      ID
-	expires Millis
-	state   state
-	pos     int // in the heap
+	id        ID
+	expires   UnixMillis
+	state     claimState
+	heapIndex int // in the heap
 }
 
-// claims remembers tokens until they expire. Its bound is max claims; at the bound it takes no new ones, and it never
+// claimTable remembers tokens until they expire. Its bound is max claims; at the bound it takes no new ones, and it never
 // forgets one early.
-type claims struct {
-	max  int
-	held map[ID]*claim
-	ends byExpiry
+type claimTable struct {
+	limit    int
+	byID     map[ID]*claim
+	expiries expiryHeap
 	// The latest expiry of a forgotten claim. A token that expires no later counts as expired whatever the clock
 	// says: a clock that stepped forward and back would otherwise let a forgotten token in again.
-	horizon Millis
+	expiredThrough UnixMillis
 }
 
-func newClaims(most int) claims { return claims{max: most, held: map[ID]*claim{}} }
+func newClaimTable(most int) claimTable { return claimTable{limit: most, byID: map[ID]*claim{}} }
 
-// present takes a token, unless it is taken, spent or expired, or there is no room.
-func (c *claims) present(now Millis, r *Right) Reason {
-	c.forget(now)
-	if r.Expires <= c.horizon {
+// claim takes a token, unless it is taken, spent or expired, or there is no room.
+func (c *claimTable) claim(now UnixMillis, r *Grant) Reason {
+	c.dropExpired(now)
+	if r.ExpiresAt <= c.expiredThrough {
 		return Expired
 	}
-	if had := c.held[r.ID]; had != nil {
-		if had.state == spent {
-			return Spent
+	if had := c.byID[r.ID]; had != nil {
+		if had.state == stateUsed {
+			return AlreadyUsed
 		}
-		return Taken
+		return InUse
 	}
-	if len(c.held) >= c.max {
-		return Full
+	if len(c.byID) >= c.limit {
+		return TableFull
 	}
-	e := &claim{id: r.ID, expires: r.Expires}
-	c.held[r.ID] = e
-	heap.Push(&c.ends, e)
-	return Honoured
+	e := &claim{id: r.ID, expires: r.ExpiresAt}
+	c.byID[r.ID] = e
+	heap.Push(&c.expiries, e)
+	return Accepted
 }
 
-// become notes how a token stands. One that was forgotten has expired, and needs no note.
-func (c *claims) become(id ID, s state) {
-	if e := c.held[id]; e != nil && e.state <= s {
+// advance notes how a token stands. One that was forgotten has expired, and needs no note.
+func (c *claimTable) advance(id ID, s claimState) {
+	if e := c.byID[id]; e != nil && e.state <= s {
 		e.state = s
 	}
 }
 
 // release makes a token as if it had never been presented.
-func (c *claims) release(id ID) {
-	if e := c.held[id]; e != nil && e.state == presented {
-		heap.Remove(&c.ends, e.pos)
-		delete(c.held, id)
+func (c *claimTable) release(id ID) {
+	if e := c.byID[id]; e != nil && e.state == statePending {
+		heap.Remove(&c.expiries, e.heapIndex)
+		delete(c.byID, id)
 	}
 }
 
-func (c *claims) forget(now Millis) {
-	for len(c.ends) > 0 && c.ends[0].expires <= now {
-		e := heap.Pop(&c.ends).(*claim)
-		delete(c.held, e.id)
-		c.horizon = max(c.horizon, e.expires)
+func (c *claimTable) dropExpired(now UnixMillis) {
+	for len(c.expiries) > 0 && c.expiries[0].expires <= now {
+		e := heap.Pop(&c.expiries).(*claim)
+		delete(c.byID, e.id)
+		c.expiredThrough = max(c.expiredThrough, e.expires)
 	}
 }
 
-// count tells how many claims are held in each state.
-func (c *claims) count() (n [3]int) {
-	for _, e := range c.held {
+// counts tells how many claims are held in each state.
+func (c *claimTable) counts() (n [3]int) {
+	for _, e := range c.byID {
 		n[e.state]++
 	}
 	return n
 }
 
-type byExpiry []*claim
+type expiryHeap []*claim
 
-func (h byExpiry) Len() int           { return len(h) }
-func (h byExpiry) Less(i, j int) bool { return h[i].expires < h[j].expires }
-func (h byExpiry) Swap(i, j int) {
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expires < h[j].expires }
+func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *byExpiry) Push(x any) {
+func (h *expiryHeap) Push(x any) {
 	e := x.(*claim)
-	e.pos = len(*h)
+	e.heapIndex = len(*h)
 	*h = append(*h, e)
 }
 
-func (h *byExpiry) Pop() any {
+func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
 	(*h)[last] = nil
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -9,44 +9,48 @@
 )
 
 const (
-	t0   = Millis(1_800_000_000_000)
-	sec  = Millis(1000)
+	t0   = UnixMillis(1_800_000_000_000)
+	sec  = UnixMillis(1000)
 	skew = 2 * sec
 	life = 60 * sec
 )
 
-func right() Right {
-	return Right{
-		ID: ID{1}, Minted: t0, Expires: t0 + life, Class: "sync", Key: 7, Group: 5, Tenant: 9, Top: 41, Server: "s1",
-		Started: t0 - sec,
+func right() Grant {
+	return Grant{
+		ID: ID{
+			1,
+		}, IssuedAt: t0, ExpiresAt: t0 + life, Class: "sync", Key: 7, Group: 5, Tenant: 9, LastDelivered: 41, Server: "s1",
+		ServerStartedAt: t0 - sec,
 	}
 }
 
-func line() Line { return Line{Class: "sync", Key: 7, Group: 5, Tenant: 9, Cursor: 41} }
+func line() StreamRequest {
+	return StreamRequest{Class: "sync", Key: 7, Group: 5, Tenant: 9, Cursor: 41}
+}
 
 // What a balancer refuses before it asks anyone, and what it says.
 func TestGateRefuses(t *testing.T) {
-	for want, change := range map[Reason]func(now *Millis, r *Right, l *Line, s *Listed){
-		Honoured:    func(*Millis, *Right, *Line, *Listed) {},
-		Early:       func(now *Millis, _ *Right, _ *Line, _ *Listed) { *now = t0 - skew - 1 },
-		Expired:     func(now *Millis, _ *Right, _ *Line, _ *Listed) { *now = t0 + life },
-		OtherTenant: func(_ *Millis, _ *Right, l *Line, _ *Listed) { l.Tenant++ },
-		OtherStream: func(_ *Millis, _ *Right, l *Line, _ *Listed) { l.Key++ },
-		Ahead:       func(_ *Millis, _ *Right, l *Line, _ *Listed) { l.Cursor++ },
-		Gone:        func(_ *Millis, _ *Right, _ *Line, s *Listed) { s.Started++ },
+	for want, change := range map[Reason]func(now *UnixMillis, r *Grant, l *StreamRequest, s *ListedServer){
+		Accepted:       func(*UnixMillis, *Grant, *StreamRequest, *ListedServer) {},
+		NotYetValid:    func(now *UnixMillis, _ *Grant, _ *StreamRequest, _ *ListedServer) { *now = t0 - skew - 1 },
+		Expired:        func(now *UnixMillis, _ *Grant, _ *StreamRequest, _ *ListedServer) { *now = t0 + life },
+		TenantMismatch: func(_ *UnixMillis, _ *Grant, l *StreamRequest, _ *ListedServer) { l.Tenant++ },
+		StreamMismatch: func(_ *UnixMillis, _ *Grant, l *StreamRequest, _ *ListedServer) { l.Key++ },
+		CursorAhead:    func(_ *UnixMillis, _ *Grant, l *StreamRequest, _ *ListedServer) { l.Cursor++ },
+		ServerGone:     func(_ *UnixMillis, _ *Grant, _ *StreamRequest, s *ListedServer) { s.StartedAt++ },
 	} {
-		g, r, l, s, now := NewGate(skew, 4), right(), line(), Listed{true, t0 - sec}, t0
+		g, r, l, s, now := NewValidator(skew, 4), right(), line(), ListedServer{true, t0 - sec}, t0
 		change(&now, &r, &l, &s)
-		if got := g.Present(now, &r, &l, s); got != want || g.Told[want] != 1 {
+		if got := g.Claim(now, &r, &l, s); got != want || g.Rejected[want] != 1 {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
-	for _, change := range []func(*Line, *Listed){
-		func(l *Line, _ *Listed) { l.Class = "watch" }, func(l *Line, _ *Listed) { l.Group = 0 },
-		func(_ *Line, s *Listed) { s.Ready = false },
+	for _, change := range []func(*StreamRequest, *ListedServer){
+		func(l *StreamRequest, _ *ListedServer) { l.Class = "watch" }, func(l *StreamRequest, _ *ListedServer) { l.Group = 0 },
+		func(_ *StreamRequest, s *ListedServer) { s.Ready = false },
 	} {
-		g, r, l, s := NewGate(skew, 4), right(), line(), Listed{true, t0 - sec}
-		if change(&l, &s); g.Present(t0, &r, &l, s) == Honoured {
+		g, r, l, s := NewValidator(skew, 4), right(), line(), ListedServer{true, t0 - sec}
+		if change(&l, &s); g.Claim(t0, &r, &l, s) == Accepted {
 			t.Errorf("%+v, %+v", l, s)
 		}
 	}
@@ -55,63 +59,75 @@
 // The same token again, after each thing that may have become of it.
 func TestGateAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		then  func(g *Gate, id ID) Reason
+		then  func(g *Validator, id ID) Reason
 		told  Reason // what the client hears
 		again Reason
 	}{
-		"in the same turn":            {func(*Gate, ID) Reason { return Honoured }, Honoured, Taken},
-		"stands":                      {func(g *Gate, id ID) Reason { g.Up(id); return Honoured }, Honoured, Taken},
-		"has stood":                   {func(g *Gate, id ID) Reason { g.Up(id); g.Ended(id); return Honoured }, Honoured, Spent},
-		"left without an attempt":     {func(g *Gate, id ID) Reason { g.Withdrawn(id); return Honoured }, Honoured, Honoured},
-		"busy":                        {endsWith(outcome.ServerFull, true), Honoured, Honoured},
-		"no socket for it":            {endsWith(outcome.Inconclusive, false), Honoured, Honoured},
-		"no connection":               {endsWith(outcome.ConnectFailed, false), Unreachable, Honoured},
-		"timed out":                   {endsWith(outcome.TimedOut, true), Unsure, Spent},
-		"reset":                       {endsWith(outcome.Reset, true), Unsure, Spent},
-		"error":                       {endsWith(outcome.ErrorAnswer, true), Unsure, Spent},
-		"cancelled before it was out": {endsWith(outcome.Cancelled, false), Honoured, Honoured},
-		"cancelled after":             {endsWith(outcome.Cancelled, true), Unsure, Spent},
-		"denied":                      {func(g *Gate, id ID) Reason { return g.Denied(id, Gap) }, Gap, Spent},
-		"withdrawn though it stands":  {func(g *Gate, id ID) Reason { g.Up(id); g.Withdrawn(id); return Honoured }, Honoured, Taken},
+		"in the same turn":            {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
+		"stands":                      {func(g *Validator, id ID) Reason { g.Established(id); return Accepted }, Accepted, InUse},
+		"has stood":                   {func(g *Validator, id ID) Reason { g.Established(id); g.Closed(id); return Accepted }, Accepted, AlreadyUsed},
+		"left without an attempt":     {func(g *Validator, id ID) Reason { g.Release(id); return Accepted }, Accepted, Accepted},
+		"busy":                        {endsWith(outcome.ServerFull, true), Accepted, Accepted},
+		"no socket for it":            {endsWith(outcome.Inconclusive, false), Accepted, Accepted},
+		"no connection":               {endsWith(outcome.ConnectFailed, false), Unreachable, Accepted},
+		"timed out":                   {endsWith(outcome.TimedOut, true), OutcomeUnknown, AlreadyUsed},
+		"reset":                       {endsWith(outcome.Reset, true), OutcomeUnknown, AlreadyUsed},
+		"error":                       {endsWith(outcome.ErrorResponse, true), OutcomeUnknown, AlreadyUsed},
+		"cancelled before it was out": {endsWith(outcome.Cancelled, false), Accepted, Accepted},
+		"cancelled after":             {endsWith(outcome.Cancelled, true), OutcomeUnknown, AlreadyUsed},
+		"denied":                      {func(g *Validator, id ID) Reason { return g.RejectedByServer(id, LogGap) }, LogGap, AlreadyUsed},
+		"withdrawn though it stands":  {func(g *Validator, id ID) Reason { g.Established(id); g.Release(id); return Accepted }, Accepted, InUse},
 	} {
-		g, r, l, s := NewGate(skew, 4), right(), line(), Listed{true, t0 - sec}
-		if why := g.Present(t0, &r, &l, s); why != Honoured {
+		g, r, l, s := NewValidator(skew, 4), right(), line(), ListedServer{true, t0 - sec}
+		if why := g.Claim(t0, &r, &l, s); why != Accepted {
 			t.Fatal(why)
 		}
 		if got := c.then(g, r.ID); got != c.told {
 			t.Errorf("%s: told %v, want %v", name, got, c.told)
 		}
-		if got := g.Present(t0+1, &r, &l, s); got != c.again {
+		if got := g.Claim(t0+1, &r, &l, s); got != c.again {
 			t.Errorf("%s: again %v, want %v", name, got, c.again)
 		}
 	}
 }
 
-func endsWith(st outcome.Status, reached bool) func(*Gate, ID) Reason {
-	return func(g *Gate, id ID) Reason { return g.Outcome(id, st, reached) }
+func endsWith(st outcome.Status, reached bool) func(*Validator, ID) Reason {
+	return func(g *Validator, id ID) Reason { return g.AttemptFailed(id, st, reached) }
 }
 
 // What only the server can know.
 func TestKeeperRefuses(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(k *Keeper, now *Millis, r *Right, l *Line, log *Log, draining *bool)
+		change func(k *Registry, now *UnixMillis, r *Grant, l *StreamRequest, log *StreamLog, draining *bool)
 		want   Reason
 	}{
-		"good":          {func(*Keeper, *Millis, *Right, *Line, *Log, *bool) {}, Honoured},
-		"other server":  {func(_ *Keeper, _ *Millis, r *Right, _ *Line, _ *Log, _ *bool) { r.Server = "s2" }, Elsewhere},
-		"other start":   {func(_ *Keeper, _ *Millis, r *Right, _ *Line, _ *Log, _ *bool) { r.Started-- }, Gone},
-		"long ago":      {func(_ *Keeper, _ *Millis, r *Right, _ *Line, _ *Log, _ *bool) { r.Started = 0 }, Gone},
-		"really long":   {func(k *Keeper, _ *Millis, r *Right, _ *Line, _ *Log, _ *bool) { r.Started, k.started = 0, t0-longAgo }, Honoured},
-		"lasts forever": {func(_ *Keeper, _ *Millis, r *Right, _ *Line, _ *Log, _ *bool) { r.Expires = t0 + MaxLife + 1 }, Malformed},
-		"expired":       {func(_ *Keeper, now *Millis, _ *Right, _ *Line, _ *Log, _ *bool) { *now += life }, Expired},
-		"ahead":         {func(_ *Keeper, _ *Millis, _ *Right, l *Line, _ *Log, _ *bool) { l.Cursor = 42 }, Ahead},
-		"drains":        {func(_ *Keeper, _ *Millis, _ *Right, _ *Line, _ *Log, d *bool) { *d = true }, Draining},
-		"gap":           {func(_ *Keeper, _ *Millis, _ *Right, _ *Line, log *Log, _ *bool) { log.Floor = 42 }, Gap},
-		"reaches":       {func(_ *Keeper, _ *Millis, _ *Right, _ *Line, log *Log, _ *bool) { log.Floor = 41 }, Honoured},
+		"good":         {func(*Registry, *UnixMillis, *Grant, *StreamRequest, *StreamLog, *bool) {}, Accepted},
+		"other server": {func(_ *Registry, _ *UnixMillis, r *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) { r.Server = "s2" }, WrongServer},
+		"other start": {func(_ *Registry, _ *UnixMillis, r *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) {
+			r.ServerStartedAt--
+		}, ServerGone},
+		"long ago": {func(_ *Registry, _ *UnixMillis, r *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) {
+			r.ServerStartedAt = 0
+		}, ServerGone},
+		"really long": {func(k *Registry, _ *UnixMillis, r *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) {
+			r.ServerStartedAt, k.startedAt = 0, t0-minAgeForZeroStart
+		}, Accepted},
+		"lasts forever": {func(_ *Registry, _ *UnixMillis, r *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) {
+			r.ExpiresAt = t0 + MaxLifetime + 1
+		}, Malformed},
+		"expired": {func(_ *Registry, now *UnixMillis, _ *Grant, _ *StreamRequest, _ *StreamLog, _ *bool) { *now += life }, Expired},
+		"ahead":   {func(_ *Registry, _ *UnixMillis, _ *Grant, l *StreamRequest, _ *StreamLog, _ *bool) { l.Cursor = 42 }, CursorAhead},
+		"drains":  {func(_ *Registry, _ *UnixMillis, _ *Grant, _ *StreamRequest, _ *StreamLog, d *bool) { *d = true }, ServerDraining},
+		"gap": {func(_ *Registry, _ *UnixMillis, _ *Grant, _ *StreamRequest, log *StreamLog, _ *bool) {
+			log.OldestCursor = 42
+		}, LogGap},
+		"reaches": {func(_ *Registry, _ *UnixMillis, _ *Grant, _ *StreamRequest, log *StreamLog, _ *bool) {
+			log.OldestCursor = 41
+		}, Accepted},
 	} {
-		k, r, l, now, log, draining := NewKeeper("s1", t0-sec, skew, 4), right(), line(), t0, Log{}, false
+		k, r, l, now, log, draining := NewRegistry("s1", t0-sec, skew, 4), right(), line(), t0, StreamLog{}, false
 		c.change(k, &now, &r, &l, &log, &draining)
-		if got := k.Present(now, &r, &l, log, draining); got != c.want {
+		if got := k.Claim(now, &r, &l, log, draining); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
@@ -119,60 +135,60 @@
 
 // At the bound what is new is refused; what is held is never forgotten early, and makes room once it has expired.
 func TestBound(t *testing.T) {
-	k, l := NewKeeper("s1", t0-sec, skew, 2), line()
-	present := func(now Millis, id byte) Reason {
+	k, l := NewRegistry("s1", t0-sec, skew, 2), line()
+	present := func(now UnixMillis, id byte) Reason {
 		r := right()
-		r.ID, r.Minted, r.Expires = ID{id}, now, now+life
-		return k.Present(now, &r, &l, Log{}, false)
+		r.ID, r.IssuedAt, r.ExpiresAt = ID{id}, now, now+life
+		return k.Claim(now, &r, &l, StreamLog{}, false)
 	}
-	for i, want := range []Reason{Honoured, Honoured, Full} {
-		if got := present(t0+Millis(i), byte(i)); got != want {
+	for i, want := range []Reason{Accepted, Accepted, TableFull} {
+		if got := present(t0+UnixMillis(i), byte(i)); got != want {
 			t.Errorf("%d: %v, want %v", i, got, want)
 		}
 	}
-	k.Released(ID{1})
-	if got := present(t0, 3); got != Honoured {
+	k.Release(ID{1})
+	if got := present(t0, 3); got != Accepted {
 		t.Errorf("after a release: %v", got)
 	}
 	r := right()
-	r.ID, r.Expires = ID{0}, t0+life
-	if got := k.Present(t0+life-1, &r, &l, Log{}, false); got != Taken {
+	r.ID, r.ExpiresAt = ID{0}, t0+life
+	if got := k.Claim(t0+life-1, &r, &l, StreamLog{}, false); got != InUse {
 		t.Errorf("held: %v", got)
 	}
-	if got := present(t0+life+sec, 4); got != Honoured {
+	if got := present(t0+life+sec, 4); got != Accepted {
 		t.Errorf("after expiry: %v", got)
 	}
-	if p, _, _ := k.Count(); p != 1 {
+	if p, _, _ := k.Counts(); p != 1 {
 		t.Errorf("%d held", p)
 	}
 }
 
 // A clock that steps forward and back must not let a forgotten token in again.
 func TestClockSteps(t *testing.T) {
-	k, r, l := NewKeeper("s1", t0-sec, skew, 4), right(), line()
-	present := func(now Millis) Reason { return k.Present(now, &r, &l, Log{}, false) }
-	if got := present(t0); got != Honoured {
+	k, r, l := NewRegistry("s1", t0-sec, skew, 4), right(), line()
+	present := func(now UnixMillis) Reason { return k.Claim(now, &r, &l, StreamLog{}, false) }
+	if got := present(t0); got != Accepted {
 		t.Fatal(got)
 	}
-	k.Up(r.ID)
-	k.Ended(r.ID)
+	k.Established(r.ID)
+	k.Closed(r.ID)
 	other := right()
-	other.ID, other.Minted, other.Expires = ID{2}, t0+2*life, t0+3*life
-	if got := k.Present(t0+2*life, &other, &l, Log{}, false); got != Honoured {
+	other.ID, other.IssuedAt, other.ExpiresAt = ID{2}, t0+2*life, t0+3*life
+	if got := k.Claim(t0+2*life, &other, &l, StreamLog{}, false); got != Accepted {
 		t.Error(got)
 	}
 	if got := present(t0 + 1); got != Expired {
 		t.Errorf("after the clock went forward and back: %v", got)
 	}
 	fresh := right()
-	fresh.ID, fresh.Expires = ID{3}, t0+life+1
-	if got := k.Present(t0+2, &fresh, &l, Log{}, false); got != Honoured {
+	fresh.ID, fresh.ExpiresAt = ID{3}, t0+life+1
+	if got := k.Claim(t0+2, &fresh, &l, StreamLog{}, false); got != Accepted {
 		t.Errorf("a new token after that: %v", got)
 	}
 }
 
 // party is a clock that may be off and may step.
-type party struct{ off Millis }
+type party struct{ off UnixMillis }
 
 // attempt is one first line with a token, on its way or at the server.
 type attempt struct {
@@ -186,27 +202,27 @@
 // world is two balancers and two servers, with all that may happen to them.
 type world struct {
 	t        *rapid.T
-	now      Millis
-	gates    [2]*Gate
-	keepers  [2]*Keeper
+	now      UnixMillis
+	gates    [2]*Validator
+	keepers  [2]*Registry
 	clocks   [4]party // of the gates, then of the keepers
-	starts   [2]Millis
-	listed   [2]Millis // as balancers have it; may be old
-	used     map[Millis]bool
-	toks     []Right
+	starts   [2]UnixMillis
+	listed   [2]UnixMillis // as balancers have it; may be old
+	used     map[UnixMillis]bool
+	toks     []Grant
 	everLive []int
 	attempts []*attempt
 }
 
-func (w *world) clock(i int) Millis { return w.now + w.clocks[i].off }
+func (w *world) clock(i int) UnixMillis { return w.now + w.clocks[i].off }
 
-func (w *world) start(k int, at Millis) {
+func (w *world) start(k int, at UnixMillis) {
 	for w.used[at] { // a start is told by a number that was none before
 		at++
 	}
 	w.used[at] = true
 	w.starts[k] = at
-	w.keepers[k] = NewKeeper(fmt.Sprint("s", k), at, skew, 6)
+	w.keepers[k] = NewRegistry(fmt.Sprint("s", k), at, skew, 6)
 }
 
 // pick draws an attempt in one of the states, nil where there is none.
@@ -229,21 +245,21 @@
 	k := w.keepers[a.keeper]
 	switch a.state {
 	case "granted":
-		k.Released(w.toks[a.tok].ID)
+		k.Release(w.toks[a.tok].ID)
 	case "live":
-		k.Ended(w.toks[a.tok].ID)
+		k.Closed(w.toks[a.tok].ID)
 	}
 	a.state = "over"
 }
 
 func (w *world) gateEnds(a *attempt) {
 	if a.gate >= 0 && !a.closed && a.state == "live" {
-		w.gates[a.gate].Ended(w.toks[a.tok].ID)
+		w.gates[a.gate].Closed(w.toks[a.tok].ID)
 	}
 	a.closed = true
 }
 
-var worldLine = Line{Class: "sync", Key: 7, Group: 5, Tenant: 9}
+var worldLine = StreamRequest{Class: "sync", Key: 7, Group: 5, Tenant: 9}
 
 func (w *world) actions() map[string]func(*rapid.T) {
 	bit := rapid.IntRange(0, 1)
@@ -252,8 +268,8 @@
 			g, k := bit.Draw(t, "gate"), bit.Draw(t, "keeper")
 			r := right()
 			r.ID = ID{byte(len(w.toks)), byte(len(w.toks) >> 8)}
-			r.Minted = w.clock(g)
-			r.Expires, r.Server, r.Started = r.Minted+life, fmt.Sprint("s", k), w.listed[k]
+			r.IssuedAt = w.clock(g)
+			r.ExpiresAt, r.Server, r.ServerStartedAt = r.IssuedAt+life, fmt.Sprint("s", k), w.listed[k]
 			w.toks, w.everLive = append(w.toks, r), append(w.everLive, 0)
 		},
 		"present": func(t *rapid.T) {
@@ -266,7 +282,7 @@
 					Draw(t, "gate")
 			r := w.toks[i]
 			k := int(r.Server[1] - '0')
-			if g >= 0 && w.gates[g].Present(w.clock(g), &r, &worldLine, Listed{true, w.listed[k]}) != Honoured {
+			if g >= 0 && w.gates[g].Claim(w.clock(g), &r, &worldLine, ListedServer{true, w.listed[k]}) != Accepted {
 				return
 			}
 			w.attempts = append(w.attempts, &attempt{tok: i, gate: g, keeper: k, state: "sent"})
@@ -277,20 +293,20 @@
 				t.Skip()
 			}
 			r := w.toks[a.tok]
-			why := w.keepers[a.keeper].Present(
+			why := w.keepers[a.keeper].Claim(
 				w.clock(2+a.keeper),
 				&r,
 				&worldLine,
-				Log{},
+				StreamLog{},
 				bit.Draw(t, "draining") == 1,
 			)
-			if why == Honoured {
+			if why == Accepted {
 				a.state = "granted"
 				return
 			}
 			a.state = "over"
 			if a.gate >= 0 && !a.closed {
-				w.gates[a.gate].Denied(r.ID, why)
+				w.gates[a.gate].RejectedByServer(r.ID, why)
 			}
 		},
 		"up": func(t *rapid.T) {
@@ -298,11 +314,11 @@
 			if a == nil {
 				t.Skip()
 			}
-			w.keepers[a.keeper].Up(w.toks[a.tok].ID)
+			w.keepers[a.keeper].Established(w.toks[a.tok].ID)
 			a.state = "live"
 			w.everLive[a.tok]++
 			if a.gate >= 0 && !a.closed {
-				w.gates[a.gate].Up(w.toks[a.tok].ID)
+				w.gates[a.gate].Established(w.toks[a.tok].ID)
 			}
 		},
 		"give up": func(t *rapid.T) {
@@ -312,7 +328,7 @@
 			}
 			a.closed = true
 			if a.gate >= 0 {
-				w.gates[a.gate].Outcome(w.toks[a.tok].ID, rapid.SampledFrom([]outcome.Status{
+				w.gates[a.gate].AttemptFailed(w.toks[a.tok].ID, rapid.SampledFrom([]outcome.Status{
 					outcome.TimedOut, outcome.Reset,
 					outcome.Cancelled,
 				}).Draw(t, "status"), true)
@@ -325,7 +341,7 @@
 			}
 			a.state, a.closed = "over", true
 			if a.gate >= 0 {
-				w.gates[a.gate].Outcome(w.toks[a.tok].ID, rapid.SampledFrom([]outcome.Status{
+				w.gates[a.gate].AttemptFailed(w.toks[a.tok].ID, rapid.SampledFrom([]outcome.Status{
 					outcome.ServerFull,
 					outcome.ConnectFailed, outcome.Inconclusive,
 				}).Draw(t, "status"), false)
@@ -360,11 +376,11 @@
 					a.gate, a.closed = -1, true
 				}
 			}
-			w.gates[g] = NewGate(skew, 6)
+			w.gates[g] = NewValidator(skew, 6)
 		},
-		"wait": func(t *rapid.T) { w.now += Millis(rapid.IntRange(1, 40_000).Draw(t, "ms")) },
+		"wait": func(t *rapid.T) { w.now += UnixMillis(rapid.IntRange(1, 40_000).Draw(t, "ms")) },
 		"step a clock": func(t *rapid.T) {
-			w.clocks[rapid.IntRange(0, 3).Draw(t, "whose")].off = Millis(
+			w.clocks[rapid.IntRange(0, 3).Draw(t, "whose")].off = UnixMillis(
 				rapid.IntRange(-200_000, 200_000).Draw(t, "off"),
 			)
 		},
@@ -375,7 +391,7 @@
 				}
 			}
 			for _, g := range w.gates {
-				if p, l, s := g.Count(); p+l+s > 6 {
+				if p, l, s := g.Counts(); p+l+s > 6 {
 					t.Fatalf("%d claims", p+l+s)
 				}
 			}
@@ -387,10 +403,10 @@
 func TestAtMostOneLive(t *testing.T) {
 	lived := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: t0, used: map[Millis]bool{}}
+		w := &world{t: t, now: t0, used: map[UnixMillis]bool{}}
 		for i := range 2 {
-			w.gates[i] = NewGate(skew, 6)
-			w.start(i, t0-longAgo-sec*Millis(1+i))
+			w.gates[i] = NewValidator(skew, 6)
+			w.start(i, t0-minAgeForZeroStart-sec*UnixMillis(1+i))
 		}
 		t.Repeat(w.actions())
 		for _, n := range w.everLive {
@@ -403,12 +419,12 @@
 }
 
 func TestWords(t *testing.T) {
-	for r := Malformed; r < reasons; r++ {
-		if got, ok := ReasonOf([]byte(r.String())); !ok || got != r {
+	for r := Malformed; r < reasonCount; r++ {
+		if got, ok := ParseReason([]byte(r.String())); !ok || got != r {
 			t.Errorf("%v", r)
 		}
 	}
-	if _, ok := ReasonOf([]byte("honoured")); ok {
+	if _, ok := ParseReason([]byte("honoured")); ok {
 		t.Error("a refusal for no reason")
 	}
 }
--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -8,87 +8,88 @@
 
 import "spurspread/decision/monotime"
 
-// Effect says what repeating a request of a class may do.
-type Effect uint8
+// Idempotency says what repeating a request of a class may do.
+type Idempotency uint8
 
 // The effects: a Safe request may be repeated freely, a Keyed one only to the group of servers that discards its
 // repeats, an Unsafe one only when no earlier attempt can have run.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Idempotency = iota
+	IdempotentWithKey
+	NonIdempotent
 )
 
-// Scope is the group of servers that discards the repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of servers that discards the repeats of a keyed request.
+type DedupScope uint8
 
 // The scopes of a keyed class.
 const (
-	All Scope = iota
-	Zone
-	Cell
+	ScopeAll DedupScope = iota
+	ScopeZone
+	ScopeCell
 )
 
-// lead is how long before the end of the window a repeat must have been written: it still has to reach its server,
+// deliveryMargin is how long before the end of the window a repeat must have been written: it still has to reach its server,
 // across sites, whose clock counts.
-const lead = 20_000
+const deliveryMargin = 20_000
 
 // Policy is what a class says of repeats.
 type Policy struct {
-	Effect Effect
-	Scope  Scope
-	Window monotime.Micros // how long a keyed request's repeats are discarded, from the first attempt that may have run
+	Idempotency Idempotency
+	DedupScope  DedupScope
+	// how long a keyed request's repeats are discarded, from the first attempt that may have run
+	DedupWindow monotime.Micros
 }
 
-// Place is where a server stands.
-type Place struct {
+// Location is where a server stands.
+type Location struct {
 	Zone uint8
 	Cell uint16
 }
 
-// Past is what a request's attempts may have done. The zero Past is that of one that has not run.
-type Past struct {
-	ran   bool
-	at    monotime.Micros
-	place Place
+// AttemptHistory is what a request's attempts may have done. The zero Past is that of one that has not run.
+type AttemptHistory struct {
+	mayHaveExecuted bool
+	firstSentAt     monotime.Micros
+	location        Location
 }
 
-// Ran notes an attempt that may have run, sent then to a server there. Only the first counts.
-func (p *Past) Ran(at monotime.Micros, place Place) {
-	if !p.ran {
-		*p = Past{ran: true, at: at, place: place}
+// RecordAttempt notes an attempt that may have run, sent then to a server there. Only the first counts.
+func (p *AttemptHistory) RecordAttempt(at monotime.Micros, place Location) {
+	if !p.mayHaveExecuted {
+		*p = AttemptHistory{mayHaveExecuted: true, firstSentAt: at, location: place}
 	}
 }
 
-// MayHaveRun tells whether any attempt may have.
-func (p *Past) MayHaveRun() bool { return p.ran }
+// MayHaveExecuted tells whether any attempt may have.
+func (p *AttemptHistory) MayHaveExecuted() bool { return p.mayHaveExecuted }
 
-// Until is when a repeat must have been written at the latest; bound is false where time does not matter.
-func (r Policy) Until(p *Past) (until monotime.Micros, bound bool) {
-	return p.at + r.Window - lead, p.ran && r.Effect == Keyed
+// RetryDeadline is when a repeat must have been written at the latest; bound is false where time does not matter.
+func (r Policy) RetryDeadline(p *AttemptHistory) (until monotime.Micros, bound bool) {
+	return p.firstSentAt + r.DedupWindow - deliveryMargin, p.mayHaveExecuted && r.Idempotency == IdempotentWithKey
 }
 
-// Spent tells that no server may have the request any more.
-func (r Policy) Spent(p *Past, now monotime.Micros) bool {
-	until, bound := r.Until(p)
-	return p.ran && r.Effect == Unsafe || bound && now >= until
+// RetryForbidden tells that no server may have the request any more.
+func (r Policy) RetryForbidden(p *AttemptHistory, now monotime.Micros) bool {
+	until, bound := r.RetryDeadline(p)
+	return p.mayHaveExecuted && r.Idempotency == NonIdempotent || bound && now >= until
 }
 
-// Allows tells whether a server there may have the request now.
-func (r Policy) Allows(p *Past, now monotime.Micros, at Place) bool {
+// RetryAllowedAt tells whether a server there may have the request now.
+func (r Policy) RetryAllowedAt(p *AttemptHistory, now monotime.Micros, at Location) bool {
 	switch {
-	case r.Spent(p, now):
+	case r.RetryForbidden(p, now):
 		return false
-	case !p.ran || r.Effect != Keyed || r.Scope == All:
+	case !p.mayHaveExecuted || r.Idempotency != IdempotentWithKey || r.DedupScope == ScopeAll:
 		return true
 	}
-	if r.Scope == Cell {
-		return at.Cell == p.place.Cell
+	if r.DedupScope == ScopeCell {
+		return at.Cell == p.location.Cell
 	}
-	return at.Zone == p.place.Zone
+	return at.Zone == p.location.Zone
 }
 
-// Harmless tells whether a client may be told to come again: unsure says that an attempt may have run, or may yet.
-func (r Policy) Harmless(unsure bool) bool {
-	return !unsure || r.Effect == Safe || r.Effect == Keyed && r.Scope == All
+// ClientRetrySafe tells whether a client may be told to come again: unsure says that an attempt may have run, or may yet.
+func (r Policy) ClientRetrySafe(unsure bool) bool {
+	return !unsure || r.Idempotency == Idempotent || r.Idempotency == IdempotentWithKey && r.DedupScope == ScopeAll
 }
--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -47,7 +47,7 @@
 		old[i].window = -monotime.Micros(rng.Int64N(int64(window))) // each counts from when it was first asked
 	}
 	for at := monotime.Micros(0); at < warmUp; at += step {
-		slot, _ := Slot(at, 0, window)
+		slot, _ := SlotAt(at, 0, window)
 		got, gotOld := 0.0, 0.0
 		for i := range f.balancers {
 			if !f.asks(rng) {
@@ -59,7 +59,7 @@
 				rank, count = f.rank(i)
 			}
 			home := i%f.zones == 0
-			if now[i].Cold(slot, f.allowed/f.each, Fleet{rank, count, f.zones, server, home, false}) {
+			if now[i].GrantAvailable(slot, f.allowed/f.each, Fleet{rank, count, f.zones, server, home, false}) {
 				now[i].Spend(true, work, f.each, 1)
 				got += work
 			}
@@ -142,7 +142,7 @@
 			)
 			wasOver += old.over
 			bound := 0.0 // where the work is uneven, a part of the windows in 1,000
-			most := math.Floor(f.allowed*(Slots+held)/Slots) + 2
+			most := math.Floor(f.allowed*(SlotsPerWindow+grantLifetime)/SlotsPerWindow) + 2
 			if name == "work is uneven" {
 				bound, most = 0.02, math.Inf(1)
 			}
@@ -178,15 +178,15 @@
 func TestUnevenLoadsAreGrantedLess(t *testing.T) {
 	granted := func(uneven bool) (sum int) {
 		for rank := range 30 {
-			f := Fleet{Rank: rank, Balancers: 30, Zones: 1, Server: 7, Home: true, Uneven: uneven}
+			f := Fleet{Rank: rank, Balancers: 30, Zones: 1, ServerID: 7, SameZone: true, UnevenLoads: uneven}
 			for slot := range int64(400) {
-				sum += f.grants(slot, 10)
+				sum += f.grantsInSlot(slot, 10)
 			}
 		}
 		return sum
 	}
 	even, uneven := float64(granted(false)), float64(granted(true))
-	if part := uneven / even; part < unevenPart-0.02 || part > unevenPart+0.02 {
-		t.Fatalf("%.0f grants of %.0f where loads differ: %.3f, not %v", uneven, even, part, unevenPart)
+	if part := uneven / even; part < unevenLoadPart-0.02 || part > unevenLoadPart+0.02 {
+		t.Fatalf("%.0f grants of %.0f where loads differ: %.3f, not %v", uneven, even, part, unevenLoadPart)
 	}
 }
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -13,34 +13,34 @@
 const (
 	ms  monotime.Micros = 1000
 	sec                 = 1000 * ms
-	// Step is how often Tick is to be called.
-	Step = 50 * ms
+	// TickInterval is how often Tick is to be called.
+	TickInterval = 50 * ms
 )
 
 // What may be wrong with a record to be published.
 var (
-	ErrRecord = errors.New("zone: a record's name has 1 to 32 bytes, its value at most 64")
-	ErrSpace  = errors.New("zone: there are as many records as there may be")
+	ErrInvalidRecord  = errors.New("zone: a record's name has 1 to 32 bytes, its value at most 64")
+	ErrTooManyRecords = errors.New("zone: there are as many records as there may be")
 )
 
 // Config is what a directory is started with.
 type Config struct {
-	Self     Self
-	Site     Site
-	Seeds    []netip.AddrPort // of any zone
-	Expected int              // members of the fleet by its settings: what the rate divisor begins at
-	Seed     uint64
+	Self            Self
+	Site            Site
+	Seeds           []netip.AddrPort // of any zone
+	ExpectedMembers int              // members of the fleet by its settings: what the rate divisor begins at
+	RandomSeed      uint64
 	// Divisor is the rule by which the fleet's budgets are divided: how many members are there and how many are
 	// known it is told at each Tick. It is needed.
-	Divisor Divisor
+	RateDivisor RateDivisor
 	// Rank orders the members of a zone, the lowest first, where it is not nil: a laboratory plants a fault here.
 	Rank func(zone ID, id MemberID) uint64
 }
 
-// Divisor follows the size of the fleet, from a number that it begins with.
-type Divisor interface {
-	Begin(now monotime.Micros, members int)
-	Note(now monotime.Micros, live, known int)
+// RateDivisor follows the size of the fleet, from a number that it begins with.
+type RateDivisor interface {
+	Start(now monotime.Micros, members int)
+	Observe(now monotime.Micros, live, known int)
 	Value() float64
 }
 
@@ -50,143 +50,143 @@
 	Addr netip.AddrPort
 }
 
-// Local is this member's view of its own zone.
-type Local struct {
-	Revision           uint64   // changes with Members; member.Fleet has it
-	Members            []Member // held alive and not suspected, this member among them
-	Live, Known, Place int      // of member.Fleet
-	Dead               int      // of those Known: held dead, and have not left
-	Doubts, Leaving    bool
+// LocalZone is this member's view of its own zone.
+type LocalZone struct {
+	Revision              uint64   // changes with Members; member.Fleet has it
+	Members               []Member // held alive and not suspected, this member among them
+	Live, Known, Position int      // of member.Fleet
+	Dead                  int      // of those Known: held dead, and have not left
+	Unhealthy, Leaving    bool
 }
 
 // Directory is what one member knows of its fleet's zones.
 type Directory struct {
-	cfg   Config
-	own   ID
-	rng   *rand.Rand
-	born  monotime.Micros
-	now   monotime.Micros
-	local Local
+	cfg       Config
+	ownZone   ID
+	rng       *rand.Rand
+	startedAt monotime.Micros
+	now       monotime.Micros
+	local     LocalZone
 
-	items          map[uint64]*entry
-	keys           []uint64        // of items, ascending
-	digest, global uint64          // of all items, and of those that go to all zones
-	changedAt      monotime.Micros // when global did
-	counts         [3]int          // items by kind
-	zones          []*zoneState
-	forgotten      map[uint64]forgotten
+	items                map[uint64]*entry
+	keys                 []uint64        // of items, ascending
+	digest, globalDigest uint64          // of all items, and of those that go to all zones
+	changedAt            monotime.Micros // when global did
+	itemCounts           [3]int          // items by kind
+	zones                []*zoneState
+	tombstones           map[uint64]tombstone
 
-	ranked     []Member // the first MaxContacts by rank
-	others     []Member // of the own zone, but for this one
-	rank       int      // of this member; MaxContacts where it is not among the first
-	last       bool     // this member is the last of its zone, and goes
-	leaveSends int      // how often it has told other zones so
-	ready      bool     // see settle
-	synced     bool     // has compared itself with a member of its zone, or agrees with one
-	opinion    opinion
-	contest    contest
+	candidates         []Member // the first MaxContacts by rank
+	zonePeers          []Member // of the own zone, but for this one
+	ownRank            int      // of this member; MaxContacts where it is not among the first
+	lastToLeave        bool     // this member is the last of its zone, and goes
+	leaveAnnouncements int      // how often it has told other zones so
+	settled            bool     // see settle
+	synced             bool     // has compared itself with a member of its zone, or agrees with one
+	observing          observationState
+	conflict           issuerConflict
 
-	spread    spreading
-	repair    bucket
-	syncAt    monotime.Micros
-	differs   map[MemberID]monotime.Micros // members of this zone whose directories differ, since when
-	cursor    uint64                       // from which key on the next Compare is
-	answered  map[netip.AddrPort]monotime.Micros
-	seq       uint32
-	seedsAt   monotime.Micros
-	seedAt    int
-	seedZones map[netip.AddrPort]ID // by what answered there
+	dissemination   disseminationState
+	repairBudget    tokenBucket
+	nextSyncAt      monotime.Micros
+	divergedSince   map[MemberID]monotime.Micros // members of this zone whose directories differ, since when
+	syncCursor      uint64                       // from which key on the next Compare is
+	introducedAt    map[netip.AddrPort]monotime.Micros
+	nextSeq         uint32
+	nextSeedProbeAt monotime.Micros
+	seedIndex       int
+	seedZones       map[netip.AddrPort]ID // by what answered there
 
-	joinAt      monotime.Micros
-	joins       []netip.AddrPort // see JoinSeeds
-	introduceAt monotime.Micros
-	judgeAt     monotime.Micros
-	missing     []ID // see unreachable
+	nextJoinAt         monotime.Micros
+	joinSeeds          []netip.AddrPort // see JoinSeeds
+	nextIntroductionAt monotime.Micros
+	nextEvaluationAt   monotime.Micros
+	unreachableZones   []ID // see unreachable
 	// Members of this zone that are not in the view are heard, since when and when last.
-	strangerSince, strangerAt monotime.Micros
-	live, known               int
-	before                    int // members of the zones before this one
-	out                       []Send
+	unlistedSince, unlistedAt monotime.Micros
+	remoteLive, remoteKnown   int
+	membersBefore             int // members of the zones before this one
+	outbox                    []Outgoing
 
 	// Issued and Yielded count the own zone's summaries that this member issued, and how often it let another
 	// issuer's stand.
 	Issued, Yielded int
-	Saved           int // messages not sent, for want of budget
+	Suppressed      int // messages not sent, for want of budget
 }
 
 // zoneState is one zone, the own one among them.
 type zoneState struct {
 	*Summary
-	id       ID
-	state    Reachability
-	since    monotime.Micros
-	cutSince monotime.Micros // from when on it would be Cut, 0 where it would not
-	link     link
+	id               ID
+	state            Reachability
+	stateSince       monotime.Micros
+	partitionedSince monotime.Micros // from when on it would be Cut, 0 where it would not
+	link             link
 }
 
-// forgotten is an item that was dropped after its time, which others may have yet.
-type forgotten struct {
-	zone    ID
-	version ItemVersion
-	until   monotime.Micros
+// tombstone is an item that was dropped after its time, which others may have yet.
+type tombstone struct {
+	zone      ID
+	version   ItemVersion
+	expiresAt monotime.Micros
 }
 
 // New returns a directory that knows no zone.
 func New(cfg Config, now monotime.Micros) *Directory {
 	d := &Directory{
-		cfg: cfg, own: cfg.Site.ID(), rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.ID))), born: now, now: now,
-		items: map[uint64]*entry{}, forgotten: map[uint64]forgotten{}, rank: MaxContacts, differs: map[MemberID]monotime.Micros{},
-		answered: map[netip.AddrPort]monotime.Micros{}, seedZones: map[netip.AddrPort]ID{}, changedAt: now,
+		cfg: cfg, ownZone: cfg.Site.ID(), rng: rand.New(rand.NewPCG(cfg.RandomSeed, uint64(cfg.Self.ID))), startedAt: now, now: now,
+		items: map[uint64]*entry{}, tombstones: map[uint64]tombstone{}, ownRank: MaxContacts, divergedSince: map[MemberID]monotime.Micros{},
+		introducedAt: map[netip.AddrPort]monotime.Micros{}, seedZones: map[netip.AddrPort]ID{}, changedAt: now,
 	}
-	d.spread.gossip, d.spread.push = newBucket(
-		gossipBudget,
-		gossipReserve,
+	d.dissemination.gossipBudget, d.dissemination.pushBudget = newTokenBucket(
+		gossipBytesPerSecond,
+		gossipBytesBurst,
 		now,
-	), newBucket(
-		pushBudget,
-		pushReserve,
+	), newTokenBucket(
+		pushBytesPerSecond,
+		pushBytesBurst,
 		now,
 	)
-	d.repair = newBucket(repairBudget, repairReserve, now)
+	d.repairBudget = newTokenBucket(repairBytesPerSecond, repairBytesBurst, now)
 	if d.cfg.Rank == nil {
 		d.cfg.Rank = rankHash
 	}
-	d.cfg.Divisor.Begin(now, max(cfg.Expected, 1))
+	d.cfg.RateDivisor.Start(now, max(cfg.ExpectedMembers, 1))
 	return d
 }
 
 // Tick does what is due, each Step. It takes the view of the own zone as it is; nil where that has not changed in
 // anything.
-func (d *Directory) Tick(now monotime.Micros, local *Local) []Send {
+func (d *Directory) Tick(now monotime.Micros, local *LocalZone) []Outgoing {
 	d.now = now
 	if local != nil {
-		d.view(*local)
+		d.applyLocalZone(*local)
 	}
-	d.settle(now)
-	d.observe(now)
-	d.issue(now)
-	d.probe(now)
-	d.pushOut(now)
+	d.updateSettled(now)
+	d.publishObservation(now)
+	d.issueSummary(now)
+	d.runProbes(now)
+	d.pushItems(now)
 	d.gossip(now)
-	d.judge(now)
-	d.cfg.Divisor.Note(now, d.Live(), d.Known())
-	return d.take()
+	d.evaluateZones(now)
+	d.cfg.RateDivisor.Observe(now, d.Live(), d.Known())
+	return d.takeOutput()
 }
 
-func (d *Directory) take() []Send {
-	out := d.out
-	d.out = nil
+func (d *Directory) takeOutput() []Outgoing {
+	out := d.outbox
+	d.outbox = nil
 	return out
 }
 
 // send has a message sent, from this member.
 func (d *Directory) send(to netip.AddrPort, id MemberID, m Message) {
-	m.From, m.Instance, m.Zone, m.Digest = d.cfg.Self.ID, d.cfg.Self.Instance, d.own, d.global
-	d.out = append(d.out, Send{to, id, m})
+	m.From, m.Instance, m.Zone, m.Digest = d.cfg.Self.ID, d.cfg.Self.Instance, d.ownZone, d.globalDigest
+	d.outbox = append(d.outbox, Outgoing{to, id, m})
 }
 
 // Receive takes a message that came from an address; whose it is was proved before. Noticed need not be called for it.
-func (d *Directory) Receive(now monotime.Micros, from netip.AddrPort, m Message) []Send {
+func (d *Directory) Receive(now monotime.Micros, from netip.AddrPort, m Message) []Outgoing {
 	if m.Kind == 0 || m.Kind > maxKind || m.Zone == 0 || m.From == d.cfg.Self.ID || len(m.Items) > MaxItems ||
 		len(m.Versions) > MaxVersions {
 		return nil
@@ -199,43 +199,49 @@
 	case Probe:
 		d.send(from, m.From, Message{Kind: ProbeAck, Seq: m.Seq})
 	case ProbeAck:
-		d.acknowledged(now, from, &m)
+		d.handleProbeAck(now, from, &m)
 	case Update:
-		d.updated(now, from, &m)
-	case Compare:
-		d.compared(from, &m)
+		d.handleUpdate(now, from, &m)
+	case SyncVersions:
+		d.handleSync(from, &m)
 	}
-	return d.take()
+	return d.takeOutput()
 }
 
-// Noticed takes what any datagram of member messages says of its sender's zone and directory. One of another zone
+// ObserveDatagram takes what any datagram of member messages says of its sender's zone and directory. One of another zone
 // is not to be given to member.Fleet; it is answered with this zone's summary here.
-func (d *Directory) Noticed(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID, digest uint64) []Send {
+func (d *Directory) ObserveDatagram(
+	now monotime.Micros,
+	from netip.AddrPort,
+	id MemberID,
+	zone ID,
+	digest uint64,
+) []Outgoing {
 	d.now = now
 	if id == d.cfg.Self.ID || zone == 0 {
 		return nil
 	}
-	if zone != d.own {
-		d.introduce(now, from, id, zone)
+	if zone != d.ownZone {
+		d.introduceZone(now, from, id, zone)
 	} else {
-		d.heard(now, id)
-		d.noticedHere(now, from, id, digest)
+		d.noteUnlisted(now, id)
+		d.observeZonePeer(now, from, id, digest)
 	}
-	return d.take()
+	return d.takeOutput()
 }
 
-// introduce tells a member of another zone, which has this one's address as a seed, of this zone and of what its
+// introduceZone tells a member of another zone, which has this one's address as a seed, of this zone and of what its
 // own is said to be.
-func (d *Directory) introduce(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID) {
-	if len(d.answered) > maxAnswered {
-		clear(d.answered)
+func (d *Directory) introduceZone(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID) {
+	if len(d.introducedAt) > maxIntroduced {
+		clear(d.introducedAt)
 	}
-	if at, ok := d.answered[from]; ok && now-at < answerEvery {
+	if at, ok := d.introducedAt[from]; ok && now-at < introductionReplyInterval {
 		return
 	}
-	d.answered[from] = now
+	d.introducedAt[from] = now
 	var items []Item
-	for _, z := range []ID{d.own, zone} {
+	for _, z := range []ID{d.ownZone, zone} {
 		if e := d.items[summaryKey(z)]; e != nil {
 			items = append(items, e.Item)
 		}
@@ -262,29 +268,29 @@
 
 // Publish begins to spread a new value of a record.
 func (d *Directory) Publish(now monotime.Micros, name, value string) (Record, error) {
-	r := Record{Name: name, Value: value, Version: d.version(now, recordKey(name))}
+	r := Record{Name: name, Value: value, Version: d.nextVersion(now, recordKey(name))}
 	if !r.valid() {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
-	if d.items[recordKey(name)] == nil && d.counts[kindRecord] >= MaxRecords {
-		return Record{}, ErrSpace
+	if d.items[recordKey(name)] == nil && d.itemCounts[kindRecord] >= MaxRecords {
+		return Record{}, ErrTooManyRecords
 	}
-	d.put(now, newEntry(Item{Record: &r}))
+	d.store(now, newEntry(Item{Record: &r}))
 	return r, nil
 }
 
-// version is the next one of an item: later than the one that is held, and than those of before, as far as the
+// nextVersion is the next one of an item: later than the one that is held, and than those of before, as far as the
 // clock tells.
-func (d *Directory) version(now monotime.Micros, key uint64) uint64 {
+func (d *Directory) nextVersion(now monotime.Micros, key uint64) uint64 {
 	v := uint64(max(now/ms, 1))
 	if e := d.items[key]; e != nil {
 		v = max(v, e.version+1)
 	}
-	if f, ok := d.forgotten[key]; ok {
+	if f, ok := d.tombstones[key]; ok {
 		v = max(v, f.version.Version+1)
 	}
 	return v
 }
 
-// Seeds takes the addresses that the seeds have now.
-func (d *Directory) Seeds(addrs []netip.AddrPort) { d.cfg.Seeds = addrs }
+// SetSeeds takes the addresses that the seeds have now.
+func (d *Directory) SetSeeds(addrs []netip.AddrPort) { d.cfg.Seeds = addrs }
--- a/decision/zonedirectory/item.go
+++ b/decision/zonedirectory/item.go
@@ -11,8 +11,8 @@
 const (
 	// maxVersion leaves room for later ones above any that is taken.
 	maxVersion = 1 << 62
-	// maxCount bounds the members that a zone may say it has.
-	maxCount = 1 << 20
+	// maxSummaryMembers bounds the members that a zone may say it has.
+	maxSummaryMembers = 1 << 20
 	// maxObservations is more than the delegates that a zone has while views of it differ.
 	maxObservations = 4 * Delegates
 )
@@ -20,35 +20,35 @@
 // entry is one item that is held.
 type entry struct {
 	Item
-	key, version uint64
-	content      uint64 // a hash of all that the item says
-	sent         int    // to members of this zone
-	spreading    bool   // is to be sent to further ones
-	pushing      bool   // is to be sent to other zones
-	before       *Contact
+	key, version   uint64
+	contentHash    uint64 // a hash of all that the item says
+	transmits      int    // to members of this zone
+	gossipPending  bool   // is to be sent to further ones
+	pushPending    bool   // is to be sent to other zones
+	replacedIssuer *Contact
 }
 
-func (e *entry) check() uint32 { return max(uint32(e.content^e.content>>32), 1) }
-func (e *entry) hash() uint64  { return blend(e.key ^ blend(e.content)) }
-func (e *entry) global() bool  { return e.Observation == nil }
+func (e *entry) checksum() uint32 { return max(uint32(e.contentHash^e.contentHash>>32), 1) }
+func (e *entry) digest() uint64   { return mix64(e.key ^ mix64(e.contentHash)) }
+func (e *entry) isGlobal() bool   { return e.Observation == nil }
 
-// blend is the finalizer of splitmix64: each bit of the result depends on all of x.
-func blend(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64: each bit of the result depends on all of x.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func summaryKey(zone ID) uint64 { return blend(uint64(zone) + 1) }
+func summaryKey(zone ID) uint64 { return mix64(uint64(zone) + 1) }
 
 func observationKey(zone ID, delegate MemberID) uint64 {
-	return blend(blend(uint64(zone)+2) ^ uint64(delegate))
+	return mix64(mix64(uint64(zone)+2) ^ uint64(delegate))
 }
 
 func recordKey(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte("record\x00" + name)) // never fails
-	return blend(h.Sum64())
+	return mix64(h.Sum64())
 }
 
 // newEntry takes an item that is one of the three and within all bounds; nil where it is not.
@@ -59,7 +59,7 @@
 	switch {
 	case s != nil && o == nil && r == nil && s.valid():
 		e.key, e.version = summaryKey(s.Site.ID()), s.Version
-		_, _ = h.Write(s.content())
+		_, _ = h.Write(s.canonicalBytes())
 	case o != nil && s == nil && r == nil && o.valid():
 		e.key, e.version = observationKey(o.Zone, o.Delegate), o.Version
 		_, _ = h.Write(appendZones(appendNumbers(nil, o.Version), o.Unreachable))
@@ -69,12 +69,12 @@
 	default:
 		return nil
 	}
-	e.content = h.Sum64()
+	e.contentHash = h.Sum64()
 	return e
 }
 
-// content is all that a summary says, as bytes.
-func (s *Summary) content() []byte {
+// canonicalBytes is all that a summary says, as bytes.
+func (s *Summary) canonicalBytes() []byte {
 	b := appendNumbers(
 		make([]byte, 0, 256),
 		s.Version,
@@ -106,8 +106,8 @@
 
 func validVersion(v uint64) bool { return v > 0 && v <= maxVersion }
 
-// ascending tells that zones are in order, none twice, so that one list has one form.
-func ascending(zones []ID) bool {
+// validZones tells that zones are in order, none twice, so that one list has one form.
+func validZones(zones []ID) bool {
 	for i := 1; i < len(zones); i++ {
 		if zones[i-1] >= zones[i] {
 			return false
@@ -118,13 +118,14 @@
 
 func (s *Summary) valid() bool {
 	return s.Site.Zone != "" && len(s.Site.Zone) <= MaxName && len(s.Site.Region) <= MaxName && validVersion(s.Version) &&
-		s.Live >= 0 && s.Known >= s.Live && s.Known <= maxCount && len(s.Contacts) <= MaxContacts &&
-		ascending(s.Unreachable) &&
+		s.Live >= 0 && s.Known >= s.Live && s.Known <= maxSummaryMembers &&
+		len(s.Contacts) <= MaxContacts &&
+		validZones(s.Unreachable) &&
 		!slices.ContainsFunc(s.Contacts, func(c Contact) bool { return !c.Addr.IsValid() })
 }
 
 func (o *Observation) valid() bool {
-	return o.Zone != 0 && o.Delegate != 0 && validVersion(o.Version) && ascending(o.Unreachable)
+	return o.Zone != 0 && o.Delegate != 0 && validVersion(o.Version) && validZones(o.Unreachable)
 }
 
 func (r *Record) valid() bool {
@@ -143,17 +144,17 @@
 	case e.Record != nil && old.Record != nil:
 		order = strings.Compare(e.Record.Value, old.Record.Value)
 	}
-	return cmp.Or(order, cmp.Compare(e.content, old.content)) > 0
+	return cmp.Or(order, cmp.Compare(e.contentHash, old.contentHash)) > 0
 }
 
-// versionOf is how an entry is named where directories are compared.
-func (e *entry) versionOf() ItemVersion { return ItemVersion{e.key, e.version, e.check()} }
+// itemVersion is how an entry is named where directories are compared.
+func (e *entry) itemVersion() ItemVersion { return ItemVersion{e.key, e.version, e.checksum()} }
 
 // About how long messages and items are, in bytes, sealed.
 const (
-	messageBytes = 116
-	versionBytes = 19
-	roomInUpdate = 1000
+	messageOverheadBytes = 116
+	versionBytes         = 19
+	maxItemBytes         = 1000
 )
 
 // itemSize is about how long an item is, in bytes.
@@ -174,9 +175,9 @@
 	return 0
 }
 
-// Size is about how long a message's datagram is, in bytes, sealed.
-func Size(m *Message) int {
-	n := messageBytes + versionBytes*len(m.Versions)
+// ApproximateSize is about how long a message's datagram is, in bytes, sealed.
+func ApproximateSize(m *Message) int {
+	n := messageOverheadBytes + versionBytes*len(m.Versions)
 	for i := range m.Items {
 		n += itemSize(&m.Items[i])
 	}
--- a/decision/zonedirectory/merge.go
+++ b/decision/zonedirectory/merge.go
@@ -25,145 +25,145 @@
 // merge takes an item that came with a message.
 func (d *Directory) merge(now monotime.Micros, it Item, m *Message) {
 	e := newEntry(it)
-	if e == nil || e.Observation != nil && !d.takes(e.Observation, m) {
+	if e == nil || e.Observation != nil && !d.acceptsObservation(e.Observation, m) {
 		return
 	}
-	if f, ok := d.forgotten[e.key]; ok && e.version <= f.version.Version &&
+	if f, ok := d.tombstones[e.key]; ok && e.version <= f.version.Version &&
 		(e.Summary == nil || m.Zone != e.Summary.Site.ID()) {
 		return
 	}
-	if !d.put(now, e) {
+	if !d.store(now, e) {
 		return
 	}
 	if e.Observation != nil {
-		d.doubt(now, e.Observation.Unreachable)
+		d.verifyUnreachable(now, e.Observation.Unreachable)
 	}
 	// What a new process is told by its own zone is no news there.
-	if m.Back && m.Zone == d.own && !d.synced {
-		e.spreading, e.pushing = false, false
+	if m.IsReply && m.Zone == d.ownZone && !d.synced {
+		e.gossipPending, e.pushPending = false, false
 	}
 }
 
-// takes tells whether an observation is one of this zone, by one who is or may become a delegate.
-func (d *Directory) takes(o *Observation, m *Message) bool {
-	return o.Zone == d.own && m.Zone == d.own &&
-		slices.ContainsFunc(d.ranked, func(c Member) bool { return c.ID == o.Delegate })
+// acceptsObservation tells whether an observation is one of this zone, by one who is or may become a delegate.
+func (d *Directory) acceptsObservation(o *Observation, m *Message) bool {
+	return o.Zone == d.ownZone && m.Zone == d.ownZone &&
+		slices.ContainsFunc(d.candidates, func(c Member) bool { return c.ID == o.Delegate })
 }
 
-// put holds an item in place of an older one, and has it told to others. It says whether that was so.
-func (d *Directory) put(now monotime.Micros, e *entry) bool {
+// store holds an item in place of an older one, and has it told to others. It says whether that was so.
+func (d *Directory) store(now monotime.Micros, e *entry) bool {
 	old := d.items[e.key]
 	if old != nil && (old.kind() != e.kind() || !e.newer(old)) {
 		return false
 	}
-	if old == nil && !d.room(e) {
+	if old == nil && !d.ensureCapacity(e) {
 		return false
 	}
 	if old != nil {
-		d.mix(old)
-		e.noteIssuer(old)
+		d.toggleDigest(old)
+		e.noteReplacedIssuer(old)
 	} else {
 		at, _ := slices.BinarySearch(d.keys, e.key)
 		d.keys = slices.Insert(d.keys, at, e.key)
-		d.counts[e.kind()]++
+		d.itemCounts[e.kind()]++
 	}
-	delete(d.forgotten, e.key)
+	delete(d.tombstones, e.key)
 	d.items[e.key] = e
-	d.mix(e)
-	if e.global() {
+	d.toggleDigest(e)
+	if e.isGlobal() {
 		d.changedAt = now
 	}
-	e.spreading, e.pushing = true, e.global()
-	d.spread.fresh, d.spread.pushes = true, true
+	e.gossipPending, e.pushPending = true, e.isGlobal()
+	d.dissemination.gossipPending, d.dissemination.pushPending = true, true
 	if e.Summary != nil {
-		d.summarized(now, e.Summary)
+		d.applySummary(now, e.Summary)
 	}
-	d.judgeAt = now
+	d.nextEvaluationAt = now
 	return true
 }
 
-// noteIssuer remembers who issued a summary that another's has replaced, and that the new one does not name: it is
+// noteReplacedIssuer remembers who issued a summary that another's has replaced, and that the new one does not name: it is
 // told.
-func (e *entry) noteIssuer(old *entry) {
+func (e *entry) noteReplacedIssuer(old *entry) {
 	if e.Summary == nil || e.Summary.Issuer == old.Summary.Issuer {
 		return
 	}
 	for _, c := range old.Summary.Contacts {
 		if c.ID == old.Summary.Issuer &&
 			!slices.ContainsFunc(e.Summary.Contacts, func(o Contact) bool { return o.ID == c.ID }) {
-			e.before = &c
+			e.replacedIssuer = &c
 		}
 	}
 }
 
-// mix puts an entry into the digests, or takes it out again.
-func (d *Directory) mix(e *entry) {
-	h := e.hash()
+// toggleDigest puts an entry into the digests, or takes it out again.
+func (d *Directory) toggleDigest(e *entry) {
+	h := e.digest()
 	d.digest ^= h
-	if e.global() {
-		d.global ^= h
+	if e.isGlobal() {
+		d.globalDigest ^= h
 	}
 }
 
-// room makes room for one more item. Where there are as many as there may be, those with the smallest keys stay,
+// ensureCapacity makes room for one more item. Where there are as many as there may be, those with the smallest keys stay,
 // whatever order they come in; the own zone's summary stays in any case.
-func (d *Directory) room(e *entry) bool {
+func (d *Directory) ensureCapacity(e *entry) bool {
 	most := [...]int{MaxZones, maxObservations, MaxRecords}[e.kind()]
-	if d.counts[e.kind()] < most {
+	if d.itemCounts[e.kind()] < most {
 		return true
 	}
 	for i := len(d.keys) - 1; i >= 0; i-- {
 		o := d.items[d.keys[i]]
-		if o.kind() != e.kind() || o.key == summaryKey(d.own) {
+		if o.kind() != e.kind() || o.key == summaryKey(d.ownZone) {
 			continue
 		}
-		if o.key < e.key && e.key != summaryKey(d.own) {
+		if o.key < e.key && e.key != summaryKey(d.ownZone) {
 			return false
 		}
-		d.drop(o)
+		d.remove(o)
 		return true
 	}
 	return false
 }
 
-// drop holds an item no longer.
-func (d *Directory) drop(e *entry) {
-	d.mix(e)
+// remove holds an item no longer.
+func (d *Directory) remove(e *entry) {
+	d.toggleDigest(e)
 	delete(d.items, e.key)
 	if at, ok := slices.BinarySearch(d.keys, e.key); ok {
 		d.keys = slices.Delete(d.keys, at, at+1)
 	}
-	d.counts[e.kind()]--
+	d.itemCounts[e.kind()]--
 	if e.Summary != nil {
 		id := e.Summary.Site.ID()
 		d.zones = slices.DeleteFunc(d.zones, func(z *zoneState) bool { return z.id == id })
 	}
 }
 
-// forget drops the summary of a zone that has been gone for long. Others may have it a little longer, and tell of it.
-func (d *Directory) forget(now monotime.Micros, z *zoneState) {
+// forgetZone drops the summary of a zone that has been gone for long. Others may have it a little longer, and tell of it.
+func (d *Directory) forgetZone(now monotime.Micros, z *zoneState) {
 	e := d.items[summaryKey(z.id)]
-	d.drop(e)
-	for k, f := range d.forgotten {
-		if now >= f.until {
-			delete(d.forgotten, k)
+	d.remove(e)
+	for k, f := range d.tombstones {
+		if now >= f.expiresAt {
+			delete(d.tombstones, k)
 		}
 	}
-	if len(d.forgotten) < MaxZones {
-		d.forgotten[e.key] = forgotten{z.id, ItemVersion{e.key, e.version, 0}, now + 2*forgetTime}
+	if len(d.tombstones) < MaxZones {
+		d.tombstones[e.key] = tombstone{z.id, ItemVersion{e.key, e.version, 0}, now + 2*zoneRetention}
 	}
-	d.judgeAt = now
+	d.nextEvaluationAt = now
 }
 
-// zone is what is held of a zone, nil where it is not known.
-func (d *Directory) zone(id ID) *zoneState {
-	if at, ok := d.place(id); ok {
+// zoneByID is what is held of a zone, nil where it is not known.
+func (d *Directory) zoneByID(id ID) *zoneState {
+	if at, ok := d.zoneIndex(id); ok {
 		return d.zones[at]
 	}
 	return nil
 }
 
-func (d *Directory) place(id ID) (int, bool) {
+func (d *Directory) zoneIndex(id ID) (int, bool) {
 	return slices.BinarySearchFunc(d.zones, id, func(z *zoneState, id ID) int {
 		switch {
 		case z.id < id:
@@ -175,28 +175,28 @@
 	})
 }
 
-// added are the zones that a list has and the one before has not.
-func added(before, now []ID) []ID {
+// addedZones are the zones that a list has and the one before has not.
+func addedZones(before, now []ID) []ID {
 	return slices.DeleteFunc(slices.Clone(now), func(id ID) bool { return slices.Contains(before, id) })
 }
 
-// summarized takes a zone's new summary.
-func (d *Directory) summarized(now monotime.Micros, s *Summary) {
+// applySummary takes a zone's new summary.
+func (d *Directory) applySummary(now monotime.Micros, s *Summary) {
 	id := s.Site.ID()
-	at, known := d.place(id)
+	at, known := d.zoneIndex(id)
 	if !known {
-		z := &zoneState{id: id, state: Reachable, since: now}
-		if slices.Contains(d.missing, id) {
+		z := &zoneState{id: id, state: Reachable, stateSince: now}
+		if slices.Contains(d.unreachableZones, id) {
 			z.state = Unknown
 		}
 		d.zones = slices.Insert(d.zones, at, z)
 	}
 	z := d.zones[at]
-	if d.delegate() && z.Summary != nil && id != d.own {
-		d.doubt(now, added(z.Unreachable, s.Unreachable))
+	if d.isActiveDelegate() && z.Summary != nil && id != d.ownZone {
+		d.verifyUnreachable(now, addedZones(z.Unreachable, s.Unreachable))
 	}
 	z.Summary = s
-	if id != d.own {
-		d.relink(now, z)
+	if id != d.ownZone {
+		d.refreshContacts(now, z)
 	}
 }
--- a/decision/zonedirectory/spread.go
+++ b/decision/zonedirectory/spread.go
@@ -11,91 +11,92 @@
 // of new items to other zones, and of answers where directories differ. Together with what member.Fleet sends and
 // what comes in, a member stays under 28,000 bytes a second in any ten seconds.
 const (
-	gossipBudget, gossipReserve = 4096, 16 << 10
-	pushBudget, pushReserve     = 4096, 16 << 10
-	repairBudget, repairReserve = 4096, 24 << 10
+	gossipBytesPerSecond, gossipBytesBurst = 4096, 16 << 10
+	pushBytesPerSecond, pushBytesBurst     = 4096, 16 << 10
+	repairBytesPerSecond, repairBytesBurst = 4096, 24 << 10
 
-	gossipEvery = 100 * ms
-	gossipTo    = 3 // members at each gossipEvery
+	gossipInterval = 100 * ms
+	gossipFanout   = 3 // members at each gossipEvery
 
-	maxAnswered = 1024
-	answerEvery = 500 * ms
+	maxIntroduced             = 1024
+	introductionReplyInterval = 500 * ms
 )
 
-// bucket is a token bucket of bytes.
-type bucket struct {
-	left, rate, most float64
-	at               monotime.Micros
+// tokenBucket is a token bucket of bytes.
+type tokenBucket struct {
+	available, rate, burst float64
+	refilledAt             monotime.Micros
 }
 
-func newBucket(rate, reserve float64, now monotime.Micros) bucket {
-	return bucket{reserve, rate, reserve, now}
+func newTokenBucket(rate, reserve float64, now monotime.Micros) tokenBucket {
+	return tokenBucket{reserve, rate, reserve, now}
 }
 
-// has tells whether something may be sent.
-func (p *bucket) has(now monotime.Micros) bool {
-	p.left = min(p.left+p.rate*float64(now-p.at)/float64(sec), p.most)
-	p.at = now
-	return p.left > 0
+// refill tells whether something may be sent.
+func (p *tokenBucket) refill(now monotime.Micros) bool {
+	p.available = min(p.available+p.rate*float64(now-p.refilledAt)/float64(sec), p.burst)
+	p.refilledAt = now
+	return p.available > 0
 }
 
-// spreading is how new items are sent on.
-type spreading struct {
-	gossip, push bucket
-	fresh        bool // some entries are to be sent to members of this zone
-	pushes       bool // some are to be sent to other zones
-	gossipAt     monotime.Micros
+// disseminationState is how new items are sent on.
+type disseminationState struct {
+	gossipBudget, pushBudget tokenBucket
+	gossipPending            bool // some entries are to be sent to members of this zone
+	pushPending              bool // some are to be sent to other zones
+	nextGossipAt             monotime.Micros
 }
 
-// sends is to how many members each that has an item sends it: the number that reaches all, and some for those
+// transmitLimit is to how many members each that has an item sends it: the number that reaches all, and some for those
 // lost. Whoever it does not reach all the same finds that directories differ.
-func (d *Directory) sends() int { return 3 + bits.Len(uint(len(d.others)+1)) }
+func (d *Directory) transmitLimit() int { return 3 + bits.Len(uint(len(d.zonePeers)+1)) }
 
 // gossip sends new items to some members of this zone, those first that were sent least often.
 func (d *Directory) gossip(now monotime.Micros) {
-	if !d.spread.fresh || now < d.spread.gossipAt || !d.spread.gossip.has(now) {
+	if !d.dissemination.gossipPending || now < d.dissemination.nextGossipAt ||
+		!d.dissemination.gossipBudget.refill(now) {
 		return
 	}
-	d.spread.gossipAt = now + gossipEvery*9/10 + monotime.Micros(d.rng.Int64N(int64(gossipEvery/5)))
+	d.dissemination.nextGossipAt = now + gossipInterval*9/10 + monotime.Micros(d.rng.Int64N(int64(gossipInterval/5)))
 	var fresh []*entry
 	for _, k := range d.keys {
-		if e := d.items[k]; e.spreading {
+		if e := d.items[k]; e.gossipPending {
 			fresh = append(fresh, e)
 		}
 	}
-	if d.spread.fresh = len(fresh) > 0 && len(d.others) > 0; !d.spread.fresh {
+	if d.dissemination.gossipPending = len(fresh) > 0 && len(d.zonePeers) > 0; !d.dissemination.gossipPending {
 		for _, e := range fresh {
-			e.spreading = false
+			e.gossipPending = false
 		}
 		return
 	}
-	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.sent, b.sent) })
-	part := fresh[:fitting(fresh)]
+	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.transmits, b.transmits) })
+	part := fresh[:countFitting(fresh)]
 	m := Message{Kind: Update, Items: items(part)}
-	to := d.some(min(gossipTo, d.sends()-part[len(part)-1].sent))
+	to := d.randomPeers(min(gossipFanout, d.transmitLimit()-part[len(part)-1].transmits))
 	for _, o := range to {
-		d.spread.gossip.left -= float64(Size(&m))
+		d.dissemination.gossipBudget.available -= float64(ApproximateSize(&m))
 		d.send(o.Addr, o.ID, m)
 	}
 	for _, e := range part {
-		e.sent += len(to)
-		e.spreading = e.sent < d.sends() && len(d.others) > gossipTo
+		e.transmits += len(to)
+		e.gossipPending = e.transmits < d.transmitLimit() && len(d.zonePeers) > gossipFanout
 	}
 }
 
-// some draws members of this zone.
-func (d *Directory) some(n int) []Member {
-	n = min(n, len(d.others))
+// randomPeers draws members of this zone.
+func (d *Directory) randomPeers(n int) []Member {
+	n = min(n, len(d.zonePeers))
 	for i := range n {
-		j := i + d.rng.IntN(len(d.others)-i)
-		d.others[i], d.others[j] = d.others[j], d.others[i]
+		j := i + d.rng.IntN(len(d.zonePeers)-i)
+		d.zonePeers[i], d.zonePeers[j] = d.zonePeers[j], d.zonePeers[i]
 	}
-	return d.others[:n]
+	return d.zonePeers[:n]
 }
 
-// fitting is how many of the first entries go into one message.
-func fitting(all []*entry) (n int) {
-	for bytes := roomInUpdate; n < min(len(all), MaxItems); n++ {
+// countFitting is how many of the first entries go into one message.
+func countFitting(all []*entry) (n int) {
+	for bytes := maxItemBytes; n < min(len(all), MaxItems); n++ {
 		if bytes -= itemSize(&all[n].Item); bytes < 0 && n > 0 {
 			break
 		}
@@ -111,39 +112,39 @@
 	return out
 }
 
-// pushOut sends new items to one contact of each other zone that is to have them from this one.
-func (d *Directory) pushOut(now monotime.Micros) {
-	if !d.spread.pushes || d.delegate() && !d.spread.push.has(now) {
+// pushItems sends new items to one contact of each other zone that is to have them from this one.
+func (d *Directory) pushItems(now monotime.Micros) {
+	if !d.dissemination.pushPending || d.isActiveDelegate() && !d.dissemination.pushBudget.refill(now) {
 		return
 	}
 	var fresh []*entry
 	for _, k := range d.keys {
-		if e := d.items[k]; e.pushing {
-			e.pushing = false
+		if e := d.items[k]; e.pushPending {
+			e.pushPending = false
 			fresh = append(fresh, e)
 		}
 	}
-	d.spread.pushes = false
-	if !d.delegate() {
+	d.dissemination.pushPending = false
+	if !d.isActiveDelegate() {
 		return
 	}
-	if d.last && d.leaveSends < Delegates { // nobody else will say it
-		d.leaveSends++
-		d.spread.pushes = true
+	if d.lastToLeave && d.leaveAnnouncements < Delegates { // nobody else will say it
+		d.leaveAnnouncements++
+		d.dissemination.pushPending = true
 		for _, e := range fresh {
-			e.pushing = true
+			e.pushPending = true
 		}
 	}
-	d.tellBefore(fresh)
+	d.notifyReplacedIssuers(fresh)
 	for _, z := range d.zones {
-		if z.id == d.own || len(z.Contacts) == 0 || z.link.down {
+		if z.id == d.ownZone || len(z.Contacts) == 0 || z.link.down {
 			continue
 		}
 		mine := slices.Clone(fresh)
-		mine = slices.DeleteFunc(mine, func(e *entry) bool { return !d.pushes(e, z) })
+		mine = slices.DeleteFunc(mine, func(e *entry) bool { return !d.shouldPush(e, z) })
 		for len(mine) > 0 {
-			n := fitting(mine)
-			to := z.Contacts[(z.link.at+d.leaveSends)%len(z.Contacts)]
+			n := countFitting(mine)
+			to := z.Contacts[(z.link.contactIndex+d.leaveAnnouncements)%len(z.Contacts)]
 			d.sendPush(to, items(mine[:n]))
 			mine = mine[n:]
 		}
@@ -152,33 +153,33 @@
 
 func (d *Directory) sendPush(to Contact, it []Item) {
 	m := Message{Kind: Update, Items: it}
-	d.spread.push.left -= float64(Size(&m))
+	d.dissemination.pushBudget.available -= float64(ApproximateSize(&m))
 	d.send(to.Addr, to.ID, m)
 }
 
-// pushes tells whether this zone is to tell another of an item: what it says of itself, records, and what those say
+// shouldPush tells whether this zone is to tell another of an item: what it says of itself, records, and what those say
 // who have no connection of their own.
-func (d *Directory) pushes(e *entry, to *zoneState) bool {
+func (d *Directory) shouldPush(e *entry, to *zoneState) bool {
 	if e.Summary == nil {
 		return true
 	}
 	id := e.Summary.Site.ID()
-	if id == d.own || id == to.id {
-		return id == d.own
+	if id == d.ownZone || id == to.id {
+		return id == d.ownZone
 	}
-	of := d.zone(id)
-	return of != nil && of.misses(to.id) || to.misses(id)
+	of := d.zoneByID(id)
+	return of != nil && of.reportsUnreachable(to.id) || to.reportsUnreachable(id)
 }
 
-// tellBefore tells the issuer of a summary that another's has replaced: in a zone that is torn in two it learns it
+// notifyReplacedIssuers tells the issuer of a summary that another's has replaced: in a zone that is torn in two it learns it
 // only from others.
-func (d *Directory) tellBefore(fresh []*entry) {
+func (d *Directory) notifyReplacedIssuers(fresh []*entry) {
 	for _, e := range fresh {
-		if e.before != nil {
-			if e.Summary.Site.ID() != d.own {
-				d.sendPush(*e.before, []Item{e.Item})
+		if e.replacedIssuer != nil {
+			if e.Summary.Site.ID() != d.ownZone {
+				d.sendPush(*e.replacedIssuer, []Item{e.Item})
 			}
-			e.before = nil
+			e.replacedIssuer = nil
 		}
 	}
 }
--- a/decision/zonedirectory/zonedirectory.go
+++ b/decision/zonedirectory/zonedirectory.go
@@ -99,9 +99,9 @@
 // ItemVersion names an item and its version, where directories are compared. Version 0 says that there is none.
 // Check tells two contents of one version apart; it is 0 of an item that was dropped after its time.
 type ItemVersion struct {
-	Key     uint64
-	Version uint64
-	Check   uint32
+	Key      uint64
+	Version  uint64
+	Checksum uint32
 }
 
 // Kind is what a message is for.
@@ -113,8 +113,8 @@
 	ProbeAck                 // the answer
 	Update                   // carries items; with Back set it answers a Compare
 	// carries the versions of all that the sender has between the first key and the last; see Back
-	Compare
-	maxKind = Compare
+	SyncVersions
+	maxKind = SyncVersions
 )
 
 // Message is one datagram's content.
@@ -124,17 +124,17 @@
 	Instance uint64 // of From's process
 	Zone     ID     // of From
 	Seq      uint32
-	Back     bool   // of Compare: asks for newer versions of just these; of Update: answers a Compare
+	IsReply  bool   // of Compare: asks for newer versions of just these; of Update: answers a Compare
 	Digest   uint64 // of From's items that go to all zones
 	Versions []ItemVersion
 	Items    []Item
 }
 
-// Send is a message to be sent.
-type Send struct {
-	To  netip.AddrPort
-	ID  MemberID // whom it is for, 0 where that is not known
-	Msg Message
+// Outgoing is a message to be sent.
+type Outgoing struct {
+	To       netip.AddrPort
+	Receiver MemberID // whom it is for, 0 where that is not known
+	Message  Message
 }
 
 // Reachability is what a zone is held to be.
@@ -145,7 +145,7 @@
 // Left.
 const (
 	Reachable Reachability = iota + 1
-	Cut
+	Partitioned
 	Unknown
 	Left
 )
--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -24,11 +24,11 @@
 func directory(members int, expected int) *Directory {
 	d := New(
 		Config{
-			Self:     Self{ID: 1, Addr: addr(1), Instance: 1},
-			Site:     site(0),
-			Expected: expected,
-			Seed:     1,
-			Divisor:  &membership.RateDivisor{},
+			Self:            Self{ID: 1, Addr: addr(1), Instance: 1},
+			Site:            site(0),
+			ExpectedMembers: expected,
+			RandomSeed:      1,
+			RateDivisor:     &membership.RateDivisor{},
 		},
 		sec,
 	)
@@ -36,8 +36,8 @@
 	return d
 }
 
-func localOf(members int) *Local {
-	l := &Local{Revision: 1, Live: members, Known: members}
+func localOf(members int) *LocalZone {
+	l := &LocalZone{Revision: 1, Live: members, Known: members}
 	for i := range members {
 		l.Members = append(l.Members, Member{MemberID(i + 1), addr(i + 1)})
 	}
@@ -108,7 +108,7 @@
 		a, b := directory(3, 3), directory(3, 3)
 		take(a, all)
 		take(b, again)
-		if a.Digest() != b.Digest() || a.global != b.global || !reflect.DeepEqual(held(a), held(b)) {
+		if a.Digest() != b.Digest() || a.globalDigest != b.globalDigest || !reflect.DeepEqual(held(a), held(b)) {
 			r.Fatalf("%x %x\n%v\n%v", a.Digest(), b.Digest(), held(a), held(b))
 		}
 		if len(a.zones) > MaxZones || len(a.Records()) > MaxRecords {
@@ -134,7 +134,7 @@
 			if now > 120*sec {
 				r.Fatal("they differ for two minutes")
 			}
-			exchange(r, now, a, b, a.Noticed(now, addr(2), 2, b.own, b.Digest()))
+			exchange(r, now, a, b, a.ObserveDatagram(now, addr(2), 2, b.ownZone, b.Digest()))
 		}
 		if !reflect.DeepEqual(held(a), held(b)) {
 			r.Fatal("one digest, two contents")
@@ -143,17 +143,18 @@
 }
 
 // exchange delivers what one sends, and all answers to it.
-func exchange(r *rapid.T, now monotime.Micros, a, b *Directory, out []Send) {
+func exchange(r *rapid.T, now monotime.Micros, a, b *Directory, out []Outgoing) {
 	for n := 0; len(out) > 0; n++ {
-		var answers []Send
+		var answers []Outgoing
 		for _, s := range out {
-			if Size(&s.Msg) > 1250 || len(s.Msg.Versions) > MaxVersions || len(s.Msg.Items) > MaxItems {
-				r.Fatalf("a message of %d bytes", Size(&s.Msg))
+			if ApproximateSize(&s.Message) > 1250 || len(s.Message.Versions) > MaxVersions ||
+				len(s.Message.Items) > MaxItems {
+				r.Fatalf("a message of %d bytes", ApproximateSize(&s.Message))
 			}
 			if s.To == addr(2) {
-				answers = append(answers, b.Receive(now, addr(1), s.Msg)...)
+				answers = append(answers, b.Receive(now, addr(1), s.Message)...)
 			} else {
-				answers = append(answers, a.Receive(now, addr(2), s.Msg)...)
+				answers = append(answers, a.Receive(now, addr(2), s.Message)...)
 			}
 		}
 		if out = answers; n > 8 {
@@ -197,19 +198,19 @@
 		{Kind: maxKind + 1, Zone: 1},
 		{Kind: Probe},
 		{Kind: Probe, Zone: 1, From: 1},
-		{Kind: Compare, Zone: 1, From: 2, Versions: []ItemVersion{{Key: 2}, {Key: 1}}},
-		{Kind: Compare, Zone: 1, From: 2},
-		{Kind: Compare, Zone: 1, From: 2, Versions: make([]ItemVersion, MaxVersions+1)},
+		{Kind: SyncVersions, Zone: 1, From: 2, Versions: []ItemVersion{{Key: 2}, {Key: 1}}},
+		{Kind: SyncVersions, Zone: 1, From: 2},
+		{Kind: SyncVersions, Zone: 1, From: 2, Versions: make([]ItemVersion, MaxVersions+1)},
 	} {
 		if out := d.Receive(sec, addr(2), m); len(out) > 0 {
 			t.Errorf("%+v is answered", m)
 		}
 	}
-	if _, err := d.Publish(sec, long, ""); err != ErrRecord {
+	if _, err := d.Publish(sec, long, ""); err != ErrInvalidRecord {
 		t.Error(err)
 	}
 	for i := range MaxRecords + 1 {
-		if _, err := d.Publish(sec, fmt.Sprint(i), ""); (err == ErrSpace) != (i == MaxRecords) {
+		if _, err := d.Publish(sec, fmt.Sprint(i), ""); (err == ErrTooManyRecords) != (i == MaxRecords) {
 			t.Error(i, err)
 		}
 	}
@@ -221,17 +222,19 @@
 	bytes := 0
 	rng := rand.New(rand.NewPCG(1, 2))
 	for step := range 400 {
-		now := sec + monotime.Micros(step)*Step
-		var out []Send
+		now := sec + monotime.Micros(step)*TickInterval
+		var out []Outgoing
 		for range 20 {
-			out = append(out, d.Noticed(now, addr(rng.IntN(5000)), MemberID(rng.Uint64()), site(1).ID(), 0)...)
+			out = append(
+				out,
+				d.ObserveDatagram(now, addr(rng.IntN(5000)), MemberID(rng.Uint64()), site(1).ID(), 0)...)
 			out = append(
 				out,
 				d.Receive(
 					now,
 					addr(200),
 					Message{
-						Kind:     Compare,
+						Kind:     SyncVersions,
 						From:     9,
 						Zone:     site(1).ID(),
 						Versions: []ItemVersion{{}, {Key: 1<<64 - 1}},
@@ -247,13 +250,13 @@
 				)...)
 		}
 		for _, s := range append(out, d.Tick(now, localOf(125))...) {
-			bytes += Size(&s.Msg)
+			bytes += ApproximateSize(&s.Message)
 		}
 	}
-	if most := 20*(gossipBudget+pushBudget+repairBudget) + gossipReserve + pushReserve + repairReserve + 8*1250; bytes > most {
+	if most := 20*(gossipBytesPerSecond+pushBytesPerSecond+repairBytesPerSecond) + gossipBytesBurst + pushBytesBurst + repairBytesBurst + 8*1250; bytes > most {
 		t.Errorf("%d bytes in 20 s, %d at most", bytes, most)
 	}
-	if len(d.answered) > maxAnswered+1 || len(d.differs) > maxDiffers {
+	if len(d.introducedAt) > maxIntroduced+1 || len(d.divergedSince) > maxDivergedPeers {
 		t.Error("more addresses are remembered than are bounded")
 	}
 }
@@ -275,7 +278,7 @@
 
 // run ticks a directory, and answers nothing that it sends.
 func run(d *Directory, from, until monotime.Micros) {
-	for now := from; now <= until; now += Step {
+	for now := from; now <= until; now += TickInterval {
 		d.Tick(now, localOf(1))
 	}
 }
@@ -303,17 +306,17 @@
 // A process that has just started divides by what its settings say, and falls by half in half a minute.
 func TestDivisorBeginsAtTheSettings(t *testing.T) {
 	d := directory(1, 1500)
-	if d.Divisor() < 1490 {
-		t.Fatal(d.Divisor())
+	if d.RateDivisor() < 1490 {
+		t.Fatal(d.RateDivisor())
 	}
 	run(d, sec, 31*sec)
-	if v := d.Divisor(); v < 600 || v > 1000 {
+	if v := d.RateDivisor(); v < 600 || v > 1000 {
 		t.Fatalf("%.0f after half a minute", v)
 	}
 	large := Summary{Site: site(1), Version: 1, Issuer: 9, Live: 2000, Known: 2000}
 	d.Receive(31*sec, addr(9), Message{Kind: Update, From: 9, Zone: site(1).ID(), Items: []Item{{Summary: &large}}})
-	if run(d, 31*sec, 32*sec); d.Divisor() != 2001 {
-		t.Fatalf("%.0f: it rises at once", d.Divisor())
+	if run(d, 31*sec, 32*sec); d.RateDivisor() != 2001 {
+		t.Fatalf("%.0f: it rises at once", d.RateDivisor())
 	}
 }
 
@@ -323,10 +326,10 @@
 	chosen := func(self int, leaving bool, rng *rand.Rand) []Member {
 		d := New(
 			Config{
-				Self:    Self{ID: MemberID(self), Addr: addr(self)},
-				Site:    site(0),
-				Seed:    rng.Uint64(),
-				Divisor: &membership.RateDivisor{},
+				Self:        Self{ID: MemberID(self), Addr: addr(self)},
+				Site:        site(0),
+				RandomSeed:  rng.Uint64(),
+				RateDivisor: &membership.RateDivisor{},
 			},
 			sec,
 		)
@@ -334,7 +337,7 @@
 		l.Leaving = leaving
 		rng.Shuffle(20, func(i, j int) { l.Members[i], l.Members[j] = l.Members[j], l.Members[i] })
 		d.Tick(sec, l)
-		return slices.Clone(d.ranked)
+		return slices.Clone(d.candidates)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	first := chosen(1, false, rng)
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -21,8 +21,8 @@
 	changed    chan struct{}
 }
 
-// tell has all watches say the list.
-func (d *discovery) tell() {
+// notifyWatches has all watches say the list.
+func (d *discovery) notifyWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -42,10 +42,10 @@
 	d := &discovery{pushed: pushed, generation: 1, changed: make(chan struct{})}
 	for i, ln := range at {
 		n := &node{
-			name:  "toy-" + strconv.Itoa(i+1),
-			addr:  ln.Addr().String(),
-			tells: pushed,
-			loads: map[net.Conn]float64{},
+			name:        "toy-" + strconv.Itoa(i+1),
+			addr:        ln.Addr().String(),
+			reportsLoad: pushed,
+			loads:       map[net.Conn]float64{},
 		}
 		d.nodes = append(d.nodes, n)
 		go n.accept(ln)
@@ -57,7 +57,7 @@
 	for typed := bufio.NewScanner(in); typed.Scan(); {
 		if i, err := strconv.Atoi(strings.TrimSpace(typed.Text())); err == nil && i > 0 && i <= len(d.nodes) {
 			d.nodes[i-1].drain()
-			d.tell()
+			d.notifyWatches()
 		}
 	}
 }
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -20,8 +20,8 @@
 
 // node is one toy server.
 type node struct {
-	name, addr string
-	tells      bool // its load
+	name, addr  string
+	reportsLoad bool // its load
 
 	mu       sync.Mutex
 	draining bool
@@ -52,7 +52,7 @@
 		case verb == "PING":
 			say(c, "PONG")
 			continue
-		case verb == "STATS" && n.tells:
+		case verb == "STATS" && n.reportsLoad:
 			say(c, n.report())
 			continue
 		case verb != "OPEN":
@@ -66,11 +66,11 @@
 		}
 		defer n.leave(c)
 		say(c, "UP "+n.name)
-		n.tell(c, load)
+		n.reportLoad(c, load)
 		for in.Scan() {
 			say(c, in.Text())
 			if load, ok := strings.CutPrefix(in.Text(), "work "); ok {
-				n.tell(c, number(load, usual))
+				n.reportLoad(c, number(load, usual))
 			}
 		}
 		return
@@ -97,9 +97,9 @@
 	return otherwise
 }
 
-// tell notes a connection's load, and says it on the connection.
-func (n *node) tell(c net.Conn, load float64) {
-	if !n.tells {
+// reportLoad notes a connection's load, and says it on the connection.
+func (n *node) reportLoad(c net.Conn, load float64) {
+	if !n.reportsLoad {
 		return
 	}
 	n.mu.Lock()
@@ -152,7 +152,7 @@
 	if n.draining {
 		state = "Terminating"
 	}
-	if n.tells {
+	if n.reportsLoad {
 		weight = cores / (1 + float64(len(n.loads))/cores)
 	}
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"here","machineType":"toy","cell":0,"lifecycle":%q,`+
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -157,7 +157,7 @@
 			t.Fatalf("%s: all on one node: %v", class, stands)
 		}
 		in.d.nodes[0].drain()
-		in.d.tell()
+		in.d.notifyWatches()
 		stands["toy-1"].heard("MOVE")
 		say(stands["toy-2"].c, "still there")
 		stands["toy-2"].heard("still there")
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,12 +14,12 @@
 
 // serve runs a management server on a loop of its own, with a duty that calls change, until the test ends.
 func serve(t *testing.T) string {
-	addr, _ := serveHeld(t)
+	addr, _ := serveCounted(t)
 	return addr
 }
 
-// serveHeld is serve, and also tells how many callers the server holds.
-func serveHeld(t *testing.T) (string, func() int) {
+// serveCounted is serve, and also tells how many callers the server holds.
+func serveCounted(t *testing.T) (string, func() int) {
 	t.Helper()
 	l, err := eventloop.New()
 	if err != nil {
@@ -27,9 +27,9 @@
 	}
 	state := lifecycle.Serving
 	s, err := admin.Listen(l, netip.MustParseAddrPort("127.0.0.1:0"), func(c lifecycle.Command) string {
-		a := lifecycle.Apply(state, c.Call)
+		a := lifecycle.Apply(state, c.Kind)
 		state = a.Next
-		return a.Line
+		return a.Reply
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	})
 	held := func() int {
 		n := make(chan int)
-		l.Post(func() { n <- s.Held() })
+		l.Post(func() { n <- s.Connections() })
 		return <-n
 	}
 	return s.Addr().String(), held
@@ -109,9 +109,9 @@
 
 // Callers that send nothing and stay hold nobody up, however many come.
 func TestSilentCallersHoldNobodyUp(t *testing.T) {
-	addr, held := serveHeld(t)
+	addr, held := serveCounted(t)
 	var silent []net.Conn
-	for range 3 * admin.MaxCallers {
+	for range 3 * admin.MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -127,8 +127,8 @@
 	if got := call(t, addr, "PING\r\n", false); got != "+OK serving" {
 		t.Fatalf("PING among silent callers: %q", got)
 	}
-	if n := held(); n > admin.MaxCallers {
-		t.Errorf("%d callers held; at most %d", n, admin.MaxCallers)
+	if n := held(); n > admin.MaxConnections {
+		t.Errorf("%d callers held; at most %d", n, admin.MaxConnections)
 	}
 	// Each silent one is answered and closed, by the crowd or by its time; none is left holding a descriptor.
 	for i, c := range silent {
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -127,7 +127,7 @@
 		n, s := rapid.Uint32(), rapid.SliceOfN(rapid.Byte(), 0, 300)
 		for _, p := range pairs(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"), s.Draw(t, "s"), s.Draw(t, "t"), rapid.Bool().Draw(t, "yes")) {
 			packet := Append(nil, &p.ours)
-			payload, size, err := CutPacket(packet)
+			payload, size, err := SplitPacket(packet)
 			if err != nil || size != len(packet) || size%8 != 0 || size < 16 || packet[4] < 4 {
 				t.Fatalf("%+v: %v, %d of %d", p.ours, err, size, len(packet))
 			}
@@ -188,7 +188,7 @@
 		"only padding":       {with(12, 11), 0, ErrPad},
 		"padding too long":   {with(12, 255), 0, ErrPad},
 	} {
-		payload, n, err := CutPacket(c.in)
+		payload, n, err := SplitPacket(c.in)
 		if n != c.n || !errors.Is(err, c.err) || (n > 0) != (payload != nil) {
 			t.Errorf("%s: %d, %v", name, n, err)
 		}
@@ -211,7 +211,7 @@
 		"endless": {"SSH-2.0-" + strings.Repeat("x", 300), "", 0, ErrIdent},
 		"longest": {"SSH-2.0-" + strings.Repeat("x", 245) + "\r\n", "SSH-2.0-" + strings.Repeat("x", 245), 255, nil},
 	} {
-		text, n, err := CutIdent([]byte(c.in))
+		text, n, err := SplitIdentification([]byte(c.in))
 		if string(text) != c.text && c.err == nil || n != c.n || !errors.Is(err, c.err) {
 			t.Errorf("%s: %q, %d, %v", name, text, n, err)
 		}
@@ -240,7 +240,7 @@
 		var head Head
 		_ = DataHead(&head, 9, len(data))
 		buf = Append(buf[:0], &m)
-		payload, _, _ := CutPacket(packet)
+		payload, _, _ := SplitPacket(packet)
 		if Parse(payload, &read) != nil || len(read.Data) != len(data) {
 			t.Fatal("not read")
 		}
@@ -262,7 +262,7 @@
 			return
 		}
 		again := Append(nil, &m)
-		back, _, err := CutPacket(again)
+		back, _, err := SplitPacket(again)
 		if len(payload) > MaxData {
 			return
 		}
@@ -293,10 +293,10 @@
 	f.Add(Append(nil, &Message{Type: EOF, Channel: 7}))
 	f.Add([]byte{0, 0, 0, 12, 255})
 	f.Fuzz(func(t *testing.T, buf []byte) {
-		payload, n, err := CutPacket(buf)
+		payload, n, err := SplitPacket(buf)
 		if err == nil && n > 0 && (n > len(buf) || len(payload) == 0 || len(payload) > n-9) {
 			t.Errorf("%x: %d, %d", buf, n, len(payload))
 		}
-		_, _, _ = CutIdent(buf)
+		_, _, _ = SplitIdentification(buf)
 	})
 }
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -32,9 +32,9 @@
 	ErrLong   = errors.New("message has bytes behind its end")
 )
 
-// CutIdent finds a peer's identification line. n is its length with its end, 0 while the end has not come. Both CR
+// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end has not come. Both CR
 // LF and a lone LF end it, as RFC 4253 asks.
-func CutIdent(buf []byte) (text []byte, n int, err error) {
+func SplitIdentification(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxIdent)], '\n')
 	if end < 0 {
 		if len(buf) >= MaxIdent {
@@ -54,8 +54,8 @@
 	return text, end + 1, nil
 }
 
-// CutPacket finds the first packet of buf. n is its whole length, 0 while not all of it has come.
-func CutPacket(buf []byte) (payload []byte, n int, err error) {
+// SplitPacket finds the first packet of buf. n is its whole length, 0 while not all of it has come.
+func SplitPacket(buf []byte) (payload []byte, n int, err error) {
 	if len(buf) < 4 {
 		return nil, 0, nil
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	one   = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,"lifecycle":"Ready","weight":1.5,"startedAtMs":7}`
-	two   = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
-	whole = `{"generation":41,"reset":true,"instances":[` + one + `,` + two + `]}`
+	one      = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,"lifecycle":"Ready","weight":1.5,"startedAtMs":7}`
+	two      = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
+	fullList = `{"generation":41,"reset":true,"instances":[` + one + `,` + two + `]}`
 )
 
 func TestTable(t *testing.T) {
-	tab := NewTable()
-	c, err := tab.Apply([]byte(whole))
-	if err != nil || !c.Whole || c.Generation != 41 || len(c.Targets) != 2 {
+	tab := NewServerList()
+	c, err := tab.Apply([]byte(fullList))
+	if err != nil || !c.Full || c.Generation != 41 || len(c.Servers) != 2 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	want := Target{
-		ID: "s1", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Zone: "a", Machine: "m2", Cell: 3, Weight: 1.5,
+	want := Server{
+		ID: "s1", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Zone: "a", MachineType: "m2", Cell: 3, Weight: 1.5,
 		StartedMillis: 7,
 	}
-	if s1, s2 := tab.ByID([]byte("s1")), tab.ByNum(1); *s1 != want || s2.State != Terminating || s2.Addr.IsValid() {
+	if s1, s2 := tab.ByID([]byte("s1")), tab.ByNumber(1); *s1 != want || s2.State != Terminating ||
+		s2.Addr.IsValid() {
 		t.Errorf("%+v, %+v", s1, s2)
 	}
-	again := NewTable()
-	if c, err := again.Apply(tab.Whole(41)); err != nil || !c.Whole || c.Generation != 41 ||
-		*again.ByNum(0) != want ||
-		*again.ByNum(1) != *tab.ByNum(1) {
-		t.Errorf("there and back: %s, %v", tab.Whole(41), err)
+	again := NewServerList()
+	if c, err := again.Apply(tab.Snapshot(41)); err != nil || !c.Full || c.Generation != 41 ||
+		*again.ByNumber(0) != want ||
+		*again.ByNumber(1) != *tab.ByNumber(1) {
+		t.Errorf("there and back: %s, %v", tab.Snapshot(41), err)
 	}
 	if _, err = tab.Apply([]byte(`{"generation":42,"reset":true,"instances":[` + one + `]}`)); err != nil ||
-		tab.ByNum(1).State != Gone || tab.ByNum(0).State != Ready || tab.ByNum(2) != nil {
-		t.Errorf("a whole list removes what it lacks: %+v, %v", tab.ByNum(1), err)
+		tab.ByNumber(1).State != Gone || tab.ByNumber(0).State != Ready || tab.ByNumber(2) != nil {
+		t.Errorf("a whole list removes what it lacks: %+v, %v", tab.ByNumber(1), err)
 	}
 	for _, bad := range []string{
 		"", "[]", "{", `{"instances":[]}`, `{"generation":1,"instances":7}`,
 		`{"generation":50,"reset":true,"instances":[{"instanceId":"","lifecycle":"Ready"}]}`,
 		`{"generation":50,"reset":true,"instances":[{"instanceId":"s3","lifecycle":"Odd"}]}`,
 	} {
-		if _, err := tab.Apply([]byte(bad)); err == nil || tab.ByNum(0).State != Ready {
-			t.Errorf("%q: %v, %+v", bad, err, tab.ByNum(0))
+		if _, err := tab.Apply([]byte(bad)); err == nil || tab.ByNumber(0).State != Ready {
+			t.Errorf("%q: %v, %+v", bad, err, tab.ByNumber(0))
 		}
 	}
 }
@@ -60,14 +61,14 @@
 	} {
 		for step := 1; step <= len(c.in); step++ {
 			var got strings.Builder
-			r := response{body: func(b []byte) { got.Write(b) }}
+			r := responseParser{onBody: func(b []byte) { got.Write(b) }}
 			for at := 0; at < len(c.in); at += step {
 				if err := r.feed([]byte(c.in[at:min(at+step, len(c.in))])); err != nil {
 					t.Fatalf("%s, step %d: %v", name, step, err)
 				}
 			}
-			if got.String() != c.body || r.stage != atEnd {
-				t.Fatalf("%s, step %d: %q, stage %d", name, step, got.String(), r.stage)
+			if got.String() != c.body || r.state != stateComplete {
+				t.Fatalf("%s, step %d: %q, stage %d", name, step, got.String(), r.state)
 			}
 		}
 	}
@@ -76,35 +77,35 @@
 func TestResponseMalformed(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for in, want := range map[string]error{
-		"HTTP/1.1 503 Busy\r\n\r\n": errStatus, "SSH-2.0\r\n\r\n": errHTTP, strings.Repeat("x", maxHead): errHTTP,
-		chunked + "zz\r\n": errHTTP, chunked + "ffffffff\r\n": errHTTP, chunked + "-1\r\n": errHTTP,
-		chunked + "1\r\nab": errHTTP, chunked + strings.Repeat("0", maxHead+1): errHTTP,
-		"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n":      errHTTP,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n": errHTTP,
+		"HTTP/1.1 503 Busy\r\n\r\n": ErrStatus, "SSH-2.0\r\n\r\n": ErrMalformedResponse, strings.Repeat("x", maxHeadBytes): ErrMalformedResponse,
+		chunked + "zz\r\n": ErrMalformedResponse, chunked + "ffffffff\r\n": ErrMalformedResponse, chunked + "-1\r\n": ErrMalformedResponse,
+		chunked + "1\r\nab": ErrMalformedResponse, chunked + strings.Repeat("0", maxHeadBytes+1): ErrMalformedResponse,
+		"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n":      ErrMalformedResponse,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n": ErrMalformedResponse,
 	} {
-		r := response{body: func([]byte) {}}
+		r := responseParser{onBody: func([]byte) {}}
 		if err := r.feed([]byte(in)); !errors.Is(err, want) {
 			t.Errorf("%.40q: %v", in, err)
 		}
 	}
 }
 
-// told collects what a Discovery says; a Watcher.
-type told struct{ words chan string }
+// recordingWatcher collects what a Discovery says; a Watcher.
+type recordingWatcher struct{ events chan string }
 
-func (w told) Listed(c Change) {
+func (w recordingWatcher) Listed(c Update) {
 	text := fmt.Sprint(c.Generation)
-	for _, e := range c.Targets {
+	for _, e := range c.Servers {
 		text += " " + e.ID
 	}
-	w.words <- text
+	w.events <- text
 }
-func (w told) Failed(error) { w.words <- "failed" }
+func (w recordingWatcher) Failed(error) { w.events <- "failed" }
 
-func (w told) want(t *testing.T, text string) {
+func (w recordingWatcher) want(t *testing.T, text string) {
 	t.Helper()
 	select {
-	case got := <-w.words:
+	case got := <-w.events:
 		if got != text {
 			t.Fatalf("told %q, want %q", got, text)
 		}
@@ -113,13 +114,13 @@
 	}
 }
 
-type fake struct {
+type fakeDiscovery struct {
 	*net.TCPListener
 	t *testing.T
 }
 
 // call takes the next call, checks its request and answers.
-func (f fake) call(request, answer string) net.Conn {
+func (f fakeDiscovery) call(request, answer string) net.Conn {
 	f.t.Helper()
 	_ = f.SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := f.Accept()
@@ -136,31 +137,31 @@
 	return c
 }
 
-const watched = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-func newFake(t *testing.T) fake {
+func newFakeDiscovery(t *testing.T) fakeDiscovery {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	return fake{ln, t}
+	return fakeDiscovery{ln, t}
 }
 
-func (f fake) addr() netip.AddrPort { return netip.MustParseAddrPort(f.Addr().String()) }
+func (f fakeDiscovery) addr() netip.AddrPort { return netip.MustParseAddrPort(f.Addr().String()) }
 
-func start(t *testing.T) (fake, told, *eventloop.Loop, *Discovery) {
+func start(t *testing.T) (fakeDiscovery, recordingWatcher, *eventloop.Loop, *Client) {
 	t.Helper()
-	f := newFake(t)
+	f := newFakeDiscovery(t)
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := told{make(chan string, 100)}
-	d := NewDiscovery(l, f.addr(), NewTable(), w)
+	w := recordingWatcher{make(chan string, 100)}
+	d := NewClient(l, f.addr(), NewServerList(), w)
 	done := make(chan error, 1)
 	go func() { done <- l.Run() }()
 	t.Cleanup(func() {
@@ -171,11 +172,11 @@
 }
 
 // watching is start with a watch that has brought the whole list; conn is discovery's end of it.
-func watching(t *testing.T) (f fake, w told, l *eventloop.Loop, d *Discovery, conn net.Conn) {
+func watching(t *testing.T) (f fakeDiscovery, w recordingWatcher, l *eventloop.Loop, d *Client, conn net.Conn) {
 	t.Helper()
 	f, w, l, d = start(t)
 	l.Post(d.Watch)
-	conn = f.call("/api/targets?stream=1&index=0", watched+chunk(whole))
+	conn = f.call("/api/targets?stream=1&index=0", watchHead+chunk(fullList))
 	w.want(t, "41 s1 s2")
 	return f, w, l, d, conn
 }
@@ -187,7 +188,7 @@
 	second := f.call("/api/targets?stream=1&index=41", "")
 	_, _ = first.Write([]byte(chunk("") + chunk(`{"generation":43,"instances":[`+two+`]}`)))
 	w.want(t, "43 s2") // the old one still counts
-	_, _ = second.Write([]byte(watched + chunk(`{"generation":42,"instances":[`+one+`]}`)))
+	_, _ = second.Write([]byte(watchHead + chunk(`{"generation":42,"instances":[`+one+`]}`)))
 	w.want(t, "43") // behind what is held: an answer, but no step back
 	if n, err := first.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Fatal("the old watch stays")
@@ -202,13 +203,13 @@
 // answered, what comes from the old one counts; that one's end is no failure.
 func TestMove(t *testing.T) {
 	_, w, l, d, old := watching(t)
-	next := newFake(t)
-	l.Post(func() { d.Move(next.addr()) })
+	next := newFakeDiscovery(t)
+	l.Post(func() { d.ChangeAddress(next.addr()) })
 	next.call("/api/targets?stream=1&index=0", "HTTP/1.1 503 Busy\r\n\r\n")
 	_, _ = old.Write([]byte(chunk(`{"generation":43,"instances":[` + two + `]}`)))
 	w.want(t, "43 s2")
 	_ = old.Close()
-	live := next.call("/api/targets?stream=1&index=0", watched+chunk(strings.Replace(whole, "41", "7", 1)))
+	live := next.call("/api/targets?stream=1&index=0", watchHead+chunk(strings.Replace(fullList, "41", "7", 1)))
 	w.want(t, "7 s1 s2")
 	_, _ = live.Write([]byte(chunk(`{"generation":8,"instances":[` + one + `]}`)))
 	w.want(t, "8 s1")
@@ -222,7 +223,7 @@
 func TestFailures(t *testing.T) {
 	for name, answer := range map[string]string{
 		"503": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "garbage": "\x00\xff\r\n\r\n\r\n\r\n",
-		"odd object": watched + chunk(`{"generation":"x"}`), "last chunk": watched + "0\r\n\r\n",
+		"odd object": watchHead + chunk(`{"generation":"x"}`), "last chunk": watchHead + "0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, w, l, d := start(t)
@@ -230,7 +231,10 @@
 			f.call("/api/targets?stream=1&index=0", answer)
 			w.want(t, "failed")
 			l.Post(d.Fetch)
-			f.call("/api/targets", "HTTP/1.1 200 OK\r\nContent-Length: "+fmt.Sprint(len(whole))+"\r\n\r\n"+whole)
+			f.call(
+				"/api/targets",
+				"HTTP/1.1 200 OK\r\nContent-Length: "+fmt.Sprint(len(fullList))+"\r\n\r\n"+fullList,
+			)
 			w.want(t, "41 s1 s2")
 		})
 	}
@@ -246,21 +250,21 @@
 	w.want(t, "failed")
 }
 
-// indented is an object as some services print it, with all that could be taken for its end.
-const indented = "{\n  \"generation\": 41,\n  \"reset\": true,\n\n  \"note\": \"}]\\\" {\",\n  \"instances\": [\n    " + one + ",\n    " + two +
+// indentedObject is an object as some services print it, with all that could be taken for its end.
+const indentedObject = "{\n  \"generation\": 41,\n  \"reset\": true,\n\n  \"note\": \"}]\\\" {\",\n  \"instances\": [\n    " + one + ",\n    " + two +
 	"\n  ]\n}"
 
 // Objects on a watch may span lines, with empty ones between and within, however their bytes are split.
 func TestIndentedObjectsOnAWatch(t *testing.T) {
-	text := indented + "\n\n" + `{"generation":42,"instances":[` + one + "]}\n" + strings.ReplaceAll(
-		indented,
+	text := indentedObject + "\n\n" + `{"generation":42,"instances":[` + one + "]}\n" + strings.ReplaceAll(
+		indentedObject,
 		"\n",
 		"\r\n",
 	) + "\r\n"
 	for step := 1; step <= len(text); step++ {
-		c, w := asked(t)
+		c, w := newPendingWatch(t)
 		for at := 0; at < len(text); at += step {
-			c.body([]byte(text[at:min(at+step, len(text))]))
+			c.receiveBody([]byte(text[at:min(at+step, len(text))]))
 		}
 		if c.err != nil {
 			t.Fatalf("step %d: %v", step, c.err)
@@ -271,27 +275,27 @@
 	}
 }
 
-// asked is a watch that was asked for and has been answered nothing yet; nobody is at its other end.
-func asked(t *testing.T) (*call, told) {
+// newPendingWatch is a watch that was asked for and has been answered nothing yet; nobody is at its other end.
+func newPendingWatch(t *testing.T) (*call, recordingWatcher) {
 	t.Helper()
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	w := told{make(chan string, 100)}
-	d := NewDiscovery(l, netip.AddrPort{}, NewTable(), w)
-	d.asking = &call{d: d, stream: true}
-	return d.asking, w
+	w := recordingWatcher{make(chan string, 100)}
+	d := NewClient(l, netip.AddrPort{}, NewServerList(), w)
+	d.pendingWatch = &call{client: d, isWatch: true}
+	return d.pendingWatch, w
 }
 
 // An object that goes on and on in short lines is held to the same bound, however its lines are cut.
 func TestObjectWithoutEnd(t *testing.T) {
-	c, _ := asked(t)
-	c.body([]byte("{\n"))
-	for part := []byte(strings.Repeat("1", 1000) + "\n"); c.err == nil; c.body(part) {
-		if len(c.text) > maxBody+2000 {
-			t.Fatalf("%d bytes are kept", len(c.text))
+	c, _ := newPendingWatch(t)
+	c.receiveBody([]byte("{\n"))
+	for part := []byte(strings.Repeat("1", 1000) + "\n"); c.err == nil; c.receiveBody(part) {
+		if len(c.object) > maxObjectBytes+2000 {
+			t.Fatalf("%d bytes are kept", len(c.object))
 		}
 	}
 }
@@ -310,7 +314,7 @@
 			t.Parallel()
 			f, w, l, d := start(t)
 			l.Post(d.Watch)
-			conn := f.call("/api/targets?stream=1&index=0", watched+chunk(whole)+chunk("{"))
+			conn := f.call("/api/targets?stream=1&index=0", watchHead+chunk(fullList)+chunk("{"))
 			w.want(t, "41 s1 s2")
 			for sent := 0; ; sent++ {
 				if _, err := conn.Write([]byte(chunk(c.part))); err != nil {
@@ -332,7 +336,7 @@
 	f, w, l, d, _ := watching(t)
 	w.want(t, "failed")
 	l.Post(d.Watch)
-	second := f.call("/api/targets?stream=1&index=41", watched)
+	second := f.call("/api/targets?stream=1&index=41", watchHead)
 	for sent := 0; ; sent++ { // empty lines alone: it may not keep what the list was for ever
 		if _, err := second.Write([]byte(chunk(""))); err != nil {
 			break
@@ -344,7 +348,7 @@
 	}
 	w.want(t, "failed")
 	l.Post(d.Watch)
-	f.call("/api/targets?stream=1&index=41", watched+chunk(`{"generation":43,"instances":[`+two+`]}`))
+	f.call("/api/targets?stream=1&index=41", watchHead+chunk(`{"generation":43,"instances":[`+two+`]}`))
 	w.want(t, "43 s2")
 }
 
@@ -352,16 +356,16 @@
 // versions are its own though they are lower.
 func TestMovedTwice(t *testing.T) {
 	_, w, l, d, _ := watching(t)
-	second, third := newFake(t), newFake(t)
-	l.Post(func() { d.Move(second.addr()) })
+	second, third := newFakeDiscovery(t), newFakeDiscovery(t)
+	l.Post(func() { d.ChangeAddress(second.addr()) })
 	late := second.call("/api/targets?stream=1&index=0", "")
-	l.Post(func() { d.Move(third.addr()) })
+	l.Post(func() { d.ChangeAddress(third.addr()) })
 	if n, err := late.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Fatal("the call at the address between stays")
 	}
 	live := third.call(
 		"/api/targets?stream=1&index=0",
-		watched+chunk(`{"generation":3,"reset":true,"instances":[`+two+`]}`),
+		watchHead+chunk(`{"generation":3,"reset":true,"instances":[`+two+`]}`),
 	)
 	w.want(t, "3 s2")
 	_, _ = live.Write([]byte(chunk(`{"generation":4,"instances":[` + one + `]}`)))
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -9,98 +9,98 @@
 	"github.com/tidwall/gjson"
 )
 
-// State is a target's state as discovery lists it.
-type State uint8
+// ServerState is a target's state as discovery lists it.
+type ServerState uint8
 
 // The listed states.
 const (
-	Ready State = iota
+	Ready ServerState = iota
 	Terminating
 	Gone
 )
 
-// Target is one egress target.
-type Target struct {
-	Num           uint32 // its place in the table, for as long as the process runs
-	ID            string
-	Addr          netip.AddrPort // not valid where discovery's was not readable
-	Zone, Machine string
-	Cell          uint16
-	State         State
-	Weight        float64
-	StartedMillis int64 // 0: long ago
+// Server is one egress target.
+type Server struct {
+	Number            uint32 // its place in the table, for as long as the process runs
+	ID                string
+	Addr              netip.AddrPort // not valid where discovery's was not readable
+	Zone, MachineType string
+	Cell              uint16
+	State             ServerState
+	Weight            float64
+	StartedMillis     int64 // 0: long ago
 }
 
-// Change is one word of discovery.
-type Change struct {
+// Update is one word of discovery.
+type Update struct {
 	Generation uint64
-	Whole      bool // what is not in it is gone
-	Targets    []*Target
+	Full       bool // what is not in it is gone
+	Servers    []*Server
 }
 
-// Table is the route table. A target keeps its number and its place in memory as it changes.
-type Table struct {
-	targets []*Target
-	byID    map[string]*Target
+// ServerList is the route table. A target keeps its number and its place in memory as it changes.
+type ServerList struct {
+	servers []*Server
+	byID    map[string]*Server
 }
 
-// NewTable returns an empty table.
-func NewTable() *Table { return &Table{byID: map[string]*Target{}} }
+// NewServerList returns an empty table.
+func NewServerList() *ServerList { return &ServerList{byID: map[string]*Server{}} }
 
 // ByID finds a target by discovery's name for it.
-func (t *Table) ByID(id []byte) *Target { return t.byID[string(id)] }
+func (t *ServerList) ByID(id []byte) *Server { return t.byID[string(id)] }
 
-// ByNum finds a target by its number.
-func (t *Table) ByNum(num uint32) *Target {
-	if int(num) >= len(t.targets) {
+// ByNumber finds a target by its number.
+func (t *ServerList) ByNumber(num uint32) *Server {
+	if int(num) >= len(t.servers) {
 		return nil
 	}
-	return t.targets[num]
+	return t.servers[num]
 }
 
-var errList = errors.New("discovery's list is malformed")
+var ErrMalformedList = errors.New("discovery's list is malformed")
 
-var states = map[string]State{"Ready": Ready, "Terminating": Terminating, "Gone": Gone}
+var lifecycleStates = map[string]ServerState{"Ready": Ready, "Terminating": Terminating, "Gone": Gone}
 
 // Apply reads one of discovery's JSON objects into the table. It is all or nothing.
-func (t *Table) Apply(text []byte) (Change, error) {
+func (t *ServerList) Apply(text []byte) (Update, error) {
 	root := gjson.ParseBytes(text)
 	if !gjson.ValidBytes(text) || !root.IsObject() {
-		return Change{}, errList
+		return Update{}, ErrMalformedList
 	}
 	generation, list := root.Get("generation"), root.Get("instances")
 	if generation.Type != gjson.Number || (list.Exists() && !list.IsArray() && list.Type != gjson.Null) {
-		return Change{}, errList
+		return Update{}, ErrMalformedList
 	}
-	var read []Target
+	var read []Server
 	for _, item := range list.Array() {
-		e, ok := entry(item)
+		e, ok := parseServer(item)
 		if !ok {
-			return Change{}, errList
+			return Update{}, ErrMalformedList
 		}
 		read = append(read, e)
 	}
-	c := Change{Generation: generation.Uint(), Whole: root.Get("reset").Bool()}
-	if c.Whole {
-		for _, old := range t.targets {
+	c := Update{Generation: generation.Uint(), Full: root.Get("reset").Bool()}
+	if c.Full {
+		for _, old := range t.servers {
 			old.State = Gone
 		}
 	}
 	for _, e := range read {
 		at := t.byID[e.ID]
 		if at == nil {
-			at = &Target{Num: uint32(len(t.targets))}
-			t.targets, t.byID[e.ID] = append(t.targets, at), at
+			at = &Server{Number: uint32(len(t.servers))}
+			t.servers, t.byID[e.ID] = append(t.servers, at), at
 		}
-		e.Num = at.Num
+		e.Number = at.Number
 		*at = e
-		c.Targets = append(c.Targets, at)
+		c.Servers = append(c.Servers, at)
 	}
 	return c, nil
 }
 
-// listed is a target in discovery's own form.
-type listed struct {
+// serverJSON is a target in discovery's own form.
+type serverJSON struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
@@ -111,16 +111,16 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[State]string{Ready: "Ready", Terminating: "Terminating"}
+var lifecycleNames = map[ServerState]string{Ready: "Ready", Terminating: "Terminating"}
 
-// Whole is the table as discovery would list it at a generation, without what is gone.
-func (t *Table) Whole(generation uint64) []byte {
+// Snapshot is the table as discovery would list it at a generation, without what is gone.
+func (t *ServerList) Snapshot(generation uint64) []byte {
 	list := struct {
-		Generation uint64   `json:"generation"`
-		Reset      bool     `json:"reset"`
-		Instances  []listed `json:"instances"`
-	}{generation, true, []listed{}}
-	for _, at := range t.targets {
+		Generation uint64       `json:"generation"`
+		Reset      bool         `json:"reset"`
+		Instances  []serverJSON `json:"instances"`
+	}{generation, true, []serverJSON{}}
+	for _, at := range t.servers {
 		if at.State == Gone {
 			continue
 		}
@@ -128,8 +128,8 @@
 		if at.Addr.IsValid() {
 			addr = at.Addr.String()
 		}
-		list.Instances = append(list.Instances, listed{
-			at.ID, addr, at.Zone, at.Machine, at.Cell, lifecycles[at.State], at.Weight,
+		list.Instances = append(list.Instances, serverJSON{
+			at.ID, addr, at.Zone, at.MachineType, at.Cell, lifecycleNames[at.State], at.Weight,
 			at.StartedMillis,
 		})
 	}
@@ -137,25 +137,25 @@
 	return text
 }
 
-// generation reads the version that an object of discovery's brings.
-func generation(text []byte) (uint64, error) {
+// parseGeneration reads the version that an object of discovery's brings.
+func parseGeneration(text []byte) (uint64, error) {
 	g := gjson.GetBytes(text, "generation")
 	if g.Type != gjson.Number {
-		return 0, errList
+		return 0, ErrMalformedList
 	}
 	return g.Uint(), nil
 }
 
-func entry(item gjson.Result) (Target, bool) {
+func parseServer(item gjson.Result) (Server, bool) {
 	id, started := item.Get("instanceId"), item.Get("startedAtMs")
-	state, known := states[item.Get("lifecycle").String()]
+	state, known := lifecycleStates[item.Get("lifecycle").String()]
 	if id.Type != gjson.String || id.Str == "" || !known || started.Int() < 0 {
-		return Target{}, false
+		return Server{}, false
 	}
 	// An address that can't be read leaves a target that can't be connected to.
 	addr, _ := netip.ParseAddrPort(item.Get("hostPort").String())
-	return Target{
-		ID: id.Str, Addr: addr, Zone: item.Get("zone").String(), Machine: item.Get("machineType").String(),
+	return Server{
+		ID: id.Str, Addr: addr, Zone: item.Get("zone").String(), MachineType: item.Get("machineType").String(),
 		Cell: uint16(item.Get("cell").Uint()), State: state, Weight: item.Get("weight").Float(),
 		StartedMillis: started.Int(),
 	}, true
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -12,8 +12,8 @@
 // ErrAgain says that a socket has nothing to read now; Readable comes when it has.
 var ErrAgain = errors.New("nothing to read now")
 
-// Exhausted tells that a call failed for want of something of this machine's own, whoever the peer is.
-func Exhausted(err error) bool {
+// IsResourceExhausted tells that a call failed for want of something of this machine's own, whoever the peer is.
+func IsResourceExhausted(err error) bool {
 	for _, e := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
 			return true
@@ -113,10 +113,10 @@
 	}
 }
 
-// Settle looks whether a connection that is coming up has done so by now, its event still unread, and has the owner
+// DrainEvents looks whether a connection that is coming up has done so by now, its event still unread, and has the owner
 // told. Deadlines of a turn come before the next turn's events: a loop that was held up would else take every
 // connection for one that never came up.
-func (c *Conn) Settle() {
+func (c *Conn) DrainEvents() {
 	if c.fd < 0 || !c.connecting {
 		return
 	}
@@ -316,7 +316,7 @@
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
 			return true
-		case Exhausted(err):
+		case IsResourceExhausted(err):
 			// The queue stays readable: without a pause the loop would spin until a descriptor is free.
 			ln.pause()
 			return true
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -19,8 +19,8 @@
 	ErrMalformed = errors.New("line is malformed")
 )
 
-// Cut finds the first line of buf. n is its length with its end, 0 while the end has not come.
-func Cut(buf []byte) (text []byte, n int, err error) {
+// SplitLine finds the first line of buf. n is its length with its end, 0 while the end has not come.
+func SplitLine(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), Max)], '\n')
 	if end < 0 {
 		if len(buf) >= Max {
@@ -44,8 +44,8 @@
 	Ping
 )
 
-// First tells what a client's first line asks.
-func First(text []byte) Verb {
+// ParseVerb tells what a client's first line asks.
+func ParseVerb(text []byte) Verb {
 	verb, _, more := bytes.Cut(text, []byte(" "))
 	switch {
 	case string(verb) == "OPEN" && more:
@@ -164,14 +164,14 @@
 	return h.Sum64()
 }
 
-// Kind says what a server's line is.
-type Kind uint8
+// ServerVerb says what a server's line is.
+type ServerVerb uint8
 
 // The kinds of a server's lines.
 const (
-	Other Kind = iota
+	Other ServerVerb = iota
 	Up
-	Bye
+	Goaway
 	Move
 	Err
 	Busy
@@ -180,8 +180,8 @@
 	Stale // a token is not honoured
 )
 
-// Server tells what a server's line is. The value is that of LOAD.
-func Server(text []byte) (Kind, float64) {
+// ParseServerLine tells what a server's line is. The value is that of LOAD.
+func ParseServerLine(text []byte) (ServerVerb, float64) {
 	verb, rest, more := bytes.Cut(text, []byte(" "))
 	switch string(verb) {
 	case "UP":
@@ -189,7 +189,7 @@
 			return Up, 0
 		}
 	case "BYE":
-		return Bye, 0
+		return Goaway, 0
 	case "MOVE":
 		return Move, 0
 	case "ERR":
@@ -228,8 +228,8 @@
 	return word
 }
 
-// From reads the cursor after which a server continues, from an UP line that ends in "from=N".
-func From(up []byte) (uint64, bool) {
+// EstablishedSequence reads the cursor after which a server continues, from an UP line that ends in "from=N".
+func EstablishedSequence(up []byte) (uint64, bool) {
 	i := bytes.LastIndexByte(up, ' ')
 	digits, ok := bytes.CutPrefix(up[i+1:], []byte("from="))
 	if !ok {
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -26,7 +26,7 @@
 		"over, no end":   {strings.Repeat("x", Max), "", 0, ErrLong},
 		"nearly, no end": {strings.Repeat("x", Max-1), "", 0, nil},
 	} {
-		text, n, err := Cut([]byte(c.in))
+		text, n, err := SplitLine([]byte(c.in))
 		if string(text) != c.text || n != c.n || !errors.Is(err, c.err) {
 			t.Errorf("%s: %q, %d, %v", name, text, n, err)
 		}
@@ -38,7 +38,7 @@
 		"PING": Ping, "OPEN a b c=d": OpenLine, "OPEN": Unknown, "PING x": Unknown, "open a": Unknown, "": Unknown,
 		"GET / HTTP/1.1": Unknown, "\x00\xff": Unknown,
 	} {
-		if got := First([]byte(in)); got != want {
+		if got := ParseVerb([]byte(in)); got != want {
 			t.Errorf("%q: %d, want %d", in, got, want)
 		}
 	}
@@ -48,7 +48,8 @@
 	const text = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59,again=1,r=1,at=s-1,h=2.5,x=y"
 	o, err := ParseOpen([]byte(text))
 	if err != nil || o.ID != 0x9b1f03aa5c7e2d41 || o.Key != 0x7f3a9c21e0b4d655 || o.Group != 0x5c0f6e1a2b3d4c59 || string(o.Class) != "chat" ||
-		o.Millis != 2000 || text[o.DFrom:o.DTo] != "2000" || !o.Retry || !o.Returned || string(o.At) != "s-1" ||
+		o.Millis != 2000 || text[o.DFrom:o.DTo] != "2000" || !o.Retry || !o.Returned ||
+		string(o.At) != "s-1" ||
 		o.Hint != 2.5 ||
 		!o.HasHint {
 		t.Errorf("%+v, %v", o, err)
@@ -69,11 +70,11 @@
 }
 
 func TestServer(t *testing.T) {
-	for in, want := range map[string]Kind{
-		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Bye, "MOVE": Move, "ERR": Err, "BUSY 20": Busy, "BUSY": Busy, "PONG": Pong,
+	for in, want := range map[string]ServerVerb{
+		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Goaway, "MOVE": Move, "ERR": Err, "BUSY 20": Busy, "BUSY": Busy, "PONG": Pong,
 		"LOAD 12.5": Load, "LOAD": Other, "LOAD x": Other, "LOAD NaN": Other, "LOAD +Inf": Other, "SYNTAX": Other, "": Other,
 	} {
-		if got, v := Server([]byte(in)); got != want || (got == Load) != (v == 12.5) {
+		if got, v := ParseServerLine([]byte(in)); got != want || (got == Load) != (v == 12.5) {
 			t.Errorf("%q: %d, %v", in, got, v)
 		}
 	}
@@ -130,14 +131,14 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		kind, value := Server(text)
+		kind, value := ParseServerLine(text)
 		if kind != Load && value != 0 || value < 0 {
 			t.Errorf("%q: %v, %v", text, kind, value)
 		}
 		if n, ok := Number(text); ok && (kind != Other || !bytes.HasPrefix(text, fmt.Appendf(nil, "#%d ", n))) {
 			t.Errorf("%q: number %d", text, n)
 		}
-		if n, ok := From(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
+		if n, ok := EstablishedSequence(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
 			t.Errorf("%q: from %d", text, n)
 		}
 	})
--- a/internal/logging/output.go
+++ b/internal/logging/output.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Output writes the log from a goroutine of its own and drops what it can't keep up with: a reader that stalls must
+// AsyncWriter writes the log from a goroutine of its own and drops what it can't keep up with: a reader that stalls must
 // never stall the loop.
-type Output struct {
+type AsyncWriter struct {
 	lines chan []byte
 	done  chan struct{}
 }
 
-// NewOutput returns an output that writes to to.
-func NewOutput(to io.Writer) *Output {
-	o := &Output{lines: make(chan []byte, 256), done: make(chan struct{})}
+// NewAsyncWriter returns an output that writes to to.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	o := &AsyncWriter{lines: make(chan []byte, 256), done: make(chan struct{})}
 	go func() {
 		defer close(o.done)
 		for l := range o.lines {
@@ -25,7 +25,7 @@
 }
 
 // Write takes a line, or drops it. It never fails.
-func (o *Output) Write(b []byte) (int, error) {
+func (o *AsyncWriter) Write(b []byte) (int, error) {
 	select {
 	case o.lines <- append([]byte(nil), b...):
 	default:
@@ -34,7 +34,7 @@
 }
 
 // Close writes what is left, for as long as a stop may take.
-func (o *Output) Close() {
+func (o *AsyncWriter) Close() {
 	close(o.lines)
 	select {
 	case <-o.done:
--- a/internal/logging/output_test.go
+++ b/internal/logging/output_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-type stalled struct{ release chan struct{} }
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(b []byte) (int, error) {
+func (s stalledWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
 // A log that nobody reads must not hold up the loop, nor the end of the program.
 func TestStalledLogBlocksNothing(t *testing.T) {
-	s := stalled{make(chan struct{})}
+	s := stalledWriter{make(chan struct{})}
 	defer close(s.release)
-	o := NewOutput(s)
+	o := NewAsyncWriter(s)
 	for range 10_000 {
 		if _, err := o.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
@@ -28,7 +28,7 @@
 
 func TestJSON(t *testing.T) {
 	var out bytes.Buffer
-	New(&out, JSON).WithField(Standing, 3).Info("so far")
+	New(&out, JSON).WithField(Connections, 3).Info("so far")
 	var line struct {
 		Msg, Level string
 		Standing   int
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -34,7 +34,7 @@
 	// Confirmed tells that the peer has confirmed a channel that was opened here, and what it said.
 	Confirmed(data []byte)
 	// Refused tells that it has not; the channel is gone.
-	Refused(code uint32, description []byte)
+	Rejected(code uint32, description []byte)
 	// Readable tells that bytes or an end have come. The owner reads until loop.ErrAgain, or later.
 	Readable()
 	// Flushed tells that all that was kept back has gone out.
@@ -45,26 +45,26 @@
 
 // Config is what a connection is made with.
 type Config struct {
-	Server  bool
-	Version string // of the program, for the identification
-	Most    int    // channels at once
-	Window  uint32 // that the peer is granted on each, at most
-	Budget  *Budget
+	Server      bool
+	Version     string // of the program, for the identification
+	MaxChannels int    // channels at once
+	Window      uint32 // that the peer is granted on each, at most
+	Budget      *Budget
 }
 
 const (
-	// highWater is how much may wait on the wire before channels queue for their turns: enough to keep it busy.
-	highWater = 64 << 10
-	// turn is what one channel sends before the next has its turn.
-	turn = 8 << 10
-	// maxBacklog is how much may wait on the wire of a peer that asks and does not read.
-	maxBacklog = 512 << 10
-	// leastPacket is the least that a peer must take in one message.
-	leastPacket = 16
+	// sendHighWaterMark is how much may wait on the wire before channels queue for their turns: enough to keep it busy.
+	sendHighWaterMark = 64 << 10
+	// turnBytes is what one channel sends before the next has its turn.
+	turnBytes = 8 << 10
+	// maxUnreadReplies is how much may wait on the wire of a peer that asks and does not read.
+	maxUnreadReplies = 512 << 10
+	// minPeerPacket is the least that a peer must take in one message.
+	minPeerPacket = 16
 )
 
-// ErrEnded says that the peer has ended the connection with DISCONNECT.
-var ErrEnded = errors.New("peer has disconnected")
+// ErrDisconnected says that the peer has ended the connection with DISCONNECT.
+var ErrDisconnected = errors.New("peer has disconnected")
 
 // ErrNotSSH says that the peer does not speak channels.
 var ErrNotSSH = errors.New("peer does not speak channels")
@@ -80,36 +80,36 @@
 
 func (e protocolError) Error() string { return e.text }
 
-func wrong(format string, args ...any) error {
+func newProtocolError(format string, args ...any) error {
 	return protocolError{channel.ProtocolError, fmt.Sprintf(format, args...)}
 }
 
-type stage uint8
+type connectionStage uint8
 
 const (
-	identifying stage = iota
-	settling          // the service is not agreed on
+	identifying     connectionStage = iota
+	agreeingService                 // the service is not agreed on
 	running
 	finished
 )
 
 // Conn is one connection.
 type Conn struct {
-	cfg     Config
-	wire    Wire
-	owner   Owner
-	stage   stage
-	buf     []byte // the start of a packet
-	seq     uint32 // packets taken
-	chans   eventloop.Slots[*Channel]
-	first   *Channel // of those that wait for their turn
-	last    *Channel
-	pumping bool
-	pings   int // not answered yet
-	msg     channel.Message
-	out     []byte       // scratch of send
-	head    channel.Head // and of sendData
-	parts   [][]byte
+	cfg             Config
+	wire            Wire
+	owner           Owner
+	stage           connectionStage
+	buf             []byte // the start of a packet
+	packetsReceived uint32 // packets taken
+	channels        eventloop.Slots[*Channel]
+	turnHead        *Channel // of those that wait for their turn
+	turnTail        *Channel
+	pumping         bool
+	unansweredPings int // not answered yet
+	msg             channel.Message
+	out             []byte       // scratch of send
+	head            channel.Head // and of sendData
+	parts           [][]byte
 }
 
 // New returns a connection. A client begins to speak at once; a server once it was identified to.
@@ -125,13 +125,13 @@
 func (c *Conn) identify() { c.wire.Write([]byte("SSH-2.0-spurspread_" + c.cfg.Version + "\r\n")) }
 
 // Len is how many channels there are, those that wait for the peer's CLOSE included.
-func (c *Conn) Len() int { return c.chans.Len() }
+func (c *Conn) Len() int { return c.channels.Len() }
 
 // Identified tells that the peer has identified itself: it speaks channels.
-func (c *Conn) Identified() bool { return c.stage == settling || c.stage == running }
+func (c *Conn) Identified() bool { return c.stage == agreeingService || c.stage == running }
 
-// Settled tells that identification and service are agreed on.
-func (c *Conn) Settled() bool { return c.stage == running }
+// Ready tells that identification and service are agreed on.
+func (c *Conn) Ready() bool { return c.stage == running }
 
 func (c *Conn) send(m *channel.Message) {
 	c.out = channel.Append(c.out[:0], m)
@@ -141,7 +141,7 @@
 // Ping asks the peer for a sign of life.
 func (c *Conn) Ping() {
 	if c.stage == running {
-		c.pings++
+		c.unansweredPings++
 		c.send(&channel.Message{Type: channel.GlobalRequest, Name: []byte(channel.Keepalive), WantReply: true})
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	for c.stage != finished {
 		n, err := c.step(b)
-		if err == nil && c.wire.Pending() > maxBacklog {
+		if err == nil && c.wire.Pending() > maxUnreadReplies {
 			err = protocolError{channel.TooMany, "asks and does not read"}
 		}
 		if err != nil {
@@ -191,7 +191,7 @@
 	switch {
 	case errors.As(err, &p):
 		c.Disconnect(p.code, p.text)
-	case errors.Is(err, ErrEnded), errors.Is(err, ErrNotSSH):
+	case errors.Is(err, ErrDisconnected), errors.Is(err, ErrNotSSH):
 	default:
 		c.Disconnect(channel.ProtocolError, err.Error())
 	}
@@ -201,24 +201,24 @@
 // step takes one identification or packet off b.
 func (c *Conn) step(b []byte) (int, error) {
 	if c.stage == identifying {
-		_, n, err := channel.CutIdent(b)
+		_, n, err := channel.SplitIdentification(b)
 		if err != nil {
 			return 0, ErrNotSSH
 		}
 		if n > 0 {
-			c.stage = settling
+			c.stage = agreeingService
 			if c.cfg.Server {
 				c.identify()
 			}
 		}
 		return n, nil
 	}
-	payload, n, err := channel.CutPacket(b)
+	payload, n, err := channel.SplitPacket(b)
 	if err != nil || n == 0 {
 		return 0, err
 	}
-	seq := c.seq
-	c.seq++
+	seq := c.packetsReceived
+	c.packetsReceived++
 	if err := channel.Parse(payload, &c.msg); err != nil {
 		return 0, err
 	}
@@ -228,14 +228,14 @@
 func (c *Conn) take(m *channel.Message, seq uint32) error {
 	switch m.Type {
 	case channel.Disconnect:
-		return ErrEnded
+		return ErrDisconnected
 	case channel.Ignore, channel.Debug, channel.Unimplemented:
 		return nil
 	case channel.ServiceRequest:
 		return c.serve(m)
 	case channel.ServiceAccept:
-		if c.cfg.Server || c.stage != settling {
-			return wrong("SERVICE_ACCEPT that nobody asked for")
+		if c.cfg.Server || c.stage != agreeingService {
+			return newProtocolError("SERVICE_ACCEPT that nobody asked for")
 		}
 		c.stage = running
 		c.owner.Ready()
@@ -248,33 +248,33 @@
 		c.send(&channel.Message{Type: channel.Unimplemented, Code: seq})
 		return nil
 	case c.stage != running:
-		return wrong("message %d before the service was asked for", m.Type)
+		return newProtocolError("message %d before the service was asked for", m.Type)
 	}
 	switch m.Type {
 	case channel.GlobalRequest:
 		c.global(m)
 		return nil
 	case channel.RequestSuccess, channel.RequestFailure:
-		if c.pings == 0 {
-			return wrong("a reply that nobody asked for")
+		if c.unansweredPings == 0 {
+			return newProtocolError("a reply that nobody asked for")
 		}
-		c.pings--
+		c.unansweredPings--
 		c.owner.Alive()
 		return nil
 	case channel.Open:
 		c.opened(m)
 		return nil
 	}
-	ch, ok := c.chans.Get(eventloop.Ref(m.Channel))
+	ch, ok := c.channels.Get(eventloop.Ref(m.Channel))
 	if !ok {
-		return wrong("message %d for channel %d, which there is not", m.Type, m.Channel)
+		return newProtocolError("message %d for channel %d, which there is not", m.Type, m.Channel)
 	}
 	return ch.take(m)
 }
 
 func (c *Conn) serve(m *channel.Message) error {
 	if !c.cfg.Server {
-		return wrong("SERVICE_REQUEST of a server")
+		return newProtocolError("SERVICE_REQUEST of a server")
 	}
 	if string(m.Name) != channel.Service {
 		return protocolError{channel.ServiceNotAvailable, "the only service is " + channel.Service}
@@ -303,9 +303,9 @@
 		code, why = channel.Prohibited, "ERR"
 	case string(m.Name) != channel.Stream:
 		code, why = channel.UnknownKind, "ERR"
-	case m.MaxPacket < leastPacket:
+	case m.MaxPacket < minPeerPacket:
 		code, why = channel.Prohibited, "ERR"
-	case c.chans.Len() >= c.cfg.Most:
+	case c.channels.Len() >= c.cfg.MaxChannels:
 		code, why = channel.NoResources, "BUSY"
 	}
 	if why == "" || code == channel.NoResources {
@@ -317,23 +317,23 @@
 		c.send(&channel.Message{Type: channel.OpenFailure, Channel: m.Channel, Code: code, Data: []byte(why)})
 		return
 	}
-	ch := &Channel{c: c, peer: m.Channel, room: m.Window, most: m.MaxPacket, state: asked}
-	ch.num = c.chans.Put(ch)
+	ch := &Channel{conn: c, peerID: m.Channel, sendWindow: m.Window, maxSendPacket: m.MaxPacket, state: openReceived}
+	ch.localID = c.channels.Put(ch)
 	c.owner.Open(ch, m.Data)
 }
 
 // Open opens a channel to the peer, for an owner that will hear of it. It returns nil where no more may be opened.
 func (c *Conn) Open(data []byte, o ChannelOwner) *Channel {
-	if c.stage != running || c.chans.Len() >= c.cfg.Most {
+	if c.stage != running || c.channels.Len() >= c.cfg.MaxChannels {
 		return nil
 	}
-	ch := &Channel{c: c, owner: o, state: asking}
-	if ch.num = c.chans.Put(ch); ch.num == 0 {
+	ch := &Channel{conn: c, owner: o, state: openSent}
+	if ch.localID = c.channels.Put(ch); ch.localID == 0 {
 		return nil
 	}
 	ch.grant(c.cfg.Budget.target(c.cfg.Window))
 	c.send(&channel.Message{
-		Type: channel.Open, Name: []byte(channel.Stream), Channel: uint32(ch.num), Window: ch.window,
+		Type: channel.Open, Name: []byte(channel.Stream), Channel: uint32(ch.localID), Window: ch.receiveWindow,
 		MaxPacket: channel.MaxData, Data: channel.AppendString(nil, data),
 	})
 	return ch
@@ -342,8 +342,8 @@
 // Lost ends all channels, for the connection is gone; plain tells whether it ended in order. Each owner is told once.
 func (c *Conn) Lost(plain bool) {
 	c.stage = finished
-	c.first, c.last = nil, nil
-	for _, ch := range c.chans.All {
+	c.turnHead, c.turnTail = nil, nil
+	for _, ch := range c.channels.All {
 		ch.lost(plain)
 	}
 }
@@ -357,12 +357,12 @@
 		return
 	}
 	ch.queued, ch.next = true, nil
-	if c.last == nil {
-		c.first = ch
+	if c.turnTail == nil {
+		c.turnHead = ch
 	} else {
-		c.last.next = ch
+		c.turnTail.next = ch
 	}
-	c.last = ch
+	c.turnTail = ch
 }
 
 // pump gives channels their turns, one packet each, while the wire has room.
@@ -371,10 +371,10 @@
 		return
 	}
 	c.pumping = true
-	for c.first != nil && c.wire.Pending() < highWater {
-		ch := c.first
-		if c.first = ch.next; c.first == nil {
-			c.last = nil
+	for c.turnHead != nil && c.wire.Pending() < sendHighWaterMark {
+		ch := c.turnHead
+		if c.turnHead = ch.next; c.turnHead == nil {
+			c.turnTail = nil
 		}
 		ch.queued = false
 		ch.turn()
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -74,9 +74,9 @@
 	flushed   int
 }
 
-func (s *stream) Confirmed(data []byte)            { s.confirmed = "yes " + string(data) }
-func (s *stream) Refused(code uint32, text []byte) { s.refused = fmt.Sprintf("%d %s", code, text) }
-func (s *stream) Flushed()                         { s.flushed++ }
+func (s *stream) Confirmed(data []byte)             { s.confirmed = "yes " + string(data) }
+func (s *stream) Rejected(code uint32, text []byte) { s.refused = fmt.Sprintf("%d %s", code, text) }
+func (s *stream) Flushed()                          { s.flushed++ }
 func (s *stream) Requested(name, data []byte) bool {
 	s.requests = append(s.requests, string(name)+" "+string(data))
 	return string(name) == channel.Move
@@ -104,12 +104,18 @@
 	client, server = &end{name: "client", wire: &pipe{}}, &end{name: "server", wire: &pipe{}}
 	server.c = New(
 		server.wire,
-		Config{Server: true, Version: "1", Most: most, Window: window, Budget: &Budget{Limit: 1 << 30, Floor: 64}},
+		Config{
+			Server:      true,
+			Version:     "1",
+			MaxChannels: most,
+			Window:      window,
+			Budget:      &Budget{Limit: 1 << 30, Floor: 64},
+		},
 		server,
 	)
 	client.c = New(
 		client.wire,
-		Config{Version: "1", Most: most, Window: window, Budget: &Budget{Limit: 1 << 30, Floor: 64}},
+		Config{Version: "1", MaxChannels: most, Window: window, Budget: &Budget{Limit: 1 << 30, Floor: 64}},
 		client,
 	)
 	return client, server
@@ -181,7 +187,7 @@
 	r, d, g := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
 	g.ch.Close()
 	flow(t, client, server)
-	server.streams[1].ch.Refuse(channel.NoResources, []byte("BUSY 70"))
+	server.streams[1].ch.Reject(channel.NoResources, []byte("BUSY 70"))
 	server.streams[2].ch.Confirm(nil)
 	server.streams[3].ch.Confirm(nil)
 	flow(t, client, server)
@@ -249,7 +255,13 @@
 		e := &end{wire: &pipe{}}
 		e.c = New(
 			e.wire,
-			Config{Server: true, Version: "1", Most: 10, Window: 200, Budget: &Budget{Limit: 1 << 20, Floor: 64}},
+			Config{
+				Server:      true,
+				Version:     "1",
+				MaxChannels: 10,
+				Window:      200,
+				Budget:      &Budget{Limit: 1 << 20, Floor: 64},
+			},
 			e,
 		)
 		err := e.c.Feed([]byte("SSH-2.0-test\r\n"))
@@ -285,7 +297,7 @@
 	e := &end{wire: &pipe{}}
 	e.c = New(
 		e.wire,
-		Config{Server: true, Version: "1", Most: 2, Window: 200, Budget: &Budget{Limit: 1 << 20, Floor: 64}},
+		Config{Server: true, Version: "1", MaxChannels: 2, Window: 200, Budget: &Budget{Limit: 1 << 20, Floor: 64}},
 		e,
 	)
 	var in []byte
@@ -328,9 +340,9 @@
 		}
 	}
 	var got []string
-	_, n, _ := channel.CutIdent(e.wire.kept)
+	_, n, _ := channel.SplitIdentification(e.wire.kept)
 	for b := e.wire.kept[n:]; len(b) > 0; {
-		payload, n, err := channel.CutPacket(b)
+		payload, n, err := channel.SplitPacket(b)
 		if err != nil || n == 0 {
 			t.Fatal(n, err)
 		}
@@ -357,7 +369,7 @@
 		s.write(bytes.Repeat([]byte("x"), 100_000))
 	}
 	flow(t, client, server)
-	if got := len(client.streams[0].ch.in); got == 0 || got > 20_000 {
+	if got := len(client.streams[0].ch.receiveBuffer); got == 0 || got > 20_000 {
 		t.Errorf("%d bytes kept of the stalled channel", got)
 	}
 	if server.streams[0].ch.Pending() != 80_000 {
@@ -374,23 +386,23 @@
 	if len(client.streams[0].got) != 100_000 || server.streams[0].flushed == 0 {
 		t.Errorf("after the stall: %d came, flushed %d times", len(client.streams[0].got), server.streams[0].flushed)
 	}
-	room := server.streams[1].ch.room
+	room := server.streams[1].ch.sendWindow
 	adjust := channel.Append(
 		nil,
-		&channel.Message{Type: channel.WindowAdjust, Channel: uint32(server.streams[1].ch.num), Window: 5},
+		&channel.Message{Type: channel.WindowAdjust, Channel: uint32(server.streams[1].ch.localID), Window: 5},
 	)
-	if err := server.c.Feed(adjust); err != nil || server.streams[1].ch.room != room+5 {
-		t.Errorf("%v, a window of %d and 5 more is %d", err, room, server.streams[1].ch.room)
+	if err := server.c.Feed(adjust); err != nil || server.streams[1].ch.sendWindow != room+5 {
+		t.Errorf("%v, a window of %d and 5 more is %d", err, room, server.streams[1].ch.sendWindow)
 	}
 	// With the wire full, one packet each.
-	server.wire.Write(make([]byte, highWater))
+	server.wire.Write(make([]byte, sendHighWaterMark))
 	for _, s := range server.streams {
-		s.ch.Write(bytes.Repeat([]byte("y"), 3*turn))
+		s.ch.Write(bytes.Repeat([]byte("y"), 3*turnBytes))
 	}
 	server.wire.kept = nil
 	server.c.Flushed()
 	for b, last := server.wire.kept, uint32(0); len(b) > 0; {
-		payload, n, err := channel.CutPacket(b)
+		payload, n, err := channel.SplitPacket(b)
 		var m channel.Message
 		if err != nil || channel.Parse(payload, &m) != nil {
 			t.Fatal(err)
@@ -398,7 +410,7 @@
 		if m.Channel == last {
 			t.Errorf("channel %d had two turns in a row", last)
 		}
-		if b, last = b[n:], m.Channel; len(m.Data) > turn {
+		if b, last = b[n:], m.Channel; len(m.Data) > turnBytes {
 			t.Errorf("a turn of %d", len(m.Data))
 		}
 	}
@@ -413,7 +425,7 @@
 	if p := server.c.cfg.Budget.Promised(); p > 50_000+300*64 {
 		t.Errorf("%d promised", p)
 	}
-	if first, last := client.streams[0].ch.room, client.streams[299].ch.room; first < 3000 || last != 64 {
+	if first, last := client.streams[0].ch.sendWindow, client.streams[299].ch.sendWindow; first < 3000 || last != 64 {
 		t.Errorf("windows of %d and %d", first, last)
 	}
 	server.streams[0].stalled = true
@@ -438,7 +450,7 @@
 	ask := channel.Append(nil, &channel.Message{Type: channel.GlobalRequest, Name: []byte("x"), WantReply: true})
 	for range 100_000 {
 		if err := server.c.Feed(ask); err != nil {
-			if server.wire.Pending() > maxBacklog+1000 {
+			if server.wire.Pending() > maxUnreadReplies+1000 {
 				t.Errorf("%d bytes kept", server.wire.Pending())
 			}
 			return
@@ -476,7 +488,7 @@
 
 // live tells that a channel may still be used by its owner.
 func (s *stream) live() bool {
-	return s.ch != nil && s.ch.owner != nil && s.ch.state == opened && !s.ch.eof
+	return s.ch != nil && s.ch.owner != nil && s.ch.state == established && !s.ch.eof
 }
 
 func TestAnyOrder(t *testing.T) {
@@ -518,7 +530,7 @@
 			}
 		},
 		"confirm": func(t *rapid.T) { m.pick(t, m.server.streams).ch.Confirm([]byte("UP")) },
-		"refuse":  func(t *rapid.T) { m.pick(t, m.server.streams).ch.Refuse(1, []byte("ERR")) },
+		"refuse":  func(t *rapid.T) { m.pick(t, m.server.streams).ch.Reject(1, []byte("ERR")) },
 		"write": func(t *rapid.T) {
 			s := m.pick(t, m.all())
 			if !s.live() {
@@ -537,7 +549,7 @@
 		},
 		"end": func(t *rapid.T) {
 			s := m.pick(t, m.all())
-			if s.ch.state == opened && s.ch.owner != nil {
+			if s.ch.state == established && s.ch.owner != nil {
 				s.ch.End("", nil)
 			}
 		},
@@ -557,12 +569,12 @@
 func (m *run) checkArrived(t *rapid.T) {
 	pairs := map[string]*stream{}
 	for _, s := range m.server.streams {
-		pairs[fmt.Sprint(s.ch.peer)] = s
+		pairs[fmt.Sprint(s.ch.peerID)] = s
 	}
 	for _, a := range m.client.streams {
-		if b := pairs[fmt.Sprint(uint32(a.ch.num))]; b != nil {
-			checkWay(t, a, b, a.ch.state == opened)
-			checkWay(t, b, a, a.ch.state == opened)
+		if b := pairs[fmt.Sprint(uint32(a.ch.localID))]; b != nil {
+			checkWay(t, a, b, a.ch.state == established)
+			checkWay(t, b, a, a.ch.state == established)
 		}
 	}
 }
@@ -609,7 +621,7 @@
 }
 
 func (s *sinkOwner) Confirmed([]byte)           {}
-func (s *sinkOwner) Refused(uint32, []byte)     {}
+func (s *sinkOwner) Rejected(uint32, []byte)    {}
 func (s *sinkOwner) Flushed()                   {}
 func (s *sinkOwner) Requested(_, _ []byte) bool { return false }
 func (s *sinkOwner) Readable() {
@@ -642,7 +654,13 @@
 		e := &end{wire: &pipe{}}
 		e.c = New(
 			e.wire,
-			Config{Server: true, Version: "1", Most: 4, Window: 200, Budget: &Budget{Limit: 1 << 20, Floor: 64}},
+			Config{
+				Server:      true,
+				Version:     "1",
+				MaxChannels: 4,
+				Window:      200,
+				Budget:      &Budget{Limit: 1 << 20, Floor: 64},
+			},
 			e,
 		)
 		if err := e.c.Feed([]byte("SSH-2.0-f\r\n")); err != nil {
