--- a/internal/peer/packet/codec.go
+++ b/internal/peer/packet/codec.go
@@ -35,37 +35,37 @@
 
 	// MaxName is how long a member's name may be, in bytes.
 	MaxName = 40
-	// MaxPlain bounds what is encoded, in bytes. A datagram stays under what Ethernet carries whole.
-	MaxPlain = 1300
+	// MaxPlaintext bounds what is encoded, in bytes. A datagram stays under what Ethernet carries whole.
+	MaxPlaintext = 1300
 
-	flagBack = 1
+	flagReply = 1
 
-	rumorBy   = 0x10
-	rumorSelf = 0x20
+	updateHasReporter    = 0x10
+	updateHasDescription = 0x20
 )
 
 // What may be wrong with what was received. Each is final.
 var (
-	ErrMalformed = errors.New("no message")
-	ErrVersion   = errors.New("of a version that is not known")
-	ErrKey       = errors.New("sealed with a key that is not listed")
-	ErrForged    = errors.New("seal is broken")
+	ErrMalformed      = errors.New("no message")
+	ErrUnknownVersion = errors.New("of a version that is not known")
+	ErrUnknownKey     = errors.New("sealed with a key that is not listed")
+	ErrForged         = errors.New("seal is broken")
 )
 
 // Envelope is what goes along with a message.
 type Envelope struct {
-	To    uint64 // instance of the receiver, 0 where it is not known
-	Count uint64
-	Addr  netip.AddrPort
-	Zone  zonedirectory.ID // of the sender, 0 in a fleet without zones
-	Items uint64           // digest of all items of the sender's directory; 0 without zones
+	ReceiverInstance uint64 // instance of the receiver, 0 where it is not known
+	Counter          uint64
+	Addr             netip.AddrPort
+	Zone             zonedirectory.ID // of the sender, 0 in a fleet without zones
+	DirectoryDigest  uint64           // digest of all items of the sender's directory; 0 without zones
 }
 
 // Datagram is what was decoded: a message between directories where there is one, else one of members.
 type Datagram struct {
 	Envelope
-	Member    membership.Message
-	Directory *zonedirectory.Message
+	Membership membership.Message
+	Directory  *zonedirectory.Message
 }
 
 // From is the member that the datagram says it is from.
@@ -73,7 +73,7 @@
 	if d.Directory != nil {
 		return membership.ID(d.Directory.From)
 	}
-	return d.Member.From
+	return d.Membership.From
 }
 
 // Instance is that of the sender's process.
@@ -81,11 +81,11 @@
 	if d.Directory != nil {
 		return d.Directory.Instance
 	}
-	return d.Member.Instance
+	return d.Membership.Instance
 }
 
-// Hello tells that the datagram only says which process of a name its sender is.
-func (d *Datagram) Hello() bool { return d.Directory == nil && d.Member.Kind == Hello }
+// IsHello tells that the datagram only says which process of a name its sender is.
+func (d *Datagram) IsHello() bool { return d.Directory == nil && d.Membership.Kind == Hello }
 
 func appendAddr(b []byte, a netip.AddrPort) []byte {
 	if !a.IsValid() {
@@ -96,52 +96,52 @@
 	return binary.BigEndian.AppendUint16(b, a.Port())
 }
 
-// appendStart appends the version, the kind, and whom the datagram is for and from.
-func appendStart(b []byte, e *Envelope, kind byte, from membership.ID) []byte {
+// appendPrefix appends the version, the kind, and whom the datagram is for and from.
+func appendPrefix(b []byte, e *Envelope, kind byte, from membership.ID) []byte {
 	version := byte(versionFlat)
 	if e.Zone != 0 {
 		version = versionZones
 	}
 	b = append(b, version, kind)
-	b = binary.BigEndian.AppendUint64(b, e.To)
-	b = binary.BigEndian.AppendUint64(b, e.Count)
+	b = binary.BigEndian.AppendUint64(b, e.ReceiverInstance)
+	b = binary.BigEndian.AppendUint64(b, e.Counter)
 	return binary.BigEndian.AppendUint64(b, uint64(from))
 }
 
-// appendPlace appends which process of the sender's this is, and where it stands.
-func appendPlace(b []byte, e *Envelope, instance uint64) []byte {
+// appendSender appends which process of the sender's this is, and where it stands.
+func appendSender(b []byte, e *Envelope, instance uint64) []byte {
 	b = binary.BigEndian.AppendUint64(b, instance)
 	b = appendAddr(b, e.Addr)
 	if e.Zone == 0 {
 		return b
 	}
 	b = binary.BigEndian.AppendUint64(b, uint64(e.Zone))
-	return binary.BigEndian.AppendUint64(b, e.Items)
+	return binary.BigEndian.AppendUint64(b, e.DirectoryDigest)
 }
 
 // Encode appends a message between members. Rumors that would make it too long are left out; they go along with
 // another.
 func Encode(b []byte, e Envelope, m *membership.Message) []byte {
 	start := len(b)
-	b = appendStart(b, &e, byte(m.Kind), m.From)
-	b = binary.AppendUvarint(b, m.Inc)
-	b = appendPlace(b, &e, m.Instance)
-	b = append(b, byte(m.You))
-	b = binary.AppendUvarint(b, m.YouInc)
+	b = appendPrefix(b, &e, byte(m.Kind), m.From)
+	b = binary.AppendUvarint(b, m.Incarnation)
+	b = appendSender(b, &e, m.Instance)
+	b = append(b, byte(m.ReceiverState))
+	b = binary.AppendUvarint(b, m.ReceiverIncarnation)
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
-	b = binary.BigEndian.AppendUint64(b, uint64(m.About))
-	b = binary.BigEndian.AppendUint32(b, m.Got)
-	b = append(b, flags(m.Back))
+	b = binary.BigEndian.AppendUint64(b, uint64(m.Target))
+	b = binary.BigEndian.AppendUint32(b, m.PingsReceived)
+	b = append(b, flags(m.IsReply))
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	b = append(b, byte(len(m.Sums)))
-	for _, s := range m.Sums {
+	b = append(b, byte(len(m.BucketSums)))
+	for _, s := range m.BucketSums {
 		b = binary.BigEndian.AppendUint32(b, s)
 	}
 	at := len(b)
 	b = append(b, 0)
-	for i := range m.Rumors {
+	for i := range m.Updates {
 		before := len(b)
-		if b = appendRumor(b, &m.Rumors[i]); len(b)-start > MaxPlain {
+		if b = appendUpdate(b, &m.Updates[i]); len(b)-start > MaxPlaintext {
 			return b[:before]
 		}
 		b[at]++
@@ -151,27 +151,27 @@
 
 func flags(back bool) byte {
 	if back {
-		return flagBack
+		return flagReply
 	}
 	return 0
 }
 
-func appendRumor(b []byte, r *membership.Rumor) []byte {
+func appendUpdate(b []byte, r *membership.Update) []byte {
 	name := r.Name[:min(len(r.Name), MaxName)]
 	head := byte(r.State)
-	if r.By != 0 {
-		head |= rumorBy
+	if r.ReportedBy != 0 {
+		head |= updateHasReporter
 	}
 	if r.Instance != 0 || r.Addr.IsValid() || name != "" {
-		head |= rumorSelf
+		head |= updateHasDescription
 	}
 	b = append(b, head)
 	b = binary.BigEndian.AppendUint64(b, uint64(r.ID))
-	b = binary.AppendUvarint(b, r.Inc)
-	if head&rumorBy != 0 {
-		b = binary.BigEndian.AppendUint64(b, uint64(r.By))
+	b = binary.AppendUvarint(b, r.Incarnation)
+	if head&updateHasReporter != 0 {
+		b = binary.BigEndian.AppendUint64(b, uint64(r.ReportedBy))
 	}
-	if head&rumorSelf == 0 {
+	if head&updateHasDescription == 0 {
 		return b
 	}
 	b = binary.BigEndian.AppendUint64(b, r.Instance)
@@ -181,17 +181,17 @@
 
 // reader takes an encoding apart; once it has failed all further reads are zero.
 type reader struct {
-	b   []byte
-	bad bool
+	rest      []byte
+	malformed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || n > len(r.b) {
-		r.bad = true
+	if r.malformed || n > len(r.rest) {
+		r.malformed = true
 		return make([]byte, min(n, 16))
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
+	out := r.rest[:n]
+	r.rest = r.rest[n:]
 	return out
 }
 
@@ -201,12 +201,12 @@
 
 // uvarint takes the shortest form only, so that a message has one encoding.
 func (r *reader) uvarint() uint64 {
-	v, n := binary.Uvarint(r.b)
-	if n <= 0 || n > 1 && r.b[n-1] == 0 {
-		r.bad = true
+	v, n := binary.Uvarint(r.rest)
+	if n <= 0 || n > 1 && r.rest[n-1] == 0 {
+		r.malformed = true
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
@@ -216,21 +216,21 @@
 		return netip.AddrPort{}
 	}
 	if n != 4 && n != 16 {
-		r.bad = true
+		r.malformed = true
 		return netip.AddrPort{}
 	}
 	ip, _ := netip.AddrFromSlice(r.take(n))
 	if ip.Is4In6() {
-		r.bad = true
+		r.malformed = true
 	}
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(r.take(2)))
 }
 
-func (r *reader) state() membership.State { return r.isState(r.u8()) }
+func (r *reader) state() membership.State { return r.validState(r.u8()) }
 
-func (r *reader) isState(b byte) membership.State {
+func (r *reader) validState(b byte) membership.State {
 	if membership.State(b) > membership.Left {
-		r.bad = true
+		r.malformed = true
 		return membership.Unknown
 	}
 	return membership.State(b)
@@ -239,96 +239,100 @@
 // Decode reads what Encode and EncodeDirectory wrote, and nothing else. The datagram keeps nothing of b. Errors are
 // ErrMalformed and ErrVersion.
 func Decode(b []byte) (Datagram, error) {
-	if len(b) == 0 || len(b) > MaxPlain {
+	if len(b) == 0 || len(b) > MaxPlaintext {
 		return Datagram{}, ErrMalformed
 	}
 	if b[0] != versionFlat && b[0] != versionZones {
-		return Datagram{}, ErrVersion
+		return Datagram{}, ErrUnknownVersion
 	}
 	var d Datagram
-	r := &reader{b: b[1:]}
+	r := &reader{rest: b[1:]}
 	kind := r.u8()
-	d.To, d.Count = r.u64(), r.u64()
+	d.ReceiverInstance, d.Counter = r.u64(), r.u64()
 	if kind > byte(Hello) {
-		r.directory(&d, b[0], zonedirectory.Kind(kind-byte(Hello)))
+		r.directoryMessage(&d, b[0], zonedirectory.Kind(kind-byte(Hello)))
 	} else {
-		r.member(&d, b[0], membership.Kind(kind))
+		r.membershipMessage(&d, b[0], membership.Kind(kind))
 	}
-	if r.bad || len(r.b) != 0 {
+	if r.malformed || len(r.rest) != 0 {
 		return Datagram{}, ErrMalformed
 	}
 	return d, nil
 }
 
-// place reads where the sender stands.
-func (r *reader) place(e *Envelope, version byte) {
+// sender reads where the sender stands.
+func (r *reader) sender(e *Envelope, version byte) {
 	e.Addr = r.addr()
 	if version == versionFlat {
 		return
 	}
-	e.Zone, e.Items = zonedirectory.ID(r.u64()), r.u64()
-	r.bad = r.bad || e.Zone == 0
+	e.Zone, e.DirectoryDigest = zonedirectory.ID(r.u64()), r.u64()
+	r.malformed = r.malformed || e.Zone == 0
 }
 
-// member reads a message between members from its sender on.
-func (r *reader) member(d *Datagram, version byte, kind membership.Kind) {
-	m := &d.Member
+// membershipMessage reads a message between members from its sender on.
+func (r *reader) membershipMessage(d *Datagram, version byte, kind membership.Kind) {
+	m := &d.Membership
 	m.Kind = kind
-	m.From, m.Inc, m.Instance = membership.ID(r.u64()), r.uvarint(), r.u64()
-	r.place(&d.Envelope, version)
-	m.You, m.YouInc = r.state(), r.uvarint()
-	m.Seq, m.About, m.Got = r.u32(), membership.ID(r.u64()), r.u32()
-	m.Back, m.Digest = r.flag(), r.u64()
-	if sums := int(r.u8()); sums == membership.Buckets {
+	m.From, m.Incarnation, m.Instance = membership.ID(r.u64()), r.uvarint(), r.u64()
+	r.sender(&d.Envelope, version)
+	m.ReceiverState, m.ReceiverIncarnation = r.state(), r.uvarint()
+	m.Seq, m.Target, m.PingsReceived = r.u32(), membership.ID(r.u64()), r.u32()
+	m.IsReply, m.Digest = r.replyFlag(), r.u64()
+	if sums := int(r.u8()); sums == membership.SyncBuckets {
 		for range sums {
-			m.Sums = append(m.Sums, r.u32())
+			m.BucketSums = append(m.BucketSums, r.u32())
 		}
 	} else if sums != 0 {
-		r.bad = true
+		r.malformed = true
 	}
 	for range r.u8() {
-		if r.bad {
+		if r.malformed {
 			break
 		}
-		m.Rumors = append(m.Rumors, r.rumor())
+		m.Updates = append(m.Updates, r.update())
 	}
-	r.bad = r.bad || len(m.Rumors) > membership.MaxRumors || m.Kind == 0
+	r.malformed = r.malformed || len(m.Updates) > membership.MaxUpdates || m.Kind == 0
 }
 
-// flag reads the byte of flags, of which there is one.
-func (r *reader) flag() bool {
+// replyFlag reads the byte of flags, of which there is one.
+func (r *reader) replyFlag() bool {
 	flags := r.u8()
-	r.bad = r.bad || flags > flagBack
-	return flags == flagBack
+	r.malformed = r.malformed || flags > flagReply
+	return flags == flagReply
 }
 
-// rumor takes the one form that a rumor has: what is told to be there is not empty.
-func (r *reader) rumor() (out membership.Rumor) {
+// update takes the one form that a rumor has: what is told to be there is not empty.
+func (r *reader) update() (out membership.Update) {
 	head := r.u8()
-	out.State, out.ID, out.Inc = r.isState(head&^(rumorBy|rumorSelf)), membership.ID(r.u64()), r.uvarint()
-	if head&rumorBy != 0 {
-		out.By = membership.ID(r.u64())
-		r.bad = r.bad || out.By == 0
+	out.State, out.ID, out.Incarnation = r.validState(
+		head&^(updateHasReporter|updateHasDescription),
+	), membership.ID(
+		r.u64(),
+	), r.uvarint()
+	if head&updateHasReporter != 0 {
+		out.ReportedBy = membership.ID(r.u64())
+		r.malformed = r.malformed || out.ReportedBy == 0
 	}
-	if head&rumorSelf == 0 {
+	if head&updateHasDescription == 0 {
 		return out
 	}
 	out.Instance, out.Addr = r.u64(), r.addr()
 	n := int(r.u8())
 	if n > MaxName {
-		r.bad = true
+		r.malformed = true
 		return out
 	}
 	out.Name = string(r.take(n))
-	r.bad = r.bad || out.Instance == 0 && !out.Addr.IsValid() && out.Name == ""
+	r.malformed = r.malformed || out.Instance == 0 && !out.Addr.IsValid() && out.Name == ""
 	return out
 }
 
-// somewhere is an address as long as most are.
-var somewhere = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 1)
+// typicalAddr is an address as long as most are.
+var typicalAddr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 1)
 
-// Size is how long the datagram of a message between members is in a fleet without zones, in bytes, sealed. With
+// SealedSize is how long the datagram of a message between members is in a fleet without zones, in bytes, sealed. With
 // zones it is 16 more.
-func Size(m *membership.Message) int {
-	return len(Encode(nil, Envelope{Addr: somewhere}, m)) + Overhead
+func SealedSize(m *membership.Message) int {
+	return len(Encode(nil, Envelope{Addr: typicalAddr}, m)) + Overhead
 }
--- a/internal/peer/packet/codec_test.go
+++ b/internal/peer/packet/codec_test.go
@@ -32,18 +32,18 @@
 		Kind: membership.Kind(rapid.IntRange(1, int(Hello)).Draw(r, "kind")), Seq: rapid.Uint32().Draw(r, "seq"),
 		From: membership.ID(
 			u64("from"),
-		), Inc: u64("inc"), Instance: u64("instance"), You: state("you"), YouInc: u64("you inc"),
-		About: membership.ID(
+		), Incarnation: u64("inc"), Instance: u64("instance"), ReceiverState: state("you"), ReceiverIncarnation: u64("you inc"),
+		Target: membership.ID(
 			u64("about"),
-		), Got: rapid.Uint32().Draw(r, "got"), Back: rapid.Bool().Draw(r, "back"), Digest: u64("digest"),
+		), PingsReceived: rapid.Uint32().Draw(r, "got"), IsReply: rapid.Bool().Draw(r, "back"), Digest: u64("digest"),
 	}
 	if rapid.Bool().Draw(r, "sums") {
-		m.Sums = rapid.SliceOfN(rapid.Uint32(), membership.Buckets, membership.Buckets).Draw(r, "sums")
+		m.BucketSums = rapid.SliceOfN(rapid.Uint32(), membership.SyncBuckets, membership.SyncBuckets).Draw(r, "sums")
 	}
 	for range rapid.IntRange(0, 4).Draw(r, "rumors") {
-		m.Rumors = append(m.Rumors, membership.Rumor{
-			ID: membership.ID(u64("id")), State: state("state"), Inc: u64("inc"),
-			By: membership.ID(u64("by")), Instance: u64("instance"), Addr: drawAddr(r),
+		m.Updates = append(m.Updates, membership.Update{
+			ID: membership.ID(u64("id")), State: state("state"), Incarnation: u64("inc"),
+			ReportedBy: membership.ID(u64("by")), Instance: u64("instance"), Addr: drawAddr(r),
 			Name: rapid.StringOfN(rapid.RuneFrom([]rune("abc-9")), 0, MaxName, MaxName).Draw(r, "name"),
 		})
 	}
@@ -52,9 +52,9 @@
 
 func drawEnvelope(r *rapid.T, zones bool) Envelope {
 	u64 := func(name string) uint64 { return rapid.Uint64().Draw(r, name) }
-	e := Envelope{To: u64("to"), Count: u64("count"), Addr: drawAddr(r)}
+	e := Envelope{ReceiverInstance: u64("to"), Counter: u64("count"), Addr: drawAddr(r)}
 	if zones {
-		e.Zone, e.Items = zonedirectory.ID(max(u64("zone"), 1)), u64("items")
+		e.Zone, e.DirectoryDigest = zonedirectory.ID(max(u64("zone"), 1)), u64("items")
 	}
 	return e
 }
@@ -64,7 +64,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		e, m := drawMessage(r)
 		b := Encode(nil, e, &m)
-		wants(r, b, Datagram{Envelope: e, Member: m})
+		wants(r, b, Datagram{Envelope: e, Membership: m})
 	})
 }
 
@@ -84,46 +84,47 @@
 
 // Rumors that do not fit are left out; a message never is too long.
 func TestEncodingIsBounded(t *testing.T) {
-	m := membership.Message{Kind: membership.Entries, Sums: make([]uint32, membership.Buckets)}
+	m := membership.Message{Kind: membership.SyncEntries, BucketSums: make([]uint32, membership.SyncBuckets)}
 	long := netip.AddrPortFrom(netip.AddrFrom16([16]byte{0x20, 1}), 1)
-	for range membership.MaxRumors {
-		m.Rumors = append(
-			m.Rumors,
-			membership.Rumor{
-				State: membership.Alive,
-				Inc:   1 << 62,
-				Addr:  long,
-				Name:  string(bytes.Repeat([]byte("x"), 3*MaxName)),
+	for range membership.MaxUpdates {
+		m.Updates = append(
+			m.Updates,
+			membership.Update{
+				State:       membership.Alive,
+				Incarnation: 1 << 62,
+				Addr:        long,
+				Name:        string(bytes.Repeat([]byte("x"), 3*MaxName)),
 			},
 		)
 	}
 	b := Encode(nil, Envelope{}, &m)
 	d, err := Decode(b)
-	if got := d.Member; err != nil || len(b) > MaxPlain || len(got.Rumors) < 8 || len(got.Rumors[0].Name) != MaxName {
-		t.Fatalf("%d bytes, %d rumors, %v", len(b), len(got.Rumors), err)
+	if got := d.Membership; err != nil || len(b) > MaxPlaintext || len(got.Updates) < 8 ||
+		len(got.Updates[0].Name) != MaxName {
+		t.Fatalf("%d bytes, %d rumors, %v", len(b), len(got.Updates), err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(nil, Envelope{To: 1, Count: 2}, &membership.Message{Kind: membership.Ping, Seq: 3}))
+	f.Add(Encode(nil, Envelope{ReceiverInstance: 1, Counter: 2}, &membership.Message{Kind: membership.Ping, Seq: 3}))
 	f.Add(
 		Encode(
 			nil,
-			Envelope{Zone: 4, Items: 5},
+			Envelope{Zone: 4, DirectoryDigest: 5},
 			&membership.Message{
-				Kind:   membership.Entries,
-				Rumors: []membership.Rumor{{ID: 1, State: membership.Alive, Name: "a"}},
+				Kind:    membership.SyncEntries,
+				Updates: []membership.Update{{ID: 1, State: membership.Alive, Name: "a"}},
 			},
 		),
 	)
 	full := fullMessage()
-	f.Add(EncodeDirectory(nil, Envelope{To: 1, Zone: 4, Items: 5}, &full))
+	f.Add(EncodeDirectory(nil, Envelope{ReceiverInstance: 1, Zone: 4, DirectoryDigest: 5}, &full))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d, err := Decode(b)
 		if err != nil {
 			return
 		}
-		again := Encode(nil, d.Envelope, &d.Member)
+		again := Encode(nil, d.Envelope, &d.Membership)
 		if d.Directory != nil {
 			again = EncodeDirectory(nil, d.Envelope, d.Directory)
 		}
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -6,8 +6,8 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// maxCount bounds the members that a summary may say its zone has; package zone takes no more.
-const maxCount = 1 << 20
+// maxSummaryMembers bounds the members that a summary may say its zone has; package zone takes no more.
+const maxSummaryMembers = 1 << 20
 
 // The items, by the byte that they begin with.
 const (
@@ -20,8 +20,8 @@
 // Items that would make it too long are left out; the sender's digest tells of them later.
 func EncodeDirectory(b []byte, e Envelope, m *zonedirectory.Message) []byte {
 	start := len(b)
-	b = appendStart(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
-	b = appendPlace(b, &e, m.Instance)
+	b = appendPrefix(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
+	b = appendSender(b, &e, m.Instance)
 	return appendDirectory(b, start, m)
 }
 
@@ -37,20 +37,20 @@
 // where region, zone, name and value are 1 byte of length and as many.
 func appendDirectory(b []byte, start int, m *zonedirectory.Message) []byte {
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
-	b = append(b, flags(m.Back))
+	b = append(b, flags(m.IsReply))
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
 	versions := m.Versions[:min(len(m.Versions), zonedirectory.MaxVersions)]
 	b = append(b, byte(len(versions)))
 	for _, v := range versions {
 		b = binary.BigEndian.AppendUint64(b, v.Key)
 		b = binary.AppendUvarint(b, v.Version)
-		b = binary.BigEndian.AppendUint32(b, v.Check)
+		b = binary.BigEndian.AppendUint32(b, v.Checksum)
 	}
 	at := len(b)
 	b = append(b, 0)
 	for i := range m.Items[:min(len(m.Items), zonedirectory.MaxItems)] {
 		before := len(b)
-		if b = appendItem(b, &m.Items[i]); len(b)-start > MaxPlain {
+		if b = appendItem(b, &m.Items[i]); len(b)-start > MaxPlaintext {
 			return b[:before]
 		}
 		b[at]++
@@ -67,31 +67,31 @@
 		b = binary.BigEndian.AppendUint64(append(b, itemObservation), uint64(o.Zone))
 		b = binary.BigEndian.AppendUint64(b, uint64(o.Delegate))
 		b = binary.AppendUvarint(b, o.Version)
-		return appendZones(b, o.Unreachable)
+		return appendZoneIDs(b, o.Unreachable)
 	}
 	rec := it.Record
-	b = appendText(append(b, itemRecord), rec.Name, zonedirectory.MaxName)
+	b = appendString(append(b, itemRecord), rec.Name, zonedirectory.MaxName)
 	b = binary.AppendUvarint(b, rec.Version)
-	return appendText(b, rec.Value, zonedirectory.MaxValue)
+	return appendString(b, rec.Value, zonedirectory.MaxValue)
 }
 
 func appendSummary(b []byte, s *zonedirectory.Summary) []byte {
-	b = appendText(b, s.Site.Region, zonedirectory.MaxName)
-	b = appendText(b, s.Site.Zone, zonedirectory.MaxName)
+	b = appendString(b, s.Site.Region, zonedirectory.MaxName)
+	b = appendString(b, s.Site.Zone, zonedirectory.MaxName)
 	b = binary.AppendUvarint(b, s.Version)
 	b = binary.BigEndian.AppendUint64(b, uint64(s.Issuer))
-	b = binary.AppendUvarint(b, uint64(min(max(s.Live, 0), maxCount)))
-	b = binary.AppendUvarint(b, uint64(min(max(s.Known, 0), maxCount)))
+	b = binary.AppendUvarint(b, uint64(min(max(s.Live, 0), maxSummaryMembers)))
+	b = binary.AppendUvarint(b, uint64(min(max(s.Known, 0), maxSummaryMembers)))
 	contacts := s.Contacts[:min(len(s.Contacts), zonedirectory.MaxContacts)]
 	b = append(b, byte(len(contacts)))
 	for _, c := range contacts {
 		b = binary.BigEndian.AppendUint64(b, uint64(c.ID))
 		b = appendAddr(b, c.Addr)
 	}
-	return appendZones(b, s.Unreachable)
+	return appendZoneIDs(b, s.Unreachable)
 }
 
-func appendZones(b []byte, zones []zonedirectory.ID) []byte {
+func appendZoneIDs(b []byte, zones []zonedirectory.ID) []byte {
 	zones = zones[:min(len(zones), zonedirectory.MaxZones)]
 	b = append(b, byte(len(zones)))
 	for _, z := range zones {
@@ -100,36 +100,39 @@
 	return b
 }
 
-func appendText(b []byte, s string, most int) []byte {
+func appendString(b []byte, s string, most int) []byte {
 	s = s[:min(len(s), most)]
 	return append(append(b, byte(len(s))), s...)
 }
 
-// directory reads a message between directories from its sender on.
-func (r *reader) directory(d *Datagram, version byte, kind zonedirectory.Kind) {
+// directoryMessage reads a message between directories from its sender on.
+func (r *reader) directoryMessage(d *Datagram, version byte, kind zonedirectory.Kind) {
 	m := &zonedirectory.Message{Kind: kind}
 	d.Directory = m
 	m.From, m.Instance = zonedirectory.MemberID(r.u64()), r.u64()
-	r.place(&d.Envelope, version)
+	r.sender(&d.Envelope, version)
 	m.Zone = d.Zone
-	m.Seq, m.Back, m.Digest = r.u32(), r.flag(), r.u64()
-	for range r.count(zonedirectory.MaxVersions) {
-		m.Versions = append(m.Versions, zonedirectory.ItemVersion{Key: r.u64(), Version: r.uvarint(), Check: r.u32()})
+	m.Seq, m.IsReply, m.Digest = r.u32(), r.replyFlag(), r.u64()
+	for range r.boundedCount(zonedirectory.MaxVersions) {
+		m.Versions = append(
+			m.Versions,
+			zonedirectory.ItemVersion{Key: r.u64(), Version: r.uvarint(), Checksum: r.u32()},
+		)
 	}
-	for range r.count(zonedirectory.MaxItems) {
-		if r.bad {
+	for range r.boundedCount(zonedirectory.MaxItems) {
+		if r.malformed {
 			break
 		}
 		m.Items = append(m.Items, r.item())
 	}
-	r.bad = r.bad || version != versionZones || kind > zonedirectory.Compare
+	r.malformed = r.malformed || version != versionZones || kind > zonedirectory.SyncVersions
 }
 
-// count reads how many there are of something that there may be so many of.
-func (r *reader) count(most int) int {
+// boundedCount reads how many there are of something that there may be so many of.
+func (r *reader) boundedCount(most int) int {
 	n := int(r.u8())
 	if n > most {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	return n
@@ -145,7 +148,7 @@
 			Delegate: zonedirectory.MemberID(r.u64()),
 			Version:  r.uvarint(),
 		}
-		o.Unreachable = r.zones()
+		o.Unreachable = r.zoneIDs()
 		return zonedirectory.Item{Observation: o}
 	case itemRecord:
 		rec := &zonedirectory.Record{
@@ -153,10 +156,10 @@
 			Version: r.uvarint(),
 			Value:   r.text(zonedirectory.MaxValue),
 		}
-		r.bad = r.bad || rec.Name == ""
+		r.malformed = r.malformed || rec.Name == ""
 		return zonedirectory.Item{Record: rec}
 	}
-	r.bad = true
+	r.malformed = true
 	return zonedirectory.Item{}
 }
 
@@ -167,27 +170,27 @@
 		Issuer:  zonedirectory.MemberID(r.u64()),
 	}
 	live, known := r.uvarint(), r.uvarint()
-	r.bad = r.bad || s.Site.Zone == "" || live > maxCount || known > maxCount
-	s.Live, s.Known = int(min(live, maxCount)), int(min(known, maxCount))
-	for range r.count(zonedirectory.MaxContacts) {
+	r.malformed = r.malformed || s.Site.Zone == "" || live > maxSummaryMembers || known > maxSummaryMembers
+	s.Live, s.Known = int(min(live, maxSummaryMembers)), int(min(known, maxSummaryMembers))
+	for range r.boundedCount(zonedirectory.MaxContacts) {
 		c := zonedirectory.Contact{ID: zonedirectory.MemberID(r.u64()), Addr: r.addr()}
-		r.bad = r.bad || !c.Addr.IsValid()
+		r.malformed = r.malformed || !c.Addr.IsValid()
 		s.Contacts = append(s.Contacts, c)
 	}
-	s.Unreachable = r.zones()
+	s.Unreachable = r.zoneIDs()
 	return s
 }
 
-func (r *reader) zones() (out []zonedirectory.ID) {
-	for range r.count(zonedirectory.MaxZones) {
+func (r *reader) zoneIDs() (out []zonedirectory.ID) {
+	for range r.boundedCount(zonedirectory.MaxZones) {
 		out = append(out, zonedirectory.ID(r.u64()))
 	}
 	return out
 }
 
-func (r *reader) text(most int) string { return string(r.take(r.count(most))) }
+func (r *reader) text(most int) string { return string(r.take(r.boundedCount(most))) }
 
-// DirectorySize is how long the datagram of a message between directories is, in bytes, sealed.
-func DirectorySize(m *zonedirectory.Message) int {
-	return len(EncodeDirectory(nil, Envelope{Addr: somewhere, Zone: 1}, m)) + Overhead
+// SealedDirectorySize is how long the datagram of a message between directories is, in bytes, sealed.
+func SealedDirectorySize(m *zonedirectory.Message) int {
+	return len(EncodeDirectory(nil, Envelope{Addr: typicalAddr, Zone: 1}, m)) + Overhead
 }
--- a/internal/peer/packet/directory_golden_test.go
+++ b/internal/peer/packet/directory_golden_test.go
@@ -11,7 +11,7 @@
 func TestDirectoryStableForm(t *testing.T) {
 	full := fullMessage()
 	compare := full
-	compare.Kind, compare.Items = zonedirectory.Compare, nil
+	compare.Kind, compare.Items = zonedirectory.SyncVersions, nil
 	probe := zonedirectory.Message{Kind: zonedirectory.Probe, From: 1, Instance: 2, Zone: 4, Seq: 3}
 	for _, c := range []struct {
 		name    string
@@ -29,7 +29,7 @@
 		{"probe", probe, "0208000000000000feed00000000000000150000000000000001000000000000000210fd000000000000000000000000" +
 			"0000011f0a00000000000000040000000000000000000000030000000000000000000000"},
 	} {
-		e := Envelope{To: 0xfeed, Count: 21, Addr: netip.MustParseAddrPort("[fd00::1]:7946"), Zone: 4}
+		e := Envelope{ReceiverInstance: 0xfeed, Counter: 21, Addr: netip.MustParseAddrPort("[fd00::1]:7946"), Zone: 4}
 		if got := hex.EncodeToString(EncodeDirectory(nil, e, &c.message)); got != c.want {
 			t.Errorf("%s:\n got %s\nwant %s", c.name, got, c.want)
 		}
--- a/internal/peer/packet/directory_test.go
+++ b/internal/peer/packet/directory_test.go
@@ -14,8 +14,8 @@
 func fullMessage() zonedirectory.Message {
 	contact := zonedirectory.Contact{ID: 7, Addr: netip.MustParseAddrPort("10.0.0.4:7946")}
 	return zonedirectory.Message{
-		Kind: zonedirectory.Update, From: 1, Instance: 2, Zone: 4, Seq: 3, Back: true, Digest: 6,
-		Versions: []zonedirectory.ItemVersion{{Key: 1, Version: 300, Check: 2}},
+		Kind: zonedirectory.Update, From: 1, Instance: 2, Zone: 4, Seq: 3, IsReply: true, Digest: 6,
+		Versions: []zonedirectory.ItemVersion{{Key: 1, Version: 300, Checksum: 2}},
 		Items: []zonedirectory.Item{
 			{Summary: &zonedirectory.Summary{
 				Site: zonedirectory.Site{
@@ -58,7 +58,7 @@
 			}, Version: u64("version"),
 			Issuer: zonedirectory.MemberID(
 				u64("issuer"),
-			), Live: rapid.IntRange(0, maxCount).Draw(r, "live"), Known: rapid.IntRange(0, maxCount).Draw(r, "known"),
+			), Live: rapid.IntRange(0, maxSummaryMembers).Draw(r, "live"), Known: rapid.IntRange(0, maxSummaryMembers).Draw(r, "known"),
 		}
 		for range rapid.IntRange(0, zonedirectory.MaxContacts).Draw(r, "contacts") {
 			if addr := drawAddr(r); addr.IsValid() {
@@ -89,20 +89,20 @@
 	u64 := func(name string) uint64 { return rapid.Uint64().Draw(r, name) }
 	m := zonedirectory.Message{
 		Kind: zonedirectory.Kind(
-			rapid.IntRange(int(zonedirectory.Probe), int(zonedirectory.Compare)).Draw(r, "kind"),
+			rapid.IntRange(int(zonedirectory.Probe), int(zonedirectory.SyncVersions)).Draw(r, "kind"),
 		), From: zonedirectory.MemberID(u64("from")),
 		Instance: u64(
 			"instance",
-		), Zone: e.Zone, Seq: rapid.Uint32().Draw(r, "seq"), Back: rapid.Bool().Draw(r, "back"), Digest: u64("digest"),
+		), Zone: e.Zone, Seq: rapid.Uint32().Draw(r, "seq"), IsReply: rapid.Bool().Draw(r, "back"), Digest: u64("digest"),
 	}
 	if rapid.Bool().Draw(r, "compares") {
 		for range rapid.IntRange(0, zonedirectory.MaxVersions).Draw(r, "versions") {
 			m.Versions = append(
 				m.Versions,
 				zonedirectory.ItemVersion{
-					Key:     u64("key"),
-					Version: u64("version"),
-					Check:   rapid.Uint32().Draw(r, "check"),
+					Key:      u64("key"),
+					Version:  u64("version"),
+					Checksum: rapid.Uint32().Draw(r, "check"),
 				},
 			)
 		}
@@ -121,11 +121,11 @@
 		m := drawDirectory(r, e)
 		b := EncodeDirectory(nil, e, &m)
 		got, err := Decode(b)
-		if err != nil || len(b) > MaxPlain || got.Directory == nil {
+		if err != nil || len(b) > MaxPlaintext || got.Directory == nil {
 			r.Fatalf("%d bytes, %v", len(b), err)
 		}
 		if n := len(got.Directory.Items); n < len(m.Items) {
-			if one := appendItem(nil, &m.Items[n]); len(b)+len(one) <= MaxPlain {
+			if one := appendItem(nil, &m.Items[n]); len(b)+len(one) <= MaxPlaintext {
 				r.Fatalf("an item of %d bytes is left out of a message of %d", len(one), len(b))
 			}
 			if m.Items = m.Items[:n]; n == 0 {
@@ -138,16 +138,16 @@
 
 // A full set of versions and the longest summary each fit one datagram.
 func TestDirectoryMessagesFit(t *testing.T) {
-	m := zonedirectory.Message{Kind: zonedirectory.Compare}
+	m := zonedirectory.Message{Kind: zonedirectory.SyncVersions}
 	for range zonedirectory.MaxVersions {
-		m.Versions = append(m.Versions, zonedirectory.ItemVersion{Key: 1 << 63, Version: 1 << 63, Check: 1 << 31})
+		m.Versions = append(m.Versions, zonedirectory.ItemVersion{Key: 1 << 63, Version: 1 << 63, Checksum: 1 << 31})
 	}
 	long := zonedirectory.Summary{
 		Site: zonedirectory.Site{
 			Region: strings.Repeat("r", zonedirectory.MaxName),
 			Zone:   strings.Repeat("z", zonedirectory.MaxName),
 		}, Version: 1 << 63,
-		Live: maxCount, Known: maxCount, Unreachable: make([]zonedirectory.ID, zonedirectory.MaxZones),
+		Live: maxSummaryMembers, Known: maxSummaryMembers, Unreachable: make([]zonedirectory.ID, zonedirectory.MaxZones),
 	}
 	for range zonedirectory.MaxContacts {
 		long.Contacts = append(long.Contacts, zonedirectory.Contact{Addr: netip.MustParseAddrPort("[fd00::1]:7946")})
@@ -156,7 +156,8 @@
 	e := Envelope{Zone: 1, Addr: netip.MustParseAddrPort("[fd00::1]:7946")}
 	for _, one := range []*zonedirectory.Message{&m, &update} {
 		b := EncodeDirectory(nil, e, one)
-		if d, err := Decode(b); err != nil || len(b) > MaxPlain || len(d.Directory.Versions) != len(one.Versions) ||
+		if d, err := Decode(b); err != nil || len(b) > MaxPlaintext ||
+			len(d.Directory.Versions) != len(one.Versions) ||
 			len(d.Directory.Items) != len(one.Items) {
 			t.Errorf("%d bytes, %v, %+v", len(b), err, d.Directory)
 		}
@@ -165,12 +166,12 @@
 
 // What no member with zones sends is refused.
 func TestDirectoryRefused(t *testing.T) {
-	e := Envelope{To: 1, Zone: 4}
+	e := Envelope{ReceiverInstance: 1, Zone: 4}
 	for what, change := range map[string]func(*zonedirectory.Message){
 		"no zone's name":   func(m *zonedirectory.Message) { m.Items[0].Summary.Site.Zone = "" },
 		"no record's name": func(m *zonedirectory.Message) { m.Items[2].Record.Name = "" },
 		"no address":       func(m *zonedirectory.Message) { m.Items[0].Summary.Contacts[0].Addr = netip.AddrPort{} },
-		"no such kind":     func(m *zonedirectory.Message) { m.Kind = zonedirectory.Compare + 1 },
+		"no such kind":     func(m *zonedirectory.Message) { m.Kind = zonedirectory.SyncVersions + 1 },
 	} {
 		m := fullMessage()
 		change(&m)
@@ -185,7 +186,7 @@
 		t.Errorf("between directories without zones: %v", err)
 	}
 	b[0] = versionZones + 1
-	if _, err := Decode(b); !errors.Is(err, ErrVersion) {
+	if _, err := Decode(b); !errors.Is(err, ErrUnknownVersion) {
 		t.Errorf("of a later version: %v", err)
 	}
 }
--- a/internal/peer/packet/golden_test.go
+++ b/internal/peer/packet/golden_test.go
@@ -11,22 +11,22 @@
 
 // goldens are messages of a fleet without zones.
 func goldens() map[string]membership.Message {
-	sums := make([]uint32, membership.Buckets)
+	sums := make([]uint32, membership.SyncBuckets)
 	for i := range sums {
 		sums[i] = uint32(i) * 0x01020304
 	}
-	self := membership.Rumor{
-		ID: 0x0102030405060708, State: membership.Alive, Inc: 1796171470554, Instance: 7, Name: "balancer-1",
+	self := membership.Update{
+		ID: 0x0102030405060708, State: membership.Alive, Incarnation: 1796171470554, Instance: 7, Name: "balancer-1",
 		Addr: netip.MustParseAddrPort("10.0.0.4:7946"),
 	}
-	dead := membership.Rumor{ID: 9, State: membership.Dead, Inc: 300, By: 0xa}
+	dead := membership.Update{ID: 9, State: membership.Dead, Incarnation: 300, ReportedBy: 0xa}
 	head := membership.Message{
-		From:     0x1122334455667788,
-		Inc:      1796171470555,
-		Instance: 0x99,
-		You:      membership.Alive,
-		YouInc:   5,
-		Digest:   0xdddddddddddddddd,
+		From:                0x1122334455667788,
+		Incarnation:         1796171470555,
+		Instance:            0x99,
+		ReceiverState:       membership.Alive,
+		ReceiverIncarnation: 5,
+		Digest:              0xdddddddddddddddd,
 	}
 	with := func(change func(*membership.Message)) membership.Message {
 		m := head
@@ -36,15 +36,17 @@
 	return map[string]membership.Message{
 		"ping": with(func(m *membership.Message) { m.Kind, m.Seq = membership.Ping, 3 }),
 		"ack": with(func(m *membership.Message) {
-			m.Kind, m.Seq, m.Got, m.Rumors = membership.Ack, 3, 17, []membership.Rumor{dead}
+			m.Kind, m.Seq, m.PingsReceived, m.Updates = membership.Ack, 3, 17, []membership.Update{dead}
 		}),
-		"ask": with(func(m *membership.Message) { m.Kind, m.Seq, m.About = membership.Ask, 4, 12 }),
+		"ask": with(func(m *membership.Message) { m.Kind, m.Seq, m.Target = membership.IndirectPing, 4, 12 }),
 		"gossip": with(
-			func(m *membership.Message) { m.Kind, m.Rumors = membership.Gossip, []membership.Rumor{self, dead} },
+			func(m *membership.Message) { m.Kind, m.Updates = membership.Gossip, []membership.Update{self, dead} },
+		),
+		"compare": with(
+			func(m *membership.Message) { m.Kind, m.IsReply, m.BucketSums = membership.SyncSums, true, sums },
 		),
-		"compare": with(func(m *membership.Message) { m.Kind, m.Back, m.Sums = membership.Compare, true, sums }),
 		"entries": with(
-			func(m *membership.Message) { m.Kind, m.Rumors = membership.Entries, []membership.Rumor{self} },
+			func(m *membership.Message) { m.Kind, m.Updates = membership.SyncEntries, []membership.Update{self} },
 		),
 		"hello": {Kind: Hello, From: 1, Instance: 2},
 	}
@@ -65,7 +67,7 @@
 	for _, line := range lines {
 		name, want, _ := strings.Cut(line, " ")
 		m := all[name]
-		e := Envelope{To: 0xfeed, Count: 21, Addr: netip.MustParseAddrPort("[fd00::1]:7946")}
+		e := Envelope{ReceiverInstance: 0xfeed, Counter: 21, Addr: netip.MustParseAddrPort("[fd00::1]:7946")}
 		if got := hex.EncodeToString(Encode(nil, e, &m)); got != want {
 			t.Errorf("%s:\n got %s\nwant %s", name, got, want)
 		}
--- a/internal/peer/packet/seal_test.go
+++ b/internal/peer/packet/seal_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-func key(b byte, seals bool) Key { return Key{Secret: [32]byte{b}, Seals: seals} }
+func key(b byte, seals bool) Key { return Key{Secret: [32]byte{b}, Primary: seals} }
 
-func ring(t *testing.T, keys ...Key) *Ring {
+func ring(t *testing.T, keys ...Key) *Keyring {
 	t.Helper()
-	r, err := NewRing(keys)
+	r, err := NewKeyring(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	if got, err := both.Open(sealed); err != nil || string(got) != "content" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if _, err := fresh.Open(sealed); !errors.Is(err, ErrKey) {
+	if _, err := fresh.Open(sealed); !errors.Is(err, ErrUnknownKey) {
 		t.Errorf("a withdrawn key: %v", err)
 	}
 	for i := range sealed {
@@ -36,13 +36,13 @@
 			t.Fatalf("opens with byte %d changed", i)
 		}
 	}
-	for _, n := range []int{0, Overhead, MaxPlain + Overhead + 1} {
+	for _, n := range []int{0, Overhead, MaxPlaintext + Overhead + 1} {
 		if _, err := both.Open(make([]byte, n)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%d bytes: %v", n, err)
 		}
 	}
 	for _, keys := range [][]Key{nil, {key(1, false)}, {key(1, true), key(2, true)}, {key(1, true), key(1, false)}} {
-		if _, err := NewRing(keys); err == nil {
+		if _, err := NewKeyring(keys); err == nil {
 			t.Errorf("a ring of %v", keys)
 		}
 	}
@@ -51,12 +51,12 @@
 // A count is taken once, in any order within the window, and never behind it; against a plain set.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var w Window
+		var w ReplayWindow
 		seen, top := map[uint64]bool{}, uint64(0)
 		for range rapid.IntRange(1, 200).Draw(r, "n") {
 			n := uint64(rapid.IntRange(0, 3000).Draw(r, "count"))
-			want := n > 0 && !seen[n] && n+WindowSize > top
-			if got := w.Take(n); got != want {
+			want := n > 0 && !seen[n] && n+ReplayWindowSize > top
+			if got := w.Accept(n); got != want {
 				r.Fatalf("%d after %d at most: %v, want %v", n, top, got, want)
 			}
 			if want {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -48,9 +48,9 @@
 	<-done
 }
 
-func ring(t *testing.T, secret byte) *packet.Ring {
+func ring(t *testing.T, secret byte) *packet.Keyring {
 	t.Helper()
-	r, err := packet.NewRing([]packet.Key{{Secret: [32]byte(bytes.Repeat([]byte{secret}, 32)), Seals: true}})
+	r, err := packet.NewKeyring([]packet.Key{{Secret: [32]byte(bytes.Repeat([]byte{secret}, 32)), Primary: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,9 @@
 
 func (s *stage) hostAt(at netip.AddrPort, name string, secret byte, seeds ...netip.AddrPort) (h *Host) {
 	s.t.Helper()
-	return s.start(Config{Name: name, Listen: at, Seeds: seeds, Ring: ring(s.t, secret), Seed: uint64(len(name))})
+	return s.start(
+		Config{Name: name, Listen: at, Seeds: seeds, Keyring: ring(s.t, secret), RandomSeed: uint64(len(name))},
+	)
 }
 
 func (s *stage) start(cfg Config) (h *Host) {
@@ -161,13 +163,13 @@
 	)
 	next := ring(t, 2)
 	var taken int64
-	s.do(func() { a.Rekey(next); taken = a.Counts().Taken })
+	s.do(func() { a.SetKeyring(next); taken = a.Counts().Taken })
 	s.await("who has the old key only is not heard", func() bool { return a.Counts().Forged > 0 })
 	s.do(func() {
 		if n := a.Counts(); n.Taken != taken {
 			t.Errorf("%d datagrams with a withdrawn key are taken", n.Taken-taken)
 		}
-		b.Rekey(ring(t, 2))
+		b.SetKeyring(ring(t, 2))
 	})
 	s.await("with the new key it is", func() bool { return a.Counts().Taken > taken })
 }
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -23,8 +23,8 @@
 func (s *stage) config(name string, site zonedirectory.Site, seeds ...netip.AddrPort) Config {
 	s.t.Helper()
 	return Config{
-		Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Ring: ring(s.t, 1), Seed: uint64(len(name)), Site: site,
-		Expected: 4,
+		Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Keyring: ring(s.t, 1), RandomSeed: uint64(len(name)), Site: site,
+		ExpectedMembers: 4,
 	}
 }
 
@@ -34,7 +34,7 @@
 	s := newStage(t)
 	flat := s.host("flat", 1)
 	zoned := s.inZone("zoned", east, flat.Addr())
-	s.do(func() { flat.Seeds([]netip.AddrPort{zoned.Addr()}) })
+	s.do(func() { flat.SetSeeds([]netip.AddrPort{zoned.Addr()}) })
 	s.await(
 		"both count the other",
 		func() bool { return flat.Counts().OtherVersion > 1 && zoned.Counts().OtherVersion > 1 },
@@ -58,7 +58,7 @@
 	}{{east, 4}, {zonedirectory.Site{}, 1}} {
 		var first int
 		cfg := s.config("a", c.site)
-		cfg.Changed = func(members, place int) {
+		cfg.OnTick = func(members, place int) {
 			if first == 0 {
 				first = members
 			}
@@ -118,14 +118,14 @@
 	s.await("each place is taken once", func() bool {
 		var taken [4]bool
 		for _, h := range all {
-			taken[min(h.Place(), 3)] = true
+			taken[min(h.Position(), 3)] = true
 		}
 		return taken == [4]bool{true, true, true, true}
 	})
 	s.do(func() {
 		for _, h := range all {
-			if h.Known() != 4 || h.Divisor() != 4 {
-				t.Errorf("%d known, divided by %v", h.Known(), h.Divisor())
+			if h.Known() != 4 || h.RateDivisor() != 4 {
+				t.Errorf("%d known, divided by %v", h.Known(), h.RateDivisor())
 			}
 		}
 	})
@@ -174,11 +174,11 @@
 		if h.localView(s.l.Now()); h.localView(s.l.Now()) != nil {
 			t.Error("nothing has changed, and the view is told again")
 		}
-		delete(h.instance, other.ID)
-		h.zones.told = false
+		delete(h.instances, other.ID)
+		h.zones.localSent = false
 		l := h.localView(s.l.Now())
-		if l == nil || len(l.Members) != 2 || l.Live != 2 || h.instance[other.ID] != other.Instance {
-			t.Errorf("%+v, instance %d of %d", l, h.instance[other.ID], other.Instance)
+		if l == nil || len(l.Members) != 2 || l.Live != 2 || h.instances[other.ID] != other.Instance {
+			t.Errorf("%+v, instance %d of %d", l, h.instances[other.ID], other.Instance)
 		}
 	})
 }
@@ -208,12 +208,13 @@
 		"both know each other",
 		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
 	)
-	s.await("rates are divided by both", func() bool { return a.Divisor() == 2 })
+	s.await("rates are divided by both", func() bool { return a.RateDivisor() == 2 })
 	s.do(func() {
 		if _, err := a.Publish("limits", "one"); err != ErrNoZones {
 			t.Error(err)
 		}
-		if a.Zones() != nil || a.Records() != nil || a.Live() != 2 || a.Known() != 2 || a.Place()+b.Place() != 1 {
+		if a.Zones() != nil || a.Records() != nil || a.Live() != 2 || a.Known() != 2 ||
+			a.Position()+b.Position() != 1 {
 			t.Errorf("%v %v %d %d", a.Zones(), a.Records(), a.Live(), a.Known())
 		}
 	})
@@ -229,7 +230,7 @@
 	var kept []datagram
 	var again func(from netip.AddrPort, b []byte)
 	cfg := s.config("e0", east)
-	cfg.Open = func(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (Socket, error) {
+	cfg.OpenSocket = func(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (Socket, error) {
 		if again != nil {
 			return s.l.ListenDatagrams(addr, take) // at which it looks for a process before
 		}
@@ -246,7 +247,8 @@
 	ofDirectory := func() (out []datagram) {
 		for _, one := range kept {
 			if plain, err := open.Open(one.b); err == nil {
-				if d, err := packet.Decode(plain); err == nil && d.Directory != nil && d.To == a.self.Instance {
+				if d, err := packet.Decode(plain); err == nil && d.Directory != nil &&
+					d.ReceiverInstance == a.self.Instance {
 					out = append(out, one)
 				}
 			}
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -18,22 +18,28 @@
 )
 
 func channelsOn(cfg *Config) {
-	cfg.Channels = &Channels{
-		Clients: true, Nodes: true, Version: "test", Most: 100, Opens: 1000, Window: 32 << 10,
-		FirstPacket: 2 * sec, Idle: 30 * sec,
-		Pool: upstreampool.Limits{Channels: 50, Trunks: 2, All: 10, Idle: 10 * sec, Plain: 600 * sec},
+	cfg.Channels = &ChannelConfig{
+		Downstreams: true, Upstreams: true, Version: "test", MaxChannels: 100, OpensPerSecond: 1000, Window: 32 << 10,
+		SetupTimeout: 2 * second, IdleTimeout: 30 * second,
+		Pool: upstreampool.Limits{
+			ChannelsPerConnection: 50,
+			ConnectionsPerServer:  2,
+			Connections:           10,
+			IdleTimeout:           10 * second,
+			PlainTTL:              600 * second,
+		},
 	}
 }
 
-func plainNodes(cfg *Config) {
+func plainUpstreams(cfg *Config) {
 	channelsOn(cfg)
-	cfg.Channels.Nodes = false
+	cfg.Channels.Upstreams = false
 }
 
 // connection is a client's connection with channels.
-func (g *rig) connection() *sshchan.Conn {
+func (g *harness) connection() *sshchan.Conn {
 	g.t.Helper()
-	raw, err := net.Dial("tcp", g.r.Addr().String())
+	raw, err := net.Dial("tcp", g.proxy.Addr().String())
 	g.check(err)
 	g.check(raw.SetDeadline(time.Now().Add(patience)))
 	c, err := sshchan.Client(raw, 32<<10)
@@ -42,10 +48,10 @@
 	return c
 }
 
-// trunk takes the next connection at target i as one with channels.
-func (g *rig) trunk(i int) *sshchan.Conn {
+// acceptMux takes the next connection at target i as one with channels.
+func (g *harness) acceptMux(i int) *sshchan.Conn {
 	g.t.Helper()
-	p := g.hop(i)
+	p := g.acceptUpstream(i)
 	if got := p.line(); got != "SSH-2.0-spurspread_test\r\n" {
 		g.t.Fatalf("identified as %q", got)
 	}
@@ -56,13 +62,13 @@
 
 // duplex is a stream of lines from either kind of connection, as a test sees it.
 type duplex struct {
-	g     *rig
+	g     *harness
 	ch    *sshchan.Channel
 	plain *peer
 	rd    *bufio.Reader
 }
 
-func (g *rig) overChannel(ch *sshchan.Channel) *duplex {
+func (g *harness) overChannel(ch *sshchan.Channel) *duplex {
 	return &duplex{g: g, ch: ch, rd: bufio.NewReader(ch)}
 }
 
@@ -144,7 +150,7 @@
 }
 
 // answered wants the answer to an open.
-func (g *rig) answered(ch *sshchan.Channel, up bool, code uint32, text string) {
+func (g *harness) answered(ch *sshchan.Channel, up bool, code uint32, text string) {
 	g.t.Helper()
 	select {
 	case a := <-ch.Answered():
@@ -159,7 +165,7 @@
 func trimmed(text string) string { return strings.TrimSuffix(text, "\r\n") }
 
 // pair brings a stream up with either kind of connection on both sides.
-func (g *rig) pair(clientMux, targetMux bool, first string) (client, target *duplex) {
+func (g *harness) pair(clientMux, targetMux bool, first string) (client, target *duplex) {
 	g.t.Helper()
 	if clientMux {
 		c := g.connection()
@@ -170,17 +176,17 @@
 		client = &duplex{g: g, plain: g.client(first)}
 	}
 	if targetMux {
-		ch := g.trunk(0).Accept()
+		ch := g.acceptMux(0).Accept()
 		if !strings.HasPrefix(ch.Line, first[:19]) {
 			g.t.Fatalf("%q", ch.Line)
 		}
 		g.check(ch.Confirm("UP r1 from=0"))
 		target = g.overChannel(ch)
 	} else {
-		p := g.hop(0)
+		p := g.acceptUpstream(0)
 		if got := p.line(); strings.HasPrefix(got, "SSH-") { // asked whether it speaks channels
 			g.check(p.Close())
-			p = g.hop(0)
+			p = g.acceptUpstream(0)
 			p.line()
 		}
 		p.say("UP r1 from=0\r\n")
@@ -214,7 +220,7 @@
 		}, outcome.OK},
 		"both end at once": {func(c, s *duplex) { c.close(); s.close() }, 255},
 		"module moves": {func(c, s *duplex) {
-			c.g.inLoop(func() { c.g.r.do(decision.Move{ID: uint32(firstSession(c.g).ref)}) })
+			c.g.inLoop(func() { c.g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(c.g).ref)}) })
 			if token := c.moved(); token != "" {
 				c.g.t.Errorf("token %q", token)
 			}
@@ -232,7 +238,7 @@
 		for _, clientMux := range []bool{false, true} {
 			for _, targetMux := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, client %v, target %v", name, clientMux, targetMux), func(t *testing.T) {
-					g := newRig(t, 1, to, channelsOn)
+					g := newHarness(t, 1, sendToFirst, channelsOn)
 					client, target := g.pair(clientMux, targetMux, openLine)
 					client.say("T 1\r\n")
 					target.want("T 1\r\n")
@@ -240,12 +246,12 @@
 					client.want("LOAD 3\r\n")
 					client.want("OK 1\r\n")
 					c.end(client, target)
-					if o := event[decision.Outcome](g); !o.Closed || c.want != 255 && o.Status != c.want {
+					if o := event[decision.AttemptEnded](g); !o.RequestClosed || c.want != 255 && o.Status != c.want {
 						t.Errorf("%+v, want status %d", o, c.want)
 					}
 					for {
 						left := 0
-						g.inLoop(func() { left = g.r.sessions.Len() })
+						g.inLoop(func() { left = g.proxy.requests.Len() })
 						if left == 0 {
 							break
 						}
@@ -258,11 +264,11 @@
 
 // Tokens pass over channels as over plain lines.
 func TestTokensOverChannels(t *testing.T) {
-	g := resumeRig(t, channelsOn)
+	g := newResumeHarness(t, channelsOn)
 	c := g.connection()
-	ch, err := c.Open(trimmed(askLine))
+	ch, err := c.Open(trimmed(tokenRequestLine))
 	g.check(err)
-	node := g.trunk(0)
+	node := g.acceptMux(0)
 	s := node.Accept()
 	g.check(s.Confirm("UP r1 from=0"))
 	g.answered(ch, true, 0, "UP r1 from=0")
@@ -270,14 +276,14 @@
 	target.say("#1 a\r\n#2 b\r\n#3 half a mes")
 	client.want("#1 a\r\n")
 	client.want("#2 b\r\n")
-	g.drains(0)
+	g.listDraining(0)
 	word := client.moved()
 	if word == "" {
 		t.Fatal("no token")
 	}
 	again, err := c.Open(trimmed(comeLine + word))
 	g.check(err)
-	next := g.trunk(1).Accept()
+	next := g.acceptMux(1).Accept()
 	if !strings.HasSuffix(next.Line, ",cur=2,tok="+word) {
 		t.Fatalf("%q", next.Line)
 	}
@@ -292,22 +298,22 @@
 }
 
 // What an open may be answered.
-func TestRefusedChannels(t *testing.T) {
-	g := newRig(t, 1, func(ev decision.Event) []decision.Action {
+func TestRejectedChannels(t *testing.T) {
+	g := newHarness(t, 1, func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
 			switch ev.Key {
 			case 1:
-				return []decision.Action{decision.Refuse{ID: ev.ID, HoldOff: 70_000}}
+				return []decision.Action{decision.Reject{ID: ev.ID, RetryAfter: 70_000}}
 			case 2:
 				return []decision.Action{decision.Fail{ID: ev.ID}}
 			}
-			return []decision.Action{decision.Send{ID: ev.ID, GiveUp: long}}
-		case decision.Outcome:
+			return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: longTimeout}}
+		case decision.AttemptEnded:
 			return []decision.Action{decision.Fail{ID: ev.ID}}
 		}
 		return nil
-	}, func(cfg *Config) { channelsOn(cfg); cfg.Channels.Most, cfg.Channels.Opens = 3, 8 })
+	}, func(cfg *Config) { channelsOn(cfg); cfg.Channels.MaxChannels, cfg.Channels.OpensPerSecond = 3, 8 })
 	c := g.connection()
 	id := 0
 	open := func(format string) *sshchan.Channel {
@@ -322,7 +328,7 @@
 	g.answered(open("PING"), false, 1, "ERR")
 	g.answered(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
 	stands := open("OPEN ID 3 c=sync,d=5000")
-	node := g.trunk(0)
+	node := g.acceptMux(0)
 	target := node.Accept()
 	g.check(target.Confirm("UP r"))
 	g.answered(stands, true, 0, "UP r")
@@ -332,19 +338,24 @@
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens were done: the bucket is empty. Later there is room for one more, and then three are held.
 	g.answered(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 300")
-	if got := event[decision.Outcome](g); got.Status != outcome.ServerFull {
+	if got := event[decision.AttemptEnded](g); got.Status != outcome.ServerFull {
 		t.Errorf("%+v", got)
 	}
 }
 
 // What is wrong is told with DISCONNECT, or not at all but the end, and nobody else notices.
 func TestBadChannelClients(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { channelsOn(cfg); cfg.Channels.FirstPacket = 100 * ms })
+	g := newHarness(
+		t,
+		1,
+		sendToFirst,
+		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * millisecond },
+	)
 	client, target := g.pair(true, true, openLine)
 	goodbye := func(what string, c *sshchan.Conn, want string) {
 		t.Helper()
-		if ch := c.Accept(); ch != nil || !strings.Contains(c.Goodbye, want) {
-			t.Errorf("%s: %q, want %q", what, c.Goodbye, want)
+		if ch := c.Accept(); ch != nil || !strings.Contains(c.DisconnectReason, want) {
+			t.Errorf("%s: %q, want %q", what, c.DisconnectReason, want)
 		}
 	}
 	for what, b := range map[string][]byte{
@@ -391,7 +402,7 @@
 
 // Channels off: a greeting is a first line like any other.
 func TestChannelsOff(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	client := g.client("SSH-2.0-x\r\n")
 	client.want("ERR\r\n")
 	client.ended(true)
@@ -400,7 +411,7 @@
 // A client that does not read one channel, and a target that does not, stop their own senders and nobody else; what is
 // kept meanwhile is bounded.
 func TestStalledChannels(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients, targets []*duplex
 	var node *sshchan.Conn
@@ -408,7 +419,7 @@
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
 		if node == nil {
-			node = g.trunk(0)
+			node = g.acceptMux(0)
 		}
 		s := node.Accept()
 		g.check(s.Confirm("UP r"))
@@ -429,11 +440,11 @@
 		clients[2].want(fmt.Sprintf("OK %d\r\n", i))
 		kept := 0
 		g.inLoop(func() {
-			for _, s := range g.r.sessions.All {
-				kept += s.in.Pending() + s.hop.out.Pending()
+			for _, s := range g.proxy.requests.All {
+				kept += s.downstream.Pending() + s.attempt.upstream.Pending()
 			}
 		})
-		if most := 2 * (g.r.maxPending + len(g.r.scratch)); kept > most {
+		if most := 2 * (g.proxy.maxPending + len(g.proxy.readBuf)); kept > most {
 			t.Fatalf("%d bytes kept, over %d", kept, most)
 		}
 	}
@@ -447,9 +458,9 @@
 
 // A trunk that breaks ends each of its channels with one outcome, and is one piece of evidence. Hops that still
 // wait for a trunk were never sent.
-func TestTrunkBreaks(t *testing.T) {
+func TestMuxUpstreamBreaks(t *testing.T) {
 	const n = 30 // fewer than have a second trunk opened ahead of need
-	g := newRig(t, 1, to, channelsOn)
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients []*sshchan.Channel
 	var node *sshchan.Conn
@@ -457,7 +468,7 @@
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
 		if node == nil {
-			node = g.trunk(0)
+			node = g.acceptMux(0)
 		}
 		s := node.Accept()
 		if clients = append(clients, ch); i < n-5 { // some are not answered yet
@@ -468,14 +479,14 @@
 	g.check(node.Abort())
 	evidence, outcomes := 0, map[uint32]int{}
 	for range n {
-		o := event[decision.Outcome](g)
+		o := event[decision.AttemptEnded](g)
 		if o.Status != outcome.Reset {
 			t.Errorf("%+v", o)
 		}
 		if outcomes[o.ID]++; outcomes[o.ID] > 1 {
 			t.Errorf("two outcomes of %d", o.ID)
 		}
-		if !o.Echo {
+		if !o.SharedCause {
 			evidence++
 		}
 	}
@@ -492,15 +503,15 @@
 	// The next comes too soon for another trunk, and is told so without one more piece of evidence.
 	_, err := c.Open("OPEN b1 7 c=sync,d=60000")
 	g.check(err)
-	if o := event[decision.Outcome](g); o.Status != outcome.ConnectFailed || !o.Echo {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || !o.SharedCause {
 		t.Errorf("%+v", o)
 	}
 }
 
 // Hops that wait for a trunk that can't be opened were never sent; the first is the evidence.
-func TestTrunkRefused(t *testing.T) {
-	g := newRig(t, 1, nil, channelsOn)
-	g.check(g.targets[0].Close())
+func TestMuxUpstreamRefused(t *testing.T) {
+	g := newHarness(t, 1, nil, channelsOn)
+	g.check(g.servers[0].Close())
 	c := g.connection()
 	const n = 5
 	for i := range n {
@@ -513,16 +524,16 @@
 	}
 	g.inLoop(func() {
 		for _, id := range ids {
-			g.r.do(decision.Send{ID: id, GiveUp: long})
+			g.proxy.apply(decision.StartAttempt{ID: id, Timeout: longTimeout})
 		}
 	})
 	evidence := 0
 	for range n {
-		o := event[decision.Outcome](g)
+		o := event[decision.AttemptEnded](g)
 		if o.Status != outcome.ConnectFailed {
 			t.Errorf("%+v", o)
 		}
-		if !o.Echo {
+		if !o.SharedCause {
 			evidence++
 		}
 	}
@@ -538,19 +549,19 @@
 		"errs":   func(p *peer) { p.say("ERR\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, to, channelsOn)
+			g := newHarness(t, 1, sendToFirst, channelsOn)
 			first := g.client(openLine)
-			asked := g.hop(0)
+			asked := g.acceptUpstream(0)
 			if got := asked.line(); !strings.HasPrefix(got, "SSH-2.0-") {
 				t.Fatalf("%q", got)
 			}
 			answer(asked)
-			target := g.hop(0)
+			target := g.acceptUpstream(0)
 			target.line()
 			target.say("UP r1\r\n")
 			first.want("UP r1\r\n")
 			second := g.client(another)
-			target = g.hop(0)
+			target = g.acceptUpstream(0)
 			if got := target.line(); !strings.HasPrefix(got, "OPEN 9b20") {
 				t.Errorf("asked again: %q", got)
 			}
@@ -567,7 +578,7 @@
 
 // A client's connection that ends takes its channels with it, in kind, and nothing else.
 func TestClientConnectionEnds(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, other := g.connection(), g.connection()
 	var targets []*duplex
 	var node *sshchan.Conn
@@ -575,7 +586,7 @@
 		ch, err := from.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
 		if node == nil {
-			node = g.trunk(0)
+			node = g.acceptMux(0)
 		}
 		s := node.Accept()
 		g.check(s.Confirm("UP r"))
@@ -590,7 +601,7 @@
 
 // A planned stop moves every channel, and then says goodbye on the connection.
 func TestDrainChannels(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, idle := g.connection(), g.connection()
 	var clients []*duplex
 	var node *sshchan.Conn
@@ -598,19 +609,19 @@
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
 		if node == nil {
-			node = g.trunk(0)
+			node = g.acceptMux(0)
 		}
 		g.check(node.Accept().Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		clients = append(clients, g.overChannel(ch))
 	}
-	g.l.Post(g.r.Drain)
+	g.loop.Post(g.proxy.Drain)
 	for _, d := range clients {
 		d.moved()
 	}
 	for _, conn := range []*sshchan.Conn{c, idle} {
-		if ch := conn.Accept(); ch != nil || conn.Goodbye != "11 the balancer stops" {
-			t.Errorf("%q", conn.Goodbye)
+		if ch := conn.Accept(); ch != nil || conn.DisconnectReason != "11 the balancer stops" {
+			t.Errorf("%q", conn.DisconnectReason)
 		}
 	}
 	err := <-g.stopped
@@ -620,25 +631,25 @@
 
 // The loop doesn't stop before a connection whose last channel has just ended has heard goodbye, nor one that came
 // late.
-func TestGoodbyeBeforeTheStop(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+func TestDisconnectBeforeTheStop(t *testing.T) {
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	ch, err := c.Open("OPEN a1 7 c=sync,d=60000")
 	g.check(err)
-	g.check(g.trunk(0).Accept().Confirm("UP r"))
+	g.check(g.acceptMux(0).Accept().Confirm("UP r"))
 	g.answered(ch, true, 0, "UP r")
 	var late *sshchan.Conn
-	g.inLoop(g.r.Drain)
+	g.inLoop(g.proxy.Drain)
 	late = g.connection()
 	g.inLoop(func() {
-		g.r.drain.began -= 2 * drainLeast // that time is over
-		g.only().leave(outcome.Cancelled, true)
-		g.r.drained()
+		g.proxy.drain.began -= 2 * minDrainTime // that time is over
+		g.onlyRequest().moveAway(outcome.Cancelled, true)
+		g.proxy.checkDrained()
 	})
 	g.overChannel(ch).moved()
 	for _, conn := range []*sshchan.Conn{c, late} {
-		if ch := conn.Accept(); ch != nil || conn.Goodbye != "11 the balancer stops" {
-			t.Errorf("%q", conn.Goodbye)
+		if ch := conn.Accept(); ch != nil || conn.DisconnectReason != "11 the balancer stops" {
+			t.Errorf("%q", conn.DisconnectReason)
 		}
 	}
 	g.stops()
@@ -646,22 +657,24 @@
 
 // A drain of one target moves the channels that are there, with their tokens; the connection stays for the others.
 func TestDrainOneTarget(t *testing.T) {
-	g := resumeRig(t, channelsOn)
+	g := newResumeHarness(t, channelsOn)
 	c := g.connection()
 	var clients []*duplex
 	for i, at := range []int{0, 1} {
-		first := strings.Replace(trimmed(askLine), "OPEN 1", fmt.Sprint("OPEN 1", i), 1)
+		first := strings.Replace(trimmed(tokenRequestLine), "OPEN 1", fmt.Sprint("OPEN 1", i), 1)
 		g.inLoop(func() {
 			g.decide = func(ev decision.Event) []decision.Action {
 				if q, ok := ev.(decision.Request); ok {
-					return []decision.Action{decision.Send{ID: q.ID, GiveUp: long, Server: uint32(at)}}
+					return []decision.Action{
+						decision.StartAttempt{ID: q.ID, Timeout: longTimeout, Server: uint32(at)},
+					}
 				}
-				return onward(ev)
+				return sendOrMove(ev)
 			}
 		})
 		ch, err := c.Open(first)
 		g.check(err)
-		s := g.trunk(at).Accept()
+		s := g.acceptMux(at).Accept()
 		g.check(s.Confirm("UP r from=0"))
 		g.answered(ch, true, 0, "UP r from=0")
 		clients = append(clients, g.overChannel(ch))
@@ -673,7 +686,7 @@
 			}()
 		}
 	}
-	g.drains(0)
+	g.listDraining(0)
 	if clients[0].moved() == "" {
 		t.Error("no token")
 	}
@@ -683,8 +696,8 @@
 }
 
 // A target that says nothing any more on a trunk is given up, its clients are moved, and that is one piece of evidence.
-func TestSilentTrunk(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+func TestSilentMuxUpstream(t *testing.T) {
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients []*duplex
 	var node *sshchan.Conn
@@ -692,24 +705,24 @@
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
 		if node == nil {
-			node = g.trunk(0)
+			node = g.acceptMux(0)
 		}
 		g.check(node.Accept().Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		clients = append(clients, g.overChannel(ch))
 	}
 	g.inLoop(func() {
-		for _, t := range g.r.trunks {
-			t.heard -= trunkSilent
-			t.look()
+		for _, t := range g.proxy.muxUpstreams {
+			t.lastReceived -= upstreamSilenceTimeout
+			t.checkAlive()
 		}
 	})
 	evidence := 0
 	for _, d := range clients {
 		d.moved()
-		if o := event[decision.Outcome](g); o.Status != outcome.Reset {
+		if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset {
 			t.Errorf("%+v", o)
-		} else if !o.Echo {
+		} else if !o.SharedCause {
 			evidence++
 		}
 	}
@@ -720,31 +733,31 @@
 
 // A client that says nothing is asked, and ended in the end; one that answers stays.
 func TestKeepalive(t *testing.T) {
-	g := newRig(t, 1, to, channelsOn)
+	g := newHarness(t, 1, sendToFirst, channelsOn)
 	client, _ := g.pair(true, true, openLine)
 	age := func(by eventloop.Micros) (over bool) {
 		g.inLoop(func() {
-			for m := range g.r.muxes {
-				m.heard -= by
-				m.look()
-				over = m.over
+			for m := range g.proxy.muxDownstreams {
+				m.lastReceived -= by
+				m.checkIdle()
+				over = m.closed
 			}
 		})
 		return over
 	}
-	if age(40 * sec) {
+	if age(40 * second) {
 		t.Error("ended before it was asked")
 	}
 	for quiet := eventloop.Micros(1); quiet > 0; { // its answer is heard
 		g.inLoop(func() {
-			for m := range g.r.muxes {
-				if quiet = 0; m.heard < g.l.Now()-sec {
+			for m := range g.proxy.muxDownstreams {
+				if quiet = 0; m.lastReceived < g.loop.Now()-second {
 					quiet = 1
 				}
 			}
 		})
 	}
-	if !age(61 * sec) {
+	if !age(61 * second) {
 		t.Error("never ended")
 	}
 	client.ended(true)
@@ -752,7 +765,7 @@
 
 // Short of descriptors, connections without channels go first.
 func TestIdleConnectionsGoFirst(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { plainNodes(cfg); cfg.Descriptors = 40 })
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { plainUpstreams(cfg); cfg.MaxDescriptors = 40 })
 	client, target := g.pair(true, false, openLine)
 	for range 60 {
 		p := g.client("SSH-2.0-x\r\n")
@@ -761,7 +774,7 @@
 	client.say("T 1\r\n")
 	target.want("T 1\r\n")
 	evicted, open := 0, 0
-	g.inLoop(func() { evicted, open = g.r.counts.evicted, g.l.Descriptors() })
+	g.inLoop(func() { evicted, open = g.proxy.counters.evicted, g.loop.Descriptors() })
 	if evicted < 30 || open > 40 {
 		t.Errorf("%d evicted, %d descriptors", evicted, open)
 	}
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -17,32 +17,32 @@
 // stands, so that all of it waits when the loop goes on. docs/design/ordering.md has the table of states and
 // events.
 
-// ask is a client's first line with an id of its own.
-func ask(id int) string { return fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", id) }
+// openLineWithID is a client's first line with an id of its own.
+func openLineWithID(id int) string { return fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", id) }
 
-// waits is a request that the module keeps without an attempt; it returns its client and its session.
-func (g *rig) waits(id int) (*peer, *session) {
+// pendingRequest is a request that the module keeps without an attempt; it returns its client and its session.
+func (g *harness) pendingRequest(id int) (*peer, *request) {
 	g.t.Helper()
-	client := g.client(ask(id))
+	client := g.client(openLineWithID(id))
 	q := event[decision.Request](g)
-	var s *session
-	g.inLoop(func() { s, _ = g.r.sessions.Get(eventloop.Ref(q.ID)) })
+	var s *request
+	g.inLoop(func() { s, _ = g.proxy.requests.Get(eventloop.Ref(q.ID)) })
 	return client, s
 }
 
-// never is a module that decides nothing: a test does.
-func never(decision.Event) []decision.Action { return nil }
+// decideNothing is a module that decides nothing: a test does.
+func decideNothing(decision.Event) []decision.Action { return nil }
 
-// unasked checks that the next connection at target 0 ends without a byte.
-func (g *rig) unasked() {
+// noRequest checks that the next connection at target 0 ends without a byte.
+func (g *harness) noRequest() {
 	g.t.Helper()
-	if b, err := io.ReadAll(g.hop(0)); len(b) > 0 || isTimeout(err) {
+	if b, err := io.ReadAll(g.acceptUpstream(0)); len(b) > 0 || isTimeout(err) {
 		g.t.Fatalf("the target was sent %q, %v", b, err)
 	}
 }
 
-// unheard checks that the module has been asked nothing.
-func (g *rig) unheard() {
+// noOutcome checks that the module has been asked nothing.
+func (g *harness) noOutcome() {
 	g.t.Helper()
 	for len(g.events) > 0 {
 		if ev, ok := (<-g.events).(decision.Request); ok {
@@ -52,9 +52,9 @@
 }
 
 // outcome waits for the one outcome of an attempt.
-func (g *rig) outcome(want outcome.Status, closed bool) {
+func (g *harness) outcome(want outcome.Status, closed bool) {
 	g.t.Helper()
-	if o := event[decision.Outcome](g); o.Status != want || o.Closed != closed {
+	if o := event[decision.AttemptEnded](g); o.Status != want || o.RequestClosed != closed {
 		g.t.Fatalf("%+v, want status %d, closed %v", o, want, closed)
 	}
 }
@@ -73,16 +73,16 @@
 func TestLeftWhileItWaited(t *testing.T) {
 	for name, leave := range gone {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, never, nil)
-			client, s := g.waits(1)
+			g := newHarness(t, 1, decideNothing, nil)
+			client, s := g.pendingRequest(1)
 			g.inLoop(func() {
 				leave(client)
-				g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long})
+				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
 			})
 			g.outcome(outcome.Inconclusive, true)
-			_, other := g.waits(2)
-			g.inLoop(func() { g.r.do(decision.Send{ID: uint32(other.ref), GiveUp: long}) })
-			if got := g.hop(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
+			_, other := g.pendingRequest(2)
+			g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(other.ref), Timeout: longTimeout}) })
+			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
 				t.Errorf("the target was sent %q", got)
 			}
 		})
@@ -93,14 +93,14 @@
 func TestLeftWhileItConnected(t *testing.T) {
 	for name, leave := range gone {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, never, nil)
-			client, s := g.waits(1)
+			g := newHarness(t, 1, decideNothing, nil)
+			client, s := g.pendingRequest(1)
 			g.inLoop(func() {
-				g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long})
+				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
 				leave(client)
 			})
 			g.outcome(outcome.Cancelled, true)
-			g.unasked()
+			g.noRequest()
 		})
 	}
 }
@@ -109,10 +109,10 @@
 func TestLeftBeforeItWasAccepted(t *testing.T) {
 	for _, name := range []string{"ends", "ends its side", "ends, behind", "ends, far behind"} {
 		t.Run(name, func(t *testing.T) {
-			g := newDecidedRig(t, 1, nil)
-			g.inLoop(func() { gone[name](g.client(ask(1))) })
-			g.client(ask(2))
-			if got := g.hop(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
+			g := newHarnessWithModule(t, 1, nil)
+			g.inLoop(func() { gone[name](g.client(openLineWithID(1))) })
+			g.client(openLineWithID(2))
+			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
 				t.Errorf("the target was sent %q", got)
 			}
 		})
@@ -128,17 +128,17 @@
 	} {
 		for way, leave := range gone {
 			t.Run(name+", "+way, func(t *testing.T) {
-				g := newDecidedRig(t, 2, nil)
-				client := g.client(ask(1))
-				target := g.hop(g.chosen())
+				g := newHarnessWithModule(t, 2, nil)
+				client := g.client(openLineWithID(1))
+				target := g.acceptUpstream(g.chosen())
 				target.line()
 				g.inLoop(func() {
 					refuse(target)
 					leave(client)
 				})
-				g.until(func() bool { return g.r.sessions.Len() == 0 })
-				g.client(ask(2))
-				if got := g.hop(g.chosen()).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
+				g.until(func() bool { return g.proxy.requests.Len() == 0 })
+				g.client(openLineWithID(2))
+				if got := g.acceptUpstream(g.chosen()).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
 					t.Errorf("a target was sent %q", got)
 				}
 			})
@@ -147,12 +147,12 @@
 }
 
 // chosen waits for an attempt and tells which target it goes to.
-func (g *rig) chosen() (at int) {
+func (g *harness) chosen() (at int) {
 	g.t.Helper()
 	g.until(func() bool {
-		for _, s := range g.r.sessions.All {
-			if s.hop != nil {
-				at = int(s.hop.target.Num)
+		for _, s := range g.proxy.requests.All {
+			if s.attempt != nil {
+				at = int(s.attempt.server.Number)
 				return true
 			}
 		}
@@ -165,19 +165,19 @@
 func TestLeftBeforeItsServerWasListed(t *testing.T) {
 	for name, leave := range gone {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, never, nil)
+			g := newHarness(t, 1, decideNothing, nil)
 			client := g.client("OPEN a b c=sync,d=60000,at=s9\r\n")
-			g.taken(1)
+			g.waitAccepted(1)
 			g.inLoop(func() {
 				leave(client)
-				c, err := g.r.table.Apply(
+				c, err := g.proxy.servers.Apply(
 					[]byte(
-						`{"generation":2,"instances":[` + listed("s9", g.targets[0].Addr().String(), "Ready") + `]}`,
+						`{"generation":2,"instances":[` + listed("s9", g.servers[0].Addr().String(), "Ready") + `]}`,
 					),
 				)
 				g.check(err)
-				before := g.l.Descriptors()
-				if g.r.Listed(c); g.l.Descriptors() > before {
+				before := g.loop.Descriptors()
+				if g.proxy.Listed(c); g.loop.Descriptors() > before {
 					t.Error("its server is connected to")
 				}
 			})
@@ -195,59 +195,59 @@
 		"not in list":  "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, never, nil)
-			_, s := g.waits(1)
+			g := newHarness(t, 1, decideNothing, nil)
+			_, s := g.pendingRequest(1)
 			list := `{"generation":2,"reset":true,"instances":[]}`
 			if entry != "" {
 				if !strings.Contains(entry, "hostPort") {
-					entry += fmt.Sprintf(`,"hostPort":%q`, g.targets[0].Addr())
+					entry += fmt.Sprintf(`,"hostPort":%q`, g.servers[0].Addr())
 				}
 				list = fmt.Sprintf(`{"generation":2,"instances":[{"instanceId":"s0","weight":1,%s}]}`, entry)
 			}
 			g.inLoop(func() {
-				g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long})
-				c, err := g.r.table.Apply([]byte(list))
+				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
+				c, err := g.proxy.servers.Apply([]byte(list))
 				g.check(err)
-				g.r.Listed(c)
+				g.proxy.Listed(c)
 			})
 			g.outcome(outcome.Inconclusive, false)
-			g.unasked()
+			g.noRequest()
 		})
 	}
 }
 
 // A target that is listed otherwise only in what does not matter keeps what is on its way.
-func TestNotRecalledForLess(t *testing.T) {
-	g := newRig(t, 1, never, nil)
-	_, s := g.waits(1)
+func TestNotRecalledForOtherChanges(t *testing.T) {
+	g := newHarness(t, 1, decideNothing, nil)
+	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
-		g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long})
-		c, err := g.r.table.Apply(
+		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
+		c, err := g.proxy.servers.Apply(
 			[]byte(
-				`{"generation":2,"instances":[` + strings.Replace(listed("s0", g.targets[0].Addr().String(), "Ready"),
+				`{"generation":2,"instances":[` + strings.Replace(listed("s0", g.servers[0].Addr().String(), "Ready"),
 					`"weight":1`, `"weight":2`, 1) + `]}`,
 			),
 		)
 		g.check(err)
-		g.r.Listed(c)
+		g.proxy.Listed(c)
 	})
-	g.hop(0).line()
+	g.acceptUpstream(0).line()
 }
 
 // A repeat whose window has gone by when its connection is up is never written.
-func TestWindowCountsAtTheWriting(t *testing.T) {
-	g := newRig(t, 1, never, nil)
-	_, s := g.waits(1)
+func TestSendWindowCountsAtTheWriting(t *testing.T) {
+	g := newHarness(t, 1, decideNothing, nil)
+	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
-		g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long, Within: 1000})
-		pass(2 * time.Millisecond)
+		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout, WriteWithin: 1000})
+		waitFor(2 * time.Millisecond)
 	})
 	g.outcome(outcome.Inconclusive, false)
-	g.unasked()
+	g.noRequest()
 }
 
-// pass lets time go by for all that counts it by the clock.
-func pass(span time.Duration) {
+// waitFor lets time go by for all that counts it by the clock.
+func waitFor(span time.Duration) {
 	for began := time.Now(); time.Since(began) < span; {
 	}
 }
@@ -255,24 +255,24 @@
 // between acts once between the moment in which a hop is told that it is connected and its first write: there the relay
 // looks at its client.
 type between struct {
-	client
+	downstream
 	act func()
 }
 
 func (b *between) Read(buf []byte) (int, error) {
 	b.act()
 	b.act = func() {}
-	return b.client.Read(buf)
+	return b.downstream.Read(buf)
 }
 
 // A connection that is reset before the first line could be written is one that never ran.
 func TestLineThatCouldNotBeWritten(t *testing.T) {
-	g := newRig(t, 1, never, nil)
-	_, s := g.waits(1)
+	g := newHarness(t, 1, decideNothing, nil)
+	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
-		g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long})
-		target := g.hop(0)
-		s.in = &between{s.in, func() {
+		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
+		target := g.acceptUpstream(0)
+		s.downstream = &between{s.downstream, func() {
 			g.check(target.SetLinger(0))
 			g.check(target.Close())
 		}}
@@ -289,21 +289,21 @@
 	}{
 		"full, then reset":       {func(p *peer) { p.say("BUSY\r\n"); reset(p) }, outcome.ServerFull},
 		"full, then ended":       {func(p *peer) { p.say("BUSY\r\n"); _ = p.Close() }, outcome.ServerFull},
-		"error, then reset":      {func(p *peer) { p.say("ERR\r\n"); reset(p) }, outcome.ErrorAnswer},
+		"error, then reset":      {func(p *peer) { p.say("ERR\r\n"); reset(p) }, outcome.ErrorResponse},
 		"full, then up":          {func(p *peer) { p.say("BUSY\r\nUP r1\r\n") }, outcome.ServerFull},
-		"error, then full":       {func(p *peer) { p.say("ERR\r\nBUSY\r\n") }, outcome.ErrorAnswer},
+		"error, then full":       {func(p *peer) { p.say("ERR\r\nBUSY\r\n") }, outcome.ErrorResponse},
 		"part of full, then end": {func(p *peer) { p.say("BUS"); _ = p.Close() }, outcome.Reset},
 		"full without its end":   {func(p *peer) { p.say("BUSY"); reset(p) }, outcome.Reset},
-		"endless":                {func(p *peer) { p.say(strings.Repeat("U", 64<<10)) }, outcome.ErrorAnswer},
+		"endless":                {func(p *peer) { p.say(strings.Repeat("U", 64<<10)) }, outcome.ErrorResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, to, nil)
+			g := newHarness(t, 1, sendToFirst, nil)
 			client := g.client(openLine)
-			target := g.hop(0)
+			target := g.acceptUpstream(0)
 			target.line()
 			g.inLoop(func() { c.act(target) })
 			g.outcome(c.want, false)
-			g.inLoop(func() { g.r.do(decision.Fail{ID: uint32(firstSession(g).ref)}) })
+			g.inLoop(func() { g.proxy.apply(decision.Fail{ID: uint32(firstRequest(g).ref)}) })
 			client.want("ERR\r\n")
 			client.ended(true)
 			for len(g.events) > 0 {
@@ -317,16 +317,16 @@
 
 // An answer that is there when its attempt's time is up counts: it came in the very turn in which the timer is due.
 func TestAnswerInTheTurnOfTheTimer(t *testing.T) {
-	g := newRig(t, 1, never, nil)
-	client, s := g.waits(1)
-	g.inLoop(func() { g.r.do(decision.Send{ID: uint32(s.ref), GiveUp: long}) })
-	target := g.hop(0)
+	g := newHarness(t, 1, decideNothing, nil)
+	client, s := g.pendingRequest(1)
+	g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout}) })
+	target := g.acceptUpstream(0)
 	target.line()
 	g.inLoop(func() {
-		s.hop.until = g.l.Now() + ms
-		s.hop.await()
-		g.l.After(0, func() { target.say("UP r1\r\n") }) // due before the timer, in one turn with it
-		pass(2 * time.Millisecond)
+		s.attempt.deadline = g.loop.Now() + millisecond
+		s.attempt.awaitAnswer()
+		g.loop.After(0, func() { target.say("UP r1\r\n") }) // due before the timer, in one turn with it
+		waitFor(2 * time.Millisecond)
 	})
 	event[decision.Established](g)
 	client.want("UP r1\r\n")
@@ -347,7 +347,7 @@
 
 // of has the one class follow the rule.
 func of(t *testing.T, rule string) func(*Config) {
-	set, err := settings.ParseJSON([]byte(strings.Replace(rigSettings, `"effect":"read_like"`, rule, 1)))
+	set, err := settings.ParseJSON([]byte(strings.Replace(harnessSettings, `"effect":"read_like"`, rule, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,13 +363,13 @@
 			if strings.HasSuffix(name, "not sent") {
 				targets = 0
 			}
-			g := newDecidedRig(t, targets, of(t, c.rule))
+			g := newHarnessWithModule(t, targets, of(t, c.rule))
 			client := g.client(openLine)
 			event[decision.Request](g)
 			for i := range targets {
-				g.hop(i).line()
+				g.acceptUpstream(i).line()
 			}
-			g.l.Post(g.r.Drain)
+			g.loop.Post(g.proxy.Drain)
 			if got := client.line(); !strings.HasPrefix(got, c.promised) {
 				t.Errorf("%q, want %s", got, c.promised)
 			}
@@ -381,21 +381,21 @@
 }
 
 // Nor does what is answered at once to a request that goes where its client says.
-func TestDrainGivesBackByTheClass(t *testing.T) {
+func TestDrainRejectsByTheClass(t *testing.T) {
 	for name, c := range effects {
 		t.Run(name, func(t *testing.T) {
-			g := newDecidedRig(t, 1, of(t, c.rule))
+			g := newHarnessWithModule(t, 1, of(t, c.rule))
 			at := "s0"
 			if strings.HasSuffix(name, "not sent") {
 				at = "nobody"
 			}
 			client := g.client("OPEN a b c=sync,d=60000,at=" + at + "\r\n")
 			if at == "s0" {
-				g.hop(0).line()
+				g.acceptUpstream(0).line()
 			} else {
-				g.taken(1)
+				g.waitAccepted(1)
 			}
-			g.inLoop(func() { g.r.startDrain() })
+			g.inLoop(func() { g.proxy.startDrain() })
 			if got := client.line(); !strings.HasPrefix(got, c.promised) {
 				t.Errorf("%q, want %s", got, c.promised)
 			}
@@ -403,14 +403,14 @@
 	}
 }
 
-// taken waits until so many requests have been taken in.
-func (g *rig) taken(n int) {
+// waitAccepted waits until so many requests have been taken in.
+func (g *harness) waitAccepted(n int) {
 	g.t.Helper()
-	g.until(func() bool { return g.r.counts.taken >= n })
+	g.until(func() bool { return g.proxy.counters.accepted >= n })
 }
 
 // until waits for something to hold in the loop.
-func (g *rig) until(holds func() bool) {
+func (g *harness) until(holds func() bool) {
 	g.t.Helper()
 	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		var now bool
@@ -425,77 +425,77 @@
 
 // A request read after the stop began is answered and never sent on: whole and unread when it begins, in pieces
 // round it, on a connection that had said nothing, in the accept queue.
-func TestAskedRoundTheStop(t *testing.T) {
-	for name, act := range map[string]func(g *rig) []*peer{
-		"unread": func(g *rig) (all []*peer) {
+func TestRequestsAroundTheStop(t *testing.T) {
+	for name, act := range map[string]func(g *harness) []*peer{
+		"unread": func(g *harness) (all []*peer) {
 			p := g.client("")
-			g.seen()
+			g.waitRead()
 			g.inLoop(func() {
 				p.say(openLine)
-				g.r.Drain()
+				g.proxy.Drain()
 			})
 			return []*peer{p}
 		},
-		"in pieces": func(g *rig) []*peer {
+		"in pieces": func(g *harness) []*peer {
 			p := g.client(openLine[:20])
 			g.until(func() bool {
-				return g.r.room.strangers.Len() == 1 && len(g.r.room.strangers.Front().Value.(*door).head) == 20
+				return g.proxy.idle.silent.Len() == 1 && len(g.proxy.idle.silent.Front().Value.(*downstreamConn).firstLine) == 20
 			})
-			g.inLoop(g.r.Drain)
+			g.inLoop(g.proxy.Drain)
 			p.say(openLine[20:30])
-			g.until(func() bool { return len(g.r.room.strangers.Front().Value.(*door).head) == 30 })
+			g.until(func() bool { return len(g.proxy.idle.silent.Front().Value.(*downstreamConn).firstLine) == 30 })
 			p.say(openLine[30:])
 			return []*peer{p}
 		},
-		"silent until then": func(g *rig) []*peer {
+		"silent until then": func(g *harness) []*peer {
 			p := g.client("")
-			g.seen()
-			g.inLoop(g.r.Drain)
+			g.waitRead()
+			g.inLoop(g.proxy.Drain)
 			p.say(openLine)
 			return []*peer{p}
 		},
-		"behind a front's ping": func(g *rig) []*peer {
+		"behind a front's ping": func(g *harness) []*peer {
 			p := g.client("PING\r\n")
 			p.want("PONG\r\n")
 			g.inLoop(func() {
-				g.r.Drain()
+				g.proxy.Drain()
 				p.say(openLine)
 			})
 			return []*peer{p}
 		},
-		"in the accept queue": func(g *rig) (all []*peer) {
+		"in the accept queue": func(g *harness) (all []*peer) {
 			g.inLoop(func() {
 				for i := range 100 { // more than are accepted in one turn
-					all = append(all, g.client(ask(i)))
+					all = append(all, g.client(openLineWithID(i)))
 				}
-				g.r.Drain()
+				g.proxy.Drain()
 			})
 			return all
 		},
-		"in the accept queue as the listener closes": func(g *rig) (all []*peer) {
+		"in the accept queue as the listener closes": func(g *harness) (all []*peer) {
 			g.inLoop(func() {
-				g.r.Drain()
+				g.proxy.Drain()
 				for i := range 100 {
-					all = append(all, g.client(ask(i)))
+					all = append(all, g.client(openLineWithID(i)))
 				}
-				g.r.shut()
+				g.proxy.closeListener()
 			})
 			return all
 		},
-		"unread as resting connections are ended": func(g *rig) []*peer {
+		"unread as resting connections are ended": func(g *harness) []*peer {
 			p := g.client("")
-			g.seen()
+			g.waitRead()
 			g.inLoop(func() {
-				g.r.Drain()
+				g.proxy.Drain()
 				p.say(openLine)
-				g.r.dismiss()
+				g.proxy.closeIdle()
 			})
 			return []*peer{p}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newDecidedRig(t, 1, nil)
+			g := newHarnessWithModule(t, 1, nil)
 			for _, p := range act(g) {
 				if got := p.line(); !strings.HasPrefix(got, "BUSY ") {
 					t.Fatalf("%q", got)
@@ -504,15 +504,15 @@
 				_ = p.Close()
 			}
 			g.stops()
-			g.unheard()
+			g.noOutcome()
 		})
 	}
 }
 
-// seen waits until the relay has one connection that has said nothing.
-func (g *rig) seen() {
+// waitRead waits until the relay has one connection that has said nothing.
+func (g *harness) waitRead() {
 	g.t.Helper()
-	g.until(func() bool { return g.r.room.strangers.Len() == 1 })
+	g.until(func() bool { return g.proxy.idle.silent.Len() == 1 })
 }
 
 // A connection that rests until the balancer ends it sees a plain end, also if a request of its own crosses that
@@ -520,12 +520,12 @@
 func TestRestingConnectionsEndPlainly(t *testing.T) {
 	t.Run("crossing", func(t *testing.T) {
 		t.Parallel()
-		g := newDecidedRig(t, 1, nil)
+		g := newHarnessWithModule(t, 1, nil)
 		p := g.client("")
-		g.seen()
+		g.waitRead()
 		g.inLoop(func() {
-			g.r.Drain()
-			g.r.dismiss()
+			g.proxy.Drain()
+			g.proxy.closeIdle()
 			p.say(openLine)
 		})
 		p.ended(true)
@@ -533,11 +533,11 @@
 		p.ended(true)
 		_ = p.Close()
 		g.stops()
-		g.unheard()
+		g.noOutcome()
 	})
 	t.Run("half a line", func(t *testing.T) {
 		t.Parallel()
-		g := newDecidedRig(t, 1, nil)
+		g := newHarnessWithModule(t, 1, nil)
 		p := g.client(openLine[:20])
 		p.want("ERR\r\n")
 		p.ended(true)
@@ -545,10 +545,10 @@
 	})
 	t.Run("to the end of the loop", func(t *testing.T) {
 		t.Parallel()
-		g := newDecidedRig(t, 1, nil)
+		g := newHarnessWithModule(t, 1, nil)
 		p, q := g.client(""), g.client("PING\r\n")
 		q.want("PONG\r\n")
-		g.l.Post(g.r.Drain)
+		g.loop.Post(g.proxy.Drain)
 		p.ended(true)
 		q.ended(true)
 		_, _ = p.Close(), q.Close()
@@ -559,17 +559,17 @@
 // A client that goes on sending reads its answer all the same: nothing is closed over what it sent, until its time
 // is up.
 func TestFloodBehindTheAnswer(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+	g := newHarness(t, 0, nil, nil)
 	p := g.client("")
-	g.seen()
+	g.waitRead()
 	g.inLoop(func() {
-		d := g.r.room.strangers.Front().Value.(*door)
+		d := g.proxy.idle.silent.Front().Value.(*downstreamConn)
 		p.say("nonsense\r\n")
 		d.Readable(d.conn)
 		block := strings.Repeat("k", 64<<10)
 		for more := 2; !d.closed && more > 0; {
 			p.say(block)
-			if d.Readable(d.conn); d.dropped > maxDiscard {
+			if d.Readable(d.conn); d.discarded > maxDiscardedBytes {
 				more--
 			}
 		}
@@ -584,17 +584,17 @@
 
 // SIGTERM again, and a hand-over behind it, change nothing that a stop has begun.
 func TestStopTwice(t *testing.T) {
-	g := newDecidedRig(t, 1, nil)
-	client, _ := g.stand()
+	g := newHarnessWithModule(t, 1, nil)
+	client, _ := g.establish()
 	var began eventloop.Micros
 	g.inLoop(func() {
-		g.r.Drain()
-		began = g.r.drain.began
+		g.proxy.Drain()
+		began = g.proxy.drain.began
 	})
 	g.inLoop(func() {
-		g.r.Drain()
-		g.r.HandOver("nowhere", 1)
-		if d := g.r.drain; d.began != began || d.handing || d.round != 1 {
+		g.proxy.Drain()
+		g.proxy.HotRestart("nowhere", 1)
+		if d := g.proxy.drain; d.began != began || d.handingOver || d.generation != 1 {
 			t.Errorf("%+v", d)
 		}
 	})
@@ -612,10 +612,10 @@
 func TestRetunedWhileARequestWaits(t *testing.T) {
 	const strict = `"effect":"non_idempotent"`
 	for name, after := range map[string]string{
-		"other rules":  rigSettings,
-		"gone":         strings.Replace(rigSettings, `"name":"sync"`, `"name":"other"`, 1),
-		"other number": strings.Replace(rigSettings, `[{"name":"sync"`, `[{"name":"other","slo":1,"deadline":9000000,"effect":"read_like","streaming":true},{"name":"sync"`, 1),
-		"one attempt":  strings.Replace(rigSettings, `"most_tries":4`, `"most_tries":1`, 1),
+		"other rules":  harnessSettings,
+		"gone":         strings.Replace(harnessSettings, `"name":"sync"`, `"name":"other"`, 1),
+		"other number": strings.Replace(harnessSettings, `[{"name":"sync"`, `[{"name":"other","slo":1,"deadline":9000000,"effect":"read_like","streaming":true},{"name":"sync"`, 1),
+		"one attempt":  strings.Replace(harnessSettings, `"most_tries":4`, `"most_tries":1`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -623,15 +623,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := newDecidedRig(t, 1, of(t, strict))
+			g := newHarnessWithModule(t, 1, of(t, strict))
 			free, named := g.client(openLine), g.client("OPEN a b c=sync,d=60000,at=s0\r\n")
-			g.hop(0).line()
-			g.hop(0).line()
+			g.acceptUpstream(0).line()
+			g.acceptUpstream(0).line()
 			g.inLoop(func() {
-				cfg := g.r.cfg
+				cfg := g.proxy.cfg
 				cfg.Settings = set
-				g.r.Reload(cfg)
-				g.r.Drain()
+				g.proxy.Reload(cfg)
+				g.proxy.Drain()
 			})
 			free.want("ERR\r\n")
 			named.want("ERR\r\n")
@@ -649,14 +649,14 @@
 		"began anew": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Ready","startedAtMs":1700000000000}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, to, nil)
+			g := newHarness(t, 1, sendToFirst, nil)
 			client := g.client(openLine)
-			target := g.hop(0)
+			target := g.acceptUpstream(0)
 			target.line()
 			g.inLoop(func() {
-				c, err := g.r.table.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
+				c, err := g.proxy.servers.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
 				g.check(err)
-				g.r.Listed(c)
+				g.proxy.Listed(c)
 				target.say("UP r1\r\n")
 			})
 			client.want("UP r1\r\n")
@@ -668,20 +668,20 @@
 // A request with an attempt out when the balancer begins to leave is served all the same, once, and moved after it
 // stands.
 func TestAnswerWhileLeaving(t *testing.T) {
-	for name, leave := range map[string]func(*rig){
-		"stop":      func(g *rig) { g.r.Drain() },
-		"lame duck": func(g *rig) { g.r.Manage(lifecycle.LameDuckCall) },
-		"lame duck, then stop": func(g *rig) {
-			g.r.Manage(lifecycle.LameDuckCall)
-			g.r.Drain()
+	for name, leave := range map[string]func(*harness){
+		"stop":      func(g *harness) { g.proxy.Drain() },
+		"lame duck": func(g *harness) { g.proxy.HandleAdminCall(lifecycle.CommandLameDuck) },
+		"lame duck, then stop": func(g *harness) {
+			g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
+			g.proxy.Drain()
 		},
-		"hand-over to nobody": func(g *rig) { g.r.HandOver("nowhere", 1) },
+		"hand-over to nobody": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newDecidedRig(t, 1, nil)
+			g := newHarnessWithModule(t, 1, nil)
 			client := g.client(openLine)
-			target := g.hop(0)
+			target := g.acceptUpstream(0)
 			target.line()
 			g.inLoop(func() {
 				leave(g)
@@ -712,7 +712,7 @@
 		"target resets": {func(_, s *peer) { _ = s.SetLinger(0); _ = s.Close() }, func(c, _ *peer) { c.ended(false) }, outcome.Reset},
 		"client resets": {func(c, _ *peer) { _ = c.SetLinger(0); _ = c.Close() }, func(_, s *peer) { s.ended(false) }, outcome.Cancelled},
 		"moved again": {
-			func(c, s *peer) { c.g.inLoop(func() { firstSession(c.g).move(outcome.Cancelled) }); s.say("\r\n") },
+			func(c, s *peer) { c.g.inLoop(func() { firstRequest(c.g).move(outcome.Cancelled) }); s.say("\r\n") },
 			func(c, s *peer) {
 				c.want("\r\n")
 				c.want("MOVE\r\n")
@@ -722,19 +722,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 1, to, nil)
-			client, target := g.stand()
+			g := newHarness(t, 1, sendToFirst, nil)
+			client, target := g.establish()
 			target.say("half")
 			half := make([]byte, 4)
 			if _, err := io.ReadFull(client.rd, half); err != nil {
 				t.Fatal(err)
 			}
-			g.inLoop(func() { g.r.do(decision.Move{ID: uint32(firstSession(g).ref)}) })
+			g.inLoop(func() { g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(g).ref)}) })
 			c.act(client, target)
 			c.seen(client, target)
 			g.outcome(c.want, true)
 			for len(g.events) > 0 {
-				if ev, ok := (<-g.events).(decision.Outcome); ok {
+				if ev, ok := (<-g.events).(decision.AttemptEnded); ok {
 					t.Errorf("a second outcome: %+v", ev)
 				}
 			}
@@ -744,15 +744,15 @@
 
 // A connection that goes for want of descriptors, just as its client asks, is answered first; one that has said
 // nothing sees a plain end.
-func TestAskedAsItIsEvicted(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+func TestRequestReadOnEviction(t *testing.T) {
+	g := newHarness(t, 0, nil, nil)
 	asks, silent := g.client(""), g.client("")
-	g.until(func() bool { return g.r.room.strangers.Len() == 2 })
+	g.until(func() bool { return g.proxy.idle.silent.Len() == 2 })
 	g.inLoop(func() {
 		asks.say(openLine)
-		g.r.cfg.Descriptors = 1
-		g.r.makeRoom()
-		if n := g.r.room.strangers.Len() + g.r.room.answered.Len(); n != 0 {
+		g.proxy.cfg.MaxDescriptors = 1
+		g.proxy.evictIdle()
+		if n := g.proxy.idle.silent.Len() + g.proxy.idle.answered.Len(); n != 0 {
 			t.Errorf("%d connections stay", n)
 		}
 	})
@@ -761,30 +761,30 @@
 	}
 	asks.ended(true)
 	silent.ended(true)
-	g.unheard()
+	g.noOutcome()
 }
 
 // Settings read again during a planned stop don't shorten it: who stands is moved as was planned, and not cut off.
 func TestRetunedDuringAStop(t *testing.T) {
-	for name, leave := range map[string]func(*rig){
-		"stop":      func(g *rig) { g.r.Drain() },
-		"hand-over": func(g *rig) { g.r.HandOver("nowhere", 1) },
+	for name, leave := range map[string]func(*harness){
+		"stop":      func(g *harness) { g.proxy.Drain() },
+		"hand-over": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 1, to, nil)
-			client, _ := g.stand()
+			g := newHarness(t, 1, sendToFirst, nil)
+			client, _ := g.establish()
 			set, err := settings.ParseJSON(
-				[]byte(strings.Replace(rigSettings, `"deadline":60000000`, `"deadline":100000`, 1)),
+				[]byte(strings.Replace(harnessSettings, `"deadline":60000000`, `"deadline":100000`, 1)),
 			)
 			if err != nil {
 				t.Fatal(err)
 			}
 			g.inLoop(func() {
 				leave(g)
-				cfg := g.r.cfg
+				cfg := g.proxy.cfg
 				cfg.Settings = set
-				g.r.Reload(cfg)
+				g.proxy.Reload(cfg)
 			})
 			client.want("MOVE\r\n")
 			client.ended(true)
--- a/internal/proxy/pass_test.go
+++ b/internal/proxy/pass_test.go
@@ -16,29 +16,31 @@
 )
 
 // successor is a second relay with the same list of servers, which takes standing connections at the path.
-func (g *rig) successor() (next *rig, path string) {
+func (g *harness) successor() (next *harness, path string) {
 	g.t.Helper()
-	next = newRig(g.t, 0, to, func(cfg *Config) { cfg.Known = g.known })
+	next = newHarness(g.t, 0, sendToFirst, func(cfg *Config) { cfg.CachedList = g.cachedList })
 	path = filepath.Join(g.t.TempDir(), "taking.sock")
-	next.inLoop(func() { g.check(next.r.TakeOver(path)) })
+	next.inLoop(func() { g.check(next.proxy.AcceptTransfers(path)) })
 	return next, path
 }
 
-// handOver has the relay end for process pid's sake.
-func (g *rig) handOver(path string, pid int) { g.l.Post(func() { g.r.HandOver(path, pid) }) }
+// hotRestart has the relay end for process pid's sake.
+func (g *harness) hotRestart(path string, pid int) {
+	g.loop.Post(func() { g.proxy.HotRestart(path, pid) })
+}
 
-// stands brings up a connection with an id of its own.
-func (g *rig) stands(id int) (client, target *peer) {
+// establishID brings up a connection with an id of its own.
+func (g *harness) establishID(id int) (client, target *peer) {
 	g.t.Helper()
 	client = g.client(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000,g=5c\r\n", id))
-	target = g.hop(0)
+	target = g.acceptUpstream(0)
 	target.line()
 	target.say("UP r1\r\n")
 	client.want("UP r1\r\n")
 	return client, target
 }
 
-func (g *rig) stops() {
+func (g *harness) stops() {
 	g.t.Helper()
 	err := <-g.stopped
 	g.stopped <- err
@@ -47,13 +49,13 @@
 
 // Streams that run while a new version takes over go on as if nothing were: every line arrives once and in order, both
 // ways, nobody is moved, and each Send has brought one Outcome.
-func TestStreamsPassToTheSuccessor(t *testing.T) {
+func TestConnectionsTransferToTheSuccessor(t *testing.T) {
 	const streams, lines = 60, 400
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	next, path := g.successor()
 	var pairs [][2]*peer
 	for i := range streams {
-		client, target := g.stands(0x1000 + i)
+		client, target := g.establishID(0x1000 + i)
 		pairs = append(pairs, [2]*peer{client, target})
 	}
 	for range streams {
@@ -92,24 +94,29 @@
 		}
 	}
 	halfway.Wait()
-	g.handOver(path, os.Getpid())
+	g.hotRestart(path, os.Getpid())
 	all.Wait()
 	g.stops()
 	outcomes := map[uint32]int{}
 	for len(g.events) > 0 {
-		if o, ok := (<-g.events).(decision.Outcome); ok {
+		if o, ok := (<-g.events).(decision.AttemptEnded); ok {
 			outcomes[o.ID]++
-			if o.Status != outcome.Cancelled || !o.Closed {
+			if o.Status != outcome.Cancelled || !o.RequestClosed {
 				t.Errorf("%+v", o)
 			}
 		}
 	}
-	if len(outcomes) != streams || g.r.counts.passed != streams || g.r.counts.moved != 0 {
-		t.Errorf("%d outcomes, %d passed, %d moved", len(outcomes), g.r.counts.passed, g.r.counts.moved)
+	if len(outcomes) != streams || g.proxy.counters.transferred != streams || g.proxy.counters.moved != 0 {
+		t.Errorf(
+			"%d outcomes, %d passed, %d moved",
+			len(outcomes),
+			g.proxy.counters.transferred,
+			g.proxy.counters.moved,
+		)
 	}
 	opened := map[uint32]bool{}
 	for range streams {
-		o := event[decision.Open](next)
+		o := event[decision.ExistingConnection](next)
 		opened[o.Request.ID] = true
 		if o.Server != 0 || o.Request.Key != 0x7f3a || o.Request.Group != 0x5c {
 			t.Errorf("%+v", o)
@@ -124,7 +131,7 @@
 	g.check(pairs[1][0].SetLinger(0))
 	g.check(pairs[1][0].Close())
 	pairs[1][1].ended(false)
-	next.l.Post(next.r.Drain)
+	next.loop.Post(next.proxy.Drain)
 	for _, p := range pairs[2:] {
 		p[0].want("MOVE\r\n")
 		p[0].ended(true)
@@ -132,38 +139,38 @@
 }
 
 // What the successor can't or doesn't take stays with the old process and is moved, between two lines.
-func TestWhatDoesNotPassIsMoved(t *testing.T) {
+func TestNotTransferredIsMoved(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		peer  func(*rig) (path string, pid int) // the other side
-		first func(client, target *peer)        // said before the hand-over
-		then  string                            // said by the target after it
+		peer  func(*harness) (path string, pid int) // the other side
+		first func(client, target *peer)            // said before the hand-over
+		then  string                                // said by the target after it
 	}{
-		{name: "nobody there", peer: func(*rig) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() }},
-		{name: "another process than the note says", peer: func(g *rig) (string, int) {
+		{name: "nobody there", peer: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() }},
+		{name: "another process than the note says", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
 			return path, 1
 		}},
-		{name: "a successor on its way out", peer: func(g *rig) (string, int) {
+		{name: "a successor on its way out", peer: func(g *harness) (string, int) {
 			next, path := g.successor()
-			next.manage(lifecycle.LameDuckCall)
+			next.adminCall(lifecycle.CommandLameDuck)
 			return path, os.Getpid()
 		}},
-		{name: "a successor that doesn't know the server", peer: func(g *rig) (string, int) {
-			g.known = []byte(`{"generation":1,"reset":true,"instances":[]}`)
+		{name: "a successor that doesn't know the server", peer: func(g *harness) (string, int) {
+			g.cachedList = []byte(`{"generation":1,"reset":true,"instances":[]}`)
 			_, path := g.successor()
 			return path, os.Getpid()
 		}},
-		{name: "a successor short of descriptors", peer: func(g *rig) (string, int) {
+		{name: "a successor short of descriptors", peer: func(g *harness) (string, int) {
 			next, path := g.successor()
-			next.inLoop(func() { next.r.cfg.Descriptors = 1 })
+			next.inLoop(func() { next.proxy.cfg.MaxDescriptors = 1 })
 			return path, os.Getpid()
 		}},
-		{name: "a successor that never answers", peer: mute(nil)},
-		{name: "a successor that dies", peer: mute(func(link *eventloop.Packets) { link.Close() })},
-		{name: "a successor that talks nonsense", peer: mute(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) })},
-		{name: "a successor that takes another", peer: mute(func(link *eventloop.Packets) { _ = link.Send(restartproto.Answer(7, true)) })},
-		{name: "a line under way", peer: func(g *rig) (string, int) {
+		{name: "a successor that never answers", peer: silentSuccessor(nil)},
+		{name: "a successor that dies", peer: silentSuccessor(func(link *eventloop.Packets) { link.Close() })},
+		{name: "a successor that talks nonsense", peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) })},
+		{name: "a successor that takes another", peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) })},
+		{name: "a line under way", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
 			return path, os.Getpid()
 		}, first: func(client, target *peer) {
@@ -174,16 +181,18 @@
 		}, then: "lf\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t, 1, to, nil)
+			g := newHarness(t, 1, sendToFirst, nil)
 			path, pid := c.peer(g)
-			client, target := g.stand()
+			client, target := g.establish()
 			if c.first != nil {
 				c.first(client, target)
 			}
-			g.handOver(path, pid)
+			g.hotRestart(path, pid)
 			if c.then != "" {
 				for done := false; !done; { // all the while it is looked at, and can't pass
-					g.inLoop(func() { done = g.r.drain.passer != nil && g.r.drain.passer.plan.Moving() })
+					g.inLoop(
+						func() { done = g.proxy.drain.transfer != nil && g.proxy.drain.transfer.plan.Draining() },
+					)
 				}
 				target.say(c.then)
 				client.want(c.then)
@@ -191,12 +200,12 @@
 			client.want("MOVE\r\n")
 			client.ended(true)
 			_ = client.Close()
-			if o := event[decision.Outcome](g); o.Status != outcome.Cancelled || !o.Closed {
+			if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
 				t.Errorf("%+v", o)
 			}
 			g.stops()
-			if g.r.counts.passed != 0 {
-				t.Errorf("%d passed", g.r.counts.passed)
+			if g.proxy.counters.transferred != 0 {
+				t.Errorf("%d passed", g.proxy.counters.transferred)
 			}
 		})
 	}
@@ -205,14 +214,14 @@
 // While the successor has not answered, nobody reads the connection; what came meanwhile is passed on once it is clear
 // who has it.
 func TestNothingIsReadWhileOffered(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	path, pid := mute(nil)(g)
-	client, target := g.stand()
-	g.handOver(path, pid)
+	g := newHarness(t, 1, sendToFirst, nil)
+	path, pid := silentSuccessor(nil)(g)
+	client, target := g.establish()
+	g.hotRestart(path, pid)
 	for offered := 0; offered == 0; {
 		g.inLoop(func() {
-			if p := g.r.drain.passer; p != nil {
-				offered = map[bool]int{true: 1}[g.only().phase == passing]
+			if p := g.proxy.drain.transfer; p != nil {
+				offered = map[bool]int{true: 1}[g.onlyRequest().state == stateTransferring]
 			}
 		})
 	}
@@ -225,55 +234,58 @@
 }
 
 // How long a server has said nothing is told to the successor: silence begun under the old process still ends in time.
-func TestSilencePasses(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+func TestSilenceIsTransferred(t *testing.T) {
+	g := newHarness(t, 1, sendToFirst, nil)
 	next, path := g.successor()
-	client, target := g.stand()
+	client, target := g.establish()
 	client.say("anybody?\r\n")
 	target.want("anybody?\r\n")
 	g.inLoop(func() {
-		s := g.only()
-		s.lastBack -= 10 * sec
-		s.waiting[0] -= 10 * sec
+		s := g.onlyRequest()
+		s.lastReply -= 10 * second
+		s.sentAt[0] -= 10 * second
 	})
 	quiet := make(chan eventloop.Micros, 1)
 	next.inLoop(func() {
 		next.decide = func(ev decision.Event) []decision.Action {
-			if _, ok := ev.(decision.Open); ok {
-				quiet <- next.l.Now() - next.only().lastBack
+			if _, ok := ev.(decision.ExistingConnection); ok {
+				quiet <- next.loop.Now() - next.onlyRequest().lastReply
 			}
 			return nil
 		}
 	})
-	g.handOver(path, os.Getpid())
-	if age := <-quiet; age < 10*sec {
+	g.hotRestart(path, os.Getpid())
+	if age := <-quiet; age < 10*second {
 		t.Errorf("silent for %d µs, as far as the successor knows", age)
 	}
 	client.want("MOVE\r\n")
 	client.ended(true)
 	next.inLoop(func() {
-		if next.r.counts.adopted != 1 || next.r.counts.silent != 1 {
-			t.Errorf("%+v", next.r.counts)
+		if next.proxy.counters.adopted != 1 || next.proxy.counters.silent != 1 {
+			t.Errorf("%+v", next.proxy.counters)
 		}
 	})
 }
 
-// mute is a process that takes offers and answers in its own way, or not at all.
-func mute(answer func(*eventloop.Packets)) func(*rig) (string, int) {
-	return func(g *rig) (string, int) {
+// silentSuccessor is a process that takes offers and answers in its own way, or not at all.
+func silentSuccessor(answer func(*eventloop.Packets)) func(*harness) (string, int) {
+	return func(g *harness) (string, int) {
 		path := filepath.Join(g.t.TempDir(), "mute.sock")
 		g.inLoop(func() {
-			_, err := g.l.ListenPackets(path, func(*eventloop.Packets) eventloop.PacketOwner { return deaf{answer} })
+			_, err := g.loop.ListenPackets(
+				path,
+				func(*eventloop.Packets) eventloop.PacketOwner { return scriptedSuccessor{answer} },
+			)
 			g.check(err)
 		})
 		return path, os.Getpid()
 	}
 }
 
-type deaf struct{ answer func(*eventloop.Packets) }
+type scriptedSuccessor struct{ answer func(*eventloop.Packets) }
 
-func (deaf) Ended(link *eventloop.Packets) { link.Close() }
-func (d deaf) Packet(link *eventloop.Packets, _ []byte, fds []int) {
+func (scriptedSuccessor) Ended(link *eventloop.Packets) { link.Close() }
+func (d scriptedSuccessor) Packet(link *eventloop.Packets, _ []byte, fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
@@ -284,16 +296,16 @@
 
 // What comes to the socket and is no standing connection is refused, holds no descriptor, and hurts nobody.
 func TestBadOffers(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	_, path := g.successor()
-	client, target := g.stand()
-	good := restartproto.Standing{Ref: 9, ID: 1, Class: "sync", Target: "s0"}
+	client, target := g.establish()
+	good := restartproto.ConnectionOffer{Ref: 9, ID: 1, Class: "sync", Server: "s0"}
 	packet, err := good.Encode()
 	g.check(err)
 	answers := make(chan string, 1)
 	var link *eventloop.Packets
 	g.inLoop(func() {
-		link, err = g.l.DialPackets(path, os.Getpid(), hearing(answers))
+		link, err = g.loop.DialPackets(path, os.Getpid(), packetRecorder(answers))
 		g.check(err)
 	})
 	for _, c := range []struct {
@@ -307,7 +319,10 @@
 		{"one socket", string(packet), 1, "-9"},
 	} {
 		g.inLoop(func() {
-			conns := []*eventloop.Conn{g.only().in.(*door).conn, g.only().hop.out.(*eventloop.Conn)}
+			conns := []*eventloop.Conn{
+				g.onlyRequest().downstream.(*downstreamConn).conn,
+				g.onlyRequest().attempt.upstream.(*eventloop.Conn),
+			}
 			g.check(link.Send([]byte(c.text), conns[:c.conns]...))
 		})
 		if got := <-answers; got != c.want {
@@ -318,8 +333,8 @@
 	client.want("still there\r\n")
 	for _, want := range []string{"+9", "-9"} { // a second one of the same id is not new
 		g.inLoop(func() {
-			s := g.only()
-			g.check(link.Send(packet, s.in.(*door).conn, s.hop.out.(*eventloop.Conn)))
+			s := g.onlyRequest()
+			g.check(link.Send(packet, s.downstream.(*downstreamConn).conn, s.attempt.upstream.(*eventloop.Conn)))
 		})
 		if got := <-answers; got != want {
 			t.Errorf("%q, want %q", got, want)
@@ -328,26 +343,26 @@
 }
 
 // Who takes tokens is moved with one, and does not pass: the successor would know nothing of its stream.
-func TestTokensDoNotPass(t *testing.T) {
-	g := resumeRig(t, nil)
+func TestResumableStreamsAreNotTransferred(t *testing.T) {
+	g := newResumeHarness(t, nil)
 	_, path := g.successor()
-	client, _ := g.standing()
-	g.handOver(path, os.Getpid())
+	client, _ := g.establishResumable()
+	g.hotRestart(path, os.Getpid())
 	client.moved()
 	g.stops()
-	if g.r.counts.passed != 0 {
-		t.Errorf("%d passed", g.r.counts.passed)
+	if g.proxy.counters.transferred != 0 {
+		t.Errorf("%d passed", g.proxy.counters.transferred)
 	}
 }
 
-type hearing chan string
+type packetRecorder chan string
 
-func (hearing) Ended(link *eventloop.Packets)                    { link.Close() }
-func (h hearing) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
+func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
+func (h packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
 
-// only is the one session there is, read on the loop.
-func (g *rig) only() (s *session) {
-	for _, s = range g.r.sessions.All {
+// onlyRequest is the one session there is, read on the loop.
+func (g *harness) onlyRequest() (s *request) {
+	for _, s = range g.proxy.requests.All {
 	}
 	return s
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -26,326 +26,336 @@
 	Settings          settings.Settings
 	Listen, Discovery netip.AddrPort
 	Seed              uint64
-	Known             []byte // the route table as it was last held; may be empty
-	Descriptors       int    // how many the process may hold
-	Memory            int64  // bytes that it may use; 0 where not told, as above
-	Resume            *Resume
+	CachedList        []byte // the route table as it was last held; may be empty
+	MaxDescriptors    int    // how many the process may hold
+	MemoryLimit       int64  // bytes that it may use; 0 where not told, as above
+	Resume            *ResumeConfig
 	// Keep, if set, is given what discovery has told, whole, some time after a change of it. It must not wait.
-	Keep     func(discovery netip.AddrPort, list []byte)
-	Channels *Channels
+	SaveList func(discovery netip.AddrPort, list []byte)
+	Channels *ChannelConfig
 }
 
 const (
-	ms  eventloop.Micros = 1000
-	sec eventloop.Micros = 1000 * ms
+	millisecond eventloop.Micros = 1000
+	second      eventloop.Micros = 1000 * millisecond
 )
 
-// decider is the decision module, as far as the relay knows it.
-type decider interface {
+// decisionModule is the decision module, as far as the relay knows it.
+type decisionModule interface {
 	Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action
 }
 
-// Relay is one balancer: its loop's sockets, its route table and its decision module.
-type Relay struct {
-	l         *eventloop.Loop
+// Proxy is one balancer: its loop's sockets, its route table and its decision module.
+type Proxy struct {
+	loop      *eventloop.Loop
 	cfg       Config
 	log       *logrus.Logger
-	bal       decider
-	table     *discovery.Table
-	discovery *discovery.Discovery
-	ingress   *eventloop.Listener
+	balancer  decisionModule
+	servers   *discovery.ServerList
+	discovery *discovery.Client
+	listener  *eventloop.Listener
 
-	sessions eventloop.Slots[*session]
-	underWay roster // sessions that have no answer yet
-	awaited  roster // sessions with lines that have not been answered
-	ending   int    // connections that have their answer, and are given a moment to take it
-	room     room
-	ids      ids
-	gone     []*session // answered and closed; their slots are freed once the module's queue is empty
-	targets  []*pace    // by the target's number
-	queue    []decision.Event
-	telling  bool
-	actions  []decision.Action
-	scratch  []byte
-	wide     []byte // what connections with channels read into
-	budget   mux.Budget
-	muxes    map[*muxed]bool
-	pool     *upstreampool.Pool
-	trunks   map[uint32]*trunk
-	idle     []uint32
+	requests       eventloop.Slots[*request]
+	unanswered     requestSet // sessions that have no answer yet
+	awaitingReply  requestSet // sessions with lines that have not been answered
+	lingering      int        // connections that have their answer, and are given a moment to take it
+	idle           idleConns
+	requestIDs     requestIDs
+	closedRequests []*request       // answered and closed; their slots are freed once the module's queue is empty
+	latencies      []*serverLatency // by the target's number
+	events         []decision.Event
+	dispatching    bool
+	actions        []decision.Action
+	readBuf        []byte
+	muxReadBuf     []byte // what connections with channels read into
+	windowBudget   mux.Budget
+	muxDownstreams map[*muxDownstreamConn]bool
+	upstreamPool   *upstreampool.Pool
+	muxUpstreams   map[uint32]*muxUpstreamConn
+	idleUpstreams  []uint32
 	// Bytes kept for a slow reader before its sender is left alone.
-	maxPending int
-	sized      int // for so many it was last fitted to the memory
-	counts     counts
-	drain      drain
-	keeping    bool // the list is to be kept soon
-	members    int  // of the fleet, 0 where nobody has told
-	place      int  // among them
-	resumption resumption
+	maxPending      int
+	buffersSizedFor int // for so many it was last fitted to the memory
+	counters        counters
+	drain           drainState
+	saveScheduled   bool // the list is to be kept soon
+	fleetSize       int  // of the fleet, 0 where nobody has told
+	fleetRank       int  // among them
+	resumption      resumption
 }
 
-// counts are what the log tells now and then.
-type counts struct{ taken, up, shed, failed, moved, silent, odd, evicted, trunksFailed, echoes, passed, adopted int }
+// counters are what the log tells now and then.
+type counters struct{ accepted, established, rejected, failed, moved, silent, protocolErrors, evicted, upstreamsFailed, sharedFailures, transferred, adopted int }
 
 // New starts a relay on the loop: it listens, and its module starts from the known list.
-func New(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Relay, error) {
-	return start(l, cfg, log, decision.New(cfg.Settings.Logic, cfg.Seed, decision.Micros(l.Now())))
+func New(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Proxy, error) {
+	return start(l, cfg, log, decision.New(cfg.Settings.Decision, cfg.Seed, decision.Micros(l.Now())))
 }
 
-func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, bal decider) (*Relay, error) {
-	r := &Relay{
-		l: l, cfg: cfg, log: log, bal: bal, table: discovery.NewTable(), ids: newIDs(),
-		scratch: make([]byte, 8<<10), muxes: map[*muxed]bool{}, trunks: map[uint32]*trunk{},
+func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, bal decisionModule) (*Proxy, error) {
+	r := &Proxy{
+		loop: l, cfg: cfg, log: log, balancer: bal, servers: discovery.NewServerList(), requestIDs: newRequestIDs(),
+		readBuf: make(
+			[]byte,
+			8<<10,
+		), muxDownstreams: map[*muxDownstreamConn]bool{}, muxUpstreams: map[uint32]*muxUpstreamConn{},
 	}
-	r.rosters()
-	r.limit()
-	r.setChannels(cfg.Channels)
-	r.resumption.set(cfg.Resume, cfg.Seed)
-	r.discovery = discovery.NewDiscovery(l, cfg.Discovery, r.table, r)
-	known := discovery.Change{}
-	if len(cfg.Known) > 0 {
+	r.initRequestSets()
+	r.sizeBuffers()
+	r.configureChannels(cfg.Channels)
+	r.resumption.configure(cfg.Resume, cfg.Seed)
+	r.discovery = discovery.NewClient(l, cfg.Discovery, r.servers, r)
+	known := discovery.Update{}
+	if len(cfg.CachedList) > 0 {
 		var err error
-		if known, err = r.discovery.Known(cfg.Known); err != nil {
+		if known, err = r.discovery.Restore(cfg.CachedList); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	var err error
-	if r.ingress, err = l.ListenShared(cfg.Listen, r.accept); err != nil {
+	if r.listener, err = l.ListenShared(cfg.Listen, r.accept); err != nil {
 		return nil, err
 	}
-	r.tell(r.update(decision.Cached, known))
-	r.evacuate(known)
-	r.heedPushed()
-	r.l.After(sweepEvery, r.sweep)
-	r.l.After(reportEvery, r.report)
+	r.dispatch(r.listUpdate(decision.UpdateCached, known))
+	r.moveOffDrainingServers(known)
+	r.watchPushedLists()
+	r.loop.After(sweepInterval, r.sweep)
+	r.loop.After(statsInterval, r.logStats)
 	return r, nil
 }
 
-// rosters begins the lists of sessions that something is to be looked at for.
-func (r *Relay) rosters() {
-	r.underWay.place = func(s *session) *int32 { return &s.inUnderWay }
-	r.awaited.place = func(s *session) *int32 { return &s.inAwaited }
+// initRequestSets begins the lists of sessions that something is to be looked at for.
+func (r *Proxy) initRequestSets() {
+	r.unanswered.index = func(s *request) *int32 { return &s.unansweredIndex }
+	r.awaitingReply.index = func(s *request) *int32 { return &s.awaitingReplyIndex }
 }
 
 // Addr is where the relay listens.
-func (r *Relay) Addr() netip.AddrPort { return r.ingress.Addr() }
+func (r *Proxy) Addr() netip.AddrPort { return r.listener.Addr() }
 
-// Fleet tells how many balancers share the fleet's budgets now, and which place this one has among them. Until
+// SetFleet tells how many balancers share the fleet's budgets now, and which place this one has among them. Until
 // then, and where nobody tells, the settings' numbers hold.
-func (r *Relay) Fleet(members, place int) {
-	if members == r.members && place == r.place {
+func (r *Proxy) SetFleet(members, place int) {
+	if members == r.fleetSize && place == r.fleetRank {
 		return
 	}
-	r.members, r.place = members, place
-	r.counted(&r.cfg.Settings.Logic)
-	r.tell(decision.Retuned{Settings: r.cfg.Settings.Logic})
+	r.fleetSize, r.fleetRank = members, place
+	r.applyFleet(&r.cfg.Settings.Decision)
+	r.dispatch(decision.SettingsChanged{Settings: r.cfg.Settings.Decision})
 }
 
-// counted puts what was told of the fleet in place of the settings' numbers.
-func (r *Relay) counted(s *decision.Settings) {
-	if r.members > 0 {
-		s.Balancers, s.Rank = r.members, r.place
+// applyFleet puts what was told of the fleet in place of the settings' numbers.
+func (r *Proxy) applyFleet(s *decision.Settings) {
+	if r.fleetSize > 0 {
+		s.Balancers, s.Rank = r.fleetSize, r.fleetRank
 	}
 }
 
 // Reload takes what a configuration that was read again may change under way: the settings, discovery's address and
 // the number of descriptors. Settings are swapped whole: requests from now on are asked under them, and connections
 // keep the class that they were asked under.
-func (r *Relay) Reload(cfg Config) {
+func (r *Proxy) Reload(cfg Config) {
 	if cfg.Listen != r.cfg.Listen {
 		r.log.Warn("a change of listen takes a restart")
 	}
-	r.counted(&cfg.Settings.Logic)
+	r.applyFleet(&cfg.Settings.Decision)
 	if !reflect.DeepEqual(cfg.Settings, r.cfg.Settings) {
 		r.cfg.Settings = cfg.Settings
-		r.tell(decision.Retuned{Settings: cfg.Settings.Logic})
-		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.Classes, ",")).Info("settings retuned")
+		r.dispatch(decision.SettingsChanged{Settings: cfg.Settings.Decision})
+		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.ClassNames, ",")).Info("settings retuned")
 	}
-	r.cfg.Descriptors, r.cfg.Memory = cfg.Descriptors, cfg.Memory
-	r.limit()
-	r.resumption.set(cfg.Resume, r.cfg.Seed)
-	r.setChannels(cfg.Channels)
+	r.cfg.MaxDescriptors, r.cfg.MemoryLimit = cfg.MaxDescriptors, cfg.MemoryLimit
+	r.sizeBuffers()
+	r.resumption.configure(cfg.Resume, r.cfg.Seed)
+	r.configureChannels(cfg.Channels)
 	if cfg.Discovery != r.cfg.Discovery {
 		r.cfg.Discovery = cfg.Discovery
-		r.discovery.Move(cfg.Discovery)
+		r.discovery.ChangeAddress(cfg.Discovery)
 	}
-	r.heedPushed()
+	r.watchPushedLists()
 	r.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration read again")
 }
 
-// tell hands an event to the module and carries out what it decides. What that brings about in turn waits in line,
+// dispatch hands an event to the module and carries out what it decides. What that brings about in turn waits in line,
 // so that the module never hears of an event in the middle of another.
-func (r *Relay) tell(ev decision.Event) {
-	r.queue = append(r.queue, ev)
-	if r.telling {
+func (r *Proxy) dispatch(ev decision.Event) {
+	r.events = append(r.events, ev)
+	if r.dispatching {
 		return
 	}
-	r.telling = true
-	for i := 0; i < len(r.queue); i++ {
-		r.actions = r.bal.Handle(decision.Micros(r.l.Now()), r.queue[i], r.actions[:0])
+	r.dispatching = true
+	for i := 0; i < len(r.events); i++ {
+		r.actions = r.balancer.Handle(decision.Micros(r.loop.Now()), r.events[i], r.actions[:0])
 		for _, a := range r.actions {
-			r.do(a)
+			r.apply(a)
 		}
 	}
-	clear(r.queue)
-	r.queue, r.telling = r.queue[:0], false
-	r.release()
+	clear(r.events)
+	r.events, r.dispatching = r.events[:0], false
+	r.releaseClosed()
 }
 
-// release frees the slots of closed sessions, unless the module may still speak of them.
-func (r *Relay) release() {
-	if r.telling {
+// releaseClosed frees the slots of closed sessions, unless the module may still speak of them.
+func (r *Proxy) releaseClosed() {
+	if r.dispatching {
 		return
 	}
-	for _, s := range r.gone {
-		r.sessions.Drop(s.ref)
+	for _, s := range r.closedRequests {
+		r.requests.Drop(s.ref)
 	}
-	r.gone = r.gone[:0]
+	r.closedRequests = r.closedRequests[:0]
 }
 
-func (r *Relay) do(a decision.Action) {
+func (r *Proxy) apply(a decision.Action) {
 	switch a := a.(type) {
-	case decision.Watch:
+	case decision.WatchDiscovery:
 		if a.On {
 			r.discovery.Watch()
 		} else {
-			r.discovery.Unwatch()
+			r.discovery.StopWatching()
 		}
-	case decision.Fetch:
+	case decision.FetchServerList:
 		r.discovery.Fetch()
-	case decision.Probe:
-		r.probe(a.Server)
+	case decision.ProbeServer:
+		r.startProbe(a.Server)
 	case decision.SetTimer:
-		r.l.After(eventloop.Micros(a.Delay), func() { r.tell(decision.Timer{Token: a.Token}) })
-	case decision.Send:
-		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
+		r.loop.After(eventloop.Micros(a.Delay), func() { r.dispatch(decision.TimerFired{Token: a.Token}) })
+	case decision.StartAttempt:
+		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
 			s.send(a)
 		}
-	case decision.Refuse:
-		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
-			s.shed(eventloop.Micros(a.HoldOff))
+	case decision.Reject:
+		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
+			s.reject(eventloop.Micros(a.RetryAfter))
 		}
 	case decision.Fail:
-		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
+		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
 			s.fail()
 		}
-	case decision.Cancel:
-		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok && s.hop != nil && s.hop.attempt == a.Attempt && s.phase != open {
-			s.hop.end(outcome.Cancelled)
+	case decision.CancelAttempt:
+		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok && s.attempt != nil && s.attempt.number == a.Attempt && s.state != stateEstablished {
+			s.attempt.end(outcome.Cancelled)
 		}
-	case decision.Move:
-		if s, ok := r.sessions.Get(eventloop.Ref(a.ID)); ok {
-			s.bid(a)
+	case decision.MoveConnection:
+		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
+			s.moveDecided(a)
 		}
 	}
 }
 
 // Listed is part of route.Watcher.
-func (r *Relay) Listed(c discovery.Change) {
-	kind := decision.Delta
-	if c.Whole {
-		kind = decision.Full
+func (r *Proxy) Listed(c discovery.Update) {
+	kind := decision.UpdateDelta
+	if c.Full {
+		kind = decision.UpdateFull
 	}
-	r.tell(r.update(kind, c))
-	r.recall()
-	for s := range r.underWay.each {
-		s.resume()
+	r.dispatch(r.listUpdate(kind, c))
+	r.recallUnsent()
+	for s := range r.unanswered.each {
+		s.reattach()
 	}
-	r.evacuate(c)
-	if r.cfg.Keep != nil && !r.keeping {
-		r.keeping = true
-		r.l.After(keepAfter, r.keepList)
+	r.moveOffDrainingServers(c)
+	if r.cfg.SaveList != nil && !r.saveScheduled {
+		r.saveScheduled = true
+		r.loop.After(saveListDelay, r.saveList)
 	}
 }
 
-// keepList gives away what discovery has told.
-func (r *Relay) keepList() {
-	r.keeping = false
-	if at, whole := r.discovery.Whole(); whole != nil {
-		r.cfg.Keep(at, whole)
+// saveList gives away what discovery has told.
+func (r *Proxy) saveList() {
+	r.saveScheduled = false
+	if at, whole := r.discovery.Snapshot(); whole != nil {
+		r.cfg.SaveList(at, whole)
 	}
 }
 
 // Failed is part of route.Watcher.
-func (r *Relay) Failed(err error) {
+func (r *Proxy) Failed(err error) {
 	r.log.WithError(err).Warn("discovery failed")
-	r.tell(decision.Update{Kind: decision.Failed})
-	if !r.cfg.Settings.Logic.Ask {
-		r.l.After(pushedAgain, r.heedPushed)
+	r.dispatch(decision.ServerListUpdate{Kind: decision.UpdateFailed})
+	if !r.cfg.Settings.Decision.PollDiscovery {
+		r.loop.After(rewatchDelay, r.watchPushedLists)
 	}
 }
 
-// heedPushed keeps a watch where lists are pushed. There the module never asks: whoever pushes them, an agent on this
+// watchPushedLists keeps a watch where lists are pushed. There the module never asks: whoever pushes them, an agent on this
 // machine, is to be heard from the start and costs nobody anything, so nothing is there to decide.
-func (r *Relay) heedPushed() {
-	if !r.cfg.Settings.Logic.Ask && !r.discovery.Watching() {
+func (r *Proxy) watchPushedLists() {
+	if !r.cfg.Settings.Decision.PollDiscovery && !r.discovery.Watching() {
 		r.discovery.Watch()
 	}
 }
 
-var listStates = map[discovery.State]decision.ListState{
-	discovery.Ready: decision.Ready, discovery.Terminating: decision.Draining, discovery.Gone: decision.Gone,
+var listStates = map[discovery.ServerState]decision.ServerState{
+	discovery.Ready: decision.Ready, discovery.Terminating: decision.Draining, discovery.Gone: decision.Removed,
 }
 
-func (r *Relay) update(kind decision.ListKind, c discovery.Change) decision.Update {
-	u := decision.Update{Kind: kind}
-	for _, t := range c.Targets {
-		u.Entries = append(u.Entries, decision.Entry{
-			Server: t.Num, Name: xxhash.Sum64String(t.ID), Zone: uint8(place(r.cfg.Settings.Zones, t.Zone, 255)),
-			Kind: uint16(place(r.cfg.Settings.Kinds, t.Machine, 65535)), State: listStates[t.State], Units: t.Weight,
-			Cell: t.Cell, Started: decision.Micros(t.StartedMillis) * ms,
+func (r *Proxy) listUpdate(kind decision.UpdateKind, c discovery.Update) decision.ServerListUpdate {
+	u := decision.ServerListUpdate{Kind: kind}
+	for _, t := range c.Servers {
+		u.Entries = append(u.Entries, decision.ServerEntry{
+			Server: t.Number, StableID: xxhash.Sum64String(t.ID), Zone: uint8(indexOr(r.cfg.Settings.ZoneNames, t.Zone, 255)),
+			MachineType: uint16(
+				indexOr(r.cfg.Settings.MachineTypes, t.MachineType, 65535),
+			), State: listStates[t.State], Weight: t.Weight,
+			Cell: t.Cell, StartedAt: decision.Micros(t.StartedMillis) * millisecond,
 		})
 	}
 	return u
 }
 
-// place finds a name's number; one that the settings don't know is none of theirs.
-func place(names []string, name string, none int) int {
+// indexOr finds a name's number; one that the settings don't know is none of theirs.
+func indexOr(names []string, name string, none int) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
 	return none
 }
 
-// pace is the record of how long the target's messages take.
-func (r *Relay) pace(num uint32) *pace {
-	for int(num) >= len(r.targets) {
-		r.targets = append(r.targets, &pace{stands: roster{place: func(s *session) *int32 { return &s.inStands }}})
+// latencyOf is the record of how long the target's messages take.
+func (r *Proxy) latencyOf(num uint32) *serverLatency {
+	for int(num) >= len(r.latencies) {
+		r.latencies = append(
+			r.latencies,
+			&serverLatency{established: requestSet{index: func(s *request) *int32 { return &s.establishedIndex }}},
+		)
 	}
-	return r.targets[num]
+	return r.latencies[num]
 }
 
-// kept is how many bytes wait for clients and targets to take them.
-func (r *Relay) kept() (bytes int) {
-	for _, s := range r.sessions.All {
-		bytes += s.in.Pending() + len(s.kept.torn)
-		if s.hop != nil && s.hop.out != nil {
-			bytes += s.hop.out.Pending()
+// bufferedBytes is how many bytes wait for clients and targets to take them.
+func (r *Proxy) bufferedBytes() (bytes int) {
+	for _, s := range r.requests.All {
+		bytes += s.downstream.Pending() + len(s.partial.partial)
+		if s.attempt != nil && s.attempt.upstream != nil {
+			bytes += s.attempt.upstream.Pending()
 		}
 	}
 	return bytes
 }
 
 const (
-	sweepEvery  = 200 * ms
-	reportEvery = 5 * sec
-	keepAfter   = 200 * ms // changes mostly come together
-	pushedAgain = 500 * ms // what is pushed counts as told after some seconds, heard or not
+	sweepInterval = 200 * millisecond
+	statsInterval = 5 * second
+	saveListDelay = 200 * millisecond // changes mostly come together
+	rewatchDelay  = 500 * millisecond // what is pushed counts as told after some seconds, heard or not
 )
 
-func (r *Relay) report() {
-	r.l.After(reportEvery, r.report)
+func (r *Proxy) logStats() {
+	r.loop.After(statsInterval, r.logStats)
 	fields := logrus.Fields{
-		logging.Standing: r.sessions.Len(), logging.Sockets: r.l.Descriptors(), logging.Taken: r.counts.taken, logging.Up: r.counts.up,
-		logging.Shed: r.counts.shed, logging.Failed: r.counts.failed, logging.Moved: r.counts.moved, logging.Silent: r.counts.silent,
-		logging.Odd: r.counts.odd, logging.Evicted: r.counts.evicted, logging.Adopted: r.counts.adopted,
+		logging.Connections: r.requests.Len(), logging.Sockets: r.loop.Descriptors(), logging.Accepted: r.counters.accepted, logging.Established: r.counters.established,
+		logging.Rejected: r.counters.rejected, logging.Failed: r.counters.failed, logging.Moved: r.counters.moved, logging.Unresponsive: r.counters.silent,
+		logging.ProtocolErrors: r.counters.protocolErrors, logging.Evicted: r.counters.evicted, logging.TransferredIn: r.counters.adopted,
 	}
-	r.resumption.report(fields)
+	r.resumption.addStats(fields)
 	if r.cfg.Channels != nil {
-		trunks, hops := r.pool.Len()
-		fields[logging.Muxed], fields[logging.Trunks], fields[logging.TrunkHops] = len(r.muxes), trunks, hops
-		fields[logging.Promised], fields[logging.Kept] = r.budget.Promised(), r.kept()
-		fields[logging.TrunksFailed], fields[logging.Echoes] = r.counts.trunksFailed, r.counts.echoes
+		trunks, hops := r.upstreamPool.Counts()
+		fields[logging.MuxClients], fields[logging.MuxUpstreams], fields[logging.UpstreamChannels] = len(
+			r.muxDownstreams,
+		), trunks, hops
+		fields[logging.ReceiveWindowBytes], fields[logging.QueuedBytes] = r.windowBudget.Promised(), r.bufferedBytes()
+		fields[logging.MuxUpstreamsFailed], fields[logging.CorrelatedFailures] = r.counters.upstreamsFailed, r.counters.sharedFailures
 	}
 	r.log.WithFields(fields).Info("so far")
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -21,13 +21,13 @@
 func TestLoadLineIsTheNoteThatSettingsPromise(t *testing.T) {
 	for _, c := range []struct {
 		tellsLoad bool
-		want      decision.NoteKind
-	}{{false, decision.DelayNote}, {true, decision.LoadNote}} {
-		g := newRig(t, 1, to, func(cfg *Config) { cfg.Settings.TellsLoad = c.tellsLoad })
-		client, target := g.stand()
+		want      decision.MetricKind
+	}{{false, decision.MessageLatencyMetric}, {true, decision.LoadMetric}} {
+		g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsLoad = c.tellsLoad })
+		client, target := g.establish()
 		target.say("LOAD 192.5\r\n")
 		client.want("LOAD 192.5\r\n")
-		if n := event[decision.Note](g); n.Kind != c.want || n.Value != 192.5 || n.Server != 0 {
+		if n := event[decision.ConnectionMetric](g); n.Kind != c.want || n.Value != 192.5 || n.Server != 0 {
 			t.Errorf("tells load %v: %+v", c.tellsLoad, n)
 		}
 	}
@@ -35,13 +35,13 @@
 
 // The first line goes on byte for byte but for d, and all that follows goes both ways unchanged.
 func TestServed(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	client := g.client(openLine)
-	target := g.hop(0)
+	target := g.acceptUpstream(0)
 	got := target.line()
 	before, rest, _ := strings.Cut(got, "d=")
 	d, after, _ := strings.Cut(rest, ",")
-	if n, err := strconv.Atoi(d); err != nil || n < 1 || n > long/1000 || before+"d=60000,"+after != openLine {
+	if n, err := strconv.Atoi(d); err != nil || n < 1 || n > longTimeout/1000 || before+"d=60000,"+after != openLine {
 		t.Fatalf("%q", got)
 	}
 	target.say("UP r1\r\nwith it\r\nhal")
@@ -51,14 +51,14 @@
 	client.want("half\r\n")
 	client.say("more\r\n")
 	target.want("more\r\n")
-	if e := event[decision.Established](g); e.Attempt != 0 || e.Took <= 0 {
+	if e := event[decision.Established](g); e.Attempt != 0 || e.SetupTime <= 0 {
 		t.Errorf("%+v", e)
 	}
 	target.say("BYE\r\n")
 	g.check(target.Close())
 	client.want("BYE\r\n")
 	client.ended(true)
-	if o := event[decision.Outcome](g); o.Status != outcome.OK || !o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.OK || !o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -69,40 +69,41 @@
 		answer func(*peer)
 		want   outcome.Status
 	}{
-		"error":      {func(p *peer) { p.say("ERR\r\n") }, outcome.ErrorAnswer},
+		"error":      {func(p *peer) { p.say("ERR\r\n") }, outcome.ErrorResponse},
 		"full":       {func(p *peer) { p.say("BUSY\r\n") }, outcome.ServerFull},
 		"sent away":  {func(p *peer) { p.say("MOVE\r\n") }, outcome.Cancelled},
-		"odd":        {func(p *peer) { p.say("\x00\xff what\r\n") }, outcome.ErrorAnswer},
-		"endless":    {func(p *peer) { p.say(strings.Repeat("x", lineproto.Max)) }, outcome.ErrorAnswer},
+		"odd":        {func(p *peer) { p.say("\x00\xff what\r\n") }, outcome.ErrorResponse},
+		"endless":    {func(p *peer) { p.say(strings.Repeat("x", lineproto.Max)) }, outcome.ErrorResponse},
 		"ended":      {func(p *peer) { _ = p.Close() }, outcome.Reset},
 		"reset":      {func(p *peer) { _ = p.SetLinger(0); _ = p.Close() }, outcome.Reset},
 		"no answer":  {func(*peer) {}, outcome.TimedOut},
 		"UP, no end": {func(p *peer) { p.say("UP r1") }, outcome.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
-			giveUp := decision.Micros(long)
+			giveUp := decision.Micros(longTimeout)
 			if c.want == outcome.TimedOut {
 				giveUp = 100_000
 			}
-			g := newRig(t, 2, func(ev decision.Event) []decision.Action {
+			g := newHarness(t, 2, func(ev decision.Event) []decision.Action {
 				switch ev := ev.(type) {
 				case decision.Request:
-					return []decision.Action{decision.Send{ID: ev.ID, GiveUp: giveUp}}
-				case decision.Outcome:
-					if !ev.Closed {
-						return []decision.Action{decision.Send{ID: ev.ID, GiveUp: long, Server: 1}}
+					return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: giveUp}}
+				case decision.AttemptEnded:
+					if !ev.RequestClosed {
+						return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: longTimeout, Server: 1}}
 					}
 				}
 				return nil
 			}, nil)
 			client := g.client(openLine)
-			first := g.hop(0)
+			first := g.acceptUpstream(0)
 			first.line()
 			c.answer(first)
-			if o := event[decision.Outcome](g); o.Status != c.want || o.Closed || o.Attempt != 0 || o.Server != 0 {
+			if o := event[decision.AttemptEnded](g); o.Status != c.want || o.RequestClosed || o.Attempt != 0 ||
+				o.Server != 0 {
 				t.Errorf("%+v, want status %d", o, c.want)
 			}
-			second := g.hop(1)
+			second := g.acceptUpstream(1)
 			second.line()
 			second.say("UP r2\r\n")
 			client.want("UP r2\r\n")
@@ -116,11 +117,11 @@
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	g.check(g.targets[0].Close())
+func TestFailedDialNeverRan(t *testing.T) {
+	g := newHarness(t, 1, sendToFirst, nil)
+	g.check(g.servers[0].Close())
 	g.client(openLine)
-	if o := event[decision.Outcome](g); o.Status != outcome.ConnectFailed || o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -131,15 +132,15 @@
 		last func(id uint32) decision.Action
 		want string
 	}{
-		"refused": {func(id uint32) decision.Action { return decision.Refuse{ID: id, HoldOff: 340_000} }, "BUSY 340\r\n"},
-		"bare":    {func(id uint32) decision.Action { return decision.Refuse{ID: id} }, "BUSY\r\n"},
+		"refused": {func(id uint32) decision.Action { return decision.Reject{ID: id, RetryAfter: 340_000} }, "BUSY 340\r\n"},
+		"bare":    {func(id uint32) decision.Action { return decision.Reject{ID: id} }, "BUSY\r\n"},
 		"failed":  {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
 	} {
-		g := newRig(t, 1, func(ev decision.Event) []decision.Action {
+		g := newHarness(t, 1, func(ev decision.Event) []decision.Action {
 			if q, ok := ev.(decision.Request); ok {
 				return []decision.Action{
-					decision.Send{ID: q.ID, GiveUp: long},
-					decision.Cancel{ID: q.ID},
+					decision.StartAttempt{ID: q.ID, Timeout: longTimeout},
+					decision.CancelAttempt{ID: q.ID},
 					c.last(q.ID),
 				}
 			}
@@ -148,7 +149,7 @@
 		client := g.client(openLine)
 		client.want(c.want)
 		client.ended(true)
-		if o := event[decision.Outcome](g); o.Status != outcome.Cancelled {
+		if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
@@ -157,12 +158,12 @@
 // A client that does not wait for its answer is told so and never served: what it sends would be taken for lines of a
 // connection that stands. The answer ends plainly, as closing with unread bytes would be a reset.
 func TestEarlyBytes(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	behind := g.client(openLine + strings.Repeat("too early\r\n", 10_000))
 	behind.want("ERR\r\n")
 	behind.ended(true)
 	late := g.client(another)
-	target := g.hop(0)
+	target := g.acceptUpstream(0)
 	target.line()
 	// Both are there when the loop looks, whichever it sees first.
 	g.inLoop(func() {
@@ -171,36 +172,36 @@
 	})
 	late.want("ERR\r\n")
 	late.ended(true)
-	if o := event[decision.Outcome](g); o.Status != outcome.Cancelled || !o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 }
 
 // The id is new for every connection. Passed on, one that another has would come back as a target's error.
 func TestRepeatedID(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	client, target := g.stand()
+	g := newHarness(t, 1, sendToFirst, nil)
+	client, target := g.establish()
 	g.client(openLine).want("ERR\r\n")
 	target.say("BYE\r\n")
 	g.check(target.Close())
 	client.want("BYE\r\n")
 	client.ended(true)
 	g.client(openLine).want("ERR\r\n")
-	known := newIDs()
-	for id := range uint64(3 * manyIDs) {
-		if !known.take(id) || known.take(id) {
+	known := newRequestIDs()
+	for id := range uint64(3 * rememberedIDs) {
+		if !known.add(id) || known.add(id) {
 			t.Fatalf("id %d", id)
 		}
-		known.leave(id)
+		known.finish(id)
 	}
-	if len(known.seen) != manyIDs || known.take(3*manyIDs-1) || !known.take(0) {
-		t.Errorf("%d ids", len(known.seen))
+	if len(known.active) != rememberedIDs || known.add(3*rememberedIDs-1) || !known.add(0) {
+		t.Errorf("%d ids", len(known.active))
 	}
 }
 
 // Whoever says nothing whole is gone within 3 s of connecting, also behind a ping. Who has begun to ask is told so.
 func TestSilentClients(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+	g := newHarness(t, 0, nil, nil)
 	began := time.Now()
 	silent, half := g.client(""), g.client("OPEN 9b1f 7f3a c=sy")
 	pinged := g.client("PING\r\nOPEN 9b1f")
@@ -217,7 +218,7 @@
 
 // A client that sends on and on after its answer is cut off soon, and never kept in memory.
 func TestEndlessLine(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+	g := newHarness(t, 0, nil, nil)
 	client := g.client("")
 	block := []byte(strings.Repeat("k", 1<<20))
 	sent := 0
@@ -232,7 +233,7 @@
 	}
 	left := -1
 	for until := time.Now().Add(patience); left != 0 && time.Now().Before(until); {
-		g.inLoop(func() { left = g.r.sessions.Len() })
+		g.inLoop(func() { left = g.proxy.requests.Len() })
 	}
 	if left != 0 {
 		t.Errorf("%d sessions left", left)
@@ -242,43 +243,43 @@
 // A silent crowd uses up no descriptors: the oldest goes when one is needed, the front's connection and those that
 // are served stay.
 func TestCrowd(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { cfg.Descriptors = 64 })
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = 64 })
 	front := g.client("PING\r\n")
 	front.want("PONG\r\n")
 	front.say("PING\r\n")
 	front.want("PONG\r\n")
-	served, target := g.stand()
+	served, target := g.establish()
 	var crowd []*peer
 	for i := range 120 {
 		crowd = append(crowd, g.client([]string{"", "PING\r\n"}[i%2]))
 	}
 	crowd[0].ended(true)
 	g.client(another)
-	g.hop(0).line()
+	g.acceptUpstream(0).line()
 	front.say("PING\r\n")
 	front.want("PONG\r\n")
 	target.say("still there\r\n")
 	served.want("still there\r\n")
 	g.inLoop(func() {
-		if n := g.l.Descriptors(); n > 64-reserveOwn {
+		if n := g.loop.Descriptors(); n > 64-reservedDescriptors {
 			t.Errorf("%d descriptors", n)
 		}
 	})
 }
 
 // That this machine has no descriptor left is no evidence against a target.
-func TestExhaustionIsNoRefusal(t *testing.T) {
+func TestDescriptorExhaustionIsInconclusive(t *testing.T) {
 	for err, want := range map[error]outcome.Status{unix.EMFILE: outcome.Inconclusive, unix.ECONNREFUSED: outcome.ConnectFailed} {
-		if got := refusal(fmt.Errorf("connect: %w", err)); got != want {
+		if got := dialFailure(fmt.Errorf("connect: %w", err)); got != want {
 			t.Errorf("%v: %d", err, got)
 		}
 	}
 }
 
 // A hop whose first line is not out whole can't have run.
-func TestUnsentHopNeverRan(t *testing.T) {
+func TestUnsentAttemptNeverRan(t *testing.T) {
 	for sent, want := range map[bool]outcome.Status{false: outcome.ConnectFailed, true: outcome.Reset} {
-		if got := (&hop{sent: sent}).unanswered(outcome.Reset); got != want {
+		if got := (&upstreamAttempt{sent: sent}).unanswered(outcome.Reset); got != want {
 			t.Errorf("sent %v: %d", sent, got)
 		}
 	}
@@ -286,30 +287,30 @@
 
 // A module that never answers must not cost the client its answer.
 func TestOverdueRequestIsAnswered(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+	g := newHarness(t, 0, nil, nil)
 	g.client("OPEN a b c=sync,d=30\r\n").want("ERR\r\n")
-	event[decision.Withdrawn](g)
+	event[decision.RequestCancelled](g)
 }
 
 func TestMove(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	client, target := g.stand()
+	g := newHarness(t, 1, sendToFirst, nil)
+	client, target := g.establish()
 	target.say("half a li")
 	if got, err := client.rd.Peek(9); err != nil || string(got) != "half a li" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	g.inLoop(func() { g.r.do(decision.Move{ID: uint32(firstSession(g).ref)}) })
+	g.inLoop(func() { g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(g).ref)}) })
 	target.say("ne\r\nnever passed on\r\n")
 	client.want("half a line\r\n")
 	client.want("MOVE\r\n")
 	client.ended(true)
-	if o := event[decision.Outcome](g); o.Status != outcome.Cancelled || !o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 }
 
-func firstSession(g *rig) *session {
-	for _, s := range g.r.sessions.All {
+func firstRequest(g *harness) *request {
+	for _, s := range g.proxy.requests.All {
 		return s
 	}
 	return nil
@@ -349,11 +350,11 @@
 		}, outcome.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 1, to, nil)
-			client, target := g.stand()
+			g := newHarness(t, 1, sendToFirst, nil)
+			client, target := g.establish()
 			c.end(client, target)
 			c.seen(client, target)
-			if o := event[decision.Outcome](g); o.Status != c.want || !o.Closed {
+			if o := event[decision.AttemptEnded](g); o.Status != c.want || !o.RequestClosed {
 				t.Errorf("%+v, want status %d", o, c.want)
 			}
 		})
@@ -362,21 +363,21 @@
 
 // A client that leaves before it is served takes its hop with it.
 func TestClientLeavesEarly(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+	g := newHarness(t, 1, sendToFirst, nil)
 	client := g.client(openLine)
-	target := g.hop(0)
+	target := g.acceptUpstream(0)
 	target.line()
 	g.check(client.Close())
 	target.ended(true)
-	if o := event[decision.Outcome](g); o.Status != outcome.Cancelled || !o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
-	event[decision.Withdrawn](g)
+	event[decision.RequestCancelled](g)
 }
 
 // Whatever a first line is, it is answered and the relay lives.
 func TestBadFirstLines(t *testing.T) {
-	g := newRig(t, 0, nil, nil)
+	g := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
 		"\r\n", "\n", "OPEN\r\n", "OPEN a b c=nobody,d=5\r\n", "OPEN a b d=5\r\n", "OPEN a b c=sync\n",
 		"GET / HTTP/1.1\r\n", "\x00\x01\r\n", strings.Repeat("x", lineproto.Max),
@@ -395,26 +396,26 @@
 
 // A connection that stood before this process did goes to its target, also when that is listed only later.
 func TestResumed(t *testing.T) {
-	g := newRig(t, 1, nil, nil)
+	g := newHarness(t, 1, nil, nil)
 	client := g.client("OPEN a b c=sync,d=2000,at=late\r\n")
-	addr := g.targets[0].Addr().String()
-	g.l.Post(func() {
-		c, err := g.r.table.Apply(
+	addr := g.servers[0].Addr().String()
+	g.loop.Post(func() {
+		c, err := g.proxy.servers.Apply(
 			[]byte(`{"generation":2,"instances":[` + listed("late", addr, "Terminating") + `]}`),
 		)
 		if err == nil {
-			g.r.Listed(c)
+			g.proxy.Listed(c)
 		}
 	})
-	target := g.hop(0)
+	target := g.acceptUpstream(0)
 	target.line()
 	target.say("UP r1\r\n")
 	client.want("UP r1\r\n")
-	if o := event[decision.Open](g); o.Server != 1 {
+	if o := event[decision.ExistingConnection](g); o.Server != 1 {
 		t.Errorf("%+v", o)
 	}
 	g.check(target.Close())
-	if o := event[decision.Outcome](g); o.Status != outcome.Reset || o.Attempt != 0 {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset || o.Attempt != 0 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -425,44 +426,49 @@
 		answer string
 		want   outcome.Status
 	}{
-		"alive": {"PONG\r\n", outcome.OK}, "sick": {"ERR\r\n", outcome.ErrorAnswer}, "barred": {"NO\r\n", outcome.ErrorAnswer},
+		"alive": {"PONG\r\n", outcome.OK}, "sick": {"ERR\r\n", outcome.ErrorResponse}, "barred": {"NO\r\n", outcome.ErrorResponse},
 		"ended": {"", outcome.Reset},
 	} {
-		g := newRig(t, 1, nil, nil)
-		g.l.Post(func() { g.r.do(decision.Probe{Server: 0}) })
-		target := g.hop(0)
+		g := newHarness(t, 1, nil, nil)
+		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
+		target := g.acceptUpstream(0)
 		target.want("PING\r\n")
 		target.say(c.answer)
 		g.check(target.Close())
-		if p := event[decision.Probed](g); p.Status != c.want || p.Server != 0 {
+		if p := event[decision.ProbeResult](g); p.Status != c.want || p.Server != 0 {
 			t.Errorf("%s: %+v", name, p)
 		}
 	}
-	g := newRig(t, 1, nil, func(cfg *Config) { cfg.Settings.ConnectTimeout = 500_000 })
-	g.l.Post(func() { g.r.do(decision.Probe{Server: 0}) })
-	if p := event[decision.Probed](g); p.Status != outcome.TimedOut {
+	g := newHarness(t, 1, nil, func(cfg *Config) { cfg.Settings.ConnectTimeout = 500_000 })
+	g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
+	if p := event[decision.ProbeResult](g); p.Status != outcome.TimedOut {
 		t.Errorf("silent: %+v", p)
 	}
 }
 
 // Where load reports are promised a probe asks for one and passes it on in the settings' order, or nothing of one that
 // can't be read.
-func TestProbesBringLoadReports(t *testing.T) {
-	for answer, want := range map[string]decision.Report{
-		"PONG depth=2,tps=0.431,x0=1.25\r\n":   {N: 3, Values: [4]float32{2, 0.431, 1.25}},
-		"PONG x0=0.5,depth=0,more=9,tps=1\r\n": {N: 3, Values: [4]float32{0, 1, 0.5}},
+func TestProbesReturnLoadReports(t *testing.T) {
+	for answer, want := range map[string]decision.LoadReport{
+		"PONG depth=2,tps=0.431,x0=1.25\r\n":   {Count: 3, Values: [4]float32{2, 0.431, 1.25}},
+		"PONG x0=0.5,depth=0,more=9,tps=1\r\n": {Count: 3, Values: [4]float32{0, 1, 0.5}},
 		"PONG\r\n":                             {},
 		"PONG depth=2,x0=1.25\r\n":             {},
 		"PONG depth=2,tps=x,x0=1.25\r\n":       {},
 		"PONG depth=2,tps=1,x0=-1\r\n":         {},
 		"PONG depth=2,tps=1,x0=NaN,x0=1\r\n":   {},
 	} {
-		g := newRig(t, 1, nil, func(cfg *Config) { cfg.Settings.Logic.Columns = []string{"depth", "tps", "x0"} })
-		g.l.Post(func() { g.r.do(decision.Probe{Server: 0}) })
-		target := g.hop(0)
+		g := newHarness(
+			t,
+			1,
+			nil,
+			func(cfg *Config) { cfg.Settings.Decision.LoadReportColumns = []string{"depth", "tps", "x0"} },
+		)
+		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
+		target := g.acceptUpstream(0)
 		target.want("STATS\r\n")
 		target.say(answer)
-		if p := event[decision.Probed](g); p.Status != outcome.OK || p.Load != want {
+		if p := event[decision.ProbeResult](g); p.Status != outcome.OK || p.LoadReport != want {
 			t.Errorf("%q: %+v", answer, p)
 		}
 	}
@@ -470,9 +476,9 @@
 
 // A planned stop sheds what is new, moves what stands, and ends the loop.
 func TestDrain(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	client, _ := g.stand()
-	g.l.Post(g.r.Drain)
+	g := newHarness(t, 1, sendToFirst, nil)
+	client, _ := g.establish()
+	g.loop.Post(g.proxy.Drain)
 	late := g.client(another)
 	if got := late.line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("new while draining: %q", got)
@@ -484,12 +490,12 @@
 	err := <-g.stopped
 	g.stopped <- err
 	g.check(err)
-	g.unheard()
+	g.noOutcome()
 }
 
 // Short of descriptors, clients are shed and not cut off.
 func TestShortOfDescriptors(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { cfg.Descriptors = reserveOwn + 2 })
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = reservedDescriptors + 2 })
 	if got := g.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("%q", got)
 	}
@@ -497,8 +503,8 @@
 
 // What is more than the settings let a balancer hold is turned away before the module hears of it.
 func TestHoldsNoMoreThanItMay(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { cfg.Settings.Logic.MostHeld = 1 })
-	g.stand()
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 1 })
+	g.establish()
 	if got := g.client(another).line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("%q", got)
 	}
@@ -506,32 +512,32 @@
 
 // A slow reader costs a bounded buffer: its target is left alone until it has caught up.
 func TestSlowReader(t *testing.T) {
-	g := newRig(t, 1, to, nil)
-	client, target := g.stand()
+	g := newHarness(t, 1, sendToFirst, nil)
+	client, target := g.establish()
 	const lines = 200_000
 	g.check(client.SetReadBuffer(256 << 10))
 	go func() {
 		_, _ = target.Write([]byte(strings.Repeat("0123456789abcdef0123456789abcdef\r\n", lines)))
 	}()
 	kept := 0
-	look := func() { kept = firstSession(g).in.Pending() }
+	look := func() { kept = firstRequest(g).downstream.Pending() }
 	for until := time.Now().Add(patience); kept == 0 && time.Now().Before(until); {
 		g.inLoop(look)
 	}
 	for range 300 {
-		if g.inLoop(look); kept == 0 || kept > g.r.maxPending+len(g.r.scratch) {
+		if g.inLoop(look); kept == 0 || kept > g.proxy.maxPending+len(g.proxy.readBuf) {
 			t.Fatalf("%d bytes kept", kept)
 		}
 	}
 	silent := 0
 	g.inLoop(func() { // nor is it the target that brings nothing back
-		s := firstSession(g)
-		s.caughtUp(len(s.waiting))
-		s.lastBack = 1
-		s.expects(1)
-		g.r.sweep()
-		s.caughtUp(len(s.waiting))
-		silent = g.r.counts.silent
+		s := firstRequest(g)
+		s.replied(len(s.sentAt))
+		s.lastReply = 1
+		s.awaitReply(1)
+		g.proxy.sweep()
+		s.replied(len(s.sentAt))
+		silent = g.proxy.counters.silent
 	})
 	if silent != 0 {
 		t.Fatal("a slow reader was taken for a silent target")
@@ -540,9 +546,9 @@
 	target.want("T 1\r\n")
 	defer func() {
 		samples := 0
-		g.inLoop(func() { samples = len(g.r.pace(0).samples) })
+		g.inLoop(func() { samples = len(g.proxy.latencyOf(0).samples) })
 		if samples > 0 {
-			t.Errorf("a line that waited for its client to read was timed: %+v", g.r.pace(0).samples)
+			t.Errorf("a line that waited for its client to read was timed: %+v", g.proxy.latencyOf(0).samples)
 		}
 	}()
 	for i := range lines {
@@ -555,51 +561,51 @@
 // The protocol's limit for a connection that brings nothing back is 7 s.
 func TestSilent(t *testing.T) {
 	for name, c := range map[string]struct {
-		s    session
+		s    request
 		want bool
 	}{
-		"nothing asked":   {session{phase: open, lastBack: 0}, false},
-		"answered lately": {session{phase: open, waiting: []eventloop.Micros{15 * sec}, lastBack: 15 * sec}, false},
-		"asked just now":  {session{phase: open, waiting: []eventloop.Micros{19 * sec}, lastBack: 0}, false},
-		"nothing back":    {session{phase: open, waiting: []eventloop.Micros{15 * sec}, lastBack: 13 * sec}, true},
-		"leaving":         {session{phase: leaving, waiting: []eventloop.Micros{15 * sec}, lastBack: 13 * sec}, false},
+		"nothing asked":   {request{state: stateEstablished, lastReply: 0}, false},
+		"answered lately": {request{state: stateEstablished, sentAt: []eventloop.Micros{15 * second}, lastReply: 15 * second}, false},
+		"asked just now":  {request{state: stateEstablished, sentAt: []eventloop.Micros{19 * second}, lastReply: 0}, false},
+		"nothing back":    {request{state: stateEstablished, sentAt: []eventloop.Micros{15 * second}, lastReply: 13 * second}, true},
+		"leaving":         {request{state: stateHalfClosed, sentAt: []eventloop.Micros{15 * second}, lastReply: 13 * second}, false},
 	} {
-		if got := c.s.silent(20 * sec); got != c.want {
+		if got := c.s.isSilent(20 * second); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 // Lines that are passed on are timed, those without an answer by their age; one note a second, one when it is over.
-func TestPace(t *testing.T) {
-	const limit = 16 * ms
-	p := &pace{}
+func TestServerLatency(t *testing.T) {
+	const limit = 16 * millisecond
+	p := &serverLatency{}
 	steps := []struct {
 		now, took, age eventloop.Micros
 		seen, due      bool
 	}{
 		{0, 0, 0, false, false},
-		{100 * ms, 2 * ms, 0, true, false},
-		{200 * ms, 0, 300 * ms, true, true}, // unanswered
-		{400 * ms, 0, 500 * ms, true, false},
-		{1300 * ms, 40 * ms, 0, true, true},
-		{2400 * ms, 3 * ms, 0, true, true}, // back under
-		{2600 * ms, 3 * ms, 10 * ms, true, false},
+		{100 * millisecond, 2 * millisecond, 0, true, false},
+		{200 * millisecond, 0, 300 * millisecond, true, true}, // unanswered
+		{400 * millisecond, 0, 500 * millisecond, true, false},
+		{1300 * millisecond, 40 * millisecond, 0, true, true},
+		{2400 * millisecond, 3 * millisecond, 0, true, true}, // back under
+		{2600 * millisecond, 3 * millisecond, 10 * millisecond, true, false},
 	}
 	for i, c := range steps {
 		if c.took > 0 {
-			p.took(c.now, c.took)
+			p.record(c.now, c.took)
 		}
-		p.ages = nil
+		p.pendingAges = nil
 		if c.age > 0 {
-			p.ages = []eventloop.Micros{c.age}
+			p.pendingAges = []eventloop.Micros{c.age}
 		}
-		late, _ := p.late(c.now, limit)
-		took, seen := p.delay(c.now, limit)
+		late, _ := p.isSlow(c.now, limit)
+		took, seen := p.median(c.now, limit)
 		if late != (took > limit) {
 			t.Errorf("step %d: %d, late %v", i, took, late)
 		}
-		if seen != c.seen || seen && p.due(c.now, took > limit) != c.due {
+		if seen != c.seen || seen && p.reportDue(c.now, took > limit) != c.due {
 			t.Errorf("step %d: %d, %v", i, took, seen)
 		}
 	}
@@ -609,38 +615,38 @@
 // address that told it; after a move not until the new address has answered.
 func TestListIsKept(t *testing.T) {
 	kept := make(chan string, 10)
-	g := newRig(t, 2, to, func(cfg *Config) {
-		cfg.Keep = func(at netip.AddrPort, list []byte) { kept <- at.String() + " " + string(list) }
+	g := newHarness(t, 2, sendToFirst, func(cfg *Config) {
+		cfg.SaveList = func(at netip.AddrPort, list []byte) { kept <- at.String() + " " + string(list) }
 	})
 	var at string
 	g.inLoop(func() {
-		at = g.r.cfg.Discovery.String()
+		at = g.proxy.cfg.Discovery.String()
 		for _, entries := range []string{
 			listed("s0", "127.0.0.1:2", "Terminating"),
 			`{"instanceId":"s1","lifecycle":"Gone"},` + listed("s2", "127.0.0.1:1", "Ready"),
 		} {
-			c, err := g.r.table.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
+			c, err := g.proxy.servers.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
 			g.check(err)
-			g.r.Listed(c)
+			g.proxy.Listed(c)
 		}
 	})
 	got := <-kept
-	again := discovery.NewTable()
+	again := discovery.NewServerList()
 	c, err := again.Apply([]byte(strings.TrimPrefix(got, at+" ")))
-	if err != nil || !c.Whole || len(c.Targets) != 2 {
+	if err != nil || !c.Full || len(c.Servers) != 2 {
 		t.Fatalf("%q: %+v, %v", got, c, err)
 	}
 	g.inLoop(func() {
-		for _, want := range c.Targets {
-			have := *g.r.table.ByID([]byte(want.ID))
-			have.Num = want.Num
+		for _, want := range c.Servers {
+			have := *g.proxy.servers.ByID([]byte(want.ID))
+			have.Number = want.Number
 			if have != *want {
 				t.Errorf("%+v, want %+v", *want, have)
 			}
 		}
-		g.r.discovery.Move(g.r.cfg.Discovery)
-		g.r.Listed(discovery.Change{})
-		g.r.keepList()
+		g.proxy.discovery.ChangeAddress(g.proxy.cfg.Discovery)
+		g.proxy.Listed(discovery.Update{})
+		g.proxy.saveList()
 	})
 	g.inLoop(func() {})
 	if len(kept) != 0 {
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -13,7 +13,7 @@
 
 // agent stands for the one that lists are pushed to, on the balancer's own machine.
 type agent struct {
-	g  *rig
+	g  *harness
 	ln *net.TCPListener
 }
 
@@ -45,11 +45,11 @@
 }
 
 // state waits until target 0 is listed so.
-func (g *rig) state(want discovery.State) {
+func (g *harness) state(want discovery.ServerState) {
 	g.t.Helper()
 	for late := time.Now().Add(patience); ; {
-		var got discovery.State
-		if g.inLoop(func() { got = g.r.table.ByNum(0).State }); got == want {
+		var got discovery.ServerState
+		if g.inLoop(func() { got = g.proxy.servers.ByNumber(0).State }); got == want {
 			return
 		}
 		if time.Now().After(late) {
@@ -61,7 +61,7 @@
 
 // Where lists are pushed the module never asks. They are heard all the same: from the start, again when the watch
 // breaks, and when a retuning says that lists are pushed from now on.
-func TestPushedListsAreHeardUnasked(t *testing.T) {
+func TestPushedListsAreWatchedFromTheStart(t *testing.T) {
 	entry := func(generation int, state string) string {
 		return fmt.Sprintf(
 			`{"generation":%d,"reset":false,"instances":[%s]}`,
@@ -69,11 +69,11 @@
 			listed("s0", "127.0.0.1:1", state),
 		)
 	}
-	push := strings.Replace(rigSettings, `"discovery":"ask"`, `"discovery":"push"`, 1)
+	push := strings.Replace(harnessSettings, `"discovery":"ask"`, `"discovery":"push"`, 1)
 	a := newAgent(t)
-	a.g = newRig(t, 1, to, func(cfg *Config) {
+	a.g = newHarness(t, 1, sendToFirst, func(cfg *Config) {
 		cfg.Discovery = a.addr()
-		cfg.Settings.Logic.Ask = false
+		cfg.Settings.Decision.PollDiscovery = false
 	})
 	first := a.watch(1, entry(42, "Terminating"))
 	a.g.state(discovery.Terminating)
@@ -82,16 +82,16 @@
 	a.g.state(discovery.Ready)
 
 	b := newAgent(t)
-	b.g = newRig(t, 1, to, func(cfg *Config) { cfg.Discovery = b.addr() })
+	b.g = newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Discovery = b.addr() })
 	b.g.inLoop(func() {
-		if b.g.r.discovery.Watching() {
+		if b.g.proxy.discovery.Watching() {
 			t.Error("asked where only the module asks")
 		}
-		cfg := b.g.r.cfg
+		cfg := b.g.proxy.cfg
 		var err error
 		cfg.Settings, err = settings.ParseJSON([]byte(push))
 		b.g.check(err)
-		b.g.r.Reload(cfg)
+		b.g.proxy.Reload(cfg)
 	})
 	b.watch(1, entry(42, "Terminating"))
 	b.g.state(discovery.Terminating)
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -24,35 +24,35 @@
 	return r
 }
 
-// onward sends what is pinned where it is pinned to, all else to target 0, and has what leaves go to target 1.
-func onward(ev decision.Event) []decision.Action {
+// sendOrMove sends what is pinned where it is pinned to, all else to target 0, and has what leaves go to target 1.
+func sendOrMove(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
-		return []decision.Action{decision.Send{ID: ev.ID, GiveUp: long, Server: ev.To}}
-	case decision.Outcome:
-		if !ev.Closed && ev.Status != outcome.OK {
-			return []decision.Action{decision.Refuse{ID: ev.ID, HoldOff: 70 * 1000}}
+		return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: longTimeout, Server: ev.PinnedServer}}
+	case decision.AttemptEnded:
+		if !ev.RequestClosed && ev.Status != outcome.OK {
+			return []decision.Action{decision.Reject{ID: ev.ID, RetryAfter: 70 * 1000}}
 		}
-	case decision.Leaving:
+	case decision.MoveRequested:
 		next := uint32(1)
-		if ev.Stay {
+		if ev.SameServerAllowed {
 			next = 0
 		}
-		return []decision.Action{decision.Move{ID: ev.ID, Next: next, Named: true}}
+		return []decision.Action{decision.MoveConnection{ID: ev.ID, NextServer: next, HasNextServer: true}}
 	}
 	return nil
 }
 
 // resuming rigs have two targets, s0 and s1, and a site file that allows tokens.
-func resumeRig(t *testing.T, change func(*Config)) *rig {
+func newResumeHarness(t *testing.T, change func(*Config)) *harness {
 	t.Helper()
-	return newRig(t, 2, onward, func(cfg *Config) {
-		cfg.Resume = &Resume{
-			Ring:   ringWith(t, token.Key{Secret: keyOf(1), Mints: true}),
-			Life:   60_000,
-			Skew:   2000,
-			Claims: 100,
-			Spread: 100 * ms,
+	return newHarness(t, 2, sendOrMove, func(cfg *Config) {
+		cfg.Resume = &ResumeConfig{
+			Ring:          ringWith(t, token.Key{Secret: keyOf(1), Issues: true}),
+			TokenLifetime: 60_000,
+			ClockSkew:     2000,
+			MaxClaims:     100,
+			DrainSpread:   100 * millisecond,
 		}
 		if change != nil {
 			change(cfg)
@@ -61,15 +61,15 @@
 }
 
 const (
-	askLine  = "OPEN 1 7f c=sync,d=60000,g=5c,owner=o,tok=ask\r\n"
-	comeLine = "OPEN 2 7f c=sync,d=60000,g=5c,owner=o,again=1,cur=2,tok="
+	tokenRequestLine = "OPEN 1 7f c=sync,d=60000,g=5c,owner=o,tok=ask\r\n"
+	comeLine         = "OPEN 2 7f c=sync,d=60000,g=5c,owner=o,again=1,cur=2,tok="
 )
 
-// standing brings a stream up at target 0 and lets two messages pass.
-func (g *rig) standing() (client, target *peer) {
+// establishResumable brings a stream up at target 0 and lets two messages pass.
+func (g *harness) establishResumable() (client, target *peer) {
 	g.t.Helper()
-	client = g.client(askLine)
-	target = g.hop(0)
+	client = g.client(tokenRequestLine)
+	target = g.acceptUpstream(0)
 	if got := target.line(); !strings.HasSuffix(got, ",tok=ask\r\n") {
 		g.t.Fatalf("%q", got)
 	}
@@ -94,59 +94,60 @@
 	return word
 }
 
-func (g *rig) list(entries ...string) {
+func (g *harness) list(entries ...string) {
 	g.t.Helper()
 	g.inLoop(func() {
-		c, err := g.r.table.Apply([]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`))
+		c, err := g.proxy.servers.Apply([]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`))
 		if err == nil {
-			g.r.Listed(c)
+			g.proxy.Listed(c)
 		}
 	})
 }
 
-func (g *rig) drains(i int) {
-	g.list(listed([]string{"s0", "s1"}[i], g.targets[i].Addr().String(), "Terminating"))
+func (g *harness) listDraining(i int) {
+	g.list(listed([]string{"s0", "s1"}[i], g.servers[i].Addr().String(), "Terminating"))
 }
 
 // Whatever ends a connection, a client that takes tokens is told where to go on, and goes on there.
 func TestStreamGoesOn(t *testing.T) {
 	for name, c := range map[string]struct {
-		end func(g *rig, target *peer)
+		end func(g *harness, target *peer)
 		to  int
 	}{
-		"the node is listed as draining":           {func(g *rig, _ *peer) { g.drains(0) }, 1},
-		"the node sends its clients away":          {func(_ *rig, s *peer) { s.say("MOVE\r\n"); _ = s.Close() }, 1},
-		"the node dies":                            {func(_ *rig, s *peer) { _ = s.SetLinger(0); _ = s.Close() }, 1},
-		"the node just ends":                       {func(_ *rig, s *peer) { _ = s.Close() }, 1},
-		"the node dies in the middle of a message": {func(_ *rig, s *peer) { s.say("#3 half a mes"); _ = s.Close() }, 1},
-		"the node falls silent": {func(g *rig, _ *peer) {
-			g.inLoop(func() { s := firstSession(g); s.lastBack = 1; s.expects(1); g.r.sweep() })
+		"the node is listed as draining":           {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
+		"the node sends its clients away":          {func(_ *harness, s *peer) { s.say("MOVE\r\n"); _ = s.Close() }, 1},
+		"the node dies":                            {func(_ *harness, s *peer) { _ = s.SetLinger(0); _ = s.Close() }, 1},
+		"the node just ends":                       {func(_ *harness, s *peer) { _ = s.Close() }, 1},
+		"the node dies in the middle of a message": {func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() }, 1},
+		"the node falls silent": {func(g *harness, _ *peer) {
+			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.sweep() })
 		}, 1},
-		"the balancer stops": {func(g *rig, _ *peer) { g.l.Post(g.r.Drain) }, 0},
+		"the balancer stops": {func(g *harness, _ *peer) { g.loop.Post(g.proxy.Drain) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, other := resumeRig(t, nil), resumeRig(t, nil)
-			client, target := g.standing()
+			g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
+			client, target := g.establishResumable()
 			c.end(g, target)
 			word := client.moved()
 			// The next balancer shares nothing with the first but the key and the list.
 			other.list(
-				listed("s0", g.targets[0].Addr().String(), "Ready"),
-				listed("s1", g.targets[1].Addr().String(), "Ready"),
+				listed("s0", g.servers[0].Addr().String(), "Ready"),
+				listed("s1", g.servers[1].Addr().String(), "Ready"),
 			)
 			again := other.client(comeLine + word + "\r\n")
-			next := g.hop(c.to)
+			next := g.acceptUpstream(c.to)
 			if got := next.line(); !strings.HasPrefix(got, "OPEN 2 7f c=sync,d=") ||
 				!strings.HasSuffix(got, ",g=5c,owner=o,again=1,cur=2,tok="+word+"\r\n") {
 				t.Fatalf("%q", got)
 			}
-			if q := event[decision.Request](other); !q.Pinned || !q.Resumes || q.To != uint32(c.to) || !q.Returned {
+			if q := event[decision.Request](other); !q.Pinned || !q.Resumable || q.PinnedServer != uint32(c.to) ||
+				!q.Reconnected {
 				t.Errorf("%+v", q)
 			}
 			next.say("UP r2 from=2\r\n#3 c\r\n")
 			again.want("UP r2 from=2\r\n")
 			again.want("#3 c\r\n")
-			other.drains(c.to)
+			other.listDraining(c.to)
 			again.moved() // and on it goes
 		})
 	}
@@ -159,13 +160,13 @@
 		change func(*Config)
 		first  string
 	}{
-		"not in the site file": {off, askLine}, "not asked for": {nil, openLine},
+		"not in the site file": {off, tokenRequestLine}, "not asked for": {nil, openLine},
 		"odd names, not in the site file": {off, "OPEN 1 7f c=sync,d=60000,tok=,cur=x,owner=\r\n"},
 		"a token, not in the site file":   {off, comeLine + "abcd\r\n"},
 	} {
-		g := resumeRig(t, c.change)
+		g := newResumeHarness(t, c.change)
 		client := g.client(c.first)
-		target := g.hop(0)
+		target := g.acceptUpstream(0)
 		if got := target.line(); got[:19] != c.first[:19] ||
 			got[strings.Index(got, ",d=")+8:] != c.first[strings.Index(c.first, ",d=")+8:] {
 			t.Errorf("%s: %q", name, got)
@@ -176,7 +177,7 @@
 		if got, err := client.rd.Peek(6); string(got) != "half a" || err != nil {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
-		g.drains(0)
+		g.listDraining(0)
 		target.say(" line\r\nMOVE\r\n")
 		g.check(target.Close())
 		client.want("half a line\r\n")
@@ -186,11 +187,11 @@
 }
 
 // seal makes a token as a balancer would, changed by a test.
-func (g *rig) seal(ring *token.Ring, change func(*token.Token)) string {
-	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, Top: 2, Class: []byte("sync"), Server: []byte("s1")}
-	g.inLoop(func() { t.Minted = int64(g.l.Now() / ms) })
-	t.Expires = t.Minted + 60_000
-	first, err := lineproto.ParseOpen([]byte(strings.TrimSuffix(askLine, "\r\n")))
+func (g *harness) seal(ring *token.Ring, change func(*token.Token)) string {
+	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
+	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / millisecond) })
+	t.ExpiresAt = t.IssuedAt + 60_000
+	first, err := lineproto.ParseOpen([]byte(strings.TrimSuffix(tokenRequestLine, "\r\n")))
 	g.check(err)
 	t.Tenant = first.Tenant
 	if change != nil {
@@ -200,24 +201,24 @@
 }
 
 // What is wrong with a token is told at once; neither the module nor any target hears of it.
-func TestTokenRefused(t *testing.T) {
-	g := resumeRig(t, nil)
-	ring := ringWith(t, token.Key{Secret: keyOf(1), Mints: true})
+func TestTokenRejected(t *testing.T) {
+	g := newResumeHarness(t, nil)
+	ring := ringWith(t, token.Key{Secret: keyOf(1), Issues: true})
 	with := func(change func(*token.Token)) string { return comeLine + g.seal(ring, change) }
 	for name, c := range map[string]struct{ first, why string }{
 		"garbage":         {comeLine + "garbage", "malformed"},
 		"altered":         {strings.Replace(with(nil), "tok=AQ", "tok=Ag", 1), "malformed"},
 		"cut":             {with(nil)[:len(with(nil))-4], "forged"},
-		"withdrawn key":   {comeLine + g.seal(ringWith(t, token.Key{Secret: keyOf(9), Mints: true}), nil), "key"},
-		"expired":         {with(func(t *token.Token) { t.Expires = t.Minted }), "expired"},
-		"from the future": {with(func(t *token.Token) { t.Minted += 10_000 }), "early"},
+		"withdrawn key":   {comeLine + g.seal(ringWith(t, token.Key{Secret: keyOf(9), Issues: true}), nil), "key"},
+		"expired":         {with(func(t *token.Token) { t.ExpiresAt = t.IssuedAt }), "expired"},
+		"from the future": {with(func(t *token.Token) { t.IssuedAt += 10_000 }), "early"},
 		"other tenant":    {with(func(t *token.Token) { t.Tenant++ }), "tenant"},
 		"other class":     {with(func(t *token.Token) { t.Class = []byte("watch") }), "stream"},
 		"other key":       {with(func(t *token.Token) { t.Key++ }), "stream"},
 		"other group":     {with(func(t *token.Token) { t.Group++ }), "stream"},
-		"cursor ahead":    {with(func(t *token.Token) { t.Top = 1 }), "ahead"},
+		"cursor ahead":    {with(func(t *token.Token) { t.LastSequence = 1 }), "ahead"},
 		"unlisted":        {with(func(t *token.Token) { t.Server = []byte("s9") }), "gone"},
-		"started since":   {with(func(t *token.Token) { t.Started = 5 }), "gone"},
+		"started since":   {with(func(t *token.Token) { t.ServerStarted = 5 }), "gone"},
 		"no cursor":       {strings.Replace(with(nil), "cur=2,", "", 1), "malformed"},
 		"a bad cursor":    {strings.Replace(with(nil), "cur=2,", "cur=02,", 1), "malformed"},
 		"where it stood":  {strings.Replace(with(nil), "cur=2,", "cur=2,at=s1,", 1), "malformed"},
@@ -229,7 +230,7 @@
 		}
 		client.ended(true)
 	}
-	g.drains(1)
+	g.listDraining(1)
 	late := g.client(with(nil) + "\r\n")
 	late.want("STALE gone\r\n")
 	if len(g.events) > 0 {
@@ -237,7 +238,7 @@
 	}
 	told := 0
 	g.inLoop(func() {
-		for _, n := range g.r.resumption.gate.Told {
+		for _, n := range g.proxy.resumption.tokens.Rejected {
 			told += n
 		}
 	})
@@ -263,10 +264,10 @@
 		"goes on elsewhere":    {func(s *peer) { s.say("UP r from=7\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := resumeRig(t, nil)
-			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Mints: true}), nil)
+			g := newResumeHarness(t, nil)
+			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 			client := g.client(comeLine + word + "\r\n")
-			target := g.hop(1)
+			target := g.acceptUpstream(1)
 			target.line()
 			// At the same time, in the same balancer: no second hop.
 			twin := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
@@ -278,7 +279,7 @@
 				again.want(c.again)
 				return
 			}
-			g.hop(1).line() // it is as good as before
+			g.acceptUpstream(1).line() // it is as good as before
 		})
 	}
 }
@@ -287,54 +288,54 @@
 // at another one only the target can know.
 func TestTokenTimesOut(t *testing.T) {
 	hasty := func(ev decision.Event) []decision.Action {
-		acts := onward(ev)
+		acts := sendOrMove(ev)
 		for i, a := range acts {
-			if s, ok := a.(decision.Send); ok {
-				s.GiveUp = 50_000
+			if s, ok := a.(decision.StartAttempt); ok {
+				s.Timeout = 50_000
 				acts[i] = s
 			}
 		}
 		return acts
 	}
-	g, other := resumeRig(t, nil), resumeRig(t, nil)
+	g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
 	g.inLoop(func() { g.decide = hasty })
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Mints: true}), nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 	client := g.client(comeLine + word + "\r\n")
-	target := g.hop(1)
+	target := g.acceptUpstream(1)
 	target.line()
 	client.want("STALE unsure\r\n")
 	target.ended(true)
-	if o := event[decision.Outcome](g); o.Status != outcome.TimedOut || o.Closed {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.TimedOut || o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
 	again.want("STALE spent\r\n")
 	other.list(
-		listed("s0", g.targets[0].Addr().String(), "Ready"),
-		listed("s1", g.targets[1].Addr().String(), "Ready"),
+		listed("s0", g.servers[0].Addr().String(), "Ready"),
+		listed("s1", g.servers[1].Addr().String(), "Ready"),
 	)
 	elsewhere := other.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
-	next := g.hop(1)
+	next := g.acceptUpstream(1)
 	next.line()
 	next.say("STALE taken\r\n")
 	elsewhere.want("STALE taken\r\n")
 }
 
 // What is left of a session whose token was given back must not give back the claim of the next.
-func TestTokenGivenBackOnce(t *testing.T) {
-	g := resumeRig(t, nil)
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Mints: true}), nil)
+func TestTokenReleasedOnce(t *testing.T) {
+	g := newResumeHarness(t, nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 	first := g.client(comeLine + word + "\r\n")
-	target := g.hop(1)
+	target := g.acceptUpstream(1)
 	target.line()
 	target.say("BUSY\r\n")
 	first.want("BUSY 70\r\n")
 	second := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	next := g.hop(1)
+	next := g.acceptUpstream(1)
 	next.line()
 	g.check(first.Close())
 	for closed := false; !closed; { // the first session is there until it has seen that
-		g.inLoop(func() { closed = g.r.sessions.Len() == 1 })
+		g.inLoop(func() { closed = g.proxy.requests.Len() == 1 })
 	}
 	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 	third.want("STALE taken\r\n")
@@ -344,8 +345,8 @@
 
 // A stream that is served to its end has ended, and does not go on.
 func TestStreamEnds(t *testing.T) {
-	g := resumeRig(t, nil)
-	client, target := g.standing()
+	g := newResumeHarness(t, nil)
+	client, target := g.establishResumable()
 	target.say("BYE\r\n")
 	g.check(target.Close())
 	client.want("BYE\r\n")
@@ -353,25 +354,25 @@
 }
 
 // A drain that is taken back moves nobody any more.
-func TestDrainTakenBack(t *testing.T) {
-	g := resumeRig(t, func(cfg *Config) { cfg.Resume.Spread = 2 * sec })
+func TestDrainCancelled(t *testing.T) {
+	g := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * second })
 	var clients []*peer
 	var last *peer
 	for i := range 8 {
-		c := g.client(strings.Replace(askLine, "OPEN 1", fmt.Sprint("OPEN 1", i), 1))
-		last = g.hop(0)
+		c := g.client(strings.Replace(tokenRequestLine, "OPEN 1", fmt.Sprint("OPEN 1", i), 1))
+		last = g.acceptUpstream(0)
 		last.line()
 		last.say("UP r1 from=0\r\n")
 		c.want("UP r1 from=0\r\n")
 		clients = append(clients, c)
 	}
-	addr := g.targets[0].Addr().String()
-	g.drains(0)
+	addr := g.servers[0].Addr().String()
+	g.listDraining(0)
 	g.list(listed("s0", addr, "Ready"))
 	moved, due := 0, 0
 	g.inLoop(func() {
-		moved = g.r.counts.moved
-		_, next := g.r.resumption.plan.Due(g.l.Now()+10*sec, nil)
+		moved = g.proxy.counters.moved
+		_, next := g.proxy.resumption.drainOrder.Due(g.loop.Now()+10*second, nil)
 		due = int(next)
 	})
 	if moved == len(clients) || due >= 0 {
@@ -381,62 +382,62 @@
 
 // A client that leaves before any attempt was made leaves its token as it was.
 func TestTokenWithdrawn(t *testing.T) {
-	g := resumeRig(t, nil)
+	g := newResumeHarness(t, nil)
 	hold := true
 	g.inLoop(func() {
 		g.decide = func(ev decision.Event) []decision.Action {
 			if hold {
 				return nil
 			}
-			return onward(ev)
+			return sendOrMove(ev)
 		}
 	})
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Mints: true}), nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 	client := g.client(comeLine + word + "\r\n")
 	event[decision.Request](g)
 	g.check(client.Close())
-	event[decision.Withdrawn](g)
+	event[decision.RequestCancelled](g)
 	g.inLoop(func() { hold = false })
 	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	target := g.hop(1)
+	target := g.acceptUpstream(1)
 	target.line()
 	target.say("UP r from=2\r\n")
 	again.want("UP r from=2\r\n")
 	g.check(again.Close())
 	target.ended(true)
 	g.check(target.Close())
-	event[decision.Outcome](g)
+	event[decision.AttemptEnded](g)
 	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 	third.want("STALE spent\r\n")
 }
 
 // Keys rotate by reload: the old one opens until it is withdrawn; what a balancer knows of tokens stays.
 func TestKeysRotate(t *testing.T) {
-	g := resumeRig(t, nil)
-	old, fresh := token.Key{Secret: keyOf(1)}, token.Key{Secret: keyOf(2), Mints: true}
-	client, _ := g.standing()
+	g := newResumeHarness(t, nil)
+	old, fresh := token.Key{Secret: keyOf(1)}, token.Key{Secret: keyOf(2), Issues: true}
+	client, _ := g.establishResumable()
 	reload := func(keys ...token.Key) {
 		ring := ringWith(t, keys...)
 		g.inLoop(func() {
-			cfg, set := g.r.cfg, *g.r.cfg.Resume
+			cfg, set := g.proxy.cfg, *g.proxy.cfg.Resume
 			set.Ring = ring
 			cfg.Resume = &set
-			g.r.Reload(cfg)
+			g.proxy.Reload(cfg)
 		})
 	}
 	minting := old
-	minting.Mints = true
+	minting.Issues = true
 	before := g.seal(ringWith(t, minting), nil)
 	reload(old, fresh)
-	g.drains(0)
+	g.listDraining(0)
 	after := client.moved()
 	var opened token.Token
-	if err := ringWith(t, fresh).Open([]byte(after), &opened); err != nil || opened.Top != 2 ||
+	if err := ringWith(t, fresh).Open([]byte(after), &opened); err != nil || opened.LastSequence != 2 ||
 		string(opened.Server) != "s1" {
 		t.Errorf("%+v, %v", opened, err)
 	}
 	again := g.client(comeLine + before + "\r\n")
-	target := g.hop(1)
+	target := g.acceptUpstream(1)
 	target.line()
 	target.say("UP r from=2\r\n")
 	again.want("UP r from=2\r\n")
@@ -444,11 +445,11 @@
 	withdrawn := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + before + "\r\n")
 	withdrawn.want("STALE key\r\n")
 	g.inLoop(func() {
-		cfg := g.r.cfg
+		cfg := g.proxy.cfg
 		cfg.Resume = nil
-		g.r.Reload(cfg) // off: standing streams go on, and are moved without a token
+		g.proxy.Reload(cfg) // off: standing streams go on, and are moved without a token
 	})
-	g.drains(1)
+	g.listDraining(1)
 	target.say("#3 c\r\nMOVE\r\n")
 	again.want("#3 c\r\n")
 	again.want("MOVE\r\n")
@@ -456,8 +457,8 @@
 
 // A line that no message can be is passed on as it comes, and its connection ends in kind.
 func TestMessageTooLong(t *testing.T) {
-	g := resumeRig(t, nil)
-	client, target := g.standing()
+	g := newResumeHarness(t, nil)
+	client, target := g.establishResumable()
 	target.say(strings.Repeat("x", lineproto.Max+10))
 	if _, err := client.rd.Peek(lineproto.Max); err != nil {
 		t.Fatal(err)
@@ -469,15 +470,15 @@
 			break
 		}
 	}
-	if o := event[decision.Outcome](g); o.Status != outcome.Reset {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset {
 		t.Errorf("%+v", o)
 	}
 }
 
 // Clients that present garbage at full speed are all answered, and cost neither memory nor anyone's connection.
 func TestGarbageTokens(t *testing.T) {
-	g := resumeRig(t, nil)
-	client, target := g.standing()
+	g := newResumeHarness(t, nil)
+	client, target := g.establishResumable()
 	for i := range 500 {
 		c := g.client(
 			strings.Replace(comeLine, "OPEN 2", fmt.Sprint("OPEN a", i), 1) + strings.Repeat("A", 320) + "\r\n",
@@ -488,7 +489,7 @@
 	target.say("#3 c\r\n")
 	client.want("#3 c\r\n")
 	g.inLoop(func() {
-		if p, l, s := g.r.resumption.gate.Count(); p+l+s != 0 {
+		if p, l, s := g.proxy.resumption.tokens.Counts(); p+l+s != 0 {
 			t.Errorf("%d claims", p+l+s)
 		}
 	})
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -20,29 +20,29 @@
 // patience bounds every wait of these tests; nothing is proved by its passing.
 const patience = 10 * time.Second
 
-const rigSettings = `{"balancers":1,"rank":0,"zone":0,"dcs":["a","b"],"skus":["m"],"discovery":"ask",
+const harnessSettings = `{"balancers":1,"rank":0,"zone":0,"dcs":["a","b"],"skus":["m"],"discovery":"ask",
 "limits":{"most_tries":4,"probes":true,"may_cancel":true,"retry_after":true,"max_retry_after":1000000,
 "connect_timeout":2000000},
 "rules":{"cold":23000000,"cold_from":0.13,"drain_grace":2500000,"overload_factor":3,"tip_after":1000000},
 "request_classes":[{"name":"sync","slo":300000,"deadline":60000000,"effect":"read_like","streaming":true}],
 "specifics":{"mode":"proxy","message_aim":[50000],"tells_delay":true}}`
 
-// rig is a relay on a loop of its own, whose decisions a test writes; it stands between real sockets.
-type rig struct {
-	known   []byte // the list that the relay started with
-	t       *testing.T
-	r       *Relay
-	l       *eventloop.Loop
-	decide  func(decision.Event) []decision.Action
-	module  *decision.Balancer // decides in place of the test, where there is one
-	events  chan decision.Event
-	stopped chan error
-	targets []*net.TCPListener
+// harness is a relay on a loop of its own, whose decisions a test writes; it stands between real sockets.
+type harness struct {
+	cachedList []byte // the list that the relay started with
+	t          *testing.T
+	proxy      *Proxy
+	loop       *eventloop.Loop
+	decide     func(decision.Event) []decision.Action
+	module     *decision.Balancer // decides in place of the test, where there is one
+	events     chan decision.Event
+	stopped    chan error
+	servers    []*net.TCPListener
 }
 
 // Handle is part of decider. The lists are not kept: no test waits for one.
-func (g *rig) Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action {
-	if _, ok := ev.(decision.Update); !ok {
+func (g *harness) Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action {
+	if _, ok := ev.(decision.ServerListUpdate); !ok {
 		g.events <- ev
 	}
 	if g.module != nil {
@@ -54,62 +54,62 @@
 	return out
 }
 
-// newRig starts a relay that knows n targets, s0, s1 and so on. change may alter its configuration.
-func newRig(t *testing.T, n int, decide func(decision.Event) []decision.Action, change func(*Config)) *rig {
+// newHarness starts a relay that knows n targets, s0, s1 and so on. change may alter its configuration.
+func newHarness(t *testing.T, n int, decide func(decision.Event) []decision.Action, change func(*Config)) *harness {
 	t.Helper()
-	return startRig(t, n, decide, change, false)
+	return startHarness(t, n, decide, change, false)
 }
 
-// newDecidedRig is newRig with the program's own decision module.
-func newDecidedRig(t *testing.T, n int, change func(*Config)) *rig {
+// newHarnessWithModule is newRig with the program's own decision module.
+func newHarnessWithModule(t *testing.T, n int, change func(*Config)) *harness {
 	t.Helper()
-	return startRig(t, n, nil, change, true)
+	return startHarness(t, n, nil, change, true)
 }
 
-func startRig(
+func startHarness(
 	t *testing.T,
 	n int,
 	decide func(decision.Event) []decision.Action,
 	change func(*Config),
 	own bool,
-) *rig {
+) *harness {
 	t.Helper()
-	g := &rig{t: t, decide: decide, events: make(chan decision.Event, 1000), stopped: make(chan error, 1)}
+	g := &harness{t: t, decide: decide, events: make(chan decision.Event, 1000), stopped: make(chan error, 1)}
 	var known []string
 	for i := range n {
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		g.check(err)
 		t.Cleanup(func() { _ = ln.Close() })
-		g.targets = append(g.targets, ln)
+		g.servers = append(g.servers, ln)
 		known = append(known, listed(fmt.Sprint("s", i), ln.Addr().String(), "Ready"))
 	}
-	set, err := settings.ParseJSON([]byte(rigSettings))
+	set, err := settings.ParseJSON([]byte(harnessSettings))
 	g.check(err)
 	cfg := Config{
 		Settings: set, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: closedPort(t),
-		Known: []byte(`{"generation":1,"reset":true,"instances":[` + strings.Join(known, ",") + `]}`),
+		CachedList: []byte(`{"generation":1,"reset":true,"instances":[` + strings.Join(known, ",") + `]}`),
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	g.known = cfg.Known
-	g.l, err = eventloop.New()
+	g.cachedList = cfg.CachedList
+	g.loop, err = eventloop.New()
 	g.check(err)
 	if own {
-		cfg.Settings.Logic.MayProbe = false // a probe would be taken for a hop
-		g.module = decision.New(cfg.Settings.Logic, 1, decision.Micros(g.l.Now()))
+		cfg.Settings.Decision.AllowProbes = false // a probe would be taken for a hop
+		g.module = decision.New(cfg.Settings.Decision, 1, decision.Micros(g.loop.Now()))
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	g.r, err = start(g.l, cfg, log, g)
+	g.proxy, err = start(g.loop, cfg, log, g)
 	g.check(err)
 	go func() {
 		err := errors.New("a check failed on the loop")
 		defer func() { g.stopped <- err }()
-		err = g.l.Run()
+		err = g.loop.Run()
 	}()
 	t.Cleanup(func() {
-		g.l.Post(g.l.Stop)
+		g.loop.Post(g.loop.Stop)
 		<-g.stopped
 	})
 	return g
@@ -136,16 +136,16 @@
 }
 
 // inLoop has the loop call f and waits until it has.
-func (g *rig) inLoop(f func()) {
+func (g *harness) inLoop(f func()) {
 	done := make(chan struct{})
-	g.l.Post(func() {
+	g.loop.Post(func() {
 		defer close(done)
 		f()
 	})
 	<-done
 }
 
-func (g *rig) check(err error) {
+func (g *harness) check(err error) {
 	g.t.Helper()
 	if err != nil {
 		g.t.Fatal(err)
@@ -153,7 +153,7 @@
 }
 
 // event waits for the next event of type T; others before it are passed over.
-func event[T decision.Event](g *rig) T {
+func event[T decision.Event](g *harness) T {
 	g.t.Helper()
 	for late := time.After(patience); ; {
 		select {
@@ -171,12 +171,12 @@
 
 // peer is a client, or a connection that a target accepted.
 type peer struct {
-	g *rig
+	g *harness
 	*net.TCPConn
 	rd *bufio.Reader
 }
 
-func (g *rig) peer(c net.Conn, err error) *peer {
+func (g *harness) peer(c net.Conn, err error) *peer {
 	g.t.Helper()
 	g.check(err)
 	g.check(c.SetDeadline(time.Now().Add(patience)))
@@ -185,18 +185,18 @@
 }
 
 // client connects at the ingress and says text.
-func (g *rig) client(text string) *peer {
+func (g *harness) client(text string) *peer {
 	g.t.Helper()
-	p := g.peer(net.Dial("tcp", g.r.Addr().String()))
+	p := g.peer(net.Dial("tcp", g.proxy.Addr().String()))
 	p.say(text)
 	return p
 }
 
-// hop takes the next connection at target i.
-func (g *rig) hop(i int) *peer {
+// acceptUpstream takes the next connection at target i.
+func (g *harness) acceptUpstream(i int) *peer {
 	g.t.Helper()
-	g.check(g.targets[i].SetDeadline(time.Now().Add(patience)))
-	return g.peer(g.targets[i].Accept())
+	g.check(g.servers[i].SetDeadline(time.Now().Add(patience)))
+	return g.peer(g.servers[i].Accept())
 }
 
 func (p *peer) say(text string) {
@@ -239,22 +239,22 @@
 	another  = "OPEN 9b20 7f3a c=sync,d=60000\r\n"
 )
 
-// long is a time-out that no test waits for.
-const long = 30_000_000
+// longTimeout is a time-out that no test waits for.
+const longTimeout = 30_000_000
 
-// to sends every request to target 0, and nothing twice.
-func to(ev decision.Event) []decision.Action {
+// sendToFirst sends every request to target 0, and nothing twice.
+func sendToFirst(ev decision.Event) []decision.Action {
 	if q, ok := ev.(decision.Request); ok {
-		return []decision.Action{decision.Send{ID: q.ID, GiveUp: long}}
+		return []decision.Action{decision.StartAttempt{ID: q.ID, Timeout: longTimeout}}
 	}
 	return nil
 }
 
-// stand brings a connection up at target 0.
-func (g *rig) stand() (client, target *peer) {
+// establish brings a connection up at target 0.
+func (g *harness) establish() (client, target *peer) {
 	g.t.Helper()
 	client = g.client(openLine)
-	target = g.hop(0)
+	target = g.acceptUpstream(0)
 	target.line()
 	target.say("UP r1\r\n")
 	client.want("UP r1\r\n")
--- a/internal/proxy/room.go
+++ b/internal/proxy/room.go
@@ -4,125 +4,127 @@
 
 const (
 	// Descriptors that are kept free: the runtime's own, and a part of all for hops, probes and discovery.
-	reserveOwn  = 16
-	reservePart = 16
+	reservedDescriptors = 16
+	reservedDivisor     = 16
 
 	// Of the memory, the part that may be kept for slow readers, and the bounds for one of them.
-	pendingPart  = 8
-	leastPending = 2 << 10
-	mostPending  = 32 << 10
+	pendingMemoryDivisor = 8
+	minPendingBytes      = 2 << 10
+	maxPendingBytes      = 32 << 10
 )
 
-// room holds the connections on which no request depends. They cost a descriptor each, and hundreds of clients may open
+// idleConns holds the connections on which no request depends. They cost a descriptor each, and hundreds of clients may open
 // connections and say nothing, or ask once and stay. So they stay while there is room, and go in this order when a
 // descriptor is needed: what has its answer, what has said nothing or little, what pings as a front does.
-type room struct{ answered, strangers, fronts list.List }
+type idleConns struct{ answered, silent, pinging list.List }
 
-// enter puts a connection last in its row.
-func (q *room) enter(d *door) {
-	q.leave(d)
+// add puts a connection last in its row.
+func (q *idleConns) add(d *downstreamConn) {
+	q.remove(d)
 	switch {
-	case d.ending:
-		d.idleIn = &q.answered
-	case d.pinged > 1:
-		d.idleIn = &q.fronts
+	case d.lingering:
+		d.idleList = &q.answered
+	case d.pings > 1:
+		d.idleList = &q.pinging
 	default:
-		d.idleIn = &q.strangers
+		d.idleList = &q.silent
 	}
-	d.idle = d.idleIn.PushBack(d)
+	d.idleEntry = d.idleList.PushBack(d)
 }
 
-// leave takes a connection out, if it is in.
-func (q *room) leave(d *door) {
-	if d.idle != nil {
-		d.idleIn.Remove(d.idle)
-		d.idle, d.idleIn = nil, nil
+// remove takes a connection out, if it is in.
+func (q *idleConns) remove(d *downstreamConn) {
+	if d.idleEntry != nil {
+		d.idleList.Remove(d.idleEntry)
+		d.idleEntry, d.idleList = nil, nil
 	}
 }
 
-// first is the connection that goes first, nil where none is left.
-func (q *room) first() *door {
-	for _, row := range []*list.List{&q.answered, &q.strangers, &q.fronts} {
+// oldestEvictable is the connection that goes first, nil where none is left.
+func (q *idleConns) oldestEvictable() *downstreamConn {
+	for _, row := range []*list.List{&q.answered, &q.silent, &q.pinging} {
 		if e := row.Front(); e != nil {
-			return e.Value.(*door)
+			return e.Value.(*downstreamConn)
 		}
 	}
 	return nil
 }
 
-// resting is a connection that has asked nothing, nil where none is left.
-func (q *room) resting() *door {
-	for _, row := range []*list.List{&q.strangers, &q.fronts} {
+// oldestUnasked is a connection that has asked nothing, nil where none is left.
+func (q *idleConns) oldestUnasked() *downstreamConn {
+	for _, row := range []*list.List{&q.silent, &q.pinging} {
 		if e := row.Front(); e != nil {
-			return e.Value.(*door)
+			return e.Value.(*downstreamConn)
 		}
 	}
 	return nil
 }
 
-// makeRoom closes what may go until descriptors no longer run short.
-func (r *Relay) makeRoom() {
-	for r.tight() {
-		d := r.room.first()
+// evictIdle closes what may go until descriptors no longer run short.
+func (r *Proxy) evictIdle() {
+	for r.descriptorsShort() {
+		d := r.idle.oldestEvictable()
 		if d == nil {
 			return
 		}
-		r.counts.evicted++
+		r.counters.evicted++
 		d.evict()
 	}
 }
 
-// tight tells that descriptors run short.
-func (r *Relay) tight() bool {
-	most := r.cfg.Descriptors
-	return most > 0 && r.l.Descriptors() >= most-reserveOwn-most/reservePart
+// descriptorsShort tells that descriptors run short.
+func (r *Proxy) descriptorsShort() bool {
+	most := r.cfg.MaxDescriptors
+	return most > 0 && r.loop.Descriptors() >= most-reservedDescriptors-most/reservedDivisor
 }
 
-// limit fits the buffers to the memory: all connections and channels may have a slow reader at once.
-func (r *Relay) limit() {
-	r.maxPending = mostPending
-	r.sized = max(r.cfg.Descriptors, 2*r.sessions.Len())
-	if r.cfg.Memory > 0 && r.sized > 0 {
-		each := r.cfg.Memory / pendingPart / int64(r.sized)
-		r.maxPending = int(min(max(each, leastPending), mostPending))
+// sizeBuffers fits the buffers to the memory: all connections and channels may have a slow reader at once.
+func (r *Proxy) sizeBuffers() {
+	r.maxPending = maxPendingBytes
+	r.buffersSizedFor = max(r.cfg.MaxDescriptors, 2*r.requests.Len())
+	if r.cfg.MemoryLimit > 0 && r.buffersSizedFor > 0 {
+		each := r.cfg.MemoryLimit / pendingMemoryDivisor / int64(r.buffersSizedFor)
+		r.maxPending = int(min(max(each, minPendingBytes), maxPendingBytes))
 	}
 }
 
-// manyIDs is how many ids of requests that are over are remembered.
-const manyIDs = 1024
+// rememberedIDs is how many ids of requests that are over are remembered.
+const rememberedIDs = 1024
 
-// ids are those of the requests that the relay has, and of the last that it had.
-type ids struct {
-	seen map[uint64]bool // whether the request is still there
-	past []uint64        // a ring
-	at   int
+// requestIDs are those of the requests that the relay has, and of the last that it had.
+type requestIDs struct {
+	active map[uint64]bool // whether the request is still there
+	recent []uint64        // a ring
+	next   int
 }
 
-func newIDs() ids { return ids{seen: map[uint64]bool{}, past: make([]uint64, 0, manyIDs)} }
+func newRequestIDs() requestIDs {
+	return requestIDs{active: map[uint64]bool{}, recent: make([]uint64, 0, rememberedIDs)}
+}
 
 // known tells whether the request is there, or was among the last.
-func (i *ids) known(id uint64) bool {
-	_, known := i.seen[id]
+func (i *requestIDs) known(id uint64) bool {
+	_, known := i.active[id]
 	return known
 }
 
-// take notes a new id. It returns false for one that is known.
-func (i *ids) take(id uint64) bool {
+// add notes a new id. It returns false for one that is known.
+func (i *requestIDs) add(id uint64) bool {
 	if i.known(id) {
 		return false
 	}
-	i.seen[id] = true
+	i.active[id] = true
 	return true
 }
 
-// leave notes that the request is over.
-func (i *ids) leave(id uint64) {
-	i.seen[id] = false
-	if len(i.past) < manyIDs {
-		i.past = append(i.past, id)
+// finish notes that the request is over.
+func (i *requestIDs) finish(id uint64) {
+	i.active[id] = false
+	if len(i.recent) < rememberedIDs {
+		i.recent = append(i.recent, id)
 		return
 	}
-	delete(i.seen, i.past[i.at])
-	i.past[i.at] = id
-	i.at = (i.at + 1) % manyIDs
+	delete(i.active, i.recent[i.next])
+	i.recent[i.next] = id
+	i.next = (i.next + 1) % rememberedIDs
 }
--- a/internal/proxy/roster_test.go
+++ b/internal/proxy/roster_test.go
@@ -9,39 +9,39 @@
 )
 
 // A roster has what was put in and not taken out again, each once, and knows where.
-func TestRoster(t *testing.T) {
+func TestRequestSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := roster{place: func(s *session) *int32 { return &s.inAwaited }}
-		all := make([]*session, 8)
+		q := requestSet{index: func(s *request) *int32 { return &s.awaitingReplyIndex }}
+		all := make([]*request, 8)
 		for i := range all {
-			all[i] = &session{}
+			all[i] = &request{}
 		}
-		in := map[*session]bool{}
+		in := map[*request]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s := rapid.SampledFrom(all).Draw(t, "session")
 			if in[s] = rapid.Bool().Draw(t, "add"); in[s] {
 				q.add(s)
 			} else {
-				q.drop(s)
+				q.remove(s)
 			}
 		}
 		for _, s := range all {
-			if slices.Contains(q.all, s) != in[s] || in[s] && q.all[s.inAwaited-1] != s ||
-				!in[s] && s.inAwaited != 0 {
-				t.Fatalf("%v in %v, place %d", in[s], q.all, s.inAwaited)
+			if slices.Contains(q.members, s) != in[s] || in[s] && q.members[s.awaitingReplyIndex-1] != s ||
+				!in[s] && s.awaitingReplyIndex != 0 {
+				t.Fatalf("%v in %v, place %d", in[s], q.members, s.awaitingReplyIndex)
 			}
 		}
-		if seen := slices.Collect(q.each); len(seen) != len(slices.Compact(slices.Clone(q.all))) {
-			t.Fatalf("%d yielded of %d", len(seen), len(q.all))
+		if seen := slices.Collect(q.each); len(seen) != len(slices.Compact(slices.Clone(q.members))) {
+			t.Fatalf("%d yielded of %d", len(seen), len(q.members))
 		}
 		// Whoever leaves while all are looked at, those that stay are seen.
-		seen := map[*session]bool{}
+		seen := map[*request]bool{}
 		for s := range q.each {
 			seen[s] = true
 			other := rapid.SampledFrom(all).Draw(t, "other")
 			in[other] = in[other] && seen[other]
 			if seen[other] {
-				q.drop(other)
+				q.remove(other)
 			}
 		}
 		for s, stays := range in {
@@ -54,8 +54,8 @@
 
 // Where nobody expects notes of slow messages, what lines took is not kept: it would grow for as long as lines come.
 func TestTimesAreNotKeptForNobody(t *testing.T) {
-	g := newRig(t, 1, to, func(cfg *Config) { cfg.Settings.TellsDelay = false })
-	client, target := g.stand()
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsDelay = false })
+	client, target := g.establish()
 	for range 3 {
 		client.say("T 1\r\n")
 		target.want("T 1\r\n")
@@ -64,8 +64,8 @@
 	}
 	kept := -1
 	g.inLoop(func() {
-		g.r.sweep()
-		kept = len(g.r.pace(0).samples)
+		g.proxy.sweep()
+		kept = len(g.proxy.latencyOf(0).samples)
 	})
 	if kept != 0 {
 		t.Fatalf("%d times are kept", kept)
@@ -73,21 +73,27 @@
 }
 
 // Sessions are in the rosters that concern them, and in none once they are over.
-func TestRostersFollowSessions(t *testing.T) {
-	g := newRig(t, 1, to, nil)
+func TestRequestSetsFollowRequests(t *testing.T) {
+	g := newHarness(t, 1, sendToFirst, nil)
 	look := func(want [3]int) {
 		t.Helper()
 		var got [3]int
 		for until := eventloop.Micros(0); got != want && until < 500; until++ { // lines come a moment later
 			g.inLoop(
-				func() { got = [3]int{len(g.r.underWay.all), len(g.r.awaited.all), len(g.r.pace(0).stands.all)} },
+				func() {
+					got = [3]int{
+						len(g.proxy.unanswered.members),
+						len(g.proxy.awaitingReply.members),
+						len(g.proxy.latencyOf(0).established.members),
+					}
+				},
 			)
 		}
 		if got != want {
 			t.Fatalf("under way, awaited, standing: %v, want %v", got, want)
 		}
 	}
-	client, target := g.stand()
+	client, target := g.establish()
 	look([3]int{0, 0, 1})
 	client.say("T 1\r\n")
 	target.want("T 1\r\n")
