--- a/internal/proxy/scale_bench_test.go
+++ b/internal/proxy/scale_bench_test.go
@@ -12,30 +12,49 @@
 // benchSizes are the numbers of standing connections over which a cost is looked at.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// benchTargets are the targets that they stand at.
-const benchTargets = 400
+// benchServers are the targets that they stand at.
+const benchServers = 400
 
-// standing is a relay with n standing sessions that have no sockets, busy of them with a line that is unanswered.
-func standing(b *testing.B, n, busy int) *Relay {
+// proxyWithRequests is a relay with n standing sessions that have no sockets, busy of them with a line that is unanswered.
+func proxyWithRequests(b *testing.B, n, busy int) *Proxy {
 	b.Helper()
 	l, err := eventloop.New()
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = l.Close() })
-	r := &Relay{l: l, log: logrus.New(), maxPending: mostPending, ids: newIDs(), table: discovery.NewTable()}
-	r.rosters()
-	var targets []*discovery.Target
-	for i := range benchTargets {
-		targets = append(targets, &discovery.Target{Num: uint32(i)})
+	r := &Proxy{
+		loop:       l,
+		log:        logrus.New(),
+		maxPending: maxPendingBytes,
+		requestIDs: newRequestIDs(),
+		servers:    discovery.NewServerList(),
+	}
+	r.initRequestSets()
+	var targets []*discovery.Server
+	for i := range benchServers {
+		targets = append(targets, &discovery.Server{Number: uint32(i)})
 	}
 	for i := range n {
-		s := &session{r: r, in: &door{r: r, conn: &eventloop.Conn{}}, phase: open, known: true, lastBack: l.Now()}
-		s.hop = &hop{r: r, s: s, target: targets[i%benchTargets], sent: true, connected: true, out: &eventloop.Conn{}}
-		s.ref = r.sessions.Put(s)
-		s.stands()
+		s := &request{
+			proxy:       r,
+			downstream:  &downstreamConn{proxy: r, conn: &eventloop.Conn{}},
+			state:       stateEstablished,
+			moduleKnows: true,
+			lastReply:   l.Now(),
+		}
+		s.attempt = &upstreamAttempt{
+			proxy:     r,
+			request:   s,
+			server:    targets[i%benchServers],
+			sent:      true,
+			connected: true,
+			upstream:  &eventloop.Conn{},
+		}
+		s.ref = r.requests.Put(s)
+		s.noteEstablished()
 		if i < busy {
-			s.expects(l.Now())
+			s.awaitReply(l.Now())
 		}
 	}
 	return r
@@ -45,7 +64,7 @@
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := standing(b, n, n/100)
+			r := proxyWithRequests(b, n, n/100)
 			for b.Loop() {
 				r.sweep()
 			}
@@ -57,11 +76,11 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := standing(b, n, 0)
+			r := proxyWithRequests(b, n, 0)
 			for b.Loop() {
-				r.recall()
-				for s := range r.underWay.each {
-					s.resume()
+				r.recallUnsent()
+				for s := range r.unanswered.each {
+					s.reattach()
 				}
 			}
 		})
@@ -72,12 +91,12 @@
 func BenchmarkDelay(b *testing.B) {
 	for _, lines := range []int{2_000, 20_000, 70_000} {
 		b.Run(fmt.Sprint(lines), func(b *testing.B) {
-			var p pace
+			var p serverLatency
 			for i := range lines {
-				p.took(sec, eventloop.Micros(i*7919%lines))
+				p.record(second, eventloop.Micros(i*7919%lines))
 			}
 			for b.Loop() {
-				p.late(sec, eventloop.Micros(lines))
+				p.isSlow(second, eventloop.Micros(lines))
 			}
 		})
 	}
--- a/internal/proxy/settle_test.go
+++ b/internal/proxy/settle_test.go
@@ -12,17 +12,17 @@
 // attempt goes on, and its target is not taken for dead. The target accepts while the loop stands, so that the
 // order is the same every time.
 func TestConnectedBehindItsDeadline(t *testing.T) {
-	g := newRig(t, 1, never, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
-	client, s := g.waits(1)
-	g.check(g.targets[0].SetDeadline(time.Now().Add(patience)))
+	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
+	client, s := g.pendingRequest(1)
+	g.check(g.servers[0].SetDeadline(time.Now().Add(patience)))
 	var at net.Conn
 	var err error
 	g.inLoop(func() {
-		g.r.do(decision.Send{ID: uint32(s.ref), Server: 0})
-		at, err = g.targets[0].Accept()
+		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Server: 0})
+		at, err = g.servers[0].Accept()
 	})
 	target := g.peer(at, err)
-	if got := target.line(); got[:10] != ask(1)[:10] {
+	if got := target.line(); got[:10] != openLineWithID(1)[:10] {
 		t.Fatalf("the target was sent %q", got)
 	}
 	target.say("UP 1\r\n")
@@ -31,18 +31,18 @@
 
 // The same of a probe: what answers is not told to be dead.
 func TestProbeConnectedBehindItsDeadline(t *testing.T) {
-	g := newRig(t, 1, never, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
-	g.check(g.targets[0].SetDeadline(time.Now().Add(patience)))
+	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
+	g.check(g.servers[0].SetDeadline(time.Now().Add(patience)))
 	var at net.Conn
 	var err error
 	g.inLoop(func() {
-		g.r.do(decision.Probe{Server: 0})
-		at, err = g.targets[0].Accept()
+		g.proxy.apply(decision.ProbeServer{Server: 0})
+		at, err = g.servers[0].Accept()
 	})
 	target := g.peer(at, err)
 	target.want("PING\r\n")
 	target.say("PONG\r\n")
-	if p := event[decision.Probed](g); p.Status != outcome.OK {
+	if p := event[decision.ProbeResult](g); p.Status != outcome.OK {
 		t.Fatalf("%+v", p)
 	}
 }
--- a/internal/restartproto/golden_test.go
+++ b/internal/restartproto/golden_test.go
@@ -9,18 +9,23 @@
 // What one version writes, another reads: the exact bytes of both files, of a connection's packet and of its answer.
 func TestStableForm(t *testing.T) {
 	dir := t.TempDir()
-	note, list := Path(dir, listen), ListPath(dir, listen)
-	if err := Write(note, Note{PID: 42, Listen: listen.String(), Since: 1_700_000_000_000}); err != nil {
+	note, list := AnnouncementPath(dir, listenAddr), ServerListPath(dir, listenAddr)
+	if err := WriteAnnouncement(note, Announcement{PID: 42, Listen: listenAddr.String(), Since: 1_700_000_000_000}); err != nil {
 		t.Fatal(err)
 	}
-	err := WriteList(
+	err := WriteServerList(
 		list,
-		List{PID: 42, Listen: listen.String(), Discovery: asked.String(), List: []byte(`{"generation":7}`)},
+		ServerList{
+			PID:       42,
+			Listen:    listenAddr.String(),
+			Discovery: discoveryAddr.String(),
+			Snapshot:  []byte(`{"generation":7}`),
+		},
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	packet, err := standing().Encode()
+	packet, err := sampleOffer().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,10 +41,10 @@
 		{"note", read(note), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","since":1700000000000}`},
 		{"name of the list", filepath.Base(list), `spurspread-127.0.0.1_8081.v1.list.json`},
 		{"list", read(list), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500","list":{"generation":7}}`},
-		{"name of the socket", filepath.Base(SocketPath(dir, listen)), `spurspread-127.0.0.1_8081.v1.sock`},
+		{"name of the socket", filepath.Base(SocketPath(dir, listenAddr)), `spurspread-127.0.0.1_8081.v1.sock`},
 		{"standing connection", string(packet), `{"version":1,"ref":4294967295,"id":18446744073709551615,"key":9223372036854775808,"group":7,"class":"index-sync","hint":1.5,"has_hint":true,"retry":true,"returned":true,"target":"s-1","verdict":3,"quiet":5,"waiting":[9,0]}`},
-		{"taken", string(Answer(1<<32-1, true)), `+4294967295`},
-		{"refused", string(Answer(0, false)), `-0`},
+		{"taken", string(EncodeAnswer(1<<32-1, true)), `+4294967295`},
+		{"refused", string(EncodeAnswer(0, false)), `-0`},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %s; want %s", c.name, c.got, c.want)
--- a/internal/restartproto/note.go
+++ b/internal/restartproto/note.go
@@ -20,33 +20,33 @@
 // Version is the form of the file; another one is not read.
 const Version = 1
 
-// maxNote bounds the file, in bytes.
-const maxNote = 4 << 10
+// maxAnnouncementBytes bounds the file, in bytes.
+const maxAnnouncementBytes = 4 << 10
 
-// Note is what the file holds.
-type Note struct {
+// Announcement is what the file holds.
+type Announcement struct {
 	Version int    `json:"version"`
 	PID     int    `json:"pid"`    // of the process that serves
 	Listen  string `json:"listen"` // the clients' address that it listens on
 	Since   int64  `json:"since"`  // when it began to serve, Unix milliseconds
 }
 
-// Path is the file for the clients' address in dir; the address is in its name, so that balancers of several
+// AnnouncementPath is the file for the clients' address in dir; the address is in its name, so that balancers of several
 // addresses on one machine keep apart.
-func Path(dir string, listen netip.AddrPort) string {
+func AnnouncementPath(dir string, listen netip.AddrPort) string {
 	name := strings.NewReplacer(":", "_", "[", "", "]", "").Replace(listen.String())
 	return filepath.Join(dir, fmt.Sprintf("spurspread-%s.v%d.json", name, Version))
 }
 
-// Write puts the note in place whole.
-func Write(path string, n Note) error {
+// WriteAnnouncement puts the note in place whole.
+func WriteAnnouncement(path string, n Announcement) error {
 	n.Version = Version
-	return write(path, n)
+	return replaceFile(path, n)
 }
 
-// write puts a value in place whole: it is written beside the file and renamed over it, so a reader sees the old
+// replaceFile puts a value in place whole: it is written beside the file and renamed over it, so a reader sees the old
 // value or the new one, never part of one.
-func write(path string, v any) error {
+func replaceFile(path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("hand-over: %w", err)
@@ -66,24 +66,24 @@
 	return nil
 }
 
-// Read reads a note strictly: of this version, with no field unknown, and bounded in size.
-func Read(path string) (Note, error) {
-	var n Note
-	if err := read(path, maxNote, &n); err != nil {
+// ReadAnnouncement reads a note strictly: of this version, with no field unknown, and bounded in size.
+func ReadAnnouncement(path string) (Announcement, error) {
+	var n Announcement
+	if err := readFile(path, maxAnnouncementBytes, &n); err != nil {
 		return n, err
 	}
-	return n, known(path, n.Version)
+	return n, checkVersion(path, n.Version)
 }
 
-func known(path string, version int) error {
+func checkVersion(path string, version int) error {
 	if version != Version {
 		return fmt.Errorf("hand-over: %s is of version %d, not %d", path, version, Version)
 	}
 	return nil
 }
 
-// read reads a value of most bytes strictly.
-func read(path string, most int64, v any) error {
+// readFile reads a value of most bytes strictly.
+func readFile(path string, most int64, v any) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// Succeeded tells whether the note names another process, still alive, that serves on the same address: then this one
+// IsSuccessor tells whether the note names another process, still alive, that serves on the same address: then this one
 // may stop listening at once, for the kernel gives new connections to that one.
-func Succeeded(n Note, self int, listen netip.AddrPort, alive func(pid int) bool) bool {
+func IsSuccessor(n Announcement, self int, listen netip.AddrPort, alive func(pid int) bool) bool {
 	return n.Version == Version && n.PID > 0 && n.PID != self && n.Listen == listen.String() && alive(n.PID)
 }
--- a/internal/restartproto/standing_test.go
+++ b/internal/restartproto/standing_test.go
@@ -8,34 +8,34 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func standing() Standing {
-	return Standing{
-		Version: StandingVersion, Ref: 1<<32 - 1, ID: 1<<64 - 1, Key: 1 << 63, Group: 7, Class: "index-sync",
-		Hint: 1.5, HasHint: true, Retry: true, Returned: true, Target: "s-1", Verdict: 3, Quiet: 5, Waiting: []int64{9, 0},
+func sampleOffer() ConnectionOffer {
+	return ConnectionOffer{
+		Version: OfferVersion, Ref: 1<<32 - 1, ID: 1<<64 - 1, Key: 1 << 63, Group: 7, Class: "index-sync",
+		Hint: 1.5, HasHint: true, Retry: true, Returned: true, Server: "s-1", Verdict: 3, SinceLastReply: 5, Unanswered: []int64{9, 0},
 	}
 }
 
 func TestStandingThereAndBack(t *testing.T) {
-	packet, err := standing().Encode()
+	packet, err := sampleOffer().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := DecodeStanding(packet)
+	got, err := DecodeOffer(packet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(standing(), got); d != "" {
+	if d := cmp.Diff(sampleOffer(), got); d != "" {
 		t.Error(d)
 	}
 }
 
 // What is not whole, of another version or out of range is refused; its Ref is told where it could be read.
 func TestDecodeStandingRefuses(t *testing.T) {
-	good, err := standing().Encode()
+	good, err := sampleOffer().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	many := strings.Repeat("1,", maxWaiting) + "1"
+	many := strings.Repeat("1,", maxUnanswered) + "1"
 	for _, c := range []struct{ name, old, new, want string }{
 		{"another version", `"version":1`, `"version":2`, "version 2"},
 		{"an unknown field", `"version":1`, `"version":1,"x":0`, "unknown field"},
@@ -49,7 +49,7 @@
 		{"cut off", `]}`, ``, "unexpected EOF"},
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
-		got, err := DecodeStanding([]byte(text))
+		got, err := DecodeOffer([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v; want %q", c.name, err, c.want)
 		}
@@ -61,12 +61,12 @@
 
 func TestAnswers(t *testing.T) {
 	for _, taken := range []bool{true, false} {
-		if ref, got, err := ParseAnswer(Answer(1<<32-1, taken)); ref != 1<<32-1 || got != taken || err != nil {
+		if ref, got, err := DecodeAnswer(EncodeAnswer(1<<32-1, taken)); ref != 1<<32-1 || got != taken || err != nil {
 			t.Errorf("%v: %d, %v, %v", taken, ref, got, err)
 		}
 	}
 	for _, text := range []string{"", "+", "7", "*7", "+x", "-4294967296", "+ 7", "++7"} {
-		if _, _, err := ParseAnswer([]byte(text)); err == nil {
+		if _, _, err := DecodeAnswer([]byte(text)); err == nil {
 			t.Errorf("%q is no answer", text)
 		}
 	}
@@ -74,14 +74,14 @@
 
 // Whatever comes is refused or read; what is read is written as it was.
 func FuzzDecodeStanding(f *testing.F) {
-	good, err := standing().Encode()
+	good, err := sampleOffer().Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Add([]byte(`{"version":1}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s, err := DecodeStanding(b)
+		s, err := DecodeOffer(b)
 		if err != nil {
 			return
 		}
@@ -89,14 +89,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := DecodeStanding(again); err != nil || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", s) {
+		if got, err := DecodeOffer(again); err != nil || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", s) {
 			t.Errorf("%+v, %v", got, err)
 		}
 	})
 }
 
 func TestSocketPath(t *testing.T) {
-	if got := SocketPath("/tmp", listen); got != "/tmp/spurspread-127.0.0.1_8081.v1.sock" {
+	if got := SocketPath("/tmp", listenAddr); got != "/tmp/spurspread-127.0.0.1_8081.v1.sock" {
 		t.Error(got)
 	}
 }
--- a/internal/settings/ends_test.go
+++ b/internal/settings/ends_test.go
@@ -54,7 +54,7 @@
 			if s.ConnectTimeout <= 0 {
 				t.Errorf("%s=%s: nothing connects within %d", key, value, s.ConnectTimeout)
 			}
-			t.Run(key+"="+value, func(t *testing.T) { play(t, s.Logic) })
+			t.Run(key+"="+value, func(t *testing.T) { play(t, s.Decision) })
 		}
 	}
 }
@@ -78,33 +78,33 @@
 			switch a := a.(type) {
 			case decision.SetTimer:
 				timers = append(timers, due{now + max(a.Delay, 1), a.Token})
-			case decision.Send:
+			case decision.StartAttempt:
 				sent[a.ID] = a.Server
-			case decision.Refuse:
+			case decision.Reject:
 				answered[a.ID] = true
 			case decision.Fail:
 				answered[a.ID] = true
 			}
 		}
 	}
-	entries := []decision.Entry{
-		{Server: 1, Name: 1, Units: 1},
-		{Server: 2, Name: 2, Zone: 1, Cell: 1, Units: 1, Started: now},
-		{Server: 3, Name: 3, Cell: 2},
+	entries := []decision.ServerEntry{
+		{Server: 1, StableID: 1, Weight: 1},
+		{Server: 2, StableID: 2, Zone: 1, Cell: 1, Weight: 1, StartedAt: now},
+		{Server: 3, StableID: 3, Cell: 2},
 	}
-	handle(decision.Update{Kind: decision.Cached, Entries: entries})
+	handle(decision.ServerListUpdate{Kind: decision.UpdateCached, Entries: entries})
 	for step := range 400 {
 		if step%10 == 0 && asked < 30 {
 			asked++
 			handle(decision.Request{
-				ID: asked, Left: 1_000_000, Key: uint64(asked), Group: uint64(asked % 3), Hint: 100, HasHint: asked%2 == 0,
-				Returned: asked%5 == 0,
+				ID: asked, TimeLeft: 1_000_000, Key: uint64(asked), Group: uint64(asked % 3), LoadHint: 100, HasLoadHint: asked%2 == 0,
+				Reconnected: asked%5 == 0,
 			})
 		}
 		if step == 150 {
-			handle(decision.Update{Kind: decision.Failed})
-			handle(decision.Retuned{Settings: s})
-			handle(decision.Update{Kind: decision.Full, Entries: entries[:2]})
+			handle(decision.ServerListUpdate{Kind: decision.UpdateFailed})
+			handle(decision.SettingsChanged{Settings: s})
+			handle(decision.ServerListUpdate{Kind: decision.UpdateFull, Entries: entries[:2]})
 		}
 		for id := uint32(1); id <= asked; id++ {
 			server, out := sent[id]
@@ -115,26 +115,33 @@
 			attempts[id]++
 			switch (id + uint32(attempts[id])) % 4 {
 			case 0:
-				handle(decision.Established{ID: id, Attempt: attempts[id] - 1, Server: server, Took: 1000})
+				handle(decision.Established{ID: id, Attempt: attempts[id] - 1, Server: server, SetupTime: 1000})
 				answered[id] = true
 				handle(
-					decision.Note{
+					decision.ConnectionMetric{
 						ID:      id,
 						Attempt: attempts[id] - 1,
 						Server:  server,
-						Kind:    decision.DelayNote,
+						Kind:    decision.MessageLatencyMetric,
 						Value:   900,
 					},
 				)
 			case 1:
-				handle(decision.Outcome{ID: id, Attempt: attempts[id] - 1, Server: server, Status: outcome.Reset})
+				handle(
+					decision.AttemptEnded{ID: id, Attempt: attempts[id] - 1, Server: server, Status: outcome.Reset},
+				)
 			case 2:
 				handle(
-					decision.Outcome{ID: id, Attempt: attempts[id] - 1, Server: server, Status: outcome.ServerFull},
+					decision.AttemptEnded{
+						ID:      id,
+						Attempt: attempts[id] - 1,
+						Server:  server,
+						Status:  outcome.ServerFull,
+					},
 				)
 			case 3:
 				handle(
-					decision.Outcome{
+					decision.AttemptEnded{
 						ID:      id,
 						Attempt: attempts[id] - 1,
 						Server:  server,
@@ -150,12 +157,12 @@
 		next := timers[0]
 		timers = timers[1:]
 		now = max(now, next.at)
-		handle(decision.Timer{Token: next.token})
+		handle(decision.TimerFired{Token: next.token})
 	}
 	for id := range asked {
 		if id++; !answered[id] && sent[id] == 0 {
 			now += 10_000_000
-			handle(decision.Expire{ID: id})
+			handle(decision.RequestExpired{ID: id})
 			if !answered[id] {
 				t.Errorf("request %d has no answer", id)
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	maxList = 10000
-	maxText = 1 << 20
+	maxItems     = 10000
+	maxTextBytes = 1 << 20
 
-	// connectTimeout is for settings that name none, or none that anything could connect in.
-	connectTimeout decision.Micros = 1_000_000
+	// defaultConnectTimeout is for settings that name none, or none that anything could connect in.
+	defaultConnectTimeout decision.Micros = 1_000_000
 )
 
-// settings reads path=value pairs and collects what is wrong with them.
-type settings struct {
-	pairs map[string]string
-	errs  []error
+// parser reads path=value pairs and collects what is wrong with them.
+type parser struct {
+	values   map[string]string
+	problems []error
 }
 
 // Settings is what the decisions go by, and what only a real balancer needs: the names that lines and lists use
 // for what the decisions number, and the limits of its sockets.
 type Settings struct {
-	Logic                 decision.Settings
-	Classes, Zones, Kinds []string
-	ConnectTimeout        decision.Micros
-	TellsLoad, TellsDelay bool // what the decisions expect notes of: a connection's load, how long messages take
+	Decision                            decision.Settings
+	ClassNames, ZoneNames, MachineTypes []string
+	ConnectTimeout                      decision.Micros
+	// what the decisions expect notes of: a connection's load, how long messages take
+	ReportsLoad, ReportsDelay bool
 }
 
 // ParseText reads path=value pairs, one a line. Unknown keys are ignored; every required key that is missing or
 // unreadable is named in the error.
 func ParseText(text []byte) (Settings, error) {
-	s := settings{pairs: map[string]string{}}
-	if len(text) > maxText {
-		return Settings{}, fmt.Errorf("settings: %d bytes are over %d", len(text), maxText)
+	s := parser{values: map[string]string{}}
+	if len(text) > maxTextBytes {
+		return Settings{}, fmt.Errorf("settings: %d bytes are over %d", len(text), maxTextBytes)
 	}
 	for i, line := range strings.Split(string(text), "\n") {
 		if line = strings.TrimSpace(line); line == "" {
@@ -53,28 +54,28 @@
 		if !ok {
 			return Settings{}, fmt.Errorf("settings: line %d has no '='", i+1)
 		}
-		s.pairs[key] = value
+		s.values[key] = value
 	}
-	return s.finish()
+	return s.build()
 }
 
 // ParseJSON reads the same settings from nested JSON.
 func ParseJSON(text []byte) (Settings, error) {
-	s := settings{pairs: map[string]string{}}
-	if len(text) > maxText {
-		return Settings{}, fmt.Errorf("settings: %d bytes are over %d", len(text), maxText)
+	s := parser{values: map[string]string{}}
+	if len(text) > maxTextBytes {
+		return Settings{}, fmt.Errorf("settings: %d bytes are over %d", len(text), maxTextBytes)
 	}
 	root := gjson.ParseBytes(text)
 	if !gjson.ValidBytes(text) || !root.IsObject() {
 		return Settings{}, errors.New("settings: not a JSON object")
 	}
 	s.flatten("", root)
-	return s.finish()
+	return s.build()
 }
 
 // flatten writes v as the wire's text would: lists of plain values joined with commas, lists of objects as a
 // count and numbered items.
-func (s *settings) flatten(path string, v gjson.Result) {
+func (s *parser) flatten(path string, v gjson.Result) {
 	switch {
 	case v.IsObject():
 		if path != "" {
@@ -87,7 +88,7 @@
 	case v.IsArray():
 		items := v.Array()
 		if len(items) > 0 && items[0].IsObject() {
-			s.pairs[path+".count"] = strconv.Itoa(len(items))
+			s.values[path+".count"] = strconv.Itoa(len(items))
 			for i, item := range items {
 				s.flatten(fmt.Sprintf("%s.%d", path, i), item)
 			}
@@ -95,190 +96,190 @@
 		}
 		words := make([]string, len(items))
 		for i, item := range items {
-			words[i] = word(item)
+			words[i] = scalarText(item)
 		}
-		s.pairs[path] = strings.Join(words, ",")
+		s.values[path] = strings.Join(words, ",")
 	case v.Type != gjson.Null:
-		s.pairs[path] = word(v)
+		s.values[path] = scalarText(v)
 	}
 }
 
-var noSeparators = strings.NewReplacer(" ", "_", ",", "_")
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_")
 
-func word(v gjson.Result) string {
+func scalarText(v gjson.Result) string {
 	if v.Type == gjson.String {
-		return noSeparators.Replace(v.Str)
+		return separatorReplacer.Replace(v.Str)
 	}
 	return v.Raw
 }
 
-func (s *settings) finish() (Settings, error) {
+func (s *parser) build() (Settings, error) {
 	out := Settings{
-		Logic:          s.read(),
-		Zones:          s.list("dcs"),
-		Kinds:          s.list("skus"),
-		ConnectTimeout: cmp.Or(s.time("limits.connect_timeout", false, 0), connectTimeout),
-		TellsLoad:      s.flag("specifics.tells_load"),
-		TellsDelay:     s.flag("specifics.tells_delay"),
+		Decision:       s.decisionSettings(),
+		ZoneNames:      s.list("dcs"),
+		MachineTypes:   s.list("skus"),
+		ConnectTimeout: cmp.Or(s.micros("limits.connect_timeout", false, 0), defaultConnectTimeout),
+		ReportsLoad:    s.boolean("specifics.tells_load"),
+		ReportsDelay:   s.boolean("specifics.tells_delay"),
 	}
-	for i := range out.Logic.Classes {
+	for i := range out.Decision.Classes {
 		key := fmt.Sprintf("request_classes.%d.name", i)
-		name := s.pairs[key]
-		if name != "" && slices.Contains(out.Classes, name) { // the simulator's classes go by number
-			s.bad(key, "%q is named twice", name)
+		name := s.values[key]
+		if name != "" && slices.Contains(out.ClassNames, name) { // the simulator's classes go by number
+			s.reject(key, "%q is named twice", name)
 		}
-		out.Classes = append(out.Classes, name)
+		out.ClassNames = append(out.ClassNames, name)
 	}
-	s.over0("limits.most_tries")
-	if len(s.errs) > 0 {
-		return out, fmt.Errorf("settings: %w", errors.Join(s.errs...))
+	s.requirePositive("limits.most_tries")
+	if len(s.problems) > 0 {
+		return out, fmt.Errorf("settings: %w", errors.Join(s.problems...))
 	}
 	return out, nil
 }
 
-func (s *settings) read() decision.Settings {
+func (s *parser) decisionSettings() decision.Settings {
 	out := decision.Settings{
-		Rank:           int(s.num("rank", true, 0)),
-		Balancers:      int(s.num("balancers", true, 1)),
-		Zone:           int(s.num("zone", true, 0)),
-		Zones:          len(s.list("dcs")),
-		Ask:            s.word("discovery", "push", "push", "ask") == "ask",
-		Pass:           s.word("specifics.mode", "proxy", "proxy", "pass") == "pass",
-		LiveWeights:    s.pairs["weights"] == "live",
-		TellsLoad:      s.flag("specifics.tells_load"),
-		Tick:           s.time("tick", false, 1000),
-		OverShareWorth: s.num("over_share_worth", false, 1),
-		MostTries:      int(s.num("limits.most_tries", true, 1)),
-		MostHeld:       int(s.num("limits.most_held", false, math.MaxInt32)),
-		MayProbe:       s.flag("limits.probes"),
-		MayCancel:      s.flag("limits.may_cancel"),
-		MayHold:        s.flag("limits.retry_after"),
-		MaxRetryAfter:  s.time("limits.max_retry_after", false, 0),
-		AnswerSlack:    s.time("rules.answer_slack", false, 0),
-		AskEvery:       s.time("rules.ask_every", false, 10_000_000),
-		ColdFrom:       s.num("rules.cold_from", true, 0),
-		Cold:           s.time("rules.cold", true, 0),
-		DrainGrace:     s.time("rules.drain_grace", true, 0),
-		TipAfter:       s.time("rules.tip_after", true, 0),
-		Park:           s.time("specifics.park", false, 0),
-		OverloadFactor: s.num("rules.overload_factor", true, 1),
-		FeeCrossZone:   s.num("fees.cross_zone", false, 0),
-		FeeMoves:       s.num("fees.moves", false, 0),
-		FeeProbe:       s.num("fees.probe", false, 0),
-		Columns:        s.list("stats.columns"),
+		Rank:                  int(s.number("rank", true, 0)),
+		Balancers:             int(s.number("balancers", true, 1)),
+		Zone:                  int(s.number("zone", true, 0)),
+		Zones:                 len(s.list("dcs")),
+		PollDiscovery:         s.oneOf("discovery", "push", "push", "ask") == "ask",
+		Passthrough:           s.oneOf("specifics.mode", "proxy", "proxy", "pass") == "pass",
+		DynamicWeights:        s.values["weights"] == "live",
+		ReportsConnectionLoad: s.boolean("specifics.tells_load"),
+		ClockResolution:       s.micros("tick", false, 1000),
+		OverQuotaPriority:     s.number("over_share_worth", false, 1),
+		MaxAttempts:           int(s.number("limits.most_tries", true, 1)),
+		MaxHeldRequests:       int(s.number("limits.most_held", false, math.MaxInt32)),
+		AllowProbes:           s.boolean("limits.probes"),
+		AllowCancel:           s.boolean("limits.may_cancel"),
+		AllowRetryAfter:       s.boolean("limits.retry_after"),
+		MaxRetryAfter:         s.micros("limits.max_retry_after", false, 0),
+		AnswerTolerance:       s.micros("rules.answer_slack", false, 0),
+		PollInterval:          s.micros("rules.ask_every", false, 10_000_000),
+		InitialCapacity:       s.number("rules.cold_from", true, 0),
+		WarmupTime:            s.micros("rules.cold", true, 0),
+		DrainGrace:            s.micros("rules.drain_grace", true, 0),
+		OverloadWindow:        s.micros("rules.tip_after", true, 0),
+		ParkTime:              s.micros("specifics.park", false, 0),
+		OverloadFactor:        s.number("rules.overload_factor", true, 1),
+		CrossZoneCost:         s.number("fees.cross_zone", false, 0),
+		MoveCost:              s.number("fees.moves", false, 0),
+		ProbeCost:             s.number("fees.probe", false, 0),
+		LoadReportColumns:     s.list("stats.columns"),
 	}
-	out.Classes = s.classes()
+	out.Classes = s.requestClasses()
 	out.Tenants = s.tenants()
 	return out
 }
 
-// classes are the request classes, each with its worth as a part of the highest.
-func (s *settings) classes() (out []decision.Class) {
+// requestClasses are the request classes, each with its worth as a part of the highest.
+func (s *parser) requestClasses() (out []decision.Class) {
 	aims := s.list("specifics.message_aim")
 	most := 0.0
 	for i := range s.count("request_classes", true) {
-		c := s.class(i, aims)
-		most = max(most, c.Worth)
+		c := s.requestClass(i, aims)
+		most = max(most, c.Priority)
 		out = append(out, c)
 	}
 	for i := range out {
 		if most > 0 {
-			out[i].WorthPart = out[i].Worth / most
+			out[i].RelativePriority = out[i].Priority / most
 		}
 	}
 	return out
 }
 
 // tenants are the tenants with what each may have.
-func (s *settings) tenants() (out []decision.Tenant) {
+func (s *parser) tenants() (out []decision.Tenant) {
 	quotas := s.list("specifics.tenant_quota_connections")
 	for i := range s.count("tenants", false) {
 		at := fmt.Sprintf("tenants.%d.", i)
 		out = append(out, decision.Tenant{
-			Portion: s.num(at+"portion", false, 0), QuotaPerS: s.num(at+"quota_per_s", false, 0),
-			QuotaConnections: s.item("specifics.tenant_quota_connections", quotas, i),
+			Share: s.number(at+"portion", false, 0), RequestQuota: s.number(at+"quota_per_s", false, 0),
+			ConnectionQuota: s.listNumber("specifics.tenant_quota_connections", quotas, i),
 		})
 	}
 	return out
 }
 
-func (s *settings) class(i int, aims []string) decision.Class {
+func (s *parser) requestClass(i int, aims []string) decision.Class {
 	at := fmt.Sprintf("request_classes.%d.", i)
 	c := decision.Class{
-		Aim:        s.time(at+"slo", true, 0),
-		Deadline:   s.time(at+"deadline", true, 0),
-		Window:     s.time(at+"window", false, 0),
-		Worth:      s.num(at+"worth", false, 1),
-		Stream:     s.flag(at + "streaming"),
-		MessageAim: decision.Micros(s.item("specifics.message_aim", aims, i)),
+		LatencyObjective:        s.micros(at+"slo", true, 0),
+		Deadline:                s.micros(at+"deadline", true, 0),
+		DedupWindow:             s.micros(at+"window", false, 0),
+		Priority:                s.number(at+"worth", false, 1),
+		Streaming:               s.boolean(at + "streaming"),
+		MessageLatencyObjective: decision.Micros(s.listNumber("specifics.message_aim", aims, i)),
 	}
-	s.over0(at + "deadline")
-	switch s.word(at+"effect", "", "read_like", "idempotency_key", "non_idempotent") {
+	s.requirePositive(at + "deadline")
+	switch s.oneOf(at+"effect", "", "read_like", "idempotency_key", "non_idempotent") {
 	case "idempotency_key":
-		c.Effect = decision.Keyed
-		switch s.word(at+"key_scope", "", "all", "zone", "cell") {
+		c.Idempotency = decision.IdempotentWithKey
+		switch s.oneOf(at+"key_scope", "", "all", "zone", "cell") {
 		case "zone":
-			c.Scope = decision.ScopeZone
+			c.DedupScope = decision.ScopeZone
 		case "cell":
-			c.Scope = decision.ScopeCell
+			c.DedupScope = decision.ScopeCell
 		}
 	case "non_idempotent":
-		c.Effect = decision.Unsafe
+		c.Idempotency = decision.NonIdempotent
 	}
 	return c
 }
 
-func (s *settings) bad(key, format string, args ...any) {
-	s.errs = append(s.errs, fmt.Errorf("%s: "+format, append([]any{key}, args...)...))
+func (s *parser) reject(key, format string, args ...any) {
+	s.problems = append(s.problems, fmt.Errorf("%s: "+format, append([]any{key}, args...)...))
 }
 
-// num reads a finite number that is not below zero.
-func (s *settings) num(key string, required bool, otherwise float64) float64 {
-	text, ok := s.pairs[key]
+// number reads a finite number that is not below zero.
+func (s *parser) number(key string, required bool, otherwise float64) float64 {
+	text, ok := s.values[key]
 	if !ok {
 		if required {
-			s.bad(key, "missing")
+			s.reject(key, "missing")
 		}
 		return otherwise
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > 1e15 {
-		s.bad(key, "%q is not a number that can be used", text)
+		s.reject(key, "%q is not a number that can be used", text)
 		return otherwise
 	}
 	return v
 }
 
-// over0 finds fault with a value that was given as 0: a request can't have no time, nor no attempt.
-func (s *settings) over0(key string) {
-	if f, err := strconv.ParseFloat(s.pairs[key], 64); err == nil && f == 0 { // below 0 is refused as a number
-		s.bad(key, "%v is not over 0", s.pairs[key])
+// requirePositive finds fault with a value that was given as 0: a request can't have no time, nor no attempt.
+func (s *parser) requirePositive(key string) {
+	if f, err := strconv.ParseFloat(s.values[key], 64); err == nil && f == 0 { // below 0 is refused as a number
+		s.reject(key, "%v is not over 0", s.values[key])
 	}
 }
 
-func (s *settings) time(key string, required bool, otherwise decision.Micros) decision.Micros {
-	return decision.Micros(s.num(key, required, float64(otherwise)))
+func (s *parser) micros(key string, required bool, otherwise decision.Micros) decision.Micros {
+	return decision.Micros(s.number(key, required, float64(otherwise)))
 }
 
-func (s *settings) count(key string, required bool) int {
-	n := s.num(key+".count", required, 0)
-	if n > maxList {
-		s.bad(key+".count", "%v is over %d", n, maxList)
+func (s *parser) count(key string, required bool) int {
+	n := s.number(key+".count", required, 0)
+	if n > maxItems {
+		s.reject(key+".count", "%v is over %d", n, maxItems)
 		return 0
 	}
 	return int(n)
 }
 
-func (s *settings) flag(key string) bool {
-	return s.word(key, "false", "true", "false") == "true"
+func (s *parser) boolean(key string) bool {
+	return s.oneOf(key, "false", "true", "false") == "true"
 }
 
-// word reads one of the allowed words; a missing one is an error where there is no other value.
-func (s *settings) word(key, otherwise string, allowed ...string) string {
-	text, ok := s.pairs[key]
+// oneOf reads one of the allowed words; a missing one is an error where there is no other value.
+func (s *parser) oneOf(key, otherwise string, allowed ...string) string {
+	text, ok := s.values[key]
 	if !ok {
 		if otherwise == "" {
-			s.bad(key, "missing")
+			s.reject(key, "missing")
 		}
 		return otherwise
 	}
@@ -287,25 +288,25 @@
 			return w
 		}
 	}
-	s.bad(key, "%q is none of %s", text, strings.Join(allowed, ", "))
+	s.reject(key, "%q is none of %s", text, strings.Join(allowed, ", "))
 	return otherwise
 }
 
-func (s *settings) list(key string) []string {
-	if s.pairs[key] == "" {
+func (s *parser) list(key string) []string {
+	if s.values[key] == "" {
 		return nil
 	}
-	return strings.Split(s.pairs[key], ",")
+	return strings.Split(s.values[key], ",")
 }
 
-// item reads the number at place i of a list that may be absent, or hold null where nothing is stated.
-func (s *settings) item(key string, list []string, i int) float64 {
+// listNumber reads the number at place i of a list that may be absent, or hold null where nothing is stated.
+func (s *parser) listNumber(key string, list []string, i int) float64 {
 	if i >= len(list) || list[i] == "null" || list[i] == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(list[i], 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > 1e15 {
-		s.bad(key, "item %d, %q, is not a number that can be used", i, list[i])
+		s.reject(key, "item %d, %q, is not a number that can be used", i, list[i])
 		return 0
 	}
 	return v
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,20 +38,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := all.Logic
-	if s.Balancers != 2 || s.Zones != 2 || s.Zone != 1 || !s.Ask || s.Pass || !s.MayProbe || s.MayCancel ||
-		s.ColdFrom != 0.16 {
+	s := all.Decision
+	if s.Balancers != 2 || s.Zones != 2 || s.Zone != 1 || !s.PollDiscovery || s.Passthrough || !s.AllowProbes ||
+		s.AllowCancel ||
+		s.InitialCapacity != 0.16 {
 		t.Errorf("%+v", s)
 	}
-	if c := s.Classes[0]; c.Effect != decision.Keyed || c.Scope != decision.ScopeCell || c.Window != 5000000 ||
-		c.MessageAim != 60000 {
+	if c := s.Classes[0]; c.Idempotency != decision.IdempotentWithKey || c.DedupScope != decision.ScopeCell ||
+		c.DedupWindow != 5000000 ||
+		c.MessageLatencyObjective != 60000 {
 		t.Errorf("%+v", c)
 	}
-	if s.Tenants[0].QuotaConnections != 66 || s.Tenants[1].QuotaConnections != 0 || s.Tenants[0].Portion != 0.3 {
+	if s.Tenants[0].ConnectionQuota != 66 || s.Tenants[1].ConnectionQuota != 0 || s.Tenants[0].Share != 0.3 {
 		t.Errorf("%+v", s.Tenants)
 	}
-	if !reflect.DeepEqual(s.Columns, []string{"x0", "load_share"}) {
-		t.Errorf("%v", s.Columns)
+	if !reflect.DeepEqual(s.LoadReportColumns, []string{"x0", "load_share"}) {
+		t.Errorf("%v", s.LoadReportColumns)
 	}
 }
 
@@ -62,8 +64,14 @@
 		"weights=rough\nspecifics.tells_load=true": {false, true},
 	} {
 		s, err := ParseText([]byte(minimal + text + "\n"))
-		if err != nil || s.Logic.LiveWeights != want[0] || s.Logic.TellsLoad != want[1] {
-			t.Errorf("%q: live %v, told %v, %v", text, s.Logic.LiveWeights, s.Logic.TellsLoad, err)
+		if err != nil || s.Decision.DynamicWeights != want[0] || s.Decision.ReportsConnectionLoad != want[1] {
+			t.Errorf(
+				"%q: live %v, told %v, %v",
+				text,
+				s.Decision.DynamicWeights,
+				s.Decision.ReportsConnectionLoad,
+				err,
+			)
 		}
 	}
 }
@@ -123,9 +131,10 @@
 
 func TestNames(t *testing.T) {
 	s, err := ParseJSON([]byte(strings.Replace(minimalJSON, `"slo"`, `"name":"index sync","slo"`, 1)))
-	if err != nil || !reflect.DeepEqual(s.Classes, []string{"index_sync"}) || !reflect.DeepEqual(s.Zones, []string{"a", "b"}) ||
+	if err != nil || !reflect.DeepEqual(s.ClassNames, []string{"index_sync"}) ||
+		!reflect.DeepEqual(s.ZoneNames, []string{"a", "b"}) ||
 		s.ConnectTimeout != 1_000_000 ||
-		s.TellsDelay {
+		s.ReportsDelay {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	headerSize  = 20
-	eventSize   = 40
-	actionSize  = 16
-	entrySize   = 22
-	maxFrame    = 1 << 28
-	readStep    = 1 << 20
-	headerRest  = 12 // what of a batch's header its length field counts
-	replyRest   = 4
-	replyHeader = 12
+	headerSize     = 20
+	eventSize      = 40
+	actionSize     = 16
+	entrySize      = 22
+	maxFrame       = 1 << 28
+	readStep       = 1 << 20
+	minBatchLength = 12 // what of a batch's header its length field counts
+	minReplyLength = 4
+	replyHeader    = 12
 )
 
 // Event codes.
@@ -52,20 +52,20 @@
 	acTouch    = 1060
 	acAbort    = 1070
 	acRecall   = 1090
-	acSpeaking = 1120
-	acRemind   = 1130
+	acInstance = 1120
+	acTimer    = 1130
 )
 
 // Flags of a request.
 const (
-	markHint     = 1
-	markRetry    = 2
-	markMidFlow  = 8
-	markReturned = 16
+	flagHint     = 1
+	flagRetry    = 2
+	flagMidFlow  = 8
+	flagReturned = 16
 )
 
-var statuses = map[uint16]outcome.Status{
-	200: outcome.OK, 500: outcome.ErrorAnswer, 503: outcome.ServerFull, 504: outcome.TimedOut,
+var statusByCode = map[uint16]outcome.Status{
+	200: outcome.OK, 500: outcome.ErrorResponse, 503: outcome.ServerFull, 504: outcome.TimedOut,
 	502: outcome.ConnectFailed, 598: outcome.Reset, 499: outcome.Cancelled, 410: outcome.Inconclusive,
 }
 
@@ -73,49 +73,55 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Seq   uint32
-	Count int
-	Now   decision.Micros
-	body  []byte
-	tail  []byte
+	Sequence uint32
+	Count    int
+	Now      decision.Micros
+	records  []byte
+	tail     []byte
 }
 
 // Reader reads batches from a stream; it reuses its buffer, so a batch is good until the next one is read.
 type Reader struct {
-	r   io.Reader
-	buf []byte
+	source io.Reader
+	buf    []byte
 }
 
 // NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
+func NewReader(r io.Reader) *Reader { return &Reader{source: r} }
 
 // Next reads one batch. It returns io.EOF when the stream ends between two frames.
 func (rd *Reader) Next() (Batch, error) {
 	var h [headerSize]byte
-	n, err := io.ReadFull(rd.r, h[:])
+	n, err := io.ReadFull(rd.source, h[:])
 	if err == io.EOF {
 		return Batch{}, io.EOF
 	}
 	if err != nil {
 		return Batch{}, fmt.Errorf("header cut short after %d of %d bytes: %w", n, headerSize, err)
 	}
-	b := Batch{Seq: le.Uint32(h[0:]), Count: int(le.Uint32(h[8:])), Now: decision.Micros(le.Uint64(h[12:]))}
+	b := Batch{Sequence: le.Uint32(h[0:]), Count: int(le.Uint32(h[8:])), Now: decision.Micros(le.Uint64(h[12:]))}
 	length := int(le.Uint32(h[4:]))
-	if length < headerRest || length > maxFrame {
-		return Batch{}, fmt.Errorf("batch %d: length %d is not within %d to %d", b.Seq, length, headerRest, maxFrame)
+	if length < minBatchLength || length > maxFrame {
+		return Batch{}, fmt.Errorf(
+			"batch %d: length %d is not within %d to %d",
+			b.Sequence,
+			length,
+			minBatchLength,
+			maxFrame,
+		)
 	}
 	if b.Now < 0 {
-		return Batch{}, fmt.Errorf("batch %d: clock %d is past what a clock can show", b.Seq, uint64(b.Now))
+		return Batch{}, fmt.Errorf("batch %d: clock %d is past what a clock can show", b.Sequence, uint64(b.Now))
 	}
-	rest := length - headerRest
+	rest := length - minBatchLength
 	if b.Count > rest/eventSize {
 		return Batch{}, fmt.Errorf("batch %d: %d records of %d bytes do not fit in %d bytes",
-			b.Seq, b.Count, eventSize, rest)
+			b.Sequence, b.Count, eventSize, rest)
 	}
 	if err := rd.fill(rest); err != nil {
-		return Batch{}, fmt.Errorf("batch %d: frame cut short: %w", b.Seq, err)
+		return Batch{}, fmt.Errorf("batch %d: frame cut short: %w", b.Sequence, err)
 	}
-	b.body, b.tail = rd.buf[:b.Count*eventSize], rd.buf[b.Count*eventSize:]
+	b.records, b.tail = rd.buf[:b.Count*eventSize], rd.buf[b.Count*eventSize:]
 	return b, nil
 }
 
@@ -131,7 +137,7 @@
 			rd.buf = grown
 		}
 		rd.buf = rd.buf[:have+step]
-		got, err := io.ReadFull(rd.r, rd.buf[have:])
+		got, err := io.ReadFull(rd.source, rd.buf[have:])
 		if err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
@@ -145,14 +151,14 @@
 // Record is one event record of a batch, decoded as far as its code goes.
 type Record struct {
 	// Exactly one of these is set, as Kind tells.
-	Kind    RecordKind
-	Who     uint16            // Target
-	Page    uint8             // Census, Update
-	Entries []decision.Entry  // Census
-	Seed    uint64            // Boot
-	Text    []byte            // Boot: the settings
-	List    decision.ListKind // Update
-	Event   decision.Event    // Plain
+	Kind       RecordKind
+	Instance   uint16                 // Target
+	ListNumber uint8                  // Census, Update
+	Entries    []decision.ServerEntry // Census
+	Seed       uint64                 // Boot
+	Text       []byte                 // Boot: the settings
+	ListKind   decision.UpdateKind    // Update
+	Event      decision.Event         // Plain
 }
 
 // RecordKind tells records that the host must act on from those that are events for a balancer.
@@ -160,21 +166,21 @@
 
 // The kinds of records.
 const (
-	Target RecordKind = iota
-	Census
-	Boot
-	PowerOff
-	Update
-	Plain
+	SelectInstance RecordKind = iota
+	ServerList
+	Start
+	Stop
+	ListUpdate
+	BalancerEvent
 	Ignored // a record that no balancer here has use for
 )
 
 // Record decodes record i of the batch.
 func (b Batch) Record(i int) (Record, error) {
-	rec := b.body[i*eventSize : (i+1)*eventSize]
+	rec := b.records[i*eventSize : (i+1)*eventSize]
 	r, err := b.decode(rec)
 	if err != nil {
-		return r, fmt.Errorf("batch %d, record %d (code %d): %w", b.Seq, i, le.Uint16(rec), err)
+		return r, fmt.Errorf("batch %d, record %d (code %d): %w", b.Sequence, i, le.Uint16(rec), err)
 	}
 	return r, nil
 }
@@ -182,61 +188,73 @@
 func (b Batch) decode(rec []byte) (Record, error) {
 	switch code := le.Uint16(rec); code {
 	case evTarget:
-		return Record{Kind: Target, Who: le.Uint16(rec[2:])}, padding(rec, 4)
+		return Record{Kind: SelectInstance, Instance: le.Uint16(rec[2:])}, checkPadding(rec, 4)
 	case evCensus:
-		entries, err := b.entries(rec[3:])
+		entries, err := b.serverEntries(rec[3:])
 		if err == nil && rec[2] > 15 {
 			err = fmt.Errorf("list number %d is over 15", rec[2])
 		}
-		return Record{Kind: Census, Page: rec[2], Entries: entries}, errors.Join(err, padding(rec, 11))
+		return Record{Kind: ServerList, ListNumber: rec[2], Entries: entries}, errors.Join(err, checkPadding(rec, 11))
 	case evBoot:
-		text, err := b.bytes(rec[10:])
-		return Record{Kind: Boot, Seed: le.Uint64(rec[2:]), Text: text}, errors.Join(err, padding(rec, 18))
+		text, err := b.tailBytes(rec[10:])
+		return Record{Kind: Start, Seed: le.Uint64(rec[2:]), Text: text}, errors.Join(err, checkPadding(rec, 18))
 	case evPowerOff:
-		return Record{Kind: PowerOff}, padding(rec, 2)
+		return Record{Kind: Stop}, checkPadding(rec, 2)
 	case evUpdate:
-		if rec[3] > uint8(decision.Failed) || rec[2] > 15 {
+		if rec[3] > uint8(decision.UpdateFailed) || rec[2] > 15 {
 			return Record{}, fmt.Errorf("list %d of kind %d is neither", rec[2], rec[3])
 		}
-		return Record{Kind: Update, Page: rec[2], List: decision.ListKind(rec[3])}, padding(rec, 12)
+		return Record{
+				Kind:       ListUpdate,
+				ListNumber: rec[2],
+				ListKind:   decision.UpdateKind(rec[3]),
+			}, checkPadding(
+				rec,
+				12,
+			)
 	case evNoteFrom:
-		_, err := b.bytes(rec[6:])
-		return Record{Kind: Ignored}, errors.Join(err, padding(rec, 14))
+		_, err := b.tailBytes(rec[6:])
+		return Record{Kind: Ignored}, errors.Join(err, checkPadding(rec, 14))
 	default:
-		ev, used, err := plainEvent(code, rec)
+		ev, used, err := balancerEvent(code, rec)
 		if err != nil {
 			return Record{}, err
 		}
-		return Record{Kind: Plain, Event: ev}, padding(rec, used)
+		return Record{Kind: BalancerEvent, Event: ev}, checkPadding(rec, used)
 	}
 }
 
-// plainEvent decodes the records that are events of one balancer; used is the length of their fields.
-func plainEvent(code uint16, rec []byte) (ev decision.Event, used int, err error) {
+// balancerEvent decodes the records that are events of one balancer; used is the length of their fields.
+func balancerEvent(code uint16, rec []byte) (ev decision.Event, used int, err error) {
 	switch code {
 	case evElapsed:
-		return decision.Timer{Token: le.Uint64(rec[2:])}, 10, nil
+		return decision.TimerFired{Token: le.Uint64(rec[2:])}, 10, nil
 	case evWithdrawn:
-		return decision.Withdrawn{ID: le.Uint32(rec[2:])}, 6, nil
+		return decision.RequestCancelled{ID: le.Uint32(rec[2:])}, 6, nil
 	case evHead:
 		return decision.Established{
 			ID: le.Uint32(rec[2:]), Attempt: int(rec[6]), Server: le.Uint32(rec[7:]),
-			Took: micros(rec[11:]),
+			SetupTime: micros(rec[11:]),
 		}, 15, nil
 	case evChange:
-		return decision.Note{
+		return decision.ConnectionMetric{
 			ID: le.Uint32(rec[2:]), Attempt: int(rec[6]), Server: le.Uint32(rec[7:]),
-			Kind: decision.NoteKind(rec[11]), Value: float64(math.Float32frombits(le.Uint32(rec[12:]))),
+			Kind: decision.MetricKind(rec[11]), Value: float64(math.Float32frombits(le.Uint32(rec[12:]))),
 		}, 16, nil
 	case evOutcome:
-		st, load, err := result(rec[11:], rec[18:])
-		return decision.Outcome{
+		st, load, err := outcomeAndLoad(rec[11:], rec[18:])
+		return decision.AttemptEnded{
 			ID: le.Uint32(rec[2:]), Attempt: int(rec[6]), Server: le.Uint32(rec[7:]), Status: st,
-			Took: micros(rec[13:]), Closed: rec[17] != 0, Load: load,
+			Duration: micros(rec[13:]), RequestClosed: rec[17] != 0, LoadReport: load,
 		}, 35, err
 	case evCheckResult:
-		st, load, err := result(rec[6:], rec[12:])
-		return decision.Probed{Server: le.Uint32(rec[2:]), Status: st, Took: micros(rec[8:]), Load: load}, 29, err
+		st, load, err := outcomeAndLoad(rec[6:], rec[12:])
+		return decision.ProbeResult{
+			Server:     le.Uint32(rec[2:]),
+			Status:     st,
+			Duration:   micros(rec[8:]),
+			LoadReport: load,
+		}, 29, err
 	case evInbound:
 		return request(
 			rec[2:6],
@@ -250,37 +268,39 @@
 		), 35, nil
 	case evOpen:
 		q := request(rec[2:6], rec[18:22], rec[6:8], rec[26:34], rec[8:10], rec[22:26], rec[34], rec[10:18])
-		return decision.Open{Request: q, Server: le.Uint32(rec[35:])}, 39, nil
+		return decision.ExistingConnection{Request: q, Server: le.Uint32(rec[35:])}, 39, nil
 	}
 	return nil, 0, errors.New("no such event")
 }
 
 func request(id, left, class, group, tenant, hint []byte, marks byte, key []byte) decision.Request {
 	return decision.Request{
-		ID: le.Uint32(id), Left: micros(left), Class: int(le.Uint16(class)), Tenant: int(le.Uint16(tenant)),
-		Key: le.Uint64(key), Group: le.Uint64(group), Hint: float64(le.Uint32(hint)), HasHint: marks&markHint != 0,
-		Retry: marks&markRetry != 0, MidFlow: marks&markMidFlow != 0, Returned: marks&markReturned != 0,
+		ID: le.Uint32(id), TimeLeft: micros(left), Class: int(le.Uint16(class)), Tenant: int(le.Uint16(tenant)),
+		Key: le.Uint64(
+			key,
+		), Group: le.Uint64(group), LoadHint: float64(le.Uint32(hint)), HasLoadHint: marks&flagHint != 0,
+		Retry: marks&flagRetry != 0, MidConnection: marks&flagMidFlow != 0, Reconnected: marks&flagReturned != 0,
 	}
 }
 
 func micros(p []byte) decision.Micros { return decision.Micros(le.Uint32(p)) }
 
-func result(code, load []byte) (outcome.Status, decision.Report, error) {
-	st, ok := statuses[le.Uint16(code)]
+func outcomeAndLoad(code, load []byte) (outcome.Status, decision.LoadReport, error) {
+	st, ok := statusByCode[le.Uint16(code)]
 	if !ok {
-		return st, decision.Report{}, fmt.Errorf("outcome code %d is none of those known", le.Uint16(code))
+		return st, decision.LoadReport{}, fmt.Errorf("outcome code %d is none of those known", le.Uint16(code))
 	}
-	r := decision.Report{N: int(load[0])}
-	if r.N > len(r.Values) {
-		return st, r, fmt.Errorf("load report of %d values, %d at most", r.N, len(r.Values))
+	r := decision.LoadReport{Count: int(load[0])}
+	if r.Count > len(r.Values) {
+		return st, r, fmt.Errorf("load report of %d values, %d at most", r.Count, len(r.Values))
 	}
-	for i := range r.N {
+	for i := range r.Count {
 		r.Values[i] = math.Float32frombits(le.Uint32(load[1+4*i:]))
 	}
 	return st, r, nil
 }
 
-func padding(rec []byte, from int) error {
+func checkPadding(rec []byte, from int) error {
 	for i := from; i < len(rec); i++ {
 		if rec[i] != 0 {
 			return fmt.Errorf("byte %d is padding but not zero", i)
@@ -289,8 +309,8 @@
 	return nil
 }
 
-// span checks that count items of size bytes, at the offset that ref names, lie within the tail.
-func (b Batch) span(ref []byte, size int) ([]byte, error) {
+// tailItems checks that count items of size bytes, at the offset that ref names, lie within the tail.
+func (b Batch) tailItems(ref []byte, size int) ([]byte, error) {
 	off, count := uint64(le.Uint32(ref)), uint64(le.Uint32(ref[4:]))
 	if end := off + count*uint64(size); end > uint64(len(b.tail)) {
 		return nil, fmt.Errorf("%d items of %d bytes at offset %d pass the end of the tail of %d bytes",
@@ -299,27 +319,27 @@
 	return b.tail[off : off+count*uint64(size)], nil
 }
 
-func (b Batch) bytes(ref []byte) ([]byte, error) { return b.span(ref, 1) }
+func (b Batch) tailBytes(ref []byte) ([]byte, error) { return b.tailItems(ref, 1) }
 
-func (b Batch) entries(ref []byte) ([]decision.Entry, error) {
-	raw, err := b.span(ref, entrySize)
+func (b Batch) serverEntries(ref []byte) ([]decision.ServerEntry, error) {
+	raw, err := b.tailItems(ref, entrySize)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]decision.Entry, len(raw)/entrySize)
+	out := make([]decision.ServerEntry, len(raw)/entrySize)
 	for i := range out {
 		e := raw[i*entrySize:]
 		if e[7] > uint8(decision.Ready) {
 			return nil, fmt.Errorf("entry %d: state %d is none of those known", i, e[7])
 		}
-		out[i] = decision.Entry{
+		out[i] = decision.ServerEntry{
 			Server: le.Uint32(
 				e,
-			), Name: uint64(le.Uint32(e)), Zone: e[4], Kind: le.Uint16(e[5:]), State: decision.ListState(e[7]),
-			Units: float64(math.Float32frombits(le.Uint32(e[8:]))), Cell: le.Uint16(e[12:]),
-			Started: decision.Micros(le.Uint64(e[14:])),
+			), StableID: uint64(le.Uint32(e)), Zone: e[4], MachineType: le.Uint16(e[5:]), State: decision.ServerState(e[7]),
+			Weight: float64(math.Float32frombits(le.Uint32(e[8:]))), Cell: le.Uint16(e[12:]),
+			StartedAt: decision.Micros(le.Uint64(e[14:])),
 		}
-		if out[i].Started < 0 {
+		if out[i].StartedAt < 0 {
 			return nil, fmt.Errorf("entry %d: start time is past what a clock can show", i)
 		}
 	}
@@ -341,7 +361,7 @@
 
 // Bytes returns the finished frame.
 func (r *Reply) Bytes() []byte {
-	le.PutUint32(r.buf[4:], uint32(len(r.buf)-replyHeader+replyRest))
+	le.PutUint32(r.buf[4:], uint32(len(r.buf)-replyHeader+minReplyLength))
 	le.PutUint32(r.buf[8:], r.count)
 	return r.buf
 }
@@ -351,36 +371,36 @@
 	if len(actions) == 0 {
 		return nil
 	}
-	le.PutUint16(r.record(acSpeaking)[2:], who)
+	le.PutUint16(r.record(acInstance)[2:], who)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case decision.Watch:
+		case decision.WatchDiscovery:
 			if rec := r.record(acWatch); a.On {
 				rec[2] = 1
 			}
-		case decision.Fetch:
+		case decision.FetchServerList:
 			r.record(acSnapshot)
-		case decision.Send:
+		case decision.StartAttempt:
 			rec := r.record(acIssue)
 			le.PutUint32(rec[2:], a.ID)
-			le.PutUint32(rec[6:], clampU32(a.GiveUp))
+			le.PutUint32(rec[6:], clampU32(a.Timeout))
 			le.PutUint32(rec[10:], a.Server)
-		case decision.Refuse:
+		case decision.Reject:
 			rec := r.record(acReject)
 			le.PutUint32(rec[2:], a.ID)
-			le.PutUint32(rec[6:], clampU32(a.HoldOff))
+			le.PutUint32(rec[6:], clampU32(a.RetryAfter))
 		case decision.Fail:
 			le.PutUint32(r.record(acAbort)[2:], a.ID)
-		case decision.Cancel:
+		case decision.CancelAttempt:
 			rec := r.record(acRecall)
 			le.PutUint32(rec[2:], a.ID)
 			rec[6] = uint8(a.Attempt)
-		case decision.Move:
+		case decision.MoveConnection:
 			le.PutUint32(r.record(acShift)[2:], a.ID)
-		case decision.Probe:
+		case decision.ProbeServer:
 			le.PutUint32(r.record(acTouch)[2:], a.Server)
 		case decision.SetTimer:
-			rec := r.record(acRemind)
+			rec := r.record(acTimer)
 			le.PutUint32(rec[2:], clampU32(a.Delay))
 			le.PutUint64(rec[6:], a.Token)
 		default:
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -28,7 +28,7 @@
 func frame(seq uint32, now uint64, tail []byte, recs ...[]byte) []byte {
 	body := append(bytes.Join(recs, nil), tail...)
 	out := le.AppendUint32(nil, seq)
-	out = le.AppendUint32(out, uint32(headerRest+len(body)))
+	out = le.AppendUint32(out, uint32(minBatchLength+len(body)))
 	out = le.AppendUint32(out, uint32(len(recs)))
 	out = le.AppendUint64(out, now)
 	return append(out, body...)
@@ -51,52 +51,52 @@
 		"request": {
 			"3804 c4913a5d 80a90300 0000 107cf3d901648e2b 0000 e02e0000 01 640ad2557c3bf091",
 			decision.Request{
-				ID: 0x5d3a91c4, Left: 240000, Group: 0x2b8e6401d9f37c10, Hint: 12000, HasHint: true,
+				ID: 0x5d3a91c4, TimeLeft: 240000, Group: 0x2b8e6401d9f37c10, LoadHint: 12000, HasLoadHint: true,
 				Key: 0x91f03b7c55d20a64,
 			},
 		},
 		"mid-flow request": {
 			"3804 01000000 02000000 0300 0000000000000000 0400 00000000 1a 0000000000000000",
-			decision.Request{ID: 1, Left: 2, Class: 3, Tenant: 4, Retry: true, MidFlow: true, Returned: true},
+			decision.Request{ID: 1, TimeLeft: 2, Class: 3, Tenant: 4, Retry: true, MidConnection: true, Reconnected: true},
 		},
-		"timer":     {"f203 4d00000000000000", decision.Timer{Token: 77}},
-		"withdrawn": {"0604 192b6f0e", decision.Withdrawn{ID: 0x0e6f2b19}},
+		"timer":     {"f203 4d00000000000000", decision.TimerFired{Token: 77}},
+		"withdrawn": {"0604 192b6f0e", decision.RequestCancelled{ID: 0x0e6f2b19}},
 		"established": {
 			"1a04 c4913a5d 02 074a1203 44480000",
-			decision.Established{ID: 0x5d3a91c4, Attempt: 2, Server: 0x03124a07, Took: 18500},
+			decision.Established{ID: 0x5d3a91c4, Attempt: 2, Server: 0x03124a07, SetupTime: 18500},
 		},
 		"note": {
 			"2e04 c4913a5d 01 074a1203 02 00002041",
-			decision.Note{ID: 0x5d3a91c4, Attempt: 1, Server: 0x03124a07, Kind: decision.DelayNote, Value: 10},
+			decision.ConnectionMetric{ID: 0x5d3a91c4, Attempt: 1, Server: 0x03124a07, Kind: decision.MessageLatencyMetric, Value: 10},
 		},
 		"outcome": {
 			"fc03 c4913a5d 00 074a1203 c800 44480000 01 00",
-			decision.Outcome{ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.OK, Took: 18500, Closed: true},
+			decision.AttemptEnded{ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.OK, Duration: 18500, RequestClosed: true},
 		},
 		"outcome with report": {
 			"fc03 c4913a5d 00 074a1203 5602 44480000 00 02 0000803f 00000040",
-			decision.Outcome{
-				ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.Reset, Took: 18500,
-				Load: decision.Report{N: 2, Values: [4]float32{1, 2}},
+			decision.AttemptEnded{
+				ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.Reset, Duration: 18500,
+				LoadReport: decision.LoadReport{Count: 2, Values: [4]float32{1, 2}},
 			},
 		},
 		"probe result": {
 			"6a04 074a1203 f601 44480000 01 0000003f",
-			decision.Probed{
-				Server: 0x03124a07, Status: outcome.ConnectFailed, Took: 18500,
-				Load: decision.Report{N: 1, Values: [4]float32{0.5}},
+			decision.ProbeResult{
+				Server: 0x03124a07, Status: outcome.ConnectFailed, Duration: 18500,
+				LoadReport: decision.LoadReport{Count: 1, Values: [4]float32{0.5}},
 			},
 		},
 		"open": {
 			"4c04 01000000 0200 0300 0500000000000000 06000000 07000000 0800000000000000 01 09000000",
-			decision.Open{Request: decision.Request{
-				ID: 1, Class: 2, Tenant: 3, Key: 5, Left: 6, Hint: 7, HasHint: true,
+			decision.ExistingConnection{Request: decision.Request{
+				ID: 1, Class: 2, Tenant: 3, Key: 5, TimeLeft: 6, LoadHint: 7, HasLoadHint: true,
 				Group: 8,
 			}, Server: 9},
 		},
 	} {
 		got, err := one(t, nil, c.record)
-		if err != nil || got.Kind != Plain || !reflect.DeepEqual(got.Event, c.want) {
+		if err != nil || got.Kind != BalancerEvent || !reflect.DeepEqual(got.Event, c.want) {
 			t.Errorf("%s: %v, %#v, want %#v", name, err, got.Event, c.want)
 		}
 	}
@@ -107,25 +107,25 @@
 		"074a1203000000020000803f00000000000000000000" + "f211902c010000020000c03f000020145d0000000000",
 	)
 	got, err := one(t, tail, "4204 00 00000000 02000000")
-	want := []decision.Entry{
-		{Server: 0x03124a07, Name: 0x03124a07, State: decision.Ready, Units: 1},
-		{Server: 0x2c9011f2, Name: 0x2c9011f2, Zone: 1, State: decision.Ready, Units: 1.5, Started: 0x5d1420},
+	want := []decision.ServerEntry{
+		{Server: 0x03124a07, StableID: 0x03124a07, State: decision.Ready, Weight: 1},
+		{Server: 0x2c9011f2, StableID: 0x2c9011f2, Zone: 1, State: decision.Ready, Weight: 1.5, StartedAt: 0x5d1420},
 	}
-	if err != nil || got.Kind != Census || !reflect.DeepEqual(got.Entries, want) {
+	if err != nil || got.Kind != ServerList || !reflect.DeepEqual(got.Entries, want) {
 		t.Errorf("census: %v, %+v", err, got.Entries)
 	}
-	if got, err = one(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != Update ||
-		got.List != decision.Cached {
+	if got, err = one(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != ListUpdate ||
+		got.ListKind != decision.UpdateCached {
 		t.Errorf("update: %v, %+v", err, got)
 	}
-	if got, err = one(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil || got.Kind != Boot ||
+	if got, err = one(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil || got.Kind != Start ||
 		got.Seed != 9 || string(got.Text) != "a=b" {
 		t.Errorf("boot: %v, %+v", err, got)
 	}
-	if got, err = one(t, nil, "6004 0300"); err != nil || got.Kind != Target || got.Who != 3 {
+	if got, err = one(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
 		t.Errorf("target: %v, %+v", err, got)
 	}
-	if got, err = one(t, nil, "1004"); err != nil || got.Kind != PowerOff {
+	if got, err = one(t, nil, "1004"); err != nil || got.Kind != Stop {
 		t.Errorf("power off: %v, %+v", err, got)
 	}
 	if got, err = one(t, []byte("hi"), "2404 01000000 00000000 02000000"); err != nil || got.Kind != Ignored {
@@ -137,16 +137,16 @@
 	var r Reply
 	r.Begin(12)
 	acts := []decision.Action{
-		decision.Send{ID: 0x5d3a91c4, GiveUp: 80000, Server: 0x03124a07},
+		decision.StartAttempt{ID: 0x5d3a91c4, Timeout: 80000, Server: 0x03124a07},
 		decision.SetTimer{Delay: 500000, Token: 77},
-		decision.Watch{On: true},
-		decision.Fetch{},
-		decision.Refuse{ID: 1, HoldOff: 2},
+		decision.WatchDiscovery{On: true},
+		decision.FetchServerList{},
+		decision.Reject{ID: 1, RetryAfter: 2},
 		decision.Fail{ID: 3},
-		decision.Cancel{ID: 4, Attempt: 5},
-		decision.Move{ID: 6},
-		decision.Probe{Server: 7},
-		decision.Send{ID: 8, GiveUp: -1},
+		decision.CancelAttempt{ID: 4, Attempt: 5},
+		decision.MoveConnection{ID: 6},
+		decision.ProbeServer{Server: 7},
+		decision.StartAttempt{ID: 8, Timeout: -1},
 	}
 	if err := r.Add(3, acts); err != nil {
 		t.Fatal(err)
@@ -251,7 +251,7 @@
 			}
 			for i := range b.Count {
 				r, err := b.Record(i)
-				if err == nil && r.Kind == Census && len(r.Entries)*entrySize > len(in) {
+				if err == nil && r.Kind == ServerList && len(r.Entries)*entrySize > len(in) {
 					t.Fatalf("%d entries from %d bytes", len(r.Entries), len(in))
 				}
 			}
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -53,7 +53,7 @@
 	return err == nil
 }
 
-var wants = regexp.MustCompile(`<!-- want (.*) -->\n<!-- schema (refuses|accepts) -->`)
+var expectation = regexp.MustCompile(`<!-- want (.*) -->\n<!-- schema (refuses|accepts) -->`)
 
 // Every broken file is refused with a message for each fault that names its line; the schema refuses what it can.
 func TestBroken(t *testing.T) {
@@ -68,7 +68,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := wants.FindSubmatch(text)
+			want := expectation.FindSubmatch(text)
 			if want == nil {
 				t.Fatal("says not what is wanted")
 			}
@@ -127,7 +127,7 @@
 		}
 	}
 	s, err := Load(filepath.Join(dir, "full.xml"))
-	if err != nil || s.Resume.Life.Std().Minutes() != 10 || len(s.Resume.Keys.Key) != 2 ||
+	if err != nil || s.Resume.Lifetime.Std().Minutes() != 10 || len(s.Resume.Keys.Key) != 2 ||
 		s.Resume.Keys.Key[1].Secret[0] != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -57,30 +57,30 @@
 
 // Token is what a token says. Class and Server point into the buffer that it was opened into.
 type Token struct {
-	ID      ID
-	Minted  int64  // Unix time in milliseconds
-	Expires int64  // the same; not honoured from then on
-	Stream  uint64 // the stream, through all its moves
-	Key     uint64 // what the client's first line said, as the following
-	Group   uint64
-	Tenant  uint64
-	Top     uint64 // number of the last message that was passed on: no cursor can be beyond it
-	Started int64  // when the server that it names started, as discovery has it
-	Class   []byte
-	Server  []byte // the one server that may honour it
+	ID            ID
+	IssuedAt      int64  // Unix time in milliseconds
+	ExpiresAt     int64  // the same; not honoured from then on
+	Stream        uint64 // the stream, through all its moves
+	Key           uint64 // what the client's first line said, as the following
+	Group         uint64
+	Tenant        uint64
+	LastSequence  uint64 // number of the last message that was passed on: no cursor can be beyond it
+	ServerStarted int64  // when the server that it names started, as discovery has it
+	Class         []byte
+	Server        []byte // the one server that may honour it
 }
 
 // Key is one key of a ring.
 type Key struct {
 	Secret [chacha20poly1305.KeySize]byte
-	Mints  bool // tokens are sealed with it, and not only opened
+	Issues bool // tokens are sealed with it, and not only opened
 }
 
 // Ring seals with one key and opens with any of several. It is not for use by several goroutines at once.
 type Ring struct {
-	keys []ringKey
-	mint int
-	buf  [maxBytes]byte // what Open decodes into
+	keys       []ringKey
+	sealingKey int
+	buf        [maxBytes]byte // what Open decodes into
 }
 
 type ringKey struct {
@@ -90,7 +90,7 @@
 
 // NewRing returns a ring of keys, of which exactly one mints and no two may be the same.
 func NewRing(keys []Key) (*Ring, error) {
-	r := &Ring{mint: -1}
+	r := &Ring{sealingKey: -1}
 	for i, k := range keys {
 		aead, err := chacha20poly1305.NewX(k.Secret[:])
 		if err != nil {
@@ -101,15 +101,15 @@
 		if r.find(id[:]) != nil {
 			return nil, fmt.Errorf("token: key %d has the fingerprint %x of one before it", i, id)
 		}
-		if k.Mints && r.mint >= 0 {
+		if k.Issues && r.sealingKey >= 0 {
 			return nil, errors.New("token: two keys mint")
 		}
-		if k.Mints {
-			r.mint = i
+		if k.Issues {
+			r.sealingKey = i
 		}
 		r.keys = append(r.keys, ringKey{id, aead})
 	}
-	if r.mint < 0 {
+	if r.sealingKey < 0 {
 		return nil, errors.New("token: no key mints")
 	}
 	return r, nil
@@ -128,7 +128,7 @@
 func (r *Ring) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
-	copy(raw[1:], r.keys[r.mint].id[:])
+	copy(raw[1:], r.keys[r.sealingKey].id[:])
 	nonce := raw[1+keySize : head]
 	_, _ = rand.Read(nonce) // never fails
 	copy(t.ID[:], nonce)
@@ -145,20 +145,20 @@
 	for (head+len(body)+chacha20poly1305.Overhead)%3 != 0 {
 		body = append(body, 0)
 	}
-	all := r.keys[r.mint].aead.Seal(raw[:head], nonce, body, raw[:head])
+	all := r.keys[r.sealingKey].aead.Seal(raw[:head], nonce, body, raw[:head])
 	return base64.RawURLEncoding.AppendEncode(dst, all)
 }
 
 func (t *Token) numbers() [8]uint64 {
 	return [8]uint64{
-		uint64(t.Minted),
-		uint64(t.Expires),
+		uint64(t.IssuedAt),
+		uint64(t.ExpiresAt),
 		t.Stream,
 		t.Key,
 		t.Group,
 		t.Tenant,
-		t.Top,
-		uint64(t.Started),
+		t.LastSequence,
+		uint64(t.ServerStarted),
 	}
 }
 
@@ -206,8 +206,8 @@
 	for i := range n {
 		n[i] = binary.BigEndian.Uint64(body[8*i:])
 	}
-	t.Minted, t.Expires, t.Stream, t.Key, t.Group = int64(n[0]), int64(n[1]), n[2], n[3], n[4]
-	t.Tenant, t.Top, t.Started = n[5], n[6], int64(n[7])
+	t.IssuedAt, t.ExpiresAt, t.Stream, t.Key, t.Group = int64(n[0]), int64(n[1]), n[2], n[3], n[4]
+	t.Tenant, t.LastSequence, t.ServerStarted = n[5], n[6], int64(n[7])
 	rest := body[numbers:]
 	for _, name := range []*[]byte{&t.Class, &t.Server} {
 		if len(rest) == 0 || len(rest) <= int(rest[0]) || rest[0] > MaxName {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -30,8 +30,8 @@
 
 func some() Token {
 	return Token{
-		Minted: 1_800_000_000_000, Expires: 1_800_000_060_000, Stream: 7, Key: 0x7f3a9c21e0b4d655, Group: 5,
-		Tenant: 9, Top: 41, Started: 1_799_999_999_999, Class: []byte("index-sync"), Server: []byte("s-5be2a07c"),
+		IssuedAt: 1_800_000_000_000, ExpiresAt: 1_800_000_060_000, Stream: 7, Key: 0x7f3a9c21e0b4d655, Group: 5,
+		Tenant: 9, LastSequence: 41, ServerStarted: 1_799_999_999_999, Class: []byte("index-sync"), Server: []byte("s-5be2a07c"),
 	}
 }
 
@@ -47,9 +47,12 @@
 		name := rapid.SliceOfN(rapid.Byte(), 0, MaxName)
 		n := rapid.Uint64()
 		in := Token{
-			Minted: int64(n.Draw(t, "minted")), Expires: int64(n.Draw(t, "expires")), Stream: n.Draw(t, "stream"),
-			Key: n.Draw(t, "key"), Group: n.Draw(t, "group"), Tenant: n.Draw(t, "tenant"), Top: n.Draw(t, "top"),
-			Started: int64(n.Draw(t, "started")), Class: name.Draw(t, "class"), Server: name.Draw(t, "server"),
+			IssuedAt: int64(n.Draw(t, "minted")), ExpiresAt: int64(n.Draw(t, "expires")), Stream: n.Draw(t, "stream"),
+			Key: n.Draw(
+				t,
+				"key",
+			), Group: n.Draw(t, "group"), Tenant: n.Draw(t, "tenant"), LastSequence: n.Draw(t, "top"),
+			ServerStarted: int64(n.Draw(t, "started")), Class: name.Draw(t, "class"), Server: name.Draw(t, "server"),
 		}
 		text := r.Seal(nil, &in)
 		var out Token
@@ -97,7 +100,7 @@
 	r := ring(t, old, now)
 	tok := some()
 	good := r.Seal(nil, &tok)
-	old.Mints = true
+	old.Issues = true
 	older := ring(t, old).Seal(nil, &tok)
 	var out Token
 	if err := r.Open(older, &out); err != nil {
--- a/internal/xmlconfig/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -11,10 +11,10 @@
 
 // node is one element as it stands in the file.
 type node struct {
-	name  string
-	line  int
-	attrs []attribute
-	kids  []*node
+	name     string
+	line     int
+	attrs    []attribute
+	children []*node
 }
 
 type attribute struct {
@@ -108,7 +108,7 @@
 	switch {
 	case len(t.open) > 0:
 		outer := t.open[len(t.open)-1]
-		outer.kids = append(outer.kids, n)
+		outer.children = append(outer.children, n)
 	case t.root == nil && n.name == t.d.Root:
 		t.root = n
 	default:
--- a/internal/xmlconfig/schema.go
+++ b/internal/xmlconfig/schema.go
@@ -62,9 +62,9 @@
 	s := shapeOf(t)
 	w.open("<xs:complexType>")
 	if len(s.children) > 0 {
-		many := s.children[0].many
+		many := s.children[0].repeated
 		for _, m := range s.children {
-			if m.many != many {
+			if m.repeated != many {
 				panic("form: " + t.String() + " mixes single and repeated elements")
 			}
 		}
@@ -73,7 +73,7 @@
 			group = "xs:choice"
 			least := 0
 			if len(s.children) == 1 {
-				least = s.children[0].least
+				least = s.children[0].minCount
 			}
 			w.open(`<xs:choice minOccurs="%d" maxOccurs="unbounded">`, least)
 		} else {
@@ -102,8 +102,8 @@
 	switch {
 	case m.required:
 		use = ` use="required"`
-	case m.otherwise != "":
-		use = fmt.Sprintf(" default=%q", m.otherwise)
+	case m.defaultValue != "":
+		use = fmt.Sprintf(" default=%q", m.defaultValue)
 	}
 	w.open(`<xs:attribute name=%q%s>`, m.name, use)
 	doc := m.doc
--- a/internal/xmlconfig/value.go
+++ b/internal/xmlconfig/value.go
@@ -184,19 +184,19 @@
 
 // member is one field of an element.
 type member struct {
-	name      string
-	index     int
-	doc       string
-	required  bool
-	otherwise string
-	min, max  string
-	enum      []string
-	key, ref  string
-	many      bool
-	least     int
-	most      int
-	typ       reflect.Type
-	form      *regexp.Regexp
+	name          string
+	index         int
+	doc           string
+	required      bool
+	defaultValue  string
+	min, max      string
+	enum          []string
+	key, ref      string
+	repeated      bool
+	minCount      int
+	maxCount      int
+	typ           reflect.Type
+	nestedPattern *regexp.Regexp
 }
 
 // shape is what an element may hold.
@@ -236,21 +236,21 @@
 		}
 		m := member{
 			name: name, index: i, doc: f.Tag.Get("doc"), required: f.Tag.Get("use") == "required",
-			otherwise: f.Tag.Get("default"), min: f.Tag.Get("min"), max: f.Tag.Get("max"), key: f.Tag.Get("key"),
+			defaultValue: f.Tag.Get("default"), min: f.Tag.Get("min"), max: f.Tag.Get("max"), key: f.Tag.Get("key"),
 			ref: f.Tag.Get("ref"), typ: f.Type,
 		}
 		if e := f.Tag.Get("enum"); e != "" {
 			m.enum = strings.Split(e, ",")
 		}
 		if attr == "attr" {
-			m.form = regexp.MustCompile(`^(?:` + m.pattern() + `)$`)
+			m.nestedPattern = regexp.MustCompile(`^(?:` + m.pattern() + `)$`)
 			s.attrs = append(s.attrs, m)
 			continue
 		}
-		m.many = f.Type.Kind() == reflect.Slice
+		m.repeated = f.Type.Kind() == reflect.Slice
 		m.required = f.Type.Kind() == reflect.Struct
-		m.least, _ = strconv.Atoi(f.Tag.Get("least"))
-		m.most, _ = strconv.Atoi(f.Tag.Get("most"))
+		m.minCount, _ = strconv.Atoi(f.Tag.Get("least"))
+		m.maxCount, _ = strconv.Atoi(f.Tag.Get("most"))
 		s.children = append(s.children, m)
 	}
 	return s
@@ -306,8 +306,8 @@
 
 func (m member) sample() string {
 	switch v, ok := m.value(); {
-	case m.otherwise != "":
-		return m.otherwise
+	case m.defaultValue != "":
+		return m.defaultValue
 	case len(m.enum) > 0:
 		return m.enum[0]
 	case m.min != "":
@@ -335,7 +335,7 @@
 
 // read gives an attribute's value and, where it has one, its size.
 func (m member) read(text string) (reflect.Value, float64, error) {
-	if !m.form.MatchString(text) {
+	if !m.nestedPattern.MatchString(text) {
 		return reflect.Value{}, 0, errValue
 	}
 	to := reflect.New(m.typ)
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -143,7 +143,7 @@
 	shape := shapeOf(v.Type())
 	f.attributes(n, shape, v)
 	seen := map[string]int{}
-	for _, kid := range n.kids {
+	for _, kid := range n.children {
 		m, ok := shape.child(kid.name)
 		if !ok {
 			f.fault(
@@ -155,7 +155,7 @@
 			continue
 		}
 		seen[kid.name]++
-		if !m.many && seen[kid.name] > 1 {
+		if !m.repeated && seen[kid.name] > 1 {
 			f.fault(place{kid.line, kid.name}, "keep one of them", "stands twice inside <%s>", n.name)
 			continue
 		}
@@ -163,18 +163,18 @@
 	}
 	for _, m := range shape.children {
 		switch had := seen[m.name]; {
-		case m.required && had == 0, had < m.least:
+		case m.required && had == 0, had < m.minCount:
 			f.fault(
 				here,
 				fmt.Sprintf("add <%s>", m.name),
 				"has %d of the elements <%s>, at least %d %s needed",
 				had,
 				m.name,
-				max(m.least, 1),
-				plural(max(m.least, 1), "is", "are"),
+				max(m.minCount, 1),
+				plural(max(m.minCount, 1), "is", "are"),
 			)
-		case m.most > 0 && had > m.most:
-			f.fault(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.most)
+		case m.maxCount > 0 && had > m.maxCount:
+			f.fault(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.maxCount)
 		}
 	}
 	if c, ok := v.Addr().Interface().(Checker); ok {
@@ -220,8 +220,8 @@
 		switch {
 		case m.required:
 			f.fault(at, fmt.Sprintf("add %s=%q", m.name, m.sample()), "missing")
-		case m.otherwise != "":
-			if err := m.set(v.Field(m.index), m.otherwise); err != nil {
+		case m.defaultValue != "":
+			if err := m.set(v.Field(m.index), m.defaultValue); err != nil {
 				// a fault of the struct, found by any test of it
 				panic("form: default of " + at.where + ": " + err.Error())
 			}
@@ -279,10 +279,10 @@
 func Defaults(to any) {
 	v := reflect.ValueOf(to).Elem()
 	for _, m := range shapeOf(v.Type()).attrs {
-		if m.otherwise == "" {
+		if m.defaultValue == "" {
 			continue
 		}
-		if err := m.set(v.Field(m.index), m.otherwise); err != nil {
+		if err := m.set(v.Field(m.index), m.defaultValue); err != nil {
 			panic("form: default of " + m.name + ": " + err.Error())
 		}
 	}
--- a/lab/barrier/barrier.go
+++ b/lab/barrier/barrier.go
@@ -3,14 +3,14 @@
 
 import "sync"
 
-// Gate is open until it is shut. The zero Gate is open.
-type Gate struct {
+// Barrier is open until it is shut. The zero Gate is open.
+type Barrier struct {
 	mu   sync.Mutex
 	open chan struct{} // closed while the gate is open; nil as long as it was never shut
 }
 
 // Shut holds up whoever passes from now on.
-func (g *Gate) Shut() {
+func (g *Barrier) Shut() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.open == nil {
@@ -25,7 +25,7 @@
 }
 
 // Open lets all pass.
-func (g *Gate) Open() {
+func (g *Barrier) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.open == nil {
@@ -39,7 +39,7 @@
 }
 
 // Pass waits while the gate is shut.
-func (g *Gate) Pass() {
+func (g *Barrier) Pass() {
 	g.mu.Lock()
 	open := g.open
 	g.mu.Unlock()
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -306,7 +306,7 @@
 	}
 	names := Check(text, func(file string) ([]Run, error) { return Read(filepath.Join(docs, file)) }).Names
 	const incarnation = 1_796_171_470_554 // a start in Unix milliseconds, which is what a member begins with
-	ping := membership.Message{Kind: membership.Ping, Inc: incarnation, YouInc: incarnation}
+	ping := membership.Message{Kind: membership.Ping, Incarnation: incarnation, ReceiverIncarnation: incarnation}
 	envelope := packet.Envelope{Addr: netip.MustParseAddrPort("10.1.2.3:7946"), Zone: 1}
 	probe := packet.EncodeDirectory(nil, envelope, &zonedirectory.Message{Kind: zonedirectory.Probe, Zone: 1})
 	for name, want := range map[string]int{
--- a/lab/capacity/formula.go
+++ b/lab/capacity/formula.go
@@ -24,16 +24,16 @@
 }
 
 var (
-	nameForm   = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
-	numberForm = regexp.MustCompile(`-?\d[\d,]*(\.\d+)?(e\d+)?`)
-	thousands  = regexp.MustCompile(`(\d),(\d{3})\b`)
+	namePattern   = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	numberPattern = regexp.MustCompile(`-?\d[\d,]*(\.\d+)?(e\d+)?`)
+	thousands     = regexp.MustCompile(`(\d),(\d{3})\b`)
 )
 
 // take checks one formula, and keeps the name that it gives. It returns what the formula says.
 func (f formulas) take(text string) (float64, error) {
 	parts := strings.Split(text, " = ")
 	name := ""
-	if _, given := f[parts[0]]; nameForm.MatchString(parts[0]) && !given {
+	if _, given := f[parts[0]]; namePattern.MatchString(parts[0]) && !given {
 		name, parts = parts[0], parts[1:]
 	}
 	var values []float64
@@ -135,7 +135,7 @@
 // shows tells whether a text shows this value: whether its first number is the value rounded to as many decimals;
 // with a per cent sign behind the number, of the hundredfold value.
 func shows(text string, v float64) bool {
-	at := numberForm.FindStringIndex(text)
+	at := numberPattern.FindStringIndex(text)
 	if at == nil {
 		return false
 	}
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -13,11 +13,11 @@
 // [1,234](results/FILE.json#NAME), and a name may be given to it with `name` = before. A formula stands in a code
 // span with an equals sign in it, see formulas.
 var (
-	measuredForm = regexp.MustCompile(
+	measuredPattern = regexp.MustCompile(
 		"(?:`([a-z][a-z0-9_]*)` = )?" + `\[([^\]]*)\]\((results/[^)#]+\.(?:json|csv))#([^)]+)\)`,
 	)
-	formulaForm = regexp.MustCompile("`([^`]+ = [^`]+)`")
-	basisForm   = regexp.MustCompile(`^(measured|worked out|published \(.+\)|not measured(: .+)?|told by .+)$`)
+	formulaPattern = regexp.MustCompile("`([^`]+ = [^`]+)`")
+	basisPattern   = regexp.MustCompile(`^(measured|worked out|published \(.+\)|not measured(: .+)?|told by .+)$`)
 )
 
 // basisColumn heads the column of a table that tells what a row's figures rest on.
@@ -74,13 +74,13 @@
 	}
 	measured := c.Measured
 	c.computed = c.computed[:0]
-	for _, at := range measuredForm.FindAllStringIndex(line, -1) {
+	for _, at := range measuredPattern.FindAllStringIndex(line, -1) {
 		if strings.Count(line[:at[0]], "`")%2 == 0 { // else it is within a code span, as an example
-			m := measuredForm.FindStringSubmatch(line[at[0]:at[1]])
+			m := measuredPattern.FindStringSubmatch(line[at[0]:at[1]])
 			c.measured(m[1], m[2], m[3], m[4])
 		}
 	}
-	for _, m := range formulaForm.FindAllStringSubmatch(line, -1) {
+	for _, m := range formulaPattern.FindAllStringSubmatch(line, -1) {
 		c.Formulas++
 		v, err := c.names.take(m[1])
 		if err != nil {
@@ -108,7 +108,7 @@
 		c.wrong("%q is %v in %s#%s", text, v, file, reference)
 	}
 	if name != "" {
-		c.names[name], err = c.names.value(numberForm.FindString(text))
+		c.names[name], err = c.names.value(numberPattern.FindString(text))
 		if err != nil {
 			c.wrong("%q: %v", text, err)
 		}
@@ -138,7 +138,7 @@
 	}
 	basis := cells[c.basis]
 	switch {
-	case !basisForm.MatchString(basis):
+	case !basisPattern.MatchString(basis):
 		c.wrong("%q is no basis", basis)
 	case basis == "measured" && !measured:
 		c.wrong("measured, with no kept result")
@@ -165,7 +165,7 @@
 
 // plainNumber checks that a cell's number, which is no formula itself, is one that was computed or has a name.
 func (c *checker) plainNumber(cell string) {
-	if strings.ContainsAny(cell, "`[") || !numberForm.MatchString(cell) {
+	if strings.ContainsAny(cell, "`[") || !numberPattern.MatchString(cell) {
 		return
 	}
 	for _, v := range c.computed {
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -33,17 +33,17 @@
 
 // Figures are what was counted.
 type Figures struct {
-	Messages  int // delivered to clients
-	Lost      int // passed over without a word
-	Repeated  int // delivered though the client had them
-	Corrupt   int // not what the index holds
-	ToldGaps  int // messages that the client was told it would miss
-	Tokens    int // given with MOVE
-	Honoured  int // attempts with a token that came to stand at a node
-	MaxLive   int // of one token, at one instant
-	MaxEver   int // of one token, in all
-	MaxStream int // of one stream, at one instant, at all nodes
-	Moves     int // MOVE lines read by clients, with a token or without
+	Messages      int // delivered to clients
+	Lost          int // passed over without a word
+	Repeated      int // delivered though the client had them
+	Corrupt       int // not what the index holds
+	AnnouncedGaps int // messages that the client was told it would miss
+	Tokens        int // given with MOVE
+	Honoured      int // attempts with a token that came to stand at a node
+	MaxLive       int // of one token, at one instant
+	MaxEver       int // of one token, in all
+	MaxStream     int // of one stream, at one instant, at all nodes
+	Moves         int // MOVE lines read by clients, with a token or without
 	// SessionOpens are first lines without a token that nodes read, by why the client had opened: each costs a call.
 	// StartOvers are those that clients sent.
 	SessionOpens, StartOvers map[string]int
@@ -200,7 +200,7 @@
 	}
 	k.up = true
 	if a.Counts && s.begun && a.From > s.cursor {
-		c.now.ToldGaps += int(a.From - s.cursor)
+		c.now.AnnouncedGaps += int(a.From - s.cursor)
 		s.cursor = a.From
 	} else if !s.begun {
 		s.cursor, s.unknown = a.From, !a.Counts
@@ -410,7 +410,7 @@
 	f.Lost += g.Lost
 	f.Repeated += g.Repeated
 	f.Corrupt += g.Corrupt
-	f.ToldGaps += g.ToldGaps
+	f.AnnouncedGaps += g.AnnouncedGaps
 	f.Tokens += g.Tokens
 	f.Honoured += g.Honoured
 	f.Moves += g.Moves
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -78,7 +78,7 @@
 		"corrupt":            {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"from the future":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"answer, no message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
-		"told of a gap":      {strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 0 && f.ToldGaps == 2 }},
+		"told of a gap":      {strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 }},
 		"two live":           {moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4", func(f *Figures) bool { return f.MaxLive == 2 }},
 		"one after another":  {moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4", func(f *Figures) bool { return f.MaxLive == 1 && f.MaxEver == 2 }},
 		"two of a stream":    {strings.ReplaceAll(moved, "n 1 end", "") + "", func(f *Figures) bool { return f.MaxLive == 1 && f.MaxStream == 2 }},
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -44,7 +44,7 @@
 
 // Client is one of them.
 type Client struct {
-	Reads  barrier.Gate // shut, it reads nothing more from a connection that stands
+	Reads  barrier.Barrier // shut, it reads nothing more from a connection that stands
 	cfg    Config
 	rng    *rand.Rand
 	cursor uint64
@@ -80,7 +80,7 @@
 	o := &proto.Open{
 		ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
 		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opened > 1, Cur: c.has, Cursor: c.cursor,
-		Token: c.token, Asks: c.cfg.Tokens && c.token == "",
+		Token: c.token, WantsToken: c.cfg.Tokens && c.token == "",
 	}
 	if c.opened == 1 {
 		o.At = c.cfg.At
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -21,23 +21,23 @@
 
 // Balancer is one real balancer, which may be killed and started again at its address.
 type Balancer struct {
-	w      *World
+	w      *Deployment
 	rank   int
 	listen string
 	mgmt   string // of the present process
 	starts int
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{} // closed when the process has ended
-	code int
-	tail []string // its last log lines
-	most map[string]float64
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	done      chan struct{} // closed when the process has ended
+	code      int
+	tail      []string // its last log lines
+	maxLogged map[string]float64
 }
 
 // Alone starts one balancer that knows one node, at the given address, and no discovery.
 func Alone(program, dir, addr string, channels bool) (*Balancer, error) {
-	w := &World{cfg: Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}}
+	w := &Deployment{cfg: Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}}
 	err := w.secrets()
 	if err != nil {
 		return nil, err
@@ -192,11 +192,11 @@
 	return ""
 }
 
-// Most is the greatest value that a field of its log had, since it was first started.
-func (b *Balancer) Most(field string) float64 {
+// MaxLogged is the greatest value that a field of its log had, since it was first started.
+func (b *Balancer) MaxLogged(field string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.most[field]
+	return b.maxLogged[field]
 }
 
 // Resident is its resident memory, in bytes.
@@ -219,12 +219,12 @@
 func (b *Balancer) keep(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.most == nil {
-		b.most = map[string]float64{}
+	if b.maxLogged == nil {
+		b.maxLogged = map[string]float64{}
 	}
 	gjson.Parse(line).ForEach(func(key, v gjson.Result) bool {
 		if v.Type == gjson.Number {
-			b.most[key.Str] = max(b.most[key.Str], v.Num)
+			b.maxLogged[key.Str] = max(b.maxLogged[key.Str], v.Num)
 		}
 		return true
 	})
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -46,11 +46,11 @@
 	Fault     node.Fault
 }
 
-// storeMost is how long a session call waits before it fails.
-const storeMost = 3 * time.Second
+// sessionCallTimeout is how long a session call waits before it fails.
+const sessionCallTimeout = 3 * time.Second
 
-// World is a deployment that runs.
-type World struct {
+// Deployment is a deployment that runs.
+type Deployment struct {
 	cfg       Config
 	Index     *packageindex.Index
 	Check     *checker.Checker
@@ -95,8 +95,8 @@
 
 // Start starts all but the clients, and waits until the front end has all balancers. Once the context is done,
 // waits end.
-func Start(ctx context.Context, cfg Config) (*World, error) {
-	w := &World{
+func Start(ctx context.Context, cfg Config) (*Deployment, error) {
+	w := &Deployment{
 		cfg: cfg,
 		Index: &packageindex.Index{
 			Epoch:    time.Now().Add(-time.Minute),
@@ -114,12 +114,12 @@
 	return w, nil
 }
 
-func (w *World) start() error {
+func (w *Deployment) start() error {
 	var err error
 	if err = w.secrets(); err != nil {
 		return err
 	}
-	if w.Store, err = store.Start(w.cfg.StoreRate, storeMost); err != nil {
+	if w.Store, err = store.Start(w.cfg.StoreRate, sessionCallTimeout); err != nil {
 		return err
 	}
 	if w.Discovery, err = discoveryserver.Start(w.cfg.Late); err != nil {
@@ -151,7 +151,7 @@
 }
 
 // Await waits until a condition holds; past the limit it is an error that says what did not come.
-func (w *World) Await(most time.Duration, what string, holds func() bool) error {
+func (w *Deployment) Await(most time.Duration, what string, holds func() bool) error {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return nil
@@ -164,7 +164,7 @@
 }
 
 // secrets writes the key file and the site file.
-func (w *World) secrets() error {
+func (w *Deployment) secrets() error {
 	if !w.cfg.Tokens && !w.cfg.Channels {
 		return nil
 	}
@@ -176,7 +176,7 @@
 	if w.cfg.Tokens {
 		var secret [32]byte
 		_, _ = rand.Read(secret[:]) // never fails
-		w.keys = []token.Key{{Secret: secret, Mints: true}}
+		w.keys = []token.Key{{Secret: secret, Issues: true}}
 		err = os.WriteFile(filepath.Join(w.cfg.Dir, "key"), []byte(hex.EncodeToString(secret[:])), 0o600)
 		text += `<resume><keys><key id="lab" file="key" use="mint"/></keys></resume>` + "\n"
 	}
@@ -187,7 +187,7 @@
 // NodeID is how discovery calls a node.
 func NodeID(i int) string { return fmt.Sprintf("s-%08x", 0x5be2a07c+i*0x01010101) }
 
-func (w *World) node(i int, addr string, longAgo bool) (*node.Node, error) {
+func (w *Deployment) node(i int, addr string, longAgo bool) (*node.Node, error) {
 	return node.Start(node.Config{
 		ID: NodeID(i), Addr: addr, LongAgo: longAgo, Index: w.Index, Sink: w.Check,
 		Store: w.Store.Addr(), Keys: w.keys, SetUp: w.cfg.SetUp, Patience: w.cfg.Patience, Fault: w.cfg.Fault,
@@ -196,7 +196,7 @@
 }
 
 // list tells discovery how a node stands, and returns the change's generation.
-func (w *World) list(i int, state string) uint64 {
+func (w *Deployment) list(i int, state string) uint64 {
 	return w.Discovery.Set(discoveryserver.Entry{
 		ID: NodeID(i), Addr: w.Nodes[i].Addr(), Zone: "a", Machine: "m", Lifecycle: state,
 		Weight: 1, Started: w.Nodes[i].StartedMillis(),
@@ -204,25 +204,25 @@
 }
 
 // Drain drains a node, as an operator would, and returns when the first balancer was told.
-func (w *World) Drain(i int) (told time.Time, err error) {
+func (w *Deployment) Drain(i int) (told time.Time, err error) {
 	w.Nodes[i].Drain()
 	g := w.list(i, discoveryserver.Terminating)
 	err = w.Await(
 		5*time.Second,
 		"discovery has told a balancer",
-		func() bool { return !w.Discovery.Told(g).IsZero() },
+		func() bool { return !w.Discovery.AnnouncedAt(g).IsZero() },
 	)
-	return w.Discovery.Told(g), err
+	return w.Discovery.AnnouncedAt(g), err
 }
 
 // KillNode ends a node's process. Discovery learns of it when it lists it next.
-func (w *World) KillNode(i int) { w.Nodes[i].Kill() }
+func (w *Deployment) KillNode(i int) { w.Nodes[i].Kill() }
 
 // ListGone lists a node as gone.
-func (w *World) ListGone(i int) { w.list(i, discoveryserver.Gone) }
+func (w *Deployment) ListGone(i int) { w.list(i, discoveryserver.Gone) }
 
 // RestartNode starts a killed node under its id and address, with nothing, and lists it.
-func (w *World) RestartNode(i int) error {
+func (w *Deployment) RestartNode(i int) error {
 	n, err := w.node(i, w.Nodes[i].Addr(), false)
 	if err != nil {
 		return err
@@ -233,7 +233,7 @@
 }
 
 // Client adds a client and lets it run until the world stops.
-func (w *World) Client(cfg client.Config) *client.Client {
+func (w *Deployment) Client(cfg client.Config) *client.Client {
 	cfg.Sink = w.Check
 	if cfg.Link == nil {
 		cfg.Link = client.Own{Addr: w.Frontend.Addr(), Counted: w.Dials.add}
@@ -248,7 +248,7 @@
 }
 
 // Shared is a connection with channels to the front end, for several clients.
-func (w *World) Shared() *client.Shared {
+func (w *Deployment) Shared() *client.Shared {
 	return &client.Shared{Addr: w.Frontend.Addr(), Window: clientWindow, Counted: w.Dials.add}
 }
 
@@ -256,7 +256,7 @@
 const clientWindow = 64 << 10
 
 // Addrs are where the balancers listen.
-func (w *World) Addrs() []string {
+func (w *Deployment) Addrs() []string {
 	var out []string
 	for _, b := range w.Balancers {
 		out = append(out, b.Addr())
@@ -265,13 +265,13 @@
 }
 
 // StopClients ends the clients only.
-func (w *World) StopClients() {
+func (w *Deployment) StopClients() {
 	w.stop()
 	w.clients.Wait()
 }
 
 // Stop ends all of it. Only processes and listeners that the world started are ended.
-func (w *World) Stop() {
+func (w *Deployment) Stop() {
 	w.StopClients()
 	if w.Frontend != nil {
 		_ = w.Frontend.Close()
@@ -291,7 +291,7 @@
 }
 
 // config is what the platform would tell a balancer.
-func (w *World) config(b *Balancer) map[string]any {
+func (w *Deployment) config(b *Balancer) map[string]any {
 	class := func(name string, aim, deadline time.Duration, worth float64) map[string]any {
 		return map[string]any{
 			"name": name, "slo": aim.Microseconds(), "deadline": deadline.Microseconds(), "effect": "read_like",
@@ -302,7 +302,7 @@
 		"name": fmt.Sprint("n", b.rank), "listen": b.listen, "mgmt": b.mgmt, "discovery": w.Discovery.Addr(),
 		"seed":   fmt.Sprintf("%x", w.cfg.Seed*1000+uint64(b.rank*100+b.starts)),
 		"limits": map[string]any{"cores": 1, "memory_mb": cmp.Or(w.cfg.MemoryMB, 192), "sockets": 8192},
-		"known":  w.Discovery.Whole(),
+		"known":  w.Discovery.FullList(),
 		"settings": map[string]any{
 			"balancers": w.cfg.Balancers, "rank": b.rank, "zone": 0, "dcs": []string{"a"}, "skus": []string{"m"}, "discovery": "ask",
 			"limits": map[string]any{
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -41,13 +41,13 @@
 
 // Server is discovery.
 type Server struct {
-	late   time.Duration
-	http   *http.Server
-	addr   string
-	mu     sync.Mutex
-	log    []change // by generation
-	wakeup chan struct{}
-	told   map[uint64]time.Time // when a generation was first written to a watch
+	late        time.Duration
+	http        *http.Server
+	addr        string
+	mu          sync.Mutex
+	log         []change // by generation
+	wakeup      chan struct{}
+	announcedAt map[uint64]time.Time // when a generation was first written to a watch
 }
 
 type change struct {
@@ -64,7 +64,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{late: late, addr: ln.Addr().String(), wakeup: make(chan struct{}), told: map[uint64]time.Time{}}
+	s := &Server{
+		late:        late,
+		addr:        ln.Addr().String(),
+		wakeup:      make(chan struct{}),
+		announcedAt: map[uint64]time.Time{},
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", s.serve)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -90,15 +95,15 @@
 	return g
 }
 
-// Told is when a change was first written to a balancer; zero while it was not.
-func (s *Server) Told(generation uint64) time.Time {
+// AnnouncedAt is when a change was first written to a balancer; zero while it was not.
+func (s *Server) AnnouncedAt(generation uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.told[generation]
+	return s.announcedAt[generation]
 }
 
-// Whole is the list as it stands, as a balancer's configuration may hold it.
-func (s *Server) Whole() List {
+// FullList is the list as it stands, as a balancer's configuration may hold it.
+func (s *Server) FullList() List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since(0)
@@ -135,7 +140,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if !stream {
-		_ = json.NewEncoder(w).Encode(s.Whole()) // a caller that has gone misses nothing
+		_ = json.NewEncoder(w).Encode(s.FullList()) // a caller that has gone misses nothing
 		return
 	}
 	for first := true; ; first = false {
@@ -166,8 +171,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for g := after + 1; g <= to; g++ {
-		if _, had := s.told[g]; !had {
-			s.told[g] = time.Now()
+		if _, had := s.announcedAt[g]; !had {
+			s.announcedAt[g] = time.Now()
 		}
 	}
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -93,10 +93,10 @@
 
 // Bound is a limit to a figure.
 type Bound struct {
-	Name  xmlconfig.Name   `xml:"name,attr" use:"required" key:"bounds"`
-	Most  xmlconfig.Number `xml:"most,attr" doc:"the figure may be no more"`
-	Least xmlconfig.Number `xml:"least,attr" doc:"the figure may be no less; counts where it is not 0"`
-	Over  xmlconfig.Name   `xml:"over,attr" doc:"not the figure itself, but its ratio over this one"`
+	Name xmlconfig.Name   `xml:"name,attr" use:"required" key:"bounds"`
+	Max  xmlconfig.Number `xml:"most,attr" doc:"the figure may be no more"`
+	Min  xmlconfig.Number `xml:"least,attr" doc:"the figure may be no less; counts where it is not 0"`
+	Over xmlconfig.Name   `xml:"over,attr" doc:"not the figure itself, but its ratio over this one"`
 }
 
 // Check is part of form.Checker.
@@ -206,10 +206,10 @@
 			name += "_ratio"
 			r.Ratio(name, string(b.Name), string(b.Over))
 		}
-		if b.Least > 0 {
-			r.Check(name, float64(b.Least), true)
+		if b.Min > 0 {
+			r.Check(name, float64(b.Min), true)
 		} else {
-			r.Check(name, float64(b.Most), false)
+			r.Check(name, float64(b.Max), false)
 		}
 	}
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -29,14 +29,14 @@
 	more["evidence"] = more["channels_on_broken_trunks"] - more["balancer_echoes"]
 	for name, v := range map[string]float64{
 		"second_copies": float64(f.SecondCopies), "stand_again_ms": pl.standAgain(f.Ups), "messages": float64(f.Messages), "lost": float64(f.Lost), "repeated": float64(f.Repeated), "corrupt": float64(f.Corrupt),
-		"told_gaps": float64(f.ToldGaps), "tokens_given": float64(f.Tokens), "tokens_honoured": float64(f.Honoured),
+		"told_gaps": float64(f.AnnouncedGaps), "tokens_given": float64(f.Tokens), "tokens_honoured": float64(f.Honoured),
 		"max_live_per_token": float64(f.MaxLive), "max_ever_live_per_token": float64(f.MaxEver),
 		"max_live_per_stream": float64(f.MaxStream), "session_calls": float64(f.SessionCalls()),
 		"session_calls_for_moves": forMoves(f.SessionOpens), "start_overs_for_moves": forMoves(f.StartOvers),
 		"session_calls_unexplained": float64(f.SessionOpens[""]) + max(more["store_calls"]-float64(f.SessionCalls()), 0), "moves": float64(f.Moves), "moved_late_ms": late,
 		"gap_p50_ms": report.Quantile(gaps, 0.5), "gap_p99_ms": report.Quantile(gaps, 0.99), "gap_max_ms": report.Quantile(gaps, 1),
 		"delay_p50_ms": report.Quantile(delays, 0.5), "delay_p99_ms": report.Quantile(delays, 0.99),
-		"resumes": float64(len(f.Ups)), "resumes_per_s_max": mostInASecond(f.Ups),
+		"resumes": float64(len(f.Ups)), "resumes_per_s_max": maxPerSecond(f.Ups),
 	} {
 		r.Figures[prefix+name] = v
 	}
@@ -56,7 +56,7 @@
 // lastMoved is how long after a balancer was told of a drain the last connection left the node, in milliseconds, of
 // all drains the longest. A node that is not yet empty counts until now.
 func (pl *player) lastMoved() (late float64) {
-	for i, told := range pl.told {
+	for i, told := range pl.drainAnnounced {
 		last := pl.w.Check.Emptied(deployment.NodeID(i))
 		if last.IsZero() {
 			last = time.Now()
@@ -70,7 +70,7 @@
 func (pl *player) balancerFigures(more map[string]float64) {
 	for _, field := range []string{"kept", "promised", "trunks_failed", "echoes", "muxed", "trunks", "evicted"} {
 		for _, b := range pl.w.Balancers {
-			more["balancer_"+field] = max(more["balancer_"+field], b.Most(field))
+			more["balancer_"+field] = max(more["balancer_"+field], b.MaxLogged(field))
 		}
 	}
 }
@@ -101,8 +101,8 @@
 	return sum
 }
 
-// mostInASecond is the most of some times, which are in order, that lie within a second.
-func mostInASecond(at []time.Time) (most float64) {
+// maxPerSecond is the most of some times, which are in order, that lie within a second.
+func maxPerSecond(at []time.Time) (most float64) {
 	for i, from := range at {
 		n := 0
 		for _, t := range at[i:] {
--- a/lab/experiment/player.go
+++ b/lab/experiment/player.go
@@ -20,17 +20,17 @@
 
 // player is one pass under way.
 type player struct {
-	e     *Experiment
-	w     *deployment.World
-	rng   *rand.Rand
-	o     Options
-	pass  *Pass
-	told  map[int]time.Time // when a balancer was first told of a node's drain
-	began time.Time         // of the first fault
-	all   checker.Figures
-	more  map[string]float64
-	first map[uint64]bool  // the keys of the first streams of their connections
-	held  []*client.Client // and their clients
+	e              *Experiment
+	w              *deployment.Deployment
+	rng            *rand.Rand
+	o              Options
+	pass           *Pass
+	drainAnnounced map[int]time.Time // when a balancer was first told of a node's drain
+	began          time.Time         // of the first fault
+	all            checker.Figures
+	more           map[string]float64
+	first          map[uint64]bool  // the keys of the first streams of their connections
+	held           []*client.Client // and their clients
 }
 
 func (e *Experiment) pass(
@@ -59,13 +59,13 @@
 	}
 	defer w.Stop()
 	pl := &player{
-		e:     e,
-		w:     w,
-		told:  map[int]time.Time{},
-		first: map[uint64]bool{},
-		rng:   rand.New(rand.NewPCG(o.Seed, 0x6c6162)),
-		o:     o,
-		pass:  p,
+		e:              e,
+		w:              w,
+		drainAnnounced: map[int]time.Time{},
+		first:          map[uint64]bool{},
+		rng:            rand.New(rand.NewPCG(o.Seed, 0x6c6162)),
+		o:              o,
+		pass:           p,
 	}
 	pl.say("%d streams come to stand", e.Load.Streams)
 	idle := pl.resident()
@@ -200,7 +200,7 @@
 	switch s.Do {
 	case "drain":
 		told, err := w.Drain(s.Node)
-		pl.told[s.Node] = told
+		pl.drainAnnounced[s.Node] = told
 		return err
 	case "kill-node":
 		w.KillNode(s.Node)
@@ -215,7 +215,7 @@
 	case "stop-reading-node":
 		w.Nodes[s.Node].StopReading()
 	case "break-trunks":
-		pl.more["channels_on_broken_trunks"] += float64(w.Nodes[s.Node].BreakTrunks())
+		pl.more["channels_on_broken_trunks"] += float64(w.Nodes[s.Node].ResetChannelConnections())
 	}
 	return nil
 }
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -148,7 +148,7 @@
 	out := map[[2]int]bool{}
 	for a, row := range n.links {
 		for b, p := range row {
-			if p != nil && p.Cut {
+			if p != nil && p.Partitioned {
 				out[[2]int{a, b}] = true
 			}
 		}
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -9,13 +9,13 @@
 
 // Link is how one direction is. A zero Link loses and delays nothing.
 type Link struct {
-	Cut    bool
-	Loss   float64 // part of all messages
-	Burst  float64 // mean length of a row of lost ones, where over 1
-	Delay  time.Duration
-	Jitter time.Duration // and up to so much more, each by itself, so that messages overtake one another
-	Twice  float64       // part that comes a second time
-	Spoilt float64       // part of which a byte is changed
+	Partitioned bool
+	Loss        float64 // part of all messages
+	Burst       float64 // mean length of a row of lost ones, where over 1
+	Delay       time.Duration
+	Jitter      time.Duration // and up to so much more, each by itself, so that messages overtake one another
+	Twice       float64       // part that comes a second time
+	Spoilt      float64       // part of which a byte is changed
 
 	losing bool
 }
@@ -35,7 +35,7 @@
 // 1/Burst.
 func (l *Link) passes(rng *rand.Rand) bool {
 	switch {
-	case l.Cut:
+	case l.Partitioned:
 		return false
 	case l.Burst > 1 && l.Loss < 1:
 		leave := 1 / l.Burst
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -131,7 +131,7 @@
 		seen = append(seen, float64(d.Microseconds())/1000)
 	}
 	r.Figures["crash_seen_p50_ms"], r.Figures["crashes_seen"] = report.Quantile(seen, 0.5), float64(len(seen))
-	r.Notes["faults"] = strings.Join(t.Told, "; ")
+	r.Notes["faults"] = strings.Join(t.Faults, "; ")
 	r.Charts = []report.Chart{{
 		Name: "seen", Title: string(c.Name) + ": from a crash until a member holds it dead", X: "members and crashes, %",
 		Y: "ms", Series: []report.Series{report.Percentiles("seen", seen)},
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -20,13 +20,13 @@
 // The stand-in fleet of servers: some warm ones, and one that warms slowly, so that it is cold for the whole of the
 // trial.
 const (
-	warmNodes  = 3
-	coldSpan   = 100 * time.Second
-	coldFrom   = 0.13
-	coldTimes  = 3.0
-	clients    = 60
-	clientLife = time.Second
-	phase      = 20 * time.Second
+	warmNodes      = 3
+	coldSpan       = 100 * time.Second
+	coldFrom       = 0.13
+	coldTimes      = 3.0
+	clients        = 60
+	clientLifetime = time.Second
+	phase          = 20 * time.Second
 	// openTime bounds a client's wait for its answer: its deadline of 1.2 s, and what a paused member holds it up.
 	openTime = 3 * time.Second
 	// countSpan is over which set-ups are counted: chance moves the sum of a shorter one by more than it tells.
@@ -94,7 +94,7 @@
 			return err
 		}
 	}
-	stop, served := ask(f, o.Seed)
+	stop, served := runClients(f, o.Seed)
 	defer stop()
 	log("%d members serve", c.Processes)
 	at := playFaults(ctx, f, all, o.Seed, log)
@@ -134,7 +134,7 @@
 	for _, i := range paused {
 		f.Procs[i].Pause()
 	}
-	f.Net.Set(cut, all, func(l *link.Link) { l.Cut = true })
+	f.Net.Set(cut, all, func(l *link.Link) { l.Partitioned = true })
 	sleep(ctx, 2*phase)
 	log("paused members go on, links are good again")
 	for _, i := range paused {
@@ -228,8 +228,8 @@
 	}
 }
 
-// ask has clients open a connection, hold it for a while and open the next, each time at the next balancer that runs.
-func ask(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
+// runClients has clients open a connection, hold it for a while and open the next, each time at the next balancer that runs.
+func runClients(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
 	served = &atomic.Int64{}
 	var next, ids atomic.Int64
 	quit := make(chan struct{})
@@ -264,7 +264,7 @@
 	defer func() { _ = c.Close() }()
 	select {
 	case <-quit:
-	case <-time.After(clientLife):
+	case <-time.After(clientLifetime):
 	}
 	return true
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -138,12 +138,12 @@
 func (c *conn) admit() bool {
 	n, o := c.n, &c.open
 	n.awake.Pass()
-	if why := c.present(); why != resume.Honoured {
+	if why := c.present(); why != resume.Accepted {
 		c.answer("STALE " + why.String())
 		return false
 	}
 	n.mu.Lock()
-	refuse := n.draining && o.At == "" || n.cfg.Most > 0 && len(n.conns) > n.cfg.Most
+	refuse := n.draining && o.At == "" || n.cfg.MaxConnections > 0 && len(n.conns) > n.cfg.MaxConnections
 	n.mu.Unlock()
 	if !refuse && o.Token == "" && o.At == "" {
 		ctx, stop := context.WithTimeout(
@@ -177,7 +177,7 @@
 func (c *conn) present() resume.Reason {
 	n, o := c.n, &c.open
 	if o.Token == "" || n.ring == nil {
-		return resume.Honoured
+		return resume.Accepted
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,19 +192,21 @@
 		return resume.Malformed
 	}
 	now := time.Now()
-	r := resume.Right{
-		ID: resume.ID(t.ID), Minted: resume.Millis(t.Minted), Expires: resume.Millis(t.Expires),
-		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, Top: t.Top, Server: string(t.Server),
-		Started: resume.Millis(t.Started),
+	r := resume.Grant{
+		ID: resume.ID(t.ID), IssuedAt: resume.UnixMillis(t.IssuedAt), ExpiresAt: resume.UnixMillis(t.ExpiresAt),
+		Class: string(
+			t.Class,
+		), Key: t.Key, Group: t.Group, Tenant: t.Tenant, LastDelivered: t.LastSequence, Server: string(t.Server),
+		ServerStartedAt: resume.UnixMillis(t.ServerStarted),
 	}
 	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
-	l := resume.Line{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
-	log := resume.Log{Floor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
+	l := resume.StreamRequest{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
+	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
 	if n.cfg.Fault == ForgetAll {
-		n.keeper = resume.NewKeeper(n.cfg.ID, n.started, skew, claims)
+		n.keeper = resume.NewRegistry(n.cfg.ID, n.started, skew, claims)
 	}
-	why := n.keeper.Present(millis(now), &r, &l, log, n.draining)
-	if why == resume.Honoured {
+	why := n.keeper.Claim(millis(now), &r, &l, log, n.draining)
+	if why == resume.Accepted {
 		c.claim = r.ID
 	}
 	return why
@@ -214,7 +216,7 @@
 	c.n.mu.Lock()
 	defer c.n.mu.Unlock()
 	if c.claim != (resume.ID{}) {
-		c.n.keeper.Released(c.claim)
+		c.n.keeper.Release(c.claim)
 	}
 }
 
@@ -227,7 +229,7 @@
 	n.streams[c.who] = c
 	c.up = true
 	if c.claim != (resume.ID{}) {
-		n.keeper.Up(c.claim)
+		n.keeper.Established(c.claim)
 	}
 	if n.draining {
 		c.sendAway()
@@ -241,7 +243,7 @@
 // sendAway has a connection moved, now or after the node's patience; under the node's mutex.
 func (c *conn) sendAway() {
 	wait := time.Duration(0)
-	if c.open.Asks || c.open.Token != "" {
+	if c.open.WantsToken || c.open.Token != "" {
 		wait = c.n.cfg.Patience
 	}
 	select {
@@ -253,7 +255,7 @@
 // flow sends messages as they fall due, answers what comes, and ends when either side wants it.
 func (c *conn) flow() {
 	cursor := c.startAt()
-	if c.open.Asks || c.open.Token != "" {
+	if c.open.WantsToken || c.open.Token != "" {
 		c.answer(fmt.Sprintf("UP %x from=%d", c.open.Key, cursor))
 	} else {
 		c.answer(fmt.Sprintf("UP %x", c.open.Key))
@@ -293,7 +295,7 @@
 func (c *conn) startAt() uint64 {
 	x, key, now := c.n.cfg.Index, c.open.Key, time.Now().Add(-c.n.cfg.Lag)
 	floor, head := x.Floor(key, now), x.Head(key, now)
-	if !c.open.Cur || c.open.Cursor == 0 && c.open.Asks {
+	if !c.open.Cur || c.open.Cursor == 0 && c.open.WantsToken {
 		return head
 	}
 	return max(c.open.Cursor, floor)
@@ -340,6 +342,6 @@
 	c.n.mu.Lock()
 	defer c.n.mu.Unlock()
 	if c.claim != (resume.ID{}) {
-		c.n.keeper.Ended(c.claim)
+		c.n.keeper.Closed(c.claim)
 	}
 }
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -20,20 +20,20 @@
 
 // Config says what a node is like.
 type Config struct {
-	ID       string
-	Addr     string // "": a port of its own
-	LongAgo  bool   // it has run for long, and discovery lists its start as 0
-	Index    *packageindex.Index
-	Sink     recorder.Sink
-	Store    string        // the session store's address
-	Keys     []token.Key   // none: it knows no tokens
-	SetUp    time.Duration // its own work for a new connection
-	Most     int           // connections that it holds at most; 0: any number
-	Patience time.Duration // after a drain's begin, until who takes tokens is sent away, too
-	Lag      time.Duration // its copy of the index is so late
-	Accepted func()        // called for each connection that it takes, if set
-	Channels bool          // it speaks multiplexed channels as well as plain lines
-	Fault    Fault         // planted, to see that a checker finds it
+	ID             string
+	Addr           string // "": a port of its own
+	LongAgo        bool   // it has run for long, and discovery lists its start as 0
+	Index          *packageindex.Index
+	Sink           recorder.Sink
+	Store          string        // the session store's address
+	Keys           []token.Key   // none: it knows no tokens
+	SetUp          time.Duration // its own work for a new connection
+	MaxConnections int           // connections that it holds at most; 0: any number
+	Patience       time.Duration // after a drain's begin, until who takes tokens is sent away, too
+	Lag            time.Duration // its copy of the index is so late
+	Accepted       func()        // called for each connection that it takes, if set
+	Channels       bool          // it speaks multiplexed channels as well as plain lines
+	Fault          Fault         // planted, to see that a checker finds it
 }
 
 // Fault is a bug on purpose.
@@ -48,7 +48,7 @@
 )
 
 const (
-	skew       = resume.Millis(2000)
+	skew       = resume.UnixMillis(2000)
 	claims     = 1 << 16
 	headTime   = 5 * time.Second
 	storeTime  = 3 * time.Second
@@ -62,17 +62,17 @@
 	ln      net.Listener
 	ring    *token.Ring
 	session *store.Client
-	started resume.Millis
+	started resume.UnixMillis
 
-	mu       sync.Mutex
-	keeper   *resume.Keeper
-	conns    map[*conn]bool
-	streams  map[string]*conn // the connection that stands, by who it is for
-	trunks   map[*sshchan.Conn]bool
-	draining bool
-	closed   bool
-	awake    barrier.Gate // shut while the node hangs
-	reads    barrier.Gate // shut while it only does not read
+	mu                 sync.Mutex
+	keeper             *resume.Registry
+	conns              map[*conn]bool
+	streams            map[string]*conn // the connection that stands, by who it is for
+	channelConnections map[*sshchan.Conn]bool
+	draining           bool
+	closed             bool
+	awake              barrier.Barrier // shut while the node hangs
+	reads              barrier.Barrier // shut while it only does not read
 }
 
 // Start starts a node.
@@ -85,18 +85,18 @@
 		return nil, err
 	}
 	n := &Node{
-		cfg:     cfg,
-		ln:      ln,
-		conns:   map[*conn]bool{},
-		streams: map[string]*conn{},
-		trunks:  map[*sshchan.Conn]bool{},
+		cfg:                cfg,
+		ln:                 ln,
+		conns:              map[*conn]bool{},
+		streams:            map[string]*conn{},
+		channelConnections: map[*sshchan.Conn]bool{},
 	}
 	now := time.Now()
 	if cfg.LongAgo {
 		now = now.Add(-time.Hour)
 	}
 	n.started = millis(now)
-	n.keeper = resume.NewKeeper(cfg.ID, n.started, skew, claims)
+	n.keeper = resume.NewRegistry(cfg.ID, n.started, skew, claims)
 	if len(cfg.Keys) > 0 {
 		if n.ring, err = token.NewRing(cfg.Keys); err != nil {
 			return nil, err
@@ -123,7 +123,7 @@
 	return nil, err
 }
 
-func millis(t time.Time) resume.Millis { return resume.Millis(t.UnixMilli()) }
+func millis(t time.Time) resume.UnixMillis { return resume.UnixMillis(t.UnixMilli()) }
 
 // Addr is where it listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
@@ -173,7 +173,7 @@
 	}
 	n.mu.Unlock()
 	_ = n.ln.Close()
-	n.BreakTrunks()
+	n.ResetChannelConnections()
 	for _, c := range conns {
 		_ = c.recorded.Reset()
 	}
@@ -193,11 +193,11 @@
 	n.reads.Open()
 }
 
-// BreakTrunks resets its connections with channels, and tells how many channels were on them.
-func (n *Node) BreakTrunks() (channels int) {
+// ResetChannelConnections resets its connections with channels, and tells how many channels were on them.
+func (n *Node) ResetChannelConnections() (channels int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for t := range n.trunks {
+	for t := range n.channelConnections {
 		channels += t.Len()
 		_ = t.Abort()
 	}
@@ -222,7 +222,7 @@
 	rd := bufio.NewReaderSize(raw, 64<<10)
 	if n.cfg.Channels {
 		if head, _ := rd.Peek(4); string(head) == "SSH-" {
-			n.trunk(raw, rd)
+			n.serveChannels(raw, rd)
 			return
 		}
 	}
@@ -244,27 +244,27 @@
 // Read is part of recorder.Stream.
 func (b buffered) Read(p []byte) (int, error) { return b.rd.Read(p) }
 
-// trunkWindow is what the node grants on each channel.
-const trunkWindow = 64 << 10
+// channelWindow is what the node grants on each channel.
+const channelWindow = 64 << 10
 
-func (n *Node) trunk(raw hanging, rd *bufio.Reader) {
+func (n *Node) serveChannels(raw hanging, rd *bufio.Reader) {
 	if _, err := rd.ReadString('\n'); err != nil {
 		_ = raw.Close()
 		return
 	}
-	t, err := sshchan.Server(raw, rd, trunkWindow)
+	t, err := sshchan.Server(raw, rd, channelWindow)
 	if err != nil {
 		_ = raw.Close()
 		return
 	}
 	n.mu.Lock()
-	n.trunks[t] = true
+	n.channelConnections[t] = true
 	n.mu.Unlock()
 	for ch := t.Accept(); ch != nil; ch = t.Accept() {
 		go n.serve(&conn{n: n, ch: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}, ch.Line)
 	}
 	n.mu.Lock()
-	delete(n.trunks, t)
+	delete(n.channelConnections, t)
 	n.mu.Unlock()
 }
 
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -63,12 +63,12 @@
 	Mgmt   string
 	Folder string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	done    chan struct{}
-	tail    []string
-	stopped bool // paused
-	heard   func(line string)
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	done      chan struct{}
+	tail      []string
+	stopped   bool // paused
+	onLogLine func(line string)
 }
 
 // secret is the fleet's key as its file has it.
@@ -294,7 +294,7 @@
 			if p.tail = append(p.tail, lines.Text()); len(p.tail) > 40 {
 				p.tail = p.tail[1:]
 			}
-			heard := p.heard
+			heard := p.onLogLine
 			p.mu.Unlock()
 			if heard != nil {
 				heard(lines.Text())
@@ -304,7 +304,7 @@
 		close(done)
 	}()
 	for late := time.Now().Add(startTime); ; time.Sleep(5 * time.Millisecond) {
-		if _, err := p.Ask("PING"); err == nil {
+		if _, err := p.Admin("PING"); err == nil {
 			return nil
 		}
 		select {
@@ -318,8 +318,8 @@
 	}
 }
 
-// Ask makes a call of the management address, and returns what stands behind +OK.
-func (p *Proc) Ask(call string) (string, error) {
+// Admin makes a call of the management address, and returns what stands behind +OK.
+func (p *Proc) Admin(call string) (string, error) {
 	c, err := net.DialTimeout("tcp", p.Mgmt, callTime)
 	if err != nil {
 		return "", err
@@ -342,9 +342,9 @@
 // View is the fleet as one process tells it. Live, Zones and Records are told in fleets with zones only, where
 // Members are those of the process's own zone.
 type View struct {
-	Doubts  bool    `json:"doubts"`
-	Divisor float64 `json:"divisor"`
-	Members []struct {
+	Suspicions bool    `json:"doubts"`
+	Divisor    float64 `json:"divisor"`
+	Members    []struct {
 		Name        string  `json:"name"`
 		State       string  `json:"state"`
 		Incarnation uint64  `json:"incarnation"`
@@ -364,7 +364,7 @@
 
 // View asks for it.
 func (p *Proc) View() (*View, error) {
-	text, err := p.Ask("MEMBERS")
+	text, err := p.Admin("MEMBERS")
 	if err != nil {
 		return nil, err
 	}
@@ -419,11 +419,11 @@
 	return append([]string(nil), p.tail...)
 }
 
-// Hear has each line of the log told from now on; nil ends it.
-func (p *Proc) Hear(heard func(line string)) {
+// OnLogLine has each line of the log told from now on; nil ends it.
+func (p *Proc) OnLogLine(heard func(line string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = heard
+	p.onLogLine = heard
 }
 
 // Runs tells whether its process is there and not paused.
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -130,7 +130,7 @@
 // other back.
 func TestCutsOneWayAndHealed(t *testing.T) {
 	f := fleet(t, 6)
-	cutOff := func(l *link.Link) { l.Cut = true }
+	cutOff := func(l *link.Link) { l.Partitioned = true }
 	f.Net.Set(f.all(), []int{5}, cutOff)
 	if err := Await(patience, "one that only sends is dead", func() bool {
 		for i := range 5 {
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	v, err := f.Procs[5].View()
-	if err != nil || !v.Doubts {
+	if err != nil || !v.Suspicions {
 		t.Errorf("one that hears nobody does not doubt itself: %+v, %v", v, err)
 	}
 	f.Net.Heal()
--- a/lab/procs/stage.go
+++ b/lab/procs/stage.go
@@ -21,12 +21,12 @@
 // Stage is a fleet of processes as a trial's stage: what falls due is done in real time, one thing after another,
 // and what processes say of one another is taken from their logs and from the views that they tell.
 type Stage struct {
-	f     *Fleet
-	rng   *rand.Rand
-	began time.Time
-	due   deadlines
-	made  int // deadlines so far
-	said  chan said
+	f        *Fleet
+	rng      *rand.Rand
+	began    time.Time
+	due      deadlines
+	made     int // deadlines so far
+	logLines chan logLine
 	// failed takes what kept a process from starting.
 	failed chan error
 	views  []atomic.Pointer[View]
@@ -40,8 +40,8 @@
 	Changed func(at time.Duration, observer, of int, from, to membership.State, inc uint64)
 }
 
-// said is a line of a log that tells of a change.
-type said struct {
+// logLine is a line of a log that tells of a change.
+type logLine struct {
 	at       time.Time
 	observer int
 	line     string
@@ -70,15 +70,15 @@
 // NewStage makes a stage of processes that run.
 func NewStage(f *Fleet, seed uint64) *Stage {
 	s := &Stage{
-		f: f, rng: rand.New(rand.NewPCG(seed, 0x7374616765)), began: time.Now(), said: make(chan said, 4096), failed: make(chan error),
+		f: f, rng: rand.New(rand.NewPCG(seed, 0x7374616765)), began: time.Now(), logLines: make(chan logLine, 4096), failed: make(chan error),
 		views: make([]atomic.Pointer[View], len(f.Procs)), quit: make(chan struct{}),
 		Changed: func(time.Duration, int, int, membership.State, membership.State, uint64) {},
 	}
 	for i, p := range f.Procs {
-		p.Hear(func(line string) {
+		p.OnLogLine(func(line string) {
 			if strings.Contains(line, `"a member has changed"`) {
 				select {
-				case s.said <- said{time.Now(), i, line}:
+				case s.logLines <- logLine{time.Now(), i, line}:
 				case <-s.quit:
 				}
 			}
@@ -113,7 +113,7 @@
 	close(s.quit)
 	s.wg.Wait()
 	for _, p := range s.f.Procs {
-		p.Hear(nil)
+		p.OnLogLine(nil)
 	}
 }
 
@@ -125,8 +125,8 @@
 			next = min(next, s.due[0].at)
 		}
 		select {
-		case one := <-s.said:
-			s.hear(one)
+		case one := <-s.logLines:
+			s.handleLogLine(one)
 			continue
 		case err := <-s.failed:
 			s.errs = append(s.errs, err)
@@ -140,8 +140,8 @@
 	}
 }
 
-// hear takes a line of a log.
-func (s *Stage) hear(one said) {
+// handleLogLine takes a line of a log.
+func (s *Stage) handleLogLine(one logLine) {
 	var l struct {
 		Member      string `json:"member"`
 		State       string `json:"state"`
--- a/lab/procs/zones_test.go
+++ b/lab/procs/zones_test.go
@@ -76,7 +76,7 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	cutOff := func(l *link.Link) { l.Cut = true }
+	cutOff := func(l *link.Link) { l.Partitioned = true }
 	f.Net.Set([]int{0, 2}, []int{1, 3}, cutOff)
 	f.Net.Set([]int{1, 3}, []int{0, 2}, cutOff)
 	f.awaitZones(t, "neither can tell of the other", "unknown", 2)
@@ -107,12 +107,12 @@
 // Without zones MEMBERS has no word of them, and there are no records.
 func TestNoZones(t *testing.T) {
 	f := fleet(t, 2)
-	text, err := f.Procs[0].Ask("MEMBERS")
+	text, err := f.Procs[0].Admin("MEMBERS")
 	if err != nil || strings.Contains(text, "zone") || strings.Contains(text, "records") ||
 		strings.Contains(text, "OtherVersion") {
 		t.Errorf("%s, %v", text, err)
 	}
-	if _, err := f.Procs[0].Ask("RECORD limits 7"); err == nil || !strings.Contains(err.Error(), "no zones") {
+	if _, err := f.Procs[0].Admin("RECORD limits 7"); err == nil || !strings.Contains(err.Error(), "no zones") {
 		t.Error(err)
 	}
 }
--- a/lab/proto/proto.go
+++ b/lab/proto/proto.go
@@ -11,18 +11,18 @@
 
 // Open is a first line.
 type Open struct {
-	ID     string
-	Key    uint64
-	Class  string
-	Millis int    // d
-	Group  string // g
-	Owner  string
-	At     string
-	Again  bool
-	Asks   bool   // tok=ask
-	Token  string // tok= anything else
-	Cursor uint64
-	Cur    bool // the line has a cursor
+	ID         string
+	Key        uint64
+	Class      string
+	Millis     int    // d
+	Group      string // g
+	Owner      string
+	At         string
+	Again      bool
+	WantsToken bool   // tok=ask
+	Token      string // tok= anything else
+	Cursor     uint64
+	Cur        bool // the line has a cursor
 }
 
 // ErrLine says that a line is none that the protocol has.
@@ -60,7 +60,7 @@
 		case "again":
 			o.Again = value == "1"
 		case "tok":
-			if o.Asks = value == "ask"; !o.Asks {
+			if o.WantsToken = value == "ask"; !o.WantsToken {
 				o.Token = value
 			}
 		case "cur":
@@ -86,7 +86,7 @@
 		{"at", o.At, o.At != ""},
 		{"again", "1", o.Again},
 		{"cur", strconv.FormatUint(o.Cursor, 10), o.Cur},
-		{"tok", "ask", o.Asks},
+		{"tok", "ask", o.WantsToken},
 		{"tok", o.Token, o.Token != ""},
 	} {
 		if pair.on {
--- a/lab/report/repeats.go
+++ b/lab/report/repeats.go
@@ -67,7 +67,7 @@
 			}
 		}
 		sign := "<="
-		if b.AtLeast {
+		if b.IsMinimum {
 			sign = ">="
 		}
 		fmt.Fprintf(w, "%s\t%s %s\t%s\t%d\n", b.Name, sign, number(b.Limit), r.span(b.Name), broken)
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -18,11 +18,11 @@
 
 // Bound is a figure with its limit.
 type Bound struct {
-	Name     string  `json:"name"`
-	Limit    float64 `json:"limit"`
-	AtLeast  bool    `json:"at_least,omitempty"` // the limit is the least that is wanted, and not the most
-	Measured float64 `json:"measured"`
-	OK       bool    `json:"ok"`
+	Name      string  `json:"name"`
+	Limit     float64 `json:"limit"`
+	IsMinimum bool    `json:"at_least,omitempty"` // the limit is the least that is wanted, and not the most
+	Measured  float64 `json:"measured"`
+	OK        bool    `json:"ok"`
 }
 
 // Report is one run of an experiment.
@@ -60,7 +60,7 @@
 	fmt.Fprintf(w, "%s, seed %d, commit %s\n\nbound\tlimit\tmeasured\t\n", r.Experiment, r.Seed, r.Commit)
 	for _, b := range r.Bounds {
 		sign, verdict := "<=", "ok"
-		if b.AtLeast {
+		if b.IsMinimum {
 			sign = ">="
 		}
 		if !b.OK {
--- a/lab/scale/conditions.go
+++ b/lab/scale/conditions.go
@@ -9,7 +9,7 @@
 // reach tells whether zones reach each other, both ways.
 func (w *watch) reach(a, b int) bool {
 	x, y := a*racksPerZone, b*racksPerZone
-	return !w.cut[[2]int{x, y}] && !w.cut[[2]int{y, x}]
+	return !w.partitioned[[2]int{x, y}] && !w.partitioned[[2]int{y, x}]
 }
 
 // reachable tells whether members of one zone are to count another's: they reach it, or reach a zone that does.
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -68,7 +68,7 @@
 
 // configure writes what the platform would tell it, where that differs from lab/procs.
 func (b *balancer) configure(config map[string]any, mode string, limit int) {
-	config["discovery"], config["known"] = b.discovery.Addr(), b.discovery.Whole()
+	config["discovery"], config["known"] = b.discovery.Addr(), b.discovery.FullList()
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": limit}
 	class := func(name string, deadline time.Duration) map[string]any {
 		return map[string]any{
--- a/lab/scale/connections/client.go
+++ b/lab/scale/connections/client.go
@@ -19,8 +19,8 @@
 	sources = 8
 	// againAfter is when a client comes again that was refused without a word on when, or cut off.
 	againAfter = 100 * ms
-	// turnMost bounds what one turn of the loop sends, so that answers are read meanwhile.
-	turnMost = 128
+	// maxSendsPerTurn bounds what one turn of the loop sends, so that answers are read meanwhile.
+	maxSendsPerTurn = 128
 	// lineLength is the length of a line that clients send, with its end, in bytes.
 	lineLength = 40
 )
@@ -29,26 +29,26 @@
 type state uint8
 
 const (
-	away     state = iota
-	silent         // connected, and has sent no first line
-	asking         // has sent it
-	standing       // has been answered UP
+	disconnected state = iota
+	silent             // connected, and has sent no first line
+	requested          // has sent it
+	established        // has been answered UP
 )
 
 // generator is the part of the clients that one loop has.
 type generator struct {
 	*worker
-	rng     *rand.Rand
-	to      netip.AddrPort
-	index   int
-	n       *totals
-	clients []*client
-	stands  []*client // in no order
-	class   string
-	patient int  // d of a first line, in ms
-	churn   bool // who stands leaves and comes again
-	again   bool // who was refused or cut off comes again
-	source  uint32
+	rng         *rand.Rand
+	to          netip.AddrPort
+	index       int
+	n           *totals
+	clients     []*client
+	established []*client // in no order
+	class       string
+	patient     int  // d of a first line, in ms
+	churn       bool // who stands leaves and comes again
+	again       bool // who was refused or cut off comes again
+	source      uint32
 
 	took  []float64 // of lines or set-ups since the last count, from when each was due, in ms
 	lag   []float64 // from when a line or connection was due until it was sent, in ms
@@ -83,13 +83,13 @@
 		c.conn, err = g.l.Adopt(fd, c)
 	}
 	if err != nil {
-		c.state = away
+		c.state = disconnected
 		c.later(againAfter)
 		return
 	}
 	g.n.connected.Add(1)
 	if ask {
-		c.state = asking
+		c.state = requested
 		c.conn.Write(
 			[]byte(fmt.Sprintf("OPEN %x %x c=%s,d=%d\r\n", g.n.ids.Add(1), g.rng.Uint64(), g.class, g.patient)),
 		)
@@ -141,7 +141,7 @@
 			c.later(againAfter)
 			return
 		}
-		if b := c.g.scratch[:n]; c.state == standing {
+		if b := c.g.scratch[:n]; c.state == established {
 			c.back(b)
 		} else {
 			c.answer(b)
@@ -197,8 +197,8 @@
 	g := c.g
 	g.took = append(g.took, float64(g.l.Now()-c.due)/float64(ms))
 	g.n.ups.Add(1)
-	c.state, c.place = standing, len(g.stands)
-	g.stands = append(g.stands, c)
+	c.state, c.place = established, len(g.established)
+	g.established = append(g.established, c)
 	g.n.standing.Add(1)
 	if g.churn {
 		c.leave()
@@ -209,29 +209,29 @@
 // leave closes the connection; lines that are open then are lost.
 func (c *client) leave() {
 	g := c.g
-	if c.state == standing {
-		last := g.stands[len(g.stands)-1]
-		g.stands[c.place], last.place = last, c.place
-		g.stands = g.stands[:len(g.stands)-1]
+	if c.state == established {
+		last := g.established[len(g.established)-1]
+		g.established[c.place], last.place = last, c.place
+		g.established = g.established[:len(g.established)-1]
 		g.n.standing.Add(-1)
 	}
 	g.lost += len(c.lines)
 	g.open -= len(c.lines)
 	g.l.Cancel(c.retry)
-	if c.state != away {
+	if c.state != disconnected {
 		g.n.connected.Add(-1)
 		c.conn.Close()
 	}
-	c.conn, c.lines, c.retry, c.state = nil, nil, nil, away
+	c.conn, c.lines, c.retry, c.state = nil, nil, nil, disconnected
 }
 
 // write sends one line that was due at a time, on a connection drawn by chance.
 func (g *generator) write(due netloop.Micros) {
-	if len(g.stands) == 0 {
+	if len(g.established) == 0 {
 		g.lost++
 		return
 	}
-	c := g.stands[g.rng.IntN(len(g.stands))]
+	c := g.established[g.rng.IntN(len(g.established))]
 	c.lines = append(c.lines, due)
 	g.sent++
 	g.open++
@@ -240,15 +240,15 @@
 
 var message = append(bytes.Repeat([]byte("t"), lineLength-2), "\r\n"...)
 
-// pace calls act at moments with exponential gaps, at so many a second, until count moments or the span are over.
+// schedule calls act at moments with exponential gaps, at so many a second, until count moments or the span are over.
 // It turns the loop without a pause meanwhile: the kernel's wait has whole milliseconds.
-func (g *generator) pace(rate float64, count int, span netloop.Micros, act func(due netloop.Micros)) {
+func (g *generator) schedule(rate float64, count int, span netloop.Micros, act func(due netloop.Micros)) {
 	g.paced = true
 	next, end := float64(g.l.Now()), g.l.Now()+span
 	var turn func()
 	turn = func() {
 		now := g.l.Now()
-		for k := 0; k < turnMost && count > 0 && int64(next) <= min(now, end); k++ {
+		for k := 0; k < maxSendsPerTurn && count > 0 && int64(next) <= min(now, end); k++ {
 			due := netloop.Micros(next)
 			g.lag = append(g.lag, float64(now-due)/float64(ms))
 			act(due)
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -38,9 +38,9 @@
 	Changes int           // of discovery's list
 }
 
-// whole is the plan of a kept run. The number of listed servers follows from the slow-start budget of each (18 at
+// fullPlan is the plan of a kept run. The number of listed servers follows from the slow-start budget of each (18 at
 // once, 10.5 a second): fewer would bound set-ups before the program does.
-var whole = Plan{
+var fullPlan = Plan{
 	Sizes: []int{2000, 3500, 5000, 7000, 10000, 20000}, Listed: 400, Servers: 16, Loops: 2, SetUps: 3000,
 	Rates: []float64{restRate, commonRate, 10000, 20000, 30000, 40000, 50000, 60000, 80000, 100000},
 	Step:  time.Second, Rest: 2 * time.Second, Churn: 1500 * time.Millisecond, Changes: 20,
@@ -62,15 +62,15 @@
 	// reservedPart of the descriptors, and reservedMore, a balancer keeps free for set-ups (internal/relay,
 	// room.go): with fewer it ends idle connections and turns new ones away.
 	reservedPart, reservedMore = 16, 16
-	// awaitMost bounds waits for what has to come; what has not come by then is told by the figures.
-	awaitMost = 20 * time.Second
+	// maxWait bounds waits for what has to come; what has not come by then is told by the figures.
+	maxWait = 20 * time.Second
 	// settle is how long counts and memory are given to come to rest.
 	settle = 300 * time.Millisecond
 )
 
 // Run plays the whole plan.
 func Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
-	return Play(ctx, o, &whole)
+	return Play(ctx, o, &fullPlan)
 }
 
 // run is one run under way.
@@ -112,7 +112,7 @@
 			return nil, fmt.Errorf("%d connections: %w", n, err)
 		}
 	}
-	x.tell()
+	x.reportPoints()
 	return x.r, nil
 }
 
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -74,8 +74,8 @@
 	"p99_ms_at_rest",
 }
 
-// tell makes the report of all points.
-func (x *run) tell() {
+// reportPoints makes the report of all points.
+func (x *run) reportPoints() {
 	f := x.r.Figures
 	for _, p := range x.points {
 		for name, v := range p.f {
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -51,7 +51,7 @@
 func (ld *load) add(n int, rate float64, ask bool) {
 	parts := float64(len(ld.gs))
 	ld.each(func(g *generator) {
-		g.pace(rate/parts, ld.part(n, g.index), forever, func(due netloop.Micros) {
+		g.schedule(rate/parts, ld.part(n, g.index), forever, func(due netloop.Micros) {
 			c := &client{g: g}
 			g.clients = append(g.clients, c)
 			c.dial(due, ask)
@@ -75,7 +75,7 @@
 		}
 		g.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		next := 0
-		g.pace(float64(len(all))/within.Seconds(), len(all), forever, func(due netloop.Micros) {
+		g.schedule(float64(len(all))/within.Seconds(), len(all), forever, func(due netloop.Micros) {
 			all[next].dial(due, true)
 			next++
 		})
@@ -85,7 +85,7 @@
 // lines has clients that stand send lines at a rate a second for a span; it returns at once.
 func (ld *load) lines(rate float64, span time.Duration) {
 	parts := float64(len(ld.gs))
-	ld.each(func(g *generator) { g.pace(rate/parts, 1<<40, span.Microseconds(), g.write) })
+	ld.each(func(g *generator) { g.schedule(rate/parts, 1<<40, span.Microseconds(), g.write) })
 }
 
 // churns lets so many more clients come and leave without a pause, or ends that.
--- a/lab/scale/connections/phases.go
+++ b/lab/scale/connections/phases.go
@@ -29,7 +29,7 @@
 	time.Sleep(startRest)
 	before := b.cost()
 	x.ld.add(n, fastSetUps, false)
-	came := await(awaitMost, func() bool { return int(x.ld.n.connected.Load()) >= n || x.ld.n.ended.Load() > 0 }) &&
+	came := await(maxWait, func() bool { return int(x.ld.n.connected.Load()) >= n || x.ld.n.ended.Load() > 0 }) &&
 		await(settle, func() bool { return b.cost().fds-before.fds >= n })
 	after := b.cost()
 	held := after.fds - before.fds
@@ -70,7 +70,7 @@
 	time.Sleep(startRest)
 	before := b.cost()
 	x.ld.add(p.n, x.plan.SetUps, true)
-	came := await(awaitMost/2, all)
+	came := await(maxWait/2, all)
 	time.Sleep(settle)
 	from := b.cost()
 	time.Sleep(unansweredRest)
@@ -127,7 +127,7 @@
 }
 
 func (x *run) stand(n int) bool {
-	return await(awaitMost, func() bool { return int(x.ld.n.standing.Load()) >= n && int(x.sv.standing.Load()) >= n })
+	return await(maxWait, func() bool { return int(x.ld.n.standing.Load()) >= n && int(x.sv.standing.Load()) >= n })
 }
 
 // rest measures what stands while nothing happens.
@@ -166,7 +166,7 @@
 		}
 	}
 	// Lines that were sent too fast come back later; nobody counts them any more.
-	await(awaitMost, func() bool { return x.ld.peek().open == 0 })
+	await(maxWait, func() bool { return x.ld.peek().open == 0 })
 	x.ld.split()
 	return nil
 }
@@ -178,7 +178,7 @@
 	moved, ended := x.ld.n.moved.Load(), x.ld.n.ended.Load()
 	from := b.cost()
 	x.ld.lines(rate, x.plan.Step)
-	await(awaitMost, func() bool { return !x.ld.peek().paced })
+	await(maxWait, func() bool { return !x.ld.peek().paced })
 	back := await(time.Second, func() bool { return x.ld.peek().open == 0 })
 	to, got := b.cost(), x.ld.split()
 	lag, late := report.Quantile(got.lag, 0.99), report.Quantile(x.late(), 0.99)
@@ -250,7 +250,7 @@
 	from := b.cost()
 	x.ld.wave(waveSpan)
 	most := int(math.Ceil(0.9 * float64(p.n)))
-	if await(awaitMost, func() bool { return int(x.ld.n.standing.Load()) >= most }) {
+	if await(maxWait, func() bool { return int(x.ld.n.standing.Load()) >= most }) {
 		p.f["wave_90_ms"] = float64(time.Since(from.at).Milliseconds())
 	}
 	if x.stand(p.n) {
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -97,11 +97,11 @@
 
 // backend is one connection of a balancer to a stand-in server.
 type backend struct {
-	s     *servers
-	i     int // its loop
-	conn  *netloop.Conn
-	head  []byte // the first line, as far as it has come
-	stood bool
+	s           *servers
+	i           int // its loop
+	conn        *netloop.Conn
+	head        []byte // the first line, as far as it has come
+	established bool
 }
 
 // Readable is part of netloop.Owner.
@@ -116,7 +116,7 @@
 			b.end()
 			return
 		}
-		if b.stood {
+		if b.established {
 			conn.Write(scratch[:n])
 		} else {
 			b.first(scratch[:n])
@@ -144,7 +144,7 @@
 }
 
 func (b *backend) up(conn *netloop.Conn) {
-	b.stood = true
+	b.established = true
 	b.s.standing.Add(1)
 	conn.Write([]byte("UP 1\r\n"))
 }
@@ -154,7 +154,7 @@
 		return
 	}
 	delete(b.s.all[b.i], b)
-	if b.stood {
+	if b.established {
 		b.s.standing.Add(-1)
 	}
 	b.conn.Close()
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -18,19 +18,19 @@
 
 // How members are dealt to processes.
 const (
-	leastReals, mostReals = 8, 24
-	membersPerReal        = 60 // a real process for so many members
-	mostProcesses         = 6  // of hollow members
-	mostLoops             = 2  // of each
-	membersPerLoop        = 30 // at least; fewer make fewer loops
+	minRealMembers, maxRealMembers = 8, 24
+	membersPerReal                 = 60 // a real process for so many members
+	maxProcesses                   = 6  // of hollow members
+	maxLoops                       = 2  // of each
+	membersPerLoop                 = 30 // at least; fewer make fewer loops
 	// startSpan is in what time all members are started: as after a power cut, but not in one instant.
 	startSpan = 4 * time.Second
 )
 
 // The limits of a run, checked while it is played.
 const (
-	mostRunProcesses = 300
-	mostRunMegabytes = 12 << 10
+	maxRunProcesses = 300
+	maxRunMegabytes = 12 << 10
 )
 
 // fleet is the members of a run, and what is known of them.
@@ -54,7 +54,9 @@
 }
 
 // realsOf is how many processes of the program a fleet of so many members has.
-func realsOf(members int) int { return min(max(members/membersPerReal, leastReals), mostReals) }
+func realsOf(members int) int {
+	return min(max(members/membersPerReal, minRealMembers), maxRealMembers)
+}
 
 // layOut places the members of a fleet.
 func layOut(members, reals, regions, zones int, flat bool, seed uint64) (*Topology, error) {
@@ -143,7 +145,7 @@
 		}
 	}
 	for i, p := range f.reals.Procs {
-		p.Hear(func(line string) { f.heard(i, line) })
+		p.OnLogLine(func(line string) { f.handleLogLine(i, line) })
 	}
 	return nil
 }
@@ -163,12 +165,12 @@
 // has some of each zone.
 func (f *fleet) startHollow() error {
 	hollow := f.t.Members - f.t.Reals
-	loops := min(max(hollow/membersPerLoop, 1), mostLoops*mostProcesses, max(runtime.NumCPU()*3/2, 2))
-	processes := (loops + mostLoops - 1) / mostLoops
-	loops = processes * mostLoops
+	loops := min(max(hollow/membersPerLoop, 1), maxLoops*maxProcesses, max(runtime.NumCPU()*3/2, 2))
+	processes := (loops + maxLoops - 1) / maxLoops
+	loops = processes * maxLoops
 	dealt := make([][][]int, processes)
 	for p := range dealt {
-		dealt[p] = make([][]int, mostLoops)
+		dealt[p] = make([][]int, maxLoops)
 	}
 	for i := range hollow {
 		l := i % loops
@@ -208,7 +210,7 @@
 			continue
 		}
 		delay := startSpan * time.Duration(i) / time.Duration(f.t.Members)
-		if err := f.whose[i].tell(&Command{Do: DoStart, Member: i, Delay: delay.Microseconds()}); err != nil {
+		if err := f.whose[i].send(&Command{Do: DoStart, Member: i, Delay: delay.Microseconds()}); err != nil {
 			return err
 		}
 	}
@@ -222,14 +224,14 @@
 		f.reals.Procs[i].Kill()
 		return nil
 	}
-	return f.whose[i].tell(&Command{Do: DoKill, Member: i})
+	return f.whose[i].send(&Command{Do: DoKill, Member: i})
 }
 
 // leave ends a member in the planned way; a real one has ended when it returns.
 func (f *fleet) leave(i int) error {
 	f.watch.ended(i, true)
 	if i >= f.t.Reals {
-		return f.whose[i].tell(&Command{Do: DoLeave, Member: i})
+		return f.whose[i].send(&Command{Do: DoLeave, Member: i})
 	}
 	if code := f.reals.Procs[i].Stop(); code != 0 {
 		return fmt.Errorf("%s stopped with %d: %q", f.t.Name(i), code, f.reals.Procs[i].Tail())
@@ -243,25 +245,25 @@
 	if i < f.t.Reals {
 		return f.reals.Procs[i].Start()
 	}
-	return f.whose[i].tell(&Command{Do: DoStart, Member: i})
+	return f.whose[i].send(&Command{Do: DoStart, Member: i})
 }
 
 // publish has a member publish a record.
 func (f *fleet) publish(i int, name, value string) error {
 	if i < f.t.Reals {
-		_, err := f.reals.Procs[i].Ask("RECORD " + name + " " + value)
+		_, err := f.reals.Procs[i].Admin("RECORD " + name + " " + value)
 		return err
 	}
-	return f.whose[i].tell(&Command{Do: DoPublish, Member: i, Name: name, Value: value})
+	return f.whose[i].send(&Command{Do: DoPublish, Member: i, Name: name, Value: value})
 }
 
 // link cuts or heals the links from some zones to those of other regions, one way, between all members of both.
 func (f *fleet) link(from, to []int, cut bool) error {
-	c := &Command{Do: DoLink, From: f.t.RacksOf(from), To: f.t.RacksOf(to), Cut: cut, Loss: f.loss}
+	c := &Command{Do: DoLink, From: f.t.RacksOf(from), To: f.t.RacksOf(to), Partitioned: cut, Loss: f.loss}
 	f.watch.linked(c.From, c.To, cut)
 	f.reals.Net.Set(f.realsIn(c.From), f.realsIn(c.To), c.change)
 	for _, p := range f.procs {
-		if err := p.tell(c); err != nil {
+		if err := p.send(c); err != nil {
 			return err
 		}
 	}
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -28,18 +28,18 @@
 	no      int
 	setup   *Setup
 	links   *Links
-	ring    *packet.Ring
+	ring    *packet.Keyring
 	members []*hollow
 	whose   map[netip.Addr]int // members by their addresses, each of which is one member's only
 	zones   map[zonedirectory.ID]int
 	names   map[string]int
-	tell    chan<- *Sample
+	samples chan<- *Sample
 
-	now     *Sample // told next
-	second  Second
-	samples int
-	periods int64
-	lagDue  time.Time
+	now         *Sample // told next
+	second      Second
+	sampleCount int
+	periods     int64
+	lagDue      time.Time
 }
 
 func newGroup(setup *Setup, no int, members []int, tell chan<- *Sample) (*group, error) {
@@ -54,7 +54,7 @@
 	t := &setup.Topology
 	g := &group{
 		l: l, no: no, setup: setup, links: t.Links(uint64(members[0])), ring: ring, whose: map[netip.Addr]int{}, zones: map[zonedirectory.ID]int{},
-		names: map[string]int{}, tell: tell, now: &Sample{},
+		names: map[string]int{}, samples: tell, now: &Sample{},
 	}
 	for i, at := range t.Addrs {
 		g.whose[at.Addr()] = i
@@ -90,7 +90,7 @@
 
 func (g *group) run() error {
 	every(g.l, sampleEvery, g.sample)
-	every(g.l, membership.Step, func() { g.periods++ })
+	every(g.l, membership.TickInterval, func() { g.periods++ })
 	g.lagDue = time.Now().Add(lagEvery * time.Microsecond)
 	g.l.After(lagEvery, g.lag)
 	return g.l.Run()
@@ -126,17 +126,17 @@
 			continue
 		}
 		s.Running++
-		s.Shares += 1 / max(m.host.Divisor(), 1)
+		s.Shares += 1 / max(m.host.RateDivisor(), 1)
 		m.show(s)
 	}
-	if g.samples++; g.samples%secondEvery == 0 {
-		g.tellSecond(s)
+	if g.sampleCount++; g.sampleCount%secondEvery == 0 {
+		g.reportSecond(s)
 	}
-	g.tell <- s
+	g.samples <- s
 	g.now = &Sample{}
 }
 
-func (g *group) tellSecond(s *Sample) {
+func (g *group) reportSecond(s *Sample) {
 	for i, m := range g.members {
 		g.second.Sent[i], g.second.Received[i] = m.sent, m.received
 		g.second.Datagrams += m.datagrams
@@ -156,12 +156,12 @@
 
 	sent, received, datagrams int64 // since the last second was told
 
-	held     map[int]membership.State // what it holds those of its own zone to be, of whom it has heard
-	own      int                      // how many of them are there
-	delegate bool
-	told     MemberLive // the last time, as are what follows
-	states   map[int]zonedirectory.Reachability
-	records  map[string]string
+	held         map[int]membership.State // what it holds those of its own zone to be, of whom it has heard
+	own          int                      // how many of them are there
+	delegate     bool
+	lastReported MemberLive // the last time, as are what follows
+	states       map[int]zonedirectory.Reachability
+	records      map[string]string
 }
 
 func (m *hollow) do(c *Command) {
@@ -185,18 +185,18 @@
 func (m *hollow) start() {
 	t := &m.g.setup.Topology
 	cfg := peer.Config{
-		Name:   t.Name(m.index),
-		Listen: t.Addrs[m.index],
-		Ring:   m.g.ring,
-		Seed:   rand.Uint64(),
-		Open:   m.open,
+		Name:       t.Name(m.index),
+		Listen:     t.Addrs[m.index],
+		Keyring:    m.g.ring,
+		RandomSeed: rand.Uint64(),
+		OpenSocket: m.open,
 	}
 	for _, s := range t.Seeds(m.index) {
 		cfg.Seeds = append(cfg.Seeds, t.Addrs[s])
 	}
 	m.place(&cfg)
 	m.process++
-	m.held, m.own, m.delegate, m.told = map[int]membership.State{}, 1, false, MemberLive{}
+	m.held, m.own, m.delegate, m.lastReported = map[int]membership.State{}, 1, false, MemberLive{}
 	m.states, m.records = map[int]zonedirectory.Reachability{}, map[string]string{}
 	log := logrus.New()
 	log.SetFormatter(unwritten{})
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -42,7 +42,7 @@
 	for _, g := range groups {
 		run.Go(g.run)
 	}
-	err := obey(lines, groups, whose)
+	err := serveCommands(lines, groups, whose)
 	for _, g := range groups {
 		g.l.Post(g.l.Stop)
 	}
@@ -51,8 +51,8 @@
 	return errors.Join(err, <-written)
 }
 
-// obey has the loops do what they are told, until there is no more.
-func obey(lines *json.Decoder, groups []*group, whose map[int]*group) error {
+// serveCommands has the loops do what they are told, until there is no more.
+func serveCommands(lines *json.Decoder, groups []*group, whose map[int]*group) error {
 	for {
 		var c Command
 		if err := lines.Decode(&c); errors.Is(err, io.EOF) {
@@ -84,13 +84,13 @@
 }
 
 // newRing returns the fleet's key. A ring is for one goroutine.
-func newRing(secret []byte) (*packet.Ring, error) {
-	k := packet.Key{Seals: true}
+func newRing(secret []byte) (*packet.Keyring, error) {
+	k := packet.Key{Primary: true}
 	if len(secret) != len(k.Secret) {
 		return nil, fmt.Errorf("hollow members: a key has %d bytes, not %d", len(k.Secret), len(secret))
 	}
 	copy(k.Secret[:], secret)
-	return packet.NewRing([]packet.Key{k})
+	return packet.NewKeyring([]packet.Key{k})
 }
 
 // every has a loop do something again and again.
--- a/lab/scale/kernel.go
+++ b/lab/scale/kernel.go
@@ -78,11 +78,11 @@
 
 // limits tells whether a run takes more than it may.
 func limits(u usage) error {
-	if u.processes > mostRunProcesses {
-		return fmt.Errorf("the run has %d processes, over %d", u.processes, mostRunProcesses)
+	if u.processes > maxRunProcesses {
+		return fmt.Errorf("the run has %d processes, over %d", u.processes, maxRunProcesses)
 	}
-	if mb := u.bytes / (1 << 20); mb > mostRunMegabytes {
-		return fmt.Errorf("the run takes %.0f MB, over %d", mb, mostRunMegabytes)
+	if mb := u.bytes / (1 << 20); mb > maxRunMegabytes {
+		return fmt.Errorf("the run takes %.0f MB, over %d", mb, maxRunMegabytes)
 	}
 	return nil
 }
--- a/lab/scale/measured.go
+++ b/lab/scale/measured.go
@@ -14,9 +14,9 @@
 // what members do 50 ms apart, and await for 150 ms, would be measured wrongly. So it is where the run took more of
 // all cores than this.
 const (
-	mostLagP99    = 20
-	mostLag       = 250
-	mostCoreShare = 0.85
+	maxLagP99    = 20
+	maxLag       = 250
+	maxCoreShare = 0.85
 )
 
 // The bounds of issue 31, of each run of a fleet with zones.
@@ -34,8 +34,8 @@
 	{"record_everywhere_ms", 7000},
 	{"rate_over_budget", 2},
 	{"flaps", 1},
-	{"harness_memory_mb", mostRunMegabytes},
-	{"processes", mostRunProcesses},
+	{"harness_memory_mb", maxRunMegabytes},
+	{"processes", maxRunProcesses},
 }
 
 // measured keeps what the run has cost and what its members got wrong.
@@ -60,7 +60,7 @@
 	p.measureBytes(whole)
 	p.measureReals(whole)
 	r.Notes["stubs"], r.Notes["bytes"] = Stubs, "content of datagrams sent and received, without the 28 bytes of their IP and UDP headers"
-	r.Notes["faults"] = strings.Join(p.told, "; ")
+	r.Notes["faults"] = strings.Join(p.journal, "; ")
 	if len(w.notes)+len(w.errors) > 0 {
 		r.Notes["found"] = strings.Join(slices.Concat(w.notes, w.errors), "; ")
 	}
@@ -82,16 +82,16 @@
 // starved says why a run measured too little of what it was to measure; "" where it did not.
 func starved(f map[string]float64) string {
 	switch {
-	case f["harness_lag_p99_ms"] > mostLagP99:
+	case f["harness_lag_p99_ms"] > maxLagP99:
 		return fmt.Sprintf(
 			"1 in 100 timers of hollow members came %.0f ms late or later, over %d",
 			f["harness_lag_p99_ms"],
-			mostLagP99,
+			maxLagP99,
 		)
-	case f["harness_lag_max_ms"] > mostLag:
-		return fmt.Sprintf("a timer of a hollow member came %.0f ms late, over %d", f["harness_lag_max_ms"], mostLag)
-	case f["harness_core_share"] > mostCoreShare:
-		return fmt.Sprintf("the run took %.2f of all cores, over %.2f", f["harness_core_share"], mostCoreShare)
+	case f["harness_lag_max_ms"] > maxLag:
+		return fmt.Sprintf("a timer of a hollow member came %.0f ms late, over %d", f["harness_lag_max_ms"], maxLag)
+	case f["harness_core_share"] > maxCoreShare:
+		return fmt.Sprintf("the run took %.2f of all cores, over %.2f", f["harness_core_share"], maxCoreShare)
 	}
 	return ""
 }
@@ -215,7 +215,7 @@
 		for _, s := range out {
 			seen += s.value(math.MaxInt64)
 		}
-		told += float64(one.told.Load())
+		told += float64(one.reportedSentBytes.Load())
 	}
 	f["control_core_share"], f["control_rest_mean_core_share"] = report.Quantile(share, 1), average(restShare)
 	f["control_memory_mb"], f["control_memory_mean_mb"] = report.Quantile(memory, 1), average(memory)
@@ -234,9 +234,9 @@
 // check holds a run's figures against the bounds. A run that is not valid has only what says so.
 func check(r *report.Report, without ...string) {
 	if _, void := r.Notes["not valid"]; void {
-		r.Check("harness_lag_p99_ms", mostLagP99, false)
-		r.Check("harness_lag_max_ms", mostLag, false)
-		r.Check("harness_core_share", mostCoreShare, false)
+		r.Check("harness_lag_p99_ms", maxLagP99, false)
+		r.Check("harness_lag_max_ms", maxLag, false)
+		r.Check("harness_core_share", maxCoreShare, false)
 		return
 	}
 	for _, b := range bounds {
--- a/lab/scale/parts_test.go
+++ b/lab/scale/parts_test.go
@@ -59,7 +59,7 @@
 	for x := range top.Racks() {
 		for y := range top.Racks() {
 			d, zx, zy := a.Between(x, y).Delay, x/racksPerZone, y/racksPerZone
-			least, most := regionDelay, regionDelayMost
+			least, most := regionDelay, maxRegionDelay
 			if zx == zy {
 				least, most = 0, 0
 			} else if top.Region(zx) == top.Region(zy) {
@@ -76,7 +76,7 @@
 func TestWhatIsToBeCounted(t *testing.T) {
 	top := &Topology{Members: 9, Regions: 3, Zones: 3}
 	l := top.Links(0)
-	l.Set(top.RacksOf([]int{0}), top.RacksOf([]int{1}), func(l *link.Link) { l.Cut = true })
+	l.Set(top.RacksOf([]int{0}), top.RacksOf([]int{1}), func(l *link.Link) { l.Partitioned = true })
 	if len(l.Draw(0, racksPerZone)) != 0 || len(l.Draw(racksPerZone, 0)) != 1 {
 		t.Error("a cut one way is not one way")
 	}
@@ -88,7 +88,7 @@
 		cut  [][2]int
 		want []int
 	}{{nil, []int{9, 9, 9}}, {[][2]int{{0, 1}}, []int{9, 9, 9}}, {[][2]int{{0, 1}, {2, 0}}, []int{3, 6, 6}}} {
-		clear(w.cut)
+		clear(w.partitioned)
 		for _, pair := range c.cut {
 			w.linked(top.RacksOf(pair[:1]), top.RacksOf(pair[1:]), true)
 		}
@@ -96,7 +96,7 @@
 			t.Errorf("with %v cut: %v, want %v", c.cut, got, c.want)
 		}
 	}
-	clear(w.cut)
+	clear(w.partitioned)
 	w.ended(4, false)
 	if got := w.expected(); got[2] != 8 {
 		t.Errorf("after a crash: %v", got)
@@ -136,7 +136,7 @@
 func TestStarvedRunIsNotValid(t *testing.T) {
 	r := &report.Report{
 		Figures: map[string]float64{
-			"harness_lag_p99_ms": mostLagP99 + 1, "harness_core_share": 0.1,
+			"harness_lag_p99_ms": maxLagP99 + 1, "harness_core_share": 0.1,
 			"control_bytes_per_s": 5, "processes": 3,
 		},
 		Notes: map[string]string{},
@@ -150,8 +150,8 @@
 	if starved(
 		map[string]float64{
 			"harness_lag_p99_ms": 1,
-			"harness_lag_max_ms": mostLag,
-			"harness_core_share": mostCoreShare,
+			"harness_lag_max_ms": maxLag,
+			"harness_core_share": maxCoreShare,
 		},
 	) != "" {
 		t.Error("starved at the limits")
@@ -173,8 +173,8 @@
 	if err != nil || u.processes < 2 || u.bytes <= 0 || limits(u) != nil {
 		t.Errorf("%+v, %v", u, err)
 	}
-	if limits(usage{processes: mostRunProcesses + 1}) == nil ||
-		limits(usage{bytes: (mostRunMegabytes + 1) << 20}) == nil {
+	if limits(usage{processes: maxRunProcesses + 1}) == nil ||
+		limits(usage{bytes: (maxRunMegabytes + 1) << 20}) == nil {
 		t.Error("no limit")
 	}
 }
@@ -211,7 +211,7 @@
 		r.Figures["control_bytes_per_s"] = float64(members)
 		if members == 300 {
 			notValid(r, "late")
-			r.Figures["harness_lag_p99_ms"] = mostLagP99 + 1
+			r.Figures["harness_lag_p99_ms"] = maxLagP99 + 1
 		}
 		check(r)
 		s.add(members, r)
--- a/lab/scale/play.go
+++ b/lab/scale/play.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// joinMost bounds how long all may take to find each other, awaitMost how long anything else is awaited: more
+	// maxJoinTime bounds how long all may take to find each other, awaitMost how long anything else is awaited: more
 	// than its bound, so that the report says by how much that is missed.
-	joinMost  = 90 * time.Second
-	awaitMost = 25 * time.Second
-	// holdTime is for how long something must hold to count as reached: longer than two looks at a real member.
-	holdTime = 500 * time.Millisecond
-	lookTime = 20 * time.Millisecond
+	maxJoinTime = 90 * time.Second
+	maxWait     = 25 * time.Second
+	// requiredHoldTime is for how long something must hold to count as reached: longer than two looks at a real member.
+	requiredHoldTime = 500 * time.Millisecond
+	lookTime         = 20 * time.Millisecond
 )
 
 // play is a run being played.
@@ -32,10 +32,10 @@
 	delegates map[int]bool
 	restTime  time.Duration
 	// quietCuts are the parts of cuts in which nothing more happens.
-	quietCuts          []span
-	patience, joinMost time.Duration
-	hasty              bool     // the first thing that is awaited in vain ends the run
-	told               []string // what was done, with when
+	quietCuts             []span
+	patience, maxJoinTime time.Duration
+	hasty                 bool     // the first thing that is awaited in vain ends the run
+	journal               []string // what was done, with when
 	// killed tells when members were killed, wall clock in microseconds.
 	killed map[int]int64
 }
@@ -58,14 +58,14 @@
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
 	p := &play{
-		fleet:    f,
-		ctx:      ctx,
-		report:   r,
-		restTime: o.rest,
-		patience: cmp.Or(o.patience, awaitMost),
-		joinMost: o.patience,
-		hasty:    o.hasty,
-		killed:   map[int]int64{},
+		fleet:       f,
+		ctx:         ctx,
+		report:      r,
+		restTime:    o.rest,
+		patience:    cmp.Or(o.patience, maxWait),
+		maxJoinTime: o.patience,
+		hasty:       o.hasty,
+		killed:      map[int]int64{},
 	}
 	if err := p.join(); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	found := p.await(m, cmp.Or(p.joinMost, joinMost), p.watch.found)
+	found := p.await(m, cmp.Or(p.maxJoinTime, maxJoinTime), p.watch.found)
 	if p.ctx.Err() != nil {
 		return context.Cause(p.ctx)
 	}
@@ -124,7 +124,7 @@
 			held = time.Time{}
 		case held.IsZero():
 			held = time.Now()
-		case time.Since(held) >= holdTime:
+		case time.Since(held) >= requiredHoldTime:
 			return r
 		}
 	}
@@ -164,7 +164,7 @@
 	}
 	p.log("%s", what)
 	m := p.watch.mark()
-	p.told = append(p.told, fmt.Sprintf("%.1f s: %s", float64(m.at-p.began)/1e6, what))
+	p.journal = append(p.journal, fmt.Sprintf("%.1f s: %s", float64(m.at-p.began)/1e6, what))
 	return m, do()
 }
 
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -67,7 +67,7 @@
 		_ = cmd.Wait() // how it ended stands in its state
 		close(p.done)
 	}()
-	return p, p.tell(setup)
+	return p, p.send(setup)
 }
 
 func (p *process) read(out io.Reader, take func(*Sample)) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// tell writes a line for the process.
-func (p *process) tell(line any) error {
+// send writes a line for the process.
+func (p *process) send(line any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.to.Encode(line); err != nil {
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -32,7 +32,7 @@
 	Delay       int64  `json:",omitempty"` // of a start, microseconds
 	Name, Value string `json:",omitempty"` // of a record
 	From, To    []int  `json:",omitempty"` // racks, one way
-	Cut         bool   `json:",omitempty"`
+	Partitioned bool   `json:"Cut,omitempty"`
 	Loss        float64
 }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -21,17 +21,17 @@
 
 // poll is what is known of a real member from its management address and the kernel.
 type poll struct {
-	fast     atomic.Bool
-	told     atomic.Int64 // bytes that it says it has sent, since it was started
-	cpu      series       // seconds; by the meter
-	memory   float64      // the most, megabytes
-	pid      int
-	starts   int           // how many processes of it there were
-	cpuTotal time.Duration // at the last look
+	fast              atomic.Bool
+	reportedSentBytes atomic.Int64 // bytes that it says it has sent, since it was started
+	cpu               series       // seconds; by the meter
+	memory            float64      // the most, megabytes
+	pid               int
+	starts            int           // how many processes of it there were
+	cpuTotal          time.Duration // at the last look
 }
 
-// told is what a member answers to MEMBERS, as far as a run reads it.
-type told struct {
+// memberStatus is what a member answers to MEMBERS, as far as a run reads it.
+type memberStatus struct {
 	Divisor float64 `json:"divisor"`
 	Live    int     `json:"live"`
 	Members []struct {
@@ -59,8 +59,8 @@
 			last = time.Now()
 			if p := f.reals.Procs[i]; p.Runs() {
 				pid := p.Pid()
-				if text, err := p.Ask("MEMBERS"); err == nil && p.Pid() == pid {
-					f.told(i, text)
+				if text, err := p.Admin("MEMBERS"); err == nil && p.Pid() == pid {
+					f.applyStatus(i, text)
 				}
 			}
 		}
@@ -72,12 +72,12 @@
 	}
 }
 
-func (f *fleet) told(i int, text string) {
-	var v told
+func (f *fleet) applyStatus(i int, text string) {
+	var v memberStatus
 	if json.Unmarshal([]byte(text), &v) != nil {
 		return // it is asked again
 	}
-	f.polls[i].told.Store(v.Counts.SentBytes)
+	f.polls[i].reportedSentBytes.Store(v.Counts.SentBytes)
 	own := 0
 	for _, m := range v.Members {
 		if there(state(m.State)) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// heard takes a line of a real member's log.
-func (f *fleet) heard(i int, line string) {
+// handleLogLine takes a line of a real member's log.
+func (f *fleet) handleLogLine(i int, line string) {
 	if !strings.Contains(line, `"a member has changed"`) {
 		return
 	}
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -18,8 +18,8 @@
 const (
 	// regionMembers are those of the fleet that the balancer is built for.
 	regionMembers = 1500
-	// cutTime is how long a region is cut off, as issue 31 asks for; two regions lose each other for half of that.
-	cutTime = 120 * time.Second
+	// partitionTime is how long a region is cut off, as issue 31 asks for; two regions lose each other for half of that.
+	partitionTime = 120 * time.Second
 	// beforeTime is how long nothing happens before the first cut: what is spent at rest.
 	beforeTime = 15 * time.Second
 	// quietAfter is how long after a cut's beginning all is said that it brings.
@@ -27,7 +27,7 @@
 	// calmTime is given after a healing before the next cut.
 	calmTime = 3 * time.Second
 	// leastRegions: two that are cut from each other need a third that sees both.
-	leastRegions = 2
+	minRegions = 2
 )
 
 // errFlat says that a run needs zones.
@@ -39,8 +39,8 @@
 	}
 	members := cmp.Or(o.Members, regionMembers)
 	r := newReport(fmt.Sprint("scale-region-", members), o)
-	if o.Cut > 0 && o.Cut < cutTime {
-		r.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.Cut, cutTime)
+	if o.PartitionTime > 0 && o.PartitionTime < partitionTime {
+		r.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.PartitionTime, partitionTime)
 	}
 	t, err := layOut(
 		members,
@@ -53,10 +53,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if t.Regions < leastRegions {
-		return nil, fmt.Errorf("scale-region needs %d regions", leastRegions)
+	if t.Regions < minRegions {
+		return nil, fmt.Errorf("scale-region needs %d regions", minRegions)
 	}
-	if err := playFleet(ctx, o, t, r, func(p *play) error { return p.regions(cmp.Or(o.Cut, cutTime)) }); err != nil {
+	if err := playFleet(ctx, o, t, r, func(p *play) error { return p.regions(cmp.Or(o.PartitionTime, partitionTime)) }); err != nil {
 		return nil, err
 	}
 	check(r)
@@ -69,22 +69,22 @@
 	one := p.rng.IntN(p.t.Regions)
 	in := p.t.ZonesOf(one)
 	out := p.zonesBut(one)
-	whole := cut{"cut", fmt.Sprintf("region %d is cut off from all others", one), in, out, true, true}
-	if err := p.cutOff(whole, lasts); err != nil {
+	whole := partition{"cut", fmt.Sprintf("region %d is cut off from all others", one), in, out, true, true}
+	if err := p.isolate(whole, lasts); err != nil {
 		return err
 	}
-	oneWay := cut{"one way", fmt.Sprintf("nothing comes from region %d to others", one), in, out, true, false}
+	oneWay := partition{"one way", fmt.Sprintf("nothing comes from region %d to others", one), in, out, true, false}
 	if p.rng.IntN(2) == 0 {
 		oneWay.from, oneWay.to, oneWay.what = out, in, fmt.Sprintf("nothing comes from others to region %d", one)
 	}
-	if err := p.cutOff(oneWay, lasts); err != nil {
+	if err := p.isolate(oneWay, lasts); err != nil {
 		return err
 	}
 	if p.t.Regions < 3 {
 		return nil // nobody sees both
 	}
 	other := (one + 1 + p.rng.IntN(p.t.Regions-1)) % p.t.Regions
-	pair := cut{
+	pair := partition{
 		"pair",
 		fmt.Sprintf("regions %d and %d are cut off from each other only", one, other),
 		in,
@@ -92,7 +92,7 @@
 		true,
 		true,
 	}
-	return p.cutOff(pair, lasts/2)
+	return p.isolate(pair, lasts/2)
 }
 
 // zonesBut are the zones of all regions but one.
@@ -105,15 +105,15 @@
 	return out
 }
 
-// cut is what is done to the links between some zones and others.
-type cut struct {
+// partition is what is done to the links between some zones and others.
+type partition struct {
 	name, what  string
 	from, to    []int
 	there, back bool // which directions are cut
 }
 
 // set cuts or heals the links.
-func (p *play) set(c cut, on bool) error {
+func (p *play) set(c partition, on bool) error {
 	var err error
 	if c.there {
 		err = p.link(c.from, c.to, on)
@@ -124,9 +124,9 @@
 	return err
 }
 
-// cutOff cuts zones off for a while, in which a member of each side crashes and a record is published on one of
+// isolate cuts zones off for a while, in which a member of each side crashes and a record is published on one of
 // them, and heals them: within the bounds all count as many as they reach, and have the record.
-func (p *play) cutOff(c cut, lasts time.Duration) error {
+func (p *play) isolate(c partition, lasts time.Duration) error {
 	m, err := p.fault(c.what, func() error { return p.set(c, true) })
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 }
 
 // heal ends a cut: within the bounds all count all, and have what was published meanwhile.
-func (p *play) heal(c cut, from int, value string) error {
+func (p *play) heal(c partition, from int, value string) error {
 	m, err := p.fault(c.name+" is healed", func() error { return p.set(c, false) })
 	if err != nil {
 		return err
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -76,8 +76,8 @@
 	t.Helper()
 	for name, most := range map[string]float64{
 		"false_dead": 0, "flaps": 1, "rate_over_budget": 2, "zone_seen_periods": mostSeenPeriods,
-		"count_everywhere_periods": mostEverywherePeriods, "record_everywhere_periods": mostEverywherePeriods, "processes": mostRunProcesses,
-		"harness_memory_mb": mostRunMegabytes,
+		"count_everywhere_periods": mostEverywherePeriods, "record_everywhere_periods": mostEverywherePeriods, "processes": maxRunProcesses,
+		"harness_memory_mb": maxRunMegabytes,
 	} {
 		if got, had := r.Figures[name]; !had || got > most {
 			t.Errorf("%s is %v (measured: %v), at most %v; %v", name, got, had, most, r.Notes)
@@ -99,7 +99,7 @@
 func TestSmallFleetLosesARegion(t *testing.T) {
 	t.Parallel()
 	o := small(t, "", patience)
-	o.Cut = time.Second
+	o.PartitionTime = time.Second
 	r, err := playRegion(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/scale/show.go
+++ b/lab/scale/show.go
@@ -23,7 +23,7 @@
 
 // Fire is part of logrus.Hook.
 func (c *changes) Fire(e *logrus.Entry) error {
-	from, _ := e.Data[logging.Before].(string)
+	from, _ := e.Data[logging.PreviousState].(string)
 	to, _ := e.Data[logging.State].(string)
 	name, _ := e.Data[logging.Member].(string)
 	of, known := c.m.g.names[name]
@@ -66,4 +66,4 @@
 }
 
 // change has a link be as the command says, and its delay as it was.
-func (c *Command) change(l *link.Link) { l.Cut, l.Loss = c.Cut, c.Loss }
+func (c *Command) change(l *link.Link) { l.Partitioned, l.Loss = c.Partitioned, c.Loss }
--- a/lab/scale/slope/slope.go
+++ b/lab/scale/slope/slope.go
@@ -43,13 +43,13 @@
 	Slope, Intercept float64
 	// RMS is the root of the mean of the squared relative residuals, Most the greatest; a point's relative residual is
 	// |measured - fitted| / |measured|.
-	RMS, Most float64
+	RMS, MaxResidual float64
 	// Exponent is the slope of the logarithm of the value over that of the size: 0 for a constant, 1 for what is
 	// proportional, over 1 for what grows faster than the size. NaN where a value is not over 0.
-	Exponent        float64
-	Sizes           []float64 // that the line rests on, ascending
-	Runs            int
-	Least, Greatest float64 // of the values measured
+	Exponent          float64
+	Sizes             []float64 // that the line rests on, ascending
+	Runs              int
+	Smallest, Largest float64 // of the values measured
 }
 
 // Fit fits a line by least squares. It refuses less than MinSizes sizes, less than MinSeeds seeds at any of them, a
@@ -67,15 +67,15 @@
 		Sizes:    sizes,
 		Runs:     len(points),
 		Exponent: exponent(x, y),
-		Least:    slices.Min(y),
-		Greatest: slices.Max(y),
+		Smallest: slices.Min(y),
+		Largest:  slices.Max(y),
 	}
 	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
 	squares := 0.0
 	for i := range x {
 		r := relative(l.At(x[i]), y[i])
 		squares += r * r
-		l.Most = max(l.Most, r)
+		l.MaxResidual = max(l.MaxResidual, r)
 	}
 	l.RMS = math.Sqrt(squares / float64(len(x)))
 	return l, nil
--- a/lab/scale/slope/slope_test.go
+++ b/lab/scale/slope/slope_test.go
@@ -25,11 +25,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !near(l.Slope, 0.25) || !near(l.Intercept, 900) || !near(l.At(850), 1112.5) || l.RMS > 1e-9 || l.Most > 1e-9 {
+	if !near(l.Slope, 0.25) || !near(l.Intercept, 900) || !near(l.At(850), 1112.5) || l.RMS > 1e-9 ||
+		l.MaxResidual > 1e-9 {
 		t.Errorf("%+v, %v at 850", l, l.At(850))
 	}
-	if !slices.Equal(l.Sizes, []float64{60, 125, 300, 1500}) || l.Runs != 12 || !near(l.Least, 915) ||
-		!near(l.Greatest, 1275) {
+	if !slices.Equal(l.Sizes, []float64{60, 125, 300, 1500}) || l.Runs != 12 || !near(l.Smallest, 915) ||
+		!near(l.Largest, 1275) {
 		t.Errorf("rests on %+v", l)
 	}
 }
@@ -47,7 +48,7 @@
 		t.Fatal(err)
 	}
 	rms := math.Sqrt((math.Pow(1.1/6, 2) + math.Pow(1.3/5, 2) + math.Pow(0.7/7, 2) + math.Pow(0.9/10, 2)) / 4)
-	if !near(l.Slope, 1.4) || !near(l.Intercept, 3.5) || !near(l.Most, 0.26) || !near(l.RMS, rms) {
+	if !near(l.Slope, 1.4) || !near(l.Intercept, 3.5) || !near(l.MaxResidual, 0.26) || !near(l.RMS, rms) {
 		t.Errorf("%+v, r.m.s. %v wanted", l, rms)
 	}
 }
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -11,10 +11,10 @@
 
 // The delays of links, one way. Within a zone a datagram takes what loopback takes.
 const (
-	zoneDelay       = time.Millisecond // between zones of a region
-	regionDelay     = 10 * time.Millisecond
-	regionDelayMost = 80 * time.Millisecond
-	jitterPart      = 10 // each datagram takes up to a tenth of its link's delay longer
+	zoneDelay      = time.Millisecond // between zones of a region
+	regionDelay    = 10 * time.Millisecond
+	maxRegionDelay = 80 * time.Millisecond
+	jitterPart     = 10 // each datagram takes up to a tenth of its link's delay longer
 )
 
 // racksPerZone is how many failure domains a zone has.
@@ -132,7 +132,7 @@
 	for a := range out {
 		out[a] = make([]time.Duration, t.Regions)
 		for b := range a {
-			d := regionDelay + time.Duration(rng.Int64N(int64(regionDelayMost-regionDelay)))
+			d := regionDelay + time.Duration(rng.Int64N(int64(maxRegionDelay-regionDelay)))
 			out[a][b], out[b][a] = d, d
 		}
 	}
--- a/lab/scale/watch.go
+++ b/lab/scale/watch.go
@@ -16,13 +16,13 @@
 // watch is what a run knows of its fleet: what was done to members and links, and what members have shown. All of
 // it may be used from any goroutine.
 type watch struct {
-	mu      sync.Mutex
-	t       *Topology
-	members []memberSeen
-	cut     map[[2]int]bool // racks, one way
-	loops   map[[2]int]*loopSeen
-	judged  bool
-	starved int64 // until then
+	mu          sync.Mutex
+	t           *Topology
+	members     []memberSeen
+	partitioned map[[2]int]bool // racks, one way
+	loops       map[[2]int]*loopSeen
+	judged      bool
+	starved     int64 // until then
 
 	falseDead, excused int
 	flaps              int
@@ -64,11 +64,11 @@
 
 func newWatch(t *Topology) *watch {
 	return &watch{
-		t:       t,
-		members: make([]memberSeen, t.Members),
-		cut:     map[[2]int]bool{},
-		loops:   map[[2]int]*loopSeen{},
-		took:    map[[2]int]int{},
+		t:           t,
+		members:     make([]memberSeen, t.Members),
+		partitioned: map[[2]int]bool{},
+		loops:       map[[2]int]*loopSeen{},
+		took:        map[[2]int]int{},
 	}
 }
 
@@ -248,9 +248,9 @@
 	for _, a := range from {
 		for _, b := range to {
 			if cut {
-				w.cut[[2]int{a, b}] = true
+				w.partitioned[[2]int{a, b}] = true
 			} else {
-				delete(w.cut, [2]int{a, b})
+				delete(w.partitioned, [2]int{a, b})
 			}
 		}
 	}
--- a/lab/scale/zones.go
+++ b/lab/scale/zones.go
@@ -10,7 +10,7 @@
 // place tells a member where it stands, and has it choose delegates as the planted fault says.
 func (m *hollow) place(cfg *peer.Config) {
 	t := &m.g.setup.Topology
-	cfg.Site, cfg.Expected = t.Site(t.Zone(m.index)), m.g.setup.Expected
+	cfg.Site, cfg.ExpectedMembers = t.Site(t.Zone(m.index)), m.g.setup.Expected
 	cfg.Rank = m.g.setup.Plant.rank(peer.NameID(cfg.Name))
 }
 
@@ -20,8 +20,8 @@
 		m.showZones(s)
 		m.showRecords(s)
 	}
-	if is := (MemberLive{m.index, m.own, m.host.Live(), m.delegate}); is != m.told {
-		m.told = is
+	if is := (MemberLive{m.index, m.own, m.host.Live(), m.delegate}); is != m.lastReported {
+		m.lastReported = is
 		s.Lives = append(s.Lives, is)
 	}
 }
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -29,14 +29,14 @@
 
 // fate is what has been done to a member.
 type fate struct {
-	up      bool
-	leaves  bool          // was told to stop
-	since   time.Duration // when it was started last
-	killed  time.Duration // 0 while it runs
-	paused  time.Duration // until
-	stood   time.Duration // since when, the last time
-	longest time.Duration // pause since it was started
-	excused bool
+	up           bool
+	leaves       bool          // was told to stop
+	since        time.Duration // when it was started last
+	killed       time.Duration // 0 while it runs
+	paused       time.Duration // until
+	runningSince time.Duration // since when, the last time
+	longest      time.Duration // pause since it was started
+	excused      bool
 }
 
 // breath is how long a member must have run between two pauses for them not to count as one: it says that it lives
@@ -82,10 +82,10 @@
 func (c *Checker) pausedFor(i int, d time.Duration) {
 	m, now := &c.members[i], c.s.Now()
 	if now > m.paused+breath {
-		m.stood = now
+		m.runningSince = now
 	}
 	m.paused = max(m.paused, now+d)
-	m.longest = max(m.longest, m.paused-m.stood)
+	m.longest = max(m.longest, m.paused-m.runningSince)
 }
 
 // runs tells that a member's process is there and not paused.
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -47,8 +47,8 @@
 type Trial struct {
 	Stage
 	*Checker
-	Log  func(format string, args ...any)
-	Told []string // the faults, with when they came
+	Log    func(format string, args ...any)
+	Faults []string // the faults, with when they came
 }
 
 // New begins a trial of members that all run, and have found each other.
@@ -68,7 +68,7 @@
 func (t *Trial) Fault(d time.Duration, what string, do func()) {
 	t.After(d, func() {
 		t.note("%s", what)
-		t.Told = append(t.Told, fmt.Sprintf("%.1f s: %s", t.Now().Seconds(), what))
+		t.Faults = append(t.Faults, fmt.Sprintf("%.1f s: %s", t.Now().Seconds(), what))
 		do()
 		t.fault(t.Now())
 	})
@@ -137,16 +137,16 @@
 
 // Bounds of every play, as issue 22 has them.
 const (
-	MostSeen   = 4 * time.Second
-	MostDiffer = 5 * time.Second
-	MostFlaps  = 1
-	MostBytes  = 4096
+	MaxDetectionTime  = 4 * time.Second
+	MaxViewDivergence = 5 * time.Second
+	MaxFlaps          = 1
+	MaxBytesPerSecond = 4096
 )
 
 // Figure is one of a result's figures, with its bound.
 type Figure struct {
-	Name           string
-	Measured, Most float64
+	Name          string
+	Measured, Max float64
 }
 
 // Figures are all that have a bound.
@@ -155,19 +155,19 @@
 	return []Figure{
 		{"false_dead", float64(r.FalseDead), 0},
 		{"dead_returned", float64(r.DeadReturned), 0},
-		{"flaps", float64(r.Flaps), MostFlaps},
+		{"flaps", float64(r.Flaps), MaxFlaps},
 		{"unseen", float64(r.Unseen), 0},
-		{"crash_seen_by_all_ms", ms(r.SeenAt(0.99)), ms(MostSeen)},
-		{"view_differs_ms", ms(r.Differ), ms(MostDiffer)},
-		{"bytes_per_s_per_member", r.BytesPerS, MostBytes},
+		{"crash_seen_by_all_ms", ms(r.SeenAt(0.99)), ms(MaxDetectionTime)},
+		{"view_differs_ms", ms(r.Differ), ms(MaxViewDivergence)},
+		{"bytes_per_s_per_member", r.BytesPerS, MaxBytesPerSecond},
 	}
 }
 
 // Broken tells which bounds do not hold.
 func (r *Result) Broken() (out []string) {
 	for _, f := range r.Figures() {
-		if f.Measured > f.Most {
-			out = append(out, fmt.Sprintf("%s %.0f, over %.0f", f.Name, f.Measured, f.Most))
+		if f.Measured > f.Max {
+			out = append(out, fmt.Sprintf("%s %.0f, over %.0f", f.Name, f.Measured, f.Max))
 		}
 	}
 	return out
@@ -189,7 +189,7 @@
 const JoinTime = 12 * time.Second
 
 // Settle is how long a stage is watched after a script.
-const Settle = MostDiffer + 3*time.Second
+const Settle = MaxViewDivergence + 3*time.Second
 
 // Result is what was found so far.
 func (t *Trial) Result(name string, seed uint64) *Result {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -29,7 +29,7 @@
 	victim := t.Rand().IntN(t.Members())
 	at := t.between(time.Second, 3*time.Second)
 	t.Fault(at, "one member is killed", func() { t.Kill(victim) })
-	return at + MostSeen
+	return at + MaxDetectionTime
 }
 
 // pauses stops one, then a third of them at once, three times each, by up to 2 s; then some by up to 10 s.
@@ -164,7 +164,7 @@
 // oneSided cuts links one way: one; a ring of them; all to one member; all from one; all from one zone to another.
 func oneSided(t *Trial) time.Duration {
 	all := t.All()
-	cut := func(l *link.Link) { l.Cut = true }
+	cut := func(l *link.Link) { l.Partitioned = true }
 	at := time.Second
 	a := t.Draw(2)
 	t.Fault(at, fmt.Sprintf("%d no longer hears %d", a[1], a[0]), func() { t.Set(a[:1], a[1:], cut) })
@@ -180,7 +180,7 @@
 	heal := func() {
 		t.Fault(at, "links are good again", func() {
 			t.Heal()
-			t.Fault(MostDiffer, "all is as before", func() { t.Apart(false) })
+			t.Fault(MaxViewDivergence, "all is as before", func() { t.Apart(false) })
 		})
 		at += 8 * time.Second
 	}
@@ -218,7 +218,7 @@
 			for _, a := range all {
 				for _, b := range all {
 					if a%parts != b%parts {
-						t.Set([]int{a}, []int{b}, func(l *link.Link) { l.Cut = true })
+						t.Set([]int{a}, []int{b}, func(l *link.Link) { l.Partitioned = true })
 					}
 				}
 			}
@@ -232,7 +232,7 @@
 	for i := range 86 {
 		t.After(at+time.Duration(i)*700*time.Millisecond, func() {
 			for _, ab := range [][]int{pair, {pair[1], pair[0]}} {
-				t.Set(ab[:1], ab[1:], func(l *link.Link) { l.Cut = i%2 == 0 })
+				t.Set(ab[:1], ab[1:], func(l *link.Link) { l.Partitioned = i%2 == 0 })
 			}
 		})
 	}
@@ -256,7 +256,7 @@
 			t.Start(i)
 		}
 	})
-	return at + MostDiffer
+	return at + MaxViewDivergence
 }
 
 // Lossy kills some members, one after the other, while this part of all messages is lost.
@@ -270,7 +270,7 @@
 			t.Fault(at, fmt.Sprintf("member %d is killed", i), func() { t.Kill(i) })
 			at += 2 * time.Second
 		}
-		return at + MostDiffer
+		return at + MaxViewDivergence
 	}
 }
 
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// swim is a member as the balancer has it.
-type swim struct{ f *membership.Fleet }
+// balancerDetector is a member as the balancer has it.
+type balancerDetector struct{ f *membership.Fleet }
 
 // MemberID is the id of member i.
 func MemberID(i int) membership.ID { return membership.ID(0x9e3779b97f4a7c15 * uint64(i+1)) }
@@ -19,57 +19,61 @@
 func Name(i int) string { return fmt.Sprint("n", i) }
 
 // Members builds members as the balancer has them, each knowing the first few as seeds.
-func Members(seeds int) func(w *World, i, start int) Detector {
-	return func(w *World, i, start int) Detector {
+func Members(seeds int) func(w *Cluster, i, start int) Detector {
+	return func(w *Cluster, i, start int) Detector {
 		clock := w.now + w.skew[i]
-		cfg := membership.Config{Seed: w.rng.Uint64(), Inc: uint64(clock / Millisecond), Self: membership.Self{
-			ID:   MemberID(i),
-			Name: Name(i), Addr: Addr(i), Instance: uint64(clock)<<8 | uint64(start),
-		}}
+		cfg := membership.Config{
+			RandomSeed:  w.rng.Uint64(),
+			Incarnation: uint64(clock / Millisecond),
+			Self: membership.Self{
+				ID:   MemberID(i),
+				Name: Name(i), Addr: Addr(i), Instance: uint64(clock)<<8 | uint64(start),
+			},
+		}
 		for s := range seeds {
 			cfg.Seeds = append(cfg.Seeds, Addr(s))
 		}
-		return swim{membership.New(cfg, w.now)}
+		return balancerDetector{membership.New(cfg, w.now)}
 	}
 }
 
-func packets(sends []membership.Send) (out []Packet) {
+func packets(sends []membership.Outgoing) (out []Packet) {
 	for _, one := range sends {
-		out = append(out, Packet{To: Index(one.To), Size: packet.Size(&one.Msg), Carry: one.Msg})
+		out = append(out, Packet{To: Index(one.To), Size: packet.SealedSize(&one.Message), Payload: one.Message})
 	}
 	return out
 }
 
 // Tick is part of Detector.
-func (s swim) Tick(now Micros) ([]Packet, []membership.Change) {
+func (s balancerDetector) Tick(now Micros) ([]Packet, []membership.StateChange) {
 	out, changes := s.f.Tick(now)
 	return packets(out), changes
 }
 
 // Receive is part of Detector.
-func (s swim) Receive(now Micros, from int, p Packet) ([]Packet, []membership.Change) {
-	out, changes := s.f.Receive(now, Addr(from), p.Carry.(membership.Message))
+func (s balancerDetector) Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange) {
+	out, changes := s.f.Receive(now, Addr(from), p.Payload.(membership.Message))
 	return packets(out), changes
 }
 
 // Leave is part of Detector.
-func (s swim) Leave(now Micros) []Packet {
+func (s balancerDetector) Leave(now Micros) []Packet {
 	out, _ := s.f.Leave(now)
 	return packets(out)
 }
 
-// Holds is part of Detector.
-func (s swim) Holds(other int) membership.State { return s.f.Holds(MemberID(other)) }
+// StateOf is part of Detector.
+func (s balancerDetector) StateOf(other int) membership.State { return s.f.StateOf(MemberID(other)) }
 
-// Inc is part of Detector.
-func (s swim) Inc() uint64 { return s.f.Inc() }
+// Incarnation is part of Detector.
+func (s balancerDetector) Incarnation() uint64 { return s.f.Incarnation() }
 
 // Play plays one of lab/trial's scripts, with members as build makes them. The same seed brings the same events.
 func Play(
 	script string,
 	members int,
 	seed uint64,
-	build func(w *World, i, start int) Detector,
+	build func(w *Cluster, i, start int) Detector,
 	log func(string, ...any),
 ) (*scenario.Result, error) {
 	do := scenario.Scenarios[script]
@@ -85,18 +89,20 @@
 	do scenario.Script,
 	members int,
 	seed uint64,
-	build func(w *World, i, start int) Detector,
+	build func(w *Cluster, i, start int) Detector,
 	log func(string, ...any),
 ) *scenario.Result {
-	w := NewWorld(members, seed, link.Link{Delay: 200 * time.Microsecond, Jitter: 400 * time.Microsecond}, build)
+	w := NewCluster(members, seed, link.Link{Delay: 200 * time.Microsecond, Jitter: 400 * time.Microsecond}, build)
 	for i := range members {
-		w.at(Micros(w.rng.Int64N(int64(Second))), evFault, i, 0, func() { w.Start(i) })
+		w.schedule(Micros(w.rng.Int64N(int64(Second))), evFault, i, 0, func() { w.Start(i) })
 	}
 	w.join(members)
 	clear(w.Bytes)
 	from := w.now
 	t := scenario.New(w, log)
-	w.Changed = func(observer, of int, c membership.Change) { t.Changed(w.Now(), observer, of, c.From, c.To, c.Inc) }
+	w.Changed = func(observer, of int, c membership.StateChange) {
+		t.Changed(w.Now(), observer, of, c.From, c.To, c.Incarnation)
+	}
 	t.Watch()
 	last := do(t)
 	w.Run(from + Micros((last + scenario.Settle).Microseconds()))
@@ -111,20 +117,20 @@
 
 // join runs until all members that there are know each other: JoinTime at least, and as long as it takes to tell
 // each of all others within the budget.
-func (w *World) join(members int) {
+func (w *Cluster) join(members int) {
 	w.Run(w.now + Micros(scenario.JoinTime.Microseconds()))
-	for range mostJoin {
-		if w.whole() {
+	for range maxJoinSeconds {
+		if w.allAlive() {
 			return
 		}
 		w.Run(w.now + Second)
 	}
 }
 
-// mostJoin bounds how many seconds more members are given to find each other.
-const mostJoin = 300
+// maxJoinSeconds bounds how many seconds more members are given to find each other.
+const maxJoinSeconds = 300
 
-func (w *World) whole() bool {
+func (w *Cluster) allAlive() bool {
 	for i := range w.nodes {
 		for o := range w.nodes {
 			if s := w.Holds(i, o); i != o && s != membership.Alive {
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -30,30 +30,30 @@
 
 // Detector is one member's part, whichever way it works.
 type Detector interface {
-	Tick(now Micros) ([]Packet, []membership.Change)
-	Receive(now Micros, from int, p Packet) ([]Packet, []membership.Change)
+	Tick(now Micros) ([]Packet, []membership.StateChange)
+	Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange)
 	Leave(now Micros) []Packet
 	// Holds is what this member holds another to be: alive, or dead or gone.
-	Holds(other int) membership.State
-	Inc() uint64
+	StateOf(other int) membership.State
+	Incarnation() uint64
 }
 
 // Packet is a message on its way.
 type Packet struct {
-	To    int
-	Size  int
-	Carry any
+	To      int
+	Size    int
+	Payload any
 }
 
 // node is one member's process.
 type node struct {
-	detect  Detector
-	held    []membership.State // what it holds the others to be, by its word
-	up      bool
-	paused  Micros // until then
-	waiting []arrival
-	born    Micros
-	started int // how often
+	detector  Detector
+	reported  []membership.State // what it holds the others to be, by its word
+	up        bool
+	paused    Micros // until then
+	inbox     []arrival
+	startedAt Micros
+	starts    int // how often
 }
 
 type arrival struct {
@@ -61,8 +61,8 @@
 	p    Packet
 }
 
-// socketRoom is how many datagrams wait at a paused process before further ones are lost.
-const socketRoom = 256
+// maxInbox is how many datagrams wait at a paused process before further ones are lost.
+const maxInbox = 256
 
 // event is something that is due.
 type event struct {
@@ -87,45 +87,45 @@
 	return last
 }
 
-// World is the members and what is between them.
-type World struct {
+// Cluster is the members and what is between them.
+type Cluster struct {
 	Bytes []int64 // that each member has sent
 	// Received are the bytes that each member has received.
 	Received []int64
 	// Between says how the link from one member to another is, where it is not nil.
-	Between func(from, to int) *link.Link
-	Sent    int64 // datagrams
-
-	now   Micros
-	rng   *rand.Rand
-	make  func(w *World, i, start int) Detector
-	nodes []*node
-	links map[[2]int]*link.Link
-	usual link.Link
-	q     queue
-	seq   uint64
-	hash  hash.Hash64
-	skew  map[int]Micros  // of members' clocks
-	cuts  map[[2]int]bool // as of the last change of links
+	LinkBetween func(from, to int) *link.Link
+	Sent        int64 // datagrams
+
+	now         Micros
+	rng         *rand.Rand
+	build       func(w *Cluster, i, start int) Detector
+	nodes       []*node
+	links       map[[2]int]*link.Link
+	defaultLink link.Link
+	events      queue
+	seq         uint64
+	hash        hash.Hash64
+	skew        map[int]Micros  // of members' clocks
+	downLinks   map[[2]int]bool // as of the last change of links
 	// Changed is told what members say of one another.
-	Changed func(observer, of int, c membership.Change)
+	Changed func(observer, of int, c membership.StateChange)
 	index   map[string]int // of members, by their names
 }
 
 // Event kinds, as far as they are hashed.
 const (
 	evTick uint8 = iota
-	evArrive
+	evDelivery
 	evFault
 )
 
-// NewWorld returns a world of n members that are not started.
-func NewWorld(n int, seed uint64, usual link.Link, build func(w *World, i, start int) Detector) *World {
-	w := &World{
+// NewCluster returns a world of n members that are not started.
+func NewCluster(n int, seed uint64, usual link.Link, build func(w *Cluster, i, start int) Detector) *Cluster {
+	w := &Cluster{
 		rng: rand.New(
 			rand.NewPCG(seed, 0x7669727475616c),
-		), make: build, links: map[[2]int]*link.Link{}, usual: usual, skew: map[int]Micros{},
-		Changed: func(int, int, membership.Change) {}, index: map[string]int{},
+		), build: build, links: map[[2]int]*link.Link{}, defaultLink: usual, skew: map[int]Micros{},
+		Changed: func(int, int, membership.StateChange) {}, index: map[string]int{},
 		hash: fnv.New64a(), Bytes: make([]int64, n), Received: make([]int64, n), now: Second,
 	}
 	for i := range n {
@@ -146,40 +146,42 @@
 	return int(ip[1]-1)<<16 | int(ip[2])<<8 | int(ip[3])
 }
 
-func (w *World) at(d Micros, kind uint8, a, b int, do func()) {
+func (w *Cluster) schedule(d Micros, kind uint8, a, b int, do func()) {
 	w.seq++
-	heap.Push(&w.q, event{at: w.now + max(d, 0), seq: w.seq, do: do, kind: kind, a: a, b: b})
+	heap.Push(&w.events, event{at: w.now + max(d, 0), seq: w.seq, do: do, kind: kind, a: a, b: b})
 }
 
 // Members, Rand, After and what follows them are a trial's stage.
 
 // Members is how many there are.
-func (w *World) Members() int { return len(w.nodes) }
+func (w *Cluster) Members() int { return len(w.nodes) }
 
 // Rand draws for scripts of faults.
-func (w *World) Rand() *rand.Rand { return w.rng }
+func (w *Cluster) Rand() *rand.Rand { return w.rng }
 
 // Now is the time since the world began.
-func (w *World) Now() time.Duration { return time.Duration(w.now) * time.Microsecond }
+func (w *Cluster) Now() time.Duration { return time.Duration(w.now) * time.Microsecond }
 
 // After has something done.
-func (w *World) After(d time.Duration, do func()) { w.at(Micros(d.Microseconds()), evFault, 0, 0, do) }
+func (w *Cluster) After(d time.Duration, do func()) {
+	w.schedule(Micros(d.Microseconds()), evFault, 0, 0, do)
+}
 
 // Holds is what a member holds another to be, as it has said last.
-func (w *World) Holds(observer, of int) membership.State {
-	if held := w.nodes[observer].held; held != nil {
+func (w *Cluster) Holds(observer, of int) membership.State {
+	if held := w.nodes[observer].reported; held != nil {
 		return held[of]
 	}
 	return membership.Unknown
 }
 
 // StepClock has a member's clock be off by d from its next start on.
-func (w *World) StepClock(i int, d time.Duration) { w.skew[i] = Micros(d.Microseconds()) }
+func (w *Cluster) StepClock(i int, d time.Duration) { w.skew[i] = Micros(d.Microseconds()) }
 
 // Run goes on until then.
-func (w *World) Run(until Micros) {
-	for len(w.q) > 0 && w.q[0].at <= until {
-		e := heap.Pop(&w.q).(event)
+func (w *Cluster) Run(until Micros) {
+	for len(w.events) > 0 && w.events[0].at <= until {
+		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		var b [21]byte
 		binary.BigEndian.PutUint64(b[:], uint64(e.at))
@@ -193,24 +195,24 @@
 }
 
 // Hash stands for all events so far.
-func (w *World) Hash() string { return fmt.Sprintf("%016x", w.hash.Sum64()) }
+func (w *Cluster) Hash() string { return fmt.Sprintf("%016x", w.hash.Sum64()) }
 
 // Start starts a member's process, or a new one under its name.
-func (w *World) Start(i int) {
+func (w *Cluster) Start(i int) {
 	n := w.nodes[i]
-	n.started++
-	n.up, n.paused, n.waiting, n.born = true, 0, nil, w.now
-	n.detect, n.held = w.make(w, i, n.started), make([]membership.State, len(w.nodes))
-	for o := range n.held {
-		n.held[o] = n.detect.Holds(o)
+	n.starts++
+	n.up, n.paused, n.inbox, n.startedAt = true, 0, nil, w.now
+	n.detector, n.reported = w.build(w, i, n.starts), make([]membership.State, len(w.nodes))
+	for o := range n.reported {
+		n.reported[o] = n.detector.StateOf(o)
 	}
-	w.tick(i, n.started, Micros(w.rng.Int64N(int64(membership.Step))))
+	w.tick(i, n.starts, Micros(w.rng.Int64N(int64(membership.TickInterval))))
 }
 
-func (w *World) tick(i, start int, d Micros) {
-	w.at(d, evTick, i, start, func() {
+func (w *Cluster) tick(i, start int, d Micros) {
+	w.schedule(d, evTick, i, start, func() {
 		n := w.nodes[i]
-		if !n.up || n.started != start {
+		if !n.up || n.starts != start {
 			return
 		}
 		if w.now < n.paused {
@@ -218,22 +220,22 @@
 			return
 		}
 		// What waited is read before the deadlines are looked at, as the loop does.
-		waiting := n.waiting
-		n.waiting = nil
+		waiting := n.inbox
+		n.inbox = nil
 		for _, a := range waiting {
 			w.deliver(a.from, i, a.p)
 		}
-		w.does(i)(n.detect.Tick(w.now))
-		w.tick(i, start, membership.Step+Micros(w.rng.Int64N(int64(2*Millisecond))))
+		w.apply(i)(n.detector.Tick(w.now))
+		w.tick(i, start, membership.TickInterval+Micros(w.rng.Int64N(int64(2*Millisecond))))
 	})
 }
 
-// does carries out what a member says.
-func (w *World) does(i int) func([]Packet, []membership.Change) {
-	return func(out []Packet, changes []membership.Change) {
+// apply carries out what a member says.
+func (w *Cluster) apply(i int) func([]Packet, []membership.StateChange) {
+	return func(out []Packet, changes []membership.StateChange) {
 		for _, c := range changes {
 			if of, known := w.index[c.Name]; known {
-				w.nodes[i].held[of] = c.To
+				w.nodes[i].reported[of] = c.To
 				w.Changed(i, of, c)
 			}
 		}
@@ -243,20 +245,20 @@
 	}
 }
 
-func (w *World) link(from, to int) *link.Link {
-	if w.Between != nil {
-		return w.Between(from, to)
+func (w *Cluster) link(from, to int) *link.Link {
+	if w.LinkBetween != nil {
+		return w.LinkBetween(from, to)
 	}
 	l := w.links[[2]int{from, to}]
 	if l == nil {
-		own := w.usual
+		own := w.defaultLink
 		l = &own
 		w.links[[2]int{from, to}] = l
 	}
 	return l
 }
 
-func (w *World) send(from int, p Packet) {
+func (w *Cluster) send(from int, p Packet) {
 	w.Bytes[from] += int64(p.Size)
 	w.Sent++
 	if p.To < 0 || p.To >= len(w.nodes) || p.To == from {
@@ -264,15 +266,15 @@
 	}
 	l := w.link(from, p.To)
 	for range l.Times(w.rng) {
-		start := w.nodes[p.To].started
-		w.at(Micros(l.Wait(w.rng).Microseconds()), evArrive, from, p.To, func() {
+		start := w.nodes[p.To].starts
+		w.schedule(Micros(l.Wait(w.rng).Microseconds()), evDelivery, from, p.To, func() {
 			n := w.nodes[p.To]
 			switch {
-			case !n.up || n.started != start:
+			case !n.up || n.starts != start:
 				return
-			case w.now < n.paused || len(n.waiting) > 0:
-				if len(n.waiting) < socketRoom {
-					n.waiting = append(n.waiting, arrival{from, p})
+			case w.now < n.paused || len(n.inbox) > 0:
+				if len(n.inbox) < maxInbox {
+					n.inbox = append(n.inbox, arrival{from, p})
 				}
 			default:
 				w.deliver(from, p.To, p)
@@ -282,40 +284,40 @@
 	}
 }
 
-func (w *World) deliver(from, to int, p Packet) {
-	w.does(to)(w.nodes[to].detect.Receive(w.now, from, p))
+func (w *Cluster) deliver(from, to int, p Packet) {
+	w.apply(to)(w.nodes[to].detector.Receive(w.now, from, p))
 }
 
 // Kill ends a member's process without a word.
-func (w *World) Kill(i int) {
+func (w *Cluster) Kill(i int) {
 	w.nodes[i].up = false
 }
 
 // Stop ends it in the planned way.
-func (w *World) Stop(i int) {
+func (w *Cluster) Stop(i int) {
 	n := w.nodes[i]
 	if !n.up {
 		return
 	}
-	for _, p := range n.detect.Leave(w.now) {
+	for _, p := range n.detector.Leave(w.now) {
 		w.send(i, p)
 	}
-	start := n.started
-	w.at(500*Millisecond, evFault, i, 1, func() {
-		if n.started == start {
+	start := n.starts
+	w.schedule(500*Millisecond, evFault, i, 1, func() {
+		if n.starts == start {
 			w.Kill(i)
 		}
 	})
 }
 
 // Pause stops a member's process for a while.
-func (w *World) Pause(i int, d time.Duration) {
+func (w *Cluster) Pause(i int, d time.Duration) {
 	n := w.nodes[i]
 	n.paused = max(n.paused, w.now+Micros(d.Microseconds()))
 }
 
 // Set changes the links from some members to others, one way.
-func (w *World) Set(from, to []int, change func(*link.Link)) {
+func (w *Cluster) Set(from, to []int, change func(*link.Link)) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
@@ -323,24 +325,24 @@
 			}
 		}
 	}
-	w.cuts = nil
+	w.downLinks = nil
 }
 
 // Heal makes all links what they are usually.
-func (w *World) Heal() {
+func (w *Cluster) Heal() {
 	clear(w.links)
-	w.cuts = nil
+	w.downLinks = nil
 }
 
 // Cuts lists the links that are cut.
-func (w *World) Cuts() map[[2]int]bool {
-	if w.cuts == nil {
-		w.cuts = map[[2]int]bool{}
+func (w *Cluster) Cuts() map[[2]int]bool {
+	if w.downLinks == nil {
+		w.downLinks = map[[2]int]bool{}
 		for ab, l := range w.links {
-			if l.Cut {
-				w.cuts[ab] = true
+			if l.Partitioned {
+				w.downLinks[ab] = true
 			}
 		}
 	}
-	return w.cuts
+	return w.downLinks
 }
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -69,7 +69,7 @@
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(20) {
-				r, err := Play(scenario, 12, seed, Planted(plant, Members(3)), nil)
+				r, err := Play(scenario, 12, seed, WithFault(plant, Members(3)), nil)
 				if err != nil {
 					t.Fatal(err)
 				}
