--- a/lab/simulation/zoned/balancer.go
+++ b/lab/simulation/zoned/balancer.go
@@ -11,49 +11,49 @@
 	"spurspread/lab/simulation"
 )
 
-// datagramZone is how many bytes a datagram of member messages has more than in a fleet without zones: the zone and
+// zoneHeaderBytes is how many bytes a datagram of member messages has more than in a fleet without zones: the zone and
 // the digest.
-const datagramZone = 16
+const zoneHeaderBytes = 16
 
-// carry is a datagram's content: a message of either kind, and what all datagrams say of their sender.
-type carry struct {
-	member *membership.Message
-	zone   *zonedirectory.Message
-	id     membership.ID
-	of     zonedirectory.ID
-	digest uint64
+// payload is a datagram's content: a message of either kind, and what all datagrams say of their sender.
+type payload struct {
+	membershipMessage *membership.Message
+	directoryMessage  *zonedirectory.Message
+	id                membership.ID
+	zoneID            zonedirectory.ID
+	digest            uint64
 }
 
 // balancer is one member: it is a virtual.Detector.
 type balancer struct {
-	fleet *membership.Fleet
-	dir   *zonedirectory.Directory
-	id    membership.ID
-	of    zonedirectory.ID
-	local zonedirectory.Local
-	plant *Plant
+	fleet     *membership.Fleet
+	directory *zonedirectory.Directory
+	id        membership.ID
+	zoneID    zonedirectory.ID
+	local     zonedirectory.LocalZone
+	fault     *Fault
 }
 
-func (b *balancer) members(out []membership.Send) (packets []simulation.Packet) {
+func (b *balancer) membershipPackets(out []membership.Outgoing) (packets []simulation.Packet) {
 	for i := range out {
-		m := &out[i].Msg
+		m := &out[i].Message
 		packets = append(packets, simulation.Packet{
-			To: simulation.Index(out[i].To), Size: packet.Size(m) + datagramZone,
-			Carry: carry{member: m, id: b.id, of: b.of, digest: b.dir.Digest()},
+			To: simulation.Index(out[i].To), Size: packet.SealedSize(m) + zoneHeaderBytes,
+			Payload: payload{membershipMessage: m, id: b.id, zoneID: b.zoneID, digest: b.directory.Digest()},
 		})
 	}
 	return packets
 }
 
-func (b *balancer) zones(out []zonedirectory.Send) (packets []simulation.Packet) {
+func (b *balancer) directoryPackets(out []zonedirectory.Outgoing) (packets []simulation.Packet) {
 	for i := range out {
-		m := &out[i].Msg
+		m := &out[i].Message
 		packets = append(
 			packets,
 			simulation.Packet{
-				To:    simulation.Index(out[i].To),
-				Size:  packet.DirectorySize(m),
-				Carry: carry{zone: m, id: b.id, of: b.of},
+				To:      simulation.Index(out[i].To),
+				Size:    packet.SealedDirectorySize(m),
+				Payload: payload{directoryMessage: m, id: b.id, zoneID: b.zoneID},
 			},
 		)
 	}
@@ -61,26 +61,26 @@
 }
 
 // Tick is part of virtual.Detector.
-func (b *balancer) Tick(now simulation.Micros) ([]simulation.Packet, []membership.Change) {
-	b.fleet.Seeds(b.dir.JoinSeeds(now))
+func (b *balancer) Tick(now simulation.Micros) ([]simulation.Packet, []membership.StateChange) {
+	b.fleet.SetSeeds(b.directory.JoinSeeds(now))
 	out, changes := b.fleet.Tick(now)
-	b.view(now)
-	packets := append(b.members(out), b.zones(b.dir.Tick(now, &b.local))...)
-	if strangers := b.dir.Introductions(now); len(strangers) > 0 {
-		out, more := b.fleet.Introduce(strangers)
-		packets, changes = append(packets, b.members(out)...), append(changes, more...)
+	b.updateLocal(now)
+	packets := append(b.membershipPackets(out), b.directoryPackets(b.directory.Tick(now, &b.local))...)
+	if strangers := b.directory.Introductions(now); len(strangers) > 0 {
+		out, more := b.fleet.SyncWith(strangers)
+		packets, changes = append(packets, b.membershipPackets(out)...), append(changes, more...)
 	}
 	return packets, changes
 }
 
-// view takes the own zone's view from the member's fleet, its members only where they have changed.
-func (b *balancer) view(now simulation.Micros) {
+// updateLocal takes the own zone's view from the member's fleet, its members only where they have changed.
+func (b *balancer) updateLocal(now simulation.Micros) {
 	f, l := b.fleet, &b.local
-	l.Doubts, l.Leaving = f.Doubts(now), f.Leaving()
+	l.Unhealthy, l.Leaving = f.Unhealthy(now), f.Leaving()
 	if revision := f.Revision(); revision == l.Revision && len(l.Members) > 0 {
 		return
 	}
-	l.Revision, l.Live, l.Known, l.Place, l.Dead = f.Revision(), f.Live(), f.Known(), f.Place(), f.Dead()
+	l.Revision, l.Live, l.Known, l.Position, l.Dead = f.Revision(), f.Live(), f.Known(), f.Position(), f.Dead()
 	l.Members = make([]zonedirectory.Member, 0, l.Live)
 	for _, m := range f.Alive() {
 		l.Members = append(l.Members, zonedirectory.Member{ID: zonedirectory.MemberID(m.ID), Addr: m.Addr})
@@ -92,33 +92,35 @@
 	now simulation.Micros,
 	from int,
 	p simulation.Packet,
-) ([]simulation.Packet, []membership.Change) {
-	c := p.Carry.(carry)
-	if c.zone != nil {
-		m := *c.zone
-		if b.plant != nil && b.plant.receive != nil {
-			b.plant.receive(b, &m)
+) ([]simulation.Packet, []membership.StateChange) {
+	c := p.Payload.(payload)
+	if c.directoryMessage != nil {
+		m := *c.directoryMessage
+		if b.fault != nil && b.fault.receive != nil {
+			b.fault.receive(b, &m)
 		}
-		return b.zones(b.dir.Receive(now, simulation.Addr(from), m)), nil
+		return b.directoryPackets(b.directory.Receive(now, simulation.Addr(from), m)), nil
 	}
-	packets := b.zones(b.dir.Noticed(now, simulation.Addr(from), zonedirectory.MemberID(c.id), c.of, c.digest))
-	if c.of != b.of {
+	packets := b.directoryPackets(
+		b.directory.ObserveDatagram(now, simulation.Addr(from), zonedirectory.MemberID(c.id), c.zoneID, c.digest),
+	)
+	if c.zoneID != b.zoneID {
 		return packets, nil
 	}
-	out, changes := b.fleet.Receive(now, simulation.Addr(from), *c.member)
-	return append(packets, b.members(out)...), changes
+	out, changes := b.fleet.Receive(now, simulation.Addr(from), *c.membershipMessage)
+	return append(packets, b.membershipPackets(out)...), changes
 }
 
 // Leave is part of virtual.Detector.
 func (b *balancer) Leave(now simulation.Micros) []simulation.Packet {
 	out, _ := b.fleet.Leave(now)
-	return b.members(out)
+	return b.membershipPackets(out)
 }
 
-// Holds is part of virtual.Detector.
-func (b *balancer) Holds(other int) membership.State {
-	return b.fleet.Holds(simulation.MemberID(other))
+// StateOf is part of virtual.Detector.
+func (b *balancer) StateOf(other int) membership.State {
+	return b.fleet.StateOf(simulation.MemberID(other))
 }
 
-// Inc is part of virtual.Detector.
-func (b *balancer) Inc() uint64 { return b.fleet.Inc() }
+// Incarnation is part of virtual.Detector.
+func (b *balancer) Incarnation() uint64 { return b.fleet.Incarnation() }
--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -36,13 +36,13 @@
 
 func (c *checker) begin(f *Fleet) {
 	c.f = f
-	n := len(f.of)
+	n := len(f.zoneOf)
 	c.state, c.changed = make([][]zonedirectory.Reachability, n), make([][]int, n)
 	for i := range n {
 		c.state[i], c.changed[i] = make([]zonedirectory.Reachability, len(f.Zones)), make([]int, len(f.Zones))
 	}
-	f.Changed = func(observer, of int, ch membership.Change) {
-		if ch.To == membership.Dead && f.up[of] && f.up[observer] && len(f.apart) == 0 {
+	f.Changed = func(observer, of int, ch membership.StateChange) {
+		if ch.To == membership.Dead && f.up[of] && f.up[observer] && len(f.severed) == 0 {
 			c.FalseDead++
 		}
 	}
@@ -61,11 +61,11 @@
 }
 
 func (c *checker) micros() simulation.Micros {
-	return simulation.Micros(c.f.World.Now().Microseconds())
+	return simulation.Micros(c.f.Cluster.Now().Microseconds())
 }
 
 func (c *checker) bytes() []int64 {
-	out := make([]int64, len(c.f.of))
+	out := make([]int64, len(c.f.zoneOf))
 	for i := range out {
 		out[i] = c.f.Bytes[i] + c.f.Received[i]
 	}
@@ -74,13 +74,13 @@
 
 func (c *checker) sample() {
 	f, sum := c.f, 0.0
-	for i, b := range f.now {
+	for i, b := range f.members {
 		if b == nil || !f.up[i] {
 			continue
 		}
-		sum += 1 / b.dir.Divisor()
+		sum += 1 / b.directory.RateDivisor()
 		for z, site := range f.sites {
-			s := b.dir.State(site.ID())
+			s := b.directory.State(site.ID())
 			if was := c.state[i][z]; was != s {
 				if c.state[i][z] = s; was != 0 && s != 0 {
 					c.changed[i][z]++
@@ -104,11 +104,11 @@
 // sees it.
 func (c *checker) countIssuers() {
 	f := c.f
-	for i := len(f.of) - 1; i >= 0; i-- {
+	for i := len(f.zoneOf) - 1; i >= 0; i-- {
 		if !f.up[i] {
 			continue
 		}
-		for _, v := range f.now[i].dir.Views(0) {
+		for _, v := range f.members[i].directory.Views(0) {
 			id := v.Site.ID()
 			if was, ok := c.issuer[id]; ok && was != v.Issuer {
 				c.Issuers++
@@ -144,8 +144,8 @@
 	return mean, most, float64(c.worst) / budgetSpan
 }
 
-// Whole tells whether all that are up hold all zones Reachable and count all that are up.
-func (f *Fleet) Whole() bool { return f.Agree(nil) }
+// AllReachable tells whether all that are up hold all zones Reachable and count all that are up.
+func (f *Fleet) AllReachable() bool { return f.Agree(nil) }
 
 // Agree tells whether all that are up, or those of the zones given, count all that are up, and hold all zones
 // Reachable.
@@ -166,15 +166,15 @@
 		zones = f.all()
 	}
 	for _, i := range f.MembersOf(zones) {
-		b := f.now[i]
+		b := f.members[i]
 		if !f.up[i] {
 			continue
 		}
-		if b == nil || b.dir.Live() != live {
+		if b == nil || b.directory.Live() != live {
 			return false
 		}
 		for _, site := range f.sites {
-			if !state(b.dir.State(site.ID())) {
+			if !state(b.directory.State(site.ID())) {
 				return false
 			}
 		}
@@ -186,7 +186,7 @@
 func (f *Fleet) Hold(zones, others []int, state zonedirectory.Reachability) bool {
 	for _, i := range f.MembersOf(zones) {
 		for _, z := range others {
-			if f.up[i] && f.now[i].dir.State(f.sites[z].ID()) != state {
+			if f.up[i] && f.members[i].directory.State(f.sites[z].ID()) != state {
 				return false
 			}
 		}
@@ -201,7 +201,7 @@
 			continue
 		}
 		has := false
-		for _, held := range f.now[i].dir.Records() {
+		for _, held := range f.members[i].directory.Records() {
 			has = has || held == r
 		}
 		if !has {
--- a/lab/simulation/zoned/digest_test.go
+++ b/lab/simulation/zoned/digest_test.go
@@ -21,9 +21,9 @@
 		f.Crash(f.Zones[1]...)
 		f.For(6 * time.Second)
 		f.Restart(f.Zones[1][:2]...)
-		f.Cut([]int{0}, []int{2}, true)
+		f.SetPartition([]int{0}, []int{2}, true)
 		f.For(8 * time.Second)
-		f.Cut([]int{0}, []int{2}, false)
+		f.SetPartition([]int{0}, []int{2}, false)
 		f.Leave(f.Zones[2][0])
 		f.For(8 * time.Second)
 		if got := fmt.Sprint(f.Hash(), f.bytes()); got != want {
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -15,7 +15,7 @@
 const (
 	zoneDelay, zoneJitter     = 200 * time.Microsecond, 400 * time.Microsecond
 	regionDelay, regionJitter = time.Millisecond, time.Millisecond
-	farLeast, farMost         = 10 * time.Millisecond, 80 * time.Millisecond
+	minFarDelay, maxFarDelay  = 10 * time.Millisecond, 80 * time.Millisecond
 
 	// seedsPerZone is how many members of each zone all know from the start.
 	seedsPerZone = 2
@@ -47,23 +47,23 @@
 
 // Fleet is a fleet that is played.
 type Fleet struct {
-	*simulation.World
-	Zones [][]int // members of each
-	shape Shape
-	plant *Plant
-	sites []zonedirectory.Site // of zones
-	of    []int                // the zone of each member
-	up    []bool
-	now   []*balancer // the processes
-	links [][]*link.Link
-	apart map[[2]int]bool // members between which nothing comes through, one way
+	*simulation.Cluster
+	Zones   [][]int // members of each
+	shape   Shape
+	fault   *Fault
+	sites   []zonedirectory.Site // of zones
+	zoneOf  []int                // the zone of each member
+	up      []bool
+	members []*balancer // the processes
+	links   [][]*link.Link
+	severed map[[2]int]bool // members between which nothing comes through, one way
 
 	checker
 }
 
 // New returns a fleet whose members are started in the first second.
-func New(shape Shape, seed uint64, plant *Plant) *Fleet {
-	f := &Fleet{shape: shape, plant: plant, apart: map[[2]int]bool{}}
+func New(shape Shape, seed uint64, plant *Fault) *Fleet {
+	f := &Fleet{shape: shape, fault: plant, severed: map[[2]int]bool{}}
 	for z, n := range shape.Members {
 		f.sites = append(
 			f.sites,
@@ -71,15 +71,15 @@
 		)
 		f.Zones = append(f.Zones, nil)
 		for range n {
-			f.Zones[z] = append(f.Zones[z], len(f.of))
-			f.of = append(f.of, z)
+			f.Zones[z] = append(f.Zones[z], len(f.zoneOf))
+			f.zoneOf = append(f.zoneOf, z)
 		}
 	}
-	n := len(f.of)
-	f.up, f.now = make([]bool, n), make([]*balancer, n)
-	f.World = simulation.NewWorld(n, seed, link.Link{}, f.build)
+	n := len(f.zoneOf)
+	f.up, f.members = make([]bool, n), make([]*balancer, n)
+	f.Cluster = simulation.NewCluster(n, seed, link.Link{}, f.build)
 	f.connect(seed)
-	f.Between = f.between
+	f.LinkBetween = f.between
 	f.checker.begin(f)
 	for i := range n {
 		f.After(time.Duration(f.Rand().Int64N(int64(time.Second))), func() { f.start(i) })
@@ -98,7 +98,7 @@
 			ra, rb := f.shape.Region[a], f.shape.Region[b]
 			pair := [2]int{min(ra, rb), max(ra, rb)}
 			if _, ok := far[pair]; !ok {
-				far[pair] = farLeast + time.Duration(rng.Int64N(int64(farMost-farLeast)))
+				far[pair] = minFarDelay + time.Duration(rng.Int64N(int64(maxFarDelay-minFarDelay)))
 			}
 			if ra != rb {
 				*l = link.Link{Delay: far[pair], Jitter: far[pair] / 10, Loss: f.shape.Loss}
@@ -110,17 +110,17 @@
 	}
 }
 
-var noLink = &link.Link{Cut: true}
+var noLink = &link.Link{Partitioned: true}
 
 func (f *Fleet) between(from, to int) *link.Link {
-	if len(f.apart) > 0 && f.apart[[2]int{from, to}] {
+	if len(f.severed) > 0 && f.severed[[2]int{from, to}] {
 		return noLink
 	}
-	return f.links[f.of[from]][f.of[to]]
+	return f.links[f.zoneOf[from]][f.zoneOf[to]]
 }
 
 // build makes a member's process.
-func (f *Fleet) build(w *simulation.World, i, start int) simulation.Detector {
+func (f *Fleet) build(w *simulation.Cluster, i, start int) simulation.Detector {
 	now := simulation.Micros(w.Now().Microseconds())
 	self := membership.Self{
 		ID:       simulation.MemberID(i),
@@ -128,7 +128,7 @@
 		Addr:     simulation.Addr(i),
 		Instance: uint64(now)<<8 | uint64(start),
 	}
-	site := f.sites[f.of[i]]
+	site := f.sites[f.zoneOf[i]]
 	seeds := f.seeds()
 	cfg := zonedirectory.Config{
 		Self: zonedirectory.Self{
@@ -136,19 +136,24 @@
 			Addr:     self.Addr,
 			Instance: self.Instance,
 		}, Site: site, Seeds: seeds,
-		Expected: len(f.of), Seed: w.Rand().Uint64(), Divisor: &membership.RateDivisor{},
+		ExpectedMembers: len(f.zoneOf), RandomSeed: w.Rand().Uint64(), RateDivisor: &membership.RateDivisor{},
 	}
-	if f.plant != nil && f.plant.rank != nil {
-		cfg.Rank = f.plant.rank()
+	if f.fault != nil && f.fault.rank != nil {
+		cfg.Rank = f.fault.rank()
 	}
 	b := &balancer{
-		id: self.ID, of: site.ID(), dir: zonedirectory.New(cfg, now), plant: f.plant,
+		id: self.ID, zoneID: site.ID(), directory: zonedirectory.New(cfg, now), fault: f.fault,
 		fleet: membership.New(
-			membership.Config{Self: self, Inc: uint64(now / 1000), Seeds: seeds, Seed: w.Rand().Uint64()},
+			membership.Config{
+				Self:        self,
+				Incarnation: uint64(now / 1000),
+				Seeds:       seeds,
+				RandomSeed:  w.Rand().Uint64(),
+			},
 			now,
 		),
 	}
-	f.now[i] = b
+	f.members[i] = b
 	return b
 }
 
@@ -194,28 +199,28 @@
 	f.After(leaveTime, func() { f.up[i] = false })
 }
 
-// Cut has nothing come through from some zones to others, or again.
-func (f *Fleet) Cut(from, to []int, cut bool) {
+// SetPartition has nothing come through from some zones to others, or again.
+func (f *Fleet) SetPartition(from, to []int, cut bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				f.links[a][b].Cut = cut
+				f.links[a][b].Partitioned = cut
 			}
 		}
 	}
 }
 
-// Apart has nothing come through from some members to others.
-func (f *Fleet) Apart(from, to []int) {
+// Sever has nothing come through from some members to others.
+func (f *Fleet) Sever(from, to []int) {
 	for _, a := range from {
 		for _, b := range to {
-			f.apart[[2]int{a, b}] = true
+			f.severed[[2]int{a, b}] = true
 		}
 	}
 }
 
-// Together ends what Apart has done.
-func (f *Fleet) Together() { clear(f.apart) }
+// Reconnect ends what Apart has done.
+func (f *Fleet) Reconnect() { clear(f.severed) }
 
 // In lists the zones of a region, and Outside all others.
 func (f *Fleet) In(region int) (out []int) {
@@ -254,7 +259,7 @@
 		if !f.up[i] {
 			continue
 		}
-		for _, v := range f.now[i].dir.Views(0) {
+		for _, v := range f.members[i].directory.Views(0) {
 			if v.Own && len(v.Contacts) > 0 {
 				for _, c := range v.Contacts[:min(n, len(v.Contacts))] {
 					out = append(out, simulation.Index(c.Addr))
@@ -268,15 +273,18 @@
 
 // Publish has a member publish a record.
 func (f *Fleet) Publish(i int, name, value string) (zonedirectory.Record, error) {
-	return f.now[i].dir.Publish(simulation.Micros(f.World.Now().Microseconds()), name, value)
+	return f.members[i].directory.Publish(simulation.Micros(f.Cluster.Now().Microseconds()), name, value)
 }
 
 // For goes on for a while.
 func (f *Fleet) For(d time.Duration) {
-	until := f.World.Now() + d
-	for f.World.Now() < until {
+	until := f.Cluster.Now() + d
+	for f.Cluster.Now() < until {
 		f.Run(
-			min(simulation.Micros(until.Microseconds()), simulation.Micros(f.World.Now().Microseconds())+sampleEvery),
+			min(
+				simulation.Micros(until.Microseconds()),
+				simulation.Micros(f.Cluster.Now().Microseconds())+sampleEvery,
+			),
 		)
 		f.sample()
 	}
@@ -284,9 +292,9 @@
 
 // Until goes on until something holds, and returns how long that took; at most for so long.
 func (f *Fleet) Until(most time.Duration, holds func() bool) time.Duration {
-	from := f.World.Now()
-	for !holds() && f.World.Now()-from < most {
+	from := f.Cluster.Now()
+	for !holds() && f.Cluster.Now()-from < most {
 		f.For(time.Duration(sampleEvery) * time.Microsecond)
 	}
-	return f.World.Now() - from
+	return f.Cluster.Now() - from
 }
--- a/lab/simulation/zoned/plant.go
+++ b/lab/simulation/zoned/plant.go
@@ -5,14 +5,14 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// Plant is a fault that can be planted in all members, to see that the checker finds it.
-type Plant struct {
+// Fault is a fault that can be planted in all members, to see that the checker finds it.
+type Fault struct {
 	rank    func() func(zonedirectory.ID, zonedirectory.MemberID) uint64
 	receive func(*balancer, *zonedirectory.Message)
 }
 
-// Plants are the faults that can be planted.
-var Plants = map[string]*Plant{
+// Faults are the faults that can be planted.
+var Faults = map[string]*Fault{
 	"rank-by-join-order": {rank: joinOrder},
 	"older-version":      {receive: anyVersion},
 }
@@ -34,10 +34,10 @@
 func anyVersion(b *balancer, m *zonedirectory.Message) {
 	m.Items = slices.Clone(m.Items)
 	for i, it := range m.Items {
-		if it.Summary == nil || it.Summary.Site.ID() == b.of {
+		if it.Summary == nil || it.Summary.Site.ID() == b.zoneID {
 			continue
 		}
-		for _, v := range b.dir.Views(0) {
+		for _, v := range b.directory.Views(0) {
 			if v.Site == it.Summary.Site && v.Version > it.Summary.Version {
 				s := *it.Summary
 				s.Version = v.Version + 1
--- a/lab/simulation/zoned/zoned_test.go
+++ b/lab/simulation/zoned/zoned_test.go
@@ -43,7 +43,7 @@
 func begin(t *testing.T, shape Shape, seed uint64) *play {
 	p := &play{New(shape, seed, nil), t, seed}
 	p.For(1100 * time.Millisecond)
-	p.within(15*time.Second, "all count all after the start", p.Whole)
+	p.within(15*time.Second, "all count all after the start", p.AllReachable)
 	p.For(8 * time.Second)
 	p.Mark()
 	return p
@@ -65,7 +65,7 @@
 // held asks for what is to hold whatever happens. A part of a zone that is cut off holds the others dead rightly.
 func (p *play) held(changes bool) {
 	p.t.Helper()
-	if p.FalseDead > 0 || p.Flaps > 1 || p.Factor > membership.Factor || !changes && p.Changes > 0 {
+	if p.FalseDead > 0 || p.Flaps > 1 || p.Factor > membership.MaxBudgetExcess || !changes && p.Changes > 0 {
 		p.errorf(
 			"%d falsely dead, %d flaps, %d changes of zones' states, sum of parts %.2f",
 			p.FalseDead,
@@ -104,7 +104,7 @@
 	}},
 	"all delegates die": {small, func(p *play) {
 		p.Crash(p.Delegates(1, zonedirectory.Delegates)...)
-		p.within(countTime, "all count the rest", p.Whole)
+		p.within(countTime, "all count the rest", p.AllReachable)
 		r := p.mustPublish(p.Zones[0][2], "a", "1")
 		p.within(recordTime, "all have a record", func() bool { return p.HaveRecord(nil, r) })
 		p.For(10 * time.Second)
@@ -114,21 +114,21 @@
 	"a delegate only sends to other zones":      {small, func(p *play) { oneWay(p, false) }},
 	"a delegate only receives": {small, func(p *play) {
 		d := p.Delegates(1, 1)
-		p.Apart(d, p.MembersOf(p.all()))
+		p.Sever(d, p.MembersOf(p.all()))
 		p.within(countTime, "all others count the rest", func() bool { return p.others(d[0], 29) })
 		p.For(20 * time.Second)
-		p.Together()
-		p.within(countTime, "all count all again", p.Whole)
+		p.Reconnect()
+		p.within(countTime, "all count all again", p.AllReachable)
 		p.Changes -= p.changesOf(d[0])
 		p.held(false)
 	}},
 	"a delegate only sends": {small, func(p *play) {
 		d := p.Delegates(1, 1)
-		p.Apart(p.MembersOf(p.all()), d)
+		p.Sever(p.MembersOf(p.all()), d)
 		p.within(countTime, "all others count the rest", func() bool { return p.others(d[0], 29) })
 		p.For(20 * time.Second)
-		p.Together()
-		p.within(countTime, "all count all again", p.Whole)
+		p.Reconnect()
+		p.within(countTime, "all count all again", p.AllReachable)
 		p.Changes -= p.changesOf(d[0])
 		p.held(false)
 	}},
@@ -137,7 +137,7 @@
 			p.Pause(i, 2*time.Second)
 		}
 		p.For(20 * time.Second)
-		p.within(0, "all count all", p.Whole)
+		p.within(0, "all count all", p.AllReachable)
 		p.held(false)
 	}},
 	"a rack is cut off":           {Shape{Members: []int{12, 6, 6, 6}, Region: []int{0, 1, 2, 0}}, rack},
@@ -145,14 +145,14 @@
 	"a region is cut off one way": {small, func(p *play) { region(p, p.seed%2 == 0, p.seed%2 != 0) }},
 	"two regions lose each other": {small, func(p *play) {
 		a, b := p.In(0), p.In(1)
-		p.Cut(a, b, true)
+		p.SetPartition(a, b, true)
 		if p.seed%2 == 0 {
-			p.Cut(b, a, true)
+			p.SetPartition(b, a, true)
 		}
 		p.within(
 			12*time.Second,
 			"both hold each other cut",
-			func() bool { return p.Hold(a, b, zonedirectory.Cut) && p.Hold(b, a, zonedirectory.Cut) },
+			func() bool { return p.Hold(a, b, zonedirectory.Partitioned) && p.Hold(b, a, zonedirectory.Partitioned) },
 		)
 		p.Crash(p.Zones[a[0]][3])
 		p.within(countTime, "all count the rest", p.count(nil, 29))
@@ -161,9 +161,9 @@
 		p.For(10 * time.Second)
 		p.held(true)
 		p.Mark()
-		p.Cut(a, b, false)
-		p.Cut(b, a, false)
-		p.within(countTime, "all count all again", p.Whole)
+		p.SetPartition(a, b, false)
+		p.SetPartition(b, a, false)
+		p.within(countTime, "all count all again", p.AllReachable)
 		p.For(5 * time.Second)
 		p.held(true)
 	}},
@@ -180,14 +180,14 @@
 		p.held(true)
 		p.Mark()
 		p.Restart(p.Zones[1][0])
-		p.within(countTime+time.Second, "all count all again", p.Whole)
+		p.within(countTime+time.Second, "all count all again", p.AllReachable)
 		p.For(5 * time.Second)
 		p.held(true)
 	}},
 	"one message in twenty is lost": {Shape{Members: small.Members, Region: small.Region, Loss: 0.05}, func(p *play) {
 		p.For(40 * time.Second)
 		p.Crash(p.Zones[2][1])
-		p.within(countTime, "all count the rest", p.Whole)
+		p.within(countTime, "all count the rest", p.AllReachable)
 		r := p.mustPublish(p.Zones[3][1], "a", "1")
 		p.within(recordTime, "all have a record", func() bool { return p.HaveRecord(nil, r) })
 		p.For(20 * time.Second)
@@ -205,23 +205,23 @@
 		p.held(true)
 		p.Mark()
 		p.Restart(p.Zones[1]...)
-		p.within(10*time.Second, "all count all again", p.Whole)
+		p.within(10*time.Second, "all count all again", p.AllReachable)
 		p.For(5 * time.Second)
 		p.held(true)
 	}},
 	"a zone is torn": {Shape{Members: []int{12, 6, 6, 6}, Region: []int{0, 1, 2, 0}}, torn},
 	"records on both sides of a cut": {small, func(p *play) {
 		in, out := p.In(2), p.Outside(2)
-		p.Cut(in, out, true)
-		p.Cut(out, in, true)
+		p.SetPartition(in, out, true)
+		p.SetPartition(out, in, true)
 		p.For(10 * time.Second)
 		p.mustPublish(p.Zones[in[0]][1], "a", "older")
 		only := p.mustPublish(p.Zones[in[0]][2], "b", "there")
 		p.For(time.Second)
 		newer := p.mustPublish(p.Zones[out[0]][1], "a", "newer")
 		p.within(recordTime, "all on one side have the newer", func() bool { return p.HaveRecord(out, newer) })
-		p.Cut(in, out, false)
-		p.Cut(out, in, false)
+		p.SetPartition(in, out, false)
+		p.SetPartition(out, in, false)
 		p.within(
 			recordTime,
 			"all have both",
@@ -234,32 +234,32 @@
 		for z := range p.Zones {
 			p.Restart(p.Zones[z][:4]...)
 		}
-		p.within(15*time.Second, "all count all again", p.Whole)
+		p.within(15*time.Second, "all count all again", p.AllReachable)
 		p.Restart(p.Zones[1]...)
 		p.Restart(p.Zones[4]...)
-		p.within(15*time.Second, "all count all again", p.Whole)
+		p.within(15*time.Second, "all count all again", p.AllReachable)
 		p.For(70 * time.Second)
 		p.held(true)
 	}},
 	"all are restarted while a region is cut off": {small, func(p *play) {
 		in, out := p.In(0), p.Outside(0)
-		p.Cut(in, out, true)
-		p.Cut(out, in, true)
+		p.SetPartition(in, out, true)
+		p.SetPartition(out, in, true)
 		p.For(8 * time.Second)
 		p.Restart(p.MembersOf(p.all())...)
 		p.For(80 * time.Second)
-		p.Cut(in, out, false)
-		p.Cut(out, in, false)
-		p.within(12*time.Second, "all count all again", p.Whole)
+		p.SetPartition(in, out, false)
+		p.SetPartition(out, in, false)
+		p.within(12*time.Second, "all count all again", p.AllReachable)
 		p.For(5 * time.Second)
-		if p.FalseDead > 0 || p.Factor > membership.Factor {
+		if p.FalseDead > 0 || p.Factor > membership.MaxBudgetExcess {
 			p.errorf("%d falsely dead, sum of parts %.2f", p.FalseDead, p.Factor)
 		}
 	}},
 	"seeds in one zone": {Shape{Members: small.Members, Region: small.Region, SeedZones: []int{3}}, func(p *play) {
 		p.Restart(p.Zones[1]...)
 		p.Restart(p.Zones[4][:3]...)
-		p.within(15*time.Second, "all count all again", p.Whole)
+		p.within(15*time.Second, "all count all again", p.AllReachable)
 		p.For(5 * time.Second)
 		p.held(true)
 	}},
@@ -276,7 +276,7 @@
 		p.held(true)
 		p.Mark()
 		p.Restart(p.Zones[1]...)
-		p.within(10*time.Second, "all count all again", p.Whole)
+		p.within(10*time.Second, "all count all again", p.AllReachable)
 		p.held(true)
 	}},
 }
@@ -302,17 +302,17 @@
 	d := p.Delegates(1, zonedirectory.Delegates)[p.seed%zonedirectory.Delegates : p.seed%zonedirectory.Delegates+1]
 	rest := p.MembersOf([]int{0, 2, 3, 4})
 	if receives {
-		p.Apart(d, rest)
+		p.Sever(d, rest)
 	} else {
-		p.Apart(rest, d)
+		p.Sever(rest, d)
 	}
 	p.For(15 * time.Second)
 	r := p.mustPublish(d[0], "a", "1")
 	p.within(recordTime, "all have its record", func() bool { return p.HaveRecord(nil, r) })
 	p.Crash(p.Zones[2][2])
-	p.within(countTime, "all count the rest", p.Whole)
+	p.within(countTime, "all count the rest", p.AllReachable)
 	p.held(false)
-	p.Together()
+	p.Reconnect()
 	p.For(10 * time.Second)
 	p.held(false)
 }
@@ -320,8 +320,8 @@
 // region cuts region 0 off, one way or both, and heals the cut.
 func region(p *play, from, to bool) {
 	in, out := p.In(0), p.Outside(0)
-	p.Cut(in, out, from)
-	p.Cut(out, in, to)
+	p.SetPartition(in, out, from)
+	p.SetPartition(out, in, to)
 	p.within(
 		countTime,
 		"both sides hold the other unknown",
@@ -334,9 +334,9 @@
 	p.For(30 * time.Second)
 	p.held(true)
 	p.Mark()
-	p.Cut(in, out, false)
-	p.Cut(out, in, false)
-	p.within(countTime, "all count all again", p.Whole)
+	p.SetPartition(in, out, false)
+	p.SetPartition(out, in, false)
+	p.within(countTime, "all count all again", p.AllReachable)
 	p.For(10 * time.Second)
 	p.held(true)
 }
@@ -344,12 +344,12 @@
 // rack has three members of a zone of twelve lose all others, and be heard again.
 func rack(p *play) {
 	lost, rest := p.Zones[0][9:], append(p.Zones[0][:9:9], p.MembersOf([]int{1, 2, 3})...)
-	p.Apart(lost, rest)
-	p.Apart(rest, lost)
+	p.Sever(lost, rest)
+	p.Sever(rest, lost)
 	p.within(countTime, "all others count the rest", func() bool { return p.count([]int{1, 2, 3}, 27)() })
 	p.For(20 * time.Second)
-	p.Together()
-	p.within(countTime, "all count all again", p.Whole)
+	p.Reconnect()
+	p.within(countTime, "all count all again", p.AllReachable)
 	p.For(10 * time.Second)
 	for _, i := range lost { // they hold all other zones unknown, rightly
 		p.Changes -= p.changesOf(i)
@@ -360,14 +360,14 @@
 // torn has four members of a zone lose the other eight, though both parts are connected to all other zones.
 func torn(p *play) {
 	large, less := p.Zones[0][:8], p.Zones[0][8:]
-	p.Apart(large, less)
-	p.Apart(less, large)
+	p.Sever(large, less)
+	p.Sever(less, large)
 	p.within(20*time.Second, "the larger part speaks", p.count([]int{1, 2, 3}, 26))
 	p.Mark()
 	p.For(60 * time.Second)
 	yielded := 0
 	for _, i := range p.Zones[0] {
-		yielded += p.now[i].dir.Yielded
+		yielded += p.members[i].directory.Yielded
 	}
 	if p.Issuers > 8 || yielded == 0 {
 		p.errorf("the issuer has changed %d times in a minute, %d times one has yielded", p.Issuers, yielded)
@@ -376,8 +376,8 @@
 	if p.Changes > 0 {
 		p.errorf("%d changes of zones' states", p.Changes)
 	}
-	p.Together()
-	p.within(10*time.Second, "all count all again", p.Whole)
+	p.Reconnect()
+	p.within(10*time.Second, "all count all again", p.AllReachable)
 	p.held(false)
 }
 
@@ -413,7 +413,7 @@
 // What the bounds are for is found: delegates that each chooses by itself cost more than a fleet has at rest, and
 // summaries of which the last to come stands let the count and the states go back and forth.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, plant := range Plants {
+	for name, plant := range Faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(5) {
@@ -424,7 +424,7 @@
 				_, most, _ := f.BytesPerS()
 				costly := most > atRest
 				f.Crash(f.Zones[1][2])
-				took := f.Until(countTime, f.Whole)
+				took := f.Until(countTime, f.AllReachable)
 				t.Logf(
 					"seed %d: %.0f bytes a second, %v until all count the rest, %d issuers, %d flaps",
 					seed,
@@ -447,8 +447,8 @@
 func TestForgottenAndFoundAgain(t *testing.T) {
 	p := begin(t, small, 1)
 	in, out := p.In(0), p.Outside(0)
-	p.Cut(in, out, true)
-	p.Cut(out, in, true)
+	p.SetPartition(in, out, true)
+	p.SetPartition(out, in, true)
 	p.For(640 * time.Second)
 	p.within(
 		0,
@@ -456,10 +456,10 @@
 		func() bool { return p.Hold(in, out, 0) && p.Hold(out, in, 0) },
 	)
 	p.Mark()
-	p.Cut(in, out, false)
-	p.Cut(out, in, false)
-	p.within(15*time.Second, "all count all again", p.Whole)
+	p.SetPartition(in, out, false)
+	p.SetPartition(out, in, false)
+	p.within(15*time.Second, "all count all again", p.AllReachable)
 	p.For(20 * time.Second)
-	p.within(0, "all count all", p.Whole)
+	p.within(0, "all count all", p.AllReachable)
 	p.held(true)
 }
--- a/lab/sshchan/sshchan.go
+++ b/lab/sshchan/sshchan.go
@@ -108,15 +108,15 @@
 	server bool
 	window uint32
 
-	mu      sync.Mutex // of all below, and of writing
-	wr      sync.Cond  // a window has grown, or the connection has ended
-	chans   map[uint32]*Channel
-	next    uint32
-	err     error
-	accept  chan *Channel
-	scratch []byte // of data that is sent
-	unknown int    // messages that were answered by UNIMPLEMENTED
-	Goodbye string // what DISCONNECT said; to be read once the connection has ended
+	mu               sync.Mutex // of all below, and of writing
+	wr               sync.Cond  // a window has grown, or the connection has ended
+	chans            map[uint32]*Channel
+	next             uint32
+	err              error
+	accept           chan *Channel
+	scratch          []byte // of data that is sent
+	unknown          int    // messages that were answered by UNIMPLEMENTED
+	DisconnectReason string // what DISCONNECT said; to be read once the connection has ended
 }
 
 // Client begins to speak on a connection that was dialled. window is what it grants on each channel.
@@ -258,7 +258,7 @@
 	case numDisconnect:
 		var m disconnectMsg
 		_ = ssh.Unmarshal(payload, &m) // it ends in any case
-		c.Goodbye = fmt.Sprintf("%d %s", m.Reason, m.Message)
+		c.DisconnectReason = fmt.Sprintf("%d %s", m.Reason, m.Message)
 		return io.EOF
 	case numIgnore, numDebug:
 		return nil
@@ -295,7 +295,7 @@
 		return fmt.Errorf("an open that may not be: %w", err)
 	}
 	ch := c.channel(m.Line)
-	ch.peer, ch.room, ch.most = m.ID, m.Window, m.MaxPacket
+	ch.peer, ch.sendWindow, ch.maxPacket = m.ID, m.Window, m.MaxPacket
 	select {
 	case c.accept <- ch:
 		return nil
@@ -354,20 +354,20 @@
 	num  uint32
 	Line string // its first line
 
-	answer chan Answer
-	peer   uint32
-	room   uint32 // that the peer takes
-	most   uint32
-	window uint32 // that the peer was granted and has not used
-	in     []byte
-	more   sync.Cond
-	err    error // after what is in
-	moved  *string
-	up     bool // confirmed, by either side
-	told   bool // answer is closed
-	sent   bool // CLOSE
-	sentE  bool // EOF
-	hold   bool // nothing is given back: the peer stalls once its window is used
+	answer     chan Answer
+	peer       uint32
+	sendWindow uint32 // that the peer takes
+	maxPacket  uint32
+	window     uint32 // that the peer was granted and has not used
+	in         []byte
+	more       sync.Cond
+	err        error // after what is in
+	moved      *string
+	up         bool // confirmed, by either side
+	answered   bool // answer is closed
+	sent       bool // CLOSE
+	sentE      bool // EOF
+	hold       bool // nothing is given back: the peer stalls once its window is used
 }
 
 // Answer is what an open was answered.
@@ -419,22 +419,22 @@
 		if err := ssh.Unmarshal(payload, &m); err != nil {
 			return err
 		}
-		ch.peer, ch.room, ch.most, ch.up = m.Sender, m.Window, m.MaxPacket, true
-		ch.tell(Answer{true, 0, string(m.Data)})
+		ch.peer, ch.sendWindow, ch.maxPacket, ch.up = m.Sender, m.Window, m.MaxPacket, true
+		ch.sendAnswer(Answer{true, 0, string(m.Data)})
 	case numFailure:
 		var m failureMsg
 		if err := ssh.Unmarshal(payload, &m); err != nil {
 			return err
 		}
 		delete(ch.c.chans, ch.num)
-		ch.tell(Answer{false, m.Reason, m.Message})
+		ch.sendAnswer(Answer{false, m.Reason, m.Message})
 		ch.err = errReset
 	case numAdjust:
 		var m adjustMsg
 		if err := ssh.Unmarshal(payload, &m); err != nil {
 			return err
 		}
-		ch.room += m.Bytes
+		ch.sendWindow += m.Bytes
 		ch.c.wr.Broadcast()
 	case numData:
 		return ch.data(payload)
@@ -496,17 +496,17 @@
 	if ch.err == nil {
 		ch.err = err
 	}
-	if !ch.told {
-		ch.told = true
+	if !ch.answered {
+		ch.answered = true
 		close(ch.answer)
 	}
 	ch.more.Broadcast()
 }
 
-// tell gives the answer to the open; under the mutex.
-func (ch *Channel) tell(a Answer) {
-	if !ch.told {
-		ch.told = true
+// sendAnswer gives the answer to the open; under the mutex.
+func (ch *Channel) sendAnswer(a Answer) {
+	if !ch.answered {
+		ch.answered = true
 		ch.answer <- a
 		close(ch.answer)
 	}
@@ -540,13 +540,13 @@
 	defer ch.c.mu.Unlock()
 	sent := 0
 	for len(b) > 0 {
-		for ch.room == 0 && ch.c.err == nil && !ch.sent {
+		for ch.sendWindow == 0 && ch.c.err == nil && !ch.sent {
 			ch.c.wr.Wait()
 		}
 		if ch.c.err != nil || ch.sent || ch.sentE {
 			return sent, io.ErrClosedPipe
 		}
-		n := min(len(b), int(ch.room), int(ch.most), chunk)
+		n := min(len(b), int(ch.sendWindow), int(ch.maxPacket), chunk)
 		m := append(ch.c.scratch[:0], numData)
 		m = binary.BigEndian.AppendUint32(m, ch.peer)
 		m = binary.BigEndian.AppendUint32(m, uint32(n))
@@ -554,7 +554,7 @@
 		if err := ch.c.write(ch.c.scratch); err != nil {
 			return sent, err
 		}
-		ch.room -= uint32(n)
+		ch.sendWindow -= uint32(n)
 		sent, b = sent+n, b[n:]
 	}
 	return sent, nil
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -17,14 +17,14 @@
 
 // Store is the service.
 type Store struct {
-	ln     net.Listener
-	each   time.Duration
-	most   time.Duration
-	mu     sync.Mutex
-	free   time.Time // when the call after all that wait can begin
-	calls  atomic.Int64
-	failed atomic.Int64
-	conns  map[net.Conn]bool
+	ln      net.Listener
+	each    time.Duration
+	maxWait time.Duration
+	mu      sync.Mutex
+	free    time.Time // when the call after all that wait can begin
+	calls   atomic.Int64
+	failed  atomic.Int64
+	conns   map[net.Conn]bool
 }
 
 // Start listens on loopback. perSecond calls are served a second; one that would wait for more than most fails.
@@ -33,7 +33,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{ln: ln, each: time.Duration(float64(time.Second) / perSecond), most: most, conns: map[net.Conn]bool{}}
+	s := &Store{
+		ln:      ln,
+		each:    time.Duration(float64(time.Second) / perSecond),
+		maxWait: most,
+		conns:   map[net.Conn]bool{},
+	}
 	go s.accept()
 	return s, nil
 }
@@ -84,7 +89,7 @@
 			time.AfterFunc(wait, func() { say("OK", id) })
 		} else {
 			s.failed.Add(1)
-			time.AfterFunc(s.most, func() { say("NO", id) })
+			time.AfterFunc(s.maxWait, func() { say("NO", id) })
 		}
 	}
 	s.mu.Lock()
@@ -100,7 +105,7 @@
 	if s.free.Before(now) {
 		s.free = now
 	}
-	if s.free.Sub(now) > s.most {
+	if s.free.Sub(now) > s.maxWait {
 		return 0, false
 	}
 	s.free = s.free.Add(s.each)
