--- a/decision/membership/receive.go
+++ b/decision/membership/receive.go
@@ -2,13 +2,17 @@
 
 import (
 	"net/netip"
-	"slices"
 	"spurspread/decision/monotime"
 )
 
-// Receive takes a message that came from an address; whose it is was proved before.
+// restoredDistrustTime is how long the updates of a member that was dead and is back are not taken, unless its view
+// agrees before: they would turn one side of a healed partition against the other.
+const restoredDistrustTime = 10 * monotime.Second
+
+// Receive takes a message from the address that its sender has. The sender is authenticated. A message that is out of
+// bounds is ignored.
 func (f *Fleet) Receive(now monotime.Micros, from netip.AddrPort, m Message) ([]Outgoing, []StateChange) {
-	if f.superseded || m.Kind == 0 || m.Kind > maxKind || len(m.Updates) > MaxUpdates {
+	if f.superseded || !m.valid() {
 		return nil, nil
 	}
 	if m.From == f.self.ID {
@@ -18,103 +22,88 @@
 		return f.takeOutput()
 	}
 	f.lastContact = now
-	p := f.peers[m.From]
-	if p != nil {
-		p.lastContact, p.reportsUsDead = now, m.ReceiverState >= Dead
-		f.applyHeader(now, p, from, m)
-	}
-	if m.ReceiverState > Alive && m.ReceiverIncarnation >= f.incarnation && !f.leaving {
-		f.refute(m.ReceiverIncarnation)
-		if m.ReceiverState == Dead {
-			f.recoverFromDeath(now)
-		}
-	} else if m.ReceiverState == Alive && m.ReceiverIncarnation > f.incarnation && !f.leaving {
-		f.refute(m.ReceiverIncarnation)
-	}
-	// What those say whom this member holds dead, or has taken back and not agreed with since, is old, but for what
-	// they say of themselves: it would set a side of a healed cut against its own.
-	trusted := p == nil || p.state < Dead && (p.restoredAt == 0 || now-p.restoredAt >= restoredDistrustTime)
-	for _, r := range m.Updates {
-		if trusted || r.ID == m.From || r.ID == f.self.ID || r.State == Alive {
-			f.applyUpdate(now, r)
-		}
+	sender := f.peers[m.From]
+	if sender != nil {
+		sender.lastContact = now
+		sender.reportsUsDead = m.ReceiverState >= Dead
+		f.applySender(now, sender, from, &m)
 	}
-	if p = f.peers[m.From]; p != nil && p.state < Dead && m.Kind != SyncSums && m.Kind != SyncEntries {
-		f.syncIfDiverged(now, p, m.Digest)
+	f.refuteReportedState(m.ReceiverState, m.ReceiverIncarnation)
+	f.applyUpdates(now, sender, &m)
+	if sender = f.peers[m.From]; sender != nil && sender.state < Dead && !m.isSync() {
+		f.syncIfDiverged(now, sender, m.Digest)
 	}
-	f.handleMessage(now, from, p, m)
+	f.handleMessage(now, from, sender, &m)
 	return f.takeOutput()
 }
 
-// applyHeader takes what a message says of its sender by being sent: under a newer incarnation it lives. Whom this
-// member has held dead by its own judgement has to answer it.
-func (f *Fleet) applyHeader(now monotime.Micros, p *peer, from netip.AddrPort, m Message) {
-	if m.Incarnation <= p.incarnation {
+// applySender takes the statement that each message is about its sender: under its incarnation it is alive. One that
+// was declared dead by this member's own probes has to answer a ping that was sent since.
+func (f *Fleet) applySender(now monotime.Micros, sender *peer, from netip.AddrPort, m *Message) {
+	if m.Incarnation <= sender.incarnation {
 		return
 	}
-	if m.Kind == Ack && m.Target == 0 && p.firstDeadPing > 0 && m.Seq >= p.firstDeadPing {
-		p.deadByOwnProbe = false
+	answersPing := m.Kind == Ack && m.Target == 0
+	if answersPing && sender.firstDeadPing > 0 && m.Seq >= sender.firstDeadPing {
+		sender.deadByOwnProbe = false
 	}
-	f.applyUpdate(
-		now,
-		Update{ID: p.ID, State: Alive, Incarnation: m.Incarnation, Instance: m.Instance, Name: p.Name, Addr: from},
-	)
+	f.applyUpdate(now, Update{
+		ID:          sender.ID,
+		State:       Alive,
+		Incarnation: m.Incarnation,
+		Instance:    m.Instance,
+		Name:        sender.Name,
+		Addr:        from,
+	})
 }
 
-// handleMessage does what the message asks.
-func (f *Fleet) handleMessage(now monotime.Micros, from netip.AddrPort, p *peer, m Message) {
-	reply := func(a Message) {
-		if p != nil {
-			a.ReceiverState, a.ReceiverIncarnation = p.state, p.incarnation
+// applyUpdates takes the updates of a message. Of a sender that is not trusted only those count that are about itself
+// or this member, or say that one is alive.
+func (f *Fleet) applyUpdates(now monotime.Micros, sender *peer, m *Message) {
+	trusted := sender == nil || sender.trusted(now)
+	for _, u := range m.Updates {
+		if trusted || u.ID == m.From || u.ID == f.self.ID || u.State == Alive {
+			f.applyUpdate(now, u)
 		}
-		f.sendMessage(from, m.From, p, a)
 	}
+}
+
+// trusted decides whether all updates of a member are taken: it is not considered dead, and if it was, that is over
+// for restoredDistrustTime, or its view has agreed since.
+func (p *peer) trusted(now monotime.Micros) bool {
+	return p.state < Dead && (p.restoredAt == 0 || now-p.restoredAt >= restoredDistrustTime)
+}
+
+// handleMessage does what a message asks for. sender is nil where it is not known.
+func (f *Fleet) handleMessage(now monotime.Micros, from netip.AddrPort, sender *peer, m *Message) {
 	switch m.Kind {
 	case Ping:
-		a := Message{Kind: Ack, Seq: m.Seq}
-		if p != nil {
-			p.pingsCounted++
-			p.pingsReceivedTotal++
-			a.PingsReceived = p.pingsReceivedTotal
-		}
-		reply(a)
-		if p == nil && now >= f.nextSyncAt { // somebody who knows this member, and whom it has never heard of
-			f.nextSyncAt = now + syncInterval/2
-			reply(Message{Kind: SyncSums, BucketSums: f.foldedSums()})
-		}
+		f.handlePing(now, from, sender, m)
 	case Ack:
-		f.handleAck(now, p, m)
+		f.handleAck(now, sender, m)
 	case IndirectPing:
-		if about := f.peers[m.Target]; about != nil && p != nil && len(f.indirectPings) < maxIndirectPings {
-			f.startIndirectProbe(now, about, m.From, m.Seq)
+		target := f.peers[m.Target]
+		if target != nil && sender != nil && len(f.indirectPings) < maxIndirectPings {
+			f.startIndirectProbe(now, target, m.From, m.Seq)
 		}
 	case SyncSums:
-		f.replyEntries(m, reply)
-		if !m.IsReply {
-			reply(Message{Kind: SyncSums, IsReply: true, BucketSums: f.foldedSums()})
-		}
+		f.handleSyncSums(from, sender, m)
 	case SyncEntries:
 		f.joined = true
+	case Gossip:
 	}
 }
 
-func (f *Fleet) handleAck(now monotime.Micros, p *peer, m Message) {
-	if m.Target != 0 { // a helper has reached it
-		f.recordAck(now, m.Target, m.Seq, false)
-		return
+func (f *Fleet) handlePing(now monotime.Micros, from netip.AddrPort, sender *peer, m *Message) {
+	ack := Message{Kind: Ack, Seq: m.Seq}
+	if sender != nil {
+		sender.pingsReceivedTotal++
+		ack.PingsReceived = sender.pingsReceivedTotal
 	}
-	f.indirectPings = slices.DeleteFunc(f.indirectPings, func(r indirectPing) bool {
-		if r.ownSeq != m.Seq-m.Seq%maxPingAttempts || r.target != m.From {
-			return false
-		}
-		if to := f.peers[r.requester]; to != nil {
-			f.send(to.Addr, to, Message{Kind: Ack, Seq: r.requesterSeq, Target: r.target})
-		}
-		return true
-	})
-	if p != nil && m.PingsReceived > p.pingsDeliveredTotal {
-		p.pingsDelivered += float64(m.PingsReceived - p.pingsDeliveredTotal)
-		p.pingsDeliveredTotal = m.PingsReceived
+	f.sendTo(from, m.From, sender, ack)
+	// A sender that is not known here knows this member, and may know more of the fleet.
+	if sender == nil && now >= f.nextSyncAt {
+		f.nextSyncAt = now + unknownSenderSyncInterval
+		f.sendTo(from, m.From, sender, Message{Kind: SyncSums, BucketSums: f.foldedSums()})
 	}
-	f.recordAck(now, m.From, m.Seq, true)
 }
--- /dev/null
+++ b/decision/membership/suspicion_test.go
@@ -0,0 +1,152 @@
+package membership
+
+import (
+	"fmt"
+	"spurspread/decision/monotime"
+	"testing"
+)
+
+// A member that doesn't answer is suspected only after two others report the same, and dead only after a suspicion
+// of MinSuspicionTimeout.
+func TestOneObserverSuspectsNobody(t *testing.T) {
+	f, now := fleetOf(6)
+	f.run(&now, 10*monotime.Second, 3)
+	if s := f.StateOf(selfOf(3).ID); s != Alive {
+		t.Fatalf("%v by one report", s)
+	}
+	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 4))
+	f.run(&now, monotime.Second, 3)
+	if s := f.StateOf(selfOf(3).ID); s != Alive {
+		t.Fatalf("%v by two reports of six members", s)
+	}
+	f.receiveUpdates(now, 5, updateOf(3, Suspect, 1, 5))
+	f.run(&now, monotime.Second, 3)
+	if s := f.StateOf(selfOf(3).ID); s != Suspect {
+		t.Fatalf("%v after three could not reach it", s)
+	}
+	f.run(&now, MinSuspicionTimeout, 3)
+	if s := f.StateOf(selfOf(3).ID); s != Dead {
+		t.Fatalf("%v after %d ms more", s, MinSuspicionTimeout/monotime.Millisecond)
+	}
+}
+
+// A member that reaches the suspect itself doesn't declare it dead, however many report it.
+func TestOnlyFailedProbesDeclareDead(t *testing.T) {
+	f, now := fleetOf(6)
+	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 0), updateOf(3, Suspect, 1, 5))
+	if f.run(&now, 3*MinSuspicionTimeout); f.StateOf(selfOf(3).ID) == Dead {
+		t.Fatal("dead, though it answers")
+	}
+}
+
+// suspectThird makes member 3, which answers no pings, suspected by three reports.
+func suspectThird(f *Fleet, now *monotime.Micros, after monotime.Micros) {
+	f.run(now, 3*monotime.Second, 3)
+	f.receiveUpdates(*now, 4, updateOf(3, Suspect, 1, 4))
+	f.receiveUpdates(*now, 5, updateOf(3, Suspect, 1, 5))
+	f.run(now, after, 3)
+}
+
+// After a pause a suspicion has its whole time again, and pings that were unanswered meanwhile are not reported.
+func TestPausedMemberIsUnhealthy(t *testing.T) {
+	f, now := fleetOf(6)
+	suspectThird(f, &now, monotime.Second)
+	reports := f.FailureReports
+	now += 10 * monotime.Second
+	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Unhealthy(now) {
+		t.Fatalf("%v, %d pauses", changes, f.Pauses)
+	}
+	f.run(&now, unhealthyAfterPause-TickInterval, 3)
+	if s := f.StateOf(selfOf(3).ID); f.FailureReports != reports || s != Suspect {
+		t.Fatalf("%d reports after a pause, %v", f.FailureReports-reports, s)
+	}
+}
+
+// A suspicion from before this member was isolated declares nobody dead after it.
+func TestIsolationRestartsSuspicions(t *testing.T) {
+	f, now := fleetOf(6)
+	suspectThird(f, &now, monotime.Second/2)
+	if s := f.StateOf(selfOf(3).ID); s != Suspect {
+		t.Fatalf("%v", s)
+	}
+	f.run(&now, 5*monotime.Second, 2, 3, 4, 5, 6)
+	f.receiveUpdates(now, 2)
+	now += TickInterval
+	if f.Tick(now); f.StateOf(selfOf(3).ID) == Dead {
+		t.Fatal("dead by a suspicion from before")
+	}
+}
+
+// A peer that sends messages and reports this member dead is dead as soon as this one fails to reach it, whatever
+// others report.
+func TestPartitionedPeerIsDeadAtOnce(t *testing.T) {
+	f, now := fleetOf(6)
+	watched := f.watchTargets()[0]
+	var i int
+	_, _ = fmt.Sscanf(watched.Name, "n%d", &i)
+	for watched.state != Dead && now-start < 10*monotime.Second {
+		f.run(&now, monotime.Second/2, i)
+		f.receiveDead(now, watched.Self)
+	}
+	if watched.state != Dead || now-start >= MinSuspicionTimeout {
+		t.Fatalf("%v after %d ms", watched.state, (now-start)/monotime.Millisecond)
+	}
+}
+
+// declareDead has this member declare another one dead by its own probes.
+func declareDead(t *testing.T, f *Fleet, now *monotime.Micros, i int) {
+	t.Helper()
+	f.run(now, 3*monotime.Second, i)
+	f.receiveUpdates(*now, 4, updateOf(i, Suspect, 1, 4))
+	f.receiveUpdates(*now, 5, updateOf(i, Suspect, 1, 5))
+	f.run(now, 2*MinSuspicionTimeout, i)
+	if s := f.StateOf(selfOf(i).ID); s != Dead {
+		t.Fatalf("%v", s)
+	}
+}
+
+// A member that is dead by this one's own probes comes back by an answer, and not by updates of others; one that is
+// dead by updates comes back by them.
+func TestDeadMustAnswer(t *testing.T) {
+	f, now := fleetOf(6)
+	declareDead(t, f, &now, 3)
+	now += monotime.Second
+	out, _ := f.receiveUpdates(now, 2, updateOf(3, Alive, 2, 0))
+	if s := f.StateOf(selfOf(3).ID); s != Dead || len(out) != 1 || out[0].Message.Kind != Ping ||
+		out[0].Receiver != selfOf(3).ID {
+		t.Fatalf("%v, sent %+v", s, out)
+	}
+	ack := messageOf(3, Ack)
+	ack.Seq = out[0].Message.Seq
+	ack.Incarnation = 2
+	if f.Receive(now+monotime.Millisecond, addr(3), ack); f.StateOf(selfOf(3).ID) != Alive {
+		t.Fatal("it has answered")
+	}
+	f.receiveUpdates(now, 2, updateOf(6, Dead, 1, 0))
+	if f.receiveUpdates(now, 2, updateOf(6, Alive, 2, 0)); f.StateOf(selfOf(6).ID) != Alive {
+		t.Fatal("dead by an update, and not alive by one")
+	}
+}
+
+// A member that was considered dead itself stops spreading the deaths that it declared meanwhile, and pings those
+// members.
+func TestRecoversFromDeath(t *testing.T) {
+	f, now := fleetOf(6)
+	declareDead(t, f, &now, 3)
+	f.receiveUpdates(now, 4, updateOf(6, Dead, 1, 0))
+	if f.dissemination.items[selfOf(6).ID] == nil {
+		t.Fatal("a death is not disseminated")
+	}
+	f.receiveDead(now, selfOf(2))
+	if queued := f.dissemination.items[selfOf(6).ID]; queued != nil {
+		t.Fatalf("still disseminated: %+v", queued)
+	}
+	now += TickInterval
+	out, _ := f.Tick(now)
+	for _, s := range out {
+		if s.Receiver == selfOf(3).ID && s.Message.Kind == Ping {
+			return
+		}
+	}
+	t.Fatal("a member that it considers dead is not pinged")
+}
--- a/decision/membership/view.go
+++ b/decision/membership/view.go
@@ -6,86 +6,95 @@
 	"spurspread/decision/monotime"
 )
 
-// Member is one of the fleet, as this member sees it.
+// Member is one member of the fleet, as this one sees it.
 type Member struct {
 	Self
 	State       State
 	Incarnation uint64
-	Since       monotime.Micros // in this state
-	LastContact monotime.Micros // the last word of its own
-	RTT         monotime.Micros // microseconds, 0 where none is known
-	// parts of the pings that are lost on the way there, and of the answers on the way back
+	Since       monotime.Micros // in this state since then
+	LastContact monotime.Micros // when it sent a message last
+	RTT         monotime.Micros // smoothed round trip, 0 where none is known
+	// OutboundLoss is the part of pings that are lost on the way to it, InboundLoss that of acks on the way back, 0
+	// to 1.
 	OutboundLoss, InboundLoss float64
 }
 
-// View is the whole fleet, this member first, the others by their names.
+// View lists all members that are known, this one first, the others by their names.
 func (f *Fleet) View(now monotime.Micros) []Member {
-	state := Alive
+	own := Member{Self: f.self, State: Alive, Incarnation: f.incarnation, LastContact: now}
 	if f.leaving {
-		state = Left
+		own.State = Left
 	}
-	out := []Member{{Self: f.self, State: state, Incarnation: f.incarnation, LastContact: now}}
+	members := []Member{own}
 	for _, p := range f.peerList {
-		m := Member{
-			Self:        p.Self,
-			State:       p.state,
-			Incarnation: p.incarnation,
-			Since:       p.stateSince,
-			LastContact: p.lastContact,
-			RTT:         monotime.Micros(p.rtt),
-		}
-		if p.pingsSent >= 1 {
-			m.OutboundLoss = min(max(1-p.pingsDelivered/p.pingsSent, 0), 1)
-		}
-		if p.pingsDelivered >= 1 {
-			m.InboundLoss = min(max(1-p.acksReceived/p.pingsDelivered, 0), 1)
-		}
-		out = append(out, m)
+		members = append(members, p.member())
+	}
+	slices.SortFunc(members[1:], func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
+}
+
+func (p *peer) member() Member {
+	return Member{
+		Self:         p.Self,
+		State:        p.state,
+		Incarnation:  p.incarnation,
+		Since:        p.stateSince,
+		LastContact:  p.lastContact,
+		RTT:          monotime.Micros(p.rtt),
+		OutboundLoss: lossRatio(p.pingsSent, p.pingsDelivered),
+		InboundLoss:  lossRatio(p.pingsDelivered, p.acksReceived),
+	}
+}
+
+// lossRatio is the part of messages that did not arrive, 0 to 1, 0 where none was sent.
+func lossRatio(sent, arrived float64) float64 {
+	if sent < 1 {
+		return 0
 	}
-	slices.SortFunc(out[1:], func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	return min(max(1-arrived/sent, 0), 1)
 }
 
-// Live is how many members are held to be there, this one and those suspected among them.
-func (f *Fleet) Live() int { return len(f.rings[0]) + 1 }
+// Live is how many members are alive or suspected, this one included.
+func (f *Fleet) Live() int { return f.liveOthers() + 1 }
 
-// Known is how many members are known, this one and those that have died or left and are not forgotten among them.
+// Known is how many members are known, this one and those that have died or left within deadRetention included.
 func (f *Fleet) Known() int { return len(f.peerList) + 1 }
 
-// Dead is how many members are held dead.
+// Dead is how many members are considered dead; those that have left don't count.
 func (f *Fleet) Dead() int { return f.countState(Dead) }
 
-// Alive lists this member and those that it holds alive and does not suspect.
+// Alive lists this member and those that are alive and not suspected.
 func (f *Fleet) Alive() []Self {
-	out := make([]Self, 1, len(f.rings[0])+1)
-	out[0] = f.self
+	alive := make([]Self, 1, f.Live())
+	alive[0] = f.self
 	for _, p := range f.peerList {
 		if p.state == Alive {
-			out = append(out, p.Self)
+			alive = append(alive, p.Self)
 		}
 	}
-	return out
+	return alive
 }
 
-// Revision changes whenever Live, Known, Alive, Place or Leaving may have changed.
+// Revision changes whenever Live, Known, Alive, Position or Leaving may have changed.
 func (f *Fleet) Revision() uint64 { return f.revision }
 
-// Leaving tells that this member has said that it goes.
+// Leaving reports whether this member has announced that it goes.
 func (f *Fleet) Leaving() bool { return f.leaving }
 
-// Incarnation is this member's incarnation.
+// Incarnation is this member's current one.
 func (f *Fleet) Incarnation() uint64 { return f.incarnation }
 
-// Supersede has this member know that a later process has its name.
+// Supersede records that a later process of this name has taken over: this one is silent from now on.
 func (f *Fleet) Supersede() { f.superseded = true }
 
-// Superseded tells that a later process has this member's name, and is the member now.
+// Superseded reports whether a later process of this name has taken over.
 func (f *Fleet) Superseded() bool { return f.superseded }
 
-// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part; see share.
+// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part, 1 at least; see
+// RateDivisor, the type.
 func (f *Fleet) RateDivisor() float64 { return f.divisor.current() }
 
-// StateOf is what a member is held to be.
+// StateOf is what a member is considered to be; this one is Alive to itself.
 func (f *Fleet) StateOf(id ID) State {
 	if id == f.self.ID {
 		return Alive
@@ -96,13 +105,14 @@
 	return Unknown
 }
 
-// Position is this member's place among those that are there, by their ids: 0 to Live()-1, the same in all views that
-// agree.
-func (f *Fleet) Position() (n int) {
+// Position is this member's position among the live ones in the order of their ids, 0 to Live()-1: the same in all
+// views that agree.
+func (f *Fleet) Position() int {
+	position := 0
 	for _, p := range f.rings[0] {
 		if p.ID < f.self.ID {
-			n++
+			position++
 		}
 	}
-	return n
+	return position
 }
