--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -23,9 +23,9 @@
 
 	// Weights of the earlier round trips in the smoothed ones: one new sample counts for one in so many. That of the
 	// fleet rises fast and falls slowly, so that most answers stay under it.
-	peerRTTWeight        = 8
-	fleetRTTRisingWeight = 8
-	fleetRTTFallWeight   = 32
+	peerRTTWeight         = 8
+	fleetRTTRisingWeight  = 8
+	fleetRTTFallingWeight = 32
 )
 
 // Unhealthy decides whether this member's failed probes count for nothing: it was paused within unhealthyAfterPause,
@@ -115,7 +115,7 @@
 	if rtt > f.fleetRTT {
 		f.fleetRTT += (rtt - f.fleetRTT) / fleetRTTRisingWeight
 	} else {
-		f.fleetRTT += (rtt - f.fleetRTT) / fleetRTTFallWeight
+		f.fleetRTT += (rtt - f.fleetRTT) / fleetRTTFallingWeight
 	}
 }
 
