--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -1,6 +1,7 @@
 package zonedirectory
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -14,47 +15,47 @@
 	"pgregory.net/rapid"
 )
 
+const start = monotime.Second
+
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
 func site(i int) Site { return Site{Region: "r", Zone: fmt.Sprint("z", i)} }
 
-// directory is one of zone 0, with so many members there; it is the first.
-func directory(members int, expected int) *Directory {
-	d := New(
-		Config{
-			Self:            Self{ID: 1, Addr: addr(1), Instance: 1},
-			Site:            site(0),
-			ExpectedMembers: expected,
-			RandomSeed:      1,
-			RateDivisor:     &membership.RateDivisor{},
-		},
-		sec,
-	)
-	d.Tick(sec, localOf(members))
+// newDirectory is that of the first of so many members of zone 0.
+func newDirectory(members int, expected int) *Directory {
+	d := New(Config{
+		Self:            Self{ID: 1, Addr: addr(1), Instance: 1},
+		Site:            site(0),
+		ExpectedMembers: expected,
+		RandomSeed:      1,
+		RateDivisor:     &membership.RateDivisor{},
+	}, start)
+	d.Tick(start, localOf(members))
 	return d
 }
 
 func localOf(members int) *LocalZone {
-	l := &LocalZone{Revision: 1, Live: members, Known: members}
+	local := &LocalZone{Revision: 1, Live: members, Known: members}
 	for i := range members {
-		l.Members = append(l.Members, Member{MemberID(i + 1), addr(i + 1)})
+		local.Members = append(local.Members, Member{MemberID(i + 1), addr(i + 1)})
 	}
-	return l
+	return local
 }
 
-func drawZones(r *rapid.T) (out []ID) {
-	for z := range 3 {
+func drawZones(r *rapid.T) []ID {
+	var zones []ID
+	for i := range 3 {
 		if rapid.Bool().Draw(r, "unreachable") {
-			out = append(out, site(z).ID())
+			zones = append(zones, site(i).ID())
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(zones)
+	return zones
 }
 
-// drawItem draws from few names and versions, so that many items meet.
+// drawItem draws from few names and versions, so that many items have the same key.
 func drawItem(r *rapid.T) Item {
 	version := rapid.Uint64Range(1, 3).Draw(r, "version")
 	switch rapid.IntRange(0, 2).Draw(r, "kind") {
@@ -62,89 +63,100 @@
 		live := rapid.IntRange(0, 2).Draw(r, "live")
 		issuer := MemberID(rapid.IntRange(1, 3).Draw(r, "issuer"))
 		return Item{Summary: &Summary{
-			Site: site(rapid.IntRange(0, MaxZones+4).Draw(r, "zone")), Version: version, Issuer: issuer,
-			Live: live, Known: live, Unreachable: drawZones(r), Contacts: []Contact{{1, addr(rapid.IntRange(1, 2).Draw(r, "contact"))}},
+			Site:        site(rapid.IntRange(0, MaxZones+4).Draw(r, "zone")),
+			Version:     version,
+			Issuer:      issuer,
+			Live:        live,
+			Known:       live,
+			Unreachable: drawZones(r),
+			Contacts:    []Contact{{1, addr(rapid.IntRange(1, 2).Draw(r, "contact"))}},
 		}}
 	case 1:
-		delegate := MemberID(rapid.IntRange(1, 3).Draw(r, "delegate"))
-		return Item{
-			Observation: &Observation{
-				Zone:        site(0).ID(),
-				Delegate:    delegate,
-				Version:     version,
-				Unreachable: drawZones(r),
-			},
-		}
-	}
-	name := fmt.Sprint("record", rapid.IntRange(0, MaxRecords+4).Draw(r, "name"))
-	return Item{
-		Record: &Record{
-			Name:    name,
-			Version: version,
-			Value:   rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "value"),
-		},
+		return Item{Observation: &Observation{
+			Zone:        site(0).ID(),
+			Delegate:    MemberID(rapid.IntRange(1, 3).Draw(r, "delegate")),
+			Version:     version,
+			Unreachable: drawZones(r),
+		}}
 	}
+	return Item{Record: &Record{
+		Name:    fmt.Sprint("record", rapid.IntRange(0, MaxRecords+4).Draw(r, "name")),
+		Version: version,
+		Value:   rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "value"),
+	}}
 }
 
-func take(d *Directory, items []Item) {
-	for _, it := range items {
-		d.Receive(sec, addr(2), Message{Kind: Update, From: 2, Zone: site(0).ID(), Items: []Item{it}})
+func drawItems(r *rapid.T, label string) []Item {
+	return rapid.SliceOfN(rapid.Custom(drawItem), 0, 250).Draw(r, label)
+}
+
+// updateFrom carries items from a member.
+func updateFrom(id MemberID, zone int, items ...Item) Message {
+	return Message{Kind: Update, From: id, Zone: site(zone).ID(), Items: items}
+}
+
+// receiveItems has another member of the zone send items one by one.
+func receiveItems(d *Directory, items []Item) {
+	for _, item := range items {
+		d.Receive(start, addr(2), updateFrom(2, 0, item))
 	}
 }
 
-func held(d *Directory) (out []Item) {
-	for _, k := range d.keys {
-		out = append(out, d.items[k].Item)
+func heldItems(d *Directory) []Item {
+	var items []Item
+	for _, key := range d.keys {
+		items = append(items, d.items[key].Item)
 	}
-	return out
+	return items
 }
 
-// Whatever order items come in, and however often, the directory is the same in the end, and so is its digest; of
+// Whatever order items arrive in, and however often, the directory is the same in the end, and so is its digest; of
 // each key it holds none that is older than another.
-func TestMergingInAnyOrder(t *testing.T) {
+func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		all := rapid.SliceOfN(rapid.Custom(drawItem), 0, 250).Draw(r, "items")
-		again := append(rapid.Permutation(all).Draw(r, "order"), all[:len(all)/2]...)
-		a, b := directory(3, 3), directory(3, 3)
-		take(a, all)
-		take(b, again)
-		if a.Digest() != b.Digest() || a.globalDigest != b.globalDigest || !reflect.DeepEqual(held(a), held(b)) {
-			r.Fatalf("%x %x\n%v\n%v", a.Digest(), b.Digest(), held(a), held(b))
+		items := drawItems(r, "items")
+		again := append(rapid.Permutation(items).Draw(r, "order"), items[:len(items)/2]...)
+		a, b := newDirectory(3, 3), newDirectory(3, 3)
+		receiveItems(a, items)
+		receiveItems(b, again)
+		if a.Digest() != b.Digest() || a.globalDigest != b.globalDigest ||
+			!reflect.DeepEqual(heldItems(a), heldItems(b)) {
+			r.Fatalf("%x %x\n%v\n%v", a.Digest(), b.Digest(), heldItems(a), heldItems(b))
 		}
 		if len(a.zones) > MaxZones || len(a.Records()) > MaxRecords {
 			r.Fatalf("%d zones, %d records", len(a.zones), len(a.Records()))
 		}
-		for _, it := range all {
-			if e := newEntry(it); a.items[e.key] != nil && e.newer(a.items[e.key]) {
-				r.Fatalf("%+v is newer than what is held", it)
+		for _, item := range items {
+			if e := newEntry(item); a.items[e.key] != nil && e.newer(a.items[e.key]) {
+				r.Fatalf("%+v is newer than what is held", item)
 			}
 		}
 	})
 }
 
-// Two directories that compare themselves become the same, in messages of bounded size.
-func TestComparing(t *testing.T) {
+// Two directories that are compared become the same, in messages of bounded size.
+func TestSync(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		a, b := directory(3, 3), directory(3, 3)
+		a, b := newDirectory(3, 3), newDirectory(3, 3)
 		b.cfg.Self = Self{ID: 2, Addr: addr(2), Instance: 2}
 		a.synced, b.synced = true, true
-		take(a, rapid.SliceOfN(rapid.Custom(drawItem), 0, 250).Draw(r, "items of one"))
-		take(b, rapid.SliceOfN(rapid.Custom(drawItem), 0, 250).Draw(r, "items of the other"))
-		for now := sec; a.Digest() != b.Digest(); now += sec {
-			if now > 120*sec {
+		receiveItems(a, drawItems(r, "items of one"))
+		receiveItems(b, drawItems(r, "items of the other"))
+		for now := start; a.Digest() != b.Digest(); now += monotime.Second {
+			if now > 120*monotime.Second {
 				r.Fatal("they differ for two minutes")
 			}
 			exchange(r, now, a, b, a.ObserveDatagram(now, addr(2), 2, b.ownZone, b.Digest()))
 		}
-		if !reflect.DeepEqual(held(a), held(b)) {
+		if !reflect.DeepEqual(heldItems(a), heldItems(b)) {
 			r.Fatal("one digest, two contents")
 		}
 	})
 }
 
-// exchange delivers what one sends, and all answers to it.
+// exchange delivers messages between two directories, and all answers to them.
 func exchange(r *rapid.T, now monotime.Micros, a, b *Directory, out []Outgoing) {
-	for n := 0; len(out) > 0; n++ {
+	for round := 0; len(out) > 0; round++ {
 		var answers []Outgoing
 		for _, s := range out {
 			if ApproximateSize(&s.Message) > 1250 || len(s.Message.Versions) > MaxVersions ||
@@ -157,21 +169,21 @@
 				answers = append(answers, a.Receive(now, addr(2), s.Message)...)
 			}
 		}
-		if out = answers; n > 8 {
+		if out = answers; round > 8 {
 			r.Fatal("answers without an end")
 		}
 	}
 }
 
-// What is out of bounds is refused, whole.
-func TestOutOfBounds(t *testing.T) {
-	d := directory(3, 3)
+// An item that is out of bounds is rejected as a whole.
+func TestInvalidItems(t *testing.T) {
+	d := newDirectory(3, 3)
 	long := strings.Repeat("x", MaxName+1)
-	six := make([]Contact, MaxContacts+1)
-	for i := range six {
-		six[i] = Contact{1, addr(1)}
+	tooMany := make([]Contact, MaxContacts+1)
+	for i := range tooMany {
+		tooMany[i] = Contact{1, addr(1)}
 	}
-	for i, it := range []Item{
+	for i, item := range []Item{
 		{},
 		{Record: &Record{Name: "", Version: 1}},
 		{Record: &Record{Name: long, Version: 1}},
@@ -181,18 +193,23 @@
 		{Summary: &Summary{Site: Site{"r", long}, Version: 1}},
 		{Summary: &Summary{Site: Site{"r", ""}, Version: 1}},
 		{Summary: &Summary{Site: site(1), Version: 1, Live: 2, Known: 1}},
-		{Summary: &Summary{Site: site(1), Version: 1, Contacts: six}},
+		{Summary: &Summary{Site: site(1), Version: 1, Contacts: tooMany}},
 		{Summary: &Summary{Site: site(1), Version: 1, Contacts: []Contact{{}}}},
 		{Summary: &Summary{Site: site(1), Version: 1, Unreachable: []ID{2, 1}}},
 		{Observation: &Observation{Zone: site(1).ID(), Delegate: 2, Version: 1}},
 		{Observation: &Observation{Zone: site(0).ID(), Delegate: 9, Version: 1}},
 		{Record: &Record{Name: "a", Version: 1}, Summary: &Summary{Site: site(1), Version: 1}},
 	} {
-		if take(d, []Item{it}); len(d.keys) > 0 {
-			t.Errorf("item %d is taken", i)
-			d = directory(3, 3)
+		if receiveItems(d, []Item{item}); len(d.keys) > 0 {
+			t.Errorf("item %d is accepted", i)
+			d = newDirectory(3, 3)
 		}
 	}
+}
+
+// A message that is out of bounds is not answered.
+func TestInvalidMessages(t *testing.T) {
+	d := newDirectory(3, 3)
 	for _, m := range []Message{
 		{Kind: 0, Zone: 1},
 		{Kind: maxKind + 1, Zone: 1},
@@ -202,110 +219,109 @@
 		{Kind: SyncVersions, Zone: 1, From: 2},
 		{Kind: SyncVersions, Zone: 1, From: 2, Versions: make([]ItemVersion, MaxVersions+1)},
 	} {
-		if out := d.Receive(sec, addr(2), m); len(out) > 0 {
+		if out := d.Receive(start, addr(2), m); len(out) > 0 {
 			t.Errorf("%+v is answered", m)
 		}
 	}
-	if _, err := d.Publish(sec, long, ""); err != ErrInvalidRecord {
+}
+
+// A record that is invalid, or one too many, is not published.
+func TestPublishErrors(t *testing.T) {
+	d := newDirectory(3, 3)
+	if _, err := d.Publish(start, strings.Repeat("x", MaxName+1), ""); !errors.Is(err, ErrInvalidRecord) {
 		t.Error(err)
 	}
 	for i := range MaxRecords + 1 {
-		if _, err := d.Publish(sec, fmt.Sprint(i), ""); (err == ErrTooManyRecords) != (i == MaxRecords) {
+		_, err := d.Publish(start, fmt.Sprint(i), "")
+		if tooMany := errors.Is(err, ErrTooManyRecords); tooMany != (i == MaxRecords) {
 			t.Error(i, err)
 		}
 	}
 }
 
-// However much comes, what a member sends is within its budgets.
+// However much is received, what a member sends is within its budgets.
 func TestBudgets(t *testing.T) {
-	d := directory(125, 125)
+	d := newDirectory(125, 125)
 	bytes := 0
 	rng := rand.New(rand.NewPCG(1, 2))
+	all := Message{
+		Kind:     SyncVersions,
+		From:     9,
+		Zone:     site(1).ID(),
+		Versions: []ItemVersion{{}, {Key: 1<<64 - 1}},
+	}
 	for step := range 400 {
-		now := sec + monotime.Micros(step)*TickInterval
+		now := start + monotime.Micros(step)*TickInterval
 		var out []Outgoing
 		for range 20 {
-			out = append(
-				out,
-				d.ObserveDatagram(now, addr(rng.IntN(5000)), MemberID(rng.Uint64()), site(1).ID(), 0)...)
-			out = append(
-				out,
-				d.Receive(
-					now,
-					addr(200),
-					Message{
-						Kind:     SyncVersions,
-						From:     9,
-						Zone:     site(1).ID(),
-						Versions: []ItemVersion{{}, {Key: 1<<64 - 1}},
-					},
-				)...)
-			v := Record{Name: fmt.Sprint(rng.IntN(MaxRecords)), Version: uint64(step + 1), Value: "v"}
-			out = append(
-				out,
-				d.Receive(
-					now,
-					addr(201),
-					Message{Kind: Update, From: 9, Zone: site(1).ID(), Items: []Item{{Record: &v}}},
-				)...)
+			unknown, id := addr(rng.IntN(5000)), MemberID(rng.Uint64())
+			out = append(out, d.ObserveDatagram(now, unknown, id, site(1).ID(), 0)...)
+			out = append(out, d.Receive(now, addr(200), all)...)
+			record := Record{Name: fmt.Sprint(rng.IntN(MaxRecords)), Version: uint64(step + 1), Value: "v"}
+			out = append(out, d.Receive(now, addr(201), updateFrom(9, 1, Item{Record: &record}))...)
 		}
 		for _, s := range append(out, d.Tick(now, localOf(125))...) {
 			bytes += ApproximateSize(&s.Message)
 		}
 	}
-	if most := 20*(gossipBytesPerSecond+pushBytesPerSecond+repairBytesPerSecond) + gossipBytesBurst + pushBytesBurst + repairBytesBurst + 8*1250; bytes > most {
-		t.Errorf("%d bytes in 20 s, %d at most", bytes, most)
+	const (
+		perSecond = gossipBytesPerSecond + pushBytesPerSecond + repairBytesPerSecond
+		bursts    = gossipBytesBurst + pushBytesBurst + repairBytesBurst
+		limit     = 20*perSecond + bursts + 8*1250
+	)
+	if bytes > limit {
+		t.Errorf("%d bytes in 20 s, %d at most", bytes, limit)
 	}
 	if len(d.introducedAt) > maxIntroduced+1 || len(d.divergedSince) > maxDivergedPeers {
-		t.Error("more addresses are remembered than are bounded")
+		t.Error("more addresses are remembered than there may be")
 	}
 }
 
-func far(version uint64) []Item {
-	return []Item{
-		{
-			Summary: &Summary{
-				Site:     site(1),
-				Version:  version,
-				Issuer:   9,
-				Live:     5,
-				Known:    5,
-				Contacts: []Contact{{9, addr(9)}},
-			},
-		},
-	}
+// remoteSummary is that of zone 1 with five members.
+func remoteSummary(version uint64) Item {
+	return Item{Summary: &Summary{
+		Site:     site(1),
+		Version:  version,
+		Issuer:   9,
+		Live:     5,
+		Known:    5,
+		Contacts: []Contact{{9, addr(9)}},
+	}}
 }
 
-// run ticks a directory, and answers nothing that it sends.
+// run ticks a directory whose messages are all lost.
 func run(d *Directory, from, until monotime.Micros) {
 	for now := from; now <= until; now += TickInterval {
 		d.Tick(now, localOf(1))
 	}
 }
 
-// A zone that cannot be reached is Unknown, its members count as known for ten minutes, and what others still tell
-// of it then is old; its own word is not.
-func TestForgetting(t *testing.T) {
-	d := directory(1, 1)
-	d.Receive(sec, addr(8), Message{Kind: Update, From: 8, Zone: site(2).ID(), Items: far(7)})
+// A zone that is not reached is Unknown, and its members count as known for zoneRetention. What others send of it
+// after that is old; what it sends itself is not.
+func TestForgetsZone(t *testing.T) {
+	const sec = monotime.Second
+	d := newDirectory(1, 1)
+	zone := site(1).ID()
+	d.Receive(sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
 	run(d, sec, 30*sec)
-	if d.State(site(1).ID()) != Unknown || d.Live() != 1 || d.Known() != 6 {
-		t.Fatalf("%v, %d live, %d known", d.State(site(1).ID()), d.Live(), d.Known())
+	if d.State(zone) != Unknown || d.Live() != 1 || d.Known() != 6 {
+		t.Fatalf("%v, %d live, %d known", d.State(zone), d.Live(), d.Known())
 	}
 	run(d, 30*sec, 650*sec)
-	d.Receive(650*sec, addr(8), Message{Kind: Update, From: 8, Zone: site(2).ID(), Items: far(7)})
-	if run(d, 650*sec, 651*sec); d.State(site(1).ID()) != 0 || d.Known() != 1 {
-		t.Fatalf("%v, %d known", d.State(site(1).ID()), d.Known())
+	d.Receive(650*sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
+	if run(d, 650*sec, 651*sec); d.State(zone) != 0 || d.Known() != 1 {
+		t.Fatalf("%v, %d known", d.State(zone), d.Known())
 	}
-	d.Receive(651*sec, addr(9), Message{Kind: Update, From: 9, Zone: site(1).ID(), Items: far(7)})
-	if run(d, 651*sec, 651*sec); d.State(site(1).ID()) != Reachable || d.Live() != 6 {
-		t.Fatalf("%v, %d live", d.State(site(1).ID()), d.Live())
+	d.Receive(651*sec, addr(9), updateFrom(9, 1, remoteSummary(7)))
+	if run(d, 651*sec, 651*sec); d.State(zone) != Reachable || d.Live() != 6 {
+		t.Fatalf("%v, %d live", d.State(zone), d.Live())
 	}
 }
 
-// A process that has just started divides by what its settings say, and falls by half in half a minute.
-func TestDivisorBeginsAtTheSettings(t *testing.T) {
-	d := directory(1, 1500)
+// A process that has just started divides by what its settings expect, and by about half of it half a minute later.
+func TestDivisorStartsAtExpectedMembers(t *testing.T) {
+	const sec = monotime.Second
+	d := newDirectory(1, 1500)
 	if d.RateDivisor() < 1490 {
 		t.Fatal(d.RateDivisor())
 	}
@@ -314,40 +330,39 @@
 		t.Fatalf("%.0f after half a minute", v)
 	}
 	large := Summary{Site: site(1), Version: 1, Issuer: 9, Live: 2000, Known: 2000}
-	d.Receive(31*sec, addr(9), Message{Kind: Update, From: 9, Zone: site(1).ID(), Items: []Item{{Summary: &large}}})
+	d.Receive(31*sec, addr(9), updateFrom(9, 1, Item{Summary: &large}))
 	if run(d, 31*sec, 32*sec); d.RateDivisor() != 2001 {
 		t.Fatalf("%.0f: it rises at once", d.RateDivisor())
 	}
 }
 
+// candidatesOf are those that a member of a zone of 20 chooses, which knows the members in any order.
+func candidatesOf(self int, leaving bool, rng *rand.Rand) []Member {
+	d := New(Config{
+		Self:        Self{ID: MemberID(self), Addr: addr(self)},
+		Site:        site(0),
+		RandomSeed:  rng.Uint64(),
+		RateDivisor: &membership.RateDivisor{},
+	}, start)
+	local := localOf(20)
+	local.Leaving = leaving
+	rng.Shuffle(20, func(i, j int) { local.Members[i], local.Members[j] = local.Members[j], local.Members[i] })
+	d.Tick(start, local)
+	return slices.Clone(d.candidates)
+}
+
 // All members of a zone whose views agree choose the same delegates, whatever order they know them in, and one that
-// goes takes no part.
+// leaves is none.
 func TestDelegatesAreTheSameForAll(t *testing.T) {
-	chosen := func(self int, leaving bool, rng *rand.Rand) []Member {
-		d := New(
-			Config{
-				Self:        Self{ID: MemberID(self), Addr: addr(self)},
-				Site:        site(0),
-				RandomSeed:  rng.Uint64(),
-				RateDivisor: &membership.RateDivisor{},
-			},
-			sec,
-		)
-		l := localOf(20)
-		l.Leaving = leaving
-		rng.Shuffle(20, func(i, j int) { l.Members[i], l.Members[j] = l.Members[j], l.Members[i] })
-		d.Tick(sec, l)
-		return slices.Clone(d.candidates)
-	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	first := chosen(1, false, rng)
+	first := candidatesOf(1, false, rng)
 	for self := 2; self <= 20; self++ {
-		if got := chosen(self, false, rng); !slices.Equal(got, first) {
+		if got := candidatesOf(self, false, rng); !slices.Equal(got, first) {
 			t.Fatalf("%v %v", got, first)
 		}
 	}
-	gone := int(first[0].ID)
-	if got := chosen(gone, true, rng); !slices.Equal(got[:MaxContacts-1], first[1:]) {
+	leaving := int(first[0].ID)
+	if got := candidatesOf(leaving, true, rng); !slices.Equal(got[:MaxContacts-1], first[1:]) {
 		t.Fatalf("%v %v", got, first)
 	}
 }
--- a/internal/peer/zones.go
+++ b/internal/peer/zones.go
@@ -54,7 +54,7 @@
 	if !h.zones.enabled() {
 		return nil
 	}
-	return h.zones.directory.Views(h.loop.Now())
+	return h.zones.directory.Views()
 }
 
 // Records are all records by their names; none in a fleet without zones.
@@ -109,8 +109,8 @@
 	return l
 }
 
-// noteInstance notes which process of a member there is by what others say, where it has not said so itself: items go to
-// members that this one has never heard, and would be lost the first time.
+// noteInstance notes which process of a member there is by what others say, where it has not said so itself: items go
+// to members that this one has never heard, and would be lost the first time.
 func (h *Host) noteInstance(m membership.Self) {
 	if m.ID != h.self.ID && h.instances[m.ID] == 0 {
 		h.instances[m.ID] = m.Instance
@@ -150,7 +150,7 @@
 	if len(h.zones.loggedStates) > 2*zonedirectory.MaxZones {
 		clear(h.zones.loggedStates) // of zones that are long forgotten
 	}
-	for _, v := range h.zones.directory.Views(now) {
+	for _, v := range h.zones.directory.Views() {
 		id := v.Site.ID()
 		was := h.zones.loggedStates[id]
 		if was == v.State {
--- a/lab/simulation/zoned/balancer.go
+++ b/lab/simulation/zoned/balancer.go
@@ -11,8 +11,8 @@
 	"spurspread/lab/simulation"
 )
 
-// zoneHeaderBytes is how many bytes a datagram of member messages has more than in a fleet without zones: the zone and
-// the digest.
+// zoneHeaderBytes is how many bytes a datagram of member messages has more than in a fleet without zones: the zone
+// and the digest.
 const zoneHeaderBytes = 16
 
 // payload is a datagram's content: a message of either kind, and what all datagrams say of their sender.
--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -17,7 +17,8 @@
 	Flaps int
 	// Changes is how often any member has changed what it holds a zone to be, since the last Mark.
 	Changes int
-	// Issuers is how often a zone's summary had another issuer than before, as one member sees it, since the last Mark.
+	// Issuers is how often a zone's summary had another issuer than before, as one member sees it, since the last
+	// Mark.
 	Issuers int
 	state   [][]zonedirectory.Reachability
 	changed [][]int
@@ -108,7 +109,7 @@
 		if !f.up[i] {
 			continue
 		}
-		for _, v := range f.members[i].directory.Views(0) {
+		for _, v := range f.members[i].directory.Views() {
 			id := v.Site.ID()
 			if was, ok := c.issuer[id]; ok && was != v.Issuer {
 				c.Issuers++
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -259,7 +259,7 @@
 		if !f.up[i] {
 			continue
 		}
-		for _, v := range f.members[i].directory.Views(0) {
+		for _, v := range f.members[i].directory.Views() {
 			if v.Own && len(v.Contacts) > 0 {
 				for _, c := range v.Contacts[:min(n, len(v.Contacts))] {
 					out = append(out, simulation.Index(c.Addr))
--- a/lab/simulation/zoned/plant.go
+++ b/lab/simulation/zoned/plant.go
@@ -37,7 +37,7 @@
 		if it.Summary == nil || it.Summary.Site.ID() == b.zoneID {
 			continue
 		}
-		for _, v := range b.directory.Views(0) {
+		for _, v := range b.directory.Views() {
 			if v.Site == it.Summary.Site && v.Version > it.Summary.Version {
 				s := *it.Summary
 				s.Version = v.Version + 1
