--- /dev/null
+++ b/internal/peer/host_test.go
@@ -0,0 +1,214 @@
+package peer
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"net/netip"
+	"spurspread/decision/membership"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/peer/packet"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// patience bounds every wait; nothing is proved by its passing.
+const patience = 30 * time.Second
+
+// harness runs hosts on one event loop.
+type harness struct {
+	t    *testing.T
+	loop *eventloop.Loop
+}
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error)
+	go func() { done <- loop.Run() }()
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+		_ = loop.Close()
+	})
+	return &harness{t, loop}
+}
+
+// do runs f on the loop and waits for it.
+func (s *harness) do(f func()) {
+	done := make(chan struct{})
+	s.loop.Post(func() { f(); close(done) })
+	<-done
+}
+
+func newKeyring(t *testing.T, secret byte) *packet.Keyring {
+	t.Helper()
+	keyring, err := packet.NewKeyring(
+		[]packet.Key{{Secret: [32]byte(bytes.Repeat([]byte{secret}, 32)), Primary: true}},
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return keyring
+}
+
+func (s *harness) host(name string, secret byte, seeds ...netip.AddrPort) (h *Host) {
+	s.t.Helper()
+	return s.hostAt(netip.MustParseAddrPort("127.0.0.1:0"), name, secret, seeds...)
+}
+
+func (s *harness) hostAt(at netip.AddrPort, name string, secret byte, seeds ...netip.AddrPort) (h *Host) {
+	s.t.Helper()
+	return s.start(
+		Config{Name: name, Listen: at, Seeds: seeds, Keyring: newKeyring(s.t, secret), RandomSeed: uint64(len(name))},
+	)
+}
+
+func (s *harness) start(cfg Config) (h *Host) {
+	s.t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	var err error
+	s.do(func() { h, err = Start(s.loop, cfg, log) })
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { s.do(h.Close) })
+	return h
+}
+
+// await polls until a condition holds.
+func (s *harness) await(what string, holds func() bool) {
+	s.t.Helper()
+	for late := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		held := false
+		if s.do(func() { held = holds() }); held {
+			return
+		}
+		if time.Now().After(late) {
+			s.t.Fatalf("not within %v: %s", patience, what)
+		}
+	}
+}
+
+// sees reports whether a member is in a host's view in this state.
+func sees(h *Host, name string, state membership.State) bool {
+	for _, m := range h.View() {
+		if m.Name == name && m.State == state {
+			return true
+		}
+	}
+	return false
+}
+
+// Members with one key find each other by one seed, though another one is not there. A member with another key is
+// received by nobody, and its datagrams are counted.
+func TestJoin(t *testing.T) {
+	s := newHarness(t)
+	nobody := netip.MustParseAddrPort("127.0.0.1:9")
+	a := s.host("a", 1)
+	b := s.host("b", 1, nobody, a.Addr())
+	c := s.host("c", 1, a.Addr())
+	s.host("other key", 2, a.Addr())
+	s.await("all three know each other", func() bool {
+		return sees(a, "b", membership.Alive) && sees(a, "c", membership.Alive) && sees(b, "c", membership.Alive) &&
+			sees(c, "b", membership.Alive)
+	})
+	s.await("datagrams with another key are counted", func() bool { return a.Counts().Forged > 0 })
+	s.do(func() {
+		if len(a.View()) != 3 {
+			t.Errorf("%d members", len(a.View()))
+		}
+		b.Leave()
+	})
+	s.await(
+		"a member that leaves announces it",
+		func() bool { return sees(a, "b", membership.Left) && sees(c, "b", membership.Left) },
+	)
+}
+
+// A new process at the address of an earlier one takes over, wherever the kernel delivers the datagrams of others.
+func TestTakeover(t *testing.T) {
+	s := newHarness(t)
+	a := s.host("a", 1)
+	b := s.host("b", 1, a.Addr())
+	s.await(
+		"both know each other",
+		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
+	)
+	next := s.hostAt(b.Addr(), "b", 1, a.Addr())
+	s.await("the earlier process yields", func() bool { return b.fleet.Superseded() })
+	s.await(
+		"the new process is the member",
+		func() bool { return sees(next, "a", membership.Alive) && sees(a, "b", membership.Alive) },
+	)
+	s.do(func() {
+		if next.fleet.Superseded() {
+			t.Error("the later process has yielded")
+		}
+	})
+}
+
+// A member that has only a withdrawn key is not received; with the new one it is again.
+func TestSetKeyring(t *testing.T) {
+	s := newHarness(t)
+	a := s.host("a", 1)
+	b := s.host("b", 1, a.Addr())
+	s.await(
+		"both know each other",
+		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
+	)
+	next := newKeyring(t, 2)
+	var received int64
+	s.do(func() {
+		a.SetKeyring(next)
+		received = a.Counts().Received
+	})
+	s.await("datagrams with the old key are rejected", func() bool { return a.Counts().Forged > 0 })
+	s.do(func() {
+		if n := a.Counts(); n.Received != received {
+			t.Errorf("%d datagrams with a withdrawn key are received", n.Received-received)
+		}
+		b.SetKeyring(newKeyring(t, 2))
+	})
+	s.await("datagrams with the new key are received", func() bool { return a.Counts().Received > received })
+}
+
+// A flood from unknown addresses is dropped unread beyond what is opened in a second, and members are received
+// meanwhile.
+func TestFlood(t *testing.T) {
+	s := newHarness(t)
+	a := s.host("a", 1)
+	b := s.host("b", 1, a.Addr())
+	s.await(
+		"both know each other",
+		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
+	)
+	c, err := net.Dial("udp4", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	var received int64
+	s.do(func() { received = a.Counts().Received })
+	garbage := bytes.Repeat([]byte{7}, 400)
+	s.await("garbage is dropped unread", func() bool {
+		for range 200 {
+			_, _ = c.Write(garbage)
+		}
+		return a.Counts().Dropped > 1000
+	})
+	s.do(func() {
+		if n := a.Counts(); n.Forged > n.Dropped {
+			t.Errorf("of a flood %d were opened, and %d not", n.Forged, n.Dropped)
+		}
+	})
+	s.await("members are received meanwhile", func() bool { return a.Counts().Received > received+4 })
+}
--- a/internal/peer/zones.go
+++ b/internal/peer/zones.go
@@ -4,52 +4,63 @@
 	"errors"
 	"net/netip"
 	"spurspread/decision/membership"
+	"spurspread/decision/monotime"
 	"spurspread/decision/zonedirectory"
-	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
 	"spurspread/internal/peer/packet"
 
 	"github.com/sirupsen/logrus"
 )
 
-// ErrNoZones is why a record can't be published: records spread from zone to zone.
+// ErrNoZones is returned where a record is published in a fleet without zones: records spread from zone to zone.
 var ErrNoZones = errors.New("the fleet has no zones")
 
-// zoneLogInterval is how often zones are looked through for a change of state to be logged.
-const zoneLogInterval = 1_000_000
+const (
+	// zoneLogInterval is how often zones are searched for a change of state to be logged.
+	zoneLogInterval = 1 * monotime.Second
+	// maxLoggedStates bounds the zones whose state is remembered for that.
+	maxLoggedStates = 2 * zonedirectory.MaxZones
+)
 
-// zones is what a host has of its fleet's zones; all of it is zero in a fleet without.
+// zones is what a host has of its fleet's zones; all of it is zero in a fleet without zones.
 type zones struct {
 	directory    *zonedirectory.Directory
 	own          zonedirectory.ID
-	local        zonedirectory.LocalZone // as the directory was told last
-	localSent    bool                    // that it was told
+	local        zonedirectory.LocalZone // as the directory received it last
+	localSent    bool                    // that it did
 	loggedStates map[zonedirectory.ID]zonedirectory.Reachability
-	nextLogAt    eventloop.Micros
+	nextLogAt    monotime.Micros
 }
 
 func (z *zones) enabled() bool { return z.directory != nil }
 
 func (h *Host) startZones() zones {
-	if h.cfg.Site.ID() == 0 {
+	own := h.cfg.Site.ID()
+	if own == 0 {
 		return zones{}
 	}
-	cfg := zonedirectory.Config{
-		Self: zonedirectory.Self{
-			ID:       zonedirectory.MemberID(h.self.ID),
-			Addr:     h.self.Addr,
-			Instance: h.self.Instance,
-		}, Site: h.cfg.Site, Seeds: h.cfg.Seeds,
-		ExpectedMembers: h.cfg.ExpectedMembers, RandomSeed: h.cfg.RandomSeed, RateDivisor: &membership.RateDivisor{}, Rank: h.cfg.Rank,
-	}
+	self := zonedirectory.Self{
+		ID:       zonedirectory.MemberID(h.self.ID),
+		Addr:     h.self.Addr,
+		Instance: h.self.Instance,
+	}
+	directory := zonedirectory.New(zonedirectory.Config{
+		Self:            self,
+		Site:            h.cfg.Site,
+		Seeds:           h.cfg.Seeds,
+		ExpectedMembers: h.cfg.ExpectedMembers,
+		RandomSeed:      h.cfg.RandomSeed,
+		RateDivisor:     &membership.RateDivisor{},
+		Rank:            h.cfg.Rank,
+	}, h.loop.Now())
 	return zones{
-		directory:    zonedirectory.New(cfg, h.loop.Now()),
-		own:          h.cfg.Site.ID(),
+		directory:    directory,
+		own:          own,
 		loggedStates: map[zonedirectory.ID]zonedirectory.Reachability{},
 	}
 }
 
-// Zones are all zones that are known, this member's first; none in a fleet without zones.
+// Zones lists all zones that are known, this member's first; none in a fleet without zones.
 func (h *Host) Zones() []zonedirectory.View {
 	if !h.zones.enabled() {
 		return nil
@@ -57,7 +68,7 @@
 	return h.zones.directory.Views()
 }
 
-// Records are all records by their names; none in a fleet without zones.
+// Records lists all records by their names; none in a fleet without zones.
 func (h *Host) Records() []zonedirectory.Record {
 	if !h.zones.enabled() {
 		return nil
@@ -65,7 +76,8 @@
 	return h.zones.directory.Records()
 }
 
-// Publish begins to spread a new value of a record to all members. Errors are ErrNoZones and those of package zone.
+// Publish begins to spread a new value of a record to all members. Errors are ErrNoZones and those of
+// zonedirectory.Directory.Publish.
 func (h *Host) Publish(name, value string) (zonedirectory.Record, error) {
 	if !h.zones.enabled() {
 		return zonedirectory.Record{}, ErrNoZones
@@ -73,93 +85,104 @@
 	return h.zones.directory.Publish(h.loop.Now(), name, value)
 }
 
-// tickZones does what is due between zones.
-func (h *Host) tickZones(now eventloop.Micros) {
+// tickZones runs what is due between zones.
+func (h *Host) tickZones(now monotime.Micros) {
 	if !h.zones.enabled() {
 		return
 	}
 	h.dispatchDirectory(h.zones.directory.Tick(now, h.localView(now)))
-	if met := h.zones.directory.Introductions(now); len(met) > 0 {
-		h.dispatch(h.fleet.SyncWith(met))
+	if unlisted := h.zones.directory.Introductions(now); len(unlisted) > 0 {
+		h.dispatch(h.fleet.SyncWith(unlisted))
 	}
 	if now >= h.zones.nextLogAt {
 		h.zones.nextLogAt = now + zoneLogInterval
-		h.logZoneChanges(now)
+		h.logZoneChanges()
 	}
 }
 
-// localView is what the directory is to be told of the own zone; nil where nothing has changed. Members are listed
-// anew only with a new revision of the view.
-func (h *Host) localView(now eventloop.Micros) *zonedirectory.LocalZone {
-	revision, doubts, l := h.fleet.Revision(), h.fleet.Unhealthy(now), &h.zones.local
-	if h.zones.localSent && revision == l.Revision && doubts == l.Unhealthy {
+// localView is the view of the own zone for the directory; nil where nothing has changed. Members are listed only
+// with a new revision of the view.
+func (h *Host) localView(now monotime.Micros) *zonedirectory.LocalZone {
+	local := &h.zones.local
+	revision, unhealthy := h.fleet.Revision(), h.fleet.Unhealthy(now)
+	newRevision := !h.zones.localSent || revision != local.Revision
+	if !newRevision && unhealthy == local.Unhealthy {
 		return nil
 	}
-	if !h.zones.localSent || revision != l.Revision {
-		alive := h.fleet.Alive()
-		l.Members = make([]zonedirectory.Member, len(alive))
-		for i, m := range alive {
-			l.Members[i] = zonedirectory.Member{ID: zonedirectory.MemberID(m.ID), Addr: m.Addr}
-			h.noteInstance(m)
-		}
+	if newRevision {
+		local.Members = h.localMembers()
 	}
-	l.Revision, l.Unhealthy, l.Leaving = revision, doubts, h.fleet.Leaving()
-	l.Live, l.Known, l.Dead, l.Position = h.fleet.Live(), h.fleet.Known(), h.fleet.Dead(), h.positionInZone()
+	local.Revision = revision
+	local.Unhealthy = unhealthy
+	local.Leaving = h.fleet.Leaving()
+	local.Live = h.fleet.Live()
+	local.Known = h.fleet.Known()
+	local.Dead = h.fleet.Dead()
+	local.Position = h.positionInZone()
 	h.zones.localSent = true
-	return l
+	return local
+}
+
+func (h *Host) localMembers() []zonedirectory.Member {
+	alive := h.fleet.Alive()
+	members := make([]zonedirectory.Member, len(alive))
+	for i, m := range alive {
+		members[i] = zonedirectory.Member{ID: zonedirectory.MemberID(m.ID), Addr: m.Addr}
+		h.noteInstance(m)
+	}
+	return members
 }
 
-// noteInstance notes which process of a member there is by what others say, where it has not said so itself: items go
-// to members that this one has never heard, and would be lost the first time.
+// noteInstance takes a member's instance from the view where it has sent nothing itself: items go to members that
+// this one has never received, and would be lost the first time.
 func (h *Host) noteInstance(m membership.Self) {
 	if m.ID != h.self.ID && h.instances[m.ID] == 0 {
 		h.instances[m.ID] = m.Instance
 	}
 }
 
-// deliverToDirectory has the directory take a datagram: its message, or what any tells of its sender's zone.
+// deliverToDirectory hands a message between directories on, or what any other datagram says of its sender's zone.
 func (h *Host) deliverToDirectory(from netip.AddrPort, d *packet.Datagram) {
-	switch {
-	case !h.zones.enabled():
-	case d.Directory != nil:
-		h.dispatchDirectory(h.zones.directory.Receive(h.loop.Now(), from, *d.Directory))
-	default:
-		h.dispatchDirectory(
-			h.zones.directory.ObserveDatagram(
-				h.loop.Now(),
-				from,
-				zonedirectory.MemberID(d.From()),
-				d.Zone,
-				d.DirectoryDigest,
-			),
-		)
+	if !h.zones.enabled() {
+		return
+	}
+	now := h.loop.Now()
+	if d.Directory != nil {
+		h.dispatchDirectory(h.zones.directory.Receive(now, from, *d.Directory))
+		return
 	}
+	id := zonedirectory.MemberID(d.From())
+	h.dispatchDirectory(h.zones.directory.ObserveDatagram(now, from, id, d.Zone, d.DirectoryDigest))
 }
 
-// dispatchDirectory sends what the directory says.
+// dispatchDirectory sends the messages of the directory.
 func (h *Host) dispatchDirectory(out []zonedirectory.Outgoing) {
 	for i := range out {
-		to, id := h.resolve(out[i].To, membership.ID(out[i].Receiver))
-		h.plaintext = packet.EncodeDirectory(h.plaintext[:0], h.nextEnvelope(h.instances[id]), &out[i].Message)
+		to, receiver := h.resolve(out[i].To, membership.ID(out[i].Receiver))
+		envelope := h.nextEnvelope(h.instances[receiver])
+		h.plaintext = packet.EncodeDirectory(h.plaintext[:0], envelope, &out[i].Message)
 		h.sendSealed(to)
 	}
 }
 
-// logZoneChanges logs each zone that is there for the first time, or in another state.
-func (h *Host) logZoneChanges(now eventloop.Micros) {
-	if len(h.zones.loggedStates) > 2*zonedirectory.MaxZones {
-		clear(h.zones.loggedStates) // of zones that are long forgotten
+// logZoneChanges logs each zone that is new or has another state.
+func (h *Host) logZoneChanges() {
+	if len(h.zones.loggedStates) > maxLoggedStates {
+		clear(h.zones.loggedStates) // of zones that were forgotten long ago
 	}
 	for _, v := range h.zones.directory.Views() {
 		id := v.Site.ID()
-		was := h.zones.loggedStates[id]
-		if was == v.State {
+		before := h.zones.loggedStates[id]
+		if before == v.State {
 			continue
 		}
 		h.zones.loggedStates[id] = v.State
 		h.log.WithFields(logrus.Fields{
-			logging.Region: v.Site.Region, logging.Zone: v.Site.Zone, logging.State: v.State.String(),
-			logging.PreviousState: was.String(), logging.LiveMembers: v.Live,
+			logging.Region:        v.Site.Region,
+			logging.Zone:          v.Site.Zone,
+			logging.State:         v.State.String(),
+			logging.PreviousState: before.String(),
+			logging.LiveMembers:   v.Live,
 		}).Info("a zone has changed")
 	}
 }
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net/netip"
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
@@ -14,24 +15,29 @@
 	west = zonedirectory.Site{Region: "west", Zone: "west-1"}
 )
 
-// inZone starts a member that stands somewhere.
-func (s *stage) inZone(name string, site zonedirectory.Site, seeds ...netip.AddrPort) *Host {
+// inZone starts a member of a zone.
+func (s *harness) inZone(name string, site zonedirectory.Site, seeds ...netip.AddrPort) *Host {
 	s.t.Helper()
 	return s.start(s.config(name, site, seeds...))
 }
 
-func (s *stage) config(name string, site zonedirectory.Site, seeds ...netip.AddrPort) Config {
+func (s *harness) config(name string, site zonedirectory.Site, seeds ...netip.AddrPort) Config {
 	s.t.Helper()
 	return Config{
-		Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Keyring: ring(s.t, 1), RandomSeed: uint64(len(name)), Site: site,
+		Name:            name,
+		Listen:          netip.MustParseAddrPort("127.0.0.1:0"),
+		Seeds:           seeds,
+		Keyring:         newKeyring(s.t, 1),
+		RandomSeed:      uint64(len(name)),
+		Site:            site,
 		ExpectedMembers: 4,
 	}
 }
 
-// A member with zones and one without are of two versions: each counts what it hears of the other, and takes none
-// of it.
+// A member with zones and one without have two versions of the encoding: each counts the datagrams of the other, and
+// receives none of them.
 func TestOtherVersion(t *testing.T) {
-	s := newStage(t)
+	s := newHarness(t)
 	flat := s.host("flat", 1)
 	zoned := s.inZone("zoned", east, flat.Addr())
 	s.do(func() { flat.SetSeeds([]netip.AddrPort{zoned.Addr()}) })
@@ -40,7 +46,7 @@
 		func() bool { return flat.Counts().OtherVersion > 1 && zoned.Counts().OtherVersion > 1 },
 	)
 	s.do(func() {
-		if f, z := flat.Counts(), zoned.Counts(); f.Taken+f.Malformed+z.Taken+z.Malformed != 0 ||
+		if f, z := flat.Counts(), zoned.Counts(); f.Received+f.Malformed+z.Received+z.Malformed != 0 ||
 			len(flat.View()) != 1 ||
 			len(zoned.View()) != 1 {
 			t.Errorf("%+v, %+v", f, z)
@@ -48,17 +54,17 @@
 	})
 }
 
-// Before it has found anybody, a member with zones takes its part of the fleet that the settings expect; one
-// without zones all.
-func TestBeforeAnybodyIsFound(t *testing.T) {
-	s := newStage(t)
+// Before it has found another member, one with zones divides rates by the fleet that the settings expect, and one
+// without zones by 1.
+func TestDivisorBeforeJoining(t *testing.T) {
+	s := newHarness(t)
 	for _, c := range []struct {
 		site zonedirectory.Site
 		want int
 	}{{east, 4}, {zonedirectory.Site{}, 1}} {
 		var first int
 		cfg := s.config("a", c.site)
-		cfg.OnTick = func(members, place int) {
+		cfg.OnTick = func(members, _ int) {
 			if first == 0 {
 				first = members
 			}
@@ -72,7 +78,7 @@
 	}
 }
 
-// zoneOf is what a member sees of a zone, nil where it knows of none.
+// zoneOf is what a member sees of a zone, nil where it doesn't know it.
 func zoneOf(h *Host, site zonedirectory.Site) *zonedirectory.View {
 	for _, v := range h.Zones() {
 		if v.Site == site {
@@ -83,7 +89,7 @@
 }
 
 // pairs starts two members in each of two zones, all of them with one seed, a member in the other zone than most.
-func (s *stage) pairs() (all []*Host) {
+func (s *harness) pairs() (all []*Host) {
 	s.t.Helper()
 	first := s.inZone("e0", east)
 	all = append(all, first)
@@ -97,7 +103,7 @@
 	return all
 }
 
-// allKnow tells whether each has so many members in its view, and counts so many in all zones, which it reaches.
+// allKnow reports whether each has so many members in its view and reaches both zones, with so many in all.
 func allKnow(all []*Host, view, live int) bool {
 	for _, h := range all {
 		e, w := zoneOf(h, east), zoneOf(h, west)
@@ -109,13 +115,13 @@
 	return true
 }
 
-// Two zones of two members find each other from one seed, which for one zone is in the other; views end at the
-// zone, and places in the fleet are each taken once. A record that is published in one zone is read in the other,
-// and the newest stands. A zone whose members leave says so, and they count no more.
+// Two zones of two members find each other by one seed, which for one zone is in the other. Views end at the zone,
+// and each position in the fleet is taken once. A record that is published in one zone is read in the other, and the
+// newest is kept. A zone whose members leave announces it, and they no longer count.
 func TestTwoZones(t *testing.T) {
-	s := newStage(t)
+	s := newHarness(t)
 	all := s.pairs()
-	s.await("each place is taken once", func() bool {
+	s.await("each position is taken once", func() bool {
 		var taken [4]bool
 		for _, h := range all {
 			taken[min(h.Position(), 3)] = true
@@ -164,28 +170,28 @@
 	})
 }
 
-// The directory is told of the own zone where something has changed, and only then; members that were never heard
-// are then known by what others say of them.
+// The directory receives the view of the own zone where something has changed, and only then. The instances of
+// members that were never received are then known from the view.
 func TestLocalViewFollowsChanges(t *testing.T) {
-	s := newStage(t)
+	s := newHarness(t)
 	all := s.pairs()
 	s.do(func() {
 		h, other := all[0], all[1].self
-		if h.localView(s.l.Now()); h.localView(s.l.Now()) != nil {
-			t.Error("nothing has changed, and the view is told again")
+		if h.localView(s.loop.Now()); h.localView(s.loop.Now()) != nil {
+			t.Error("nothing has changed, and the view is handed on again")
 		}
 		delete(h.instances, other.ID)
 		h.zones.localSent = false
-		l := h.localView(s.l.Now())
+		l := h.localView(s.loop.Now())
 		if l == nil || len(l.Members) != 2 || l.Live != 2 || h.instances[other.ID] != other.Instance {
 			t.Errorf("%+v, instance %d of %d", l, h.instances[other.ID], other.Instance)
 		}
 	})
 }
 
-// Two members of one zone, each of whose only seed stands in another zone, find each other through it.
-func TestMeetThroughAnotherZone(t *testing.T) {
-	s := newStage(t)
+// Two members of one zone, whose only seed is in another zone, find each other through it.
+func TestJoinThroughAnotherZone(t *testing.T) {
+	s := newHarness(t)
 	w := s.inZone("w0", west)
 	a, b := s.inZone("e0", east, w.Addr()), s.inZone("e1", east, w.Addr())
 	s.await(
@@ -201,7 +207,7 @@
 
 // A member without zones has none of what belongs to them.
 func TestWithoutZones(t *testing.T) {
-	s := newStage(t)
+	s := newHarness(t)
 	a := s.host("a", 1)
 	b := s.host("b", 1, a.Addr())
 	s.await(
@@ -210,7 +216,7 @@
 	)
 	s.await("rates are divided by both", func() bool { return a.RateDivisor() == 2 })
 	s.do(func() {
-		if _, err := a.Publish("limits", "one"); err != ErrNoZones {
+		if _, err := a.Publish("limits", "one"); !errors.Is(err, ErrNoZones) {
 			t.Error(err)
 		}
 		if a.Zones() != nil || a.Records() != nil || a.Live() != 2 || a.Known() != 2 ||
@@ -220,33 +226,34 @@
 	})
 }
 
-// What directories have sent and comes again is counted, and changes nothing; so is what was made for a process before.
+// Replayed datagrams of directories are counted, and change nothing.
 func TestDirectoryReplays(t *testing.T) {
-	s := newStage(t)
+	s := newHarness(t)
 	type datagram struct {
 		from netip.AddrPort
 		b    []byte
 	}
 	var kept []datagram
-	var again func(from netip.AddrPort, b []byte)
+	var replay func(from netip.AddrPort, b []byte)
 	cfg := s.config("e0", east)
-	cfg.OpenSocket = func(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (Socket, error) {
-		if again != nil {
-			return s.l.ListenDatagrams(addr, take) // at which it looks for a process before
+	cfg.OpenSocket = func(addr netip.AddrPort, receive func(netip.AddrPort, []byte)) (Socket, error) {
+		if replay != nil {
+			return s.loop.ListenDatagrams(addr, receive) // by which it looks for an earlier process
 		}
-		again = take
-		return s.l.ListenDatagrams(addr, func(from netip.AddrPort, b []byte) {
+		replay = receive
+		return s.loop.ListenDatagrams(addr, func(from netip.AddrPort, b []byte) {
 			kept = append(kept, datagram{from, bytes.Clone(b)})
-			take(from, b)
+			receive(from, b)
 		})
 	}
 	a := s.start(cfg)
 	b := s.inZone("w0", west, a.Addr())
-	open := ring(t, 1)
-	// ofDirectory picks what came between directories, for this very process.
-	ofDirectory := func() (out []datagram) {
+	keyring := newKeyring(t, 1)
+	// ofDirectory picks the datagrams between directories that are for this process.
+	ofDirectory := func() []datagram {
+		var out []datagram
 		for _, one := range kept {
-			if plain, err := open.Open(one.b); err == nil {
+			if plain, err := keyring.Open(one.b); err == nil {
 				if d, err := packet.Decode(plain); err == nil && d.Directory != nil &&
 					d.ReceiverInstance == a.self.Instance {
 					out = append(out, one)
@@ -256,15 +263,15 @@
 		return out
 	}
 	s.await(
-		"directories have spoken",
+		"directories have exchanged messages",
 		func() bool { return len(ofDirectory()) >= 3 && zoneOf(a, west) != nil && zoneOf(b, east) != nil },
 	)
 	s.do(func() {
 		before, sent := a.Counts(), ofDirectory()
 		for _, one := range sent {
-			again(one.from, one.b)
+			replay(one.from, one.b)
 		}
-		if now := a.Counts(); now.Taken != before.Taken || now.Replayed != before.Replayed+int64(len(sent)) ||
+		if now := a.Counts(); now.Received != before.Received || now.Replayed != before.Replayed+int64(len(sent)) ||
 			now.Sent != before.Sent {
 			t.Errorf("%d sent again: %+v, before %+v", len(sent), now, before)
 		}
