--- a/cmd/spurspread-lab/main.go
+++ b/cmd/spurspread-lab/main.go
@@ -129,8 +129,8 @@
 
 // Help is shown below the command's own line.
 func (runCmd) Help() string {
-	return `Plays the experiment once, on loopback, with balancers as processes of their own, and prints a table of its bounds
-and figures. The bounds hold for any seed.
+	return "Plays the experiment once, on loopback, with balancers as processes of their own, and prints a " +
+		"table of its bounds\n" + `and figures. The bounds hold for any seed.
 
 Example:
   spurspread-lab run token-drain --seed 7 --out /tmp/token-drain`
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.scaleFlags.give(e, c.Name, c.Plant); err != nil {
+	if err := c.give(e, c.Name, c.Plant); err != nil {
 		return err
 	}
 	program, err := program(c.Spurspread)
@@ -161,7 +161,7 @@
 	for i := range all {
 		o := o // each run has its own
 		o.Seed = c.Seed + uint64(i)
-		o.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, o.Seed, c.scaleFlags.given())
+		o.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, o.Seed, c.given())
 		group.Go(func() (err error) {
 			all[i], err = e.Run(ctx, o)
 			return err
@@ -207,8 +207,8 @@
 
 // Help is shown below the command's own line.
 func (virtualCmd) Help() string {
-	return `Plays the deciders of many members in virtual time: the same seed brings the same events, and the same hash of them. Each play
-that breaks a bound is told with the command that plays it again.
+	return "Plays the deciders of many members in virtual time: the same seed brings the same events, and the " +
+		"same hash of them. Each play\n" + `that breaks a bound is told with the command that plays it again.
 
 Examples:
   spurspread-lab virtual loss --members 24 --seed 4 --log
@@ -240,21 +240,8 @@
 	var all []*scenario.Result
 	broken := 0
 	for _, script := range scripts {
-		got := make([]*scenario.Result, max(c.Repeat, 1))
-		var group errgroup.Group
-		group.SetLimit(max(c.Jobs, 1))
-		for i := range got {
-			seed := c.Seed + uint64(i)
-			n := c.Members
-			if n == 0 {
-				n = []int{3, 5, 8, 16, 24}[seed%5]
-			}
-			group.Go(func() (err error) {
-				got[i], err = simulation.Play(script, n, seed, build, log)
-				return err
-			})
-		}
-		if err := group.Wait(); err != nil {
+		got, err := c.repeat(script, build, log)
+		if err != nil {
 			return err
 		}
 		for _, r := range got {
@@ -288,6 +275,28 @@
 	return nil
 }
 
+// repeat plays one script with as many seeds as were asked for, several at once.
+func (c *virtualCmd) repeat(
+	script string, build func(w *simulation.Cluster, i, start int) simulation.Detector, log func(string, ...any),
+) ([]*scenario.Result, error) {
+	got := make([]*scenario.Result, max(c.Repeat, 1))
+	var group errgroup.Group
+	group.SetLimit(max(c.Jobs, 1))
+	for i := range got {
+		seed := c.Seed + uint64(i)
+		members := c.Members
+		if members == 0 {
+			sizes := []int{3, 5, 8, 16, 24}
+			members = sizes[seed%uint64(len(sizes))]
+		}
+		group.Go(func() (err error) {
+			got[i], err = simulation.Play(script, members, seed, build, log)
+			return err
+		})
+	}
+	return got, group.Wait()
+}
+
 // summary is a line on all plays of a script.
 func summary(script string, all []*scenario.Result) string {
 	var bytes, seen []float64
@@ -295,7 +304,8 @@
 		bytes, seen = append(bytes, r.BytesPerS), append(seen, r.SeenAt(0.99).Seconds())
 	}
 	return fmt.Sprintf(
-		"%-10s %d plays; bytes a second and member %.0f, at most %.0f; crashes seen (p99 of a play) after %.2f s, at most %.2f s; hash of the first %s",
+		"%-10s %d plays; bytes a second and member %.0f, at most %.0f; crashes seen (p99 of a play) after %.2f s, "+
+			"at most %.2f s; hash of the first %s",
 		script,
 		len(all),
 		report.Quantile(bytes, 0.5),
@@ -360,7 +370,9 @@
 		var got [2]loadgen.Sample
 		for k := range 2 {
 			which := (i + k) % 2
-			if got[which], err = loadgen.Measure([]string{old, program}[which], c.Conns, c.Span, channels && which == 1); err != nil {
+			if got[which], err = loadgen.Measure(
+				[]string{old, program}[which], c.Conns, c.Span, channels && which == 1,
+			); err != nil {
 				return err
 			}
 		}
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -44,7 +44,10 @@
 	text, err := os.ReadFile(config)
 	check(t, err)
 	var pairs []string
-	for i, now := range []string{in.at, list.Listener.Addr().String(), nodes[0].Addr().String(), nodes[1].Addr().String()} {
+	for i, now := range []string{
+		in.at, list.Listener.Addr().String(), nodes[0].Addr().String(),
+		nodes[1].Addr().String(),
+	} {
 		if was := "127.0.0.1:" + ports[i]; strings.Contains(string(text), was) {
 			pairs = append(pairs, was, now)
 		} else {
@@ -131,7 +134,8 @@
 // drains is left, and where loads are told a server that has much to do is left alone.
 func TestBothInstallations(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurspread")
-	if out, err := exec.Command("go", "build", "-o", program, "spurspread/cmd/spurspread").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	asked := install(t, program, "../config.json", false, [4]string{"8081", "8500", "9001", "9002"})
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -125,7 +125,8 @@
 func TestAgainstIndependentParty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, s := rapid.Uint32(), rapid.SliceOfN(rapid.Byte(), 0, 300)
-		for _, p := range pairs(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"), s.Draw(t, "s"), s.Draw(t, "t"), rapid.Bool().Draw(t, "yes")) {
+		for _, p := range pairs(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"), s.Draw(t, "s"), s.Draw(t, "t"),
+			rapid.Bool().Draw(t, "yes")) {
 			packet := Append(nil, &p.ours)
 			payload, size, err := SplitPacket(packet)
 			if err != nil || size != len(packet) || size%8 != 0 || size < 16 || packet[4] < 4 {
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -32,8 +32,8 @@
 	ErrLong   = errors.New("message has bytes behind its end")
 )
 
-// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end has not come. Both CR
-// LF and a lone LF end it, as RFC 4253 asks.
+// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end has not
+// come. Both CR LF and a lone LF end it, as RFC 4253 asks.
 func SplitIdentification(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxIdent)], '\n')
 	if end < 0 {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,9 @@
-// Package loop runs everything on one goroutine: an edge-triggered epoll loop over numbered slots, one heap of all
-// deadlines, stream sockets with gathered writes, and packets with descriptors beside them between processes of one
-// user. It knows no protocol.
+// Package eventloop runs a process's network I/O on one goroutine: an edge-triggered epoll loop over numbered slots,
+// one heap of all deadlines, stream sockets with gathered writes, datagrams, and packets that carry descriptors between
+// processes of one user.
+//
+// Everything but Loop.Post is called on the loop's goroutine only, and nothing blocks. Owners (Owner, PacketOwner) are
+// called from Loop.Run, one at a time. The package knows no protocol and decides nothing.
 package eventloop
 
 import (
--- a/internal/eventloop/slots.go
+++ b/internal/eventloop/slots.go
@@ -34,11 +34,13 @@
 	// A few free slots are kept resting, or a lone busy one would run through its generations.
 	const resting = 64
 	i := len(t.cells)
-	if len(t.free) > resting || i == maxSlots && len(t.free) > 0 {
-		i, t.free = t.free[0], t.free[1:]
-	} else if i == maxSlots {
+	switch {
+	case len(t.free) > resting || i == maxSlots && len(t.free) > 0:
+		i = t.free[0]
+		t.free = t.free[1:]
+	case i == maxSlots:
 		return 0
-	} else {
+	default:
 		t.cells = append(t.cells, slot[T]{})
 	}
 	c := &t.cells[i]
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -1,5 +1,5 @@
-// Package line reads the lines that clients and servers speak, in place: what it returns points into the caller's
-// buffer. It knows no sockets and decides nothing.
+// Package lineproto is the codec of the line protocol between clients, balancer and servers. It parses in place: what
+// it returns points into the caller's buffer. It knows no sockets, keeps no state but Scanner's, and decides nothing.
 package lineproto
 
 import (
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -47,7 +47,8 @@
 func TestParseOpen(t *testing.T) {
 	const text = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59,again=1,r=1,at=s-1,h=2.5,x=y"
 	o, err := ParseOpen([]byte(text))
-	if err != nil || o.ID != 0x9b1f03aa5c7e2d41 || o.Key != 0x7f3a9c21e0b4d655 || o.Group != 0x5c0f6e1a2b3d4c59 || string(o.Class) != "chat" ||
+	if err != nil || o.ID != 0x9b1f03aa5c7e2d41 || o.Key != 0x7f3a9c21e0b4d655 || o.Group != 0x5c0f6e1a2b3d4c59 ||
+		string(o.Class) != "chat" ||
 		o.Millis != 2000 || text[o.DFrom:o.DTo] != "2000" || !o.Retry || !o.Returned ||
 		string(o.At) != "s-1" ||
 		o.Hint != 2.5 ||
@@ -58,9 +59,12 @@
 		t.Errorf("a key that is a word: %+v, %v", o, err)
 	}
 	for _, bad := range []string{
-		"OPEN", "OPEN a", "OPEN a b", "OPEN a b ", "OPEN  b c=x", "OPEN a b c", "OPEN a b c=x,", "OPEN a b =x", "OPEN a b d=5",
-		"OPEN a b c=x,d=", "OPEN a b c=x,d=-1", "OPEN a b c=x,d=1.5", "OPEN a b c=x,d=99999999999", "OPEN a b c=x,d=1,d=2",
-		"OPEN a b c=x d=1", "OPEN a b c=\x01", "OPEN a b c=x", "OPEN a b c=x,c=y,d=1", "OPEN a b c=x,d=+1", "OPEN a\x01 b c=x,d=1",
+		"OPEN", "OPEN a", "OPEN a b", "OPEN a b ", "OPEN  b c=x", "OPEN a b c", "OPEN a b c=x,", "OPEN a b =x",
+		"OPEN a b d=5",
+		"OPEN a b c=x,d=", "OPEN a b c=x,d=-1", "OPEN a b c=x,d=1.5", "OPEN a b c=x,d=99999999999",
+		"OPEN a b c=x,d=1,d=2",
+		"OPEN a b c=x d=1", "OPEN a b c=\x01", "OPEN a b c=x", "OPEN a b c=x,c=y,d=1", "OPEN a b c=x,d=+1",
+		"OPEN a\x01 b c=x,d=1",
 		"OPEN " + strings.Repeat("a", 65) + " b c=x,d=1", "OPEN a b c=x,d=1,h=NaN", "OPEN a b c=x,h=z", "OPEN a b c=",
 	} {
 		if _, err := ParseOpen([]byte(bad)); !errors.Is(err, ErrMalformed) {
@@ -71,8 +75,10 @@
 
 func TestServer(t *testing.T) {
 	for in, want := range map[string]ServerVerb{
-		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Goaway, "MOVE": Move, "ERR": Err, "BUSY 20": Busy, "BUSY": Busy, "PONG": Pong,
-		"LOAD 12.5": Load, "LOAD": Other, "LOAD x": Other, "LOAD NaN": Other, "LOAD +Inf": Other, "SYNTAX": Other, "": Other,
+		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Goaway, "MOVE": Move, "ERR": Err, "BUSY 20": Busy,
+		"BUSY": Busy, "PONG": Pong,
+		"LOAD 12.5": Load, "LOAD": Other, "LOAD x": Other, "LOAD NaN": Other, "LOAD +Inf": Other, "SYNTAX": Other,
+		"": Other,
 	} {
 		if got, v := ParseServerLine([]byte(in)); got != want || (got == Load) != (v == 12.5) {
 			t.Errorf("%q: %d, %v", in, got, v)
@@ -105,8 +111,10 @@
 // Whatever a first line holds, what is read from it lies within it.
 func FuzzParseOpen(f *testing.F) {
 	for _, s := range []string{
-		"OPEN 9b1f 7f3a c=sync,d=2000,g=5c", "OPEN 9b1f 7f3a c=sync,d=2000,tok=ask", "OPEN 1 2 c=x,d=1,cur=18446744073709551615,tok=AQ__",
-		"OPEN 1 2 c=x,d=1,d=2", "OPEN 1 2 c=x,d=99999999999", "OPEN 1 2 d=1,c=x,at=s-1,owner=o,h=1e400,again=1,r=1", "OPEN  2 c=x,d=1", "OPEN 1 2 c=x,,d=1",
+		"OPEN 9b1f 7f3a c=sync,d=2000,g=5c", "OPEN 9b1f 7f3a c=sync,d=2000,tok=ask",
+		"OPEN 1 2 c=x,d=1,cur=18446744073709551615,tok=AQ__",
+		"OPEN 1 2 c=x,d=1,d=2", "OPEN 1 2 c=x,d=99999999999", "OPEN 1 2 d=1,c=x,at=s-1,owner=o,h=1e400,again=1,r=1",
+		"OPEN  2 c=x,d=1", "OPEN 1 2 c=x,,d=1",
 	} {
 		f.Add([]byte(s))
 	}
@@ -127,7 +135,10 @@
 
 // A server's line is one thing, whatever it holds.
 func FuzzServer(f *testing.F) {
-	for _, s := range []string{"UP r1 from=41", "UP", "UP from=1", "STALE gone", "LOAD 1e9", "LOAD -1", "#17 x", "#017 x", "#", "MOVE", "BUSY 300"} {
+	for _, s := range []string{
+		"UP r1 from=41", "UP", "UP from=1", "STALE gone", "LOAD 1e9", "LOAD -1", "#17 x",
+		"#017 x", "#", "MOVE", "BUSY 300",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -44,7 +44,6 @@
 	ready   bool
 	alive   int
 	bar     string // Admit's answer
-	accept  func(ch *Channel, data []byte) ChannelOwner
 	streams []*stream
 }
 
@@ -175,12 +174,12 @@
 	flow(t, client, server)
 	b.write([]byte("OK\r\n"))
 	flow(t, client, server)
-	if string(b.got) != "T 1\r\n" || b.end != io.EOF || string(a.got) != "OK\r\n" || a.end != nil {
+	if string(b.got) != "T 1\r\n" || !errors.Is(b.end, io.EOF) || string(a.got) != "OK\r\n" || a.end != nil {
 		t.Fatalf("%q %v, %q %v", b.got, b.end, a.got, a.end)
 	}
 	b.ch.End(channel.Move, channel.AppendString(nil, []byte("T")))
 	flow(t, client, server)
-	if a.end != io.EOF || len(a.requests) != 1 || client.c.Len()+server.c.Len() != 0 {
+	if !errors.Is(a.end, io.EOF) || len(a.requests) != 1 || client.c.Len()+server.c.Len() != 0 {
 		t.Fatalf("%v, %q, %d left", a.end, a.requests, client.c.Len()+server.c.Len())
 	}
 	// A refusal, a close without an end, and one before the answer.
@@ -193,8 +192,8 @@
 	flow(t, client, server)
 	server.streams[2].ch.Reset()
 	flow(t, client, server)
-	if r.refused != "4 BUSY 70" || d.end == nil || d.end == io.EOF || server.streams[3].end == nil ||
-		server.streams[3].end == io.EOF {
+	if r.refused != "4 BUSY 70" || d.end == nil || errors.Is(d.end, io.EOF) || server.streams[3].end == nil ||
+		errors.Is(server.streams[3].end, io.EOF) {
 		t.Errorf("%q, %v, %v", r.refused, d.end, server.streams[3].end)
 	}
 	client.c.Ping()
@@ -219,7 +218,7 @@
 			Data:      channel.AppendString(nil, []byte("OPEN")),
 		},
 	)
-	const num = 1<<20 | 0 // the first channel's
+	const num = 1 << 20 // the first channel's
 	on := func(m channel.Message) []byte { m.Channel = num; return msg(m) }
 	type say = [][]byte
 	for what, c := range map[string]struct {
@@ -228,29 +227,77 @@
 	}{
 		"all well":                   {say{service, open}, ""},
 		"an open before the service": {say{open}, "message 90 before the service was asked for"},
-		"another service":            {say{msg(channel.Message{Type: channel.ServiceRequest, Name: name("ssh-userauth")})}, "the only service is ssh-connection"},
-		"an accept":                  {say{msg(channel.Message{Type: channel.ServiceAccept, Name: name(channel.Service)})}, "SERVICE_ACCEPT that nobody asked for"},
-		"a length of 0":              {say{service, {0, 0, 0, 0, 4, 0, 0, 0}}, "packet length is not one that may be"},
-		"a length of 1":              {say{service, {0, 0, 0, 1, 4, 0, 0, 0}}, "packet length is not one that may be"},
-		"a length of 2^31":           {say{service, {0x80, 0, 0, 0, 4}}, "packet length is not one that may be"},
-		"padding":                    {say{service, {0, 0, 0, 12, 200, 0, 0, 0}}, "padding is wrong"},
-		"a plain line":               {say{service, []byte("OPEN 1 2 c=x,d=1\r\n")}, "packet length is not one that may be"},
-		"a message that is cut off":  {say{service, packet(90, 0, 0, 0, 200)}, "message is cut off"},
-		"a message with more":        {say{service, packet(96, 0, 0, 0, 1, 9)}, "message has bytes behind its end"},
-		"an unknown message":         {say{service, packet(20, 1, 2, 3), packet(200)}, ""},
-		"a channel that is not":      {say{service, msg(channel.Message{Type: channel.EOF, Channel: 5})}, "message 96 for channel 5, which there is not"},
-		"a channel not open yet":     {say{service, open, on(channel.Message{Type: channel.Data, Data: name("x")})}, "which is not open"},
-		"a confirmation":             {say{service, open, on(channel.Message{Type: channel.OpenConfirm})}, "which was not asked for"},
-		"a reply":                    {say{service, msg(channel.Message{Type: channel.RequestSuccess})}, "a reply that nobody asked for"},
-		"goodbye":                    {say{service, msg(channel.Message{Type: channel.Disconnect, Code: 11})}, "peer has disconnected"},
-		"window overrun":             {say{service, open, nil, on(channel.Message{Type: channel.Data, Data: make([]byte, 201)})}, "sends 201 bytes with a window of 200"},
-		"window used":                {say{service, open, nil, on(channel.Message{Type: channel.Data, Data: make([]byte, 200)})}, ""},
-		"window overflow":            {say{service, open, nil, on(channel.Message{Type: channel.WindowAdjust, Window: 1<<32 - 1})}, "overflows"},
-		"data after EOF":             {say{service, open, nil, on(channel.Message{Type: channel.EOF}), on(channel.Message{Type: channel.Data, Data: name("x")})}, "data after EOF"},
-		"EOF twice":                  {say{service, open, nil, on(channel.Message{Type: channel.EOF}), on(channel.Message{Type: channel.EOF})}, "EOF twice"},
-		"data after CLOSE":           {say{service, open, nil, on(channel.Message{Type: channel.Close}), on(channel.Message{Type: channel.Data, Data: name("x")})}, "which there is not"},
-		"CLOSE twice":                {say{service, open, nil, on(channel.Message{Type: channel.Close}), on(channel.Message{Type: channel.Close})}, "which there is not"},
-		"stderr":                     {say{service, open, nil, on(channel.Message{Type: channel.ExtendedData, Code: 1, Data: name("x")})}, ""},
+		"another service": {say{msg(channel.Message{
+			Type: channel.ServiceRequest,
+			Name: name("ssh-userauth"),
+		})}, "the only service is ssh-connection"},
+		"an accept": {say{msg(channel.Message{
+			Type: channel.ServiceAccept,
+			Name: name(channel.Service),
+		})}, "SERVICE_ACCEPT that nobody asked for"},
+		"a length of 0":    {say{service, {0, 0, 0, 0, 4, 0, 0, 0}}, "packet length is not one that may be"},
+		"a length of 1":    {say{service, {0, 0, 0, 1, 4, 0, 0, 0}}, "packet length is not one that may be"},
+		"a length of 2^31": {say{service, {0x80, 0, 0, 0, 4}}, "packet length is not one that may be"},
+		"padding":          {say{service, {0, 0, 0, 12, 200, 0, 0, 0}}, "padding is wrong"},
+		"a plain line": {
+			say{service, []byte("OPEN 1 2 c=x,d=1\r\n")},
+			"packet length is not one that may be",
+		},
+		"a message that is cut off": {say{service, packet(90, 0, 0, 0, 200)}, "message is cut off"},
+		"a message with more":       {say{service, packet(96, 0, 0, 0, 1, 9)}, "message has bytes behind its end"},
+		"an unknown message":        {say{service, packet(20, 1, 2, 3), packet(200)}, ""},
+		"a channel that is not": {
+			say{service, msg(channel.Message{Type: channel.EOF, Channel: 5})},
+			"message 96 for channel 5, which there is not",
+		},
+		"a channel not open yet": {
+			say{service, open, on(channel.Message{Type: channel.Data, Data: name("x")})},
+			"which is not open",
+		},
+		"a confirmation": {
+			say{service, open, on(channel.Message{Type: channel.OpenConfirm})},
+			"which was not asked for",
+		},
+		"a reply": {
+			say{service, msg(channel.Message{Type: channel.RequestSuccess})},
+			"a reply that nobody asked for",
+		},
+		"goodbye": {
+			say{service, msg(channel.Message{Type: channel.Disconnect, Code: 11})},
+			"peer has disconnected",
+		},
+		"window overrun": {say{
+			service, open, nil,
+			on(channel.Message{Type: channel.Data, Data: make([]byte, 201)}),
+		}, "sends 201 bytes with a window of 200"},
+		"window used": {say{
+			service, open, nil,
+			on(channel.Message{Type: channel.Data, Data: make([]byte, 200)}),
+		}, ""},
+		"window overflow": {say{
+			service, open, nil,
+			on(channel.Message{Type: channel.WindowAdjust, Window: 1<<32 - 1}),
+		}, "overflows"},
+		"data after EOF": {say{
+			service, open, nil, on(channel.Message{Type: channel.EOF}),
+			on(channel.Message{Type: channel.Data, Data: name("x")}),
+		}, "data after EOF"},
+		"EOF twice": {say{
+			service, open, nil, on(channel.Message{Type: channel.EOF}),
+			on(channel.Message{Type: channel.EOF}),
+		}, "EOF twice"},
+		"data after CLOSE": {say{
+			service, open, nil, on(channel.Message{Type: channel.Close}),
+			on(channel.Message{Type: channel.Data, Data: name("x")}),
+		}, "which there is not"},
+		"CLOSE twice": {say{
+			service, open, nil, on(channel.Message{Type: channel.Close}),
+			on(channel.Message{Type: channel.Close}),
+		}, "which there is not"},
+		"stderr": {say{
+			service, open, nil,
+			on(channel.Message{Type: channel.ExtendedData, Code: 1, Data: name("x")}),
+		}, ""},
 	} {
 		e := &end{wire: &pipe{}}
 		e.c = New(
@@ -335,7 +382,10 @@
 	e.streams[0].ch.Confirm([]byte("UP"))
 	const num = 1 << 20
 	for _, name := range []string{channel.Move, "x"} {
-		if err := e.c.Feed(channel.Append(nil, &channel.Message{Type: channel.Request, Channel: num, Name: []byte(name), WantReply: true})); err != nil {
+		if err := e.c.Feed(channel.Append(nil, &channel.Message{
+			Type: channel.Request, Channel: num,
+			Name: []byte(name), WantReply: true,
+		})); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/mux/stream.go
+++ b/internal/mux/stream.go
@@ -169,7 +169,9 @@
 		return
 	}
 	ch.sentClose = true
-	ch.sendBuffer, ch.receiveBuffer, ch.packetData = nil, ch.takeUnread(), nil
+	ch.discardUnread()
+	ch.packetData = nil
+	ch.sendBuffer = nil
 	if ch.conn.stage == finished {
 		return
 	}
@@ -179,10 +181,10 @@
 	}
 }
 
-// takeUnread gives back the promise of what is kept and will not be read.
-func (ch *Channel) takeUnread() []byte {
+// discardUnread drops what was received and will not be read, and returns its bytes to the budget.
+func (ch *Channel) discardUnread() {
 	ch.conn.cfg.Budget.promised -= int64(len(ch.receiveBuffer) + len(ch.packetData))
-	return nil
+	ch.receiveBuffer = nil
 }
 
 // Pending tells how many bytes wait for the peer to take them. Flushed comes once there are none.
@@ -406,7 +408,7 @@
 	ch.sendBuffer = nil
 	ch.drop()
 	if o == nil {
-		ch.receiveBuffer = ch.takeUnread()
+		ch.discardUnread()
 		return
 	}
 	if refused {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -205,13 +205,13 @@
 			return Record{}, fmt.Errorf("list %d of kind %d is neither", rec[2], rec[3])
 		}
 		return Record{
-				Kind:       ListUpdate,
-				ListNumber: rec[2],
-				ListKind:   decision.UpdateKind(rec[3]),
-			}, checkPadding(
-				rec,
-				12,
-			)
+			Kind:       ListUpdate,
+			ListNumber: rec[2],
+			ListKind:   decision.UpdateKind(rec[3]),
+		}, checkPadding(
+			rec,
+			12,
+		)
 	case evNoteFrom:
 		_, err := b.tailBytes(rec[6:])
 		return Record{Kind: Ignored}, errors.Join(err, checkPadding(rec, 14))
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -77,7 +77,7 @@
 				t.Fatal(err)
 			}
 			_, err = Load(path)
-			var faults xmlconfig.Faults
+			var faults xmlconfig.FieldErrors
 			if !errors.As(err, &faults) {
 				t.Fatalf("%v", err)
 			}
@@ -145,7 +145,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		err := xmlconfig.Read("fuzz.xml", text, Document, &Site{})
-		var faults xmlconfig.Faults
+		var faults xmlconfig.FieldErrors
 		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Errorf("%v", err)
 		}
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -31,7 +31,8 @@
 func some() Token {
 	return Token{
 		IssuedAt: 1_800_000_000_000, ExpiresAt: 1_800_000_060_000, Stream: 7, Key: 0x7f3a9c21e0b4d655, Group: 5,
-		Tenant: 9, LastSequence: 41, ServerStarted: 1_799_999_999_999, Class: []byte("index-sync"), Server: []byte("s-5be2a07c"),
+		Tenant: 9, LastSequence: 41, ServerStarted: 1_799_999_999_999, Class: []byte("index-sync"),
+		Server: []byte("s-5be2a07c"),
 	}
 }
 
--- a/internal/xmlconfig/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"strings"
+	"unicode"
 )
 
 // node is one element as it stands in the file.
@@ -129,7 +130,8 @@
 	if len(rest) == 0 {
 		return
 	}
-	skipped := bytes.Count(text[:bytes.Index(text, rest)], []byte("\n"))
+	leading := len(text) - len(bytes.TrimLeftFunc(text, unicode.IsSpace))
+	skipped := bytes.Count(text[:leading], []byte("\n"))
 	where := ""
 	if len(t.open) > 0 {
 		where = t.open[len(t.open)-1].name
--- a/internal/xmlconfig/schema.go
+++ b/internal/xmlconfig/schema.go
@@ -15,7 +15,8 @@
 	t := reflect.TypeOf(of)
 	w.line(`<?xml version="1.0" encoding="UTF-8"?>`)
 	w.open(
-		`<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" xmlns:f=%q targetNamespace=%q elementFormDefault="qualified">`,
+		`<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" xmlns:f=%q targetNamespace=%q `+
+			`elementFormDefault="qualified">`,
 		d.Namespace,
 		d.Namespace,
 	)
--- a/internal/xmlconfig/value.go
+++ b/internal/xmlconfig/value.go
@@ -24,10 +24,10 @@
 
 var errValue = errors.New("not such a value")
 
-// badValue is a value of the right form that can't be used.
-type badValue struct{ what, fix string }
+// valueError is a value of the right form that can't be used.
+type valueError struct{ what, fix string }
 
-func (b badValue) Error() string { return b.what }
+func (b valueError) Error() string { return b.what }
 
 // Name names something within a file or a deployment: letters, digits, dot, dash and underscore, at most 64.
 type Name string
@@ -375,7 +375,7 @@
 			panic("form: bound of " + m.name + ": " + err.Error())
 		}
 		if bound.sign*(size-limit) < 0 {
-			return badValue{fmt.Sprintf("%s is %s %s", text, bound.word, bound.text), "write " + m.span()}
+			return valueError{fmt.Sprintf("%s is %s %s", text, bound.word, bound.text), "write " + m.span()}
 		}
 	}
 	v.Set(got)
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -1,13 +1,13 @@
-// Package form reads the project's own XML files strictly into Go structs and writes the schema (XSD 1.0) of the same
-// structs, so that reader and schema can't drift apart. It knows how a file is written down, and nothing of what any
-// file means.
+// Package xmlconfig reads XML configuration files strictly into Go structs and writes the schema (XSD 1.0) of the same
+// structs, so that reader and schema can't drift apart. It knows the syntax of a file, and nothing of what any file
+// means.
 //
 // A struct is an element. Its fields are attributes or child elements, told apart by the tag xml:
 //
-//	Life  form.Duration `xml:"life,attr" default:"60s" min:"1s" max:"10m" doc:"how long a token lasts"`
+//	Life  xmlconfig.Duration `xml:"life,attr" default:"60s" min:"1s" max:"10m" doc:"how long a token lasts"`
 //	Use   string        `xml:"use,attr" enum:"mint,accept" use:"required"`
-//	ID    form.Name     `xml:"id,attr" use:"required" key:"keys"`   // unique among all keys of the file
-//	By    form.Name     `xml:"by,attr" ref:"keys"`                  // must name one of them
+//	ID    xmlconfig.Name     `xml:"id,attr" use:"required" key:"keys"`   // unique among all keys of the file
+//	By    xmlconfig.Name     `xml:"by,attr" ref:"keys"`                  // must name one of them
 //	Drain Drain         `xml:"drain"`                               // must be there
 //	Trace *Trace        `xml:"trace"`                               // may be there, once
 //	Keys  []Key         `xml:"key" most:"8" least:"1"`              // repeated
@@ -35,8 +35,8 @@
 	maxFaults   = 100
 )
 
-// Fault is one thing that is wrong in a file.
-type Fault struct {
+// FieldError is one thing that is wrong in a file.
+type FieldError struct {
 	File  string
 	Line  int
 	Where string // the element, and its attribute where it is one's fault: "key@file"
@@ -45,7 +45,7 @@
 }
 
 // Error gives the fault in one line: file, line, place, what is wrong, how to mend it.
-func (f Fault) Error() string {
+func (f FieldError) Error() string {
 	where := ""
 	if f.Where != "" {
 		where = f.Where + ": "
@@ -53,11 +53,11 @@
 	return fmt.Sprintf("%s:%d: %s%s; %s", f.File, f.Line, where, f.What, f.Fix)
 }
 
-// Faults are all that is wrong in a file, by line.
-type Faults []Fault
+// FieldErrors are all that is wrong in a file, by line.
+type FieldErrors []FieldError
 
 // Error gives a line for each fault.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.Error()
@@ -72,7 +72,7 @@
 // File is one file under reading.
 type File struct {
 	Name   string
-	faults Faults
+	faults FieldErrors
 	at     map[any]place // by the address of the field or struct that was filled
 	keys   map[string]map[string]int
 	refs   []reference
@@ -93,7 +93,8 @@
 func Load(path string, d Document, to any) error {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxBytes {
-		return Faults{{path, 1, "", fmt.Sprintf("the file has %d bytes, over %d", info.Size(), maxBytes), "split it"}}
+		what := fmt.Sprintf("the file has %d bytes, over %d", info.Size(), maxBytes)
+		return FieldErrors{{File: path, Line: 1, What: what, Fix: "split it"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -121,7 +122,7 @@
 	if len(f.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(f.faults, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
 	return f.faults
 }
 
@@ -132,7 +133,7 @@
 
 func (f *File) fault(at place, fix, what string, args ...any) {
 	if len(f.faults) < maxFaults {
-		f.faults = append(f.faults, Fault{f.Name, max(at.line, 1), at.where, fmt.Sprintf(what, args...), fix})
+		f.faults = append(f.faults, FieldError{f.Name, max(at.line, 1), at.where, fmt.Sprintf(what, args...), fix})
 	}
 }
 
@@ -232,7 +233,7 @@
 func (f *File) attribute(at place, m member, text string, v reflect.Value) {
 	f.at[v.Addr().Interface()] = at
 	if err := m.set(v, text); err != nil {
-		var bad badValue
+		var bad valueError
 		if errors.As(err, &bad) {
 			f.fault(at, bad.fix, "%s", bad.what)
 			return
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -1,6 +1,7 @@
 package xmlconfig
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -55,7 +56,8 @@
 		"f.xml",
 		[]byte(
 			doc(
-				`name="main" wait="1.5s" room="2MiB" pace="30/min" part="12.5%" times="2.5" loud="false" at="127.0.0.1:80"`,
+				`name="main" wait="1.5s" room="2MiB" pace="30/min" part="12.5%" times="2.5" loud="false" `+
+					`at="127.0.0.1:80"`,
 				`<!-- words --><nodes><node id="a" kind="slow"/><node id="b" cores="8" peer="a"/></nodes>`,
 			),
 		),
@@ -65,7 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Wait.Std() != 1500*time.Millisecond || got.Room != 2<<20 || got.Pace != 0.5 || got.Part != 0.125 || got.Times != 2.5 ||
+	if got.Wait.Std() != 1500*time.Millisecond || got.Room != 2<<20 || got.Pace != 0.5 || got.Part != 0.125 ||
+		got.Times != 2.5 ||
 		got.Loud ||
 		got.At != "127.0.0.1:80" ||
 		len(got.Nodes.Node) != 2 ||
@@ -97,13 +100,18 @@
 <other/>`)
 	err := Read("f.xml", []byte(text), document, &fleet{})
 	var got []string
-	for _, f := range err.(Faults) {
+	var faults FieldErrors
+	if !errors.As(err, &faults) {
+		t.Fatalf("not field errors: %v", err)
+	}
+	for _, f := range faults {
 		got = append(got, fmt.Sprintf("%d %s", f.Line, f.Where))
 		if f.Fix == "" || f.What == "" || !strings.HasPrefix(f.Error(), "f.xml:") {
 			t.Errorf("%+v", f)
 		}
 	}
-	want := "3 fleet@wait|4 fleet@room|5 fleet@nonsense|6 nodes|7 node@cores|8 node@id|9 node@peer|12 trace@file|13 trace|14 other"
+	want := "3 fleet@wait|4 fleet@room|5 fleet@nonsense|6 nodes|7 node@cores|8 node@id|9 node@peer|12 " +
+		"trace@file|13 trace|14 other"
 	if strings.Join(got, "|") != want {
 		t.Errorf("got  %s\nwant %s\n%v", strings.Join(got, "|"), want, err)
 	}
@@ -117,23 +125,26 @@
 		doc(`name="m"`, "<nodes>"):              "f.xml:4: not well-formed XML",
 		"<fleet name=\"m\">" + one + "</fleet>": `put xmlns="urn:test" on the root element`,
 		"<other xmlns=\"urn:test\"/>":           "the root element is <fleet>",
-		"<!DOCTYPE x [<!ENTITY a \"b\">]><fleet/>":                                    "a document type is not read",
-		doc(`name="m"`, one+"\n\n  words"):                                            `f.xml:5: fleet: text "words" between elements`,
-		doc(`name="m" name="n"`, one):                                                 "fleet@name: stands twice",
-		doc(`name="m" x:name="n" xmlns:x="urn:x"`, one):                               "other namespaces are not read",
-		doc(`name="m"`, `<nodes/>`):                                                   "at least 1 is needed",
-		doc(`name="m"`, `<nodes><node id="a" peer="a"/></nodes>`):                     "is its own peer; name another",
-		doc(`name="m" wait="0s"`, one):                                                "0s is under 10ms; write 10ms to 1h",
-		doc(`name="m" part="101%"`, one):                                              "101% is over 100%; write 100% or less",
-		doc(`name="m" loud="yes"`, one):                                               `"yes" is no 'true' or 'false'`,
-		doc(`name="m" times="-1"`, one):                                               `"-1" is no number`,
-		doc(`name="m" room="99999999999GiB"`, one):                                    "is no number of bytes",
-		doc(`name=""`, one):                                                           `"" is no name`,
-		doc(`name="m"`, `<nodes><node id="a" kind="odd"/></nodes>`):                   "is no word of fast, slow",
+
+		"<!DOCTYPE x [<!ENTITY a \"b\">]><fleet/>":                  "a document type is not read",
+		doc(`name="m"`, one+"\n\n  words"):                          `f.xml:5: fleet: text "words" between elements`,
+		doc(`name="m" name="n"`, one):                               "fleet@name: stands twice",
+		doc(`name="m" x:name="n" xmlns:x="urn:x"`, one):             "other namespaces are not read",
+		doc(`name="m"`, `<nodes/>`):                                 "at least 1 is needed",
+		doc(`name="m"`, `<nodes><node id="a" peer="a"/></nodes>`):   "is its own peer; name another",
+		doc(`name="m" wait="0s"`, one):                              "0s is under 10ms; write 10ms to 1h",
+		doc(`name="m" part="101%"`, one):                            "101% is over 100%; write 100% or less",
+		doc(`name="m" loud="yes"`, one):                             `"yes" is no 'true' or 'false'`,
+		doc(`name="m" times="-1"`, one):                             `"-1" is no number`,
+		doc(`name="m" room="99999999999GiB"`, one):                  "is no number of bytes",
+		doc(`name=""`, one):                                         `"" is no name`,
+		doc(`name="m"`, `<nodes><node id="a" kind="odd"/></nodes>`): "is no word of fast, slow",
+
 		doc(`name="m"`, strings.Repeat("<nodes>", 20)+strings.Repeat("</nodes>", 20)): "inside each other",
-		doc(`name="m"`, one) + "<fleet/>":                                             "once",
-		doc(`name="m"`, "<?php x?>"+one):                                              "the instruction <?php?> is not read",
-		"\xff\xfe":                                                                    "f.xml:1: ",
+
+		doc(`name="m"`, one) + "<fleet/>": "once",
+		doc(`name="m"`, "<?php x?>"+one):  "the instruction <?php?> is not read",
+		"\xff\xfe":                        "f.xml:1: ",
 	} {
 		err := Read("f.xml", []byte(text), document, &fleet{})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -145,19 +156,21 @@
 // Whatever a file holds, it is read or refused with faults that have a line within it.
 func TestAnyFile(t *testing.T) {
 	parts := []string{
-		"<fleet xmlns=\"urn:test\"", " name=\"m\"", " wait='1s'", ">", "/>", "\n", "<nodes>", "</nodes>", "<node id=\"a\"/>",
+		"<fleet xmlns=\"urn:test\"", " name=\"m\"", " wait='1s'", ">", "/>", "\n", "<nodes>", "</nodes>",
+		"<node id=\"a\"/>",
 		"</fleet>", "<!--", "-->", "&amp;", "&", "<", "'", "\"", "<trace file='x'/>", "words", "<![CDATA[", "]]>",
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.SampledFrom(parts), 0, 40).Draw(t, "parts"), "")
 		err := Read("f.xml", []byte(text), document, &fleet{})
-		if faults, ok := err.(Faults); err != nil && (!ok || len(faults) == 0) {
+		var faults FieldErrors
+		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Fatalf("%v", err)
 		}
 		if err == nil {
 			return
 		}
-		for _, f := range err.(Faults) {
+		for _, f := range faults {
 			if f.Line < 1 || f.Line > strings.Count(text, "\n")+1 {
 				t.Fatalf("%q: %v", text, f)
 			}
--- a/lab/barrier/barrier.go
+++ b/lab/barrier/barrier.go
@@ -1,4 +1,4 @@
-// Package gate lets goroutines be held up, all at once, for as long as someone wants.
+// Package barrier holds up goroutines, all at once, for as long as a caller wants.
 package barrier
 
 import "sync"
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -55,7 +55,8 @@
 		}
 		return readCSV(
 			[]byte(
-				"experiment,commit,seed,members,bytes,share\nx,c,1,60,1234.56,0.0421\nx,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n",
+				"experiment,commit,seed,members,bytes,share\nx,c,1,60,1234.56,0.0421\n" +
+					"x,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n",
 			),
 		)
 	})
@@ -310,8 +311,10 @@
 	envelope := packet.Envelope{Addr: netip.MustParseAddrPort("10.1.2.3:7946"), Zone: 1}
 	probe := packet.EncodeDirectory(nil, envelope, &zonedirectory.Message{Kind: zonedirectory.Probe, Zone: 1})
 	for name, want := range map[string]int{
-		"ping_bytes": len(packet.Encode(nil, envelope, &ping)) + packet.Overhead, "probe_bytes": len(probe) + packet.Overhead,
-		"max_members": membership.MaxMembers, "max_zones": zonedirectory.MaxZones, "max_records": zonedirectory.MaxRecords,
+		"ping_bytes":  len(packet.Encode(nil, envelope, &ping)) + packet.Overhead,
+		"probe_bytes": len(probe) + packet.Overhead,
+		"max_members": membership.MaxMembers, "max_zones": zonedirectory.MaxZones,
+		"max_records": zonedirectory.MaxRecords,
 	} {
 		if names[name] != float64(want) {
 			t.Errorf("%s is %v on the page, %d in the code", name, names[name], want)
@@ -321,7 +324,8 @@
 
 func TestNumbers(t *testing.T) {
 	for v, want := range map[float64]string{
-		0: "0", 1234567.8: "1,234,568", -1234.5: "-1,234", 123.4: "123", 12.345: "12.3", 1.2345: "1.23", 0.0421: "0.0421",
+		0: "0", 1234567.8: "1,234,568", -1234.5: "-1,234", 123.4: "123", 12.345: "12.3", 1.2345: "1.23",
+		0.0421:      "0.0421",
 		-0.00012345: "-0.000123", 999: "999", -100: "-100", -100000: "-100,000",
 	} {
 		if got := number(v); got != want || !shows(got, v) {
@@ -335,8 +339,9 @@
 	for name, text := range map[string]string{
 		"one.csv":  "name,measured,limit,ok\ncommand,bin/spurlab run x,,\ncommit,abc+,,\nseed,7,,\nbytes,5.5,10,true\n",
 		"one.json": `{"experiment":"x","seed":7,"commit":"abc+","command":"bin/spurlab run x","figures":{"bytes":5.5}}`,
-		"all.json": `[{"experiment":"x","seed":7,"commit":"abc+","command":"bin/spurlab run x","figures":{"bytes":5.5}}]`,
-		"all.csv":  "command,commit,seed,bytes\nbin/spurlab run x,abc+,7,5.5\n",
+		"all.json": `[{"experiment":"x","seed":7,"commit":"abc+",` +
+			`"command":"bin/spurlab run x","figures":{"bytes":5.5}}]`,
+		"all.csv": "command,commit,seed,bytes\nbin/spurlab run x,abc+,7,5.5\n",
 	} {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/lab/capacity/fits.go
+++ b/lab/capacity/fits.go
@@ -143,7 +143,10 @@
 	if err != nil {
 		return err
 	}
-	for of, v := range map[string]float64{"slope": l.Slope, "intercept": l.Intercept, "rms": l.RMS, "most": l.MaxResidual, "target": l.At(f.Target)} {
+	for of, v := range map[string]float64{
+		"slope": l.Slope, "intercept": l.Intercept, "rms": l.RMS,
+		"most": l.MaxResidual, "target": l.At(f.Target),
+	} {
 		f.Figures[name+"."+of] = v
 	}
 	if !math.IsNaN(l.Exponent) {
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -59,7 +59,8 @@
 			limit, ratio = number(l), fmt.Sprintf("`%s / %s = %s`", shown, number(l), number(v/l))
 		}
 		cells := []string{
-			"`" + name + "`", link("slope"), link("intercept"), link("rms") + ", " + link("most"), link("exponent"), link("target"),
+			"`" + name + "`", link("slope"), link("intercept"), link("rms") + ", " + link("most"),
+			link("exponent"), link("target"),
 			link("at_target"), limit, ratio, "measured",
 		}
 		rows = append(rows, "| "+strings.Join(cells, " | ")+" |")
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,5 +1,5 @@
-// Package check judges a run by what crossed the sockets of clients and nodes, and by nothing else: it does not ask the
-// stand-ins what they believe. It knows the protocol's lines and the index that messages must come from.
+// Package checker judges a run by what crossed the sockets of clients and nodes, and by nothing else: it does not ask
+// the stand-ins what they believe. It knows the protocol's lines and the index that messages must come from.
 package checker
 
 import (
@@ -108,7 +108,8 @@
 func New(x *packageindex.Index) *Checker {
 	c := &Checker{
 		index: x, clients: map[uint64]*clientConn{}, nodes: map[uint64]*nodeConn{}, streams: map[uint64]*stream{},
-		tokens: map[string]*tokenUse{}, opens: map[string]string{}, up: map[string]int{}, copies: map[string]int{}, emptied: map[string]time.Time{},
+		tokens: map[string]*tokenUse{}, opens: map[string]string{}, up: map[string]int{}, copies: map[string]int{},
+		emptied: map[string]time.Time{},
 	}
 	c.reset()
 	return c
@@ -425,7 +426,11 @@
 		f.MaxStream,
 		g.MaxStream,
 	)
-	for _, m := range []struct{ to, from map[string]int }{{f.SessionOpens, g.SessionOpens}, {f.StartOvers, g.StartOvers}, {f.Answers, g.Answers}} {
+	for _, m := range []struct{ to, from map[string]int }{
+		{f.SessionOpens, g.SessionOpens},
+		{f.StartOvers, g.StartOvers},
+		{f.Answers, g.Answers},
+	} {
 		for k, n := range m.from {
 			m.to[k] += n
 		}
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -78,17 +78,45 @@
 		"corrupt":            {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"from the future":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"answer, no message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
-		"told of a gap":      {strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 }},
-		"two live":           {moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4", func(f *Figures) bool { return f.MaxLive == 2 }},
-		"one after another":  {moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4", func(f *Figures) bool { return f.MaxLive == 1 && f.MaxEver == 2 }},
-		"two of a stream":    {strings.ReplaceAll(moved, "n 1 end", "") + "", func(f *Figures) bool { return f.MaxLive == 1 && f.MaxStream == 2 }},
-		"refused token": {begin + "\nc 1 < MOVE T\nc 2 > OPEN b 5 c=s,d=1,cur=4,tok=T\nc 2 < STALE gone\nc 2 end\nc 3 > OPEN d 5 c=s,d=1,cur=4,tok=ask\nn 3 < OPEN d 5 c=s,d=1,cur=4,tok=ask", func(f *Figures) bool {
-			return f.Answers["STALE gone"] == 1 && f.SessionOpens["token, then STALE gone"] == 1 && f.SessionOpens["first"] == 1 && f.SessionCalls() == 2
+		"told of a gap": {
+			strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7",
+			func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 },
+		},
+		"two live": {
+			moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
+			func(f *Figures) bool { return f.MaxLive == 2 },
+		},
+		"one after another": {
+			moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
+			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxEver == 2 },
+		},
+		"two of a stream": {
+			strings.ReplaceAll(moved, "n 1 end", "") + "",
+			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxStream == 2 },
+		},
+		"refused token": {begin +
+			"\nc 1 < MOVE T\nc 2 > OPEN b 5 c=s,d=1,cur=4,tok=T\nc 2 < STALE gone\nc 2 end\nc 3 > OPEN d 5 " +
+			"c=s,d=1,cur=4,tok=ask\nn 3 < OPEN d 5 c=s,d=1,cur=4,tok=ask", func(f *Figures) bool {
+			return f.Answers["STALE gone"] == 1 && f.SessionOpens["token, then STALE gone"] == 1 &&
+				f.SessionOpens["first"] == 1 && f.SessionCalls() == 2
 		}},
-		"broken":                        {begin + "\nc 1 end\nc 3 > OPEN d 5 c=s,d=1,cur=4\nn 3 < OPEN d 5 c=s,d=1,cur=4", func(f *Figures) bool { return f.SessionOpens["end without MOVE"] == 1 }},
-		"a second copy":                 {begin + "\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r", func(f *Figures) bool { return f.SecondCopies == 1 }},
-		"tried again":                   {begin + "\nn 1 end\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r", func(f *Figures) bool { return f.SecondCopies == 0 }},
-		"plain, begins where it begins": {"c 1 > OPEN a 5 c=s,d=1\nc 1 < UP r\nc 1 < #7\nc 1 < #9", func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 }},
+		"broken": {
+			begin +
+				"\nc 1 end\nc 3 > OPEN d 5 c=s,d=1,cur=4\nn 3 < OPEN d 5 c=s,d=1,cur=4",
+			func(f *Figures) bool { return f.SessionOpens["end without MOVE"] == 1 },
+		},
+		"a second copy": {
+			begin + "\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r",
+			func(f *Figures) bool { return f.SecondCopies == 1 },
+		},
+		"tried again": {
+			begin + "\nn 1 end\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r",
+			func(f *Figures) bool { return f.SecondCopies == 0 },
+		},
+		"plain, begins where it begins": {
+			"c 1 > OPEN a 5 c=s,d=1\nc 1 < UP r\nc 1 < #7\nc 1 < #9",
+			func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 },
+		},
 	} {
 		f := play(t, c.script).Split()
 		if !c.want(&f) {
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -79,8 +79,9 @@
 	c.opened++
 	o := &proto.Open{
 		ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
-		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opened > 1, Cur: c.has, Cursor: c.cursor,
-		Token: c.token, WantsToken: c.cfg.Tokens && c.token == "",
+		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opened > 1, Cur: c.has,
+		Cursor: c.cursor,
+		Token:  c.token, WantsToken: c.cfg.Tokens && c.token == "",
 	}
 	if c.opened == 1 {
 		o.At = c.cfg.At
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -31,7 +31,8 @@
 		}
 		_ = c.SetDeadline(time.Now().Add(garbageTime))
 		sent.Add(1)
-		if _, err := fmt.Fprintf(c, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", rng.Uint64(), word.String()); err == nil {
+		if _, err := fmt.Fprintf(c, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", rng.Uint64(),
+			word.String()); err == nil {
 			if got, err := bufio.NewReader(c).ReadString('\n'); err == nil && strings.HasPrefix(got, "STALE ") {
 				answered.Add(1)
 			}
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package world puts an emulated deployment together, on loopback: nodes, the session store, discovery, a front
-// end, and real balancers, each a process of its own. It knows how the balancers are started and told to stop, and
-// nothing of their insides.
+// Package deployment puts an emulated deployment together, on loopback: nodes, the session store, discovery, a front
+// end, and real balancers, each a process of its own. It knows how the balancers are started and stopped, and nothing
+// of their insides.
 package deployment
 
 import (
@@ -304,7 +304,8 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": cmp.Or(w.cfg.MemoryMB, 192), "sockets": 8192},
 		"known":  w.Discovery.FullList(),
 		"settings": map[string]any{
-			"balancers": w.cfg.Balancers, "rank": b.rank, "zone": 0, "dcs": []string{"a"}, "skus": []string{"m"}, "discovery": "ask",
+			"balancers": w.cfg.Balancers, "rank": b.rank, "zone": 0, "dcs": []string{"a"}, "skus": []string{"m"},
+			"discovery": "ask",
 			"limits": map[string]any{
 				"most_tries": 4, "probes": true, "may_cancel": true, "retry_after": true,
 				"max_retry_after": 1_000_000, "connect_timeout": 75_000,
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -1,5 +1,5 @@
-// Package discovery is the emulated discovery: the list of nodes over HTTP, whole or as a watch on changes, as late
-// as it is told to be. Every balancer is told the same.
+// Package discoveryserver is the emulated discovery service: the list of nodes over HTTP, whole or as a watch on
+// changes, with a configurable delay. Every balancer is sent the same.
 package discoveryserver
 
 import (
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -23,7 +24,8 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		program = filepath.Join(dir, "spurspread")
-		if out, err := exec.Command("go", "build", "-o", program, "spurspread/cmd/spurspread").CombinedOutput(); err != nil {
+		if out, err := exec.Command("go", "build", "-o", program,
+			"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 			panic(string(out))
 		}
 		return m.Run()
@@ -108,7 +110,8 @@
 <fleet nodes="2"/><load node="2"/><passes><pass name="a"/></passes>
 <steps><step do="drain" node="5"/>
 <step do="kill-balancer" balancer="3"/></steps><bounds><bound name="b"/></bounds></experiment>`))
-	if faults, ok := err.(xmlconfig.Faults); !ok || len(faults) != 3 || faults[1].Line != 3 || faults[2].Line != 4 {
+	var faults xmlconfig.FieldErrors
+	if !errors.As(err, &faults) || len(faults) != 3 || faults[1].Line != 3 || faults[2].Line != 4 {
 		t.Errorf("%v", err)
 	}
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -28,13 +28,18 @@
 	more["last_channel_moved_ms"], more["buffered_bytes"] = late, more["balancer_kept"]
 	more["evidence"] = more["channels_on_broken_trunks"] - more["balancer_echoes"]
 	for name, v := range map[string]float64{
-		"second_copies": float64(f.SecondCopies), "stand_again_ms": pl.standAgain(f.Ups), "messages": float64(f.Messages), "lost": float64(f.Lost), "repeated": float64(f.Repeated), "corrupt": float64(f.Corrupt),
-		"told_gaps": float64(f.AnnouncedGaps), "tokens_given": float64(f.Tokens), "tokens_honoured": float64(f.Honoured),
+		"second_copies": float64(f.SecondCopies), "stand_again_ms": pl.standAgain(f.Ups),
+		"messages": float64(f.Messages), "lost": float64(f.Lost), "repeated": float64(f.Repeated),
+		"corrupt":   float64(f.Corrupt),
+		"told_gaps": float64(f.AnnouncedGaps), "tokens_given": float64(f.Tokens),
+		"tokens_honoured":    float64(f.Honoured),
 		"max_live_per_token": float64(f.MaxLive), "max_ever_live_per_token": float64(f.MaxEver),
 		"max_live_per_stream": float64(f.MaxStream), "session_calls": float64(f.SessionCalls()),
 		"session_calls_for_moves": forMoves(f.SessionOpens), "start_overs_for_moves": forMoves(f.StartOvers),
-		"session_calls_unexplained": float64(f.SessionOpens[""]) + max(more["store_calls"]-float64(f.SessionCalls()), 0), "moves": float64(f.Moves), "moved_late_ms": late,
-		"gap_p50_ms": report.Quantile(gaps, 0.5), "gap_p99_ms": report.Quantile(gaps, 0.99), "gap_max_ms": report.Quantile(gaps, 1),
+		"session_calls_unexplained": float64(f.SessionOpens[""]) +
+			max(more["store_calls"]-float64(f.SessionCalls()), 0), "moves": float64(f.Moves), "moved_late_ms": late,
+		"gap_p50_ms": report.Quantile(gaps, 0.5), "gap_p99_ms": report.Quantile(gaps, 0.99),
+		"gap_max_ms":   report.Quantile(gaps, 1),
 		"delay_p50_ms": report.Quantile(delays, 0.5), "delay_p99_ms": report.Quantile(delays, 0.99),
 		"resumes": float64(len(f.Ups)), "resumes_per_s_max": maxPerSecond(f.Ups),
 	} {
--- a/lab/experiment/player.go
+++ b/lab/experiment/player.go
@@ -46,14 +46,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	w, err := deployment.Start(ctx, deployment.Config{
-		Program: o.Program, Dir: dir, Balancers: e.Fleet.Balancers, Nodes: e.Fleet.Nodes,
-		Tokens: p.Tokens, Seed: o.Seed, Interval: e.Load.Interval.Std(), Keep: uint64(e.Load.Keep),
-		Length: int(
-			e.Load.Length,
-		), StoreRate: float64(e.Fleet.Store), SetUp: e.Fleet.SetUp.Std(), Patience: e.Fleet.Patience.Std(), Late: e.Fleet.Late.Std(),
-		Notice: e.Fleet.Notice.Std(), Fault: o.Fault, Channels: p.Channels, Apart: p.Apart,
-	})
+	w, err := deployment.Start(ctx, e.deployment(o, p, dir))
 	if err != nil {
 		return err
 	}
@@ -90,13 +83,30 @@
 	pl.more["store_calls"], pl.more["store_failed"] = float64(after-calls), float64(failed-failures)
 	pl.more["standing"], pl.more["behind"] = float64(standing), float64(behind)
 	pl.figures(r, prefix, f, pl.more)
-	took, at := millis(f.Gaps), []float64(nil)
+	pl.chart(f, gaps, ups)
+	return nil
+}
+
+// deployment is what one pass of the experiment runs on.
+func (e *Experiment) deployment(o Options, p *Pass, dir string) deployment.Config {
+	return deployment.Config{
+		Program: o.Program, Dir: dir, Seed: o.Seed, Fault: o.Fault,
+		Balancers: e.Fleet.Balancers, Nodes: e.Fleet.Nodes,
+		Tokens: p.Tokens, Channels: p.Channels, Apart: p.Apart,
+		Interval: e.Load.Interval.Std(), Keep: uint64(e.Load.Keep), Length: int(e.Load.Length),
+		StoreRate: float64(e.Fleet.Store), SetUp: e.Fleet.SetUp.Std(), Patience: e.Fleet.Patience.Std(),
+		Late: e.Fleet.Late.Std(), Notice: e.Fleet.Notice.Std(),
+	}
+}
+
+// chart adds the pass to the charts: how long streams were interrupted, and when they were established again.
+func (pl *player) chart(f checker.Figures, gaps, ups *report.Chart) {
+	var establishedAt []float64
 	for _, t := range f.Ups {
-		at = append(at, t.Sub(pl.began).Seconds())
+		establishedAt = append(establishedAt, t.Sub(pl.began).Seconds())
 	}
-	gaps.Series = append(gaps.Series, report.Percentiles(string(p.Name), took))
-	ups.Series = append(ups.Series, report.Counts(string(p.Name), at, 0.1))
-	return nil
+	gaps.Series = append(gaps.Series, report.Percentiles(string(pl.pass.Name), millis(f.Gaps)))
+	ups.Series = append(ups.Series, report.Counts(string(pl.pass.Name), establishedAt, 0.1))
 }
 
 func (pl *player) say(format string, args ...any) {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -23,7 +23,6 @@
 	rng    *rand.Rand
 	at     []netip.AddrPort // where each process takes datagrams
 	links  [][]*pair
-	closed bool
 	wg     sync.WaitGroup
 	record bool
 }
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -143,7 +143,10 @@
 // report reports medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a
 // round.
 func (t *throughput) report(r *report.Report) {
-	for name, v := range map[string][2][]float64{"lines_per_s": t.lines, "lines_per_cpu_s": t.byCPU, "set_ups_per_s": t.setUps} {
+	for name, v := range map[string][2][]float64{
+		"lines_per_s": t.lines, "lines_per_cpu_s": t.byCPU,
+		"set_ups_per_s": t.setUps,
+	} {
 		r.Figures[name], r.Figures[name+"_off"] = report.Quantile(v[1], 0.5), report.Quantile(v[0], 0.5)
 		var ratios []float64
 		for i := range v[0] {
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -107,7 +107,8 @@
 	defer s.Close()
 	defer context.AfterFunc(ctx, f.Close)()
 	t := scenario.New(s, log)
-	if err := procs.Await(joinTime, "all find each other", func() bool { return ctx.Err() != nil || f.Agreed(t.All()) }); err != nil {
+	if err := procs.Await(joinTime, "all find each other",
+		func() bool { return ctx.Err() != nil || f.Agreed(t.All()) }); err != nil {
 		return err
 	}
 	// What was said before is not judged.
@@ -133,7 +134,8 @@
 	r.Figures["crash_seen_p50_ms"], r.Figures["crashes_seen"] = report.Quantile(seen, 0.5), float64(len(seen))
 	r.Notes["faults"] = strings.Join(t.Faults, "; ")
 	r.Charts = []report.Chart{{
-		Name: "seen", Title: string(c.Name) + ": from a crash until a member holds it dead", X: "members and crashes, %",
+		Name: "seen", Title: string(c.Name) + ": from a crash until a member holds it dead",
+		X: "members and crashes, %",
 		Y: "ms", Series: []report.Series{report.Percentiles("seen", seen)},
 	}}
 	return nil
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -90,7 +90,8 @@
 		all[i] = i
 	}
 	if !apart {
-		if err := procs.Await(joinTime, "all find each other", func() bool { return ctx.Err() != nil || f.Agreed(all) }); err != nil {
+		if err := procs.Await(joinTime, "all find each other",
+			func() bool { return ctx.Err() != nil || f.Agreed(all) }); err != nil {
 			return err
 		}
 	}
@@ -228,7 +229,8 @@
 	}
 }
 
-// runClients has clients open a connection, hold it for a while and open the next, each time at the next balancer that runs.
+// runClients has clients open a connection, hold it for a while and open the next, each time at the next balancer
+// that runs.
 func runClients(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
 	served = &atomic.Int64{}
 	var next, ids atomic.Int64
--- a/lab/members/virtual.go
+++ b/lab/members/virtual.go
@@ -36,15 +36,8 @@
 ) error {
 	worst := map[string]float64{}
 	for _, n := range fleetSizes {
-		results := make([]*scenario.Result, len(fleetScripts))
-		var group errgroup.Group
-		for i, script := range fleetScripts {
-			group.Go(func() (err error) {
-				results[i], err = simulation.Play(script, n, o.Seed, simulation.Members(3), nil)
-				return err
-			})
-		}
-		if err := group.Wait(); err != nil {
+		results, err := playFleetScripts(n, o.Seed)
+		if err != nil {
 			return err
 		}
 		for _, got := range results {
@@ -68,12 +61,8 @@
 	for name, v := range worst {
 		r.Figures[name] = v
 	}
-	least, most := fleetSizes[0], fleetSizes[len(fleetSizes)-1]
-	r.Ratio(
-		"bytes_largest_over_least",
-		fmt.Sprintf("bytes_per_s_per_member_quiet_%d", most),
-		fmt.Sprintf("bytes_per_s_per_member_quiet_%d", least),
-	)
+	quiet := func(members int) string { return fmt.Sprintf("bytes_per_s_per_member_quiet_%d", members) }
+	r.Ratio("bytes_largest_over_least", quiet(fleetSizes[len(fleetSizes)-1]), quiet(fleetSizes[0]))
 	r.Charts = append(
 		r.Charts,
 		c.chart(
@@ -100,6 +89,19 @@
 	return nil
 }
 
+// playFleetScripts plays each of fleetScripts once with so many members, all at the same time.
+func playFleetScripts(members int, seed uint64) ([]*scenario.Result, error) {
+	results := make([]*scenario.Result, len(fleetScripts))
+	var group errgroup.Group
+	for i, script := range fleetScripts {
+		group.Go(func() (err error) {
+			results[i], err = simulation.Play(script, members, seed, simulation.Members(3), nil)
+			return err
+		})
+	}
+	return results, group.Wait()
+}
+
 // chart plays a script with each of some figures, each way on the same seeds, and takes the mean of what was measured.
 func (c *Trial) chart(
 	o experiment.Options,
--- a/lab/netloop/loop_test.go
+++ b/lab/netloop/loop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net/netip"
@@ -15,7 +16,7 @@
 func must[T any](v T, err error) func(t *testing.T) T {
 	return func(t *testing.T) T {
 		t.Helper()
-		if err != nil && err != unix.EINPROGRESS {
+		if err != nil && !errors.Is(err, unix.EINPROGRESS) {
 			t.Fatal(err)
 		}
 		return v
@@ -39,7 +40,7 @@
 	var buf [8 << 10]byte
 	for c.fd >= 0 && r.end == nil {
 		n, err := c.Read(buf[:])
-		if err == ErrAgain {
+		if errors.Is(err, ErrAgain) {
 			return
 		}
 		r.got, r.end = append(r.got, buf[:n]...), err
@@ -79,7 +80,7 @@
 	if c.Write(sent[1:]); len(c.unsent) == 0 {
 		t.Error("the kernel took all at once: nothing was partial")
 	}
-	if run(t, l); !bytes.Equal(client.got, sent) || server.end != io.EOF {
+	if run(t, l); !bytes.Equal(client.got, sent) || !errors.Is(server.end, io.EOF) {
 		t.Errorf("%d of %d bytes came back, then %v", len(client.got), len(sent), server.end)
 	}
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"spurspread/decision/resume"
 	"spurspread/internal/token"
@@ -182,11 +183,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var t token.Token
-	switch err := n.ring.Open([]byte(o.Token), &t); err {
-	case nil:
-	case token.ErrUnknownKey:
+	switch err := n.ring.Open([]byte(o.Token), &t); {
+	case err == nil:
+	case errors.Is(err, token.ErrUnknownKey):
 		return resume.UnknownKey
-	case token.ErrForged:
+	case errors.Is(err, token.ErrForged):
 		return resume.Forged
 	default:
 		return resume.Malformed
@@ -194,9 +195,8 @@
 	now := time.Now()
 	r := resume.Grant{
 		ID: resume.ID(t.ID), IssuedAt: resume.UnixMillis(t.IssuedAt), ExpiresAt: resume.UnixMillis(t.ExpiresAt),
-		Class: string(
-			t.Class,
-		), Key: t.Key, Group: t.Group, Tenant: t.Tenant, LastDelivered: t.LastSequence, Server: string(t.Server),
+		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, LastDelivered: t.LastSequence,
+		Server:          string(t.Server),
 		ServerStartedAt: resume.UnixMillis(t.ServerStarted),
 	}
 	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
--- a/lab/packageindex/packageindex.go
+++ b/lab/packageindex/packageindex.go
@@ -1,6 +1,6 @@
-// Package index is the emulated package index: for every stream, numbered messages that fall due at known times. Each
-// message is a pure function of the stream's key and its number, so that every emulated node has the same index without
-// talk, and a checker can tell whether what a client was sent is what it should have been.
+// Package packageindex is the emulated package index: for every stream, numbered messages that fall due at known times.
+// Each message is a pure function of the stream's key and its number, so that every emulated node has the same index
+// without communication, and a checker can tell whether what a client was sent is what it should have been.
 package packageindex
 
 import (
@@ -56,7 +56,8 @@
 	for i := range 8 {
 		seed[i], seed[8+i] = byte(key>>(8*i)), byte(n>>(8*i))
 	}
-	for word, from := xxhash.Sum64(seed[:]), len(to); len(to)-from < max(x.Length, 16); word = word*0x9e3779b97f4a7c15 + 1 {
+	for word, from := xxhash.Sum64(seed[:]), len(to); len(to)-from < max(x.Length,
+		16); word = word*0x9e3779b97f4a7c15 + 1 {
 		to = strconv.AppendUint(to, word, 16)
 	}
 	return append(to, '\r', '\n')
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -221,7 +221,8 @@
 // config is what the platform would tell the process.
 func (p *Proc) config() map[string]any {
 	c := map[string]any{
-		"name": p.Name, "listen": p.Listen, "mgmt": p.Mgmt, "discovery": "127.0.0.1:1", "seed": fmt.Sprintf("%x", time.Now().UnixNano()),
+		"name": p.Name, "listen": p.Listen, "mgmt": p.Mgmt, "discovery": "127.0.0.1:1",
+		"seed":   fmt.Sprintf("%x", time.Now().UnixNano()),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":  map[string]any{"generation": 0, "reset": true, "instances": append([]any{}, p.f.Known...)},
 		"settings": map[string]any{
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -25,7 +25,8 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "spurspread")
-	if out, err := exec.Command("go", "build", "-o", program, "spurspread/cmd/spurspread").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
 	code := m.Run()
@@ -110,7 +111,8 @@
 func TestPauseAndReturn(t *testing.T) {
 	f := fleet(t, 4)
 	f.Procs[2].Pause()
-	if err := Await(patience, "the paused one is dead", func() bool { s, _ := f.state(t, 0, 2); return s == "dead" }); err != nil {
+	if err := Await(patience, "the paused one is dead",
+		func() bool { s, _ := f.state(t, 0, 2); return s == "dead" }); err != nil {
 		t.Fatal(err)
 	}
 	f.Procs[2].Continue()
@@ -150,7 +152,8 @@
 	f.agree(t, "it is back", f.all()...)
 	f.Net.Set([]int{0, 1, 2}, []int{3, 4, 5}, cutOff)
 	for _, side := range [][2]int{{0, 3}, {3, 0}} {
-		if err := Await(patience, "the halves are apart", func() bool { s, _ := f.state(t, side[0], side[1]); return s == "dead" }); err != nil {
+		if err := Await(patience, "the halves are apart",
+			func() bool { s, _ := f.state(t, side[0], side[1]); return s == "dead" }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -203,7 +206,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Kill)
-	if err := Await(patience, "the later one is known", func() bool { _, inc := f.state(t, 0, 2); return inc > before }); err != nil {
+	if err := Await(patience, "the later one is known",
+		func() bool { _, inc := f.state(t, 0, 2); return inc > before }); err != nil {
 		t.Fatal(err)
 	}
 	if code := old.Stop(); code != 0 {
--- a/lab/procs/stage.go
+++ b/lab/procs/stage.go
@@ -70,8 +70,9 @@
 // NewStage makes a stage of processes that run.
 func NewStage(f *Fleet, seed uint64) *Stage {
 	s := &Stage{
-		f: f, rng: rand.New(rand.NewPCG(seed, 0x7374616765)), began: time.Now(), logLines: make(chan logLine, 4096), failed: make(chan error),
-		views: make([]atomic.Pointer[View], len(f.Procs)), quit: make(chan struct{}),
+		f: f, rng: rand.New(rand.NewPCG(seed, 0x7374616765)), began: time.Now(), logLines: make(chan logLine, 4096),
+		failed: make(chan error),
+		views:  make([]atomic.Pointer[View], len(f.Procs)), quit: make(chan struct{}),
 		Changed: func(time.Duration, int, int, membership.State, membership.State, uint64) {},
 	}
 	for i, p := range f.Procs {
--- a/lab/recorder/recorder.go
+++ b/lab/recorder/recorder.go
@@ -79,7 +79,7 @@
 	n, err := c.Stream.Read(b)
 	c.in.feed(b[:n], func(text []byte) { c.take(text, false) })
 	var late net.Error
-	if err != nil && !(errors.As(err, &late) && late.Timeout()) {
+	if err != nil && (!errors.As(err, &late) || !late.Timeout()) {
 		c.ended()
 	}
 	return n, err
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -22,7 +22,8 @@
 const Name = "scale-connections"
 
 // About is what the run shows, in one line.
-const About = "one balancer by its number of connections: memory of each, processor time of set-ups, lines and reconnects, delay"
+const About = "one balancer by its number of connections: memory of each, processor time of set-ups, lines and " +
+	"reconnects, delay"
 
 // Plan says how much is done.
 type Plan struct {
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -103,7 +103,10 @@
 
 // worst takes the worst of all sizes where a bound is held by each of them. What one size lacks, the whole lacks.
 func (x *run) worst() {
-	for _, name := range []string{"p99_ms_at_rest", "lost_at_rest", "wave_missing", "wave_90_ms", "us_per_set_up", "us_per_line_common", "cpu_share_idle"} {
+	for _, name := range []string{
+		"p99_ms_at_rest", "lost_at_rest", "wave_missing", "wave_90_ms", "us_per_set_up",
+		"us_per_line_common", "cpu_share_idle",
+	} {
 		if s := x.series(name, 1); len(s.Y) == len(x.points) {
 			x.r.Figures[name] = report.Quantile(s.Y, 1)
 		}
--- a/lab/scale/connections/phases.go
+++ b/lab/scale/connections/phases.go
@@ -119,7 +119,9 @@
 	if p.f["refused"] <= refusedPart*float64(p.n) {
 		p.f["us_per_set_up"] = perUS(after.cpu-before.cpu, p.n)
 	} else {
-		x.note(p, "set_ups", "not valid: %.0f were refused and came again, so that one set-up was paid for more than once", p.f["refused"])
+		x.note(p, "set_ups",
+			"not valid: %.0f were refused and came again, so that one set-up was paid for more than once",
+			p.f["refused"])
 	}
 	time.Sleep(settle)
 	p.f["kernel_kb_all_ends"] = (b.cost().slab - before.slab) / 1024 / float64(p.n)
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -58,18 +58,6 @@
 	return err
 }
 
-// release answers all that was kept back, and keeps nothing back from now on.
-func (s *servers) release() {
-	s.hold.Store(false)
-	s.ws.each(func(i int, _ *worker) {
-		for _, b := range s.waiting[i] {
-			s.held.Add(-1)
-			b.up(b.conn)
-		}
-		s.waiting[i] = nil
-	})
-}
-
 // reset closes all connections, of balancers that have ended.
 func (s *servers) reset() {
 	s.ws.each(func(i int, _ *worker) {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -94,7 +93,8 @@
 		return nil, err
 	}
 	if err := f.startHollow(); err != nil {
-		return nil, errors.Join(err, f.close())
+		f.close()
+		return nil, err
 	}
 	f.polls = make([]poll, t.Reals)
 	for i := range f.polls {
@@ -132,7 +132,11 @@
 	if f.reals, err = procs.NewAt(program, dir, ips, 0, f.t.Seed); err != nil {
 		return err
 	}
-	f.reals.Change = func(_ int, config map[string]any) { config["settings"].(map[string]any)["balancers"] = f.t.Members }
+	f.reals.Change = func(_ int,
+		config map[string]any,
+	) {
+		config["settings"].(map[string]any)["balancers"] = f.t.Members
+	}
 	f.reals.Place = func(i int) (region, zone string) {
 		s := f.t.Site(f.t.Zone(i))
 		return s.Region, s.Zone
@@ -322,7 +326,7 @@
 }
 
 // close ends all processes that were started, by their ids.
-func (f *fleet) close() error {
+func (f *fleet) close() {
 	close(f.quit)
 	f.tasks.Wait()
 	f.reals.Close()
@@ -335,5 +339,4 @@
 		})
 	}
 	wg.Wait()
-	return nil
 }
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -53,7 +53,8 @@
 	}
 	t := &setup.Topology
 	g := &group{
-		l: l, no: no, setup: setup, links: t.Links(uint64(members[0])), ring: ring, whose: map[netip.Addr]int{}, zones: map[zonedirectory.ID]int{},
+		l: l, no: no, setup: setup, links: t.Links(uint64(members[0])), ring: ring, whose: map[netip.Addr]int{},
+		zones: map[zonedirectory.ID]int{},
 		names: map[string]int{}, samples: tell, now: &Sample{},
 	}
 	for i, at := range t.Addrs {
--- a/lab/scale/measured.go
+++ b/lab/scale/measured.go
@@ -52,14 +52,16 @@
 	}
 	for name, v := range map[string]float64{
 		"members": float64(p.t.Members), "real_members": float64(p.t.Reals), "regions": float64(p.t.Regions),
-		"zones": float64(p.t.Zones), "false_dead": float64(w.falseDead), "excused_while_starved": float64(w.excused), "flaps": float64(w.flaps),
+		"zones": float64(p.t.Zones), "false_dead": float64(w.falseDead), "excused_while_starved": float64(w.excused),
+		"flaps":            float64(w.flaps),
 		"rate_over_budget": w.shares, "suspicions": float64(w.suspected),
 	} {
 		r.Figures[name] = v
 	}
 	p.measureBytes(whole)
 	p.measureReals(whole)
-	r.Notes["stubs"], r.Notes["bytes"] = Stubs, "content of datagrams sent and received, without the 28 bytes of their IP and UDP headers"
+	r.Notes["stubs"], r.Notes["bytes"] = Stubs,
+		"content of datagrams sent and received, without the 28 bytes of their IP and UDP headers"
 	r.Notes["faults"] = strings.Join(p.journal, "; ")
 	if len(w.notes)+len(w.errors) > 0 {
 		r.Notes["found"] = strings.Join(slices.Concat(w.notes, w.errors), "; ")
@@ -131,7 +133,10 @@
 	p.report.Charts = append(p.report.Charts, report.Chart{
 		Name:  "bytes",
 		Title: p.report.Experiment + ": bytes sent and received in a member's worst 10 s",
-		X:     "members, %", Y: "bytes/s", Series: []report.Series{report.Percentiles("whole run", most), report.Percentiles("at rest", atRest)},
+		X:     "members, %", Y: "bytes/s", Series: []report.Series{
+			report.Percentiles("whole run", most),
+			report.Percentiles("at rest", atRest),
+		},
 	})
 	if p.rest.to > p.rest.from {
 		f["control_rest_bytes_per_s"], f["control_rest_bytes_p50_per_s"] = report.Quantile(
--- a/lab/scale/play.go
+++ b/lab/scale/play.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, f.close()) }()
+	defer f.close()
 	p := &play{
 		fleet:       f,
 		ctx:         ctx,
@@ -233,7 +233,8 @@
 		return err
 	}
 	p.pause(leaveTime * time.Microsecond) // a hollow member has ended then
-	if m, err = p.fault(fmt.Sprintf("%s: %s starts", of, p.t.Name(i)), func() error { return p.restart(i) }); err != nil {
+	if m, err = p.fault(fmt.Sprintf("%s: %s starts", of, p.t.Name(i)),
+		func() error { return p.restart(i) }); err != nil {
 		return err
 	}
 	return p.within(m, "count_everywhere", of+" starts", p.watch.counted)
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -18,7 +18,8 @@
 const (
 	// regionMembers are those of the fleet that the balancer is built for.
 	regionMembers = 1500
-	// partitionTime is how long a region is cut off, as issue 31 asks for; two regions lose each other for half of that.
+	// partitionTime is how long a region is cut off, as issue 31 asks for; two regions lose each other for half of
+	// that.
 	partitionTime = 120 * time.Second
 	// beforeTime is how long nothing happens before the first cut: what is spent at rest.
 	beforeTime = 15 * time.Second
@@ -56,7 +57,10 @@
 	if t.Regions < minRegions {
 		return nil, fmt.Errorf("scale-region needs %d regions", minRegions)
 	}
-	if err := playFleet(ctx, o, t, r, func(p *play) error { return p.regions(cmp.Or(o.PartitionTime, partitionTime)) }); err != nil {
+	if err := playFleet(ctx, o, t, r, func(p *play) error {
+		return p.regions(cmp.Or(o.PartitionTime,
+			partitionTime))
+	}); err != nil {
 		return nil, err
 	}
 	check(r)
@@ -162,7 +166,8 @@
 	if err := p.within(m, "count_everywhere", c.name+" healed", p.watch.counted); err != nil {
 		return err
 	}
-	if err := p.within(m, "record_everywhere", c.name+" healed", p.watch.recorded(from, recordName, value)); err != nil {
+	if err := p.within(m, "record_everywhere", c.name+" healed",
+		p.watch.recorded(from, recordName, value)); err != nil {
 		return err
 	}
 	p.pause(calmTime)
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -45,7 +45,8 @@
 func newReport(name string, o Options) *report.Report {
 	return &report.Report{
 		Experiment: name,
-		Seed:       o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{}, Notes: map[string]string{},
+		Seed:       o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{},
+		Notes: map[string]string{},
 	}
 }
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -41,7 +41,8 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "spurspread")
-	if out, err := exec.Command("go", "build", "-o", program, "spurspread/cmd/spurspread").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
 	hollowCommand = func() (*exec.Cmd, error) {
@@ -76,7 +77,8 @@
 	t.Helper()
 	for name, most := range map[string]float64{
 		"false_dead": 0, "flaps": 1, "rate_over_budget": 2, "zone_seen_periods": mostSeenPeriods,
-		"count_everywhere_periods": mostEverywherePeriods, "record_everywhere_periods": mostEverywherePeriods, "processes": maxRunProcesses,
+		"count_everywhere_periods": mostEverywherePeriods, "record_everywhere_periods": mostEverywherePeriods,
+		"processes":         maxRunProcesses,
 		"harness_memory_mb": maxRunMegabytes,
 	} {
 		if got, had := r.Figures[name]; !had || got > most {
--- a/lab/scale/slope/slope.go
+++ b/lab/scale/slope/slope.go
@@ -142,8 +142,9 @@
 // At is what the line says for a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// PredictionError is how far the line is from what was measured at a size that it was not fitted to: |predicted - measured| /
-// |measured|, the mean of the runs. It refuses no run, a size that the line rests on, and values that are 0 or not finite.
+// PredictionError is the relative error of the line at a size that it was not fitted to: the mean over the runs of
+// |predicted - measured| / |measured|. It rejects no run at all, a size that was fitted, and values that are 0 or not
+// finite.
 func (l Line) PredictionError(held []Point) (float64, error) {
 	if len(held) == 0 {
 		return 0, fmt.Errorf("nothing was held out: %w", ErrTooFew)
--- a/lab/scale/slope/slope_test.go
+++ b/lab/scale/slope/slope_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rms := math.Sqrt((math.Pow(1.1/6, 2) + math.Pow(1.3/5, 2) + math.Pow(0.7/7, 2) + math.Pow(0.9/10, 2)) / 4)
+	rms := math.Sqrt((1.1/6*1.1/6 + 1.3/5*1.3/5 + 0.7/7*0.7/7 + 0.9/10*0.9/10) / 4)
 	if !near(l.Slope, 1.4) || !near(l.Intercept, 3.5) || !near(l.MaxResidual, 0.26) || !near(l.RMS, rms) {
 		t.Errorf("%+v, r.m.s. %v wanted", l, rms)
 	}
@@ -110,7 +110,10 @@
 	if err != nil || !near(got, 0.35) {
 		t.Errorf("%v, %v", got, err)
 	}
-	for name, held := range map[string][]Point{"none": nil, "a fitted size": {{200, 1, 300}}, "0": {{250, 1, 0}}, "no number": {{250, 1, math.NaN()}}} {
+	for name, held := range map[string][]Point{
+		"none": nil, "a fitted size": {{200, 1, 300}}, "0": {{250, 1, 0}},
+		"no number": {{250, 1, math.NaN()}},
+	} {
 		if got, err := l.PredictionError(held); err == nil {
 			t.Errorf("%s: %v", name, got)
 		}
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -1,7 +1,6 @@
-// Package trial has the scripts of what is done to the members of a fleet, and the checker that judges by them what
-// members say of one another. The same scripts and the same checker are used for members in virtual time
-// (lab/virtual) and for real processes (lab/procs); this package knows neither, nor how a member comes by what it
-// says.
+// Package scenario has the scripts of what is done to the members of a fleet, and the checker that judges by them what
+// members report of one another. The same scripts and the same checker serve members in virtual time (lab/simulation)
+// and real processes (lab/procs); this package knows neither.
 package scenario
 
 import (
@@ -194,7 +193,8 @@
 // Result is what was found so far.
 func (t *Trial) Result(name string, seed uint64) *Result {
 	return &Result{
-		Scenario: name, Members: t.Members(), Seed: seed, FalseDead: t.FalseDead, HeldDead: t.HeldDead, DeadReturned: t.DeadReturned,
-		Flaps: t.Flaps, Unseen: t.Unseen(), Seen: t.Seen, Differ: t.Differ,
+		Scenario: name, Members: t.Members(), Seed: seed, FalseDead: t.FalseDead, HeldDead: t.HeldDead,
+		DeadReturned: t.DeadReturned,
+		Flaps:        t.Flaps, Unseen: t.Unseen(), Seen: t.Seen, Differ: t.Differ,
 	}
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -12,7 +12,8 @@
 
 // Scenarios are the scripts by name.
 var Scenarios = map[string]Script{
-	"pause": pauses, "loss": losses, "one-sided": oneSided, "split": splits, "storm": storm, "quiet": quiet, "weak": weak, "tired": tired, "return": returns,
+	"pause": pauses, "loss": losses, "one-sided": oneSided, "split": splits, "storm": storm, "quiet": quiet,
+	"weak": weak, "tired": tired, "return": returns,
 }
 
 // Names are the scenarios' names.
--- a/lab/sshchan/sshchan.go
+++ b/lab/sshchan/sshchan.go
@@ -455,7 +455,7 @@
 	}
 	data := payload[9:]
 	if uint32(len(data)) > ch.window || ch.err != nil {
-		return fmt.Errorf("%d bytes with a window of %d, after %v", len(data), ch.window, ch.err)
+		return fmt.Errorf("%d bytes with a window of %d, after %w", len(data), ch.window, ch.err)
 	}
 	ch.window -= uint32(len(data))
 	ch.in = append(ch.in, data...)
@@ -547,10 +547,10 @@
 			return sent, io.ErrClosedPipe
 		}
 		n := min(len(b), int(ch.sendWindow), int(ch.maxPacket), chunk)
-		m := append(ch.c.scratch[:0], numData)
-		m = binary.BigEndian.AppendUint32(m, ch.peer)
-		m = binary.BigEndian.AppendUint32(m, uint32(n))
-		ch.c.scratch = append(m, b[:n]...)
+		ch.c.scratch = append(ch.c.scratch[:0], numData)
+		ch.c.scratch = binary.BigEndian.AppendUint32(ch.c.scratch, ch.peer)
+		ch.c.scratch = binary.BigEndian.AppendUint32(ch.c.scratch, uint32(n))
+		ch.c.scratch = append(ch.c.scratch, b[:n]...)
 		if err := ch.c.write(ch.c.scratch); err != nil {
 			return sent, err
 		}
