--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -1,6 +1,10 @@
-// Package mux is the state of one connection with multiplexed channels, in either role: which channels there are, what
-// may be sent on each, whose turn it is, and what a peer may not do. Bytes go in by Feed and out by a Wire: it has no
-// sockets and no clock, and knows nothing of what the channels are for.
+// Package mux is the state machine of one connection that carries multiplexed channels (SSH's connection protocol, see
+// internal/channel), as client or server: which channels there are, flow control and fair turns among them, and which
+// messages of a peer are protocol errors.
+//
+// Received bytes go in by Conn.Feed, bytes to send go out by a Wire. It has no sockets and no clock, knows nothing of
+// what the channels carry, and is used from one goroutine: owners are called from within Feed, Flushed and Lost, and
+// nothing blocks.
 package mux
 
 import (
@@ -10,69 +14,69 @@
 	"spurspread/internal/eventloop"
 )
 
-// Wire is what a connection writes to. What it does not get rid of at once it keeps, and tells how much that is.
+// Wire is what a connection writes to, without blocking. Pending returns how many written bytes it still buffers.
 type Wire interface {
 	Write(parts ...[]byte)
 	Pending() int
 }
 
-// Owner is told what concerns the connection as a whole. It may close any channel in these calls.
+// Owner is notified of what concerns the connection as a whole. It may close any channel in these calls.
 type Owner interface {
-	// Ready tells a client that its peer has taken the service: channels may be opened.
+	// Ready is called on a client once the peer has accepted the service: channels may be opened.
 	Ready()
-	// Admit tells whether one more channel may be opened now; if not, the peer hears code and why. Nothing was kept for
-	// it yet.
+	// Admit decides whether one more channel may be opened now. If why is not "", the peer is sent an open failure with
+	// it and the code (of RFC 4254). No state is kept for the channel yet.
 	Admit(kind []byte) (code uint32, why string)
-	// Open brings a channel that the peer opens. The owner answers with Confirm or Refuse, now or later.
+	// Open is called for a channel that the peer opens. The owner answers with Confirm or Reject, now or later.
 	Open(ch *Channel, data []byte)
-	// Alive tells that a Ping was answered.
+	// Alive is called when a Ping was answered.
 	Alive()
 }
 
-// ChannelOwner is told what happens to a channel. It may close the channel in any of these calls.
+// ChannelOwner is notified of what happens to a channel. It may close the channel in any of these calls.
 type ChannelOwner interface {
-	// Confirmed tells that the peer has confirmed a channel that was opened here, and what it said.
+	// Confirmed is called when the peer has confirmed a channel that was opened here; data is what it sent with it.
 	Confirmed(data []byte)
-	// Refused tells that it has not; the channel is gone.
+	// Rejected is called when the peer has refused it, or the connection is lost before an answer. The channel is gone.
 	Rejected(code uint32, description []byte)
-	// Readable tells that bytes or an end have come. The owner reads until loop.ErrAgain, or later.
+	// Readable is called when bytes or an end were received. The owner reads until eventloop.ErrAgain, now or later.
 	Readable()
-	// Flushed tells that all that was kept back has gone out.
+	// Flushed is called when all that Pending had counted was sent.
 	Flushed()
-	// Requested brings a request of the peer's, and returns whether it is known.
+	// Requested is called for a request of the peer's, and returns whether it is known.
 	Requested(name, data []byte) bool
 }
 
-// Config is what a connection is made with.
+// Config configures a connection.
 type Config struct {
-	Server      bool
-	Version     string // of the program, for the identification
-	MaxChannels int    // channels at once
-	Window      uint32 // that the peer is granted on each, at most
-	Budget      *Budget
+	Server      bool    // the role; a client opens channels, a server only confirms or rejects them
+	Version     string  // of the program, for the identification line
+	MaxChannels int     // channels at once
+	Window      uint32  // bytes granted to the peer on each channel at most; the budget may grant less
+	Budget      *Budget // shared by all connections of the process
 }
 
 const (
-	// sendHighWaterMark is how much may wait on the wire before channels queue for their turns: enough to keep it busy.
+	// sendHighWaterMark is how many bytes may wait on the wire before channels queue for turns: enough to keep it busy.
 	sendHighWaterMark = 64 << 10
-	// turnBytes is what one channel sends before the next has its turn.
+	// turnBytes is how many bytes one channel sends before the next has its turn.
 	turnBytes = 8 << 10
-	// maxUnreadReplies is how much may wait on the wire of a peer that asks and does not read.
+	// maxUnreadReplies is how many bytes may wait on the wire of a peer that sends requests and does not read replies.
 	maxUnreadReplies = 512 << 10
-	// minPeerPacket is the least that a peer must take in one message.
+	// minPeerPacket is how many bytes a peer must accept in one message.
 	minPeerPacket = 16
 )
 
-// ErrDisconnected says that the peer has ended the connection with DISCONNECT.
+// ErrDisconnected is returned by Feed when the peer has ended the connection with DISCONNECT.
 var ErrDisconnected = errors.New("peer has disconnected")
 
-// ErrNotSSH says that the peer does not speak channels.
+// ErrNotSSH is returned by Feed when the peer's identification is not that of the protocol.
 var ErrNotSSH = errors.New("peer does not speak channels")
 
-// errClosed is what a channel's reader gets that was closed without an end, as of a connection that was reset.
+// errClosed is returned by Channel.Read when the channel was closed without EOF, as a connection that was reset.
 var errClosed = errors.New("channel closed without its end")
 
-// protocolError is what a peer did that it may not; it is told so, and the connection ends.
+// protocolError is a violation of the protocol by the peer. It is sent in DISCONNECT, and the connection ends.
 type protocolError struct {
 	code uint32
 	text string
@@ -87,32 +91,34 @@
 type connectionStage uint8
 
 const (
-	identifying     connectionStage = iota
-	agreeingService                 // the service is not agreed on
-	running
-	finished
+	identifying     connectionStage = iota // the peer's identification line has not come
+	agreeingService                        // identified; the service is not accepted yet
+	running                                // channels may be opened
+	finished                               // by DISCONNECT, a protocol error or a lost connection
 )
 
-// Conn is one connection.
+// Conn is one connection. New makes one.
 type Conn struct {
 	cfg             Config
 	wire            Wire
 	owner           Owner
 	stage           connectionStage
-	buf             []byte // the start of a packet
-	packetsReceived uint32 // packets taken
+	buf             []byte // the start of a packet that is not complete
+	packetsReceived uint32
 	channels        eventloop.Slots[*Channel]
-	turnHead        *Channel // of those that wait for their turn
+	turnHead        *Channel // queue of the channels that wait for a turn
 	turnTail        *Channel
-	pumping         bool
-	unansweredPings int // not answered yet
-	msg             channel.Message
-	out             []byte       // scratch of send
-	head            channel.Head // and of sendData
-	parts           [][]byte
+	pumping         bool // pump is running further up the stack
+	unansweredPings int
+
+	// Scratch, kept so that nothing is allocated for each packet.
+	msg   channel.Message
+	out   []byte
+	head  channel.Head
+	parts [][]byte
 }
 
-// New returns a connection. A client begins to speak at once; a server once it was identified to.
+// New returns a connection. A client identifies itself at once; a server once the client has.
 func New(w Wire, cfg Config, o Owner) *Conn {
 	c := &Conn{cfg: cfg, wire: w, owner: o}
 	if !cfg.Server {
@@ -124,13 +130,13 @@
 
 func (c *Conn) identify() { c.wire.Write([]byte("SSH-2.0-spurspread_" + c.cfg.Version + "\r\n")) }
 
-// Len is how many channels there are, those that wait for the peer's CLOSE included.
+// Len returns the number of channels, those that wait for the peer's CLOSE included.
 func (c *Conn) Len() int { return c.channels.Len() }
 
-// Identified tells that the peer has identified itself: it speaks channels.
+// Identified reports whether the peer has identified itself as a speaker of the protocol.
 func (c *Conn) Identified() bool { return c.stage == agreeingService || c.stage == running }
 
-// Ready tells that identification and service are agreed on.
+// Ready reports whether channels may be opened: identification and service are agreed on.
 func (c *Conn) Ready() bool { return c.stage == running }
 
 func (c *Conn) send(m *channel.Message) {
@@ -138,7 +144,8 @@
 	c.wire.Write(c.out)
 }
 
-// Ping asks the peer for a sign of life.
+// Ping sends a keepalive request; Owner.Alive is called when it is answered. Before the service is agreed on it
+// does nothing.
 func (c *Conn) Ping() {
 	if c.stage == running {
 		c.unansweredPings++
@@ -146,7 +153,7 @@
 	}
 }
 
-// Disconnect says why the connection ends. It must be ended by the caller then, and Lost be called.
+// Disconnect tells the peer why the connection ends. The caller then closes it and calls Lost.
 func (c *Conn) Disconnect(code uint32, text string) {
 	if c.stage != finished {
 		c.send(&channel.Message{Type: channel.Disconnect, Code: code, Data: []byte(text)})
@@ -154,7 +161,8 @@
 	}
 }
 
-// Feed takes what the peer sent. After an error the peer has been told; the caller ends the connection and calls Lost.
+// Feed handles received bytes. After an error (ErrDisconnected, ErrNotSSH or a violation of the protocol, which the
+// peer has been sent) the caller closes the connection and calls Lost.
 func (c *Conn) Feed(b []byte) error {
 	kept := len(c.buf) > 0
 	if kept {
@@ -198,7 +206,7 @@
 	c.stage, c.buf = finished, nil
 }
 
-// step takes one identification or packet off b.
+// step handles one identification line or packet at the start of b, and returns its length; 0 while it is incomplete.
 func (c *Conn) step(b []byte) (int, error) {
 	if c.stage == identifying {
 		_, n, err := channel.SplitIdentification(b)
@@ -225,6 +233,7 @@
 	return n, c.take(&c.msg, seq)
 }
 
+// take handles one message, the seq-th that was received.
 func (c *Conn) take(m *channel.Message, seq uint32) error {
 	switch m.Type {
 	case channel.Disconnect:
@@ -284,7 +293,7 @@
 	return nil
 }
 
-// global answers a request at once, so that replies have the order of the requests.
+// global answers a global request at once, so that replies keep the order of the requests.
 func (c *Conn) global(m *channel.Message) {
 	if !m.WantReply {
 		return
@@ -296,6 +305,7 @@
 	c.send(&channel.Message{Type: reply})
 }
 
+// opened handles an OPEN of the peer: it checks the limits, asks the owner, and refuses or hands the channel over.
 func (c *Conn) opened(m *channel.Message) {
 	code, why := uint32(0), ""
 	switch {
@@ -322,7 +332,7 @@
 	c.owner.Open(ch, m.Data)
 }
 
-// Open opens a channel to the peer, for an owner that will hear of it. It returns nil where no more may be opened.
+// Open opens a channel to the peer; o is notified of its answer. It returns nil where no more channels may be opened.
 func (c *Conn) Open(data []byte, o ChannelOwner) *Channel {
 	if c.stage != running || c.channels.Len() >= c.cfg.MaxChannels {
 		return nil
@@ -339,7 +349,8 @@
 	return ch
 }
 
-// Lost ends all channels, for the connection is gone; plain tells whether it ended in order. Each owner is told once.
+// Lost ends all channels of a connection that is gone; plain reports whether it ended in order. Each owner is notified
+// once.
 func (c *Conn) Lost(plain bool) {
 	c.stage = finished
 	c.turnHead, c.turnTail = nil, nil
@@ -348,10 +359,10 @@
 	}
 }
 
-// Flushed tells that the wire has room again.
+// Flushed is called by the caller when the wire has sent what was pending.
 func (c *Conn) Flushed() { c.pump() }
 
-// queue has a channel wait for its turn.
+// queue appends a channel to those that wait for a turn.
 func (c *Conn) queue(ch *Channel) {
 	if ch.queued {
 		return
@@ -365,7 +376,7 @@
 	c.turnTail = ch
 }
 
-// pump gives channels their turns, one packet each, while the wire has room.
+// pump gives channels their turns, one packet each, while the wire is below its high-water mark.
 func (c *Conn) pump() {
 	if c.pumping || c.stage == finished {
 		return
