--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,10 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrAgain says that a socket has nothing to read now; Readable comes when it has.
+// ErrAgain is returned by Conn.Read when a socket has nothing to read now; Owner.Readable is called when it has.
 var ErrAgain = errors.New("nothing to read now")
 
-// IsResourceExhausted tells that a call failed for want of something of this machine's own, whoever the peer is.
+// IsResourceExhausted reports whether a call failed for want of a local resource (descriptors, memory, ports), which
+// says nothing of the peer.
 func IsResourceExhausted(err error) bool {
 	for _, e := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
@@ -22,13 +23,14 @@
 	return false
 }
 
-// Owner is told what happens to a Conn. It may close the Conn in any of these calls.
+// Owner is notified of what happens to a Conn. It may close the Conn in any of these calls, and must not block.
 type Owner interface {
-	// Connected tells how a Dial ended; after an error the Conn is only to be closed.
+	// Connected is called when a Dial has ended; after an error the Conn can only be closed.
 	Connected(c *Conn, err error)
-	// Readable tells that bytes, an end or an error may have come. It comes once: the owner reads until ErrAgain.
+	// Readable is called when bytes, an end or an error may be read. It is edge-triggered: the owner reads until
+	// ErrAgain, at once or later.
 	Readable(c *Conn)
-	// Flushed tells that all that was kept back has been written.
+	// Flushed is called when all that Pending had counted was written.
 	Flushed(c *Conn)
 }
 
@@ -40,7 +42,7 @@
 	ref        Ref
 	owner      Owner
 	connecting bool
-	closing    bool   // the sending side ends once pending is out
+	closing    bool   // the sending side ends once pending is written
 	failed     error  // a write failed; the next read reports it
 	pending    []byte // taken by Write but not yet by the kernel
 }
@@ -73,7 +75,7 @@
 	return c, nil
 }
 
-// Dial starts a connection. A refusal that is known at once is an error; else Connected tells.
+// Dial starts a connection. A failure that is known at once is returned, any other one is passed to Owner.Connected.
 func (l *Loop) Dial(to netip.AddrPort, owner Owner) (*Conn, error) {
 	sa, family := sockaddr(to)
 	fd, err := l.socket(family)
@@ -113,9 +115,9 @@
 	}
 }
 
-// DrainEvents looks whether a connection that is coming up has done so by now, its event still unread, and has the
-// owner told. Deadlines of a turn come before the next turn's events: a loop that was held up would else take every
-// connection for one that never came up.
+// DrainEvents checks whether a connection that is coming up has done so by now, its event still unread, and if so
+// notifies the owner. Deadlines of a turn run before the next turn's events: without it, a loop that was delayed would
+// take every connection for one that never came up.
 func (c *Conn) DrainEvents() {
 	if c.fd < 0 || !c.connecting {
 		return
@@ -126,7 +128,8 @@
 	}
 }
 
-// Read reads what has come: ErrAgain where there is nothing yet, io.EOF at the peer's end, else its error.
+// Read reads what was received. It returns ErrAgain where there is nothing yet, io.EOF at the peer's end, else the
+// socket's error or that of an earlier write.
 func (c *Conn) Read(buf []byte) (int, error) {
 	for {
 		n, err := unix.Read(c.fd, buf)
@@ -195,10 +198,10 @@
 	}
 }
 
-// Pending tells how many bytes wait for the kernel to take them.
+// Pending returns how many bytes wait for the kernel to take them.
 func (c *Conn) Pending() int { return len(c.pending) }
 
-// Broken tells that a write failed: what that call was given, and what was pending, has not been sent.
+// Broken reports whether a write failed: what that call was given, and what was pending, was not sent.
 func (c *Conn) Broken() bool { return c.failed != nil }
 
 // CloseWrite ends the sending side once all that is pending is out; the peer sees a plain end.
--- a/internal/eventloop/deadlines.go
+++ b/internal/eventloop/deadlines.go
@@ -12,7 +12,7 @@
 	at  Micros
 	seq uint64 // deadlines of one moment fall due in the order in which they were set
 	due func()
-	pos int
+	pos int // in the heap
 	ref Ref
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// next tells when the first deadline falls due.
+// next returns when the first deadline falls due, and false where there is none.
 func (d *deadlines) next() (Micros, bool) {
 	if len(d.heap) == 0 {
 		return 0, false
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -9,6 +9,7 @@
 import (
 	"errors"
 	"fmt"
+	"spurspread/decision/monotime"
 	"sync"
 	"time"
 
@@ -57,12 +58,12 @@
 func (l *Loop) Close() error { return errors.Join(unix.Close(l.wake), unix.Close(l.epoll)) }
 
 // Now is the wall time at the start of the process advanced by the monotonic clock, so that it agrees with the
-// other machines' clocks but never jumps. It stands still while one event is handled.
+// other machines' clocks but never jumps. It does not advance while one event is handled.
 func (l *Loop) Now() Micros { return l.now }
 
 func (l *Loop) tick() { l.now = l.wall + Micros(time.Since(l.start).Microseconds()) }
 
-// Descriptors tells how many sockets are open.
+// Descriptors returns how many sockets are open.
 func (l *Loop) Descriptors() int { return l.open }
 
 // After calls due once the delay has passed, in a later turn of the loop.
@@ -86,9 +87,15 @@
 // Stop ends Run after the present turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run turns the loop until Stop.
+// eventsPerTurn bounds how many sockets' events one turn handles before deadlines are looked at again.
+const eventsPerTurn = 256
+
+// maxSleep bounds one wait for events.
+const maxSleep = 60_000 // milliseconds
+
+// Run runs the loop until Stop. It returns an error only if epoll itself fails.
 func (l *Loop) Run() error {
-	events := make([]unix.EpollEvent, 256)
+	events := make([]unix.EpollEvent, eventsPerTurn)
 	for !l.stopped {
 		l.tick()
 		n, err := unix.EpollWait(l.epoll, events, l.wait())
@@ -107,13 +114,13 @@
 	return nil
 }
 
-// wait is how long epoll may sleep, in milliseconds, rounded up.
+// wait returns how long epoll may sleep, in milliseconds, rounded up; -1 without a deadline.
 func (l *Loop) wait() int {
 	at, ok := l.deadlines.next()
 	if !ok {
 		return -1
 	}
-	return int(min(max((at-l.now+999)/1000, 0), 60_000))
+	return int(min(max((at-l.now+monotime.Millisecond-1)/monotime.Millisecond, 0), maxSleep))
 }
 
 func (l *Loop) add(fd int, r ready, events uint32) (Ref, error) {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -96,7 +96,7 @@
 
 func (ln *Listener) ready(uint32) { ln.acceptSome(acceptsPerTurn) }
 
-// acceptSome accepts up to n connections and tells whether the queue is empty now, or can't be emptied for want of
+// acceptSome accepts up to n connections and reports whether the queue is empty now, or can't be emptied for want of
 // descriptors.
 func (ln *Listener) acceptSome(n int) (empty bool) {
 	for range n {
--- a/internal/eventloop/packets.go
+++ b/internal/eventloop/packets.go
@@ -15,12 +15,12 @@
 // maxPassed is how many descriptors come beside one packet.
 const maxPassed = 2
 
-// PacketOwner is told what happens to a Packets. It may close it in any of these calls.
+// PacketOwner is notified of what happens to a Packets. It may close it in any of these calls.
 type PacketOwner interface {
 	// Packet takes one packet and the descriptors beside it, which are the owner's from then on. The bytes are only
 	// good until it returns.
 	Packet(p *Packets, b []byte, fds []int)
-	// Ended tells that the peer has gone; it comes once, and the Packets is only to be closed then.
+	// Ended is called once, when the peer has gone; the Packets can only be closed then.
 	Ended(p *Packets)
 }
 
--- a/internal/eventloop/slots.go
+++ b/internal/eventloop/slots.go
@@ -52,7 +52,7 @@
 	return makeRef(i, c.gen)
 }
 
-// Get returns what r names, if it still stands.
+// Get returns what r names, if that use of the slot has not ended.
 func (t *Slots[T]) Get(r Ref) (v T, ok bool) {
 	if i := r.index(); i < len(t.cells) && t.cells[i].used && t.cells[i].gen == r.gen() {
 		return t.cells[i].v, true
@@ -72,7 +72,7 @@
 	t.count--
 }
 
-// Len tells how many slots are in use.
+// Len returns how many slots are in use.
 func (t *Slots[T]) Len() int { return t.count }
 
 // All yields what is in use, in the order of the slots. The table may change meanwhile.
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -19,7 +19,8 @@
 	ErrMalformed = errors.New("line is malformed")
 )
 
-// SplitLine finds the first line of buf. n is its length with its end, 0 while the end has not come.
+// SplitLine finds the first line of buf. n is its length with its end, 0 while the end was not received. The error is
+// ErrLong or ErrMalformed.
 func SplitLine(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), Max)], '\n')
 	if end < 0 {
@@ -34,7 +35,7 @@
 	return buf[:end-1], end + 1, nil
 }
 
-// Verb says what a client's first line asks.
+// Verb is what a client's first line requests.
 type Verb uint8
 
 // The verbs of a first line.
@@ -44,7 +45,7 @@
 	Ping
 )
 
-// ParseVerb tells what a client's first line asks.
+// ParseVerb returns what a client's first line requests; Unknown where it is neither OPEN nor PING.
 func ParseVerb(text []byte) Verb {
 	verb, _, more := bytes.Cut(text, []byte(" "))
 	switch {
@@ -56,28 +57,30 @@
 	return Unknown
 }
 
-// Open is a client's first line. Its slices, and the offsets of d's value, are of the line that was parsed.
+// Open is a client's first line. Its slices, and the offsets of d's value, are of the line that was parsed. The
+// names in the comments are those of the line.
 type Open struct {
 	ID         uint64 // new for every connection
 	Key        uint64
-	Group      uint64
-	Class      []byte
-	At         []byte // the server that holds the connection already
-	Millis     int64  // d
-	DFrom, DTo int    // where d's value stands
-	Retry      bool
-	Returned   bool
-	Hint       float64
+	Group      uint64  // g
+	Class      []byte  // c
+	At         []byte  // at: the server that holds the connection already
+	Millis     int64   // d: the client's deadline, milliseconds from now
+	DFrom, DTo int     // offsets of d's value in the line
+	Retry      bool    // r=1
+	Returned   bool    // again=1: the client came back after a break or a move
+	Hint       float64 // h: the connection's usual load
 	HasHint    bool
-	Tenant     uint64 // 0 where none is named
-	Tok, Cur   []byte // of a client that takes tokens: "ask" or a token, and the number of the last message it has
+	Tenant     uint64 // owner; 0 where none is named
+	Tok        []byte // tok: "ask" or a resume token, of a client that takes tokens
+	Cur        []byte // cur: the number of the last message that the client has
 }
 
 // maxWord is how long an id or a key may be.
 const maxWord = 64
 
-// ParseOpen reads "OPEN ID KEY name=value,...". Names that it does not know are left alone. It is strict with all
-// others: what a target could not use would come back as its error.
+// ParseOpen parses "OPEN ID KEY name=value,...". It ignores names that it does not know and is strict with all others:
+// what a server could not use would come back as the server's error. The error is ErrMalformed.
 func ParseOpen(text []byte) (Open, error) {
 	o := Open{Millis: -1}
 	fields := bytes.SplitN(text, []byte(" "), 4)
@@ -164,14 +167,14 @@
 	return h.Sum64()
 }
 
-// ServerVerb says what a server's line is.
+// ServerVerb is the kind of a server's line.
 type ServerVerb uint8
 
 // The kinds of a server's lines.
 const (
 	Other ServerVerb = iota
 	Up
-	Goaway
+	Goaway // BYE
 	Move
 	Err
 	Busy
@@ -180,7 +183,7 @@
 	Stale // a token is not honoured
 )
 
-// ParseServerLine tells what a server's line is. The value is that of LOAD.
+// ParseServerLine returns the kind of a server's line, and the value of a LOAD line (0 for others).
 func ParseServerLine(text []byte) (ServerVerb, float64) {
 	verb, rest, more := bytes.Cut(text, []byte(" "))
 	switch string(verb) {
@@ -208,7 +211,8 @@
 	return Other, 0
 }
 
-// Field reads the number that a line's last word tells under a name, as in "PONG queue=2,x0=0.61".
+// Field returns the number under a name in a line's last word, as in "PONG queue=2,x0=0.61". It returns false where the
+// name is missing, or its value negative or not a finite number.
 func Field(text []byte, name string) (float64, bool) {
 	_, rest, _ := bytes.Cut(text, []byte(" "))
 	for len(rest) > 0 {
@@ -274,17 +278,17 @@
 	return append(to, '\r', '\n')
 }
 
-// Scanner follows the lines of a stream that is passed on as it comes. It keeps only the start of a line, as
-// much as tells what the line is.
+// Scanner follows the lines of a stream that is forwarded as it is received. It buffers only the start of a line,
+// enough to recognise its verb.
 type Scanner struct {
 	head [48]byte
 	n    int // length of the line so far
 }
 
-// Between tells that the stream stands between two lines.
+// Between reports whether the stream is at the start of a line.
 func (s *Scanner) Between() bool { return s.n == 0 }
 
-// Feed takes the next bytes and calls each with the start of every line that they end.
+// Feed handles the next bytes and calls each with the start of every line that they complete.
 func (s *Scanner) Feed(b []byte, each func(start []byte)) {
 	for len(b) > 0 {
 		part, ended := b, false
