--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// Type is a message's number.
+// Type is a message's number (RFC 4253, section 12, and RFC 4254, section 9).
 type Type byte
 
-// The messages that are used.
+// The message types that are used; others are answered by Unimplemented.
 const (
 	Disconnect     Type = 1
 	Ignore         Type = 2
@@ -29,7 +29,7 @@
 	Failure        Type = 100
 )
 
-// Why a channel is not opened (RFC 4254, section 5.1).
+// Reasons for refusing to open a channel (RFC 4254, section 5.1).
 const (
 	Prohibited   uint32 = 1
 	ConnectError uint32 = 2
@@ -37,7 +37,7 @@
 	NoResources  uint32 = 4
 )
 
-// Why a connection is ended (RFC 4253, section 11.1).
+// Reasons for ending a connection (RFC 4253, section 11.1).
 const (
 	ProtocolError       uint32 = 2
 	ServiceNotAvailable uint32 = 7
@@ -45,7 +45,7 @@
 	TooMany             uint32 = 12
 )
 
-// Names that are used.
+// Names of the service, channel types and requests that are used.
 const (
 	Service   = "ssh-connection"
 	Stream    = "stream@spurspread"
@@ -53,7 +53,7 @@
 	Keepalive = "keepalive@spurspread"
 )
 
-// Message is one message. Which fields count depends on its type; slices point into the packet.
+// Message is one message of any type. Its type decides which fields are used; slices point into the packet.
 type Message struct {
 	Type      Type
 	Channel   uint32 // the recipient's number for the channel; for Open the sender's
@@ -68,7 +68,7 @@
 	WantReply bool // GlobalRequest, Request
 }
 
-// reader takes fields off a payload.
+// reader reads the fields of a payload in order. bad is set once a field is cut off.
 type reader struct {
 	b   []byte
 	bad bool
@@ -111,7 +111,8 @@
 	return v
 }
 
-// Parse reads a payload. A type that is not used has only its Type; it is no error.
+// Parse parses a packet's payload. Of a type that is not used it sets Type alone, which is no error. The error is ErrShort
+// or ErrLong.
 func Parse(payload []byte, m *Message) error {
 	if len(payload) == 0 {
 		return ErrShort
@@ -120,7 +121,8 @@
 	r := reader{b: payload[1:]}
 	switch m.Type {
 	case Disconnect:
-		m.Code, m.Data = r.u32(), r.text()
+		m.Code = r.u32()
+		m.Data = r.text()
 		r.text() // the description's language
 	case Ignore:
 		r.text()
@@ -133,27 +135,46 @@
 	case ServiceRequest, ServiceAccept:
 		m.Name = r.text()
 	case GlobalRequest:
-		m.Name, m.WantReply, m.Data = r.text(), r.flag(), r.rest()
+		m.Name = r.text()
+		m.WantReply = r.flag()
+		m.Data = r.rest()
 	case RequestSuccess:
 		m.Data = r.rest()
 	case RequestFailure:
 	case Open:
-		m.Name, m.Channel, m.Window, m.MaxPacket, m.Data = r.text(), r.u32(), r.u32(), r.u32(), r.rest()
+		m.Name = r.text()
+		m.Channel = r.u32()
+		m.Window = r.u32()
+		m.MaxPacket = r.u32()
+		m.Data = r.rest()
 	case OpenConfirm:
-		m.Channel, m.Sender, m.Window, m.MaxPacket, m.Data = r.u32(), r.u32(), r.u32(), r.u32(), r.rest()
+		m.Channel = r.u32()
+		m.Sender = r.u32()
+		m.Window = r.u32()
+		m.MaxPacket = r.u32()
+		m.Data = r.rest()
 	case OpenFailure:
-		m.Channel, m.Code, m.Data = r.u32(), r.u32(), r.text()
+		m.Channel = r.u32()
+		m.Code = r.u32()
+		m.Data = r.text()
 		r.text()
 	case WindowAdjust:
-		m.Channel, m.Window = r.u32(), r.u32()
+		m.Channel = r.u32()
+		m.Window = r.u32()
 	case Data:
-		m.Channel, m.Data = r.u32(), r.text()
+		m.Channel = r.u32()
+		m.Data = r.text()
 	case ExtendedData:
-		m.Channel, m.Code, m.Data = r.u32(), r.u32(), r.text()
+		m.Channel = r.u32()
+		m.Code = r.u32()
+		m.Data = r.text()
 	case EOF, Close, Success, Failure:
 		m.Channel = r.u32()
 	case Request:
-		m.Channel, m.Name, m.WantReply, m.Data = r.u32(), r.text(), r.flag(), r.rest()
+		m.Channel = r.u32()
+		m.Name = r.text()
+		m.WantReply = r.flag()
+		m.Data = r.rest()
 	default:
 		return nil
 	}
@@ -166,7 +187,7 @@
 	return nil
 }
 
-// String reads a string that is all of b, as Open's own data is.
+// String parses a string that is all of b, as the data of Open is. The error is ErrShort or ErrLong.
 func String(b []byte) ([]byte, error) {
 	r := reader{b: b}
 	v := r.text()
@@ -179,7 +200,7 @@
 	return v, nil
 }
 
-// Append appends a message as a whole packet.
+// Append appends a message to dst as one packet.
 func Append(dst []byte, m *Message) []byte {
 	dst, at := Begin(dst)
 	dst = append(dst, byte(m.Type))
@@ -232,5 +253,5 @@
 	return append(dst, 0)
 }
 
-// AppendString appends a string, as Open's own data is.
+// AppendString appends a string to dst, in the form that String parses.
 func AppendString(dst, v []byte) []byte { return text(dst, v) }
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -12,18 +12,20 @@
 
 // Limits of RFC 4253.
 const (
-	MaxIdent  = 255    // an identification line, with its end
-	MaxPacket = 35_000 // a whole packet, with its length and padding
-	minPacket = 16
-	block     = 8
-	minPad    = 4
-	headSize  = 5 // length and padding length
+	MaxIdent   = 255    // an identification line, with its end
+	MaxPacket  = 35_000 // a whole packet, with its length and padding
+	minPacket  = 16
+	block      = 8
+	minPad     = 4
+	lengthSize = 4
+	headSize   = lengthSize + 1 // length and padding length
+	dataFields = 9              // type, channel and length of a DATA packet
 )
 
 // Prefix begins an identification line. A first line that does not begin so is a plain client's.
 const Prefix = "SSH-"
 
-// What may be wrong with what a peer sends. Each ends the connection.
+// Errors of what a peer sends. Each ends the connection.
 var (
 	ErrIdent  = errors.New("identification is not SSH-2.0")
 	ErrLength = errors.New("packet length is not one that may be")
@@ -32,8 +34,8 @@
 	ErrLong   = errors.New("message has bytes behind its end")
 )
 
-// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end has not
-// come. Both CR LF and a lone LF end it, as RFC 4253 asks.
+// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end was not
+// received. Both CR LF and a lone LF end it (RFC 4253, section 4.2). The error is ErrIdent.
 func SplitIdentification(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxIdent)], '\n')
 	if end < 0 {
@@ -54,24 +56,25 @@
 	return text, end + 1, nil
 }
 
-// SplitPacket finds the first packet of buf. n is its whole length, 0 while not all of it has come.
+// SplitPacket finds the first packet of buf. n is its whole length, 0 while it is incomplete. The error is ErrLength or
+// ErrPad.
 func SplitPacket(buf []byte) (payload []byte, n int, err error) {
-	if len(buf) < 4 {
+	if len(buf) < lengthSize {
 		return nil, 0, nil
 	}
 	length := binary.BigEndian.Uint32(buf)
-	// Looked at before the rest has come: a length that may not be must not have anything wait for it.
-	if length < minPacket-4 || length > MaxPacket-4 || (length+4)%block != 0 {
+	// Checked before the rest has come: nobody is to wait for a packet whose length is invalid.
+	if length < minPacket-lengthSize || length > MaxPacket-lengthSize || (length+lengthSize)%block != 0 {
 		return nil, 0, ErrLength
 	}
-	if len(buf) < 5 {
+	if len(buf) < headSize {
 		return nil, 0, nil
 	}
-	pad := uint32(buf[4])
+	pad := uint32(buf[lengthSize])
 	if pad < minPad || pad+1 >= length {
 		return nil, 0, ErrPad
 	}
-	n = int(length) + 4
+	n = int(length) + lengthSize
 	if len(buf) < n {
 		return nil, 0, nil
 	}
@@ -86,6 +89,15 @@
 // End completes the packet that began at at.
 func End(dst []byte, at int) []byte {
 	size := len(dst) - at
+	pad := padding(size)
+	dst = append(dst, zeros[:pad]...)
+	putHead(dst[at:], size, pad)
+	return dst
+}
+
+// padding returns how many bytes of padding follow a packet of size bytes with its head: the whole is a multiple of
+// block and at least minPacket, the padding at least minPad.
+func padding(size int) int {
 	pad := block - size%block
 	if pad < minPad {
 		pad += block
@@ -93,34 +105,33 @@
 	if size+pad < minPacket {
 		pad += block
 	}
-	for range pad {
-		dst = append(dst, 0)
-	}
-	binary.BigEndian.PutUint32(dst[at:], uint32(size+pad-4))
-	dst[at+4] = byte(pad)
-	return dst
+	return pad
+}
+
+// putHead writes the head of a packet of size bytes, head included, and its padding.
+func putHead(head []byte, size, pad int) {
+	binary.BigEndian.PutUint32(head, uint32(size+pad-lengthSize))
+	head[lengthSize] = byte(pad)
 }
 
-// MaxData is how much data one packet of ours carries at most: what RFC 4253 asks every peer to take.
+// MaxData is how many bytes of data one packet of ours carries at most: what every peer has to accept (RFC 4253,
+// section 6.1).
 const MaxData = 32 << 10
 
-// Head is what stands before the data of a DATA packet.
-type Head [headSize + 9]byte
+// Head is what precedes the data of a DATA packet.
+type Head [headSize + dataFields]byte
 
 // DataHead fills the head of a DATA packet of n bytes of data, and returns the padding that goes behind them, to be
 // written round the data without copying it.
 func DataHead(head *Head, id uint32, n int) (pad []byte) {
-	size := headSize + 9 + n
-	p := block - size%block
-	if p < minPad {
-		p += block
-	}
-	binary.BigEndian.PutUint32(head[:], uint32(size+p-4))
-	head[4] = byte(p)
-	head[5] = byte(Data)
-	binary.BigEndian.PutUint32(head[6:], id)
-	binary.BigEndian.PutUint32(head[10:], uint32(n))
-	return zeros[:p]
+	size := len(head) + n
+	padded := padding(size)
+	putHead(head[:], size, padded)
+	head[headSize] = byte(Data)
+	binary.BigEndian.PutUint32(head[headSize+1:], id)
+	binary.BigEndian.PutUint32(head[headSize+5:], uint32(n))
+	return zeros[:padded]
 }
 
-var zeros [2 * block]byte
+// zeros is the padding of all packets, which nobody writes to.
+var zeros [minPacket + block]byte
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,5 +1,5 @@
-// Package token is the codec of resume tokens: it seals what a token says into one word of text, and opens such words
-// again. It knows no sockets, no clock and no claims: whether a token that opens may be honoured is decided elsewhere.
+// Package token is the codec of resume tokens: it seals a token into one word of text and opens it again. It knows no
+// sockets, no clock and no claims: whether a token that opens may be honoured is decided by decision/resume.
 //
 // A token's text is base64 (RFC 4648, section 5, without padding) of
 //
@@ -10,7 +10,7 @@
 //
 // and the body, all numbers big-endian, is
 //
-//	8 x 8 bytes  minted and expiry (milliseconds of Unix time), stream, key, group, tenant, top, started
+//	8 x 8 bytes  the fields IssuedAt to ServerStarted of Token, in their order
 //	1 + n bytes  the class's name, its length first
 //	1 + n bytes  the id of the server that it names, its length first
 //	0 to 2       zero bytes, so that the whole is a multiple of three bytes
@@ -45,27 +45,27 @@
 	minBytes = head + minBody + chacha20poly1305.Overhead
 )
 
-// What may be wrong with a text. Each is final.
+// Errors of Open. Each is final: no retry of the same text can succeed.
 var (
 	ErrMalformed  = errors.New("no token")                             // not the form of a token
 	ErrUnknownKey = errors.New("sealed with a key that is not listed") // withdrawn, or never known
 	ErrForged     = errors.New("seal is broken")                       // forged, altered or cut off
 )
 
-// ID tells tokens apart.
+// ID identifies a token: the first bytes of its nonce.
 type ID [16]byte
 
-// Token is what a token says. Class and Server point into the buffer that it was opened into.
+// Token is the content of a token. Class and Server point into the ring's buffer after Open.
 type Token struct {
 	ID            ID
 	IssuedAt      int64  // Unix time in milliseconds
-	ExpiresAt     int64  // the same; not honoured from then on
+	ExpiresAt     int64  // Unix time in milliseconds; not honoured from then on
 	Stream        uint64 // the stream, through all its moves
-	Key           uint64 // what the client's first line said, as the following
+	Key           uint64 // Key, Group and Tenant are those of the client's first line
 	Group         uint64
 	Tenant        uint64
-	LastSequence  uint64 // number of the last message that was passed on: no cursor can be beyond it
-	ServerStarted int64  // when the server that it names started, as discovery has it
+	LastSequence  uint64 // number of the last message that was forwarded: no cursor can be beyond it
+	ServerStarted int64  // when the named server started, Unix time in milliseconds, as discovery lists it
 	Class         []byte
 	Server        []byte // the one server that may honour it
 }
@@ -88,7 +88,7 @@
 	aead cipher.AEAD
 }
 
-// NewRing returns a ring of keys, of which exactly one mints and no two may be the same.
+// NewRing returns a ring of keys. It fails unless exactly one of them issues tokens and no two are the same.
 func NewRing(keys []Key) (*Ring, error) {
 	r := &Ring{sealingKey: -1}
 	for i, k := range keys {
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// Seal appends the text of t to dst and gives t its id. Names over MaxName are a fault of the caller's.
+// Seal appends the text of t to dst and sets t.ID. It panics if the name of the class or server is over MaxName, which
+// callers check.
 func (r *Ring) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
@@ -170,10 +171,10 @@
 	return set
 }()
 
-// Open reads a token's text into t. What t then points to stands until the next Open. The error is one of those
-// above; t is then of no use.
+// Open parses a token's text into t. What t then points to is valid until the next Open. After an error (ErrMalformed,
+// ErrUnknownKey or ErrForged) t is undefined.
 func (r *Ring) Open(text []byte, t *Token) error {
-	// Looked at before decoding: the decoder passes over line ends, and its errors cost an allocation.
+	// Checked before decoding: the decoder ignores line ends, and its errors cost an allocation.
 	if len(text) > MaxText || len(text)%4 != 0 {
 		return ErrMalformed
 	}
@@ -206,8 +207,14 @@
 	for i := range n {
 		n[i] = binary.BigEndian.Uint64(body[8*i:])
 	}
-	t.IssuedAt, t.ExpiresAt, t.Stream, t.Key, t.Group = int64(n[0]), int64(n[1]), n[2], n[3], n[4]
-	t.Tenant, t.LastSequence, t.ServerStarted = n[5], n[6], int64(n[7])
+	t.IssuedAt = int64(n[0])
+	t.ExpiresAt = int64(n[1])
+	t.Stream = n[2]
+	t.Key = n[3]
+	t.Group = n[4]
+	t.Tenant = n[5]
+	t.LastSequence = n[6]
+	t.ServerStarted = int64(n[7])
 	rest := body[numbers:]
 	for _, name := range []*[]byte{&t.Class, &t.Server} {
 		if len(rest) == 0 || len(rest) <= int(rest[0]) || rest[0] > MaxName {
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -35,7 +35,7 @@
 	maxFaults   = 100
 )
 
-// FieldError is one thing that is wrong in a file.
+// FieldError is one error in a file.
 type FieldError struct {
 	File  string
 	Line  int
@@ -44,7 +44,7 @@
 	Fix   string
 }
 
-// Error gives the fault in one line: file, line, place, what is wrong, how to mend it.
+// Error returns one line: file, line, place, what is wrong, how to correct it.
 func (f FieldError) Error() string {
 	where := ""
 	if f.Where != "" {
@@ -53,10 +53,10 @@
 	return fmt.Sprintf("%s:%d: %s%s; %s", f.File, f.Line, where, f.What, f.Fix)
 }
 
-// FieldErrors are all that is wrong in a file, by line.
+// FieldErrors are all errors of a file, by line.
 type FieldErrors []FieldError
 
-// Error gives a line for each fault.
+// Error returns a line for each error.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -66,7 +66,7 @@
 }
 
 // Checker is a struct with rules of its own, beyond what tags can say. Check is called once the whole file is read,
-// for inner elements first, and tells File what it finds.
+// for inner elements first, and reports errors with File.Fault.
 type Checker interface{ Check(f *File) }
 
 // File is one file under reading.
@@ -106,7 +106,7 @@
 // Document names the root element of a kind of file and its namespace.
 type Document struct{ Root, Namespace string }
 
-// Read fills to, a pointer to a struct with zero values, from text. The error is of type Faults and holds all that is
+// Read fills to, a pointer to a struct with zero values, from text. The error is of type FieldErrors and holds all that is
 // wrong; to is then of no use.
 func Read(name string, text []byte, d Document, to any) error {
 	f := &File{Name: name, at: map[any]place{}, keys: map[string]map[string]int{}}
