--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -111,14 +111,28 @@
 	return v
 }
 
-// Parse parses a packet's payload. Of a type that is not used it sets Type alone, which is no error. The error is ErrShort
-// or ErrLong.
+// Parse parses a packet's payload. Of a type that is not used it sets Type alone, which is no error. The error is
+// ErrShort or ErrLong.
 func Parse(payload []byte, m *Message) error {
 	if len(payload) == 0 {
 		return ErrShort
 	}
 	*m = Message{Type: Type(payload[0])}
 	r := reader{b: payload[1:]}
+	if !r.connectionMessage(m) && !r.channelMessage(m) {
+		return nil
+	}
+	switch {
+	case r.bad:
+		return ErrShort
+	case len(r.b) > 0:
+		return ErrLong
+	}
+	return nil
+}
+
+// connectionMessage parses a message that concerns the connection as a whole. It returns false for other types.
+func (r *reader) connectionMessage(m *Message) bool {
 	switch m.Type {
 	case Disconnect:
 		m.Code = r.u32()
@@ -141,6 +155,15 @@
 	case RequestSuccess:
 		m.Data = r.rest()
 	case RequestFailure:
+	default:
+		return false
+	}
+	return true
+}
+
+// channelMessage parses a message that concerns one channel. It returns false for other types.
+func (r *reader) channelMessage(m *Message) bool {
+	switch m.Type {
 	case Open:
 		m.Name = r.text()
 		m.Channel = r.u32()
@@ -157,7 +180,7 @@
 		m.Channel = r.u32()
 		m.Code = r.u32()
 		m.Data = r.text()
-		r.text()
+		r.text() // the description's language
 	case WindowAdjust:
 		m.Channel = r.u32()
 		m.Window = r.u32()
@@ -176,15 +199,9 @@
 		m.WantReply = r.flag()
 		m.Data = r.rest()
 	default:
-		return nil
-	}
-	switch {
-	case r.bad:
-		return ErrShort
-	case len(r.b) > 0:
-		return ErrLong
+		return false
 	}
-	return nil
+	return true
 }
 
 // String parses a string that is all of b, as the data of Open is. The error is ErrShort or ErrLong.
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -106,8 +106,8 @@
 // Document names the root element of a kind of file and its namespace.
 type Document struct{ Root, Namespace string }
 
-// Read fills to, a pointer to a struct with zero values, from text. The error is of type FieldErrors and holds all that is
-// wrong; to is then of no use.
+// Read fills to, a pointer to a struct with zero values, from text. The error is of type FieldErrors and holds all
+// that is wrong; to is then of no use.
 func Read(name string, text []byte, d Document, to any) error {
 	f := &File{Name: name, at: map[any]place{}, keys: map[string]map[string]int{}}
 	if root := f.parse(text, d); root != nil {
