--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -1,5 +1,5 @@
 // Package link says how one direction between two processes is, and draws what becomes of each message that is sent
-// there. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/virtual), and knows neither.
+// there. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/simulation), and knows neither.
 package link
 
 import (
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -1,6 +1,6 @@
 // Package members plays the named trials of membership on real processes of the balancer: each says in a file of
 // its own how many there are, what is done to them and which bounds hold. What is done, and who judges it, is
-// lab/trial's.
+// lab/scenario's.
 package members
 
 import (
@@ -28,7 +28,7 @@
 type Trial struct {
 	Name      xmlconfig.Name    `xml:"name,attr" use:"required"`
 	About     xmlconfig.Text    `xml:"about,attr" use:"required" doc:"what it shows, in one line"`
-	Script    string            `xml:"script,attr" use:"required" enum:"pause,loss,one-sided,split,storm,quiet,weak,tired,return,rates,cost,fleet" doc:"what is done, see lab/trial"`
+	Script    string            `xml:"script,attr" use:"required" enum:"pause,loss,one-sided,split,storm,quiet,weak,tired,return,rates,cost,fleet" doc:"what is done, see lab/scenario"`
 	Processes int               `xml:"processes,attr" default:"16" min:"3" max:"40"`
 	Seeds     int               `xml:"seeds,attr" default:"3" min:"1" max:"40" doc:"how many of them all others are told of at their start"`
 	Bounds    experiment.Bounds `xml:"bounds"`
@@ -87,7 +87,7 @@
 	return r, nil
 }
 
-// script plays one of lab/trial's scripts.
+// script plays one of lab/scenario's scripts.
 func (c *Trial) script(
 	ctx context.Context,
 	o experiment.Options,
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -33,7 +33,7 @@
 	countSpan = 10 * time.Second
 
 	// What the balancers' law allows a cold server of mean size from those at home, of all of them together:
-	// decide/slowstart.
+	// decision/slowstart.
 	lawRate, lawPart = 3.8, 0.6
 )
 
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -60,8 +60,8 @@
 	// spareDescriptors are the harness's and the balancer's own: listeners, discovery, clients that churn, and what has
 	// ended and is not closed yet.
 	spareDescriptors = 400
-	// reservedPart of the descriptors, and reservedMore, a balancer keeps free for set-ups (internal/relay,
-	// room.go): with fewer it ends idle connections and turns new ones away.
+	// reservedPart of the descriptors, and reservedMore, a balancer keeps free for set-ups (internal/proxy):
+	// with fewer it closes idle connections and rejects new ones.
 	reservedPart, reservedMore = 16, 16
 	// maxWait bounds waits for what has to come; what has not come by then is told by the figures.
 	maxWait = 20 * time.Second
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -40,7 +40,7 @@
 type Sample struct {
 	Process, Loop int
 	At            int64 // wall clock, microseconds
-	Periods       int64 // of member.Step that the loop has had
+	Periods       int64 // of membership.TickInterval that the loop has had
 	Running       int
 	Shares        float64      // sum of 1/divisor of those that run
 	Lags          []int64      // how late timers came, microseconds
