--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,10 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrAgain says that a socket has nothing to read now; Readable comes when it has.
+// ErrAgain is returned by Conn.Read when a socket has nothing to read now; Owner.Readable is called when it has.
 var ErrAgain = errors.New("nothing to read now")
 
-// IsResourceExhausted tells that a call failed for want of something of this machine's own, whoever the peer is.
+// IsResourceExhausted reports whether a call failed for want of a local resource (descriptors, memory, ports), which
+// says nothing of the peer.
 func IsResourceExhausted(err error) bool {
 	for _, e := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
@@ -22,13 +23,14 @@
 	return false
 }
 
-// Owner is told what happens to a Conn. It may close the Conn in any of these calls.
+// Owner is notified of what happens to a Conn. It may close the Conn in any of these calls, and must not block.
 type Owner interface {
-	// Connected tells how a Dial ended; after an error the Conn is only to be closed.
+	// Connected is called when a Dial has ended; after an error the Conn can only be closed.
 	Connected(c *Conn, err error)
-	// Readable tells that bytes, an end or an error may have come. It comes once: the owner reads until ErrAgain.
+	// Readable is called when bytes, an end or an error may be read. It is edge-triggered: the owner reads until
+	// ErrAgain, at once or later.
 	Readable(c *Conn)
-	// Flushed tells that all that was kept back has been written.
+	// Flushed is called when all that Pending had counted was written.
 	Flushed(c *Conn)
 }
 
@@ -40,7 +42,7 @@
 	ref        Ref
 	owner      Owner
 	connecting bool
-	closing    bool   // the sending side ends once pending is out
+	closing    bool   // the sending side ends once pending is written
 	failed     error  // a write failed; the next read reports it
 	pending    []byte // taken by Write but not yet by the kernel
 }
@@ -73,7 +75,7 @@
 	return c, nil
 }
 
-// Dial starts a connection. A refusal that is known at once is an error; else Connected tells.
+// Dial starts a connection. A failure that is known at once is returned, any other one is passed to Owner.Connected.
 func (l *Loop) Dial(to netip.AddrPort, owner Owner) (*Conn, error) {
 	sa, family := sockaddr(to)
 	fd, err := l.socket(family)
@@ -113,9 +115,9 @@
 	}
 }
 
-// DrainEvents looks whether a connection that is coming up has done so by now, its event still unread, and has the owner
-// told. Deadlines of a turn come before the next turn's events: a loop that was held up would else take every
-// connection for one that never came up.
+// DrainEvents checks whether a connection that is coming up has done so by now, its event still unread, and if so
+// notifies the owner. Deadlines of a turn run before the next turn's events: without it, a loop that was delayed would
+// take every connection for one that never came up.
 func (c *Conn) DrainEvents() {
 	if c.fd < 0 || !c.connecting {
 		return
@@ -126,7 +128,8 @@
 	}
 }
 
-// Read reads what has come: ErrAgain where there is nothing yet, io.EOF at the peer's end, else its error.
+// Read reads what was received. It returns ErrAgain where there is nothing yet, io.EOF at the peer's end, else the
+// socket's error or that of an earlier write.
 func (c *Conn) Read(buf []byte) (int, error) {
 	for {
 		n, err := unix.Read(c.fd, buf)
@@ -195,10 +198,10 @@
 	}
 }
 
-// Pending tells how many bytes wait for the kernel to take them.
+// Pending returns how many bytes wait for the kernel to take them.
 func (c *Conn) Pending() int { return len(c.pending) }
 
-// Broken tells that a write failed: what that call was given, and what was pending, has not been sent.
+// Broken reports whether a write failed: what that call was given, and what was pending, was not sent.
 func (c *Conn) Broken() bool { return c.failed != nil }
 
 // CloseWrite ends the sending side once all that is pending is out; the peer sees a plain end.
@@ -232,134 +235,3 @@
 	}
 	c.Close()
 }
-
-// Listener accepts connections on one address.
-type Listener struct {
-	l      *Loop
-	fd     int
-	ref    Ref
-	accept func(adopt func(Owner) (*Conn, error))
-	retry  Ref
-}
-
-// backlog is the most connections that the kernel queues for a listener.
-const backlog = 4096
-
-// acceptPause is how long a listener that found no free descriptor leaves the queue alone.
-const acceptPause = 20_000
-
-// Listen binds addr, also while connections of an earlier process linger on it. accept is called for each
-// connection and must adopt it, or it is closed.
-func (l *Loop) Listen(addr netip.AddrPort, accept func(adopt func(Owner) (*Conn, error))) (*Listener, error) {
-	return l.listen(addr, false, accept)
-}
-
-// ListenShared is Listen for an address that other processes of the same user may bind too while this one listens
-// (SO_REUSEPORT): the kernel spreads new connections over all of them.
-func (l *Loop) ListenShared(addr netip.AddrPort, accept func(adopt func(Owner) (*Conn, error))) (*Listener, error) {
-	return l.listen(addr, true, accept)
-}
-
-func (l *Loop) listen(
-	addr netip.AddrPort,
-	shared bool,
-	accept func(adopt func(Owner) (*Conn, error)),
-) (*Listener, error) {
-	sa, family := sockaddr(addr)
-	fd, err := l.socket(family)
-	if err != nil {
-		return nil, err
-	}
-	ln := &Listener{l: l, fd: fd, accept: accept}
-	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err == nil && shared {
-		// A new version listens beside the old one until the old one has gone.
-		err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-	}
-	if err == nil {
-		if err = unix.Bind(fd, sa); err == nil {
-			if err = unix.Listen(fd, backlog); err == nil {
-				ln.ref, err = l.add(fd, ln, unix.EPOLLIN)
-			}
-		}
-	}
-	if err != nil {
-		return nil, errors.Join(fmt.Errorf("listen on %s: %w", addr, err), unix.Close(fd))
-	}
-	l.open++
-	return ln, nil
-}
-
-// Addr is the address that was bound.
-func (ln *Listener) Addr() netip.AddrPort {
-	sa, err := unix.Getsockname(ln.fd)
-	if err != nil {
-		return netip.AddrPort{}
-	}
-	switch sa := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port))
-	}
-	return netip.AddrPort{}
-}
-
-func (ln *Listener) ready(uint32) { ln.acceptSome(64) }
-
-// acceptSome accepts up to n connections and tells whether the queue is empty now, or can't be emptied for want of
-// descriptors.
-func (ln *Listener) acceptSome(n int) (empty bool) {
-	for range n {
-		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		switch {
-		case err == nil:
-		case errors.Is(err, unix.EAGAIN):
-			return true
-		case IsResourceExhausted(err):
-			// The queue stays readable: without a pause the loop would spin until a descriptor is free.
-			ln.pause()
-			return true
-		default:
-			continue // that client has gone again
-		}
-		adopted := false
-		ln.accept(func(o Owner) (*Conn, error) {
-			adopted = true
-			return ln.l.adopt(fd, o, false)
-		})
-		if !adopted {
-			_ = unix.Close(fd)
-		}
-	}
-	return false
-}
-
-// Shut takes in all that waits in the queue and then stops listening: a listener that is closed resets what it had
-// queued, and while another process listens on the same port nothing more comes here.
-func (ln *Listener) Shut() {
-	for !ln.acceptSome(backlog) {
-	}
-	ln.Close()
-}
-
-func (ln *Listener) pause() {
-	if ln.retry != 0 {
-		return
-	}
-	ev := unix.EpollEvent{Fd: int32(ln.ref)}
-	_ = unix.EpollCtl(ln.l.epoll, unix.EPOLL_CTL_MOD, ln.fd, &ev)
-	ln.retry = ln.l.After(acceptPause, func() {
-		ln.retry = 0
-		ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(ln.ref)}
-		_ = unix.EpollCtl(ln.l.epoll, unix.EPOLL_CTL_MOD, ln.fd, &ev)
-	})
-}
-
-// Close stops listening.
-func (ln *Listener) Close() {
-	ln.l.Cancel(&ln.retry)
-	ln.l.fds.Drop(ln.ref)
-	_ = unix.Close(ln.fd)
-	ln.l.open--
-}
