--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -1,181 +1,192 @@
 package zoned
 
 import (
+	"slices"
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/lab/simulation"
 )
 
-// checker looks at a fleet from outside.
+const (
+	// issuerSamples: issuers are counted in one of so many samples.
+	issuerSamples = 5
+	// budgetSpan is the span, in seconds, in which bytes are counted.
+	budgetSpan = 10
+)
+
+// checker looks at a fleet from outside. All its counts begin at the last Mark but FalseDead.
 type checker struct {
-	f *Fleet
-	// FalseDead counts who was held dead by one of its zone while its process ran and nothing set the two apart.
+	fleet *Fleet
+
+	// FalseDead counts the members that another one of their zone declared dead while their process ran and nothing
+	// was severed.
 	FalseDead int
-	// Factor is the most that the sum of all members' parts of a budget came to.
+	// Factor is the greatest sum of all members' parts of a budget.
 	Factor float64
-	// Flaps is how often a member has changed what it holds a zone to be, since the last Mark, more than once.
-	Flaps int
-	// Changes is how often any member has changed what it holds a zone to be, since the last Mark.
+	// Changes counts how often any member has considered a zone to be something else than before; Flaps how often the
+	// same member did that with the same zone, beyond the first time.
 	Changes int
-	// Issuers is how often a zone's summary had another issuer than before, as one member sees it, since the last
-	// Mark.
+	Flaps   int
+	// Issuers counts how often a zone's summary had another issuer than before, as one member sees it.
 	Issuers int
-	state   [][]zonedirectory.Reachability
-	changed [][]int
-
-	markAt   simulation.Micros
-	atMark   []int64 // bytes of each member, sent and received
-	seconds  [][]int64
-	secondAt simulation.Micros
-	worst    int64
-	issuer   map[zonedirectory.ID]zonedirectory.MemberID
-	samples  int
-}
 
-// issuersEvery is in how many samples issuers are looked at once.
-const issuersEvery = 5
+	states  [][]zonedirectory.Reachability // by member and zone
+	changed [][]int                        // the same
+	issuers map[zonedirectory.ID]zonedirectory.MemberID
+	samples int
+
+	markAt       simulation.Micros
+	bytesAtMark  []int64 // of each member, sent and received
+	nextSecondAt simulation.Micros
+	bytesBySec   [][]int64 // at the end of each of the last seconds
+	worstBytes   int64     // of any member in any budgetSpan
+}
 
 func (c *checker) begin(f *Fleet) {
-	c.f = f
-	n := len(f.zoneOf)
-	c.state, c.changed = make([][]zonedirectory.Reachability, n), make([][]int, n)
+	c.fleet = f
+	n, zones := len(f.zoneOf), len(f.Zones)
+	c.states = make([][]zonedirectory.Reachability, n)
+	c.changed = make([][]int, n)
 	for i := range n {
-		c.state[i], c.changed[i] = make([]zonedirectory.Reachability, len(f.Zones)), make([]int, len(f.Zones))
+		c.states[i] = make([]zonedirectory.Reachability, zones)
+		c.changed[i] = make([]int, zones)
 	}
-	f.Changed = func(observer, of int, ch membership.StateChange) {
-		if ch.To == membership.Dead && f.up[of] && f.up[observer] && len(f.severed) == 0 {
+	f.Changed = func(observer, of int, change membership.StateChange) {
+		if change.To == membership.Dead && f.up[of] && f.up[observer] && len(f.severed) == 0 {
 			c.FalseDead++
 		}
 	}
 	c.Mark()
 }
 
-// Mark begins anew with what is counted.
+// Mark begins all counts again.
 func (c *checker) Mark() {
-	c.Flaps, c.Factor, c.worst, c.Issuers, c.Changes = 0, 0, 0, 0, 0
-	c.issuer = map[zonedirectory.ID]zonedirectory.MemberID{}
+	c.Factor = 0
+	c.Changes, c.Flaps, c.Issuers = 0, 0, 0
 	for i := range c.changed {
 		clear(c.changed[i])
 	}
-	c.markAt, c.atMark, c.seconds = c.micros(), c.bytes(), nil
-	c.secondAt = c.markAt
+	c.issuers = map[zonedirectory.ID]zonedirectory.MemberID{}
+	c.markAt = c.now()
+	c.bytesAtMark = c.bytes()
+	c.nextSecondAt = c.markAt + simulation.Second
+	c.bytesBySec = nil
+	c.worstBytes = 0
 }
 
-func (c *checker) micros() simulation.Micros {
-	return simulation.Micros(c.f.Cluster.Now().Microseconds())
-}
+func (c *checker) now() simulation.Micros { return simulation.Micros(c.fleet.Now().Microseconds()) }
 
+// bytes are those that each member has sent and received.
 func (c *checker) bytes() []int64 {
-	out := make([]int64, len(c.f.zoneOf))
-	for i := range out {
-		out[i] = c.f.Bytes[i] + c.f.Received[i]
+	bytes := make([]int64, len(c.fleet.zoneOf))
+	for i := range bytes {
+		bytes[i] = c.fleet.Bytes[i] + c.fleet.Received[i]
 	}
-	return out
+	return bytes
 }
 
+// sample looks at all members.
 func (c *checker) sample() {
-	f, sum := c.f, 0.0
-	for i, b := range f.members {
-		if b == nil || !f.up[i] {
+	parts := 0.0
+	for i, b := range c.fleet.members {
+		if b == nil || !c.fleet.up[i] {
 			continue
 		}
-		sum += 1 / b.directory.RateDivisor()
-		for z, site := range f.sites {
-			s := b.directory.State(site.ID())
-			if was := c.state[i][z]; was != s {
-				if c.state[i][z] = s; was != 0 && s != 0 {
-					c.changed[i][z]++
-					c.Changes++
-					c.Flaps = max(c.Flaps, c.changed[i][z]-1)
-				}
-			}
+		parts += 1 / b.directory.RateDivisor()
+		for zone, site := range c.fleet.sites {
+			c.noteState(i, zone, b.directory.State(site.ID()))
 		}
 	}
-	c.Factor = max(c.Factor, sum)
-	if c.samples++; c.samples%issuersEvery == 0 {
+	c.Factor = max(c.Factor, parts)
+	c.samples++
+	if c.samples%issuerSamples == 0 {
 		c.countIssuers()
 	}
-	if now := c.micros(); now-c.secondAt >= simulation.Second {
-		c.secondAt += simulation.Second
-		c.count()
+	if c.now() >= c.nextSecondAt {
+		c.nextSecondAt += simulation.Second
+		c.countBytes()
 	}
 }
 
-// countIssuers counts how often the issuer of a zone's summary changes, as the first that is up of another zone
-// sees it.
+// noteState takes what a member considers a zone to be. Zones that are found or forgotten are no changes.
+func (c *checker) noteState(i, zone int, state zonedirectory.Reachability) {
+	before := c.states[i][zone]
+	c.states[i][zone] = state
+	if before == state || before == 0 || state == 0 {
+		return
+	}
+	c.changed[i][zone]++
+	c.Changes++
+	c.Flaps = max(c.Flaps, c.changed[i][zone]-1)
+}
+
+// countIssuers counts the changes of issuers, as the last member sees them that is up.
 func (c *checker) countIssuers() {
-	f := c.f
-	for i := len(f.zoneOf) - 1; i >= 0; i-- {
-		if !f.up[i] {
+	for i, b := range slices.Backward(c.fleet.members) {
+		if !c.fleet.up[i] {
 			continue
 		}
-		for _, v := range f.members[i].directory.Views() {
+		for _, v := range b.directory.Views() {
 			id := v.Site.ID()
-			if was, ok := c.issuer[id]; ok && was != v.Issuer {
+			if before, known := c.issuers[id]; known && before != v.Issuer {
 				c.Issuers++
 			}
-			c.issuer[id] = v.Issuer
+			c.issuers[id] = v.Issuer
 		}
 		return
 	}
 }
 
-// count notes the bytes of another second, and the worst member's in any span of so many.
-func (c *checker) count() {
-	c.seconds = append(c.seconds, c.bytes())
-	if n := len(c.seconds); n > budgetSpan {
-		from, to := c.seconds[n-1-budgetSpan], c.seconds[n-1]
-		for i := range to {
-			c.worst = max(c.worst, to[i]-from[i])
-		}
-		c.seconds = c.seconds[1:]
+// countBytes takes the bytes at the end of a second.
+func (c *checker) countBytes() {
+	c.bytesBySec = append(c.bytesBySec, c.bytes())
+	if len(c.bytesBySec) <= budgetSpan {
+		return
+	}
+	last := c.bytesBySec[len(c.bytesBySec)-1]
+	for i, before := range c.bytesBySec[0] {
+		c.worstBytes = max(c.worstBytes, last[i]-before)
 	}
+	c.bytesBySec = c.bytesBySec[1:]
 }
 
-// BytesPerS are the bytes a second of a member since the last Mark, sent and received: on average, the most of any,
-// and the most of any in the worst ten seconds.
-func (c *checker) BytesPerS() (mean, most, worst float64) {
-	now := c.bytes()
-	span := float64(c.micros()-c.markAt) / float64(simulation.Second)
-	for i := range now {
-		b := float64(now[i]-c.atMark[i]) / span
-		mean += b / float64(len(now))
-		most = max(most, b)
-	}
-	return mean, most, float64(c.worst) / budgetSpan
+// BytesPerS are the bytes a second of a member since the last Mark, sent and received: on average, of the member with
+// the most, and of any in the worst ten seconds.
+func (c *checker) BytesPerS() (mean, highest, worst float64) {
+	seconds := (c.now() - c.markAt).Seconds()
+	bytes := c.bytes()
+	for i := range bytes {
+		perSecond := float64(bytes[i]-c.bytesAtMark[i]) / seconds
+		mean += perSecond / float64(len(bytes))
+		highest = max(highest, perSecond)
+	}
+	return mean, highest, float64(c.worstBytes) / budgetSpan
 }
 
-// AllReachable tells whether all that are up hold all zones Reachable and count all that are up.
-func (f *Fleet) AllReachable() bool { return f.Agree(nil) }
-
-// Agree tells whether all that are up, or those of the zones given, count all that are up, and hold all zones
-// Reachable.
-func (f *Fleet) Agree(zones []int) bool {
-	n := 0
-	for _, up := range f.up {
-		if up {
-			n++
+// AllReachable reports whether all members that are up consider all zones Reachable and count all that are up.
+func (f *Fleet) AllReachable() bool {
+	up := 0
+	for _, runs := range f.up {
+		if runs {
+			up++
 		}
 	}
-	return f.Count(zones, n, func(s zonedirectory.Reachability) bool { return s == zonedirectory.Reachable })
+	return f.Count(nil, up, func(s zonedirectory.Reachability) bool { return s == zonedirectory.Reachable })
 }
 
-// Count tells whether all members of zones, or of all where it is nil, count so many, and hold all zones what they
-// are to hold.
-func (f *Fleet) Count(zones []int, live int, state func(zonedirectory.Reachability) bool) bool {
-	if zones == nil {
-		zones = f.all()
-	}
+// Count reports whether all members of zones, or of all where zones is nil, count so many live ones, and consider all
+// zones to be in a state that is accepted.
+func (f *Fleet) Count(zones []int, live int, accepted func(zonedirectory.Reachability) bool) bool {
 	for _, i := range f.MembersOf(zones) {
-		b := f.members[i]
 		if !f.up[i] {
 			continue
 		}
+		b := f.members[i]
 		if b == nil || b.directory.Live() != live {
 			return false
 		}
 		for _, site := range f.sites {
-			if !state(b.directory.State(site.ID())) {
+			if !accepted(b.directory.State(site.ID())) {
 				return false
 			}
 		}
@@ -183,11 +194,11 @@
 	return true
 }
 
-// Hold tells whether all members of some zones hold others to be so.
+// Hold reports whether all members of some zones consider others to be in a state.
 func (f *Fleet) Hold(zones, others []int, state zonedirectory.Reachability) bool {
 	for _, i := range f.MembersOf(zones) {
-		for _, z := range others {
-			if f.up[i] && f.members[i].directory.State(f.sites[z].ID()) != state {
+		for _, zone := range others {
+			if f.up[i] && f.members[i].directory.State(f.sites[zone].ID()) != state {
 				return false
 			}
 		}
@@ -195,26 +206,12 @@
 	return true
 }
 
-// HaveRecord tells whether all members of some zones have this record.
-func (f *Fleet) HaveRecord(zones []int, r zonedirectory.Record) bool {
+// HaveRecord reports whether all members of some zones have a record.
+func (f *Fleet) HaveRecord(zones []int, record zonedirectory.Record) bool {
 	for _, i := range f.MembersOf(zones) {
-		if !f.up[i] {
-			continue
-		}
-		has := false
-		for _, held := range f.members[i].directory.Records() {
-			has = has || held == r
-		}
-		if !has {
+		if f.up[i] && !slices.Contains(f.members[i].directory.Records(), record) {
 			return false
 		}
 	}
 	return true
 }
-
-func (f *Fleet) all() (out []int) {
-	for z := range f.Zones {
-		out = append(out, z)
-	}
-	return out
-}
