--- a/decision/membership/antientropy.go
+++ b/decision/membership/antientropy.go
@@ -3,6 +3,7 @@
 import (
 	"net/netip"
 	"spurspread/decision/monotime"
+	"spurspread/decision/splitmix"
 )
 
 // Anti-entropy: each message carries a digest of its sender's view. Views that differ for longer than updates take
@@ -26,7 +27,8 @@
 
 // toggleDigest adds an entry to the digest and its bucket's sum, or removes it again. Suspects count as alive.
 func (f *Fleet) toggleDigest(id ID, incarnation uint64, s State) {
-	hash := mix64(uint64(id) ^ mix64(incarnation^uint64(s.withoutSuspicion())<<stateShift))
+	content := splitmix.Mix64(incarnation ^ uint64(s.withoutSuspicion())<<stateShift)
+	hash := splitmix.Mix64(uint64(id) ^ content)
 	f.digest ^= hash
 	f.bucketSums[bucketOf(id)] ^= hash
 }
--- a/decision/membership/rings.go
+++ b/decision/membership/rings.go
@@ -1,30 +1,17 @@
 package membership
 
-import "slices"
+import (
+	"slices"
+	"spurspread/decision/splitmix"
+)
 
 // The rings decide who probes whom. Each of WatchersPerMember rings orders the members that are there by another hash
 // of their ids, the same in all views, and each member watches its successor on each ring.
 
-// ringSeed tells the hashes of the rings apart; it is the increment of splitmix64.
-const ringSeed = 0x9e3779b97f4a7c15
-
-// The multipliers of splitmix64's finalizer.
-const (
-	mixMultiplier1 = 0xbf58476d1ce4e5b9
-	mixMultiplier2 = 0x94d049bb133111eb
-)
-
-// mix64 is the finalizer of splitmix64: each bit of the result depends on all of x.
-func mix64(x uint64) uint64 {
-	x = (x ^ x>>30) * mixMultiplier1
-	x = (x ^ x>>27) * mixMultiplier2
-	return x ^ x>>31
-}
-
 // ringHashes returns a member's position on each ring.
 func ringHashes(id ID) (hashes [WatchersPerMember]uint64) {
 	for ring := range hashes {
-		hashes[ring] = mix64(uint64(id) + uint64(ring+1)*ringSeed)
+		hashes[ring] = splitmix.Mix64(uint64(id) + uint64(ring+1)*splitmix.Gamma)
 	}
 	return hashes
 }
--- a/decision/zonedirectory/delegate.go
+++ b/decision/zonedirectory/delegate.go
@@ -5,6 +5,7 @@
 	"net/netip"
 	"slices"
 	"spurspread/decision/monotime"
+	"spurspread/decision/splitmix"
 )
 
 const (
@@ -44,7 +45,9 @@
 }
 
 // rankHash orders the members of a zone, the same in all members and at all times.
-func rankHash(zone ID, id MemberID) uint64 { return mix64(uint64(zone) ^ mix64(uint64(id))) }
+func rankHash(zone ID, id MemberID) uint64 {
+	return splitmix.Mix64(uint64(zone) ^ splitmix.Mix64(uint64(id)))
+}
 
 // applyLocalZone takes a new view of the own zone, and with it who represents the zone.
 func (d *Directory) applyLocalZone(local LocalZone) {
--- a/decision/zonedirectory/entry.go
+++ b/decision/zonedirectory/entry.go
@@ -5,6 +5,7 @@
 	"encoding/binary"
 	"hash/fnv"
 	"slices"
+	"spurspread/decision/splitmix"
 	"strings"
 )
 
@@ -84,7 +85,7 @@
 func (e *entry) isGlobal() bool { return e.Observation == nil }
 
 // digest is the entry's part of the directory's digest.
-func (e *entry) digest() uint64 { return mix64(e.key ^ mix64(e.contentHash)) }
+func (e *entry) digest() uint64 { return splitmix.Mix64(e.key ^ splitmix.Mix64(e.contentHash)) }
 
 // checksum is never 0: that is the checksum of an item that was dropped.
 func (e *entry) checksum() uint32 {
@@ -118,32 +119,19 @@
 	return e.version > v.Version || e.version == v.Version && e.checksum() != v.Checksum && v.Checksum != 0
 }
 
-// The multipliers of splitmix64's finalizer.
-const (
-	mixMultiplier1 = 0xbf58476d1ce4e5b9
-	mixMultiplier2 = 0x94d049bb133111eb
-)
-
-// mix64 is the finalizer of splitmix64: each bit of the result depends on all of x.
-func mix64(x uint64) uint64 {
-	x = (x ^ x>>30) * mixMultiplier1
-	x = (x ^ x>>27) * mixMultiplier2
-	return x ^ x>>31
-}
-
 // What is added to a zone's id to tell the keys of its summary and of its observations apart.
 const (
 	summaryKeySalt     = 1
 	observationKeySalt = 2
 )
 
-func summaryKey(zone ID) uint64 { return mix64(uint64(zone) + summaryKeySalt) }
+func summaryKey(zone ID) uint64 { return splitmix.Mix64(uint64(zone) + summaryKeySalt) }
 
 func observationKey(zone ID, delegate MemberID) uint64 {
-	return mix64(mix64(uint64(zone)+observationKeySalt) ^ uint64(delegate))
+	return splitmix.Mix64(splitmix.Mix64(uint64(zone)+observationKeySalt) ^ uint64(delegate))
 }
 
-func recordKey(name string) uint64 { return mix64(hashBytes([]byte("record\x00" + name))) }
+func recordKey(name string) uint64 { return splitmix.Mix64(hashBytes([]byte("record\x00" + name))) }
 
 func hashBytes(b []byte) uint64 {
 	h := fnv.New64a()
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -22,8 +22,9 @@
 	return slices.ContainsFunc(folders, func(f string) bool { return path == f || strings.HasPrefix(path, f+"/") })
 }
 
-// leaves have the types that all decisions share. They know nothing of this module, and everybody may know them.
-var leaves = []string{"spurspread/decision/monotime", "spurspread/decision/outcome"}
+// leaves have the types and the hash that all decisions share. They know nothing of this module, and everybody may
+// know them.
+var leaves = []string{"spurspread/decision/monotime", "spurspread/decision/outcome", "spurspread/decision/splitmix"}
 
 // corePolicies are the policies that the core asks. They know neither it nor each other.
 var corePolicies = []string{
@@ -89,8 +90,8 @@
 	return strings.Fields(string(out))
 }
 
-// scalePackage is the one package of the laboratory that runs the production transport, for members of a scale run that
-// have no process of their own, and with it the event loop.
+// scalePackage is the one package of the laboratory that runs the production transport, for members of a scale run
+// that have no process of their own, and with it the event loop.
 const scalePackage = "spurspread/lab/scale"
 
 // Each package knows only those below it.
