--- a/decision/membership/config.go
+++ b/decision/membership/config.go
@@ -39,7 +39,7 @@
 	// Incarnation is the first one of this process, 1 where it is 0. It is to be later than any that a process of the
 	// same name has had, such as the time of start in milliseconds: an older one costs one round of refutation.
 	Incarnation uint64
-	// Seeds are the addresses that a member asks for their views until one has answered. None are needed in the
+	// Seeds are the addresses from which a member requests views until one has answered. None are needed in the
 	// first member. More of them find the fleet although some are gone, and cost one message each per attempt.
 	Seeds []netip.AddrPort
 	// RandomSeed determines all random choices together with Self.ID; any value will do. The same one, with the same
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -140,7 +140,7 @@
 	return out, changes
 }
 
-// join asks the seeds for their views until one has answered, and again while no member is alive.
+// join requests the views of the seeds until one has answered, and again while no other member is alive.
 func (f *Fleet) join(now monotime.Micros) {
 	if f.joined && f.liveOthers() > 0 || now < f.nextJoinAt {
 		return
@@ -149,7 +149,7 @@
 	f.requestViews(f.cfg.Seeds)
 }
 
-// SyncWith asks the members at addresses that were learned elsewhere for their views.
+// SyncWith requests the views of the members at addresses that were learned elsewhere.
 func (f *Fleet) SyncWith(addrs []netip.AddrPort) ([]Outgoing, []StateChange) {
 	if !f.leaving && !f.superseded {
 		f.requestViews(addrs)
@@ -168,7 +168,8 @@
 // SetSeeds replaces the addresses of the seeds.
 func (f *Fleet) SetSeeds(addrs []netip.AddrPort) { f.cfg.Seeds = addrs }
 
-// Leave announces that this member goes. What it returns is to be sent at once; further calls of Tick disseminate it.
+// Leave announces the departure of this member. What it returns is to be sent at once; further calls of Tick
+// disseminate it.
 func (f *Fleet) Leave(monotime.Micros) ([]Outgoing, []StateChange) {
 	if f.leaving || f.superseded {
 		return f.takeOutput()
--- a/decision/membership/message.go
+++ b/decision/membership/message.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// ID stands for a member's name: a hash of it. 0 is nobody's.
+// ID identifies a member: a hash of its name, never 0.
 type ID uint64
 
 // State is what a member is considered to be. Under the same incarnation a greater one overrides a smaller one. The
@@ -60,11 +60,11 @@
 
 // The kinds of messages.
 const (
-	// Ping asks the receiver for an Ack with the same Seq.
+	// Ping requests an Ack with the same Seq.
 	Ping Kind = iota + 1
 	// Ack answers a Ping, or passes on that Target has answered one that was sent for the receiver.
 	Ack
-	// IndirectPing asks the receiver to ping Target and to pass on its Ack.
+	// IndirectPing requests a ping of Target, whose Ack is to be passed on.
 	IndirectPing
 	// Gossip carries updates only.
 	Gossip
@@ -112,7 +112,7 @@
 
 // Outgoing is a message to be sent.
 type Outgoing struct {
-	// To is where the member says that it is reached.
+	// To is the address that the member advertises.
 	To netip.AddrPort
 	// Receiver is 0 where it is not known who is at that address.
 	Receiver ID
--- a/decision/membership/probe.go
+++ b/decision/membership/probe.go
@@ -22,7 +22,7 @@
 	// the attempts, and the numbers wrap around.
 	maxPingAttempts = 4
 
-	// indirectPingHelpers is how many members are asked to ping one that does not answer.
+	// indirectPingHelpers is how many members are requested to ping one that does not answer.
 	indirectPingHelpers = 3
 	// maxIndirectPings bounds the requests of others that are under way here.
 	maxIndirectPings = 128
@@ -53,7 +53,7 @@
 	startedAt    monotime.Micros
 	sentAt       [maxPingAttempts]monotime.Micros
 	attempts     int  // pings sent so far
-	indirectSent bool // helpers were asked, or are not to be
+	indirectSent bool // or not needed, as the probe is an indirect one itself
 }
 
 // expiredProbe is a probe that failed not long ago.
@@ -150,7 +150,7 @@
 	return min(max(ackTimeout, expectedRTT), maxRetransmitAfter)
 }
 
-// indirectAfter decides how long after the start of a probe helpers are asked.
+// indirectAfter decides how long after the start of a probe indirect pings are requested.
 func indirectAfter(expectedRTT monotime.Micros) monotime.Micros {
 	wait := retransmitAfter(expectedRTT)
 	return wait + wait
@@ -186,7 +186,7 @@
 	}
 }
 
-// sendIndirectPings asks some members to ping p.
+// sendIndirectPings requests indirect pings of p from some members.
 func (f *Fleet) sendIndirectPings(p *peer) {
 	helpers := f.randomPeers(indirectPingHelpers, func(o *peer) bool { return o != p && o.isReachable() })
 	for _, helper := range helpers {
@@ -226,7 +226,7 @@
 	})
 }
 
-// handleAck takes an answer to a ping: p's own, or a helper's word that m.Target has answered. p is nil where the
+// handleAck takes an answer to a ping: p's own, or that of a helper which m.Target has answered. p is nil where the
 // sender is not known.
 func (f *Fleet) handleAck(now monotime.Micros, p *peer, m *Message) {
 	if m.Target != 0 {
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -6,6 +6,11 @@
 	"spurspread/decision/monotime"
 )
 
+// How a member comes to be dead: a probe of it fails (see probeFailsAfter), and the observer reports that, unless it
+// is Unhealthy. Once the observer has requiredReports, its own among them, it suspects the member and disseminates
+// that. The member can refute it for MinSuspicionTimeout. Then each observer whose own probes have failed declares it
+// dead and disseminates that; all others take it from these.
+
 const (
 	// maxRequiredReports is how many members must have failed to reach one before it is suspected, where that many
 	// can report. Of ten that probe with one message in five lost, two fail by chance a hundred times as often as
@@ -53,15 +58,15 @@
 	if p.state != Alive {
 		return
 	}
-	// Not enough reports yet: those that asked for this probe learn its result. Where nobody did, a few members are
-	// asked to probe, and once more a little later, since either message may be lost.
+	// Not enough reports yet: those that requested this probe get its result. Where it was this member's own, some
+	// members get a report, so that they probe, and once more a little later, since either message may be lost.
 	if !f.reportToRequesters(failed, report) {
 		f.pendingReports = append(f.pendingReports, report)
 		p.reportAgainAt = now + ackTimeout + f.expectedRTT(p)
 	}
 }
 
-// reportToRequesters sends a report to those that asked for the probe. It reports whether there are any.
+// reportToRequesters sends a report to those that requested the probe. It returns whether there are any.
 func (f *Fleet) reportToRequesters(failed *probe, report Update) bool {
 	found := false
 	for _, request := range f.indirectPings {
@@ -141,7 +146,7 @@
 }
 
 // requiredReports decides how many members must have failed to reach p before it is suspected, this one among them:
-// as many as can report, up to maxRequiredReports; this one alone where p sends messages and reports it dead.
+// as many as can report, up to maxRequiredReports; only this one where p sends messages and reports it dead.
 func (f *Fleet) requiredReports(p *peer) int {
 	if p.partitioned {
 		return 1
--- a/decision/membership/view.go
+++ b/decision/membership/view.go
@@ -78,7 +78,7 @@
 // Revision changes whenever Live, Known, Alive, Position or Leaving may have changed.
 func (f *Fleet) Revision() uint64 { return f.revision }
 
-// Leaving reports whether this member has announced that it goes.
+// Leaving reports whether this member has announced its departure.
 func (f *Fleet) Leaving() bool { return f.leaving }
 
 // Incarnation is this member's current one.
--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -120,7 +120,7 @@
 
 func compareKeys(a, b ItemVersion) int { return cmp.Compare(a.Key, b.Key) }
 
-// handleSync answers the versions of another directory with what is newer here, and asks for what is newer there.
+// handleSync answers the versions of another directory with what is newer here, and requests what is newer there.
 func (d *Directory) handleSync(from netip.AddrPort, m *Message) {
 	if len(m.Versions) == 0 || !slices.IsSortedFunc(m.Versions, compareKeys) {
 		return
@@ -186,7 +186,7 @@
 		}
 		own := d.versionOf(remote.Key)
 		if own.Checksum == 0 && remote.Key == summaryKey(m.Zone) {
-			own = ItemVersion{Key: remote.Key} // dropped here, and the zone itself says that it is there
+			own = ItemVersion{Key: remote.Key} // dropped here, and a member of the zone itself has it
 		}
 		otherContent := own.Checksum != 0 && remote.Checksum != own.Checksum
 		if remote.Version > own.Version || remote.Version == own.Version && otherContent {
@@ -232,7 +232,7 @@
 }
 
 // handleUpdate takes what an Update says of its sender. A new process that learns of another zone from one of its
-// members asks it for all other items.
+// members requests all other items there.
 func (d *Directory) handleUpdate(now monotime.Micros, from netip.AddrPort, m *Message) {
 	d.noteSeed(from, m.Zone)
 	switch {
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -32,7 +32,7 @@
 	settled            bool     // see updateSettled
 	synced             bool     // compared with a member of the zone, or agreeing with one
 	lastToLeave        bool     // the last member of the zone, and leaving
-	leaveAnnouncements int      // how often it has told other zones so
+	leaveAnnouncements int      // how often other zones were notified of that
 	unlistedSince      monotime.Micros
 	unlistedAt         monotime.Micros // when a member of the zone that is not in local sent something last
 	observing          observationState
--- a/decision/zonedirectory/doc.go
+++ b/decision/zonedirectory/doc.go
@@ -9,8 +9,8 @@
 // for one goroutine.
 //
 // In each zone the first Delegates members, in an order that all members compute alike, exchange messages with the
-// other zones: they probe them, push new items to them, and tell their own zone by an Observation what they do not
-// reach. The first of them issues the zone's Summary.
+// other zones: they probe them, push new items to them, and publish in their own zone, by an Observation, what they
+// do not reach. The first of them issues the zone's Summary.
 //
 // The invariant: of each zone, delegate and record the newest item is kept, in whatever order items arrive; and a
 // zone that cannot be reached is one fact, its Reachability, and never a death of its members: their part in the rate
--- a/decision/zonedirectory/message.go
+++ b/decision/zonedirectory/message.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// ID stands for a zone. 0 is none.
+// ID identifies a zone: a hash of its names. 0 is none.
 type ID uint64
 
 // Site is where a member is: a zone within a region. The zero Site is that of a fleet without zones.
@@ -21,7 +21,7 @@
 	return ID(max(h.Sum64(), 1))
 }
 
-// MemberID stands for a member's name, as in package membership.
+// MemberID identifies a member, as membership.ID does.
 type MemberID uint64
 
 // Self identifies one process of a member.
@@ -38,8 +38,8 @@
 	Addr netip.AddrPort
 }
 
-// Summary is what a zone says of itself. The greatest Version overrides others; under the same one the greatest
-// Issuer.
+// Summary is what a zone publishes about itself. The greatest Version overrides others; under the same one the
+// greatest Issuer.
 type Summary struct {
 	Site    Site
 	Version uint64
@@ -53,8 +53,8 @@
 	Unreachable []ID
 }
 
-// Observation is what one delegate tells its own zone: the zones that it doesn't reach, ascending. One that names its
-// own zone is withdrawn. It doesn't leave the zone.
+// Observation is what one delegate publishes in its own zone: the zones that it doesn't reach, ascending. One that
+// names its own zone is withdrawn. It doesn't leave the zone.
 type Observation struct {
 	Zone        ID
 	Delegate    MemberID
@@ -90,7 +90,7 @@
 
 // The kinds of messages.
 const (
-	// Probe asks a contact of another zone for a ProbeAck with the same Seq.
+	// Probe, to a contact of another zone, requests a ProbeAck with the same Seq.
 	Probe Kind = iota + 1
 	// ProbeAck answers a Probe.
 	ProbeAck
@@ -110,7 +110,7 @@
 	Zone     ID
 	// Seq numbers probes at their sender.
 	Seq uint32
-	// IsReply says of Update that it answers a SyncVersions; of SyncVersions that it answers one, and asks for items
+	// IsReply says of Update that it answers a SyncVersions; of SyncVersions that it answers one, and requests items
 	// newer than just these versions.
 	IsReply bool
 	// Digest is that of the sender's items that go to all zones.
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -8,16 +8,17 @@
 // observationInterval is the least time between two observations of one delegate.
 const observationInterval = 500 * monotime.Millisecond
 
-// observationState is what this member has told its zone as a delegate.
+// observationState is how far this member is with its observations as a delegate.
 type observationState struct {
 	complete    bool // all zones were probed since it became one
 	publishedAt monotime.Micros
 }
 
-// withdrawn reports whether the observation says nothing any more.
+// withdrawn reports whether the observation no longer counts.
 func (o *Observation) withdrawn() bool { return slices.Contains(o.Unreachable, o.Zone) }
 
-// publishObservation tells the own zone what this member, as a delegate, doesn't reach, where that has changed.
+// publishObservation publishes within the own zone what this member, as a delegate, doesn't reach, where that has
+// changed.
 func (d *Directory) publishObservation(now monotime.Micros) {
 	if !d.settled || d.doubtful() || now-d.observing.publishedAt < observationInterval {
 		return
--- a/decision/zonedirectory/probe.go
+++ b/decision/zonedirectory/probe.go
@@ -25,7 +25,7 @@
 	ackTimeoutPerRTT = 2
 	rttWeight        = 4 // one new round trip counts for one in so many in the smoothed one
 	// maxProbeRounds is how often a zone is probed before it counts as not reached, with one probe more each time:
-	// the first contact, two others, and three more. So all MaxContacts are asked, and one message in twenty may be
+	// the first contact, two others, and three more. So all MaxContacts are probed, and one message in twenty may be
 	// lost.
 	maxProbeRounds   = 3
 	maxProbeAttempts = maxProbeRounds * (maxProbeRounds + 1) / 2
@@ -87,7 +87,7 @@
 	}
 }
 
-// refreshContacts takes a zone's new contacts. Each delegate begins with another one, and stays with whoever answers
+// refreshContacts takes a zone's new contacts. Each delegate begins with another one, and keeps to one that answers
 // as long as the contacts are the same.
 func (d *Directory) refreshContacts(now monotime.Micros, z *zoneState) {
 	l := &z.link
@@ -175,7 +175,7 @@
 	l.nextProbeAt = now + downProbeInterval - downProbeJitter + d.jitter(downProbeJitter)
 }
 
-// expediteProbes has all zones probed within expediteWindow: what befell one connection has mostly befallen others.
+// expediteProbes has all zones probed within expediteWindow: what breaks one connection mostly breaks others.
 func (d *Directory) expediteProbes(now monotime.Micros) {
 	for _, z := range d.zones {
 		if l := &z.link; l.round == 0 {
--- a/decision/zonedirectory/reachability.go
+++ b/decision/zonedirectory/reachability.go
@@ -27,7 +27,7 @@
 	Partitioned
 	// Unknown says that nobody reaches it who can be reached: it may have died, or be cut off from all of them.
 	Unknown
-	// Left says that its last member has announced that it leaves.
+	// Left says that its last member has announced its departure.
 	Left
 )
 
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -21,7 +21,7 @@
 
 	// introductionInterval is how often the view of the own zone is compared with its summary's contacts.
 	introductionInterval = 1 * monotime.Second
-	// introductionReplyInterval is how often, at most, one address of another zone is told of this one;
+	// introductionReplyInterval is how often, at most, one address of another zone is introduced to this one;
 	// maxIntroduced bounds the addresses that are remembered for that.
 	introductionReplyInterval = 500 * monotime.Millisecond
 	maxIntroduced             = 1024
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -54,7 +54,7 @@
 	sealed    []byte
 }
 
-// NameID returns the id that stands for a member's name.
+// NameID returns the id of a member by its name.
 func NameID(name string) membership.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
@@ -145,7 +145,7 @@
 	}
 }
 
-// Leave announces to the fleet that this member goes. It goes on until Close.
+// Leave announces the departure of this member to the fleet. It stays a member until Close.
 func (h *Host) Leave() {
 	now := h.loop.Now()
 	h.dispatch(h.fleet.Leave(now))
--- a/internal/peer/host_test.go
+++ b/internal/peer/host_test.go
@@ -84,6 +84,17 @@
 	return h
 }
 
+// pair starts two members that know each other.
+func (s *harness) pair() (a, b *Host) {
+	s.t.Helper()
+	a = s.host("a", 1)
+	b = s.host("b", 1, a.Addr())
+	s.await("both know each other", func() bool {
+		return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive)
+	})
+	return a, b
+}
+
 // await polls until a condition holds.
 func (s *harness) await(what string, holds func() bool) {
 	s.t.Helper()
@@ -137,12 +148,7 @@
 // A new process at the address of an earlier one takes over, wherever the kernel delivers the datagrams of others.
 func TestTakeover(t *testing.T) {
 	s := newHarness(t)
-	a := s.host("a", 1)
-	b := s.host("b", 1, a.Addr())
-	s.await(
-		"both know each other",
-		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
-	)
+	a, b := s.pair()
 	next := s.hostAt(b.Addr(), "b", 1, a.Addr())
 	s.await("the earlier process yields", func() bool { return b.fleet.Superseded() })
 	s.await(
@@ -159,12 +165,7 @@
 // A member that has only a withdrawn key is not received; with the new one it is again.
 func TestSetKeyring(t *testing.T) {
 	s := newHarness(t)
-	a := s.host("a", 1)
-	b := s.host("b", 1, a.Addr())
-	s.await(
-		"both know each other",
-		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
-	)
+	a, b := s.pair()
 	next := newKeyring(t, 2)
 	var received int64
 	s.do(func() {
@@ -185,12 +186,7 @@
 // meanwhile.
 func TestFlood(t *testing.T) {
 	s := newHarness(t)
-	a := s.host("a", 1)
-	b := s.host("b", 1, a.Addr())
-	s.await(
-		"both know each other",
-		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
-	)
+	a, _ := s.pair()
 	c, err := net.Dial("udp4", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -111,7 +111,7 @@
 	return window
 }
 
-// sendHello tells a member which process of its name this is, at most every helloInterval.
+// sendHello sends a member a Hello, at most every helloInterval.
 func (h *Host) sendHello(to netip.AddrPort, id membership.ID) {
 	now := h.loop.Now()
 	if now-h.lastHello[to] < helloInterval {
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -208,12 +208,7 @@
 // A member without zones has none of what belongs to them.
 func TestWithoutZones(t *testing.T) {
 	s := newHarness(t)
-	a := s.host("a", 1)
-	b := s.host("b", 1, a.Addr())
-	s.await(
-		"both know each other",
-		func() bool { return sees(a, "b", membership.Alive) && sees(b, "a", membership.Alive) },
-	)
+	a, b := s.pair()
 	s.await("rates are divided by both", func() bool { return a.RateDivisor() == 2 })
 	s.do(func() {
 		if _, err := a.Publish("limits", "one"); !errors.Is(err, ErrNoZones) {
--- a/lab/simulation/events.go
+++ b/lab/simulation/events.go
@@ -82,5 +82,5 @@
 	_, _ = s.hash.Write(b) // never fails
 }
 
-// Hash stands for all events so far.
+// Hash is one of all events so far.
 func (s *scheduler) Hash() string { return fmt.Sprintf("%016x", s.hash.Sum64()) }
--- a/lab/simulation/heartbeat.go
+++ b/lab/simulation/heartbeat.go
@@ -117,8 +117,8 @@
 		p.incarnation = max(p.incarnation, incarnation)
 		return nil, nil
 	}
-	// Nobody tells a member that it was considered dead: it comes back by its heartbeat, under its next incarnation
-	// at least.
+	// A member is not notified that it was considered dead: it comes back by its heartbeat, under its next
+	// incarnation at least.
 	p.incarnation = max(p.incarnation+1, incarnation)
 	return nil, []membership.StateChange{h.setState(from, membership.Alive)}
 }
