--- a/decision/monotime/monotime.go
+++ b/decision/monotime/monotime.go
@@ -1,8 +1,8 @@
-// Package monotime has the one type for time that all decisions share. It is a leaf: it knows nothing of this module,
-// and reads no clock. Whoever calls a decision hands it the time of a monotonic clock of its own.
+// Package monotime has the one type for time that all decisions share. It is a leaf: it imports nothing of this module
+// and reads no clock. Whoever calls a decision passes the time of its own monotonic clock.
 package monotime
 
-// Micros is a point in time on the caller's monotonic clock or a span of time, in microseconds.
+// Micros is a point in time on the caller's monotonic clock, or a span of time, in microseconds.
 type Micros int64
 
 // Units of time.
--- a/decision/outcome/outcome.go
+++ b/decision/outcome/outcome.go
@@ -1,18 +1,18 @@
-// Package outcome names how an attempt or a probe ended. It is a leaf, so that policies can be told of outcomes without
-// knowing the core that tells them.
+// Package outcome names the ways in which an attempt or a health probe can end. It is a leaf: it imports nothing of
+// this module, so that policies can be given outcomes without importing the core that determines them.
 package outcome
 
-// Status is how an attempt or a probe ended.
+// Status is how an attempt or a health probe ended.
 type Status uint8
 
-// The statuses.
+// The statuses. Only after ServerFull, ConnectFailed and Inconclusive is it certain that the request was not executed.
 const (
-	OK            Status = iota // the connection was established, or ended in the planned way
+	OK            Status = iota // the connection was established, or closed as planned
 	ErrorResponse               // the server answered with an error
-	ServerFull                  // the server turned the attempt away and has not run it
+	ServerFull                  // the server rejected the attempt without executing it
 	TimedOut                    // no answer within the attempt's time-out
-	ConnectFailed               // no connection came up; the attempt has not run
+	ConnectFailed               // no connection could be opened; nothing was sent
 	Reset                       // the connection was reset or lost
-	Cancelled                   // the balancer or the client gave it up
-	Inconclusive                // it was never sent, which says nothing of the server
+	Cancelled                   // the balancer or the client abandoned it
+	Inconclusive                // it was never sent, so that it implies nothing about the server
 )
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -23,7 +23,11 @@
 }
 
 // leaves have the types that all decisions share. They know nothing of this module, and everybody may know them.
-var leaves = []string{"spurspread/decision/monotime", "spurspread/decision/outcome"}
+var leaves = []string{
+	"spurspread/decision/monotime",
+	"spurspread/decision/outcome",
+	"spurspread/decision/backoff",
+}
 
 // corePolicies are the policies that the core asks. They know neither it nor each other.
 var corePolicies = []string{
