--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -1,95 +1,129 @@
-// Package retry is the retry policy: it decides what may still be done with a request of which an attempt may have
-// run, whether, where and until when it may be sent again, and whether its client may be told that a repeat is
-// harmless. It knows the effects of classes and the places of servers, and nothing of sockets, of which server is
-// best, or of any clock; times are microseconds.
+// Package retry is the policy for requests that may already have been executed: whether another attempt may be sent,
+// to which servers and until when, and whether the client may be invited to retry.
 //
-// Invariant: no effect is brought about twice, by this balancer or by a client that it told to come again.
+// It knows how idempotent a request class is and where servers are located. It does not know sockets, clocks, the
+// retry budget, or which server is best: the core combines its verdicts with those. The core keeps one
+// AttemptHistory per request and consults the Policy of the request's class before each attempt and each rejection.
+//
+// Invariant: no request takes effect twice, neither by a retry of this balancer nor by one that it invited a client to.
 package retry
 
 import "spurspread/decision/monotime"
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency says what happens if a request of a class is executed more than once.
 type Idempotency uint8
 
-// The effects: a Safe request may be repeated freely, a Keyed one only to the group of servers that discards its
-// repeats, an Unsafe one only when no earlier attempt can have run.
 const (
+	// Idempotent requests may be executed any number of times, on any servers.
 	Idempotent Idempotency = iota
+	// IdempotentWithKey requests carry a key by which the servers of one DedupScope discard duplicates for a while.
 	IdempotentWithKey
+	// NonIdempotent requests take effect each time: after an attempt that may have been executed, none may follow.
 	NonIdempotent
 )
 
-// DedupScope is the group of servers that discards the repeats of a keyed request.
+// DedupScope is the group of servers that share the keys of requests, and so discard each other's duplicates.
 type DedupScope uint8
 
-// The scopes of a keyed class.
 const (
+	// ScopeAll is all servers.
 	ScopeAll DedupScope = iota
+	// ScopeZone is the servers of one zone.
 	ScopeZone
+	// ScopeCell is the servers of one cell.
 	ScopeCell
 )
 
-// deliveryMargin is how long before the end of the window a repeat must have been written: it still has to reach its server,
-// across sites, whose clock counts.
-const deliveryMargin = 20_000
+// deliveryMargin is how long before the end of the deduplication window the last retry must have been written. The
+// window ends by the clock of a server that may be in another site: the retry still has to travel there.
+const deliveryMargin = 20 * monotime.Millisecond
 
-// Policy is what a class says of repeats.
+// Policy is what a request class allows.
 type Policy struct {
 	Idempotency Idempotency
-	DedupScope  DedupScope
-	// how long a keyed request's repeats are discarded, from the first attempt that may have run
+	// DedupScope is where duplicates are discarded. Only for IdempotentWithKey.
+	DedupScope DedupScope
+	// DedupWindow is for how long duplicates are discarded, counted from the first attempt that may have been
+	// executed. Only for IdempotentWithKey. A longer one allows later retries, and costs the servers memory.
 	DedupWindow monotime.Micros
 }
 
-// Location is where a server stands.
+// Location is where a server runs.
 type Location struct {
 	Zone uint8
 	Cell uint16
 }
 
-// AttemptHistory is what a request's attempts may have done. The zero Past is that of one that has not run.
+// AttemptHistory is what the attempts of one request may have done so far. The zero value is the history of a request
+// that has certainly not been executed.
 type AttemptHistory struct {
 	mayHaveExecuted bool
 	firstSentAt     monotime.Micros
 	location        Location
 }
 
-// RecordAttempt notes an attempt that may have run, sent then to a server there. Only the first counts.
-func (p *AttemptHistory) RecordAttempt(at monotime.Micros, place Location) {
-	if !p.mayHaveExecuted {
-		*p = AttemptHistory{mayHaveExecuted: true, firstSentAt: at, location: place}
+// RecordAttempt records that an attempt, sent at that time to a server there, may have been executed. Only the first
+// one counts: the deduplication window begins with it.
+func (h *AttemptHistory) RecordAttempt(sentAt monotime.Micros, server Location) {
+	if h.mayHaveExecuted {
+		return
 	}
+	*h = AttemptHistory{mayHaveExecuted: true, firstSentAt: sentAt, location: server}
 }
 
-// MayHaveExecuted tells whether any attempt may have.
-func (p *AttemptHistory) MayHaveExecuted() bool { return p.mayHaveExecuted }
+// MayHaveExecuted reports whether any attempt may have been executed.
+func (h *AttemptHistory) MayHaveExecuted() bool { return h.mayHaveExecuted }
 
-// RetryDeadline is when a repeat must have been written at the latest; bound is false where time does not matter.
-func (r Policy) RetryDeadline(p *AttemptHistory) (until monotime.Micros, bound bool) {
-	return p.firstSentAt + r.DedupWindow - deliveryMargin, p.mayHaveExecuted && r.Idempotency == IdempotentWithKey
+// RetryDeadline decides until when a retry must have been written: deliveryMargin before the deduplication window
+// ends. bounded is false, and the deadline meaningless, where time does not matter: the request can't have been
+// executed, or duplicates are not told apart by a key.
+func (p Policy) RetryDeadline(history *AttemptHistory) (deadline monotime.Micros, bounded bool) {
+	deadline = history.firstSentAt + p.DedupWindow - deliveryMargin
+	bounded = history.mayHaveExecuted && p.Idempotency == IdempotentWithKey
+	return deadline, bounded
 }
 
-// RetryForbidden tells that no server may have the request any more.
-func (r Policy) RetryForbidden(p *AttemptHistory, now monotime.Micros) bool {
-	until, bound := r.RetryDeadline(p)
-	return p.mayHaveExecuted && r.Idempotency == NonIdempotent || bound && now >= until
+// RetryForbidden decides that no server may be sent the request any more: it may have been executed, and is not
+// idempotent, or its RetryDeadline has passed.
+func (p Policy) RetryForbidden(history *AttemptHistory, now monotime.Micros) bool {
+	if history.mayHaveExecuted && p.Idempotency == NonIdempotent {
+		return true
+	}
+	deadline, bounded := p.RetryDeadline(history)
+	return bounded && now >= deadline
 }
 
-// RetryAllowedAt tells whether a server there may have the request now.
-func (r Policy) RetryAllowedAt(p *AttemptHistory, now monotime.Micros, at Location) bool {
-	switch {
-	case r.RetryForbidden(p, now):
+// RetryAllowedAt decides whether a server at this location may be sent the request now. Beyond RetryForbidden, a
+// request with a key that may have been executed stays within its deduplication scope: servers outside of it would
+// execute it again.
+func (p Policy) RetryAllowedAt(history *AttemptHistory, now monotime.Micros, server Location) bool {
+	if p.RetryForbidden(history, now) {
 		return false
-	case !p.mayHaveExecuted || r.Idempotency != IdempotentWithKey || r.DedupScope == ScopeAll:
+	}
+	if !history.mayHaveExecuted || p.Idempotency != IdempotentWithKey {
 		return true
 	}
-	if r.DedupScope == ScopeCell {
-		return at.Cell == p.location.Cell
+	return p.sharesKeys(history.location, server)
+}
+
+// sharesKeys reports whether servers at both locations discard each other's duplicates.
+func (p Policy) sharesKeys(a, b Location) bool {
+	switch p.DedupScope {
+	case ScopeAll:
+		return true
+	case ScopeCell:
+		return a.Cell == b.Cell
+	default:
+		return a.Zone == b.Zone
 	}
-	return at.Zone == p.location.Zone
 }
 
-// ClientRetrySafe tells whether a client may be told to come again: unsure says that an attempt may have run, or may yet.
-func (r Policy) ClientRetrySafe(unsure bool) bool {
-	return !unsure || r.Idempotency == Idempotent || r.Idempotency == IdempotentWithKey && r.DedupScope == ScopeAll
+// ClientRetrySafe decides whether the client may be invited to retry, as a rejection does. mayHaveExecuted says that an
+// attempt may have been executed, or may yet be. The client's retry can reach any server, at any time: it is safe after
+// that only if duplicates are harmless or discarded everywhere.
+func (p Policy) ClientRetrySafe(mayHaveExecuted bool) bool {
+	if !mayHaveExecuted || p.Idempotency == Idempotent {
+		return true
+	}
+	return p.Idempotency == IdempotentWithKey && p.DedupScope == ScopeAll
 }
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -7,56 +7,63 @@
 	"pgregory.net/rapid"
 )
 
-// A ten-line model of the protocol's rule, in its own words: what has run is repeated only where its class says, and a
-// refusal is given only where any repeat is discarded or harmless.
-func model(r Policy, ran bool, age monotime.Micros, same func(DedupScope) bool) (allowed, harmless bool) {
+// model is the protocol's rule in ten lines: what may have been executed is retried only where its class allows that,
+// and a rejection invites a retry only where any duplicate is discarded or harmless.
+func model(p Policy, executed bool, age monotime.Micros, same func(DedupScope) bool) (allowed, clientSafe bool) {
 	switch {
-	case !ran || r.Idempotency == Idempotent:
+	case !executed || p.Idempotency == Idempotent:
 		return true, true
-	case r.Idempotency == NonIdempotent:
+	case p.Idempotency == NonIdempotent:
 		return false, false
 	}
-	return age < r.DedupWindow-deliveryMargin && same(r.DedupScope), r.DedupScope == ScopeAll
+	return age < p.DedupWindow-deliveryMargin && same(p.DedupScope), p.DedupScope == ScopeAll
+}
+
+func drawMicros(t *rapid.T, most int64, name string) monotime.Micros {
+	return monotime.Micros(rapid.Int64Range(0, most).Draw(t, name))
+}
+
+func drawLocation(t *rapid.T, name string) Location {
+	return Location{
+		Zone: rapid.Uint8Range(0, 1).Draw(t, name+" zone"),
+		Cell: rapid.Uint16Range(0, 2).Draw(t, name+" cell"),
+	}
 }
 
 func TestAgainstTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Policy{
-			Idempotency: Idempotency(
-				rapid.IntRange(0, 2).Draw(t, "effect"),
-			), DedupScope: DedupScope(rapid.IntRange(0, 2).Draw(t, "scope")),
-			DedupWindow: monotime.Micros(rapid.Int64Range(0, 1_000_000).Draw(t, "window")),
-		}
-		place := func(name string) Location {
-			return Location{
-				Zone: rapid.Uint8Range(0, 1).Draw(t, name+" zone"),
-				Cell: rapid.Uint16Range(0, 2).Draw(t, name+" cell"),
-			}
+		p := Policy{
+			Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
+			DedupScope:  DedupScope(rapid.IntRange(0, 2).Draw(t, "scope")),
+			DedupWindow: drawMicros(t, 1_000_000, "window"),
 		}
-		var p AttemptHistory
-		first, at := monotime.Micros(rapid.Int64Range(0, 1_000_000).Draw(t, "first")), place("first")
-		ran := rapid.Bool().Draw(t, "ran")
-		if ran {
-			p.RecordAttempt(first, at)
-			// which moves nothing
-			p.RecordAttempt(first+monotime.Micros(rapid.Int64Range(0, 1_000_000).Draw(t, "second")), place("second"))
+		var history AttemptHistory
+		firstSentAt, first := drawMicros(t, 1_000_000, "first"), drawLocation(t, "first")
+		executed := rapid.Bool().Draw(t, "executed")
+		if executed {
+			history.RecordAttempt(firstSentAt, first)
+			// A second attempt does not move the window.
+			history.RecordAttempt(firstSentAt+drawMicros(t, 1_000_000, "second"), drawLocation(t, "second"))
 		}
-		age, to := monotime.Micros(rapid.Int64Range(0, 2_000_000).Draw(t, "age")), place("to")
+		age, next := drawMicros(t, 2_000_000, "age"), drawLocation(t, "next")
+		now := firstSentAt + age
 		same := func(s DedupScope) bool {
-			return s == ScopeAll || s == ScopeZone && to.Zone == at.Zone || s == ScopeCell && to.Cell == at.Cell
+			sameZone, sameCell := next.Zone == first.Zone, next.Cell == first.Cell
+			return s == ScopeAll || s == ScopeZone && sameZone || s == ScopeCell && sameCell
 		}
-		allowed, harmless := model(r, ran, age, same)
-		if got := r.RetryAllowedAt(&p, first+age, to); got != allowed {
-			t.Fatalf("%+v %+v: allows %v", r, p, got)
+		allowed, clientSafe := model(p, executed, age, same)
+		if got := p.RetryAllowedAt(&history, now, next); got != allowed {
+			t.Fatalf("%+v %+v: retry allowed: %v", p, history, got)
 		}
-		if got := r.ClientRetrySafe(p.MayHaveExecuted()); got != harmless {
-			t.Fatalf("%+v %+v: harmless %v", r, p, got)
+		if got := p.ClientRetrySafe(history.MayHaveExecuted()); got != clientSafe {
+			t.Fatalf("%+v %+v: client's retry safe: %v", p, history, got)
 		}
-		if r.RetryForbidden(&p, first+age) && r.RetryAllowedAt(&p, first+age, to) {
-			t.Fatalf("%+v %+v: spent and allowed", r, p)
+		if p.RetryForbidden(&history, now) && p.RetryAllowedAt(&history, now, next) {
+			t.Fatalf("%+v %+v: forbidden and allowed", p, history)
 		}
-		if until, bound := r.RetryDeadline(&p); bound && until > first+r.DedupWindow-deliveryMargin {
-			t.Fatalf("%+v %+v: until %d", r, p, until)
+		latest := firstSentAt + p.DedupWindow - deliveryMargin
+		if deadline, bounded := p.RetryDeadline(&history); bounded && deadline > latest {
+			t.Fatalf("%+v %+v: deadline %d", p, history, deadline)
 		}
 	})
 }
