--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -1,106 +1,143 @@
-// Package setups keeps how set-ups of connections went lately, at all servers together, and tells from it how many may
-// be under way at once, how long one is to be given, whether the cause of failures is shared by all servers, and which
-// part of what is asked is not worth beginning. It does not know servers, requests or clocks; spans are microseconds.
+// Package concurrency limits the set-ups of connections that one balancer has in flight, to all servers together. It
+// observes how set-ups end and from that decides how many may be in flight, how likely a new one is shed,
+// and whether failures have a cause that all servers share. It also estimates how long a set-up takes.
+//
+// It does not know servers, requests or clocks. The owner reports the outcome of each set-up to Record, each shed one
+// to RecordShed, and calls Decay once a tick. Latencies are microseconds, as float64.
 package concurrency
 
-import "math"
+// millisecond in the unit of latencies.
+const millisecond = 1000.0
 
+// The failure rate, an exponential average over the outcomes of set-ups.
 const (
-	millisecond = 1000.0
-
-	failureWeight     = 0.1
-	sharedFailureRate = 0.5 // of recent set-ups fail: the cause is shared
-
-	quantileUp, quantileDown = 1.6, 1.25 // settle where about two thirds of set-ups are quicker
-	minLatency               = 1 * millisecond
-
-	// While set-ups fail, what is sent is so many times what comes to stand, and some to find out.
-	throttleRatio        = 2.0
-	throttleFreeAttempts = 160.0 // by all balancers together, in the memory
-	throttleDecay        = 0.975 // a tick; a memory of 10 s
-
-	// Set-ups at once.
-	slowSetupLatency = 200 * millisecond // set-ups that take longer wait for something that all share: fewer at once
-	limitDecrease    = 0.8               // for each that ends while they do
-	limitIncrease    = 1.0               // for each that ends while they don't
-	minLimit         = 2.0
-	maxLimit         = 40.0
-	initialLimit     = 12.0
+	// failureWeight is the weight of one outcome.
+	failureWeight = 0.1
+	// sharedFailureRate is the failure rate above which failures are taken to have a cause that all servers share.
+	sharedFailureRate = 0.5
 )
 
-// Limiter is how set-ups go. Its zero value is not usable; see New.
+// The set-up latency, an estimate of a quantile: it rises by quantileUp with each slower set-up and falls by
+// quantileDown with each quicker one, so that it settles where about two thirds are quicker.
+const (
+	quantileUp   = 1.6
+	quantileDown = 1.25
+	minLatency   = 1 * millisecond
+)
+
+// Load shedding, see ShedProbability.
+const (
+	// throttleRatio is how many attempts are allowed for each that is established.
+	throttleRatio = 2.0
+	// throttleFreeAttempts is how many attempts more all balancers together may make, within the memory that
+	// throttleDecay gives them, so that they find out when set-ups succeed again.
+	throttleFreeAttempts = 160.0
+	// throttleDecay is the factor by which counts decay per tick: at four ticks a second, a memory of 10 s.
+	throttleDecay = 0.975
+)
+
+// The limit, in set-ups in flight: additive increase, multiplicative decrease.
+const (
+	// slowSetupLatency is the set-up latency above which set-ups are taken to wait for a resource that all servers
+	// share. The limit decreases while latency is above, and increases while it is below.
+	slowSetupLatency = 200 * millisecond
+	// limitDecrease is the factor for each set-up that ends while latency is above.
+	limitDecrease = 0.8
+	// limitIncrease is the increment for each set-up that ends while latency is below.
+	limitIncrease = 1.0
+
+	minLimit     = 2.0
+	maxLimit     = 40.0
+	initialLimit = 12.0
+)
+
+// Limiter holds the estimates and the limit. Its zero value is not usable; see NewLimiter.
 type Limiter struct {
-	failureRate           float64 // part of recent set-ups that failed
-	Limit                 float64 // how many may be under way
-	setupLatency          float64 // two thirds of recent set-ups were quicker
-	attempts, established float64 // set-ups that ended or were not begun, and those that stood; they fade
+	// Limit is how many set-ups may be in flight, minLimit to maxLimit.
+	Limit float64
+
+	failureRate  float64 // 0 to 1
+	setupLatency float64 // microseconds; about two thirds of recent set-ups were quicker
+	attempts     float64 // set-ups that ended or were shed; decays
+	established  float64 // set-ups that were established; decays
 }
 
-// NewLimiter returns the pace of a balancer that has seen no set-up yet.
+// NewLimiter returns the limiter of a balancer that has not seen a set-up yet.
 func NewLimiter() Limiter { return Limiter{Limit: initialLimit} }
 
 // Outcome is how a set-up ended.
 type Outcome uint8
 
-// The ends; Unheard says nothing of how set-ups go.
+// The outcomes.
 const (
-	Inconclusive Outcome = iota
-	Established          // it came to stand
-	Failed               // inside a server
-	TimedOut             // no answer came
+	Inconclusive Outcome = iota // it implies nothing about how set-ups go, and is not counted
+	Established
+	Failed   // by an error inside a server, which implies nothing about latency
+	TimedOut // without an answer
 )
 
-// Record notes the end of a set-up that took so long.
-func (p *Limiter) Record(end Outcome, took float64) {
-	switch end {
+// Record takes the outcome of a set-up that took so many microseconds.
+func (l *Limiter) Record(outcome Outcome, took float64) {
+	switch outcome {
 	case Established:
-		p.failureRate -= p.failureRate * failureWeight
-		p.attempts, p.established = p.attempts+1, p.established+1
+		l.failureRate -= l.failureRate * failureWeight
+		l.attempts++
+		l.established++
 	case Failed, TimedOut:
-		p.failureRate += (1 - p.failureRate) * failureWeight
-		p.attempts++
+		l.failureRate += (1 - l.failureRate) * failureWeight
+		l.attempts++
 	}
-	if end == Established || end == TimedOut {
-		p.observeLatency(took)
+	if outcome == Established || outcome == TimedOut {
+		l.observeLatency(took)
+		l.adjustLimit()
 	}
 }
 
-// RecordShed notes one that was refused by Refuses.
-func (p *Limiter) RecordShed() { p.attempts++ }
+// RecordShed counts a set-up that ShedProbability kept from being started: it shows the demand.
+func (l *Limiter) RecordShed() { l.attempts++ }
 
-// observeLatency follows what two thirds take at most: a mean would take a few servers that hang for a slow store.
-func (p *Limiter) observeLatency(took float64) {
-	if took > p.setupLatency {
-		p.setupLatency *= quantileUp
+// observeLatency moves the estimate of the quantile. A mean would take a few servers that hang for slow set-ups.
+func (l *Limiter) observeLatency(took float64) {
+	if took > l.setupLatency {
+		l.setupLatency *= quantileUp
 	} else {
-		p.setupLatency /= quantileDown
+		l.setupLatency /= quantileDown
 	}
-	p.setupLatency = max(p.setupLatency, minLatency)
-	// A crowd that comes back outruns the store: tried all at once, each would take too long and be tried again, which
-	// keeps the store busy with what nobody waits for any more.
-	if p.setupLatency > slowSetupLatency {
-		p.Limit = max(p.Limit*limitDecrease, minLimit)
+	l.setupLatency = max(l.setupLatency, minLatency)
+}
+
+// adjustLimit decides how many set-ups may be in flight, from the set-up latency. Clients that reconnect all at once
+// outrun what set-ups wait for: with all of them in flight each would time out and be retried, so that the shared
+// resource would only serve set-ups that nobody waits for any more.
+func (l *Limiter) adjustLimit() {
+	if l.setupLatency > slowSetupLatency {
+		l.Limit = max(l.Limit*limitDecrease, minLimit)
 	} else {
-		p.Limit = min(p.Limit+limitIncrease, maxLimit)
+		l.Limit = min(l.Limit+limitIncrease, maxLimit)
 	}
 }
 
-// Decay lets the memory of tries fade; it is called four times a second.
-func (p *Limiter) Decay() {
-	p.attempts, p.established = p.attempts*throttleDecay, p.established*throttleDecay
+// Decay lets the counts of attempts and established set-ups decay by one tick, a quarter of a second.
+func (l *Limiter) Decay() {
+	l.attempts *= throttleDecay
+	l.established *= throttleDecay
 }
 
-// SetupLatency is what two thirds of recent set-ups took at most.
-func (p *Limiter) SetupLatency() float64 { return p.setupLatency }
+// SetupLatency returns the time, in microseconds, within which about two thirds of recent set-ups ended.
+func (l *Limiter) SetupLatency() float64 { return l.setupLatency }
 
-// FailuresShared tells that so many set-ups fail that the cause must lie behind all servers: none is demoted for it, and
-// nothing is tried twice, which would keep the cause alive.
-func (p *Limiter) FailuresShared() bool { return p.failureRate > sharedFailureRate }
+// FailuresShared decides that set-ups fail for a reason that all servers share: their failure rate is above
+// sharedFailureRate. No server is demoted for such failures, and no set-up is retried, as retries would prolong them.
+func (l *Limiter) FailuresShared() bool { return l.failureRate > sharedFailureRate }
 
-// Allows tells whether one more may begin while so many are under way.
-func (p *Limiter) Allows(underWay int) bool { return float64(underWay) < p.Limit }
+// Allows decides whether one more set-up may be started while so many are in flight.
+func (l *Limiter) Allows(inFlight int) bool { return float64(inFlight) < l.Limit }
 
-// ShedProbability is how likely a set-up is not to be begun, by a balancer that has this share of the fleet.
-func (p *Limiter) ShedProbability(share float64) float64 {
-	return math.Max(p.attempts-throttleRatio*p.established-throttleFreeAttempts*share, 0) / (p.attempts + 1)
+// ShedProbability decides how likely a set-up is rejected rather than started, 0 to 1, at a balancer that is this part
+// of the fleet (0 to 1): adaptive throttling at the client. Attempts beyond throttleRatio times those established, and
+// beyond this balancer's part of the fleet's throttleFreeAttempts, are shed. While hardly any set-up succeeds, further
+// ones would only keep the servers from recovering.
+func (l *Limiter) ShedProbability(fleetShare float64) float64 {
+	excess := l.attempts - throttleRatio*l.established - throttleFreeAttempts*fleetShare
+	return max(excess, 0) / (l.attempts + 1)
 }
--- a/decision/concurrency/concurrency_test.go
+++ b/decision/concurrency/concurrency_test.go
@@ -2,76 +2,76 @@
 
 import "testing"
 
-func after(ends ...Outcome) Limiter {
-	p := NewLimiter()
-	for _, e := range ends {
-		p.Record(e, 20*millisecond)
+func limiterAfter(outcomes ...Outcome) Limiter {
+	l := NewLimiter()
+	for _, o := range outcomes {
+		l.Record(o, 20*millisecond)
 	}
-	return p
+	return l
 }
 
-func many(n int, e Outcome) []Outcome {
-	ends := make([]Outcome, n)
-	for i := range ends {
-		ends[i] = e
+func repeat(n int, o Outcome) []Outcome {
+	outcomes := make([]Outcome, n)
+	for i := range outcomes {
+		outcomes[i] = o
 	}
-	return ends
+	return outcomes
 }
 
-// Most failing is a cause that all share; a few, or what says nothing, is not.
-func TestShared(t *testing.T) {
+// A cause is shared if most set-ups fail; not if a few do, or if outcomes are inconclusive.
+func TestFailuresShared(t *testing.T) {
 	for _, c := range []struct {
-		ends []Outcome
-		want bool
+		outcomes []Outcome
+		want     bool
 	}{
 		{nil, false},
-		{many(20, Failed), true},
-		{many(20, TimedOut), true},
-		{many(100, Inconclusive), false},
-		{append(many(20, Failed), many(20, Established)...), false},
-		{append(many(20, Established), Failed, TimedOut), false},
+		{repeat(20, Failed), true},
+		{repeat(20, TimedOut), true},
+		{repeat(100, Inconclusive), false},
+		{append(repeat(20, Failed), repeat(20, Established)...), false},
+		{append(repeat(20, Established), Failed, TimedOut), false},
 	} {
-		if p := after(c.ends...); p.FailuresShared() != c.want {
-			t.Errorf("%v: shared %v", c.ends, !c.want)
+		if l := limiterAfter(c.outcomes...); l.FailuresShared() != c.want {
+			t.Errorf("%v: shared %v", c.outcomes, !c.want)
 		}
 	}
 }
 
-// While nothing comes to stand hardly more is begun, with the fleet's free tries shared out; what stands opens it
-// again.
-func TestRefuses(t *testing.T) {
-	p := after(many(300, Failed)...)
-	if r := p.ShedProbability(1); r < 0.4 || r >= 0.5 { // 300 tries, 160 free
-		t.Errorf("a lone balancer refuses %v", r)
+// While nothing is established, hardly more is started, and the fleet's free attempts are divided; what is established
+// opens it again.
+func TestShedProbability(t *testing.T) {
+	l := limiterAfter(repeat(300, Failed)...)
+	if p := l.ShedProbability(1); p < 0.4 || p >= 0.5 { // 300 attempts, 160 free
+		t.Errorf("a single balancer sheds with probability %v", p)
 	}
-	if r := p.ShedProbability(0.01); r < 0.98 {
-		t.Errorf("one of a hundred refuses %v", r)
+	if p := l.ShedProbability(0.01); p < 0.98 {
+		t.Errorf("one of a hundred sheds with probability %v", p)
 	}
 	for range 300 {
-		p.Record(Established, 20*millisecond)
+		l.Record(Established, 20*millisecond)
 	}
-	if r := p.ShedProbability(0.01); r != 0 {
-		t.Errorf("half stand, and it still refuses %v", r)
+	if p := l.ShedProbability(0.01); p != 0 {
+		t.Errorf("half are established, and it still sheds with probability %v", p)
 	}
-	p = after(many(300, Failed)...)
+	l = limiterAfter(repeat(300, Failed)...)
 	for range 400 {
-		p.Decay()
+		l.Decay()
 	}
-	if r := p.ShedProbability(0); r > 0.02 {
-		t.Errorf("refuses %v long after", r)
+	if p := l.ShedProbability(0); p > 0.02 {
+		t.Errorf("sheds with probability %v long after", p)
 	}
 }
 
-// Slow set-ups narrow what is under way, timed-out ones as well; quick ones widen it, within bounds.
-func TestWidth(t *testing.T) {
+// Slow set-ups lower the limit, timed-out ones as well; quick ones raise it, within bounds.
+func TestLimit(t *testing.T) {
 	for took, want := range map[float64]int{20 * millisecond: maxLimit, 900 * millisecond: minLimit} {
-		for _, e := range []Outcome{Established, TimedOut} {
-			p := NewLimiter()
+		for _, o := range []Outcome{Established, TimedOut} {
+			l := NewLimiter()
 			for range 100 {
-				p.Record(e, took)
+				l.Record(o, took)
 			}
-			if !p.Allows(want-1) || p.Allows(want) {
-				t.Errorf("width %v after set-ups of %v, want %d", p.Limit, took, want)
+			if !l.Allows(want-1) || l.Allows(want) {
+				t.Errorf("limit %v after set-ups of %v us, want %d", l.Limit, took, want)
 			}
 		}
 	}
