--- a/decision/latency/latency_test.go
+++ b/decision/latency/latency_test.go
@@ -7,55 +7,52 @@
 )
 
 const (
-	start = monotime.Micros(1000 * second)
-	aim   = 0.1 * second
+	second    = monotime.Second
+	start     = 1000 * second
+	objective = 0.1 * float64(second)
 )
 
-// A late server gets no more than nine in ten of what it could not carry, and slowly more once its notes cease.
-func TestMost(t *testing.T) {
-	n := New()
-	if n.MissesObjective(start) || n.MeasuredSlow() || n.DelayKnown(start) || !math.IsInf(n.ConnectionCapacity, 1) {
-		t.Fatalf("%+v without a note", n)
+// A server that misses objectives gets at most nine in ten of the connections that it could not sustain, and slowly
+// more once its reports cease.
+func TestConnectionCapacity(t *testing.T) {
+	e := New()
+	if e.MissesObjective(start) || e.MeasuredSlow() || e.DelayKnown(start) || !math.IsInf(e.ConnectionCapacity, 1) {
+		t.Fatalf("%+v without a report", e)
 	}
-	n.ObserveDelay(start, aim*(SlowThreshold+MoveThreshold)/2, aim, 20)
-	if n.ConnectionCapacity != 20 || !n.MeasuredSlow() || n.MissesObjective(start) {
-		t.Fatalf("slow: %+v", n)
+	e.ObserveDelay(start, objective*(SlowThreshold+MoveThreshold)/2, objective, 20)
+	if e.ConnectionCapacity != 20 || !e.MeasuredSlow() || e.MissesObjective(start) {
+		t.Fatalf("slow: %+v", e)
 	}
-	n.ObserveDelay(start+second, aim*MoveThreshold*2, aim, 20)
-	if n.ConnectionCapacity != 18 || !n.MissesObjective(start+second) ||
-		n.MissesObjective(start+second+ReportLifetime) {
-		t.Fatalf("late: %+v", n)
+	e.ObserveDelay(start+second, objective*MoveThreshold*2, objective, 20)
+	if e.ConnectionCapacity != 18 || !e.MissesObjective(start+second) ||
+		e.MissesObjective(start+second+ReportLifetime) {
+		t.Fatalf("late: %+v", e)
 	}
-	if n.GrowCapacity(start+2*second, second); n.ConnectionCapacity != 18 {
-		t.Fatalf("may have %v while its note is fresh", n.ConnectionCapacity)
+	if e.GrowCapacity(start+2*second, second); e.ConnectionCapacity != 18 {
+		t.Fatalf("capacity %v while the report is recent", e.ConnectionCapacity)
 	}
-	if n.GrowCapacity(start+second+ReportLifetime+1, second); n.ConnectionCapacity != 19 {
-		t.Fatalf("may have %v a second later", n.ConnectionCapacity)
+	if e.GrowCapacity(start+second+ReportLifetime+1, second); e.ConnectionCapacity != 19 {
+		t.Fatalf("capacity %v a second later", e.ConnectionCapacity)
 	}
 }
 
-// The part that is too much follows from how fast the delay grows, and from what waits already; one note counts once.
-func TestPart(t *testing.T) {
-	n := New()
-	n.ObserveDelay(start, aim, aim, 10)
-	steady := n
-	if steady.ObserveDelay(start+minReportInterval-1, aim*5, aim, 10) {
-		t.Fatal("the same news counts twice")
-	}
-	grows, melts := n, n
-	steady.ObserveDelay(start+second, aim, aim, 10)
-	grows.ObserveDelay(
-		start+second,
-		aim*6,
-		aim,
-		10,
-	) // half a second more in a second: half as much again as it can do
-	melts.ObserveDelay(start+second, aim/2, aim, 10)
-	s, g, m := steady.ExcessPart(aim), grows.ExcessPart(aim), melts.ExcessPart(aim)
-	if math.Abs(s-0.05) > 1e-9 || math.Abs(g-(0.5+0.3)/1.5) > 1e-9 || m >= 0 {
-		t.Fatalf("steady %v, growing %v, melting %v", s, g, m)
-	}
-	if n.ObserveDelay(start+second, aim, 0, 10) {
-		t.Fatal("no aim to compare with, and yet news")
+// The part that is too much follows from the growth of the delay, and from the backlog; a report counts once.
+func TestExcessPart(t *testing.T) {
+	e := New()
+	e.ObserveDelay(start, objective, objective, 10)
+	steady := e
+	if steady.ObserveDelay(start+minReportInterval-1, objective*5, objective, 10) {
+		t.Fatal("the same report counts twice")
+	}
+	growing, shrinking := e, e
+	steady.ObserveDelay(start+second, objective, objective, 10)
+	growing.ObserveDelay(start+second, objective*6, objective, 10) // 0.5 s more in 1 s: 1.5 times what it can do
+	shrinking.ObserveDelay(start+second, objective/2, objective, 10)
+	s, g, n := steady.ExcessPart(objective), growing.ExcessPart(objective), shrinking.ExcessPart(objective)
+	if math.Abs(s-0.05) > 1e-9 || math.Abs(g-(0.5+0.3)/1.5) > 1e-9 || n >= 0 {
+		t.Fatalf("steady %v, growing %v, shrinking %v", s, g, n)
+	}
+	if e.ObserveDelay(start+second, objective, 0, 10) {
+		t.Fatal("a report counts without an objective")
 	}
 }
