--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -1,46 +1,59 @@
-// Package fleetsize estimates how much of the fleet of servers is there, against the most that was there lately,
-// and how many clients are still to come back from what is out: while a part is gone, what comes back is let in
-// more slowly. It does not know servers, requests or clocks; times are microseconds.
+// Package fleetsize estimates which part of the servers' capacity is present, compared with the largest that was
+// present lately, and how many clients have yet to reconnect after their server ended the connection. While a part of
+// the fleet is missing, those clients are admitted more slowly.
+//
+// It does not know servers, requests or clocks. The core passes the present capacity to Update several times a second,
+// and charges each client that connects with TakeReturn's price. Times are monotime.Micros.
+//
+// Invariant: at most as many connections cost more than usual as were expected to return.
 package fleetsize
 
 import "spurspread/decision/monotime"
 
 const (
-	reducedPart = 0.07 // of the fleet is out: what comes back is more than the rest had
-	returnPrice = 2.5  // of the filling rate, for each of those
-	returnDecay = 0.1  // a second, of those that are still to come back
-	peakMemory  = 60   // seconds of the most that was there
+	// reducedPart is the part of the capacity that must be missing for the fleet to count as reduced. What returns is
+	// more than the rest had connections then.
+	reducedPart = 0.07
+	// returnPrice is how many tokens a returning client's connection costs in a reduced fleet, where others cost 1.
+	returnPrice = 2.5
+	// returnDecay is the part of the expected returns that is given up per second.
+	returnDecay = 0.1
+	// peakMemory is the time, in seconds, in which a peak that is not reached again is forgotten.
+	peakMemory = 60
 )
 
-// Estimate says how much of the fleet is there. New makes one.
+// Estimate is the state of the fleet as this balancer sees it. Its zero value is not usable; see New.
 type Estimate struct {
-	peakSize        float64 // size of what was there lately
-	presentPart     float64 // the part of that which is there now
-	expectedReturns float64 // connections that servers ended, and that may come back
+	peakSize        float64 // the largest capacity lately, in the caller's unit
+	presentPart     float64 // of peakSize
+	expectedReturns float64 // clients that may reconnect
 	updatedAt       monotime.Micros
 }
 
-// New returns the estimate for a fleet that is all there.
+// New returns the estimate for a fleet that is complete.
 func New(now monotime.Micros) Estimate { return Estimate{presentPart: 1, updatedAt: now} }
 
-// Update notes the size of all that is there now.
+// Update takes the capacity of all servers that are present now, in any unit that stays the same.
 func (e *Estimate) Update(now monotime.Micros, size float64) {
-	span := float64(now-e.updatedAt) / 1e6
-	e.expectedReturns *= max(1-returnDecay*span, 0)
-	e.peakSize = max(size, e.peakSize*max(1-span/peakMemory, 0))
-	e.presentPart, e.updatedAt = size/max(e.peakSize, 1), now
+	elapsed := float64(now-e.updatedAt) / float64(monotime.Second)
+	e.expectedReturns *= max(1-returnDecay*elapsed, 0)
+	e.peakSize = max(size, e.peakSize*max(1-elapsed/peakMemory, 0))
+	e.presentPart = size / max(e.peakSize, 1)
+	e.updatedAt = now
 }
 
-// PresentPart is how much is there of what was, 0 to 1.
+// PresentPart returns the part of the recent peak that is present, 0 to 1.
 func (e *Estimate) PresentPart() float64 { return e.presentPart }
 
-// Reduced tells that a part is out.
+// Reduced decides whether a part of the fleet is missing: more than reducedPart of the recent peak.
 func (e *Estimate) Reduced() bool { return e.presentPart < 1-reducedPart }
 
-// ExpectReturn notes a client that may come back, since a server ended its connection.
+// ExpectReturn counts a client that may reconnect, as a server ended its connection.
 func (e *Estimate) ExpectReturn() { e.expectedReturns++ }
 
-// TakeReturn is the price, of a filling rate, of a client that has come back.
+// TakeReturn decides what the connection of a client that connects now costs, in tokens of slow start: returnPrice
+// while the fleet is reduced and returns are expected, of which it takes one, else 1. Servers that are left in a
+// reduced fleet are loaded more than usual, and so take what returns more slowly.
 func (e *Estimate) TakeReturn() float64 {
 	if !e.Reduced() || e.expectedReturns < 1 {
 		return 1
--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -6,38 +6,38 @@
 	"testing"
 )
 
-const start = 1_000_000_000
+const start = 1000 * monotime.Second
 
-// What comes back is dearer while a part of the fleet is out, each once, and as long as it may still come.
-func TestReturned(t *testing.T) {
-	f := New(start)
-	f.Update(start, 10)
-	f.ExpectReturn()
-	if p := f.TakeReturn(); p != 1 {
-		t.Fatalf("price %v while all is there", p)
+// Returning clients cost more while a part of the fleet is missing, each once, and as long as they are expected.
+func TestTakeReturn(t *testing.T) {
+	e := New(start)
+	e.Update(start, 10)
+	e.ExpectReturn()
+	if p := e.TakeReturn(); p != 1 {
+		t.Fatalf("price %v while the fleet is complete", p)
 	}
-	f.Update(start+1_000_000, 5)
-	f.ExpectReturn()
-	f.ExpectReturn()
-	prices := [3]float64{f.TakeReturn(), f.TakeReturn(), f.TakeReturn()}
-	if !f.Reduced() || prices != [3]float64{returnPrice, returnPrice, 1} {
-		t.Fatalf("thin %v, prices %v", f.Reduced(), prices)
+	e.Update(start+monotime.Second, 5)
+	e.ExpectReturn()
+	e.ExpectReturn()
+	prices := [3]float64{e.TakeReturn(), e.TakeReturn(), e.TakeReturn()}
+	if !e.Reduced() || prices != [3]float64{returnPrice, returnPrice, 1} {
+		t.Fatalf("reduced %v, prices %v", e.Reduced(), prices)
 	}
-	f.ExpectReturn()
-	if f.Update(start+12_000_000, 5); f.TakeReturn() != 1 {
-		t.Fatal("still owed after the memory is over")
+	e.ExpectReturn()
+	if e.Update(start+12*monotime.Second, 5); e.TakeReturn() != 1 {
+		t.Fatal("still expected after the expected returns have decayed")
 	}
 }
 
-// What is out for good is forgotten in a minute: the rest is the fleet then.
-func TestWhatIsOutIsForgotten(t *testing.T) {
-	f, now := New(start), monotime.Micros(start)
-	f.Update(now, 10)
+// A part that is missing for good is forgotten within a minute: the rest is the fleet then.
+func TestMissingPartIsForgotten(t *testing.T) {
+	e, now := New(start), monotime.Micros(start)
+	e.Update(now, 10)
 	for range 120 {
-		now += 500_000
-		f.Update(now, 6)
+		now += 500 * monotime.Millisecond
+		e.Update(now, 6)
 	}
-	if f.Reduced() || math.Abs(f.PresentPart()-1) > 1e-9 {
-		t.Fatalf("%v there of what was", f.PresentPart())
+	if e.Reduced() || math.Abs(e.PresentPart()-1) > 1e-9 {
+		t.Fatalf("%v of the peak present", e.PresentPart())
 	}
 }
