--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -7,165 +7,170 @@
 	"testing"
 )
 
-// drawn is the budget as it was before: each balancer drew its share of a window whole or not at all, by chance, and
-// counted its windows from when it was first asked. It is kept to be compared with.
-type drawn struct {
-	window monotime.Micros
-	left   float64
+// randomBudget is a simpler design, to compare with: each balancer draws its part of a window whole or not at all, by
+// chance, and counts windows from its first request.
+type randomBudget struct {
+	windowStart monotime.Micros
+	left        float64
 }
 
-func (b *drawn) room(now, span monotime.Micros, part, chance float64) bool {
-	if now-b.window >= span {
-		b.window = now
+func (b *randomBudget) available(now, length monotime.Micros, part, chance float64) bool {
+	if now-b.windowStart >= length {
+		b.windowStart = now
 		b.left = min(b.left, 0) + math.Floor(part+chance)
 	}
 	return b.left > 0
 }
 
 const (
-	window = 1_000_000 // the rule's, microseconds
+	window = monotime.Second // of the warm-up rule
 	step   = window / 40
 	warmUp = 23 * window
 )
 
-// flood is a fleet of which each balancer has requests at its own rate, for one cold server.
-type flood struct {
+// reconnectWave is a fleet of which each balancer has requests at its own rate, for one server that warms up.
+type reconnectWave struct {
 	balancers, zones int
-	allowed          float64                     // requests in a window
-	asks             func(rng *rand.Rand) bool   // whether a balancer has a request in a step
-	work             func(*rand.Rand) float64    // what it takes, of the mean
-	each             float64                     // what a connection is booked at
-	rank             func(int) (rank, count int) // as a balancer believes
+	allowed          float64                       // requests in a window
+	hasRequest       func(*rand.Rand) bool         // whether a balancer has one in a step
+	work             func(*rand.Rand) float64      // of a request, as a multiple of the mean
+	perGrant         float64                       // the work that a grant is for
+	rank             func(int) (rank, counted int) // as a balancer sees the fleet; nil: as it is
 }
 
-// play returns what the server got in each step of its warm-up, by the grants and by the draws.
-func (f flood) play(seed uint64) (granted, draws []float64) {
+// play returns what the server got in each step of its warm-up: by grants, and by random budgets.
+func (w reconnectWave) play(seed uint64) (byGrants, byChance []float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	server := rng.Uint64()
-	now, old := make([]Budget, f.balancers), make([]drawn, f.balancers)
-	for i := range old {
-		old[i].window = -monotime.Micros(rng.Int64N(int64(window))) // each counts from when it was first asked
+	budgets, randomBudgets := make([]Budget, w.balancers), make([]randomBudget, w.balancers)
+	for i := range randomBudgets {
+		randomBudgets[i].windowStart = -monotime.Micros(rng.Int64N(int64(window)))
 	}
-	for at := monotime.Micros(0); at < warmUp; at += step {
-		slot, _ := SlotAt(at, 0, window)
-		got, gotOld := 0.0, 0.0
-		for i := range f.balancers {
-			if !f.asks(rng) {
+	for now := monotime.Micros(0); now < warmUp; now += step {
+		slot, _ := SlotAt(now, 0, window)
+		granted, drawn := 0.0, 0.0
+		for i := range w.balancers {
+			if !w.hasRequest(rng) {
 				continue
 			}
-			work := max(f.work(rng), 1)
-			rank, count := i, f.balancers
-			if f.rank != nil {
-				rank, count = f.rank(i)
-			}
-			home := i%f.zones == 0
-			if now[i].GrantAvailable(slot, f.allowed/f.each, Fleet{rank, count, f.zones, server, home, false}) {
-				now[i].Spend(true, work, f.each, 1)
-				got += work
+			work := max(w.work(rng), 1)
+			fleet := w.fleetSeenBy(i, server)
+			if budgets[i].GrantAvailable(slot, w.allowed/w.perGrant, fleet) {
+				budgets[i].Spend(true, work, w.perGrant, 1)
+				granted += work
 			}
 			part := 0.2
-			if home {
+			if fleet.SameZone {
 				part = 0.6
 			}
-			if old[i].room(at, window, part*f.allowed*float64(f.zones)/float64(f.balancers), rng.Float64()) {
-				old[i].left -= work
-				gotOld += work
+			part *= w.allowed * float64(w.zones) / float64(w.balancers)
+			if randomBudgets[i].available(now, window, part, rng.Float64()) {
+				randomBudgets[i].left -= work
+				drawn += work
 			}
 		}
-		granted, draws = append(granted, got), append(draws, gotOld)
+		byGrants = append(byGrants, granted)
+		byChance = append(byChance, drawn)
 	}
-	return granted, draws
+	return byGrants, byChance
 }
 
-// figures sums up what windows got, wherever they begin: the mean, the deviation, the most and how many were over
-// what is put down to chance.
-type figures struct{ mean, deviation, most, over float64 }
+func (w reconnectWave) fleetSeenBy(i int, server uint64) Fleet {
+	rank, counted := i, w.balancers
+	if w.rank != nil {
+		rank, counted = w.rank(i)
+	}
+	return Fleet{Rank: rank, Balancers: counted, Zones: w.zones, ServerID: server, SameZone: i%w.zones == 0}
+}
 
-func (f flood) figures(got []float64) (out figures) {
-	const steps = window / step
+// windowStats sums up what windows got, wherever they begin: the mean, the standard deviation, the largest, and the
+// part of them that is over what chance explains.
+type windowStats struct{ mean, deviation, largest, over float64 }
+
+func (w reconnectWave) windowStats(received []float64) (stats windowStats) {
+	const steps = int(window / step)
 	sum, squares, n := 0.0, 0.0, 0.0
-	for end := steps; end <= len(got); end++ {
-		w := 0.0
-		for _, g := range got[end-steps : end] {
-			w += g
+	for end := steps; end <= len(received); end++ {
+		inWindow := 0.0
+		for _, r := range received[end-steps : end] {
+			inWindow += r
 		}
-		sum, squares, n = sum+w, squares+w*w, n+1
-		out.most = max(out.most, w)
-		if w > f.allowed+2*math.Sqrt(f.allowed)+2 {
-			out.over++
+		sum += inWindow
+		squares += inWindow * inWindow
+		n++
+		stats.largest = max(stats.largest, inWindow)
+		if inWindow > w.allowed+2*math.Sqrt(w.allowed)+2 {
+			stats.over++
 		}
 	}
-	out.mean = sum / n
-	out.deviation = math.Sqrt(max(squares/n-out.mean*out.mean, 0))
-	out.over /= n
-	return out
+	stats.mean = sum / n
+	stats.deviation = math.Sqrt(max(squares/n-stats.mean*stats.mean, 0))
+	stats.over /= n
+	return stats
 }
 
-func always(*rand.Rand) bool        { return true }
-func mean(*rand.Rand) float64       { return 1 }
-func seldom(rng *rand.Rand) bool    { return rng.Float64() < 0.05 } // two a second
-func uneven(rng *rand.Rand) float64 { return math.Exp(rng.NormFloat64()*0.8 - 0.32) }
+func always(*rand.Rand) bool           { return true }
+func twiceASecond(rng *rand.Rand) bool { return rng.Float64() < 0.05 }
+func meanWork(*rand.Rand) float64      { return 1 }
+func unevenWork(rng *rand.Rand) float64 {
+	return math.Exp(rng.NormFloat64()*0.8 - 0.32)
+}
 
-// What all balancers together send in any window, wherever it begins, keeps under what is put down to chance, and
-// where each request takes the mean under the quota of Slots+held slots and 2, however many balancers there are and
-// however all of them ask. By the draws of before it did not.
+// What all balancers together send in any window, wherever it begins, stays below what chance explains, and where each
+// request takes the mean below the quota of SlotsPerWindow+grantLifetime slots and 2, however many balancers there are
+// and however many have requests. With random budgets it does not.
 func TestSumOverTheFleet(t *testing.T) {
+	const unevenCase = "uneven work"
 	for _, balancers := range []int{30, 300, 1500} {
-		wasOver := 0.0
-		for name, f := range map[string]flood{
-			"all ask":         {zones: 3, asks: always, work: mean, each: 1},
-			"one zone":        {zones: 1, asks: always, work: mean, each: 1},
-			"twelve zones":    {zones: 12, asks: always, work: mean, each: 1},
-			"some ask":        {zones: 3, asks: seldom, work: mean, each: 1},
-			"ranks are apart": {zones: 3, asks: always, work: mean, each: 1, rank: apart(balancers)},
-			"work is uneven":  {zones: 3, asks: always, work: uneven, each: 1.31},
+		randomOver := 0.0
+		for name, w := range map[string]reconnectWave{
+			"all have requests":  {zones: 3, hasRequest: always, work: meanWork, perGrant: 1},
+			"one zone":           {zones: 1, hasRequest: always, work: meanWork, perGrant: 1},
+			"twelve zones":       {zones: 12, hasRequest: always, work: meanWork, perGrant: 1},
+			"some have requests": {zones: 3, hasRequest: twiceASecond, work: meanWork, perGrant: 1},
+			"ranks disagree": {
+				zones: 3, hasRequest: always, work: meanWork, perGrant: 1, rank: disagreeing(balancers),
+			},
+			unevenCase: {zones: 3, hasRequest: always, work: unevenWork, perGrant: 1.31},
 		} {
-			f.balancers, f.allowed = balancers, 6
-			var now, old figures
+			w.balancers, w.allowed = balancers, 6
+			var grants, random windowStats
 			for seed := range uint64(seeds) {
-				granted, draws := f.play(seed)
-				now.add(f.figures(granted))
-				old.add(f.figures(draws))
+				byGrants, byChance := w.play(seed)
+				grants.add(w.windowStats(byGrants))
+				random.add(w.windowStats(byChance))
 			}
-			t.Logf(
-				"%4d, %-15s  drawn: mean %5.2f deviation %.2f most %4.1f over %.4f  granted: mean %.2f deviation %.2f most %4.1f over %.4f",
-				balancers,
-				name,
-				old.mean,
-				old.deviation,
-				old.most,
-				old.over,
-				now.mean,
-				now.deviation,
-				now.most,
-				now.over,
-			)
-			wasOver += old.over
-			bound := 0.0 // where the work is uneven, a part of the windows in 1,000
-			most := math.Floor(f.allowed*(SlotsPerWindow+grantLifetime)/SlotsPerWindow) + 2
-			if name == "work is uneven" {
-				bound, most = 0.02, math.Inf(1)
+			t.Logf("%4d, %-18s  random %+.4v  grants %+.4v", balancers, name, random, grants)
+			randomOver += random.over
+			overBound := 0.0
+			largestBound := math.Floor(w.allowed*(SlotsPerWindow+grantLifetime)/SlotsPerWindow) + 2
+			if name == unevenCase {
+				overBound, largestBound = 0.02, math.Inf(1)
 			}
-			if now.over > bound || now.most > most || now.mean == 0 || now.mean > f.allowed*1.05 {
-				t.Errorf("%d, %s: %+v, at most %.0f", balancers, name, now, most)
+			if grants.over > overBound || grants.largest > largestBound ||
+				grants.mean == 0 || grants.mean > w.allowed*1.05 {
+				t.Errorf("%d, %s: %+v, at most %.0f", balancers, name, grants, largestBound)
 			}
 		}
-		if wasOver == 0 {
-			t.Errorf("%d balancers: the draws were never over, so this shows nothing", balancers)
+		if randomOver == 0 {
+			t.Errorf("%d balancers: random budgets were never over, so this shows nothing", balancers)
 		}
 	}
 }
 
-// seeds is how many floods of a kind are played.
+// seeds is how many waves of a kind are played.
 const seeds = 2
 
-func (f *figures) add(g figures) {
-	f.mean, f.deviation, f.over = f.mean+g.mean/seeds, f.deviation+g.deviation/seeds, f.over+g.over/seeds
-	f.most = max(f.most, g.most)
+// add adds one wave's part of the mean over all seeds.
+func (s *windowStats) add(wave windowStats) {
+	s.mean += wave.mean / seeds
+	s.deviation += wave.deviation / seeds
+	s.over += wave.over / seeds
+	s.largest = max(s.largest, wave.largest)
 }
 
-// apart has one in ten balancers count a tenth fewer, as while a membership settles.
-func apart(balancers int) func(int) (int, int) {
+// disagreeing has one in ten balancers count a tenth fewer, as while a membership settles.
+func disagreeing(balancers int) func(int) (int, int) {
 	return func(i int) (int, int) {
 		if i%10 == 0 {
 			return i, balancers * 9 / 10
