--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -1,134 +1,157 @@
-// Package poll is the discovery polling schedule: it decides when one of many balancers asks discovery, where that
-// answers only when asked. All ask by turns, each at its own moment of a cycle that all share by the clock, since
-// discovery takes one call after another, and what waits too long is lost work to it: asked faster than it answers,
-// it answers nobody. It does not know what is asked for, nor any clock; times are microseconds.
-//
-// However many balancers there are, each asks so soon after a failure that it can have the answer by when it may no
-// longer act on an older list. A failure does not tell whether discovery is away or has too many callers, so that a
-// cycle grows only after several failures in a row, and not where discovery was seen to answer fast enough for all
-// of them.
 package polling
 
 import "spurspread/decision/monotime"
 
+// When lists and calls are too old.
 const (
-	ms  = 1000
-	sec = 1000 * ms
+	// listDeadline is the time, after discovery has a change and can be reached, within which a balancer must know it.
+	listDeadline = 6 * monotime.Second
+	// watchSilenceTimeout is the time after which a watch without data is found broken.
+	watchSilenceTimeout = 2800 * monotime.Millisecond
+	// callTimeout is the time after which a call without data is abandoned.
+	callTimeout = 1500 * monotime.Millisecond
+	// queueTimeout is the time that a call may wait at discovery: it has either answered or rejected it by then.
+	queueTimeout = 1 * monotime.Second
+	// answerTimeout is the mean time after which a poll without an answer or a failure is repeated: at least
+	// minAnswerTimeout, and up to answerJitter more.
+	answerTimeout    = 8 * monotime.Second
+	minAnswerTimeout = answerTimeout * 3 / 4
+	answerJitter     = answerTimeout / 2
+)
 
-	// what discovery has to tell counts as told so long after it had it and could be reached
-	listDeadline        = 6 * sec
-	watchSilenceTimeout = 2800 * ms // a watch that says nothing is found broken after this
-	callTimeout         = 1500 * ms // a call that brings nothing is given up after this
-	// discovery refuses what has waited so long; what it answers is there by then
-	queueTimeout     = 1 * sec
-	maxCheckInterval = 250 * ms * 5 / 4 // Due is asked at most so long apart
-	minRetryDelay    = 250 * ms         // the least wait after a failure
-	latenessMargin   = 500 * ms         // for a loop that runs late, and for requests on their way
-	answerReserve    = minRetryDelay + maxCheckInterval + queueTimeout + latenessMargin
+// What must fit between a failure and the time by which the answer is needed.
+const (
+	// maxCheckInterval is the longest time between two calls of PollDue: a tick of 250 ms, with its jitter.
+	maxCheckInterval = 250 * monotime.Millisecond * 5 / 4
+	// minRetryDelay is the least time between a failure and the next poll.
+	minRetryDelay = 250 * monotime.Millisecond
+	// latenessMargin is for an event loop that runs late, and for calls on their way.
+	latenessMargin = 500 * monotime.Millisecond
+	// answerReserve is the sum of these: a poll's cycle must end this much before its answer is needed.
+	answerReserve = minRetryDelay + maxCheckInterval + queueTimeout + latenessMargin
+)
 
-	cyclePerBalancer    = 100 * ms // of a cycle for each balancer: ten calls a second
-	answerTimeout       = 8 * sec  // an ask without an answer or a failure is given up after this
-	minBackoff          = 500 * ms // the least cycle after a failed ask; doubles with the next two
-	backoffPatience     = 10 * sec // of failures in a row before a cycle grows beyond what leaves time
-	firstAnswerPatience = 4 * sec  // the same for a process that discovery has never answered: many may start together
-	maxCycleFactor      = 4        // times share, for each balancer: the longest cycle of all
-	minRefreshInterval  = 12 * sec // asking again on a live watch at most so often
+// How long cycles are.
+const (
+	// cyclePerBalancer is the time of a cycle for each balancer: ten calls a second over the fleet.
+	cyclePerBalancer = 100 * monotime.Millisecond
+	// minSpreadTime bounds SpreadTime where settings leave no time at all.
+	minSpreadTime = 1 * monotime.Millisecond
+	// minBackoff is the shortest cycle after a failure. It doubles with further ones, at most maxBackoffDoublings
+	// times.
+	minBackoff          = 500 * monotime.Millisecond
+	maxBackoffDoublings = 2
+	// backoffPatience is for how long failures must follow each other before a cycle grows beyond what leaves time for
+	// an answer, and firstAnswerPatience the same for a process that discovery has never answered: many may start at
+	// once.
+	backoffPatience     = 10 * monotime.Second
+	firstAnswerPatience = 4 * monotime.Second
+	// maxCycleFactor bounds a cycle that has grown, as a multiple of cyclePerBalancer for each balancer.
+	maxCycleFactor = 4
+	// cycleGrowth is the factor by which a cycle grows with each late failure.
+	cycleGrowth = 2
+	// minRefreshInterval is the least time between an answer and a further poll on the same watch.
+	minRefreshInterval = 12 * monotime.Second
 )
 
-// Schedule is one balancer's part. Jitter draws from 0 to d.
+// Schedule is one balancer's part of the schedule. Set the exported fields, then call Start.
 type Schedule struct {
-	Rank, Balancers        int
-	MaxInterval            monotime.Micros // the longest that a balancer may go without asking
-	Grace                  monotime.Micros // for how long it may act on the list before, once told
-	Jitter                 func(d monotime.Micros) monotime.Micros
-	watching, pollInFlight bool
-	refreshPending         bool // asked for again though watching, at next
-	nextPoll               monotime.Micros
-	lastPoll               monotime.Micros // the last ask
-	lastAnswer             monotime.Micros // discovery's last answer
-	fastestAnswer          monotime.Micros // that an answer took; 0 until there was one
-	failures, lateFailures int             // in a row, and those of them after patience
-	failingSince           monotime.Micros // the first of them
-}
-
-// Start has the first ask made in this balancer's turn.
-func (a *Schedule) Start(now monotime.Micros) {
-	a.lastAnswer, a.nextPoll = now, a.nextTurn(now, a.SpreadTime())
-}
+	// Rank is this balancer's place in the cycle, from 0, and Balancers how many there are.
+	Rank, Balancers int
+	// MaxInterval is the longest time that a balancer may go without polling.
+	MaxInterval monotime.Micros
+	// Grace is for how long a balancer may still act on an older list after listDeadline.
+	Grace monotime.Micros
+	// Jitter draws a time between 0 and limit.
+	Jitter func(limit monotime.Micros) monotime.Micros
 
-// perBalancer is a time for each of the balancers.
-func (a *Schedule) perBalancer(d monotime.Micros) monotime.Micros {
-	return d * monotime.Micros(max(a.Balancers, 1))
+	watching       bool            // discovery has answered, and the watch has not failed since
+	pollInFlight   bool            // a poll has neither been answered nor failed
+	refreshPending bool            // poll at nextPoll although watching
+	nextPoll       monotime.Micros // when to poll next, unless watching
+	lastPoll       monotime.Micros
+	lastAnswer     monotime.Micros
+	fastestAnswer  monotime.Micros // the shortest time that an answer took; 0: there was none
+	failures       int             // in a row
+	lateFailures   int             // those of them that came after patience had ended
+	failingSince   monotime.Micros // the first of them
 }
 
-// SpreadTime is the time over which all balancers' calls of one cause are spread; settings may give no time at all.
-func (a *Schedule) SpreadTime() monotime.Micros {
-	return max(min(a.perBalancer(cyclePerBalancer), a.MaxInterval, a.MaxInterval+a.Grace-answerReserve), ms)
+// Start schedules the first poll, in this balancer's turn.
+func (s *Schedule) Start(now monotime.Micros) {
+	s.lastAnswer = now
+	s.nextPoll = s.nextTurn(now, s.SpreadTime())
 }
 
-// nextTurn is this balancer's next moment, by its rank, in a cycle of length d that all share by the clock.
-func (a *Schedule) nextTurn(now, d monotime.Micros) monotime.Micros {
-	n := monotime.Micros(max(a.Balancers, 1))
-	at := now - now%d + d*(monotime.Micros(a.Rank)%n)/n + a.Jitter(d/n)
-	if at <= now {
-		at += d
+// PollDue decides whether to poll now, and counts that as done. On a live watch a poll is a refresh. It is due at
+// nextPoll, unless the watch is live and no refresh is pending; if neither Answered nor Failed follows, it is repeated
+// after answerTimeout, with jitter.
+func (s *Schedule) PollDue(now monotime.Micros) bool {
+	watchIsEnough := s.watching && !s.pollInFlight && !s.refreshPending
+	if now < s.nextPoll || watchIsEnough {
+		return false
 	}
-	return at
+	s.pollInFlight = true
+	s.refreshPending = false
+	s.lastPoll = now
+	s.nextPoll = now + minAnswerTimeout + s.Jitter(answerJitter)
+	return true
 }
 
-// PollDue tells whether to subscribe now, or to ask again on the watch, which is a cheap refresh. It counts as done.
-func (a *Schedule) PollDue(now monotime.Micros) bool {
-	if now < a.nextPoll || a.watching && !a.pollInFlight && !a.refreshPending {
-		return false
+// Answered records that discovery has sent a list, in answer to a poll or on the watch.
+func (s *Schedule) Answered(now monotime.Micros) {
+	if s.pollInFlight {
+		s.recordAnswerTime(max(now-s.lastPoll, 1))
 	}
-	a.pollInFlight, a.refreshPending, a.lastPoll = true, false, now
-	a.nextPoll = now + answerTimeout*3/4 + a.Jitter(answerTimeout/2)
-	return true
+	s.pollInFlight = false
+	s.watching = true
+	s.failures = 0
+	s.lateFailures = 0
+	s.lastAnswer = now
 }
 
-// Answered notes that discovery has spoken.
-func (a *Schedule) Answered(now monotime.Micros) {
-	if took := max(now-a.lastPoll, 1); a.pollInFlight && (a.fastestAnswer == 0 || took < a.fastestAnswer) {
-		a.fastestAnswer = took
+func (s *Schedule) recordAnswerTime(took monotime.Micros) {
+	if s.fastestAnswer == 0 || took < s.fastestAnswer {
+		s.fastestAnswer = took
 	}
-	a.pollInFlight, a.watching, a.failures, a.lateFailures, a.lastAnswer = false, true, 0, 0, now
 }
 
-// Failed notes that an ask failed, or that the watch has ended.
-func (a *Schedule) Failed(now monotime.Micros) {
-	before := monotime.Micros(callTimeout)
-	if a.watching && !a.pollInFlight {
-		before = watchSilenceTimeout
+// Failed records that a poll failed or that the watch ended, and schedules the next poll in this balancer's turn of a
+// cycle for retries.
+func (s *Schedule) Failed(now monotime.Micros) {
+	noticedAfter := callTimeout
+	if s.watching && !s.pollInFlight {
+		noticedAfter = watchSilenceTimeout
 	}
-	if a.failures == 0 {
-		a.failingSince = now
+	if s.failures == 0 {
+		s.failingSince = now
 	}
-	if span := now - a.failingSince; span >= backoffPatience || a.fastestAnswer == 0 && span >= firstAnswerPatience {
-		a.lateFailures++
+	if s.patienceEnded(now) {
+		s.lateFailures++
 	}
-	a.pollInFlight, a.watching = false, false
-	a.nextPoll = a.nextTurn(now+minRetryDelay, a.retryCycle(listDeadline+a.Grace-before-answerReserve))
-	a.failures++
+	s.pollInFlight = false
+	s.watching = false
+	longest := listDeadline + s.Grace - noticedAfter - answerReserve
+	s.nextPoll = s.nextTurn(now+minRetryDelay, s.retryCycle(longest))
+	s.failures++
 }
 
-// retryCycle is the time within which all balancers ask again after a failure; longest is what leaves time for an answer.
-func (a *Schedule) retryCycle(longest monotime.Micros) monotime.Micros {
-	d := min(max(a.perBalancer(cyclePerBalancer), minBackoff)<<min(a.failures, 2), longest)
-	if a.fastestAnswer > 0 && a.perBalancer(a.fastestAnswer) <= longest {
-		return d
-	}
-	for i := 0; i < a.lateFailures && d < a.perBalancer(cyclePerBalancer*maxCycleFactor); i++ {
-		d = max(d*2, a.SpreadTime())
-	}
-	return d
+// patienceEnded decides whether failures have lasted so long that discovery may have too many callers.
+func (s *Schedule) patienceEnded(now monotime.Micros) bool {
+	failingFor := now - s.failingSince
+	neverAnswered := s.fastestAnswer == 0
+	return failingFor >= backoffPatience || neverAnswered && failingFor >= firstAnswerPatience
 }
 
-// RefreshAllowed tells whether asking again on a live watch would be no more than is bearable.
-func (a *Schedule) RefreshAllowed(now monotime.Micros) bool {
-	return !a.pollInFlight && !a.refreshPending && a.watching && now-a.lastAnswer >= minRefreshInterval
+// RefreshAllowed decides whether a further poll on a live watch is allowed: none is in flight or pending, and
+// discovery's last answer is minRefreshInterval ago.
+func (s *Schedule) RefreshAllowed(now monotime.Micros) bool {
+	idle := s.watching && !s.pollInFlight && !s.refreshPending
+	return idle && now-s.lastAnswer >= minRefreshInterval
 }
 
-// ScheduleRefresh has discovery asked again, in this balancer's turn.
-func (a *Schedule) ScheduleRefresh(now monotime.Micros) {
-	a.refreshPending, a.nextPoll = true, a.nextTurn(now, a.SpreadTime())
+// ScheduleRefresh schedules a further poll on a live watch, in this balancer's turn.
+func (s *Schedule) ScheduleRefresh(now monotime.Micros) {
+	s.refreshPending = true
+	s.nextPoll = s.nextTurn(now, s.SpreadTime())
 }
--- a/decision/polling/polling_test.go
+++ b/decision/polling/polling_test.go
@@ -5,83 +5,86 @@
 	"testing"
 )
 
-const start = 1000 * sec
+const (
+	ms     = monotime.Millisecond
+	second = monotime.Second
+	start  = 1000 * second
+)
 
-func schedule(rank, balancers int) *Schedule {
-	a := &Schedule{
+func startedSchedule(rank, balancers int) *Schedule {
+	s := &Schedule{
 		Rank:        rank,
 		Balancers:   balancers,
-		MaxInterval: 10 * sec,
+		MaxInterval: 10 * second,
 		Grace:       2500 * ms,
-		Jitter:      func(d monotime.Micros) monotime.Micros { return d / 2 },
+		Jitter:      func(limit monotime.Micros) monotime.Micros { return limit / 2 },
 	}
-	a.Start(start)
-	return a
+	s.Start(start)
+	return s
 }
 
 func TestBacksOffOnFailure(t *testing.T) {
-	a := schedule(2, 4)
-	now := a.nextPoll
-	if a.PollDue(now-1) || !a.PollDue(now) || a.PollDue(now+sec) {
-		t.Fatal("not asked once, in its turn")
+	s := startedSchedule(2, 4)
+	now := s.nextPoll
+	if s.PollDue(now-1) || !s.PollDue(now) || s.PollDue(now+second) {
+		t.Fatal("not polled once, in its turn")
 	}
-	if !a.PollDue(now + answerTimeout*5/4) {
-		t.Fatal("an ask without an answer holds for good")
+	if !s.PollDue(now + answerTimeout*5/4) {
+		t.Fatal("a poll without an answer is never repeated")
 	}
-	last := monotime.Micros(0)
+	longest := monotime.Micros(0)
 	for i := range 3 {
-		now = a.nextPoll
-		a.Failed(now)
-		wait := a.nextPoll - now
-		if most := monotime.Micros(minBackoff/2 + minBackoff<<i); wait < minBackoff/2 || wait > most ||
-			a.PollDue(a.nextPoll-1) {
+		now = s.nextPoll
+		s.Failed(now)
+		wait := s.nextPoll - now
+		if most := minBackoff/2 + minBackoff<<i; wait < minBackoff/2 || wait > most || s.PollDue(s.nextPoll-1) {
 			t.Fatalf("failure %d waits %d of %d at most", i, wait, most)
 		}
-		last = max(last, wait)
+		longest = max(longest, wait)
 	}
-	if last <= minBackoff*3/2 {
-		t.Fatalf("failures in a row wait %d at most", last)
+	if longest <= minBackoff*3/2 {
+		t.Fatalf("failures in a row wait %d at most", longest)
 	}
-	a.PollDue(a.nextPoll)
-	a.Answered(now)
-	if a.PollDue(now+60*sec) || a.failures != 0 {
+	s.PollDue(s.nextPoll)
+	s.Answered(now)
+	if s.PollDue(now+60*second) || s.failures != 0 {
 		t.Fatal("an answer does not count as the watch")
 	}
 }
 
-// However many balancers there are, each asks before it is deemed informed without asking, and they do not ask at once.
-func TestAllAskInTurnAndInTime(t *testing.T) {
+// However many balancers there are, each polls before it has gone MaxInterval without, and they do not poll at once.
+func TestAllPollInTurnAndInTime(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 5000} {
-		seconds := map[monotime.Micros]int{}
+		pollsBySecond := map[monotime.Micros]int{}
 		for rank := range n {
-			a := schedule(rank, n)
-			if a.nextPoll <= start || a.nextPoll-start > a.MaxInterval {
-				t.Fatalf("%d of %d first asks after %d", rank, n, a.nextPoll-start)
+			s := startedSchedule(rank, n)
+			if s.nextPoll <= start || s.nextPoll-start > s.MaxInterval {
+				t.Fatalf("%d of %d first polls after %d", rank, n, s.nextPoll-start)
 			}
-			seconds[a.nextPoll/sec]++
+			pollsBySecond[s.nextPoll/second]++
 		}
-		for s, asks := range seconds {
-			if most := max(11, n/10+1); asks > most {
-				t.Errorf("%d of %d ask in second %d", asks, n, s)
+		for at, polls := range pollsBySecond {
+			if most := max(11, n/10+1); polls > most {
+				t.Errorf("%d of %d poll in second %d", polls, n, at)
 			}
 		}
 	}
 }
 
-// A refresh on a live watch is asked for once in a while only, and not beside an ask that is under way.
+// A live watch is refreshed rarely, and not while a poll is in flight.
 func TestRefresh(t *testing.T) {
-	a := schedule(0, 3)
-	a.PollDue(a.nextPoll)
-	if a.Answered(start); a.RefreshAllowed(start + minRefreshInterval - 1) {
+	s := startedSchedule(0, 3)
+	s.PollDue(s.nextPoll)
+	if s.Answered(start); s.RefreshAllowed(start + minRefreshInterval - 1) {
 		t.Fatal("refreshes too soon")
 	}
-	now := monotime.Micros(start + minRefreshInterval)
-	if !a.RefreshAllowed(now) {
+	now := start + minRefreshInterval
+	if !s.RefreshAllowed(now) {
 		t.Fatal("never refreshes")
 	}
-	a.ScheduleRefresh(now)
-	if a.RefreshAllowed(now) || a.nextPoll <= now || a.nextPoll > now+a.SpreadTime() || !a.PollDue(a.nextPoll) ||
-		a.RefreshAllowed(a.nextPoll) {
-		t.Fatal("not asked once more, in its turn")
+	s.ScheduleRefresh(now)
+	if s.RefreshAllowed(now) || s.nextPoll <= now || s.nextPoll > now+s.SpreadTime() || !s.PollDue(s.nextPoll) ||
+		s.RefreshAllowed(s.nextPoll) {
+		t.Fatal("not polled once more, in its turn")
 	}
 }
