--- /dev/null
+++ b/decision/upstreampool/limits_test.go
@@ -0,0 +1,193 @@
+package upstreampool
+
+import (
+	"slices"
+	"spurspread/decision/monotime"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// poolModel is what a pool must agree with: its connections by server, and the channels on them.
+type poolModel struct {
+	pool     *Pool
+	limits   Limits
+	now      monotime.Micros
+	opening  map[uint32]uint32 // connection to server
+	open     map[uint32]uint32
+	channels []uint32 // the connection of each
+	failedAt map[uint32]monotime.Micros
+}
+
+func newPoolModel(l Limits) *poolModel {
+	return &poolModel{
+		pool:     New(l),
+		limits:   l,
+		opening:  map[uint32]uint32{},
+		open:     map[uint32]uint32{},
+		failedAt: map[uint32]monotime.Micros{},
+	}
+}
+
+// begin has a connection opened that the pool chose to open.
+func (m *poolModel) begin(t *rapid.T, c Choice, server uint32) {
+	for _, s := range m.opening {
+		if s == server {
+			t.Fatalf("two connections to %d are being opened", server)
+		}
+	}
+	if at, failed := m.failedAt[server]; failed && m.now < at+initialBackoff {
+		t.Fatalf("opened %d after a failure", m.now-at)
+	}
+	m.opening[c.Connection] = server
+}
+
+// draw picks one of some connections.
+func (m *poolModel) draw(t *rapid.T, from map[uint32]uint32) uint32 {
+	var ids []uint32
+	for id := uint32(1); id <= m.pool.lastID; id++ {
+		if _, has := from[id]; has {
+			ids = append(ids, id)
+		}
+	}
+	if len(ids) == 0 {
+		t.Skip()
+	}
+	return rapid.SampledFrom(ids).Draw(t, "connection")
+}
+
+// lose removes a connection with its channels.
+func (m *poolModel) lose(id uint32) {
+	m.channels = slices.DeleteFunc(m.channels, func(on uint32) bool { return on == id })
+	delete(m.opening, id)
+	delete(m.open, id)
+}
+
+func drawServer(t *rapid.T) uint32 { return rapid.Uint32Range(1, 3).Draw(t, "server") }
+
+func (m *poolModel) acquire(t *rapid.T) {
+	server := drawServer(t)
+	c := m.pool.Acquire(m.now, server)
+	switch c.Kind {
+	case Use:
+		if m.open[c.Connection] != server {
+			t.Fatalf("on connection %d, which is not open to %d", c.Connection, server)
+		}
+		m.channels = append(m.channels, c.Connection)
+	case WaitForOpen:
+		if c.Open {
+			m.begin(t, c, server)
+		}
+		if m.opening[c.Connection] != server {
+			t.Fatalf("waits for connection %d, which is not being opened to %d", c.Connection, server)
+		}
+		m.channels = append(m.channels, c.Connection)
+	}
+}
+
+func (m *poolModel) openAhead(t *rapid.T) {
+	server := drawServer(t)
+	if c := m.pool.OpenAhead(m.now, server); c.Open {
+		m.begin(t, c, server)
+	}
+}
+
+func (m *poolModel) established(t *rapid.T) {
+	id := m.draw(t, m.opening)
+	m.pool.Established(m.now, id)
+	m.open[id] = m.opening[id]
+	delete(m.opening, id)
+}
+
+func (m *poolModel) failed(t *rapid.T) {
+	from := m.opening
+	if rapid.Bool().Draw(t, "open") {
+		from = m.open
+	}
+	id := m.draw(t, from)
+	m.failedAt[from[id]] = m.now
+	m.pool.Failed(m.now, id)
+	m.lose(id)
+}
+
+func (m *poolModel) markPlain(t *rapid.T) {
+	id := m.draw(t, m.opening)
+	server := m.opening[id]
+	m.pool.MarkPlain(m.now, id, rapid.Bool().Draw(t, "confirmed"))
+	m.lose(id)
+	if c := m.pool.Acquire(m.now, server); c.Kind != PlainLines {
+		t.Fatalf("%+v", c)
+	}
+}
+
+func (m *poolModel) release(t *rapid.T) {
+	if len(m.channels) == 0 {
+		t.Skip()
+	}
+	i := rapid.IntRange(0, len(m.channels)-1).Draw(t, "channel")
+	m.pool.Release(m.now, m.channels[i])
+	m.channels = slices.Delete(m.channels, i, i+1)
+}
+
+func (m *poolModel) closeIdle(t *rapid.T) {
+	for _, id := range m.pool.IdleConnections(m.now, nil) {
+		if slices.Contains(m.channels, id) {
+			t.Fatalf("connection %d is closed with channels on it", id)
+		}
+		m.pool.Closed(id)
+		m.lose(id)
+	}
+}
+
+func (m *poolModel) wait(t *rapid.T) {
+	m.now += monotime.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "us"))
+}
+
+// check compares counts and limits.
+func (m *poolModel) check(t *rapid.T) {
+	connections, channels := m.pool.Counts()
+	want := len(m.opening) + len(m.open)
+	if connections > m.limits.Connections || channels != len(m.channels) || connections != want {
+		t.Fatalf("%d connections, %d channels, want %d and %d", connections, channels, want, len(m.channels))
+	}
+	byConnection, byServer := map[uint32]int{}, map[uint32]int{}
+	for _, id := range m.channels {
+		if byConnection[id]++; byConnection[id] > m.limits.ChannelsPerConnection {
+			t.Fatalf("%d channels on connection %d", byConnection[id], id)
+		}
+	}
+	for _, connections := range []map[uint32]uint32{m.opening, m.open} {
+		for _, server := range connections {
+			if byServer[server]++; byServer[server] > m.limits.ConnectionsPerServer {
+				t.Fatalf("%d connections to %d", byServer[server], server)
+			}
+		}
+	}
+}
+
+// Whatever happens, the limits hold, and one connection to a server is being opened at a time.
+func TestLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newPoolModel(Limits{
+			ChannelsPerConnection: rapid.IntRange(1, 5).Draw(t, "channels"),
+			ConnectionsPerServer:  rapid.IntRange(1, 3).Draw(t, "per server"),
+			Connections:           rapid.IntRange(1, 6).Draw(t, "connections"),
+			IdleTimeout:           5 * second,
+			PlainTTL:              20 * second,
+		})
+		actions := map[string]func(*rapid.T){
+			"acquire":     m.acquire,
+			"open ahead":  m.openAhead,
+			"established": m.established,
+			"fail":        m.failed,
+			"plain":       m.markPlain,
+			"release":     m.release,
+			"close idle":  m.closeIdle,
+			"wait":        m.wait,
+			"":            m.check,
+		}
+		for range 3 {
+			t.Repeat(actions)
+		}
+	})
+}
