--- /dev/null
+++ b/decision/drainorder/drainorder_test.go
@@ -0,0 +1,89 @@
+package drainorder
+
+import (
+	"slices"
+	"spurspread/decision/monotime"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const ms = monotime.Millisecond
+
+// moves plays a plan until nothing is left, as a socket side would, and returns what fell due when.
+func moves(p *Plan, now monotime.Micros) (ids []uint32, at []monotime.Micros) {
+	for range 1_000_000 {
+		due, next := p.Due(now, nil)
+		for _, id := range due {
+			ids = append(ids, id)
+			at = append(at, now)
+		}
+		if next < 0 {
+			return ids, at
+		}
+		now = next
+	}
+	panic("never ends")
+}
+
+// Every connection falls due once, in time, and evenly; members of a group go one after another.
+func TestStartDrain(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(0, 300).Draw(t, "n")
+		duration := monotime.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "duration"))
+		var connections []Connection
+		for i := range n {
+			group := uint64(rapid.IntRange(0, 9).Draw(t, "group"))
+			connections = append(connections, Connection{ID: uint32(i), Group: group})
+		}
+		p := New(rapid.Uint64().Draw(t, "seed"))
+		p.StartDrain(0, 1, connections, duration)
+		p.StartDrain(0, 1, connections, duration) // again: changes nothing
+		ids, at := moves(p, 0)
+		if len(ids) != n {
+			t.Fatalf("%d of %d", len(ids), n)
+		}
+		seen := map[uint32]bool{}
+		parts := map[uint64]int{}
+		for i, id := range ids {
+			if seen[id] || at[i] > duration {
+				t.Fatalf("%d at %d", id, at[i])
+			}
+			seen[id] = true
+			if g := connections[id].Group; i == 0 || g != connections[ids[i-1]].Group {
+				parts[g]++
+			}
+			interval := duration / monotime.Micros(n)
+			if even := duration * monotime.Micros(i) / monotime.Micros(n); at[i] < even-1 || at[i] > even+interval+1 {
+				t.Fatalf("move %d of %d at %d of %d", i, n, at[i], duration)
+			}
+		}
+		for group, n := range parts {
+			if n > 1 {
+				t.Fatalf("group %d in %d parts", group, n)
+			}
+		}
+	})
+}
+
+func TestAddAndCancel(t *testing.T) {
+	p := New(1)
+	if p.AddConnection(0, 1, 5) {
+		t.Error("added without a drain")
+	}
+	p.StartDrain(0, 1, []Connection{{1, 0}, {2, 0}}, 100*ms)
+	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
+	if !p.AddConnection(50*ms, 1, 4) || !p.AddConnection(500*ms, 1, 9) {
+		t.Error("not added")
+	}
+	p.CancelDrain(2)
+	ids, at := moves(p, 0)
+	slices.Sort(ids)
+	if !slices.Equal(ids, []uint32{1, 2, 4, 9}) {
+		t.Errorf("%v at %v", ids, at)
+	}
+	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
+	if ids, _ = moves(p, 0); len(ids) != 1 {
+		t.Errorf("after a drain was cancelled: %v", ids)
+	}
+}
