--- a/decision/balancer_bench_test.go
+++ b/decision/balancer_bench_test.go
@@ -39,7 +39,11 @@
 			sent++
 			b.Handle(now, Established{ID: id, Server: s.Server, SetupTime: ms}, nil)
 			b.Handle(now, RequestCancelled{ID: id}, nil)
-			b.Handle(now, AttemptEnded{ID: id, Server: s.Server, Status: outcome.Cancelled, RequestClosed: true}, nil)
+			b.Handle(
+				now,
+				AttemptEnded{ID: id, Server: s.Server, Status: outcome.Cancelled, RequestClosed: true},
+				nil,
+			)
 		}
 	}
 	return sent
@@ -98,7 +102,7 @@
 				bal.Handle(sec, Request{ID: id, Key: uint64(id), TimeLeft: 3600 * sec}, nil)
 			}
 			for b.Loop() {
-				bal.Handle(sec, TimerFired{Token: holdTimer | uint64(id)}, nil)
+				bal.Handle(sec, TimerFired{Token: holdTimer.forRequest(id)}, nil)
 			}
 		})
 	}
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -78,7 +78,7 @@
 func (g *harness) request() (id, server uint32) {
 	g.b.setups.Limit = math.Inf(1)
 	for _, s := range g.b.servers {
-		s.Tokens, s.RefilledAt = slowstart.Burst, g.now
+		s.budget.Tokens, s.budget.RefilledAt = slowstart.Burst, g.now
 	}
 	return g.requestNow()
 }
@@ -213,7 +213,7 @@
 func TestProbeCapSkipsValidations(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(3*maxConcurrentProbes, 0))
 	for i := range 3 * maxConcurrentProbes {
-		g.b.demote(g.now, g.b.serversByID[uint32(1+i)])
+		g.b.demoteForFailure(g.now, g.b.serversByID[uint32(1+i)])
 	}
 	if n := len(actionsOf[ProbeServer](g.advance(5 * sec))); n != maxConcurrentProbes {
 		t.Fatalf("%d probes under way, the cap is %d", n, maxConcurrentProbes)
@@ -237,7 +237,7 @@
 	s := g.b.serversByID[1]
 	var last Micros
 	for i := range 3 {
-		g.b.demote(g.now, s)
+		g.b.demoteForFailure(g.now, s)
 		wait := s.validateAt - g.now
 		if i > 0 && wait <= last {
 			t.Fatalf("relapse %d waits %d after %d", i, wait, last)
@@ -247,7 +247,7 @@
 		g.now += sec
 	}
 	g.now += demotionResetAfter
-	g.b.demote(g.now, s)
+	g.b.demoteForFailure(g.now, s)
 	if wait := s.validateAt - g.now; wait > 2*minValidationDelay {
 		t.Fatalf("after long good service it still waits %d", wait)
 	}
@@ -255,8 +255,10 @@
 
 func TestRestartIsUnknownAgain(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 0))
-	g.b.demote(g.now, g.b.serversByID[1])
-	g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}})
+	g.b.demoteForFailure(g.now, g.b.serversByID[1])
+	g.handle(
+		ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}},
+	)
 	if g.health(1) != Unknown {
 		t.Fatalf("a restarted server is %v", g.health(1))
 	}
@@ -269,7 +271,7 @@
 	g.handle(ServerListUpdate{Kind: UpdateDelta})
 	g.now += 20 * sec
 	sv := g.b.serversByID[1]
-	g.b.setHealth(g.now-longUnhealthyAfter-1, sv, Unhealthy)
+	sv.setHealth(g.now-longUnhealthyAfter-1, Unhealthy)
 	for range 3 {
 		g.next++
 		if n := len(actionsOf[WatchDiscovery](g.handle(Request{ID: g.next, TimeLeft: sec}))); n != 0 {
@@ -300,18 +302,18 @@
 func TestPickByHealth(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 1))
 	r := &request{id: 99, class: g.b.settings.Classes[0]}
-	g.b.setHealth(g.now, g.b.serversByID[1], Unhealthy)
-	g.b.setHealth(g.now, g.b.serversByID[2], UnhealthyPending)
+	g.b.serversByID[1].setHealth(g.now, Unhealthy)
+	g.b.serversByID[2].setHealth(g.now, UnhealthyPending)
 	if s := g.b.pickServer(g.now, r); s.Server != 101 {
 		t.Errorf("home has lower ranks only, yet %d was picked", s.Server)
 	}
-	g.b.setHealth(g.now, g.b.serversByID[101], Unhealthy)
-	g.b.serversByID[1].GrantsLeft, g.b.serversByID[2].GrantsLeft = 1, 1                     // their budgets have room
-	g.b.serversByID[1].NextSlot, g.b.serversByID[2].NextSlot = math.MaxInt64, math.MaxInt64 // and no slot is counted
+	g.b.serversByID[101].setHealth(g.now, Unhealthy)
+	g.b.serversByID[1].budget.GrantsLeft, g.b.serversByID[2].budget.GrantsLeft = 1, 1                     // their budgets have room
+	g.b.serversByID[1].budget.NextSlot, g.b.serversByID[2].budget.NextSlot = math.MaxInt64, math.MaxInt64 // and no slot is counted
 	if s := g.b.pickServer(g.now, r); s.Server != 2 {
 		t.Errorf("%d was picked before the pending one", s.Server)
 	}
-	g.b.setHealth(g.now, g.b.serversByID[2], Unhealthy)
+	g.b.serversByID[2].setHealth(g.now, Unhealthy)
 	if s := g.b.pickServer(g.now, r); s == nil {
 		t.Error("with all demoted nothing was picked")
 	}
@@ -342,7 +344,7 @@
 	acts := g.handle(Request{ID: 1, TimeLeft: 2 * sec})
 	due := Micros(0)
 	for _, tm := range actionsOf[SetTimer](acts) {
-		if tm.Token == deadlineTimer|1 {
+		if tm.Token == deadlineTimer.forRequest(1) {
 			due = tm.Delay
 		}
 	}
@@ -350,10 +352,10 @@
 		t.Fatalf("the answer is due after %d", due)
 	}
 	g.now += due
-	if n := len(actionsOf[Reject](g.handle(TimerFired{deadlineTimer | 1}))); n != 1 {
+	if n := len(actionsOf[Reject](g.handle(TimerFired{deadlineTimer.forRequest(1)}))); n != 1 {
 		t.Fatalf("%d refusals", n)
 	}
-	if acts := g.handle(TimerFired{deadlineTimer | 1}); len(acts) != 0 {
+	if acts := g.handle(TimerFired{deadlineTimer.forRequest(1)}); len(acts) != 0 {
 		t.Fatalf("after the answer: %v", acts)
 	}
 }
@@ -361,7 +363,7 @@
 func TestAnswerWhileAnAttemptIsUnderWay(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	id, s := g.request()
-	acts := g.handle(TimerFired{deadlineTimer | uint64(id)})
+	acts := g.handle(TimerFired{deadlineTimer.forRequest(id)})
 	if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[CancelAttempt](acts)) != 1 {
 		t.Fatalf("at the deadline: %v", acts)
 	}
@@ -451,7 +453,7 @@
 		len(actionsOf[StartAttempt](acts)) != 0 {
 		t.Fatalf("after an attempt that may have run: %v", acts)
 	}
-	if acts := g.handle(TimerFired{deadlineTimer | uint64(id)}); len(acts) != 0 {
+	if acts := g.handle(TimerFired{deadlineTimer.forRequest(id)}); len(acts) != 0 {
 		t.Fatalf("a second answer: %v", acts)
 	}
 }
@@ -495,7 +497,9 @@
 			len(actionsOf[Fail](acts)) == 1 != c.fails {
 			t.Errorf("%+v: %v", c, acts)
 		}
-		if acts := append(g.handle(RequestExpired{id}), g.outcome(id, sv, 0, outcome.Cancelled)...); len(acts) != 0 {
+		if acts := append(g.handle(RequestExpired{id}), g.outcome(id, sv, 0, outcome.Cancelled)...); len(
+			acts,
+		) != 0 {
 			t.Errorf("%+v: a second answer: %v", c, acts)
 		}
 		stands, _ := g.connect()
@@ -520,7 +524,7 @@
 		g.now += sec
 		acts := append(
 			g.outcome(id, next[0].Server, 1, outcome.TimedOut),
-			g.handle(TimerFired{deadlineTimer | uint64(id)})...)
+			g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
 		if len(actionsOf[StartAttempt](acts)) != 0 || len(actionsOf[Fail](acts)) != 1 ||
 			len(actionsOf[Reject](acts)) != 0 {
 			t.Fatalf("outside the window: %v", acts)
@@ -547,8 +551,8 @@
 		Established{ID: 9, Server: 9},
 		ConnectionMetric{ID: 9, Server: 9, Kind: 2},
 		RequestCancelled{9},
-		TimerFired{deadlineTimer | 9},
-		TimerFired{holdTimer | 9},
+		TimerFired{deadlineTimer.forRequest(9)},
+		TimerFired{holdTimer.forRequest(9)},
 		TimerFired{1 << 60},
 		ProbeResult{Server: 9},
 		ProbeResult{Server: 1},
@@ -668,7 +672,7 @@
 		group := uint64(1 + i%20)
 		g.next++
 		for _, s := range g.b.servers {
-			s.Tokens, s.RefilledAt = slowstart.Burst, g.now
+			s.budget.Tokens, s.budget.RefilledAt = slowstart.Burst, g.now
 		}
 		sends := actionsOf[StartAttempt](g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Group: group}))
 		g.handle(Established{ID: g.next, Server: sends[0].Server, SetupTime: 10 * ms})
@@ -749,7 +753,9 @@
 		g.connect()
 		g.handle(TimerFired{tickTimer})
 	}
-	g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}})
+	g.handle(
+		ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}},
+	)
 	for s := uint32(2); s <= 8; s++ {
 		g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: s, State: Removed}}})
 	}
@@ -797,10 +803,10 @@
 func TestLightConnectionsChargeAFullToken(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	s := &server{}
-	s.StartedAt, s.GrantsLeft = g.now, 1
+	s.StartedAt, s.budget.GrantsLeft = g.now, 1
 	g.b.spendConnectionBudget(g.now, s, &request{relativeWork: 0.05})
-	if s.GrantsLeft > 0 {
-		t.Fatalf("%v left", s.GrantsLeft)
+	if s.budget.GrantsLeft > 0 {
+		t.Fatalf("%v left", s.budget.GrantsLeft)
 	}
 }
 
@@ -822,7 +828,7 @@
 			}
 		}
 		for _, s := range g.b.servers {
-			s.Tokens = 0 // as if long after the start
+			s.budget.Tokens = 0 // as if long after the start
 		}
 		crowd()
 		if got[1] != 1.5*slowstart.Burst*part || got[2] != slowstart.Burst/2*part ||
@@ -853,7 +859,7 @@
 					Value:  (latency.SlowThreshold + latency.MoveThreshold) / 2 * 100,
 				},
 			)
-			g.b.serversByID[1].ConnectionCapacity = math.Inf(1)
+			g.b.serversByID[1].latency.ConnectionCapacity = math.Inf(1)
 			g.b.markConnected(g.now, g.b.serversByID[1])
 		}
 		n := 0
@@ -1049,7 +1055,7 @@
 	for delay, some := range map[float64]bool{latency.MoveThreshold * 1.1: false, forcedMoveLatencyRatio * 1.2: true} {
 		g := newHarness(t, testSettings(), serverList(2, 0))
 		at := g.connectMany(100)
-		g.b.serversByID[2].ConnectionCapacity = 0
+		g.b.serversByID[2].latency.ConnectionCapacity = 0
 		acts := g.handle(ConnectionMetric{ID: at[1], Server: 1, Kind: MessageLatencyMetric, Value: delay * 100})
 		if n := len(actionsOf[MoveConnection](acts)); (n > 0) != some {
 			t.Errorf("%d moved at %.1f of the aim", n, delay)
@@ -1082,7 +1088,7 @@
 	g.advance(sec)
 	price := func() float64 {
 		g.next++
-		return g.b.addRequest(g.now, Request{ID: g.next, TimeLeft: sec, Reconnected: true}).admissionCost
+		return g.b.addRequest(g.now, &Request{ID: g.next, TimeLeft: sec, Reconnected: true}).admissionCost
 	}
 	if p := price(); p != 1 {
 		t.Fatalf("%v with all there", p)
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -55,7 +55,7 @@
 type digestTimer struct {
 	due   decision.Micros
 	order int
-	token uint64
+	token decision.TimerToken
 }
 
 type timerHeap []digestTimer
@@ -250,7 +250,8 @@
 		g.attempts = g.attempts[:len(g.attempts)-1]
 		g.handle(decision.AttemptEnded{
 			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Duration: took,
-			RequestClosed: a.established || status == outcome.OK, SharedCause: g.chance(0.1), LoadReport: g.report(),
+			RequestClosed: a.established ||
+				status == outcome.OK, SharedCause: g.chance(0.1), LoadReport: g.report(),
 		})
 	}
 }
@@ -306,7 +307,7 @@
 		g.add(7, uint64(a.Server))
 		g.probes = append(g.probes, a.Server)
 	case decision.SetTimer:
-		g.add(8, uint64(a.Delay), a.Token)
+		g.add(8, uint64(a.Delay), uint64(a.Token))
 		g.order++
 		heap.Push(&g.timers, digestTimer{g.now + a.Delay, g.order, a.Token})
 	}
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -74,7 +74,8 @@
 	m.now = until
 }
 
-// discoveryQueue is discovery: one call after another; one that has waited for a second fails, and is work all the same.
+// discoveryQueue is discovery: one call after another; one that has waited for a second fails, and is work all the
+// same.
 type discoveryQueue struct {
 	fleet        *balancerFleet
 	callTime     Micros // what a call takes
@@ -157,7 +158,13 @@
 					lasting += q.calls[second+later]
 				}
 				if lasting > c.lasting {
-					t.Errorf("%s, seed %d: %d calls in ten seconds from %d on", name, seed, lasting, second-start/sec)
+					t.Errorf(
+						"%s, seed %d: %d calls in ten seconds from %d on",
+						name,
+						seed,
+						lasting,
+						second-start/sec,
+					)
 				}
 			}
 		}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// loadReportingSettings is a deployment whose servers tell the loads of connections, whose weights fall with use, and whose probes bring
-// what is asked of a server over what it can do.
+// loadReportingSettings is a deployment whose servers tell the loads of connections, whose weights fall with use,
+// and whose probes bring what is asked of a server over what it can do.
 func loadReportingSettings() Settings {
 	s := testSettings()
 	s.ReportsConnectionLoad, s.DynamicWeights, s.Zones, s.Balancers = true, true, 1, 1
@@ -85,13 +85,14 @@
 	g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: list[:1]})
 	g.advance(tickInterval)
 	s := g.b.serversByID[1]
-	if s.Weight != 2 || g.b.fleetSize.PresentPart() != before || s.OtherConnections+float64(s.OwnConnections) != 16 {
+	if s.Weight != 2 || g.b.fleetSize.PresentPart() != before ||
+		s.load.OtherConnections+float64(s.load.OwnConnections) != 16 {
 		t.Fatalf(
 			"size %v, present %v, %v others and %d own",
 			s.Weight,
 			g.b.fleetSize.PresentPart(),
-			s.OtherConnections,
-			s.OwnConnections,
+			s.load.OtherConnections,
+			s.load.OwnConnections,
 		)
 	}
 	got := map[uint32]int{}
@@ -176,7 +177,7 @@
 			g.connectWithLoad(100_000, 1)
 		}
 		full := g.b.serversByID[1]
-		if full.OwnConnections == 0 {
+		if full.load.OwnConnections == 0 {
 			full = g.b.serversByID[2]
 		}
 		for _, s := range g.b.servers {
--- a/decision/resume_test.go
+++ b/decision/resume_test.go
@@ -34,24 +34,24 @@
 		}
 	}
 	g := newHarness(t, testSettings(), serverList(6, 0))
-	g.b.serversByID[3].Tokens, g.b.serversByID[3].RefilledAt = 0, g.now
+	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
 	if acts := pinned(g, 3); len(actionsOf[StartAttempt](acts)) != 0 || len(actionsOf[Reject](acts)) != 0 {
 		t.Fatalf("no room yet: %+v", acts)
 	}
 	g.now += 2*sec - answerMargin - minAttemptTimeout + 1
-	if acts := g.handle(TimerFired{holdTimer | uint64(g.next)}); len(actionsOf[Reject](acts)) != 1 ||
+	if acts := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](acts)) != 1 ||
 		len(actionsOf[StartAttempt](acts)) != 0 {
 		t.Errorf("sent so late that it can't come to stand: %+v", acts)
 	}
 	if acts := pinned(g, 3); len(actionsOf[StartAttempt](acts)) != 1 {
 		t.Fatalf("with room: %+v", acts)
 	}
-	g.b.serversByID[3].Tokens, g.b.serversByID[3].RefilledAt = 0, g.now
+	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
 	if acts := pinned(g, 3); len(actionsOf[Reject](acts)) != 0 {
 		t.Fatalf("no room again: %+v", acts)
 	}
 	g.b.serversByID[3].State = Draining
-	if acts := g.handle(TimerFired{holdTimer | uint64(g.next)}); len(actionsOf[Reject](acts)) != 1 {
+	if acts := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("held while its server began to drain: %+v", acts)
 	}
 }
--- a/decision/retune_test.go
+++ b/decision/retune_test.go
@@ -32,7 +32,7 @@
 				// After a time-out the attempt may have run: only a class that may be repeated is sent again.
 				acts := append(
 					g.outcome(id, server, 0, outcome.TimedOut),
-					g.handle(TimerFired{deadlineTimer | uint64(id)})...)
+					g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
 				return len(actionsOf[StartAttempt](acts)) > 0
 			}
 			if got := repeated(old, oldAt); got != (c.before == Idempotent) {
@@ -54,12 +54,12 @@
 	after := loadReportingSettings()
 	after.PollDiscovery, after.Rank, after.Balancers, after.PollInterval = true, 7, 50, 9*sec
 	g.handle(SettingsChanged{Settings: after})
-	if !g.b.fleetLoad.LoadsReported || !g.b.fleetLoad.DynamicWeights || g.b.polling.Rank != 7 ||
+	if !g.b.loadModel.LoadsReported || !g.b.loadModel.DynamicWeights || g.b.polling.Rank != 7 ||
 		Micros(g.b.polling.SpreadTime()) != 5*sec {
 		t.Fatalf(
 			"told %v, live %v, rank %d, span %d",
-			g.b.fleetLoad.LoadsReported,
-			g.b.fleetLoad.DynamicWeights,
+			g.b.loadModel.LoadsReported,
+			g.b.loadModel.DynamicWeights,
 			g.b.polling.Rank,
 			g.b.polling.SpreadTime(),
 		)
--- a/internal/settings/ends_test.go
+++ b/internal/settings/ends_test.go
@@ -67,7 +67,7 @@
 	b := decision.New(s, 1, now)
 	type due struct {
 		at    decision.Micros
-		token uint64
+		token decision.TimerToken
 	}
 	var timers []due
 	sent, answered, asked := map[uint32]uint32{}, map[uint32]bool{}, uint32(0)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -228,7 +228,7 @@
 func balancerEvent(code uint16, rec []byte) (ev decision.Event, used int, err error) {
 	switch code {
 	case evElapsed:
-		return decision.TimerFired{Token: le.Uint64(rec[2:])}, 10, nil
+		return decision.TimerFired{Token: decision.TimerToken(le.Uint64(rec[2:]))}, 10, nil
 	case evWithdrawn:
 		return decision.RequestCancelled{ID: le.Uint32(rec[2:])}, 6, nil
 	case evHead:
@@ -402,7 +402,7 @@
 		case decision.SetTimer:
 			rec := r.record(acTimer)
 			le.PutUint32(rec[2:], clampU32(a.Delay))
-			le.PutUint64(rec[6:], a.Token)
+			le.PutUint64(rec[6:], uint64(a.Token))
 		default:
 			return fmt.Errorf("action %T has no record on the wire", a)
 		}
