--- a/decision/admission.go
+++ b/decision/admission.go
@@ -13,7 +13,7 @@
 
 // placeRequest decides what happens to a request that waits: it is sent to a server, held until one has capacity, or
 // given its final answer. That is given where its time is up, where no further attempt is allowed (attemptAllowed), and
-// where set-ups are shed (shedSetup).
+// where the set-up is rejected (rejectSetup).
 func (b *Balancer) placeRequest(now Micros, r *request) {
 	timeLeft := r.deadline - now
 	if timeLeft <= 0 || !b.attemptAllowed(now, r) {
@@ -28,7 +28,7 @@
 		b.holdRequest(r, timeLeft)
 		return
 	}
-	if b.shedSetup() {
+	if b.rejectSetup() {
 		b.answerFinally(r)
 		return
 	}
@@ -49,10 +49,10 @@
 	return b.setups.Allows(underWay)
 }
 
-// shedSetup reports whether a set-up is not started although a server was found. The probability, 0 to 1, grows
+// rejectSetup reports whether a set-up is not started although a server was found. The probability, 0 to 1, grows
 // with the part of recent set-ups that failed: without it, retrying clients keep an overload alive that they cannot
 // get past.
-func (b *Balancer) shedSetup() bool {
+func (b *Balancer) rejectSetup() bool {
 	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare()) {
 		return false
 	}
--- /dev/null
+++ b/decision/admission_test.go
@@ -0,0 +1,168 @@
+package decision
+
+import (
+	"spurspread/decision/outcome"
+	"testing"
+)
+
+// Without any server, every request still gets its answer before the deadline.
+func TestAnswerInTimeWithoutServers(t *testing.T) {
+	g := newHarness(t, testSettings(), nil)
+	actions := g.handle(Request{ID: 1, TimeLeft: 2 * sec})
+	answerIn := Micros(0)
+	for _, tm := range actionsOf[SetTimer](actions) {
+		if tm.Token == deadlineTimer.forRequest(1) {
+			answerIn = tm.Delay
+		}
+	}
+	if answerIn <= 0 || answerIn >= 2*sec {
+		t.Fatalf("the answer is due after %d", answerIn)
+	}
+	g.now += answerIn
+	if n := len(actionsOf[Reject](g.handle(TimerFired{deadlineTimer.forRequest(1)}))); n != 1 {
+		t.Fatalf("%d rejections", n)
+	}
+	if actions := g.handle(TimerFired{deadlineTimer.forRequest(1)}); len(actions) != 0 {
+		t.Fatalf("after the answer: %v", actions)
+	}
+}
+
+func TestAnswerWhileAnAttemptIsUnderWay(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(1, 0))
+	id, s := g.request()
+	actions := g.handle(TimerFired{deadlineTimer.forRequest(id)})
+	if len(actionsOf[Reject](actions)) != 1 || len(actionsOf[CancelAttempt](actions)) != 1 {
+		t.Fatalf("at the deadline: %v", actions)
+	}
+	if actions := g.endAttempt(id, s, 0, outcome.Cancelled); len(actions) != 0 {
+		t.Fatalf("after the answer: %v", actions)
+	}
+	if len(g.b.requests) != 0 || g.b.serversByID[s].pendingAttempts != 0 {
+		t.Fatalf("left behind: %d requests, %d pending", len(g.b.requests), g.b.serversByID[s].pendingAttempts)
+	}
+}
+
+// A request that expires early, as when the balancer shuts down, is rejected only where it is at any other time.
+func TestExpiredRequestIsRejectedOnlyIfRetryIsHarmless(t *testing.T) {
+	for _, c := range []struct {
+		idempotency Idempotency
+		scope       DedupScope
+		fails       bool
+	}{
+		{Idempotent, ScopeAll, false},
+		{IdempotentWithKey, ScopeAll, false},
+		{IdempotentWithKey, ScopeZone, true},
+		{IdempotentWithKey, ScopeCell, true},
+		{NonIdempotent, ScopeAll, true},
+	} {
+		s := testSettings()
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = c.idempotency, c.scope, sec
+		g := newHarness(t, s, serverList(4, 0))
+		id, sv := g.request()
+		actions := g.handle(RequestExpired{id})
+		if len(actionsOf[Fail](actions))+len(actionsOf[Reject](actions)) != 1 ||
+			len(actionsOf[Fail](actions)) == 1 != c.fails {
+			t.Errorf("%+v: %v", c, actions)
+		}
+		again := append(g.handle(RequestExpired{id}), g.endAttempt(id, sv, 0, outcome.Cancelled)...)
+		if len(again) != 0 {
+			t.Errorf("%+v: a second answer: %v", c, again)
+		}
+		established, _ := g.connect()
+		if actions := g.handle(RequestExpired{established}); len(actions) != 0 {
+			t.Errorf("%+v: an established one: %v", c, actions)
+		}
+	}
+}
+
+func TestClassOutOfRangeIsAnswered(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(1, 0))
+	if n := len(actionsOf[StartAttempt](g.handle(Request{ID: 1, TimeLeft: sec, Class: 40, Tenant: 90}))); n != 1 {
+		t.Fatalf("%d attempts", n)
+	}
+}
+
+// Set-ups that take long wait for something that all servers share, so fewer start at once; a few servers that hang do
+// not count.
+func TestConcurrentSetupsAreLimited(t *testing.T) {
+	concurrent := func(setupTime Micros, hanging int) int {
+		g := newHarness(t, testSettings(), serverList(10, 0))
+		for i := range 60 {
+			g.now += 200 * ms
+			id, s := g.requestNow()
+			if s == 0 {
+				t.Fatalf("no attempt for %d", id)
+			}
+			if i%5 < hanging {
+				g.endAttempt(id, s, 0, outcome.TimedOut)
+				g.handle(RequestCancelled{id})
+				continue
+			}
+			g.handle(Established{ID: id, Server: s, SetupTime: setupTime})
+		}
+		n := 0
+		for range 100 {
+			if _, s := g.requestNow(); s != 0 {
+				n++
+			}
+		}
+		return n
+	}
+	if fast, slow := concurrent(30*ms, 0), concurrent(400*ms, 0); fast != 40 || slow != 2 {
+		t.Errorf("%d at once where set-ups are fast, %d where they are slow", fast, slow)
+	}
+	if n := concurrent(30*ms, 1); n < 20 {
+		t.Errorf("%d at once where one of five hangs", n)
+	}
+}
+
+// A request that is pinned to a server goes there or nowhere, and is rejected at once when that is impossible.
+func TestPinnedRequest(t *testing.T) {
+	pinned := func(g *harness, server uint32) []Action {
+		g.next++
+		return g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Resumable: true, Pinned: true, PinnedServer: server})
+	}
+	for range 20 {
+		g := newHarness(t, testSettings(), serverList(6, 2))
+		attempts := actionsOf[StartAttempt](pinned(g, 102))
+		if len(attempts) != 1 || attempts[0].Server != 102 || attempts[0].Timeout < 1900*ms {
+			t.Fatalf("%+v", attempts)
+		}
+		if actions := g.endAttempt(g.next, 102, 0, outcome.ServerFull); len(actionsOf[Reject](actions)) != 1 ||
+			len(actionsOf[StartAttempt](actions)) != 0 {
+			t.Fatalf("after its one attempt: %+v", actions)
+		}
+	}
+	for name, change := range map[string]func(g *harness){
+		"draining": func(g *harness) { g.b.serversByID[3].State = Draining },
+		"removed":  func(g *harness) { g.b.serversByID[3].State = Removed },
+		"unknown":  func(g *harness) { delete(g.b.serversByID, 3) },
+	} {
+		g := newHarness(t, testSettings(), serverList(6, 0))
+		change(g)
+		if actions := pinned(g, 3); len(actionsOf[Reject](actions)) != 1 {
+			t.Errorf("%s: %+v", name, actions)
+		}
+	}
+	g := newHarness(t, testSettings(), serverList(6, 0))
+	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
+	if actions := pinned(g, 3); len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 0 {
+		t.Fatalf("no capacity yet: %+v", actions)
+	}
+	g.now += 2*sec - answerMargin - minAttemptTimeout + 1
+	if actions := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](actions)) != 1 ||
+		len(actionsOf[StartAttempt](actions)) != 0 {
+		t.Errorf("started too late to be established: %+v", actions)
+	}
+	if actions := pinned(g, 3); len(actionsOf[StartAttempt](actions)) != 1 {
+		t.Fatalf("with capacity: %+v", actions)
+	}
+	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
+	if actions := pinned(g, 3); len(actionsOf[Reject](actions)) != 0 {
+		t.Fatalf("no capacity again: %+v", actions)
+	}
+	g.b.serversByID[3].State = Draining
+	if actions := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](actions)) != 1 {
+		t.Errorf("held while its server began to drain: %+v", actions)
+	}
+}
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -119,7 +119,7 @@
 	b.rebalance(now)
 	for _, s := range b.servers {
 		s.latency.GrowCapacity(now, tickInterval)
-		b.reviveServer(now, s)
+		b.recoverServer(now, s)
 	}
 }
 
--- a/decision/balancer_bench_test.go
+++ b/decision/balancer_bench_test.go
@@ -6,14 +6,16 @@
 	"testing"
 )
 
-// benchSizes are the numbers of standing connections over which a cost is looked at.
+// benchSizes are the numbers of established connections at which costs are measured.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// balancerWithConnections is a balancer whose n connections stand at so many servers.
+// balancerWithConnections returns a balancer with n established connections at that many servers, and the last
+// request's ID.
 func balancerWithConnections(servers, n int) (*Balancer, uint32) {
+	class := Class{LatencyObjective: 300 * ms, Deadline: 1200 * ms, MessageLatencyObjective: 250 * ms}
 	b := New(Settings{
-		Balancers: 1, Zones: 1, MaxAttempts: 4, AllowCancel: true, AllowRetryAfter: true, MaxRetryAfter: sec, WarmupTime: 23 * sec,
-		InitialCapacity: 0.13, OverloadFactor: 3, OverloadWindow: sec, Classes: []Class{{LatencyObjective: 300 * ms, Deadline: 1200 * ms, MessageLatencyObjective: 250 * ms}},
+		Balancers: 1, Zones: 1, MaxAttempts: 4, AllowCancel: true, AllowRetryAfter: true, MaxRetryAfter: sec,
+		WarmupTime: 23 * sec, InitialCapacity: 0.13, OverloadFactor: 3, OverloadWindow: sec, Classes: []Class{class},
 	}, 1, sec)
 	u := ServerListUpdate{Kind: UpdateFull}
 	for i := range servers {
@@ -32,11 +34,11 @@
 	return b, id
 }
 
-// playSetup is one connection's life: asked for, established, left again. It returns how often it was sent to a server.
-func playSetup(b *Balancer, now Micros, id uint32) (sent int) {
+// playSetup plays one connection: request, attempt, established, cancelled. It returns the number of attempts.
+func playSetup(b *Balancer, now Micros, id uint32) (attempts int) {
 	for _, a := range b.Handle(now, Request{ID: id, Key: uint64(id), TimeLeft: 1200 * ms}, nil) {
 		if s, ok := a.(StartAttempt); ok {
-			sent++
+			attempts++
 			b.Handle(now, Established{ID: id, Server: s.Server, SetupTime: ms}, nil)
 			b.Handle(now, RequestCancelled{ID: id}, nil)
 			b.Handle(
@@ -46,10 +48,10 @@
 			)
 		}
 	}
-	return sent
+	return attempts
 }
 
-// A set-up while n stand.
+// BenchmarkSetup measures a set-up with n established connections, and with that many servers.
 func BenchmarkSetup(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchSetup(b, 400, n) })
@@ -61,18 +63,18 @@
 
 func benchSetup(b *testing.B, servers, n int) {
 	bal, id := balancerWithConnections(servers, n)
-	now, sent := sec, 0
+	now, attempts := sec, 0
 	for b.Loop() {
 		id++
-		now += 100 * ms // so that no budget is spent
-		sent += playSetup(bal, now, id)
+		now += 100 * ms // so that no budget runs out
+		attempts += playSetup(bal, now, id)
 	}
-	if sent < b.N {
-		b.Fatalf("%d of %d set-ups were sent", sent, b.N)
+	if attempts < b.N {
+		b.Fatalf("%d attempts for %d set-ups", attempts, b.N)
 	}
 }
 
-// A tick, four times a second, while n stand.
+// BenchmarkTick measures a tick, four a second, with n established connections, and with that many servers.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchTick(b, 400, n) })
@@ -91,13 +93,13 @@
 	}
 }
 
-// A look at a request that has to wait, 25 times a second for each that does: the limit of set-ups under way is
-// reached.
+// BenchmarkHeld measures the placement of a held request, 25 a second for each, while the concurrency limit of
+// set-ups is reached.
 func BenchmarkHeld(b *testing.B) {
 	for _, servers := range []int{10, 100, 400, 1_000, 5_000} {
 		b.Run(fmt.Sprint("servers-", servers), func(b *testing.B) {
 			bal, id := balancerWithConnections(servers, 0)
-			for range 100 { // more than may be under way
+			for range 100 { // more than the concurrency limit
 				id++
 				bal.Handle(sec, Request{ID: id, Key: uint64(id), TimeLeft: 3600 * sec}, nil)
 			}
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// Digests of all actions that the module takes on generated event sequences, one for each seed. They hold the
-// decisions bit for bit: a change of the code that is not meant to decide otherwise leaves them alone, and one that
-// is renews them in a commit of its own (the failing test prints the new ones) and says so.
+// wantDigests are digests of all actions of a Balancer on generated event sequences, one for each seed. They hold the
+// decisions bit for bit: a change of the code that is not meant to change decisions leaves them alone; one that is
+// renews them in a commit of its own (the failing test prints the new ones) and says so.
 var wantDigests = []string{
 	"135c9aca0d7a4458", "c5178a16663a8733", "d16708c8a401c426", "7315404b67ac8806",
 	"5ed9ea07cf50e1a8", "e0d5ba2ef7a95452", "c926d20de1652d08", "323af408a27da460",
@@ -40,7 +40,7 @@
 	}
 	for kind, n := range all {
 		if n == 0 && kind != actionFetch {
-			t.Errorf("no sequence brought an action of kind %d", kind)
+			t.Errorf("no sequence has an action of kind %d", kind)
 		}
 	}
 }
@@ -48,10 +48,10 @@
 // actionKinds is how many kinds of actions encode tells apart.
 const actionKinds = 9
 
-// actionFetch is the kind of logic.Fetch, which the module never asks for.
+// actionFetch is the kind of FetchServerList, which a Balancer never emits.
 const actionFetch = 1
 
-// digestTimer is a timer that the module asked for.
+// digestTimer is a timer that is set.
 type digestTimer struct {
 	due   decision.Micros
 	order int
@@ -73,14 +73,14 @@
 	return last
 }
 
-// attempt is one that is under way or stands.
+// attempt is one under way, or an established connection.
 type attempt struct {
 	id, server  uint32
 	number      int
 	established bool
 }
 
-// eventGenerator plays a small world of its own against one module.
+// eventGenerator drives one Balancer with random events that answer its actions.
 type eventGenerator struct {
 	rng      *rand.Rand
 	balancer *decision.Balancer
@@ -93,7 +93,7 @@
 	sent     map[uint32]int
 	nextID   uint32
 	started  map[uint32]decision.Micros
-	failing  float64 // part of the attempts that end other than well
+	failing  float64 // part of the attempts that fail
 	slow     bool    // set-ups take long
 	digest   hash.Hash64
 	kinds    [actionKinds]int
@@ -122,32 +122,37 @@
 	return fmt.Sprintf("%016x", g.digest.Sum64()), g.kinds
 }
 
-// drawSettings gives each seed other settings, so that each mode is played by some.
+// drawSettings gives each seed other settings, so that each mode is covered.
 func (g *eventGenerator) drawSettings(seed uint64) decision.Settings {
 	const second = 1_000_000
 	bit := func(n uint) bool { return seed>>n&1 == 1 }
 	s := decision.Settings{
 		Rank: int(seed) % 3, Balancers: 3 + 7*int(seed%3), Zone: 0, Zones: 2, PollDiscovery: !bit(1),
-		Passthrough: seed%5 == 4, ReportsConnectionLoad: bit(0), DynamicWeights: bit(2), ClockResolution: 1000, OverQuotaPriority: 0.1,
-		MaxAttempts: 3, MaxHeldRequests: 100, AllowProbes: seed%4 != 3, AllowCancel: seed%3 != 2, AllowRetryAfter: !bit(3),
-		MaxRetryAfter: 2 * second, AnswerTolerance: 20_000, PollInterval: second, InitialCapacity: 0.2, WarmupTime: 20 * second,
+		Passthrough: seed%5 == 4, ReportsConnectionLoad: bit(0), DynamicWeights: bit(2),
+		ClockResolution: 1000, OverQuotaPriority: 0.1, MaxAttempts: 3, MaxHeldRequests: 100,
+		AllowProbes: seed%4 != 3, AllowCancel: seed%3 != 2, AllowRetryAfter: !bit(3), MaxRetryAfter: 2 * second,
+		AnswerTolerance: 20_000, PollInterval: second, InitialCapacity: 0.2, WarmupTime: 20 * second,
 		DrainGrace: 5 * second, OverloadWindow: 2 * second, OverloadFactor: 3, CrossZoneCost: 0.1, MoveCost: 0.02,
 		ProbeCost: 0.0001, LoadReportColumns: []string{"inflight", "x0", "x1"},
 	}
-	for i, effect := range []decision.Idempotency{decision.Idempotent, decision.IdempotentWithKey, decision.NonIdempotent, decision.IdempotentWithKey} {
-		s.Classes = append(s.Classes, decision.Class{
-			LatencyObjective: 500_000, Deadline: 3 * second, Idempotency: effect,
-			DedupScope:  []decision.DedupScope{decision.ScopeAll, decision.ScopeZone, decision.ScopeCell, decision.ScopeAll}[i],
-			DedupWindow: 2 * second, Priority: 1 / float64(1+i), RelativePriority: 1 / float64(1+i), Streaming: i < 2,
-			MessageLatencyObjective: decision.Micros(100_000 * (1 + i%2)),
-		})
+	for i, class := range []decision.Class{
+		{Idempotency: decision.Idempotent, DedupScope: decision.ScopeAll},
+		{Idempotency: decision.IdempotentWithKey, DedupScope: decision.ScopeZone},
+		{Idempotency: decision.NonIdempotent, DedupScope: decision.ScopeCell},
+		{Idempotency: decision.IdempotentWithKey, DedupScope: decision.ScopeAll},
+	} {
+		class.LatencyObjective, class.Deadline, class.DedupWindow = 500_000, 3*second, 2*second
+		class.Priority, class.RelativePriority = 1/float64(1+i), 1/float64(1+i)
+		class.Streaming = i < 2
+		class.MessageLatencyObjective = decision.Micros(100_000 * (1 + i%2))
+		s.Classes = append(s.Classes, class)
 	}
 	return s
 }
 
 func (g *eventGenerator) chance(p float64) bool { return g.rng.Float64() < p }
 
-// list tells of n servers, some of them cold, draining or gone.
+// list returns an update of n servers, some of them warming up, draining or removed.
 func (g *eventGenerator) list(kind decision.UpdateKind, n int) decision.ServerListUpdate {
 	update := decision.ServerListUpdate{Kind: kind}
 	for range n {
@@ -194,7 +199,7 @@
 	g.handle(decision.ExistingConnection{Request: r, Server: server})
 }
 
-// step tells one event, drawn by weight.
+// step handles one event, drawn by weight.
 func (g *eventGenerator) step() {
 	switch draw := g.rng.IntN(100); {
 	case draw < 30:
@@ -221,7 +226,7 @@
 	}
 }
 
-// advance brings an attempt further: it stands, says how it does, or ends.
+// advance lets an attempt be established, report a metric, or end.
 func (g *eventGenerator) advance(i int) {
 	a := g.attempts[i]
 	took := decision.Micros(math.Exp(13 * g.rng.Float64()))
@@ -276,7 +281,7 @@
 	g.handle(decision.ProbeResult{Server: server, Status: status, Duration: 900, LoadReport: g.report()})
 }
 
-// handle hands the module one event and takes in what it wants done.
+// handle passes one event to the Balancer and records its actions.
 func (g *eventGenerator) handle(event decision.Event) {
 	g.out = g.balancer.Handle(g.now, event, g.out[:0])
 	for _, action := range g.out {
@@ -284,7 +289,7 @@
 	}
 }
 
-// encode adds one action to the digest and does what it asks for.
+// encode adds one action to the digest and carries it out.
 func (g *eventGenerator) encode(action decision.Action) {
 	switch a := action.(type) {
 	case decision.WatchDiscovery:
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -6,37 +6,41 @@
 	"testing"
 )
 
-// A fleet of balancers that share nothing but the servers and one discovery, in virtual time. What one balancer may do
-// and eighty may not shows in sums over all of them.
+// balancerFleet is a fleet of balancers in virtual time, which share the servers and one discovery. Sums over all show
+// what one balancer may do and eighty may not.
 type balancerFleet struct {
 	t         *testing.T
 	balancers []*Balancer
 	now       Micros
 	timers    timerQueue
 	seq       int
-	onAction  func(i int, a Action) // what the world makes of an action
+	onAction  func(i int, a Action) // carries out an action other than SetTimer
 }
 
-// fleetSeeds is how many are played of what must hold for any.
+// Numbers of seeds for tests of what must hold for any seed.
 const fleetSeeds, manyFleetSeeds = 12, 60
 
 type timerEvent struct {
 	dueAt Micros
-	order int // events of one moment keep their order
+	order int // events of the same time keep their order
 	run   func()
 }
 
 type timerQueue []timerEvent
 
-func (d timerQueue) Len() int { return len(d) }
-func (d timerQueue) Less(i, j int) bool {
-	return d[i].dueAt < d[j].dueAt || d[i].dueAt == d[j].dueAt && d[i].order < d[j].order
+func (q timerQueue) Len() int { return len(q) }
+func (q timerQueue) Less(i, j int) bool {
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].order < q[j].order
+}
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *timerQueue) Push(x any)   { *q = append(*q, x.(timerEvent)) }
+func (q *timerQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
 }
-func (d timerQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *timerQueue) Push(x any)   { *d = append(*d, x.(timerEvent)) }
-func (d *timerQueue) Pop() any     { x := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return x }
 
-// newBalancerFleet starts n balancers in one moment, spread over the zones, with the same list.
+// newBalancerFleet starts n balancers at the same time, spread over the zones, with the same server list.
 func newBalancerFleet(t *testing.T, n int, s Settings, list []ServerEntry, seed uint64) *balancerFleet {
 	m := &balancerFleet{t: t, now: start, onAction: func(int, Action) {}}
 	s.Balancers = n
@@ -74,22 +78,23 @@
 	m.now = until
 }
 
-// discoveryQueue is discovery: one call after another; one that has waited for a second fails, and is work all the
-// same.
+// discoveryQueue stands for discovery, which takes one call after another. A call that has waited for a second
+// fails and takes its time all the same.
 type discoveryQueue struct {
 	fleet        *balancerFleet
-	callTime     Micros // what a call takes
-	idleAt       Micros // when it is done with what waits
-	downUntil    Micros // no answer until then
+	callTime     Micros // that one call takes
+	idleAt       Micros // when all queued calls are done
+	downUntil    Micros // no call is answered before
 	calls        map[Micros]int
 	firstFreshAt map[int]Micros
 }
 
+// poll queues a call of balancer i.
 func (q *discoveryQueue) poll(i int) {
 	m := q.fleet
 	q.calls[m.now/sec]++
 	begin := max(m.now, q.idleAt)
-	if begin-m.now < 3*sec { // what waits longer is not even kept
+	if begin-m.now < 3*sec { // the queue holds no more
 		q.idleAt = begin + q.callTime
 	}
 	if wait := begin + q.callTime - m.now; wait > sec || m.now < q.downUntil {
@@ -104,32 +109,33 @@
 	})
 }
 
-// Eighty balancers that start together, or hear nothing for a while, must not keep discovery so busy that it
-// answers nobody: what all send it together stays in bounds, and each has a fresh list soon. Whoever failed asks
-// again within 2.9 s, for what it misses counts as told 6 s after: that is 27 calls a second of eighty, beside 10
-// of those that ask first.
+// Eighty balancers that start together, or get no update for a while, must not keep discovery so busy that it
+// answers none: their polls stay within bounds, and each has a fresh list soon. Whoever failed polls again within
+// 2.9 s, since an update counts as received 6 s after it was made: that is 27 calls a second of eighty, beside 10
+// of first polls.
 func TestFleetPollsNoMoreThanDiscoveryAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		n           int
-		each        Micros
-		down, fresh Micros
-		most        int // calls in any second
-		lasting     int // calls in any ten seconds: the crowd thins out
+		balancers       int
+		callTime        Micros
+		downFor         Micros
+		freshWithin     Micros
+		maxInSecond     int // calls
+		maxInTenSeconds int // calls
 	}{
 		"three":                   {3, 200 * ms, 0, 2 * sec, 3, 3},
 		"eighty":                  {80, 70 * ms, 0, 12 * sec, 15, 90},
 		"eighty, slow":            {80, 200 * ms, 0, 70 * sec, 42, 250},
 		"eighty, after an outage": {80, 200 * ms, 6 * sec, 80 * sec, 42, 260},
-		"eighty, told in time":    {80, 30 * ms, 6 * sec, 12 * sec, 42, 190},
+		"eighty, fast":            {80, 30 * ms, 6 * sec, 12 * sec, 42, 190},
 	} {
 		for seed := range uint64(fleetSeeds) {
 			s := testSettings()
 			s.PollDiscovery = true
-			m := newBalancerFleet(t, c.n, s, serverList(3, 3), seed)
+			m := newBalancerFleet(t, c.balancers, s, serverList(3, 3), seed)
 			q := &discoveryQueue{
 				fleet:        m,
-				callTime:     c.each,
-				downUntil:    start + c.down,
+				callTime:     c.callTime,
+				downUntil:    start + c.downFor,
 				calls:        map[Micros]int{},
 				firstFreshAt: map[int]Micros{},
 			}
@@ -138,26 +144,26 @@
 					q.poll(i)
 				}
 			}
-			m.run(start + c.fresh)
-			if len(q.firstFreshAt) != c.n {
+			m.run(start + c.freshWithin)
+			if len(q.firstFreshAt) != c.balancers {
 				t.Errorf(
 					"%s, seed %d: %d of %d have a fresh list after %d s",
 					name,
 					seed,
 					len(q.firstFreshAt),
-					c.n,
-					c.fresh/sec,
+					c.balancers,
+					c.freshWithin/sec,
 				)
 			}
 			for second, n := range q.calls {
-				if n > c.most {
+				if n > c.maxInSecond {
 					t.Errorf("%s, seed %d: %d calls in second %d", name, seed, n, second-start/sec)
 				}
 				lasting := 0
 				for later := range Micros(10) {
 					lasting += q.calls[second+later]
 				}
-				if lasting > c.lasting {
+				if lasting > c.maxInTenSeconds {
 					t.Errorf(
 						"%s, seed %d: %d calls in ten seconds from %d on",
 						name,
@@ -171,8 +177,8 @@
 	}
 }
 
-// Each balancer holds few of a group, and has learned of the servers in an order of its own; still they send a group's
-// connections to one place in a zone, and all groups together to places of their own.
+// Each balancer has few connections of a group, and lists the servers in its own order; still all send a group's
+// connections to the same server of a zone, and different groups to different servers.
 func TestFleetKeepsGroupsTogether(t *testing.T) {
 	s := testSettings()
 	s.Zones = 1
@@ -207,18 +213,20 @@
 	}
 }
 
-// What a warm server of mean size takes in a second, measured; see docs/design/fleet.md. A fleet's budget for a cold
-// one stays under the rule's multiple of this.
+// warmServerRate is how many connections a second a server of mean weight takes once it is warmed up; see
+// docs/design/fleet.md. A fleet's slow-start budget stays under OverloadFactor times this.
 const warmServerRate = 3.8
 
-// What eighty balancers send a cold server stays under what the rule allows in every second, though each has a part of
-// far less than one connection, also where all of them get a request at once after a quiet time; and where few have a
-// request in a second, what it could take is not all wasted.
+// Eighty balancers together stay within a warming server's slow-start budget in every second, though each one's part is
+// far less than one connection, also where all get a request at once after a quiet time. Where few have a request in a
+// second, the budget is not all wasted.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for title, c := range map[string]struct {
-		zones              int
-		every, first, over Micros  // a request at each balancer so often, the first then, spread over that
-		least              float64 // of what is allowed
+		zones    int
+		interval Micros  // between two requests at each balancer
+		first    Micros  // time of the first request at the first balancer
+		spread   Micros  // time from that to the last balancer's first
+		minUsed  float64 // part of the budget
 	}{
 		"a crowd":                   {1, 500 * ms, 0, 500 * ms, 0.2},
 		"a request a second":        {1, sec, 0, sec, 0.2},
@@ -231,9 +239,9 @@
 		for seed := range uint64(manyFleetSeeds) {
 			s := testSettings()
 			s.Zones = c.zones
-			// its id is what decides whose turn it is
-			cold := ServerEntry{Server: 50, StableID: stableID(50 + 1000*int(seed)), State: Ready, StartedAt: start}
-			m := newBalancerFleet(t, 80, s, append(serverList(4, 0), cold), seed)
+			// The stable ID decides which balancer gets which grant.
+			warming := ServerEntry{Server: 50, StableID: stableID(50 + 1000*int(seed)), State: Ready, StartedAt: start}
+			m := newBalancerFleet(t, 80, s, append(serverList(4, 0), warming), seed)
 			single := map[Micros]float64{}
 			m.onAction = func(i int, a Action) {
 				if a, ok := a.(StartAttempt); ok {
@@ -247,7 +255,8 @@
 					)
 				}
 			}
-			for i := range m.balancers { // part of the fleet is out: then cold servers of other zones are filled, too
+			// With a part of the fleet absent, warming servers of other zones get connections, too.
+			for i := range m.balancers {
 				m.handle(
 					i,
 					ServerListUpdate{
@@ -258,25 +267,25 @@
 			}
 			next := uint32(0)
 			for i := range m.balancers {
-				var ask func()
-				ask = func() {
+				var request func()
+				request = func() {
 					next++
 					m.handle(i, Request{ID: next, TimeLeft: sec, Key: uint64(next)})
-					m.after(c.every, ask)
+					m.after(c.interval, request)
 				}
-				m.after(c.first+c.over*Micros(i)/80, ask)
+				m.after(c.first+c.spread*Micros(i)/80, request)
 			}
 			m.run(start + 18*sec)
 			for second, sent := range single {
 				n := 2.5 * warmServerRate * (0.2 + 0.8*float64(second)/20)
-				if most := n + 2*math.Sqrt(n) + 2; sent > most {
+				if limit := n + 2*math.Sqrt(n) + 2; sent > limit {
 					t.Errorf(
-						"%s: seed %d: %.0f sent in second %d, at most %.1f are put down to chance",
+						"%s: seed %d: %.0f sent in second %d, at most %.1f are expected by chance",
 						title,
 						seed,
 						sent,
 						second,
-						most,
+						limit,
 					)
 				}
 			}
@@ -295,14 +304,14 @@
 				)
 			}
 		}
-		if all < c.least*allowed {
+		if all < c.minUsed*allowed {
 			t.Errorf("%s: %.0f sent of %.0f allowed", title, all, allowed)
 		}
 	}
 }
 
-// A server that is late for all is late by its own notes: eighty balancers that hold connections there don't probe it,
-// and trust it again once the notes have ceased.
+// A server that reports its own latency is not probed by balancers that have connections there; they make it Connected
+// again once the reports have ceased.
 func TestFleetDoesNotProbeServersThatReportLatency(t *testing.T) {
 	m := newBalancerFleet(t, 80, testSettings(), serverList(4, 4), 5)
 	probes := 0
@@ -328,7 +337,7 @@
 	m.run(m.now + 10*sec)
 	for i, b := range m.balancers {
 		if s := b.serversByID[1]; s.health != Connected {
-			t.Fatalf("balancer %d still holds it for %v", i, s.health)
+			t.Fatalf("balancer %d still has it as %v", i, s.health)
 		}
 	}
 }
--- a/decision/health.go
+++ b/decision/health.go
@@ -11,7 +11,7 @@
 //
 //	Unknown           newly listed or restarted; selected like Connected
 //	Connected         an attempt or a probe has succeeded, and none has failed since
-//	UnhealthyPending  being validated (reviveServer); selected after the first two for pendingTimeout, then like them
+//	UnhealthyPending  being validated (recoverServer); selected after the first two for pendingTimeout, then like them
 //	Unhealthy         demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
 //
 // A success makes any state Connected; a failure makes any state Unhealthy.
@@ -186,10 +186,10 @@
 	return min(minValidationDelay<<min(consecutiveDemotions, maxValidationDoublings), maxValidationDelay)
 }
 
-// reviveServer decides how an Unhealthy server whose delay is over comes back. One that failed, or has no
+// recoverServer decides how an Unhealthy server whose delay is over comes back. One that failed, or has no
 // connections, has to be validated. One that was slow and has connections is Connected again once these report no
 // latency any more: they would, if it still was slow.
-func (b *Balancer) reviveServer(now Micros, s *server) {
+func (b *Balancer) recoverServer(now Micros, s *server) {
 	if s.State != Ready || s.health != Unhealthy || now < s.validateAt {
 		return
 	}
--- /dev/null
+++ b/decision/health_test.go
@@ -0,0 +1,225 @@
+package decision
+
+import (
+	"spurspread/decision/outcome"
+	"testing"
+)
+
+func TestEstablishedMakesConnected(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(1, 0))
+	if h := g.health(1); h != Unknown {
+		t.Fatalf("a newly listed server is %v, want Unknown", h)
+	}
+	g.now += sec
+	g.connect()
+	if s := g.b.serversByID[1]; s.health != Connected || s.enteredAt[Connected] != g.now ||
+		s.enteredAt[Unknown] != start {
+		t.Fatalf("health %v, entered at %v", s.health, s.enteredAt)
+	}
+}
+
+func TestFailuresDemote(t *testing.T) {
+	for _, status := range []outcome.Status{outcome.ConnectFailed, outcome.TimedOut} {
+		g := newHarness(t, testSettings(), serverList(4, 0))
+		id, s := g.request()
+		g.endAttempt(id, s, 0, status)
+		if g.health(s) != Unhealthy {
+			t.Errorf("status %v leaves the server %v", status, g.health(s))
+		}
+	}
+	for _, status := range []outcome.Status{
+		outcome.ServerFull, outcome.Cancelled, outcome.Inconclusive, outcome.OK, outcome.Reset,
+	} {
+		g := newHarness(t, testSettings(), serverList(4, 0))
+		id, s := g.request()
+		g.endAttempt(id, s, 0, status)
+		if g.health(s) == Unhealthy {
+			t.Errorf("status %v demotes", status)
+		}
+	}
+}
+
+// An error response demotes once another server has accepted the same request. A request that gets errors from two
+// servers is at fault itself: it is not retried again, and demotes no server.
+func TestErrorNeedsASecondServersConfirmation(t *testing.T) {
+	for _, second := range []outcome.Status{outcome.OK, outcome.ErrorResponse} {
+		g := newHarness(t, testSettings(), serverList(4, 0))
+		id, s := g.request()
+		attempts := actionsOf[StartAttempt](g.endAttempt(id, s, 0, outcome.ErrorResponse))
+		if len(attempts) != 1 || attempts[0].Server == s || g.health(s) == Unhealthy {
+			t.Fatalf("attempts %v, server %v", attempts, g.health(s))
+		}
+		other := attempts[0].Server
+		if second == outcome.OK {
+			g.handle(Established{ID: id, Attempt: 1, Server: other, SetupTime: 10 * ms})
+			if g.health(s) != Unhealthy || g.health(other) != Connected {
+				t.Errorf("first %v, second %v", g.health(s), g.health(other))
+			}
+			continue
+		}
+		if actions := g.endAttempt(id, other, 1, outcome.ErrorResponse); len(actionsOf[Reject](actions)) != 1 ||
+			len(actionsOf[StartAttempt](actions)) != 0 {
+			t.Errorf("not rejected: %v", actions)
+		}
+		if g.health(s) == Unhealthy || g.health(other) == Unhealthy || g.b.setups.FailuresShared() {
+			t.Errorf("first %v, second %v, failures shared %v",
+				g.health(s), g.health(other), g.b.setups.FailuresShared())
+		}
+	}
+}
+
+// A probe that was never sent neither validates a server nor counts as a demotion.
+func TestInconclusiveProbeChangesNothing(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(4, 0))
+	id, s := g.request()
+	g.endAttempt(id, s, 0, outcome.ConnectFailed)
+	g.advance(3 * sec)
+	g.handle(ProbeResult{Server: s, Status: outcome.Inconclusive})
+	if sv := g.b.serversByID[s]; sv.health != Unhealthy || sv.consecutiveDemotions != 1 ||
+		len(actionsOf[ProbeServer](g.advance(3*sec))) != 1 {
+		t.Errorf("%v, %d consecutive demotions", sv.health, sv.consecutiveDemotions)
+	}
+}
+
+func TestValidationBeforeReturn(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(4, 0))
+	id, s := g.request()
+	g.endAttempt(id, s, 0, outcome.ConnectFailed)
+	probes := actionsOf[ProbeServer](g.advance(3 * sec))
+	if len(probes) != 1 || probes[0].Server != s || g.health(s) != UnhealthyPending {
+		t.Fatalf("probes %v, health %v", probes, g.health(s))
+	}
+	g.handle(ProbeResult{Server: s, Status: outcome.ConnectFailed})
+	if g.health(s) != Unhealthy {
+		t.Fatalf("a failed probe leaves %v", g.health(s))
+	}
+	g.advance(6 * sec)
+	g.handle(ProbeResult{Server: s, Status: outcome.OK})
+	if g.health(s) != Connected {
+		t.Fatalf("a successful probe leaves %v", g.health(s))
+	}
+}
+
+func TestConcurrentProbesAreLimited(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(3*maxConcurrentProbes, 0))
+	for i := range 3 * maxConcurrentProbes {
+		g.b.demoteForFailure(g.now, g.b.serversByID[uint32(1+i)])
+	}
+	if n := len(actionsOf[ProbeServer](g.advance(5 * sec))); n != maxConcurrentProbes {
+		t.Fatalf("%d probes under way, the limit is %d", n, maxConcurrentProbes)
+	}
+}
+
+func TestPendingTimeoutRanksWithConnected(t *testing.T) {
+	s := &server{health: UnhealthyPending}
+	s.enteredAt[UnhealthyPending] = start
+	if r := healthRank(start+pendingTimeout-1, s); r != rankPending {
+		t.Fatalf("rank %d before the time-out", r)
+	}
+	if r := healthRank(start+pendingTimeout, s); r != rankHealthy {
+		t.Fatalf("rank %d after the time-out", r)
+	}
+}
+
+// A server that fails again after its validation is validated later each time.
+func TestRepeatedDemotionDelaysValidation(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(4, 0))
+	s := g.b.serversByID[1]
+	var last Micros
+	for i := range 3 {
+		g.b.demoteForFailure(g.now, s)
+		wait := s.validateAt - g.now
+		if i > 0 && wait <= last {
+			t.Fatalf("demotion %d is validated after %d, the one before after %d", i, wait, last)
+		}
+		last = wait
+		g.b.markConnected(g.now, s)
+		g.now += sec
+	}
+	g.now += demotionResetAfter
+	g.b.demoteForFailure(g.now, s)
+	if wait := s.validateAt - g.now; wait > 2*minValidationDelay {
+		t.Fatalf("after long good service validation still takes %d", wait)
+	}
+}
+
+func TestRestartIsUnknownAgain(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(2, 0))
+	g.b.demoteForFailure(g.now, g.b.serversByID[1])
+	g.handle(
+		ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}},
+	)
+	if g.health(1) != Unknown {
+		t.Fatalf("a restarted server is %v", g.health(1))
+	}
+}
+
+// Slowness of most servers of a zone is shared: demoting all for it would only move the load.
+func TestSharedSlownessDemotesUpToHalf(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(10, 0))
+	byServer := g.connectMany(300)
+	demoted := 0
+	for s := uint32(1); s <= 10; s++ {
+		g.reportLatency(byServer[s], s, 70)
+	}
+	for s := uint32(1); s <= 10; s++ {
+		if g.health(s) == Unhealthy {
+			demoted++
+		}
+	}
+	if demoted == 0 || demoted > 5 {
+		t.Fatalf("%d of 10 demoted", demoted)
+	}
+}
+
+// A slow or failing store makes set-ups fail at all servers: none is at fault, and retries add load to the store.
+func TestSharedFailuresDemoteNobodyAndAreNotRetried(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(20, 0))
+	for range 30 {
+		g.b.recordSetup(outcome.ErrorResponse, 0)
+	}
+	id, s := g.request()
+	actions := g.endAttempt(id, s, 0, outcome.ErrorResponse)
+	if g.health(s) == Unhealthy || len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
+		t.Fatalf("health %v, %v", g.health(s), actions)
+	}
+}
+
+// A server that resets connections or is full gets no new ones for a while.
+func TestResetAndServerFullPause(t *testing.T) {
+	for status, pause := range map[outcome.Status]Micros{
+		outcome.Reset:      resetPause,
+		outcome.ServerFull: serverFullPause,
+	} {
+		g := newHarness(t, testSettings(), serverList(1, 0))
+		g.b.serversByID[1].lastResetAt = g.now // the first of a pair
+		id, s := g.request()
+		if n := len(actionsOf[StartAttempt](g.endAttempt(id, s, 0, status))); n != 0 {
+			t.Fatalf("status %v: retried at once", status)
+		}
+		if _, s := g.request(); s != 0 {
+			t.Fatalf("status %v: another attempt was started", status)
+		}
+		g.now += pause*5/4 + 1
+		if _, s := g.request(); s == 0 {
+			t.Fatalf("status %v: still paused", status)
+		}
+	}
+}
+
+// A single reset may be the network's fault; a second one soon after is the server's.
+func TestSecondResetDemotes(t *testing.T) {
+	for gap, want := range map[Micros]Health{resetPairWindow / 2: Unhealthy, resetPairWindow * 2: Connected} {
+		g := newHarness(t, testSettings(), serverList(2, 0))
+		g.connectMany(40)
+		s := g.b.serversByID[1]
+		for range 2 {
+			g.now += gap
+			r := s.connections[0]
+			g.handle(AttemptEnded{ID: r.id, Server: 1, Status: outcome.Reset, RequestClosed: true})
+		}
+		if s.health != want {
+			t.Errorf("two resets %d apart: %v", gap, s.health)
+		}
+	}
+}
--- /dev/null
+++ b/decision/placement_test.go
@@ -0,0 +1,137 @@
+package decision
+
+import (
+	"math"
+	"spurspread/decision/outcome"
+	"spurspread/decision/slowstart"
+	"testing"
+)
+
+func TestPickPrefersHomeZoneAndSpreads(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(4, 4))
+	got := map[uint32]int{}
+	for range 4000 {
+		id, s := g.request()
+		got[s]++
+		g.handle(RequestCancelled{id})
+		g.endAttempt(id, s, 0, outcome.Cancelled)
+	}
+	for s := uint32(1); s <= 4; s++ {
+		if got[s] < 850 || got[s] > 1150 {
+			t.Errorf("server %d got %d of 4000, a quarter is wanted", s, got[s])
+		}
+	}
+}
+
+func TestPickByHealth(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(2, 1))
+	r := &request{id: 99, class: g.b.settings.Classes[0]}
+	g.b.serversByID[1].setHealth(g.now, Unhealthy)
+	g.b.serversByID[2].setHealth(g.now, UnhealthyPending)
+	if s := g.b.pickServer(g.now, r); s.Server != 101 {
+		t.Errorf("the home zone has only lower ranks, yet %d was picked", s.Server)
+	}
+	g.b.serversByID[101].setHealth(g.now, Unhealthy)
+	for _, id := range []uint32{1, 2} {
+		budget := &g.b.serversByID[id].budget
+		budget.GrantsLeft = 1
+		budget.NextSlot = math.MaxInt64 // no slot adds any
+	}
+	if s := g.b.pickServer(g.now, r); s.Server != 2 {
+		t.Errorf("%d was picked before the pending one", s.Server)
+	}
+	g.b.serversByID[2].setHealth(g.now, Unhealthy)
+	if s := g.b.pickServer(g.now, r); s == nil {
+		t.Error("with all demoted nothing was picked")
+	}
+}
+
+func TestNothingToDrainingOrRemoved(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(3, 0))
+	g.handle(
+		ServerListUpdate{
+			Kind:    UpdateDelta,
+			Entries: []ServerEntry{{Server: 1, State: Draining}, {Server: 2, State: Removed}},
+		},
+	)
+	for range 50 {
+		if id, s := g.request(); s != 3 {
+			t.Fatalf("request %d went to %d", id, s)
+		}
+	}
+	g.handle(ServerListUpdate{Kind: UpdateFull, Entries: nil})
+	if _, s := g.request(); s != 0 {
+		t.Fatalf("sent to %d, which a full list no longer has", s)
+	}
+}
+
+// A server does a group's shared work once: one that has connections of a group gets the others while it has capacity.
+func TestGroupsAreKeptTogether(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(4, 0))
+	held := map[uint64]map[uint32]int{}
+	for i := range 400 {
+		group := uint64(1 + i%20)
+		g.next++
+		for _, s := range g.b.servers {
+			s.budget.Tokens, s.budget.RefilledAt = slowstart.Burst, g.now
+		}
+		attempts := actionsOf[StartAttempt](g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Group: group}))
+		g.handle(Established{ID: g.next, Server: attempts[0].Server, SetupTime: 10 * ms})
+		if held[group] == nil {
+			held[group] = map[uint32]int{}
+		}
+		held[group][attempts[0].Server]++
+	}
+	places := 0
+	for _, at := range held {
+		places += len(at)
+	}
+	if places > 50 {
+		t.Errorf("20 groups at %d places", places)
+	}
+	for _, s := range g.b.servers {
+		if n := len(s.connections); n < 50 || n > 150 {
+			t.Errorf("server %d has %d of 400", s.Server, n)
+		}
+	}
+}
+
+// Servers get connections in proportion to their weights.
+func TestPickByWeight(t *testing.T) {
+	list := serverList(2, 0)
+	list[0].Weight, list[1].Weight = 3, 1
+	g := newHarness(t, testSettings(), list)
+	got := map[uint32]int{}
+	for range 4000 {
+		id, s := g.request()
+		got[s]++
+		g.handle(RequestCancelled{id})
+		g.endAttempt(id, s, 0, outcome.Cancelled)
+	}
+	if got[1] < 2850 || got[1] > 3150 {
+		t.Errorf("of 4000 the server of weight 3 got %d, that of weight 1 %d", got[1], got[2])
+	}
+}
+
+// In passthrough mode two balancers select the same server for a key.
+func TestPassthroughSelectsByKey(t *testing.T) {
+	s := testSettings()
+	s.Passthrough = true
+	a, b := New(s, 1, start), New(s, 2, start)
+	a.Handle(start, ServerListUpdate{Kind: UpdateCached, Entries: serverList(9, 3)}, nil)
+	b.Handle(start, ServerListUpdate{Kind: UpdateCached, Entries: serverList(9, 3)}, nil)
+	seen := map[uint32]bool{}
+	for k := uint32(1); k < 60; k++ {
+		sa := actionsOf[StartAttempt](a.Handle(start, Request{ID: k, TimeLeft: sec, Key: uint64(k) * 7919}, nil))
+		sb := actionsOf[StartAttempt](
+			b.Handle(start, Request{ID: k, TimeLeft: sec, Key: uint64(k) * 7919, MidConnection: true}, nil),
+		)
+		if sa[0].Server != sb[0].Server {
+			t.Fatalf("key %d: %d and %d", k, sa[0].Server, sb[0].Server)
+		}
+		seen[sa[0].Server] = true
+	}
+	if len(seen) < 6 {
+		t.Fatalf("only %d servers selected", len(seen))
+	}
+}
--- /dev/null
+++ b/decision/requests_test.go
@@ -0,0 +1,181 @@
+package decision
+
+import (
+	"math/rand/v2"
+	"spurspread/decision/outcome"
+	"testing"
+)
+
+func TestCancelledRequestGetsNoFurtherAction(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(3, 0))
+	id, s := g.request()
+	if actions := g.handle(RequestCancelled{id}); len(actionsOf[CancelAttempt](actions)) != 1 {
+		t.Fatalf("on cancellation: %v", actions)
+	}
+	if actions := g.endAttempt(id, s, 0, outcome.TimedOut); len(actions) != 0 {
+		t.Fatalf("after cancellation: %v", actions)
+	}
+}
+
+// Events for requests, attempts, timers, probes and servers that are unknown or have ended are ignored.
+func TestStrayEvents(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(1, 0))
+	for _, ev := range []Event{
+		AttemptEnded{ID: 9, Server: 9},
+		Established{ID: 9, Server: 9},
+		ConnectionMetric{ID: 9, Server: 9, Kind: 2},
+		RequestCancelled{9},
+		TimerFired{deadlineTimer.forRequest(9)},
+		TimerFired{holdTimer.forRequest(9)},
+		TimerFired{1 << 60},
+		ProbeResult{Server: 9},
+		ProbeResult{Server: 1},
+		ExistingConnection{Request: Request{ID: 3}, Server: 77},
+	} {
+		if actions := g.handle(ev); len(actions) != 0 {
+			t.Errorf("%#v: %v", ev, actions)
+		}
+	}
+	id, s := g.request()
+	if actions := g.endAttempt(id, s, 3, outcome.Reset); len(actions) != 0 || g.health(s) == Unhealthy {
+		t.Errorf("the end of an attempt that was never started: %v", actions)
+	}
+}
+
+func TestExistingConnections(t *testing.T) {
+	g := newHarness(t, testSettings(), serverList(2, 0))
+	g.handle(ExistingConnection{Request: Request{ID: 5}, Server: 2})
+	if n := len(g.b.serversByID[2].connections); n != 1 || g.health(2) != Connected {
+		t.Fatalf("%d connections, %v", n, g.health(2))
+	}
+	g.handle(AttemptEnded{ID: 5, Server: 2, Status: outcome.OK, RequestClosed: true})
+	if n := len(g.b.serversByID[2].connections); n != 0 || len(g.b.requests) != 0 {
+		t.Fatalf("%d connections, %d requests left", n, len(g.b.requests))
+	}
+}
+
+// requestPlay plays random events for requests against one balancer and checks its state after each.
+type requestPlay struct {
+	*harness
+	rng      *rand.Rand
+	attempts []StartAttempt
+	numbers  map[uint32]int // attempts started, by request
+	answered map[uint32]bool
+}
+
+// do handles one event, and checks that no request gets a second answer or an attempt after its answer.
+func (p *requestPlay) do(ev Event) {
+	p.t.Helper()
+	for _, action := range p.handle(ev) {
+		switch a := action.(type) {
+		case StartAttempt:
+			if p.answered[a.ID] {
+				p.t.Fatalf("an attempt for request %d after its answer", a.ID)
+			}
+			p.attempts = append(p.attempts, a)
+			p.numbers[a.ID]++
+		case Reject:
+			p.answer(a.ID)
+		case Fail:
+			p.answer(a.ID)
+		}
+	}
+	p.checkState()
+}
+
+func (p *requestPlay) answer(id uint32) {
+	p.t.Helper()
+	if p.answered[id] {
+		p.t.Fatalf("a second answer to request %d", id)
+	}
+	p.answered[id] = true
+}
+
+// step handles one random event.
+func (p *requestPlay) step() {
+	p.t.Helper()
+	p.now += Micros(p.rng.IntN(int(30 * ms)))
+	id := 1 + p.rng.Uint32N(p.next+1)
+	switch draw := p.rng.IntN(20); {
+	case draw < 6:
+		p.next++
+		p.do(Request{ID: p.next, TimeLeft: sec, Group: p.rng.Uint64N(3), Resumable: p.rng.IntN(2) == 0})
+	case draw < 14 && len(p.attempts) > 0:
+		p.advanceAttempt(p.attempts[p.rng.IntN(len(p.attempts))])
+	case draw == 14:
+		p.do(RequestCancelled{ID: id})
+	case draw == 15:
+		p.do(RequestExpired{ID: id})
+	case draw == 16:
+		p.do(MoveRequested{ID: id, SameServerAllowed: p.rng.IntN(2) == 0})
+	case draw == 17:
+		p.do(TimerFired{holdTimer.forRequest(id)})
+	case draw == 18:
+		p.next++
+		p.do(ExistingConnection{Request: Request{ID: p.next}, Server: 1 + p.rng.Uint32N(5)})
+	default:
+		p.do(TimerFired{tickTimer})
+	}
+}
+
+// advanceAttempt reports an attempt, which may have ended already, as established or ended.
+func (p *requestPlay) advanceAttempt(a StartAttempt) {
+	p.t.Helper()
+	number := p.numbers[a.ID] - 1
+	if p.rng.IntN(2) == 0 {
+		p.do(Established{ID: a.ID, Attempt: number, Server: a.Server, SetupTime: 10 * ms})
+		return
+	}
+	status := outcome.Status(p.rng.IntN(int(outcome.Inconclusive) + 1))
+	p.do(AttemptEnded{
+		ID: a.ID, Attempt: number, Server: a.Server, Status: status, RequestClosed: p.rng.IntN(4) == 0,
+	})
+}
+
+// checkState compares what each server holds with the states of all requests.
+func (p *requestPlay) checkState() {
+	p.t.Helper()
+	pending, established, charged := map[*server]int{}, map[*server]int{}, map[*server]int{}
+	for id, r := range p.b.requests {
+		hasServer, isCharged := r.state != requestWaiting, r.state == requestConnecting || r.state == requestEstablished
+		if (r.server != nil) != hasServer || isCharged && r.chargedTo != r.server {
+			p.t.Fatalf("request %d in state %d at server %v, charged to %v", id, r.state, r.server, r.chargedTo)
+		}
+		if r.chargedTo != nil {
+			charged[r.chargedTo]++
+		}
+		switch r.state {
+		case requestConnecting, requestClosing:
+			pending[r.server]++
+		case requestEstablished:
+			established[r.server]++
+			if r.server.connections[r.connectionIndex] != r {
+				p.t.Fatalf("request %d is not connection %d of its server", id, r.connectionIndex)
+			}
+		}
+	}
+	for _, s := range p.b.servers {
+		if s.pendingAttempts != pending[s] || len(s.connections) != established[s] ||
+			s.load.OwnConnections != charged[s] {
+			p.t.Fatalf("server %d has %d pending attempts, %d connections and %d charged, requests say %d, %d and %d",
+				s.Server, s.pendingAttempts, len(s.connections), s.load.OwnConnections,
+				pending[s], established[s], charged[s])
+		}
+	}
+}
+
+// Whatever events come, what servers hold agrees with the states of requests, and each request is answered once.
+func TestRequestStates(t *testing.T) {
+	for seed := range uint64(12) {
+		g := newHarness(t, testSettings(), serverList(5, 0))
+		p := &requestPlay{
+			harness: g, rng: rand.New(rand.NewPCG(seed, 1)), numbers: map[uint32]int{}, answered: map[uint32]bool{},
+		}
+		for range 4000 {
+			p.step()
+		}
+		if len(p.attempts) < 100 || len(p.answered) < 100 {
+			t.Errorf("seed %d: only %d attempts and %d answers", seed, len(p.attempts), len(p.answered))
+		}
+	}
+}
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -16,8 +16,8 @@
 	minAttemptTimeout = 80 * ms
 	// setupTimeoutFactor is how many times the present set-up latency an attempt gets at least.
 	setupTimeoutFactor = 4.0
-	// attemptsWorthSplitting is for how many attempts of minAttemptTimeout time must be left to allow for another.
-	attemptsWorthSplitting = 2
+	// minSplitAttempts is how many attempts of minAttemptTimeout must fit into the time left for it to be split.
+	minSplitAttempts = 2
 )
 
 // attemptAllowed reports whether a further attempt may be started for r, at any server. It needs an attempt left
@@ -72,7 +72,7 @@
 // anotherAttemptPossible reports whether r could be retried after its present attempt timed out.
 func (b *Balancer) anotherAttemptPossible(r *request, timeLeft Micros) bool {
 	return r.attempts < b.settings.MaxAttempts &&
-		timeLeft >= attemptsWorthSplitting*minAttemptTimeout &&
+		timeLeft >= minSplitAttempts*minAttemptTimeout &&
 		r.pinnedTo == nil && r.class.Idempotency != NonIdempotent
 }
 
--- a/decision/retune_test.go
+++ b/decision/settings_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Settings read again decide what is asked after them; what was asked before keeps the class that it was asked under.
+// Changed settings decide requests that arrive later; earlier ones keep the class that they arrived with.
 func TestChangedSettingsApplyToLaterRequests(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		before, after Idempotency
 	}{
-		{"a class that may be repeated no longer may", Idempotent, NonIdempotent},
-		{"a class that may not be repeated now may", NonIdempotent, Idempotent},
+		{"an idempotent class no longer is", Idempotent, NonIdempotent},
+		{"a class becomes idempotent", NonIdempotent, Idempotent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before, after := testSettings(), testSettings()
@@ -22,31 +22,31 @@
 				before.Classes[0],
 			}
 			g := newHarness(t, before, serverList(6, 0))
-			old, oldAt := g.request()
+			earlier, earlierServer := g.request()
 			g.handle(SettingsChanged{Settings: after})
-			young, youngAt := g.request()
-			if oldAt == 0 || youngAt == 0 {
-				t.Fatal("not sent")
+			later, laterServer := g.request()
+			if earlierServer == 0 || laterServer == 0 {
+				t.Fatal("no attempt was started")
 			}
-			repeated := func(id, server uint32) bool {
-				// After a time-out the attempt may have run: only a class that may be repeated is sent again.
-				acts := append(
-					g.outcome(id, server, 0, outcome.TimedOut),
+			retried := func(id, server uint32) bool {
+				// After a time-out the attempt may have executed: only an idempotent class is retried.
+				actions := append(
+					g.endAttempt(id, server, 0, outcome.TimedOut),
 					g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
-				return len(actionsOf[StartAttempt](acts)) > 0
+				return len(actionsOf[StartAttempt](actions)) > 0
 			}
-			if got := repeated(old, oldAt); got != (c.before == Idempotent) {
-				t.Errorf("asked before: repeated %v under %v", got, c.before)
+			if got := retried(earlier, earlierServer); got != (c.before == Idempotent) {
+				t.Errorf("request before the change: retried %v under %v", got, c.before)
 			}
-			if got := repeated(young, youngAt); got != (c.after == Idempotent) {
-				t.Errorf("asked after: repeated %v under %v", got, c.after)
+			if got := retried(later, laterServer); got != (c.after == Idempotent) {
+				t.Errorf("request after the change: retried %v under %v", got, c.after)
 			}
 		})
 	}
 }
 
-// What the accounts of placement go by is tuned with the rest: the fleet's size, whether loads are told, what
-// weights mean.
+// Changed settings also change what budgets and polls are computed from: the fleet's size, whether loads are reported,
+// and the meaning of weights.
 func TestChangedSettingsUpdateBudgets(t *testing.T) {
 	before := testSettings()
 	before.PollDiscovery = true
@@ -57,7 +57,7 @@
 	if !g.b.loadModel.LoadsReported || !g.b.loadModel.DynamicWeights || g.b.polling.Rank != 7 ||
 		Micros(g.b.polling.SpreadTime()) != 5*sec {
 		t.Fatalf(
-			"told %v, live %v, rank %d, span %d",
+			"loads reported %v, dynamic weights %v, rank %d, spread time %d",
 			g.b.loadModel.LoadsReported,
 			g.b.loadModel.DynamicWeights,
 			g.b.polling.Rank,
