--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -17,7 +17,9 @@
 		for i := range 600 {
 			g.now += 20 * ms
 			g.next++
-			actions := g.handle(Request{ID: g.next, TimeLeft: 2 * sec, LoadHint: float64(i%7 + 1), HasLoadHint: true})
+			actions := g.handle(
+				Request{ID: g.next, TimeLeft: 2 * sec, LoadHint: float64(i%7 + 1), HasLoadHint: true},
+			)
 			log = append(log, actions)
 			for _, sd := range actionsOf[StartAttempt](actions) {
 				status := statuses[i%len(statuses)]
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -36,7 +36,10 @@
 func (b *Balancer) slowStartAllows(now Micros, s *server) bool {
 	window := b.settings.OverloadWindow
 	slot, slotStart := slowstart.SlotAt(now, s.StartedAt, window)
-	rate := slowstart.WarmUpRate * s.Weight / b.meanWeight * b.warmupFactor(slotStart, s) * b.settings.OverloadFactor
+	rate := slowstart.WarmUpRate * s.Weight / b.meanWeight * b.warmupFactor(
+		slotStart,
+		s,
+	) * b.settings.OverloadFactor
 	quota := rate * window.Seconds() / b.meanChargedWork
 	return s.budget.GrantAvailable(slot, quota, slowstart.Fleet{
 		Rank:        b.settings.Rank,
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// actionKinds is how many kinds of actions encode tells apart.
+// actionKinds is how many kinds of actions encode knows.
 const actionKinds = 9
 
 // actionFetch is the kind of FetchServerList, which a Balancer never emits.
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -39,9 +39,9 @@
 		s = newServer()
 		b.serversByID[entry.Server] = s
 		b.servers = append(b.servers, s)
-		s.setHealth(now, Unknown)
+		s.setHealth(now, healthUnknown)
 	case entry.StartedAt != s.StartedAt && entry.State == Ready:
-		s.setHealth(now, Unknown)
+		s.setHealth(now, healthUnknown)
 		s.restarted()
 	}
 	s.ServerEntry = *entry
@@ -90,7 +90,8 @@
 		return
 	}
 	for _, s := range b.servers {
-		longUnhealthy := s.State == Ready && s.health == Unhealthy && now-s.enteredAt[Unhealthy] > longUnhealthyAfter
+		longUnhealthy := s.State == Ready && s.health == healthUnhealthy &&
+			now-s.enteredAt[healthUnhealthy] > longUnhealthyAfter
 		if longUnhealthy && b.polling.RefreshAllowed(now) {
 			b.polling.ScheduleRefresh(now)
 			return
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -9,7 +9,7 @@
 	g.handle(ServerListUpdate{Kind: UpdateDelta})
 	g.now += 20 * sec
 	sv := g.b.serversByID[1]
-	sv.setHealth(g.now-longUnhealthyAfter-1, Unhealthy)
+	sv.setHealth(g.now-longUnhealthyAfter-1, healthUnhealthy)
 	for range 3 {
 		g.next++
 		if n := len(actionsOf[WatchDiscovery](g.handle(Request{ID: g.next, TimeLeft: sec}))); n != 0 {
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -240,7 +240,12 @@
 			s := testSettings()
 			s.Zones = c.zones
 			// The stable ID decides which balancer gets which grant.
-			warming := ServerEntry{Server: 50, StableID: stableID(50 + 1000*int(seed)), State: Ready, StartedAt: start}
+			warming := ServerEntry{
+				Server:    50,
+				StableID:  stableID(50 + 1000*int(seed)),
+				State:     Ready,
+				StartedAt: start,
+			}
 			m := newBalancerFleet(t, 80, s, append(serverList(4, 0), warming), seed)
 			single := map[Micros]float64{}
 			m.onAction = func(i int, a Action) {
@@ -336,7 +341,7 @@
 	}
 	m.run(m.now + 10*sec)
 	for i, b := range m.balancers {
-		if s := b.serversByID[1]; s.health != Connected {
+		if s := b.serversByID[1]; s.health != healthConnected {
 			t.Fatalf("balancer %d still has it as %v", i, s.health)
 		}
 	}
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -115,7 +115,7 @@
 	return byServer
 }
 
-func (g *harness) health(server uint32) Health { return g.b.serversByID[server].health }
+func (g *harness) health(server uint32) healthState { return g.b.serversByID[server].health }
 
 // endAttempt reports the end of an attempt.
 func (g *harness) endAttempt(id, server uint32, attempt int, status outcome.Status) []Action {
--- a/decision/health.go
+++ b/decision/health.go
@@ -7,24 +7,24 @@
 	"spurspread/decision/slowstart"
 )
 
-// Health is what a balancer believes of a server, from its own attempts, probes and metrics.
+// healthState is what a balancer knows of a server's health, from its own attempts, probes and metrics.
 //
-//	Unknown           newly listed or restarted; selected like Connected
-//	Connected         an attempt or a probe has succeeded, and none has failed since
-//	UnhealthyPending  being validated (recoverServer); selected after the first two for pendingTimeout, then like them
-//	Unhealthy         demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
+//	Unknown    newly listed or restarted; selected like Connected
+//	Connected  an attempt or a probe has succeeded, and none has failed since
+//	Pending    being validated (recoverServer); selected after the first two for pendingTimeout, then like them
+//	Unhealthy  demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
 //
 // A success makes any state Connected; a failure makes any state Unhealthy.
-type Health uint8
+type healthState uint8
 
 // The four states.
 const (
-	Connected Health = iota
-	Unknown
-	UnhealthyPending
-	Unhealthy
+	healthConnected healthState = iota
+	healthUnknown
+	healthPending
+	healthUnhealthy
 
-	healthStates = iota
+	healthStateCount = iota
 )
 
 const (
@@ -58,24 +58,24 @@
 	rankHealthy = iota
 	rankPending
 	rankUnhealthy
-	healthRanks
+	healthRankCount
 )
 
 // healthRank returns a server's rank by its state: one of lower rank is selected only if none of a better rank may
 // have the request.
 func healthRank(now Micros, s *server) int {
 	switch s.health {
-	case Unhealthy:
+	case healthUnhealthy:
 		return rankUnhealthy
-	case UnhealthyPending:
-		if now-s.enteredAt[UnhealthyPending] < pendingTimeout {
+	case healthPending:
+		if now-s.enteredAt[healthPending] < pendingTimeout {
 			return rankPending
 		}
 	}
 	return rankHealthy
 }
 
-func (s *server) setHealth(now Micros, h Health) {
+func (s *server) setHealth(now Micros, h healthState) {
 	s.health = h
 	s.enteredAt[h] = now
 }
@@ -83,8 +83,8 @@
 // markConnected records that an attempt, a message or a validation succeeded.
 func (b *Balancer) markConnected(now Micros, s *server) {
 	s.demotedForFailure = false
-	if s.health != Connected {
-		s.setHealth(now, Connected)
+	if s.health != healthConnected {
+		s.setHealth(now, healthConnected)
 	}
 }
 
@@ -140,14 +140,14 @@
 
 // demoteForFailure makes a server Unhealthy that is not.
 func (b *Balancer) demoteForFailure(now Micros, s *server) {
-	if s.health != Unhealthy {
+	if s.health != healthUnhealthy {
 		b.demote(now, s, true)
 	}
 }
 
 // demoteForSlowness makes a server Unhealthy that is not, unless slowness seems to be shared in its zone.
 func (b *Balancer) demoteForSlowness(now Micros, s *server) {
-	if s.health != Unhealthy && !b.slownessShared(s) {
+	if s.health != healthUnhealthy && !b.slownessShared(s) {
 		b.demote(now, s, false)
 	}
 }
@@ -162,7 +162,7 @@
 			continue
 		}
 		ready++
-		if other.health == Unhealthy {
+		if other.health == healthUnhealthy {
 			unhealthy++
 		}
 	}
@@ -171,10 +171,10 @@
 
 // demote makes a server Unhealthy and schedules its validation.
 func (b *Balancer) demote(now Micros, s *server, forFailure bool) {
-	if s.health == Connected && now-s.enteredAt[Connected] > demotionResetAfter {
+	if s.health == healthConnected && now-s.enteredAt[healthConnected] > demotionResetAfter {
 		s.consecutiveDemotions = 0
 	}
-	s.setHealth(now, Unhealthy)
+	s.setHealth(now, healthUnhealthy)
 	s.demotedForFailure = forFailure
 	b.updateFleetSize(now)
 	s.validateAt = now + b.jitterAround(validationDelay(s.consecutiveDemotions))
@@ -190,7 +190,7 @@
 // connections, has to be validated. One that was slow and has connections is Connected again once these report no
 // latency any more: they would, if it still was slow.
 func (b *Balancer) recoverServer(now Micros, s *server) {
-	if s.State != Ready || s.health != Unhealthy || now < s.validateAt {
+	if s.State != Ready || s.health != healthUnhealthy || now < s.validateAt {
 		return
 	}
 	if s.demotedForFailure || len(s.connections) == 0 {
@@ -200,7 +200,7 @@
 	}
 }
 
-// validateServer makes an Unhealthy server UnhealthyPending and probes it. Where Settings.AllowProbes is not set,
+// validateServer makes an Unhealthy server Pending and probes it. Where Settings.AllowProbes is not set,
 // the next request that it gets validates it. With maxConcurrentProbes under way it stays Unhealthy until a later
 // tick.
 func (b *Balancer) validateServer(now Micros, s *server) {
@@ -210,7 +210,7 @@
 		}
 		b.probeServer(s)
 	}
-	s.setHealth(now, UnhealthyPending)
+	s.setHealth(now, healthPending)
 }
 
 func (b *Balancer) probeServer(s *server) {
@@ -230,7 +230,7 @@
 	if reported {
 		s.load.ApplyReport(now, &b.loadModel, b.warmupFactor(now, s), utilization)
 	}
-	if s.health == UnhealthyPending {
+	if s.health == healthPending {
 		b.endValidation(now, s, ev.Status, utilization)
 	}
 }
@@ -241,7 +241,7 @@
 func (b *Balancer) endValidation(now Micros, s *server, status outcome.Status, utilization float64) {
 	switch {
 	case status == outcome.Inconclusive:
-		s.setHealth(now, Unhealthy)
+		s.setHealth(now, healthUnhealthy)
 		s.validateAt = now + b.jitterAround(minValidationDelay)
 	case status == outcome.OK && utilization <= maxValidationUtilization:
 		b.markConnected(now, s)
@@ -263,7 +263,7 @@
 		return
 	}
 	if !s.latency.MeasuredSlow() {
-		if s.health != Connected {
+		if s.health != healthConnected {
 			b.markConnected(now, s)
 		}
 		return
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -7,13 +7,13 @@
 
 func TestEstablishedMakesConnected(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
-	if h := g.health(1); h != Unknown {
+	if h := g.health(1); h != healthUnknown {
 		t.Fatalf("a newly listed server is %v, want Unknown", h)
 	}
 	g.now += sec
 	g.connect()
-	if s := g.b.serversByID[1]; s.health != Connected || s.enteredAt[Connected] != g.now ||
-		s.enteredAt[Unknown] != start {
+	if s := g.b.serversByID[1]; s.health != healthConnected || s.enteredAt[healthConnected] != g.now ||
+		s.enteredAt[healthUnknown] != start {
 		t.Fatalf("health %v, entered at %v", s.health, s.enteredAt)
 	}
 }
@@ -23,7 +23,7 @@
 		g := newHarness(t, testSettings(), serverList(4, 0))
 		id, s := g.request()
 		g.endAttempt(id, s, 0, status)
-		if g.health(s) != Unhealthy {
+		if g.health(s) != healthUnhealthy {
 			t.Errorf("status %v leaves the server %v", status, g.health(s))
 		}
 	}
@@ -33,7 +33,7 @@
 		g := newHarness(t, testSettings(), serverList(4, 0))
 		id, s := g.request()
 		g.endAttempt(id, s, 0, status)
-		if g.health(s) == Unhealthy {
+		if g.health(s) == healthUnhealthy {
 			t.Errorf("status %v demotes", status)
 		}
 	}
@@ -46,13 +46,13 @@
 		g := newHarness(t, testSettings(), serverList(4, 0))
 		id, s := g.request()
 		attempts := actionsOf[StartAttempt](g.endAttempt(id, s, 0, outcome.ErrorResponse))
-		if len(attempts) != 1 || attempts[0].Server == s || g.health(s) == Unhealthy {
+		if len(attempts) != 1 || attempts[0].Server == s || g.health(s) == healthUnhealthy {
 			t.Fatalf("attempts %v, server %v", attempts, g.health(s))
 		}
 		other := attempts[0].Server
 		if second == outcome.OK {
 			g.handle(Established{ID: id, Attempt: 1, Server: other, SetupTime: 10 * ms})
-			if g.health(s) != Unhealthy || g.health(other) != Connected {
+			if g.health(s) != healthUnhealthy || g.health(other) != healthConnected {
 				t.Errorf("first %v, second %v", g.health(s), g.health(other))
 			}
 			continue
@@ -61,7 +61,7 @@
 			len(actionsOf[StartAttempt](actions)) != 0 {
 			t.Errorf("not rejected: %v", actions)
 		}
-		if g.health(s) == Unhealthy || g.health(other) == Unhealthy || g.b.setups.FailuresShared() {
+		if g.health(s) == healthUnhealthy || g.health(other) == healthUnhealthy || g.b.setups.FailuresShared() {
 			t.Errorf("first %v, second %v, failures shared %v",
 				g.health(s), g.health(other), g.b.setups.FailuresShared())
 		}
@@ -75,7 +75,7 @@
 	g.endAttempt(id, s, 0, outcome.ConnectFailed)
 	g.advance(3 * sec)
 	g.handle(ProbeResult{Server: s, Status: outcome.Inconclusive})
-	if sv := g.b.serversByID[s]; sv.health != Unhealthy || sv.consecutiveDemotions != 1 ||
+	if sv := g.b.serversByID[s]; sv.health != healthUnhealthy || sv.consecutiveDemotions != 1 ||
 		len(actionsOf[ProbeServer](g.advance(3*sec))) != 1 {
 		t.Errorf("%v, %d consecutive demotions", sv.health, sv.consecutiveDemotions)
 	}
@@ -86,16 +86,16 @@
 	id, s := g.request()
 	g.endAttempt(id, s, 0, outcome.ConnectFailed)
 	probes := actionsOf[ProbeServer](g.advance(3 * sec))
-	if len(probes) != 1 || probes[0].Server != s || g.health(s) != UnhealthyPending {
+	if len(probes) != 1 || probes[0].Server != s || g.health(s) != healthPending {
 		t.Fatalf("probes %v, health %v", probes, g.health(s))
 	}
 	g.handle(ProbeResult{Server: s, Status: outcome.ConnectFailed})
-	if g.health(s) != Unhealthy {
+	if g.health(s) != healthUnhealthy {
 		t.Fatalf("a failed probe leaves %v", g.health(s))
 	}
 	g.advance(6 * sec)
 	g.handle(ProbeResult{Server: s, Status: outcome.OK})
-	if g.health(s) != Connected {
+	if g.health(s) != healthConnected {
 		t.Fatalf("a successful probe leaves %v", g.health(s))
 	}
 }
@@ -111,8 +111,8 @@
 }
 
 func TestPendingTimeoutRanksWithConnected(t *testing.T) {
-	s := &server{health: UnhealthyPending}
-	s.enteredAt[UnhealthyPending] = start
+	s := &server{health: healthPending}
+	s.enteredAt[healthPending] = start
 	if r := healthRank(start+pendingTimeout-1, s); r != rankPending {
 		t.Fatalf("rank %d before the time-out", r)
 	}
@@ -149,7 +149,7 @@
 	g.handle(
 		ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}},
 	)
-	if g.health(1) != Unknown {
+	if g.health(1) != healthUnknown {
 		t.Fatalf("a restarted server is %v", g.health(1))
 	}
 }
@@ -163,7 +163,7 @@
 		g.reportLatency(byServer[s], s, 70)
 	}
 	for s := uint32(1); s <= 10; s++ {
-		if g.health(s) == Unhealthy {
+		if g.health(s) == healthUnhealthy {
 			demoted++
 		}
 	}
@@ -180,7 +180,8 @@
 	}
 	id, s := g.request()
 	actions := g.endAttempt(id, s, 0, outcome.ErrorResponse)
-	if g.health(s) == Unhealthy || len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
+	if g.health(s) == healthUnhealthy || len(actionsOf[StartAttempt](actions)) != 0 ||
+		len(actionsOf[Reject](actions)) != 1 {
 		t.Fatalf("health %v, %v", g.health(s), actions)
 	}
 }
@@ -209,7 +210,7 @@
 
 // A single reset may be the network's fault; a second one soon after is the server's.
 func TestSecondResetDemotes(t *testing.T) {
-	for gap, want := range map[Micros]Health{resetPairWindow / 2: Unhealthy, resetPairWindow * 2: Connected} {
+	for gap, want := range map[Micros]healthState{resetPairWindow / 2: healthUnhealthy, resetPairWindow * 2: healthConnected} {
 		g := newHarness(t, testSettings(), serverList(2, 0))
 		g.connectMany(40)
 		s := g.b.serversByID[1]
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -18,7 +18,7 @@
 const (
 	preferHome = iota
 	otherZone
-	zonePreferences
+	zonePreferenceCount
 )
 
 func (b *Balancer) inHomeZone(s *server) bool { return int(s.Zone) == b.settings.Zone }
@@ -45,7 +45,7 @@
 }
 
 // selection holds the servers of least draw by health rank and zone preference.
-type selection [healthRanks][zonePreferences]struct {
+type selection [healthRankCount][zonePreferenceCount]struct {
 	server *server
 	draw   float64
 }
--- a/decision/placement_test.go
+++ b/decision/placement_test.go
@@ -26,12 +26,12 @@
 func TestPickByHealth(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 1))
 	r := &request{id: 99, class: g.b.settings.Classes[0]}
-	g.b.serversByID[1].setHealth(g.now, Unhealthy)
-	g.b.serversByID[2].setHealth(g.now, UnhealthyPending)
+	g.b.serversByID[1].setHealth(g.now, healthUnhealthy)
+	g.b.serversByID[2].setHealth(g.now, healthPending)
 	if s := g.b.pickServer(g.now, r); s.Server != 101 {
 		t.Errorf("the home zone has only lower ranks, yet %d was picked", s.Server)
 	}
-	g.b.serversByID[101].setHealth(g.now, Unhealthy)
+	g.b.serversByID[101].setHealth(g.now, healthUnhealthy)
 	for _, id := range []uint32{1, 2} {
 		budget := &g.b.serversByID[id].budget
 		budget.GrantsLeft = 1
@@ -40,7 +40,7 @@
 	if s := g.b.pickServer(g.now, r); s.Server != 2 {
 		t.Errorf("%d was picked before the pending one", s.Server)
 	}
-	g.b.serversByID[2].setHealth(g.now, Unhealthy)
+	g.b.serversByID[2].setHealth(g.now, healthUnhealthy)
 	if s := g.b.pickServer(g.now, r); s == nil {
 		t.Error("with all demoted nothing was picked")
 	}
--- a/decision/rebalance_test.go
+++ b/decision/rebalance_test.go
@@ -21,7 +21,7 @@
 		moved += len(g.reportLatency(byServer[slow][0], slow, 150+float64(i)))
 		g.advance(sec)
 	}
-	if g.health(slow) != Unhealthy || moved == 0 {
+	if g.health(slow) != healthUnhealthy || moved == 0 {
 		t.Fatalf("health %v, %d moved", g.health(slow), moved)
 	}
 	for range 50 {
@@ -30,7 +30,7 @@
 		}
 	}
 	g.reportLatency(byServer[slow][0], slow, 10)
-	if g.health(slow) != Connected {
+	if g.health(slow) != healthConnected {
 		t.Fatalf("in time again, yet %v", g.health(slow))
 	}
 }
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -7,27 +7,28 @@
 
 // requestState is where a request is in its life. Only this file changes it:
 //
-//	from         to           by                 when
-//	-            Waiting      addRequest         the request arrives
-//	Waiting      Connecting   assign             an attempt starts
-//	Waiting      Established  restore            the connection was established before the balancer started
-//	Connecting   Established  establish          the server has accepted
-//	Connecting   Waiting      detach             the attempt has ended without a connection; it may be retried
-//	Connecting   Closing      endRequest         answered or cancelled while the attempt is under way
-//	Established  Closing      endRequest         moved or cancelled
-//	Established  Waiting      detach, for an instant, until endRequest
-//	Closing      Waiting      detach, for an instant, until endRequest
-//	Waiting      -            endRequest         the request is forgotten
+//	from         to           by          when
+//	-            Waiting      addRequest  the request arrives
+//	Waiting      Connecting   assign      an attempt starts
+//	Waiting      Established  restore     the connection was established before the balancer started
+//	Waiting      Ended        endRequest  answered or cancelled
+//	Connecting   Established  establish   the server has accepted
+//	Connecting   Waiting      detach      the attempt has ended without a connection; the request may be retried
+//	Connecting   Closing      endRequest  answered or cancelled while the attempt is under way
+//	Established  Closing      endRequest  moved or cancelled
+//	Established  Ended        detach      the connection has ended
+//	Closing      Ended        detach      the attempt or connection has ended
 //
-// A request has a server in all states but Waiting. A request in Closing gets no further action: it is kept for the
-// server's accounts until its last attempt is reported to have ended.
+// A request has a server in Connecting, Established and Closing. In Closing it gets no further action: it is kept for
+// its server's counts. In Ended it is forgotten.
 type requestState uint8
 
 const (
 	requestWaiting     requestState = iota // being placed, or held until a server has capacity
 	requestConnecting                      // an attempt is under way
 	requestEstablished                     // the connection is established
-	requestClosing                         // the request has ended; its attempt or connection has not
+	requestClosing                         // answered, moved or cancelled; its attempt or connection has not ended yet
+	requestEnded                           // nothing is under way; to be forgotten
 )
 
 // request is one client request, from its arrival until its last attempt has ended.
@@ -55,7 +56,7 @@
 	erroredServer  *server              // answered an error that no other server has confirmed yet
 }
 
-// isCurrentAttempt tells whether that attempt at that server is the request's last one, and has not ended.
+// isCurrentAttempt reports whether that attempt at that server is the request's last one, and has not ended.
 func (r *request) isCurrentAttempt(attempt int, serverID uint32) bool {
 	return r.server != nil && attempt == r.attempts-1 && r.server.Server == serverID
 }
@@ -88,7 +89,7 @@
 	r.state = requestEstablished
 }
 
-// detach ends the attempt or the connection, and returns the server that had it.
+// detach takes the attempt or the connection, which has ended, off its server, and returns that server.
 func (r *request) detach() *server {
 	s := r.server
 	if r.state == requestEstablished {
@@ -98,7 +99,11 @@
 	}
 	r.release()
 	r.server = nil
-	r.state = requestWaiting
+	if r.state == requestConnecting {
+		r.state = requestWaiting
+	} else {
+		r.state = requestEnded
+	}
 	return s
 }
 
@@ -106,8 +111,9 @@
 // when its last attempt is reported to have ended.
 func (b *Balancer) endRequest(r *request) {
 	switch r.state {
-	case requestWaiting:
+	case requestWaiting, requestEnded:
 		delete(b.requests, r.id)
+		r.state = requestEnded
 	case requestConnecting:
 		r.state = requestClosing
 		if b.settings.AllowCancel {
@@ -118,7 +124,7 @@
 		r.release()
 		r.server.pendingAttempts++
 		r.state = requestClosing
-	case requestClosing:
+	case requestClosing: // until detach
 	}
 }
 
@@ -203,9 +209,8 @@
 	if r == nil || !r.isCurrentAttempt(ev.Attempt, ev.Server) {
 		return
 	}
-	before := r.state
+	wasEstablished := r.state == requestEstablished
 	s := r.detach()
-	wasEstablished := before == requestEstablished
 	if wasEstablished && ev.Status != outcome.OK {
 		b.fleetSize.ExpectReturn()
 	}
@@ -216,7 +221,7 @@
 		}
 		b.updateHealth(now, s, ev.Status, wasEstablished)
 	}
-	if ev.RequestClosed || before != requestConnecting {
+	if ev.RequestClosed || r.state == requestEnded {
 		b.endRequest(r)
 		return
 	}
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	id, s := g.request()
-	if actions := g.endAttempt(id, s, 3, outcome.Reset); len(actions) != 0 || g.health(s) == Unhealthy {
+	if actions := g.endAttempt(id, s, 3, outcome.Reset); len(actions) != 0 || g.health(s) == healthUnhealthy {
 		t.Errorf("the end of an attempt that was never started: %v", actions)
 	}
 }
@@ -45,7 +45,7 @@
 func TestExistingConnections(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 0))
 	g.handle(ExistingConnection{Request: Request{ID: 5}, Server: 2})
-	if n := len(g.b.serversByID[2].connections); n != 1 || g.health(2) != Connected {
+	if n := len(g.b.serversByID[2].connections); n != 1 || g.health(2) != healthConnected {
 		t.Fatalf("%d connections, %v", n, g.health(2))
 	}
 	g.handle(AttemptEnded{ID: 5, Server: 2, Status: outcome.OK, RequestClosed: true})
@@ -137,7 +137,8 @@
 	p.t.Helper()
 	pending, established, charged := map[*server]int{}, map[*server]int{}, map[*server]int{}
 	for id, r := range p.b.requests {
-		hasServer, isCharged := r.state != requestWaiting, r.state == requestConnecting || r.state == requestEstablished
+		hasServer, isCharged := r.state != requestWaiting, r.state == requestConnecting ||
+			r.state == requestEstablished
 		if (r.server != nil) != hasServer || isCharged && r.chargedTo != r.server {
 			p.t.Fatalf("request %d in state %d at server %v, charged to %v", id, r.state, r.server, r.chargedTo)
 		}
@@ -157,9 +158,16 @@
 	for _, s := range p.b.servers {
 		if s.pendingAttempts != pending[s] || len(s.connections) != established[s] ||
 			s.load.OwnConnections != charged[s] {
-			p.t.Fatalf("server %d has %d pending attempts, %d connections and %d charged, requests say %d, %d and %d",
-				s.Server, s.pendingAttempts, len(s.connections), s.load.OwnConnections,
-				pending[s], established[s], charged[s])
+			p.t.Fatalf(
+				"server %d has %d pending attempts, %d connections and %d charged, requests say %d, %d and %d",
+				s.Server,
+				s.pendingAttempts,
+				len(s.connections),
+				s.load.OwnConnections,
+				pending[s],
+				established[s],
+				charged[s],
+			)
 		}
 	}
 }
--- a/decision/server.go
+++ b/decision/server.go
@@ -16,14 +16,14 @@
 	budget  slowstart.Budget
 	latency latency.Estimate
 
-	health               Health
-	enteredAt            [healthStates]Micros // when it last entered each state
-	consecutiveDemotions int                  // without demotionResetAfter of good service between
-	demotedForFailure    bool                 // rather than for slowness
-	validateAt           Micros               // when it may be validated, if Unhealthy
-	probing              bool                 // a probe is under way
-	pausedUntil          Micros               // no new attempt before
-	lastResetAt          Micros               // when it last reset a connection
+	health               healthState
+	enteredAt            [healthStateCount]Micros // when it last entered each state
+	consecutiveDemotions int                      // without demotionResetAfter of good service between
+	demotedForFailure    bool                     // rather than for slowness
+	validateAt           Micros                   // when it may be validated, if Unhealthy
+	probing              bool                     // a probe is under way
+	pausedUntil          Micros                   // no new attempt before
+	lastResetAt          Micros                   // when it last reset a connection
 
 	pendingAttempts int            // attempts under way, and connections that close
 	lastTriedBy     uint32         // the request that was sent to it last, as triedByToken
@@ -53,10 +53,10 @@
 // triedByToken is a request's ID in server.lastTriedBy, where 0 stands for none.
 func triedByToken(id uint32) uint32 { return id + 1 }
 
-// wasLastTriedBy tells whether the request was the last that was sent to the server.
+// wasLastTriedBy reports whether the request was the last that was sent to the server.
 func (s *server) wasLastTriedBy(r *request) bool { return s.lastTriedBy == triedByToken(r.id) }
 
-// addsNoGroup tells whether r belongs to no group, or to one of which the server has connections already.
+// addsNoGroup reports whether r belongs to no group, or to one of which the server has connections already.
 func (s *server) addsNoGroup(r *request) bool { return r.group == 0 || s.groupSizes[r.group] > 0 }
 
 // pauseUntil lets the server get nothing new until then: one more connection would harm all that it has.
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -143,5 +143,5 @@
 	return shortest
 }
 
-// loadsReported tells whether servers report the load of their connections.
+// loadsReported reports whether servers report the load of their connections.
 func (b *Balancer) loadsReported() bool { return b.settings.ReportsConnectionLoad }
