--- /dev/null
+++ b/decision/attemptoutcome/attemptoutcome_test.go
@@ -0,0 +1,63 @@
+package attemptoutcome
+
+import (
+	"spurspread/decision/outcome"
+	"testing"
+)
+
+func TestOutcomes(t *testing.T) {
+	for name, c := range map[string]struct{ got, want outcome.Status }{
+		"dial without descriptors":       {OfFailedDial(true), outcome.Inconclusive},
+		"dial refused":                   {OfFailedDial(false), outcome.ConnectFailed},
+		"not written":                    {OfUnanswered(outcome.TimedOut, false), outcome.ConnectFailed},
+		"written":                        {OfUnanswered(outcome.TimedOut, true), outcome.TimedOut},
+		"waiting, connection reset":      {OfWaiting(outcome.Reset), outcome.ConnectFailed},
+		"waiting, no descriptors":        {OfWaiting(outcome.Inconclusive), outcome.Inconclusive},
+		"server reset":                   {OfEstablished(outcome.Reset, false), outcome.Reset},
+		"server ended after its client":  {OfEstablished(outcome.Reset, true), outcome.Cancelled},
+		"server finished, client closed": {OfEstablished(outcome.OK, true), outcome.OK},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %v, want %v", name, c.got, c.want)
+		}
+	}
+}
+
+func TestLocalShortage(t *testing.T) {
+	if !IsLocalShortage(OfFailedDial(true)) || IsLocalShortage(OfFailedDial(false)) {
+		t.Error("only what this machine lacks is a local shortage")
+	}
+}
+
+func TestRetriesReattach(t *testing.T) {
+	if !RetriesReattach(outcome.ConnectFailed) || RetriesReattach(outcome.Reset) || RetriesReattach(outcome.TimedOut) {
+		t.Error("a server that was reached is tried again")
+	}
+}
+
+func TestContinuesOnAnotherServer(t *testing.T) {
+	for name, c := range map[string]struct {
+		stream Stream
+		want   bool
+	}{
+		"numbered":    {Stream{true, true, outcome.Reset}, true},
+		"plain":       {Stream{false, true, outcome.Reset}, false},
+		"inside line": {Stream{true, false, outcome.Reset}, false},
+		"finished":    {Stream{true, true, outcome.OK}, false},
+		"sent away":   {Stream{true, true, outcome.Cancelled}, true},
+	} {
+		if got := ContinuesOnAnotherServer(c.stream); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
+
+func TestSharedFailureIsOnePieceOfEvidence(t *testing.T) {
+	var f SharedFailure
+	ends := []struct{ failed, want bool }{{false, true}, {false, true}, {true, true}, {true, false}, {true, false}}
+	for i, c := range ends {
+		if got := f.IsEvidence(c.failed); got != c.want {
+			t.Errorf("end %d: %v, want %v", i, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/decision/keepalive/keepalive_test.go
@@ -0,0 +1,48 @@
+package keepalive
+
+import (
+	"spurspread/decision/monotime"
+	"testing"
+)
+
+func TestUpstream(t *testing.T) {
+	const now, ms = 100 * monotime.Second, monotime.Millisecond
+	for name, c := range map[string]struct {
+		received, ping Micros // before now
+		want           Verdict
+	}{
+		"received lately":       {1999 * ms, 9000 * ms, Keep},
+		"quiet":                 {2000 * ms, 9000 * ms, Ping},
+		"quiet, pinged lately":  {3000 * ms, 1999 * ms, Keep},
+		"quiet, pinged before":  {3000 * ms, 2000 * ms, Ping},
+		"quiet for nearly long": {4999 * ms, 1000 * ms, Keep},
+		"quiet for long":        {5000 * ms, 1000 * ms, Close},
+	} {
+		if got := Upstream(now, now-c.received, now-c.ping); got != c.want {
+			t.Errorf("%s: %d, want %d", name, got, c.want)
+		}
+	}
+}
+
+func TestDownstream(t *testing.T) {
+	const idle = 20 * monotime.Second
+	for name, c := range map[string]struct {
+		quiet    Micros
+		channels int
+		want     Verdict
+	}{
+		"fresh":                       {0, 0, Keep},
+		"one interval before":         {15*monotime.Second - 1, 3, Keep},
+		"nearly idle":                 {15 * monotime.Second, 0, Ping},
+		"idle without channels":       {idle, 0, Close},
+		"idle with channels":          {idle, 1, Ping},
+		"twice as long with channels": {2 * idle, 1, Close},
+	} {
+		if got := Downstream(c.quiet, idle, c.channels); got != c.want {
+			t.Errorf("%s: %d, want %d", name, got, c.want)
+		}
+	}
+	if got := DownstreamCheckInterval(idle); got != 5*monotime.Second {
+		t.Errorf("looked at every %d", got)
+	}
+}
--- /dev/null
+++ b/decision/messagedelay/messagedelay_test.go
@@ -0,0 +1,114 @@
+package messagedelay
+
+import (
+	"spurspread/decision/monotime"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const millisecond = monotime.Millisecond
+
+// Lines that were answered count by what they took, those without an answer by their age; one report a second while
+// slow, and one when it is over.
+func TestServerLatency(t *testing.T) {
+	const limit = 16 * millisecond
+	e := &Estimator{}
+	steps := []struct {
+		now, took, age Micros
+		known, due     bool
+	}{
+		{0, 0, 0, false, false},
+		{100 * millisecond, 2 * millisecond, 0, true, false},
+		{200 * millisecond, 0, 300 * millisecond, true, true}, // unanswered
+		{400 * millisecond, 0, 500 * millisecond, true, false},
+		{1300 * millisecond, 40 * millisecond, 0, true, true},
+		{2400 * millisecond, 3 * millisecond, 0, true, true}, // fast again
+		{2600 * millisecond, 3 * millisecond, 10 * millisecond, true, false},
+	}
+	for i, c := range steps {
+		if c.took > 0 {
+			e.Record(c.now, c.took)
+		}
+		e.ResetUnanswered()
+		if c.age > 0 {
+			e.AddUnanswered(c.age)
+		}
+		slow, _ := e.IsSlow(c.now, limit)
+		took, known := e.Median(c.now, limit)
+		if slow != (took > limit) {
+			t.Errorf("step %d: %d, slow %v", i, took, slow)
+		}
+		if known != c.known || known && e.reportDue(c.now, took > limit) != c.due {
+			t.Errorf("step %d: %d, %v", i, took, known)
+		}
+	}
+}
+
+// What a server reports itself counts while its lines come back fast, and without a connection nothing is reported.
+func TestReportIsSuppressed(t *testing.T) {
+	const limit = 16 * millisecond
+	slowNow := func() *Estimator {
+		e := &Estimator{}
+		e.Record(0, 2*limit)
+		return e
+	}
+	e := slowNow()
+	if _, due := e.Report(0, limit, false); due {
+		t.Error("reported without a connection")
+	}
+	if latency, due := e.Report(0, limit, true); !due || latency != 2*limit {
+		t.Errorf("slow: %d, %v", latency, due)
+	}
+	e.SelfReported(1500 * millisecond)
+	e.Record(1500*millisecond, 1)
+	if _, due := e.Report(1500*millisecond, limit, true); due {
+		t.Error("fast lines hide what the server reports itself")
+	}
+	if latency, due := e.Report(1500*millisecond+selfReportValidity, limit, true); due {
+		t.Errorf("%d reported without a sample", latency)
+	}
+	e = slowNow()
+	e.SelfReported(0)
+	if _, due := e.Report(1, limit, true); !due {
+		t.Error("slow lines are not reported")
+	}
+}
+
+func TestSlowLimit(t *testing.T) {
+	for want, objectives := range map[Micros][]Micros{
+		0:                {},
+		20 * millisecond: {0, 90 * millisecond, 60 * millisecond},
+		10 * millisecond: {30 * millisecond, 0},
+	} {
+		if got := SlowLimit(objectives); got != want {
+			t.Errorf("%v: %d, want %d", objectives, got, want)
+		}
+	}
+}
+
+func TestLoadLineIsLatency(t *testing.T) {
+	if !LoadLineIsLatency(true, false) || LoadLineIsLatency(true, true) || LoadLineIsLatency(false, false) {
+		t.Error("it is a latency only where latencies and no loads are promised")
+	}
+}
+
+// IsSlow says of any lines what their median says.
+func TestSlowByTheMedian(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limit := Micros(rapid.Int64Range(1, 100).Draw(t, "limit"))
+		e, now := &Estimator{}, Micros(0)
+		for range rapid.IntRange(0, 20).Draw(t, "lines") {
+			now += Micros(rapid.Int64Range(0, 300_000).Draw(t, "pause"))
+			e.Record(now, Micros(rapid.Int64Range(0, 200).Draw(t, "took")))
+		}
+		for range rapid.IntRange(0, 10).Draw(t, "unanswered") {
+			e.AddUnanswered(Micros(rapid.Int64Range(0, 200).Draw(t, "age")))
+		}
+		slow, known := e.IsSlow(now, limit)
+		median, medianKnown := e.Median(now, limit)
+		if known != medianKnown || slow != (median > limit) {
+			t.Fatalf("slow %v, %v; median %d, %v of %+v", slow, known, median, medianKnown, e)
+		}
+	})
+}
--- /dev/null
+++ b/decision/recall/recall_test.go
@@ -0,0 +1,26 @@
+package recall
+
+import (
+	"net/netip"
+	"testing"
+)
+
+func TestNeeded(t *testing.T) {
+	at := netip.MustParseAddrPort("10.0.0.1:80")
+	chosen := Listing{Ready: true, StartedAt: 1_700_000_000_000, Addr: at}
+	for name, c := range map[string]struct {
+		chosen, current Listing
+		want            bool
+	}{
+		"unchanged":            {chosen, chosen, false},
+		"draining":             {chosen, Listing{false, chosen.StartedAt, at}, true},
+		"restarted":            {chosen, Listing{true, chosen.StartedAt + 1, at}, true},
+		"start became unknown": {chosen, Listing{true, 0, at}, true},
+		"other address":        {chosen, Listing{true, chosen.StartedAt, netip.MustParseAddrPort("10.0.0.1:81")}, true},
+		"was draining before":  {Listing{false, chosen.StartedAt, at}, chosen, false},
+	} {
+		if got := Needed(c.chosen, c.current); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/decision/requestids/requestids_test.go
@@ -0,0 +1,46 @@
+package requestids
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever comes and goes, the active ids and the last finished ones are duplicates, and nothing else is.
+func TestDuplicatesMatchModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := New()
+		active := map[uint64]bool{}
+		var finished []uint64
+		next := uint64(0)
+		for range rapid.IntRange(1, 3*Remembered).Draw(t, "steps") {
+			if len(active) > 0 && next%3 == 0 {
+				for id := range active {
+					delete(active, id)
+					s.Finish(id)
+					finished = append(finished, id)
+					break
+				}
+			}
+			if !s.Add(next) {
+				t.Fatalf("new id %d is taken for a duplicate", next)
+			}
+			active[next] = true
+			next++
+		}
+		known := finished[max(0, len(finished)-Remembered):]
+		for id := range next {
+			want := active[id] || slices.Contains(known, id)
+			if s.Known(id) != want {
+				t.Fatalf("id %d known: %v, want %v", id, s.Known(id), want)
+			}
+			if want && s.Add(id) {
+				t.Fatalf("duplicate %d was added", id)
+			}
+		}
+		if s.Len() != len(active)+len(known) {
+			t.Fatalf("%d ids, want %d", s.Len(), len(active)+len(known))
+		}
+	})
+}
--- /dev/null
+++ b/decision/timeouts/timeouts_test.go
@@ -0,0 +1,70 @@
+package timeouts
+
+import (
+	"spurspread/decision/monotime"
+	"testing"
+)
+
+const (
+	ms  = monotime.Millisecond
+	sec = monotime.Second
+)
+
+func TestCombinedLimits(t *testing.T) {
+	for name, c := range map[string]struct{ got, want Micros }{
+		"class bounds the client":          {Request(9*sec, 3*sec), 3 * sec},
+		"client waits less":                {Request(1*sec, 3*sec), 1 * sec},
+		"reattaching is bounded":           {Reattach(60 * sec), MaxReattach},
+		"reattaching as announced":         {Reattach(2 * sec), 2 * sec},
+		"reattaching, overdue":             {ReattachAttempt(-5), 1 * ms},
+		"reattaching, time left":           {ReattachAttempt(2 * sec), 2 * sec},
+		"attempt without its own time-out": {Attempt(0, 2*sec), 2 * sec},
+		"attempt longer than the client":   {Attempt(3*sec, 2*sec), 2 * sec},
+		"attempt shorter":                  {Attempt(1*sec, 2*sec), 1 * sec},
+		"client is overdue":                {Attempt(1*sec, -5), 0},
+		"connecting":                       {Connect(2*sec, 100*ms), 100 * ms},
+		"connecting with little left":      {Connect(50*ms, 100*ms), 50 * ms},
+		"multiplexed set-up":               {MuxSetup(100 * ms), 300 * ms},
+		"waiting for a multiplexed one":    {MuxAttempt(200*ms, 100*ms), 200 * ms},
+		"written request":                  {Answer(5*sec, 2*sec, true), 5 * sec},
+		"unwritten request":                {Answer(5*sec, 2*sec, false), 2 * sec},
+		"unwritten without a window":       {Answer(5*sec, 0, false), 5 * sec},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %d, want %d", name, c.got, c.want)
+		}
+	}
+}
+
+func TestWriteForbidden(t *testing.T) {
+	if WriteForbidden(9*sec, 0) || WriteForbidden(sec-1, sec) || !WriteForbidden(sec, sec) {
+		t.Error("the window ends at its end, and where there is none it never ends")
+	}
+}
+
+func TestAnnouncedDeadline(t *testing.T) {
+	for left, want := range map[Micros]int64{-sec: 1, 0: 1, ms: 1, 2*ms - 1: 1, 2 * ms: 2, 3 * sec: 3000} {
+		if got := AnnouncedDeadline(left); got != want {
+			t.Errorf("%d µs left: %d, want %d", left, got, want)
+		}
+	}
+}
+
+func TestSilent(t *testing.T) {
+	for name, c := range map[string]struct {
+		lastReply, oldest Micros
+		want              bool
+	}{
+		"answered lately":            {15 * sec, 15 * sec, false},
+		"long pause, then a line":    {0, 19 * sec, false},
+		"nothing back":               {13 * sec, 15 * sec, true},
+		"at the limit":               {20*sec - Silence, 20*sec - Silence + clientLineInterval, false},
+		"one microsecond beyond it":  {20*sec - Silence - 1, 20*sec - Silence - 1, true},
+		"reply to a line before":     {19 * sec, 10 * sec, false},
+		"pause counts until a point": {0, 16*sec + 500*ms - 1, true},
+	} {
+		if got := Silent(20*sec, c.lastReply, c.oldest); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
