--- /dev/null
+++ b/internal/proxy/buffers.go
@@ -0,0 +1,47 @@
+package proxy
+
+import (
+	"spurspread/decision/overload"
+	"spurspread/internal/mux"
+)
+
+const (
+	// readSize is how many bytes are read from a connection at once.
+	readSize = 8 << 10
+	// muxReadSize is the same for a multiplexed connection, which carries the data of many.
+	muxReadSize = 64 << 10
+	// readsPerTurn is how many reads one socket has before the others have their turn.
+	readsPerTurn = 4
+)
+
+// bufferLimits owns the read buffers, which all connections share, and what bounds the memory under slow readers.
+type bufferLimits struct {
+	read       []byte
+	muxRead    []byte // nil until channels are turned on
+	maxPending int    // bytes kept for one slow reader before its sender is left unread
+	fittedTo   int    // slow readers that maxPending was fitted to
+	windows    mux.Budget
+}
+
+func newBufferLimits() bufferLimits {
+	return bufferLimits{read: make([]byte, readSize), maxPending: overload.MaxPendingBytes}
+}
+
+// fitBuffers fits the buffers to the memory and the number of requests.
+func (p *Proxy) fitBuffers() {
+	p.buffers.fittedTo = overload.SlowReaders(p.cfg.MaxDescriptors, p.requests.len())
+	p.buffers.maxPending = overload.PendingLimit(p.cfg.MemoryLimit, p.buffers.fittedTo)
+}
+
+// fitBuffersToGrowth fits them again if there are more requests than they were fitted to.
+func (p *Proxy) fitBuffersToGrowth() {
+	if p.requests.len() > p.buffers.fittedTo {
+		p.fitBuffers()
+	}
+}
+
+// fitWindows sets how much peers may be granted to send on channels.
+func (p *Proxy) fitWindows() {
+	p.buffers.windows.Floor = overload.MinChannelWindow
+	p.buffers.windows.Limit = overload.WindowBudget(p.cfg.MemoryLimit)
+}
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -8,6 +8,9 @@
 	"io"
 	"net"
 	"spurspread/decision"
+	"spurspread/decision/drainschedule"
+	"spurspread/decision/keepalive"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/decision/upstreampool"
 	"spurspread/internal/eventloop"
@@ -20,13 +23,13 @@
 func channelsOn(cfg *Config) {
 	cfg.Channels = &ChannelConfig{
 		Downstreams: true, Upstreams: true, Version: "test", MaxChannels: 100, OpensPerSecond: 1000, Window: 32 << 10,
-		SetupTimeout: 2 * second, IdleTimeout: 30 * second,
+		SetupTimeout: 2 * monotime.Second, IdleTimeout: 30 * monotime.Second,
 		Pool: upstreampool.Limits{
 			ChannelsPerConnection: 50,
 			ConnectionsPerServer:  2,
 			Connections:           10,
-			IdleTimeout:           10 * second,
-			PlainTTL:              600 * second,
+			IdleTimeout:           10 * monotime.Second,
+			PlainTTL:              600 * monotime.Second,
 		},
 	}
 }
@@ -251,7 +254,7 @@
 					}
 					for {
 						left := 0
-						g.inLoop(func() { left = g.proxy.requests.Len() })
+						g.inLoop(func() { left = g.proxy.requests.len() })
 						if left == 0 {
 							break
 						}
@@ -349,7 +352,7 @@
 		t,
 		1,
 		sendToFirst,
-		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * millisecond },
+		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * monotime.Millisecond },
 	)
 	client, target := g.pair(true, true, openLine)
 	goodbye := func(what string, c *sshchan.Conn, want string) {
@@ -440,11 +443,11 @@
 		clients[2].want(fmt.Sprintf("OK %d\r\n", i))
 		kept := 0
 		g.inLoop(func() {
-			for _, s := range g.proxy.requests.All {
+			for s := range g.proxy.requests.all {
 				kept += s.downstream.Pending() + s.attempt.upstream.Pending()
 			}
 		})
-		if most := 2 * (g.proxy.maxPending + len(g.proxy.readBuf)); kept > most {
+		if most := 2 * (g.proxy.buffers.maxPending + len(g.proxy.buffers.read)); kept > most {
 			t.Fatalf("%d bytes kept, over %d", kept, most)
 		}
 	}
@@ -642,9 +645,9 @@
 	g.inLoop(g.proxy.Drain)
 	late = g.connection()
 	g.inLoop(func() {
-		g.proxy.drain.began -= 2 * minDrainTime // that time is over
+		g.proxy.drain.began -= 2 * drainschedule.MinDuration // that time is over
 		g.onlyRequest().moveAway(outcome.Cancelled, true)
-		g.proxy.checkDrained()
+		g.proxy.drain.check()
 	})
 	g.overChannel(ch).moved()
 	for _, conn := range []*sshchan.Conn{c, late} {
@@ -712,8 +715,8 @@
 		clients = append(clients, g.overChannel(ch))
 	}
 	g.inLoop(func() {
-		for _, t := range g.proxy.muxUpstreams {
-			t.lastReceived -= upstreamSilenceTimeout
+		for _, t := range g.proxy.upstreams.conns {
+			t.lastReceived -= keepalive.UpstreamSilence
 			t.checkAlive()
 		}
 	})
@@ -737,7 +740,7 @@
 	client, _ := g.pair(true, true, openLine)
 	age := func(by eventloop.Micros) (over bool) {
 		g.inLoop(func() {
-			for m := range g.proxy.muxDownstreams {
+			for m := range g.proxy.listener.muxed {
 				m.lastReceived -= by
 				m.checkIdle()
 				over = m.closed
@@ -745,19 +748,19 @@
 		})
 		return over
 	}
-	if age(40 * second) {
+	if age(40 * monotime.Second) {
 		t.Error("ended before it was asked")
 	}
 	for quiet := eventloop.Micros(1); quiet > 0; { // its answer is heard
 		g.inLoop(func() {
-			for m := range g.proxy.muxDownstreams {
-				if quiet = 0; m.lastReceived < g.loop.Now()-second {
+			for m := range g.proxy.listener.muxed {
+				if quiet = 0; m.lastReceived < g.loop.Now()-monotime.Second {
 					quiet = 1
 				}
 			}
 		})
 	}
-	if !age(61 * second) {
+	if !age(61 * monotime.Second) {
 		t.Error("never ended")
 	}
 	client.ended(true)
@@ -774,7 +777,7 @@
 	client.say("T 1\r\n")
 	target.want("T 1\r\n")
 	evicted, open := 0, 0
-	g.inLoop(func() { evicted, open = g.proxy.counters.evicted, g.loop.Descriptors() })
+	g.inLoop(func() { evicted, open = g.proxy.stats.evicted, g.loop.Descriptors() })
 	if evicted < 30 || open > 40 {
 		t.Errorf("%d evicted, %d descriptors", evicted, open)
 	}
--- /dev/null
+++ b/internal/proxy/downstream_mux.go
@@ -0,0 +1,297 @@
+package proxy
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"spurspread/decision/keepalive"
+	"spurspread/decision/monotime"
+	"spurspread/decision/overload"
+	"spurspread/decision/timeouts"
+	"spurspread/internal/channel"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
+	"spurspread/internal/mux"
+)
+
+// lineEnd ends a line of the protocol. Data of channels comes without it.
+const lineEnd = "\r\n"
+
+// muxDownstreamConn is a client's multiplexed connection. Each of its channels carries a request.
+type muxDownstreamConn struct {
+	conn             *downstreamConn
+	mux              *mux.Conn
+	lastReceived     monotime.Micros
+	serviceRequested bool // the client has requested the service, and may open channels
+	requests         int  // requests on it
+	opens            overload.OpenLimiter
+	closed           bool
+}
+
+// startMux makes a connection multiplexed whose first line has the greeting of one. rest is what came behind the part of
+// it that firstLine holds.
+func (c *downstreamConn) startMux(rest []byte) {
+	p := c.proxy
+	cfg := p.cfg.Channels
+	now := p.loop.Now()
+	m := &muxDownstreamConn{conn: c, lastReceived: now, opens: overload.NewOpenLimiter(now, cfg.OpensPerSecond)}
+	m.mux = mux.New(c.conn, mux.Config{
+		Server:      true,
+		Version:     cfg.Version,
+		MaxChannels: cfg.MaxChannels,
+		Window:      cfg.Window,
+		Budget:      &p.buffers.windows,
+	}, m)
+	c.mux = m
+	p.listener.muxed[m] = true
+	greeting := c.firstLine
+	c.firstLine = nil
+	if m.feed(greeting) && !m.serviceRequested {
+		c.startTimer(cfg.SetupTimeout, m.setupTimedOut)
+	}
+	if len(rest) > 0 && !m.closed {
+		m.feed(rest)
+	}
+}
+
+// readClient reads what the client sends.
+func (m *muxDownstreamConn) readClient() {
+	buffer := m.conn.proxy.buffers.muxRead
+	for range readsPerTurn {
+		if m.closed {
+			return
+		}
+		n, err := m.conn.conn.Read(buffer)
+		if errors.Is(err, eventloop.ErrAgain) {
+			return
+		}
+		if err != nil {
+			m.connectionLost(errors.Is(err, io.EOF))
+			return
+		}
+		if !m.feed(buffer[:n]) {
+			return
+		}
+	}
+	m.conn.proxy.loop.After(0, m.readClient)
+}
+
+// feed handles bytes from the client. It returns false where the connection has ended, by them or because of them.
+func (m *muxDownstreamConn) feed(b []byte) bool {
+	m.lastReceived = m.conn.proxy.loop.Now()
+	err := m.mux.Feed(b)
+	if err == nil {
+		if m.mux.Ready() && !m.serviceRequested {
+			m.serviceRequested = true
+			m.checkIdle()
+		}
+		return !m.closed
+	}
+	disconnected := errors.Is(err, mux.ErrDisconnected)
+	if !disconnected {
+		m.conn.proxy.stats.protocolErrors++
+	}
+	m.close(disconnected)
+	return false
+}
+
+// connectionLost handles the end of the client's side, a plain one or a reset.
+func (m *muxDownstreamConn) connectionLost(plain bool) {
+	if m.closed {
+		return
+	}
+	m.release(plain)
+	m.conn.close()
+}
+
+// close ends the connection once the client has had time to read what was sent.
+func (m *muxDownstreamConn) close(plain bool) {
+	if m.closed {
+		return
+	}
+	m.release(plain)
+	m.conn.closeGracefully()
+}
+
+// release ends all requests on the connection.
+func (m *muxDownstreamConn) release(plain bool) {
+	m.closed = true
+	delete(m.conn.proxy.listener.muxed, m)
+	m.mux.Lost(plain)
+}
+
+// disconnect ends the connection with a reason for its client.
+func (m *muxDownstreamConn) disconnect(reason string) {
+	m.mux.Disconnect(channel.ByApplication, reason)
+	m.close(true)
+}
+
+func (m *muxDownstreamConn) setupTimedOut() { m.disconnect("the service was not asked for in time") }
+
+// checkIdle closes the connection if its client shows no sign of life, and asks for one before.
+func (m *muxDownstreamConn) checkIdle() {
+	if m.closed {
+		return
+	}
+	p := m.conn.proxy
+	idle := p.cfg.Channels.IdleTimeout
+	switch keepalive.Downstream(p.loop.Now()-m.lastReceived, idle, m.requests) {
+	case keepalive.Close:
+		m.disconnect("nothing was heard for too long")
+		return
+	case keepalive.Ping:
+		m.mux.Ping()
+	case keepalive.Keep:
+	}
+	m.conn.startTimer(keepalive.DownstreamCheckInterval(idle), m.checkIdle)
+}
+
+// closeIfUnused ends a connection without requests, for the balancer stops.
+func (m *muxDownstreamConn) closeIfUnused() {
+	if m.requests == 0 && !m.closed {
+		m.disconnect("the balancer stops")
+	}
+}
+
+// Ready is part of mux.Owner.
+func (m *muxDownstreamConn) Ready() {}
+
+// Alive is part of mux.Owner: whatever arrives is a sign of life.
+func (m *muxDownstreamConn) Alive() {}
+
+// Admit is part of mux.Owner: the client is about to open a channel.
+func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
+	p := m.conn.proxy
+	cfg := p.cfg.Channels
+	if m.opens.Admit(p.loop.Now(), cfg.OpensPerSecond, m.mux.Len(), cfg.MaxChannels) {
+		return 0, ""
+	}
+	p.stats.rejected++
+	busy := lineproto.AppendBusy(nil, millisRoundedUp(timeouts.RejectRetryAfter))
+	return channel.NoResources, string(bytes.TrimRight(busy, lineEnd))
+}
+
+// Open is part of mux.Owner: the client has opened a channel, with its first line as the data.
+func (m *muxDownstreamConn) Open(ch *mux.Channel, data []byte) {
+	p := m.conn.proxy
+	text, err := channel.String(data)
+	if err != nil || !isOpenLine(text) {
+		p.stats.failed++
+		ch.Reject(channel.Prohibited, []byte("ERR"))
+		return
+	}
+	line := make([]byte, 0, len(text)+len(lineEnd))
+	line = append(append(line, text...), lineEnd...)
+	k := &downstreamChannel{conn: m, Channel: ch}
+	m.requests++
+	p.listener.idle.remove(m.conn)
+	ch.Own(k)
+	if r := p.openRequest(k, line[:len(text)], line, m.conn.rejectOnly); r.state != stateClosed {
+		k.request = r
+	}
+}
+
+// isOpenLine reports whether a channel's data may be a first line: one line, without its end, that opens a request.
+func isOpenLine(text []byte) bool {
+	return len(text) <= lineproto.Max-len(lineEnd) && !bytes.ContainsAny(text, lineEnd) &&
+		lineproto.ParseVerb(text) == lineproto.OpenLine
+}
+
+// downstreamChannel is a channel of a client's multiplexed connection, which carries one request.
+type downstreamChannel struct {
+	*mux.Channel
+	conn      *muxDownstreamConn
+	request   *request
+	moveToken []byte
+	sendsMove bool
+	answered  bool // it was rejected with the final answer, and so ended
+	released  bool
+}
+
+// release counts the request out, once.
+func (k *downstreamChannel) release() {
+	if k.released {
+		return
+	}
+	k.released = true
+	k.request = nil
+	m := k.conn
+	m.requests--
+	if m.requests > 0 || m.closed {
+		return
+	}
+	p := m.conn.proxy
+	p.listener.idle.add(m.conn)
+	if p.drain.on {
+		p.loop.After(0, m.closeIfUnused)
+	}
+}
+
+// Confirmed is part of mux.ChannelOwner; only the client opens channels here.
+func (k *downstreamChannel) Confirmed([]byte) {}
+
+// Rejected is part of mux.ChannelOwner; only the client opens channels here.
+func (k *downstreamChannel) Rejected(uint32, []byte) {}
+
+// Requested is part of mux.ChannelOwner: no channel request of a client's is known.
+func (k *downstreamChannel) Requested(_, _ []byte) bool { return false }
+
+// Readable is part of mux.ChannelOwner.
+func (k *downstreamChannel) Readable() {
+	if k.request != nil {
+		k.request.readClient()
+	}
+}
+
+// Flushed is part of mux.ChannelOwner.
+func (k *downstreamChannel) Flushed() {
+	if k.request != nil {
+		k.request.clientCaughtUp()
+	}
+}
+
+// Close is part of transport.
+func (k *downstreamChannel) Close() {
+	k.Channel.Close()
+	k.release()
+}
+
+// Reset is part of transport: the client sees CLOSE without EOF.
+func (k *downstreamChannel) Reset() { k.Close() }
+
+func (k *downstreamChannel) sendUp(line []byte) { k.Confirm(bytes.TrimRight(line, lineEnd)) }
+
+// sendFinal sends the answer as the description of the channel's rejection, with the code that fits it best.
+func (k *downstreamChannel) sendFinal(answer []byte) {
+	answer = bytes.TrimRight(answer, lineEnd)
+	code := channel.ConnectError
+	if verb, _ := lineproto.ParseServerLine(answer); verb == lineproto.Busy {
+		code = channel.NoResources
+	}
+	k.answered = true
+	k.Reject(code, answer)
+}
+
+func (k *downstreamChannel) sendMove(token []byte) {
+	k.sendsMove = true
+	k.moveToken = token
+}
+
+// closeGracefully ends the channel. A client that does not read what is pending is given some time.
+func (k *downstreamChannel) closeGracefully() {
+	defer k.release()
+	if k.answered {
+		return
+	}
+	name, data := "", []byte(nil)
+	if k.sendsMove {
+		name, data = channel.Move, channel.AppendString(nil, k.moveToken)
+	}
+	ch := k.Channel
+	ch.End(name, data)
+	if ch.Pending() > 0 {
+		k.conn.conn.proxy.loop.After(timeouts.Linger, ch.Close)
+	}
+}
+
+func (k *downstreamChannel) completeLinesOnly() bool { return true }
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/harness_test.go
@@ -81,7 +81,7 @@
 		g.check(err)
 		t.Cleanup(func() { _ = ln.Close() })
 		g.servers = append(g.servers, ln)
-		known = append(known, listed(fmt.Sprint("s", i), ln.Addr().String(), "Ready"))
+		known = append(known, listEntry(fmt.Sprint("s", i), ln.Addr().String(), "Ready"))
 	}
 	set, err := settings.ParseJSON([]byte(harnessSettings))
 	g.check(err)
@@ -101,6 +101,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
+	log.AddHook(transitionHook{t})
 	g.proxy, err = start(g.loop, cfg, log, g)
 	g.check(err)
 	go func() {
@@ -115,7 +116,21 @@
 	return g
 }
 
-func listed(id, addr, state string) string {
+// transitionHook fails the test if a request makes a transition that the table does not have.
+type transitionHook struct{ t *testing.T }
+
+// Levels is part of logrus.Hook.
+func (transitionHook) Levels() []logrus.Level { return []logrus.Level{logrus.ErrorLevel} }
+
+// Fire is part of logrus.Hook.
+func (h transitionHook) Fire(entry *logrus.Entry) error {
+	if entry.Message == invalidTransition {
+		h.t.Errorf("%s: from %v to %v", entry.Message, entry.Data["from"], entry.Data["to"])
+	}
+	return nil
+}
+
+func listEntry(id, addr, state string) string {
 	return fmt.Sprintf(
 		`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m","lifecycle":%q,"weight":1}`,
 		id,
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -143,20 +143,3 @@
 	g.stopped <- err
 	g.check(err)
 }
-
-// Moves before a stop are spread, so that clients don't come back in one moment, over the second half of the time
-// there is.
-func TestMovesAreLateAndSpread(t *testing.T) {
-	const span, n = 3 * second, 50
-	last := span / 2
-	for i := range n {
-		at := drainMoveDelay(span, i, n)
-		if at < last || at >= span || i > 0 && at-last > span/2/n {
-			t.Fatalf("move %d at %d, after one at %d", i, at, last)
-		}
-		last = at
-	}
-	if at := drainMoveDelay(0, 0, 1); at != firstMoveDelay {
-		t.Errorf("with no time left at %d", at)
-	}
-}
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -5,7 +5,9 @@
 	"io"
 	"spurspread/decision"
 	"spurspread/decision/lifecycle"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/settings"
 	"strings"
@@ -26,7 +28,7 @@
 	client := g.client(openLineWithID(id))
 	q := event[decision.Request](g)
 	var s *request
-	g.inLoop(func() { s, _ = g.proxy.requests.Get(eventloop.Ref(q.ID)) })
+	g.inLoop(func() { s, _ = g.proxy.requests.get(q.ID) })
 	return client, s
 }
 
@@ -136,7 +138,7 @@
 					refuse(target)
 					leave(client)
 				})
-				g.until(func() bool { return g.proxy.requests.Len() == 0 })
+				g.until(func() bool { return g.proxy.requests.len() == 0 })
 				g.client(openLineWithID(2))
 				if got := g.acceptUpstream(g.chosen()).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
 					t.Errorf("a target was sent %q", got)
@@ -150,7 +152,7 @@
 func (g *harness) chosen() (at int) {
 	g.t.Helper()
 	g.until(func() bool {
-		for _, s := range g.proxy.requests.All {
+		for s := range g.proxy.requests.all {
 			if s.attempt != nil {
 				at = int(s.attempt.server.Number)
 				return true
@@ -170,14 +172,14 @@
 			g.waitAccepted(1)
 			g.inLoop(func() {
 				leave(client)
-				c, err := g.proxy.servers.Apply(
+				c, err := g.proxy.servers.list.Apply(
 					[]byte(
-						`{"generation":2,"instances":[` + listed("s9", g.servers[0].Addr().String(), "Ready") + `]}`,
+						`{"generation":2,"instances":[` + listEntry("s9", g.servers[0].Addr().String(), "Ready") + `]}`,
 					),
 				)
 				g.check(err)
 				before := g.loop.Descriptors()
-				if g.proxy.Listed(c); g.loop.Descriptors() > before {
+				if g.proxy.servers.Listed(c); g.loop.Descriptors() > before {
 					t.Error("its server is connected to")
 				}
 			})
@@ -206,9 +208,9 @@
 			}
 			g.inLoop(func() {
 				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-				c, err := g.proxy.servers.Apply([]byte(list))
+				c, err := g.proxy.servers.list.Apply([]byte(list))
 				g.check(err)
-				g.proxy.Listed(c)
+				g.proxy.servers.Listed(c)
 			})
 			g.outcome(outcome.Inconclusive, false)
 			g.noRequest()
@@ -222,14 +224,14 @@
 	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
 		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-		c, err := g.proxy.servers.Apply(
+		c, err := g.proxy.servers.list.Apply(
 			[]byte(
-				`{"generation":2,"instances":[` + strings.Replace(listed("s0", g.servers[0].Addr().String(), "Ready"),
+				`{"generation":2,"instances":[` + strings.Replace(listEntry("s0", g.servers[0].Addr().String(), "Ready"),
 					`"weight":1`, `"weight":2`, 1) + `]}`,
 			),
 		)
 		g.check(err)
-		g.proxy.Listed(c)
+		g.proxy.servers.Listed(c)
 	})
 	g.acceptUpstream(0).line()
 }
@@ -323,7 +325,7 @@
 	target := g.acceptUpstream(0)
 	target.line()
 	g.inLoop(func() {
-		s.attempt.deadline = g.loop.Now() + millisecond
+		s.attempt.deadline = g.loop.Now() + monotime.Millisecond
 		s.attempt.awaitAnswer()
 		g.loop.After(0, func() { target.say("UP r1\r\n") }) // due before the timer, in one turn with it
 		waitFor(2 * time.Millisecond)
@@ -395,7 +397,7 @@
 			} else {
 				g.waitAccepted(1)
 			}
-			g.inLoop(func() { g.proxy.startDrain() })
+			g.inLoop(func() { g.proxy.drain.begin() })
 			if got := client.line(); !strings.HasPrefix(got, c.promised) {
 				t.Errorf("%q, want %s", got, c.promised)
 			}
@@ -406,7 +408,7 @@
 // waitAccepted waits until so many requests have been taken in.
 func (g *harness) waitAccepted(n int) {
 	g.t.Helper()
-	g.until(func() bool { return g.proxy.counters.accepted >= n })
+	g.until(func() bool { return g.proxy.stats.accepted >= n })
 }
 
 // until waits for something to hold in the loop.
@@ -439,11 +441,13 @@
 		"in pieces": func(g *harness) []*peer {
 			p := g.client(openLine[:20])
 			g.until(func() bool {
-				return g.proxy.idle.silent.Len() == 1 && len(g.proxy.idle.silent.Front().Value.(*downstreamConn).firstLine) == 20
+				return g.proxy.listener.idle.classes[overload.Silent].Len() == 1 && len(g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn).firstLine) == 20
 			})
 			g.inLoop(g.proxy.Drain)
 			p.say(openLine[20:30])
-			g.until(func() bool { return len(g.proxy.idle.silent.Front().Value.(*downstreamConn).firstLine) == 30 })
+			g.until(func() bool {
+				return len(g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn).firstLine) == 30
+			})
 			p.say(openLine[30:])
 			return []*peer{p}
 		},
@@ -478,7 +482,7 @@
 				for i := range 100 {
 					all = append(all, g.client(openLineWithID(i)))
 				}
-				g.proxy.closeListener()
+				g.proxy.listener.close()
 			})
 			return all
 		},
@@ -488,7 +492,7 @@
 			g.inLoop(func() {
 				g.proxy.Drain()
 				p.say(openLine)
-				g.proxy.closeIdle()
+				g.proxy.listener.closeIdle()
 			})
 			return []*peer{p}
 		},
@@ -512,7 +516,7 @@
 // waitRead waits until the relay has one connection that has said nothing.
 func (g *harness) waitRead() {
 	g.t.Helper()
-	g.until(func() bool { return g.proxy.idle.silent.Len() == 1 })
+	g.until(func() bool { return g.proxy.listener.idle.classes[overload.Silent].Len() == 1 })
 }
 
 // A connection that rests until the balancer ends it sees a plain end, also if a request of its own crosses that
@@ -525,7 +529,7 @@
 		g.waitRead()
 		g.inLoop(func() {
 			g.proxy.Drain()
-			g.proxy.closeIdle()
+			g.proxy.listener.closeIdle()
 			p.say(openLine)
 		})
 		p.ended(true)
@@ -563,13 +567,13 @@
 	p := g.client("")
 	g.waitRead()
 	g.inLoop(func() {
-		d := g.proxy.idle.silent.Front().Value.(*downstreamConn)
+		d := g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn)
 		p.say("nonsense\r\n")
 		d.Readable(d.conn)
 		block := strings.Repeat("k", 64<<10)
 		for more := 2; !d.closed && more > 0; {
 			p.say(block)
-			if d.Readable(d.conn); d.discarded > maxDiscardedBytes {
+			if d.Readable(d.conn); overload.StopsReading(d.discarded) {
 				more--
 			}
 		}
@@ -654,9 +658,9 @@
 			target := g.acceptUpstream(0)
 			target.line()
 			g.inLoop(func() {
-				c, err := g.proxy.servers.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
+				c, err := g.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
 				g.check(err)
-				g.proxy.Listed(c)
+				g.proxy.servers.Listed(c)
 				target.say("UP r1\r\n")
 			})
 			client.want("UP r1\r\n")
@@ -747,12 +751,12 @@
 func TestRequestReadOnEviction(t *testing.T) {
 	g := newHarness(t, 0, nil, nil)
 	asks, silent := g.client(""), g.client("")
-	g.until(func() bool { return g.proxy.idle.silent.Len() == 2 })
+	g.until(func() bool { return g.proxy.listener.idle.classes[overload.Silent].Len() == 2 })
 	g.inLoop(func() {
 		asks.say(openLine)
 		g.proxy.cfg.MaxDescriptors = 1
-		g.proxy.evictIdle()
-		if n := g.proxy.idle.silent.Len() + g.proxy.idle.answered.Len(); n != 0 {
+		g.proxy.listener.evictIdle()
+		if n := g.proxy.listener.idle.classes[overload.Silent].Len() + g.proxy.listener.idle.classes[overload.Answered].Len(); n != 0 {
 			t.Errorf("%d connections stay", n)
 		}
 	})
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -3,121 +3,135 @@
 import (
 	"errors"
 	"spurspread/decision"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/timeouts"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/lineproto"
 )
 
-// probeReplyTimeout is what a probe may take beyond the time that a connection may take to come up.
-const probeReplyTimeout = 150 * millisecond
-
-// healthProbe is one question to a target, on a connection of its own.
+// healthProbe is one probe of a server, on a connection of its own. It ends once, with one result for the decision core.
 type healthProbe struct {
 	proxy     *Proxy
 	server    uint32
 	conn      *eventloop.Conn
-	began     eventloop.Micros
+	began     monotime.Micros
 	connected bool
-	buf       []byte
+	answerBuf []byte
 	timer     eventloop.Ref
 	ended     bool
 	load      decision.LoadReport
 }
 
-func (r *Proxy) startProbe(server uint32) {
-	p := &healthProbe{proxy: r, server: server, began: r.loop.Now()}
-	r.evictIdle()
+// startProbe probes a server. Where load reports are promised the probe asks for one, which costs no more than asking
+// whether the server lives.
+func (p *Proxy) startProbe(server uint32) {
+	h := &healthProbe{proxy: p, server: server, began: p.loop.Now()}
+	p.listener.evictIdle()
 	var err error
-	if p.conn, err = r.dialServer(r.servers.ByNumber(server), p); err != nil {
-		p.timer = r.loop.After(0, func() { p.end(dialFailure(err)) })
+	if h.conn, err = p.dialServer(p.servers.list.ByNumber(server), h); err != nil {
+		h.timer = p.loop.After(0, func() { h.end(dialOutcome(err)) })
 		return
 	}
-	// Where a report is promised, asking for it costs no more than asking whether the target lives.
 	question := "PING\r\n"
-	if len(r.cfg.Settings.Decision.LoadReportColumns) > 0 {
+	if len(p.cfg.Settings.Decision.LoadReportColumns) > 0 {
 		question = "STATS\r\n"
 	}
-	p.conn.Write([]byte(question))
-	connect := eventloop.Micros(r.cfg.Settings.ConnectTimeout)
-	p.timer = r.loop.After(connect, func() {
-		if p.conn.DrainEvents(); p.ended {
-			return
-		}
-		if !p.connected {
-			p.end(outcome.ConnectFailed)
-			return
-		}
-		p.timer = r.loop.After(probeReplyTimeout, func() { p.end(outcome.TimedOut) })
-	})
+	h.conn.Write([]byte(question))
+	h.timer = p.loop.After(p.cfg.Settings.ConnectTimeout, h.connectTimedOut)
+}
+
+// connectTimedOut ends the probe, unless it is connected: then its server has some time to answer.
+func (h *healthProbe) connectTimedOut() {
+	h.conn.DrainEvents() // it may be connected, and not have been told yet
+	if h.ended {
+		return
+	}
+	if !h.connected {
+		h.end(outcome.ConnectFailed)
+		return
+	}
+	h.timer = h.proxy.loop.After(timeouts.ProbeReply, func() { h.end(outcome.TimedOut) })
 }
 
-// Connected is part of loop.Owner.
-func (p *healthProbe) Connected(_ *eventloop.Conn, err error) {
-	if p.connected = err == nil; !p.connected {
-		p.end(outcome.ConnectFailed)
+// Connected is part of eventloop.Owner.
+func (h *healthProbe) Connected(_ *eventloop.Conn, err error) {
+	h.connected = err == nil
+	if !h.connected {
+		h.end(outcome.ConnectFailed)
 	}
 }
 
-// Flushed is part of loop.Owner.
-func (p *healthProbe) Flushed(*eventloop.Conn) {}
+// Flushed is part of eventloop.Owner.
+func (h *healthProbe) Flushed(*eventloop.Conn) {}
 
-// Readable is part of loop.Owner.
-func (p *healthProbe) Readable(conn *eventloop.Conn) {
-	for !p.ended {
-		n, err := conn.Read(p.proxy.readBuf)
+// Readable is part of eventloop.Owner.
+func (h *healthProbe) Readable(conn *eventloop.Conn) {
+	for !h.ended {
+		n, err := conn.Read(h.proxy.buffers.read)
 		switch {
 		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case err != nil:
-			p.end(outcome.Reset)
+			h.end(outcome.Reset)
 			return
 		}
-		p.buf = append(p.buf, p.proxy.readBuf[:n]...)
-		text, n, err := lineproto.SplitLine(p.buf)
-		if err != nil {
-			p.end(outcome.ErrorResponse)
-		} else if n > 0 {
-			switch kind, _ := lineproto.ParseServerLine(text); kind {
-			case lineproto.Pong:
-				p.load = p.proxy.parseLoadReport(text)
-				p.end(outcome.OK)
-			case lineproto.Busy:
-				p.end(outcome.ServerFull)
-			default:
-				p.end(outcome.ErrorResponse)
-			}
-		}
+		h.readAnswer(h.proxy.buffers.read[:n])
 	}
 }
 
-func (p *healthProbe) end(status outcome.Status) {
-	if p.ended {
+// readAnswer reads the server's answer, as far as it has arrived.
+func (h *healthProbe) readAnswer(b []byte) {
+	h.answerBuf = append(h.answerBuf, b...)
+	text, n, err := lineproto.SplitLine(h.answerBuf)
+	if err != nil {
+		h.end(outcome.ErrorResponse)
+		return
+	}
+	if n == 0 {
 		return
 	}
-	p.ended = true
-	p.proxy.loop.Cancel(&p.timer)
-	p.conn.Close()
-	p.proxy.dispatch(
-		decision.ProbeResult{
-			Server:     p.server,
-			Status:     status,
-			Duration:   decision.Micros(p.proxy.loop.Now() - p.began),
-			LoadReport: p.load,
-		},
-	)
+	switch verb, _ := lineproto.ParseServerLine(text); verb {
+	case lineproto.Pong:
+		h.load = parseLoadReport(text, h.proxy.cfg.Settings.Decision.LoadReportColumns)
+		h.end(outcome.OK)
+	case lineproto.Busy:
+		h.end(outcome.ServerFull)
+	default:
+		h.end(outcome.ErrorResponse)
+	}
 }
 
-// parseLoadReport reads the load report behind a target's word, in the order of the columns that the settings name.
-func (r *Proxy) parseLoadReport(text []byte) (rep decision.LoadReport) {
-	for i, name := range r.cfg.Settings.Decision.LoadReportColumns {
-		if i < len(rep.Values) {
-			v, ok := lineproto.Field(text, name)
-			if !ok {
-				return decision.LoadReport{}
-			}
-			rep.Values[i] = float32(v)
-			rep.Count = i + 1
+// end closes the probe's connection and reports its result to the decision core, once.
+func (h *healthProbe) end(status outcome.Status) {
+	if h.ended {
+		return
+	}
+	p := h.proxy
+	h.ended = true
+	p.loop.Cancel(&h.timer)
+	h.conn.Close()
+	p.core.dispatch(decision.ProbeResult{
+		Server:     h.server,
+		Status:     status,
+		Duration:   p.loop.Now() - h.began,
+		LoadReport: h.load,
+	})
+}
+
+// parseLoadReport reads the load report behind a server's answer, in the order of the columns that the settings name. It
+// is empty where one of them can't be read.
+func parseLoadReport(text []byte, columns []string) (report decision.LoadReport) {
+	for i, name := range columns {
+		if i >= len(report.Values) {
+			break
+		}
+		value, ok := lineproto.Field(text, name)
+		if !ok {
+			return decision.LoadReport{}
 		}
+		report.Values[i] = float32(value)
+		report.Count = i + 1
 	}
-	return rep
+	return report
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,361 +1,194 @@
-// Package relay takes clients in at the ingress, carries out what the decision module decides about them on hops to
-// the egress targets, and passes lines on. It turns what happens on sockets into the module's events.
 package proxy
 
 import (
-	"fmt"
 	"net/netip"
 	"reflect"
-	"slices"
 	"spurspread/decision"
-	"spurspread/decision/outcome"
-	"spurspread/decision/upstreampool"
-	"spurspread/internal/discovery"
+	"spurspread/decision/lifecycle"
+	"spurspread/decision/overload"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
-	"spurspread/internal/mux"
 	"spurspread/internal/settings"
 	"strings"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 )
 
-// Config is what a relay is started with.
+// Config is what a Proxy is started with. Reload takes a new one, of which Listen, Seed, CachedList and SaveList have
+// no effect until the process restarts.
 type Config struct {
-	Settings          settings.Settings
-	Listen, Discovery netip.AddrPort
-	Seed              uint64
-	CachedList        []byte // the route table as it was last held; may be empty
-	MaxDescriptors    int    // how many the process may hold
-	MemoryLimit       int64  // bytes that it may use; 0 where not told, as above
-	Resume            *ResumeConfig
-	// Keep, if set, is given what discovery has told, whole, some time after a change of it. It must not wait.
+	// Settings are the platform's settings, which have been checked.
+	Settings settings.Settings
+	// Listen is where clients connect; port 0 lets the kernel choose one.
+	Listen netip.AddrPort
+	// Discovery is the address of service discovery.
+	Discovery netip.AddrPort
+	// Seed is what all random choices are drawn from. The same seed and the same events give the same decisions.
+	Seed uint64
+	// CachedList is a server list in the form that discovery sends, as it was last known; none if empty. A balancer
+	// with an outdated list serves before discovery answers, one without has to reject.
+	CachedList []byte
+	// MaxDescriptors is how many descriptors the process may hold; 0 for no limit. Idle connections are closed before
+	// it is reached.
+	MaxDescriptors int
+	// MemoryLimit is how many bytes the process may use; 0 for unknown. Less memory means smaller buffers for slow
+	// readers, and so lower throughput to them.
+	MemoryLimit int64
+	// Resume turns resumable streams on; nil for off.
+	Resume *ResumeConfig
+	// SaveList, if set, is given the whole server list and the address that it came from, some time after a change. It
+	// must not block.
 	SaveList func(discovery netip.AddrPort, list []byte)
+	// Channels turns multiplexed connections on; nil for off.
 	Channels *ChannelConfig
 }
 
-const (
-	millisecond eventloop.Micros = 1000
-	second      eventloop.Micros = 1000 * millisecond
-)
-
-// decisionModule is the decision module, as far as the relay knows it.
-type decisionModule interface {
-	Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action
-}
-
-// Proxy is one balancer: its loop's sockets, its route table and its decision module.
+// Proxy is one balancer on one event loop. Its methods are called on the loop's goroutine.
 type Proxy struct {
-	loop      *eventloop.Loop
-	cfg       Config
-	log       *logrus.Logger
-	balancer  decisionModule
-	servers   *discovery.ServerList
-	discovery *discovery.Client
-	listener  *eventloop.Listener
-
-	requests       eventloop.Slots[*request]
-	unanswered     requestSet // sessions that have no answer yet
-	awaitingReply  requestSet // sessions with lines that have not been answered
-	lingering      int        // connections that have their answer, and are given a moment to take it
-	idle           idleConns
-	requestIDs     requestIDs
-	closedRequests []*request       // answered and closed; their slots are freed once the module's queue is empty
-	latencies      []*serverLatency // by the target's number
-	events         []decision.Event
-	dispatching    bool
-	actions        []decision.Action
-	readBuf        []byte
-	muxReadBuf     []byte // what connections with channels read into
-	windowBudget   mux.Budget
-	muxDownstreams map[*muxDownstreamConn]bool
-	upstreamPool   *upstreampool.Pool
-	muxUpstreams   map[uint32]*muxUpstreamConn
-	idleUpstreams  []uint32
-	// Bytes kept for a slow reader before its sender is left alone.
-	maxPending      int
-	buffersSizedFor int // for so many it was last fitted to the memory
-	counters        counters
-	drain           drainState
-	saveScheduled   bool // the list is to be kept soon
-	fleetSize       int  // of the fleet, 0 where nobody has told
-	fleetRank       int  // among them
-	resumption      resumption
-}
-
-// counters are what the log tells now and then.
-type counters struct{ accepted, established, rejected, failed, moved, silent, protocolErrors, evicted, upstreamsFailed, sharedFailures, transferred, adopted int }
-
-// New starts a relay on the loop: it listens, and its module starts from the known list.
+	loop *eventloop.Loop
+	cfg  Config
+	log  *logrus.Logger
+
+	core       dispatcher
+	servers    serverDirectory
+	listener   listener
+	requests   requestTable
+	latencies  latencyTable
+	upstreams  muxUpstreams
+	buffers    bufferLimits
+	drain      drain
+	resumption resumption
+	stats      counters
+	fleet      fleetPosition
+}
+
+// New starts a proxy on the loop: it listens, and its decision core begins with the cached server list. It returns an
+// error where that list can't be read or the address can't be listened at.
 func New(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Proxy, error) {
-	return start(l, cfg, log, decision.New(cfg.Settings.Decision, cfg.Seed, decision.Micros(l.Now())))
+	return start(l, cfg, log, decision.New(cfg.Settings.Decision, cfg.Seed, l.Now()))
 }
 
-func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, bal decisionModule) (*Proxy, error) {
-	r := &Proxy{
-		loop: l, cfg: cfg, log: log, balancer: bal, servers: discovery.NewServerList(), requestIDs: newRequestIDs(),
-		readBuf: make(
-			[]byte,
-			8<<10,
-		), muxDownstreams: map[*muxDownstreamConn]bool{}, muxUpstreams: map[uint32]*muxUpstreamConn{},
-	}
-	r.initRequestSets()
-	r.sizeBuffers()
-	r.configureChannels(cfg.Channels)
-	r.resumption.configure(cfg.Resume, cfg.Seed)
-	r.discovery = discovery.NewClient(l, cfg.Discovery, r.servers, r)
-	known := discovery.Update{}
-	if len(cfg.CachedList) > 0 {
-		var err error
-		if known, err = r.discovery.Restore(cfg.CachedList); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) (*Proxy, error) {
+	p := newProxy(l, cfg, log, core)
+	p.fitBuffers()
+	p.configureChannels(cfg.Channels)
+	p.resumption.configure(cfg.Resume, cfg.Seed)
+	cached, err := p.servers.open(cfg)
+	if err != nil {
+		return nil, err
 	}
-	var err error
-	if r.listener, err = l.ListenShared(cfg.Listen, r.accept); err != nil {
+	if err := p.listener.listen(cfg.Listen); err != nil {
 		return nil, err
 	}
-	r.dispatch(r.listUpdate(decision.UpdateCached, known))
-	r.moveOffDrainingServers(known)
-	r.watchPushedLists()
-	r.loop.After(sweepInterval, r.sweep)
-	r.loop.After(statsInterval, r.logStats)
-	return r, nil
+	p.core.dispatch(p.servers.event(decision.UpdateCached, cached))
+	p.resumption.followServerList(cached)
+	p.servers.watchIfPushed()
+	l.After(sweepInterval, p.latencies.sweep)
+	l.After(statsInterval, p.logStats)
+	return p, nil
 }
 
-// initRequestSets begins the lists of sessions that something is to be looked at for.
-func (r *Proxy) initRequestSets() {
-	r.unanswered.index = func(s *request) *int32 { return &s.unansweredIndex }
-	r.awaitingReply.index = func(s *request) *int32 { return &s.awaitingReplyIndex }
+// newProxy connects the owners with each other.
+func newProxy(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) *Proxy {
+	p := &Proxy{loop: l, cfg: cfg, log: log}
+	p.core = dispatcher{loop: l, core: core, apply: p.apply, emptied: p.requests.freeClosed}
+	p.servers = newServerDirectory(p)
+	p.listener = newListener(p)
+	p.requests = newRequestTable()
+	p.latencies = latencyTable{proxy: p}
+	p.upstreams = newMuxUpstreams(p)
+	p.buffers = newBufferLimits()
+	p.drain = drain{proxy: p}
+	p.resumption = resumption{proxy: p}
+	return p
 }
 
-// Addr is where the relay listens.
-func (r *Proxy) Addr() netip.AddrPort { return r.listener.Addr() }
+// Addr is where the proxy listens.
+func (p *Proxy) Addr() netip.AddrPort { return p.listener.socket.Addr() }
 
-// SetFleet tells how many balancers share the fleet's budgets now, and which place this one has among them. Until
-// then, and where nobody tells, the settings' numbers hold.
-func (r *Proxy) SetFleet(members, place int) {
-	if members == r.fleetSize && place == r.fleetRank {
-		return
-	}
-	r.fleetSize, r.fleetRank = members, place
-	r.applyFleet(&r.cfg.Settings.Decision)
-	r.dispatch(decision.SettingsChanged{Settings: r.cfg.Settings.Decision})
-}
+// Drain stops in a planned way: new requests are rejected, requests under way are finished or answered, every
+// established connection is moved, and then the loop stops.
+func (p *Proxy) Drain() { p.drain.stop() }
 
-// applyFleet puts what was told of the fleet in place of the settings' numbers.
-func (r *Proxy) applyFleet(s *decision.Settings) {
-	if r.fleetSize > 0 {
-		s.Balancers, s.Rank = r.fleetSize, r.fleetRank
-	}
-}
+// HotRestart stops as Drain does, for a successor, process pid, that listens on the same port and takes established
+// connections at the path. What can't be transferred is moved.
+func (p *Proxy) HotRestart(path string, pid int) { p.drain.handOver(path, pid) }
 
-// Reload takes what a configuration that was read again may change under way: the settings, discovery's address and
-// the number of descriptors. Settings are swapped whole: requests from now on are asked under them, and connections
-// keep the class that they were asked under.
-func (r *Proxy) Reload(cfg Config) {
-	if cfg.Listen != r.cfg.Listen {
-		r.log.Warn("a change of listen takes a restart")
-	}
-	r.applyFleet(&cfg.Settings.Decision)
-	if !reflect.DeepEqual(cfg.Settings, r.cfg.Settings) {
-		r.cfg.Settings = cfg.Settings
-		r.dispatch(decision.SettingsChanged{Settings: cfg.Settings.Decision})
-		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.ClassNames, ",")).Info("settings retuned")
-	}
-	r.cfg.MaxDescriptors, r.cfg.MemoryLimit = cfg.MaxDescriptors, cfg.MemoryLimit
-	r.sizeBuffers()
-	r.resumption.configure(cfg.Resume, r.cfg.Seed)
-	r.configureChannels(cfg.Channels)
-	if cfg.Discovery != r.cfg.Discovery {
-		r.cfg.Discovery = cfg.Discovery
-		r.discovery.ChangeAddress(cfg.Discovery)
-	}
-	r.watchPushedLists()
-	r.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration read again")
-}
+// LifecycleState is what the proxy is doing: serving, a lame duck, or stopping.
+func (p *Proxy) LifecycleState() lifecycle.State { return p.drain.lifecycleState() }
 
-// dispatch hands an event to the module and carries out what it decides. What that brings about in turn waits in line,
-// so that the module never hears of an event in the middle of another.
-func (r *Proxy) dispatch(ev decision.Event) {
-	r.events = append(r.events, ev)
-	if r.dispatching {
-		return
-	}
-	r.dispatching = true
-	for i := 0; i < len(r.events); i++ {
-		r.actions = r.balancer.Handle(decision.Micros(r.loop.Now()), r.events[i], r.actions[:0])
-		for _, a := range r.actions {
-			r.apply(a)
-		}
-	}
-	clear(r.events)
-	r.events, r.dispatching = r.events[:0], false
-	r.releaseClosed()
+// HandleAdminCall carries out a command of the admin listener and returns its reply, without the line end.
+func (p *Proxy) HandleAdminCall(command lifecycle.CommandKind) string {
+	return p.drain.handleAdminCall(command)
 }
 
-// releaseClosed frees the slots of closed sessions, unless the module may still speak of them.
-func (r *Proxy) releaseClosed() {
-	if r.dispatching {
-		return
-	}
-	for _, s := range r.closedRequests {
-		r.requests.Drop(s.ref)
-	}
-	r.closedRequests = r.closedRequests[:0]
-}
-
-func (r *Proxy) apply(a decision.Action) {
-	switch a := a.(type) {
-	case decision.WatchDiscovery:
-		if a.On {
-			r.discovery.Watch()
-		} else {
-			r.discovery.StopWatching()
-		}
-	case decision.FetchServerList:
-		r.discovery.Fetch()
-	case decision.ProbeServer:
-		r.startProbe(a.Server)
-	case decision.SetTimer:
-		r.loop.After(eventloop.Micros(a.Delay), func() { r.dispatch(decision.TimerFired{Token: a.Token}) })
-	case decision.StartAttempt:
-		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
-			s.send(a)
-		}
-	case decision.Reject:
-		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
-			s.reject(eventloop.Micros(a.RetryAfter))
-		}
-	case decision.Fail:
-		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
-			s.fail()
-		}
-	case decision.CancelAttempt:
-		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok && s.attempt != nil && s.attempt.number == a.Attempt && s.state != stateEstablished {
-			s.attempt.end(outcome.Cancelled)
-		}
-	case decision.MoveConnection:
-		if s, ok := r.requests.Get(eventloop.Ref(a.ID)); ok {
-			s.moveDecided(a)
-		}
-	}
-}
-
-// Listed is part of route.Watcher.
-func (r *Proxy) Listed(c discovery.Update) {
-	kind := decision.UpdateDelta
-	if c.Full {
-		kind = decision.UpdateFull
-	}
-	r.dispatch(r.listUpdate(kind, c))
-	r.recallUnsent()
-	for s := range r.unanswered.each {
-		s.reattach()
-	}
-	r.moveOffDrainingServers(c)
-	if r.cfg.SaveList != nil && !r.saveScheduled {
-		r.saveScheduled = true
-		r.loop.After(saveListDelay, r.saveList)
-	}
+// AcceptTransfers listens at the path for connections that an older process transfers when it ends.
+func (p *Proxy) AcceptTransfers(path string) error {
+	_, err := p.loop.ListenPackets(
+		path,
+		func(*eventloop.Packets) eventloop.PacketOwner { return transferReceiver{p} },
+	)
+	return err
 }
 
-// saveList gives away what discovery has told.
-func (r *Proxy) saveList() {
-	r.saveScheduled = false
-	if at, whole := r.discovery.Snapshot(); whole != nil {
-		r.cfg.SaveList(at, whole)
-	}
+// fleetPosition is this balancer's position among those that share the fleet's budgets, as membership reports it.
+type fleetPosition struct {
+	size int // balancers of the fleet; 0 where nothing was reported yet
+	rank int // of this one among them, from 0 on
 }
 
-// Failed is part of route.Watcher.
-func (r *Proxy) Failed(err error) {
-	r.log.WithError(err).Warn("discovery failed")
-	r.dispatch(decision.ServerListUpdate{Kind: decision.UpdateFailed})
-	if !r.cfg.Settings.Decision.PollDiscovery {
-		r.loop.After(rewatchDelay, r.watchPushedLists)
+// override puts the reported position in place of the settings'.
+func (f fleetPosition) override(s *decision.Settings) {
+	if f.size > 0 {
+		s.Balancers = f.size
+		s.Rank = f.rank
 	}
 }
 
-// watchPushedLists keeps a watch where lists are pushed. There the module never asks: whoever pushes them, an agent on this
-// machine, is to be heard from the start and costs nobody anything, so nothing is there to decide.
-func (r *Proxy) watchPushedLists() {
-	if !r.cfg.Settings.Decision.PollDiscovery && !r.discovery.Watching() {
-		r.discovery.Watch()
-	}
-}
-
-var listStates = map[discovery.ServerState]decision.ServerState{
-	discovery.Ready: decision.Ready, discovery.Terminating: decision.Draining, discovery.Gone: decision.Removed,
-}
-
-func (r *Proxy) listUpdate(kind decision.UpdateKind, c discovery.Update) decision.ServerListUpdate {
-	u := decision.ServerListUpdate{Kind: kind}
-	for _, t := range c.Servers {
-		u.Entries = append(u.Entries, decision.ServerEntry{
-			Server: t.Number, StableID: xxhash.Sum64String(t.ID), Zone: uint8(indexOr(r.cfg.Settings.ZoneNames, t.Zone, 255)),
-			MachineType: uint16(
-				indexOr(r.cfg.Settings.MachineTypes, t.MachineType, 65535),
-			), State: listStates[t.State], Weight: t.Weight,
-			Cell: t.Cell, StartedAt: decision.Micros(t.StartedMillis) * millisecond,
-		})
+// SetFleet reports how many balancers share the fleet's budgets, and which rank this one has among them, from 0 on.
+// Until it is called the settings' numbers hold.
+func (p *Proxy) SetFleet(size, rank int) {
+	position := fleetPosition{size, rank}
+	if position == p.fleet {
+		return
 	}
-	return u
+	p.fleet = position
+	p.fleet.override(&p.cfg.Settings.Decision)
+	p.core.dispatch(decision.SettingsChanged{Settings: p.cfg.Settings.Decision})
 }
 
-// indexOr finds a name's number; one that the settings don't know is none of theirs.
-func indexOr(names []string, name string, none int) int {
-	if i := slices.Index(names, name); i >= 0 {
-		return i
+// Reload takes a configuration that was read again, as far as it can change while the process runs: the settings,
+// discovery's address, the limits, resumption and channels. Settings are swapped whole: later requests are served by
+// them, and connections keep the class that they were accepted with.
+func (p *Proxy) Reload(cfg Config) {
+	if cfg.Listen != p.cfg.Listen {
+		p.log.Warn("a change of listen takes a restart")
 	}
-	return none
-}
-
-// latencyOf is the record of how long the target's messages take.
-func (r *Proxy) latencyOf(num uint32) *serverLatency {
-	for int(num) >= len(r.latencies) {
-		r.latencies = append(
-			r.latencies,
-			&serverLatency{established: requestSet{index: func(s *request) *int32 { return &s.establishedIndex }}},
-		)
+	p.reloadSettings(cfg.Settings)
+	p.cfg.MaxDescriptors = cfg.MaxDescriptors
+	p.cfg.MemoryLimit = cfg.MemoryLimit
+	p.fitBuffers()
+	p.resumption.configure(cfg.Resume, p.cfg.Seed)
+	p.configureChannels(cfg.Channels)
+	if cfg.Discovery != p.cfg.Discovery {
+		p.cfg.Discovery = cfg.Discovery
+		p.servers.client.ChangeAddress(cfg.Discovery)
 	}
-	return r.latencies[num]
+	p.servers.watchIfPushed()
+	p.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration reloaded")
 }
 
-// bufferedBytes is how many bytes wait for clients and targets to take them.
-func (r *Proxy) bufferedBytes() (bytes int) {
-	for _, s := range r.requests.All {
-		bytes += s.downstream.Pending() + len(s.partial.partial)
-		if s.attempt != nil && s.attempt.upstream != nil {
-			bytes += s.attempt.upstream.Pending()
-		}
+func (p *Proxy) reloadSettings(changed settings.Settings) {
+	p.fleet.override(&changed.Decision)
+	if reflect.DeepEqual(changed, p.cfg.Settings) {
+		return
 	}
-	return bytes
+	p.cfg.Settings = changed
+	p.core.dispatch(decision.SettingsChanged{Settings: changed.Decision})
+	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings retuned")
 }
 
-const (
-	sweepInterval = 200 * millisecond
-	statsInterval = 5 * second
-	saveListDelay = 200 * millisecond // changes mostly come together
-	rewatchDelay  = 500 * millisecond // what is pushed counts as told after some seconds, heard or not
-)
-
-func (r *Proxy) logStats() {
-	r.loop.After(statsInterval, r.logStats)
-	fields := logrus.Fields{
-		logging.Connections: r.requests.Len(), logging.Sockets: r.loop.Descriptors(), logging.Accepted: r.counters.accepted, logging.Established: r.counters.established,
-		logging.Rejected: r.counters.rejected, logging.Failed: r.counters.failed, logging.Moved: r.counters.moved, logging.Unresponsive: r.counters.silent,
-		logging.ProtocolErrors: r.counters.protocolErrors, logging.Evicted: r.counters.evicted, logging.TransferredIn: r.counters.adopted,
-	}
-	r.resumption.addStats(fields)
-	if r.cfg.Channels != nil {
-		trunks, hops := r.upstreamPool.Counts()
-		fields[logging.MuxClients], fields[logging.MuxUpstreams], fields[logging.UpstreamChannels] = len(
-			r.muxDownstreams,
-		), trunks, hops
-		fields[logging.ReceiveWindowBytes], fields[logging.QueuedBytes] = r.windowBudget.Promised(), r.bufferedBytes()
-		fields[logging.MuxUpstreamsFailed], fields[logging.CorrelatedFailures] = r.counters.upstreamsFailed, r.counters.sharedFailures
-	}
-	r.log.WithFields(fields).Info("so far")
+// descriptorsShort reports whether the process comes near its limit of descriptors.
+func (p *Proxy) descriptorsShort() bool {
+	return overload.DescriptorsShort(p.loop.Descriptors(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -4,9 +4,12 @@
 	"fmt"
 	"net/netip"
 	"spurspread/decision"
+	"spurspread/decision/attemptoutcome"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
+	"spurspread/decision/requestids"
 	"spurspread/internal/discovery"
-	"spurspread/internal/eventloop"
 	"spurspread/internal/lineproto"
 	"strconv"
 	"strings"
@@ -187,15 +190,15 @@
 	client.want("BYE\r\n")
 	client.ended(true)
 	g.client(openLine).want("ERR\r\n")
-	known := newRequestIDs()
-	for id := range uint64(3 * rememberedIDs) {
-		if !known.add(id) || known.add(id) {
+	known := requestids.New()
+	for id := range uint64(3 * requestids.Remembered) {
+		if !known.Add(id) || known.Add(id) {
 			t.Fatalf("id %d", id)
 		}
-		known.finish(id)
+		known.Finish(id)
 	}
-	if len(known.active) != rememberedIDs || known.add(3*rememberedIDs-1) || !known.add(0) {
-		t.Errorf("%d ids", len(known.active))
+	if known.Len() != requestids.Remembered || known.Add(3*requestids.Remembered-1) || !known.Add(0) {
+		t.Errorf("%d ids", known.Len())
 	}
 }
 
@@ -233,7 +236,7 @@
 	}
 	left := -1
 	for until := time.Now().Add(patience); left != 0 && time.Now().Before(until); {
-		g.inLoop(func() { left = g.proxy.requests.Len() })
+		g.inLoop(func() { left = g.proxy.requests.len() })
 	}
 	if left != 0 {
 		t.Errorf("%d sessions left", left)
@@ -261,7 +264,7 @@
 	target.say("still there\r\n")
 	served.want("still there\r\n")
 	g.inLoop(func() {
-		if n := g.loop.Descriptors(); n > 64-reservedDescriptors {
+		if n := g.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
 			t.Errorf("%d descriptors", n)
 		}
 	})
@@ -270,7 +273,7 @@
 // That this machine has no descriptor left is no evidence against a target.
 func TestDescriptorExhaustionIsInconclusive(t *testing.T) {
 	for err, want := range map[error]outcome.Status{unix.EMFILE: outcome.Inconclusive, unix.ECONNREFUSED: outcome.ConnectFailed} {
-		if got := dialFailure(fmt.Errorf("connect: %w", err)); got != want {
+		if got := dialOutcome(fmt.Errorf("connect: %w", err)); got != want {
 			t.Errorf("%v: %d", err, got)
 		}
 	}
@@ -279,7 +282,7 @@
 // A hop whose first line is not out whole can't have run.
 func TestUnsentAttemptNeverRan(t *testing.T) {
 	for sent, want := range map[bool]outcome.Status{false: outcome.ConnectFailed, true: outcome.Reset} {
-		if got := (&upstreamAttempt{sent: sent}).unanswered(outcome.Reset); got != want {
+		if got := attemptoutcome.OfUnanswered(outcome.Reset, sent); got != want {
 			t.Errorf("sent %v: %d", sent, got)
 		}
 	}
@@ -310,7 +313,7 @@
 }
 
 func firstRequest(g *harness) *request {
-	for _, s := range g.proxy.requests.All {
+	for s := range g.proxy.requests.all {
 		return s
 	}
 	return nil
@@ -400,11 +403,11 @@
 	client := g.client("OPEN a b c=sync,d=2000,at=late\r\n")
 	addr := g.servers[0].Addr().String()
 	g.loop.Post(func() {
-		c, err := g.proxy.servers.Apply(
-			[]byte(`{"generation":2,"instances":[` + listed("late", addr, "Terminating") + `]}`),
+		c, err := g.proxy.servers.list.Apply(
+			[]byte(`{"generation":2,"instances":[` + listEntry("late", addr, "Terminating") + `]}`),
 		)
 		if err == nil {
-			g.proxy.Listed(c)
+			g.proxy.servers.Listed(c)
 		}
 	})
 	target := g.acceptUpstream(0)
@@ -495,7 +498,7 @@
 
 // Short of descriptors, clients are shed and not cut off.
 func TestShortOfDescriptors(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = reservedDescriptors + 2 })
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = overload.ReservedDescriptors + 2 })
 	if got := g.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("%q", got)
 	}
@@ -525,7 +528,7 @@
 		g.inLoop(look)
 	}
 	for range 300 {
-		if g.inLoop(look); kept == 0 || kept > g.proxy.maxPending+len(g.proxy.readBuf) {
+		if g.inLoop(look); kept == 0 || kept > g.proxy.buffers.maxPending+len(g.proxy.buffers.read) {
 			t.Fatalf("%d bytes kept", kept)
 		}
 	}
@@ -535,9 +538,9 @@
 		s.replied(len(s.sentAt))
 		s.lastReply = 1
 		s.awaitReply(1)
-		g.proxy.sweep()
+		g.proxy.latencies.sweep()
 		s.replied(len(s.sentAt))
-		silent = g.proxy.counters.silent
+		silent = g.proxy.stats.silent
 	})
 	if silent != 0 {
 		t.Fatal("a slow reader was taken for a silent target")
@@ -546,9 +549,9 @@
 	target.want("T 1\r\n")
 	defer func() {
 		samples := 0
-		g.inLoop(func() { samples = len(g.proxy.latencyOf(0).samples) })
+		g.inLoop(func() { samples = g.proxy.latencies.of(0).delay.Samples() })
 		if samples > 0 {
-			t.Errorf("a line that waited for its client to read was timed: %+v", g.proxy.latencyOf(0).samples)
+			t.Errorf("a line that waited for its client to read was timed: %d", g.proxy.latencies.of(0).delay.Samples())
 		}
 	}()
 	for i := range lines {
@@ -560,57 +563,26 @@
 
 // The protocol's limit for a connection that brings nothing back is 7 s.
 func TestSilent(t *testing.T) {
+	at := func(state requestState, lastReply monotime.Micros, sentAt ...monotime.Micros) *request {
+		return &request{state: state, established: established{lastReply: lastReply, sentAt: sentAt}}
+	}
+	const sec = monotime.Second
 	for name, c := range map[string]struct {
-		s    request
-		want bool
+		request *request
+		want    bool
 	}{
-		"nothing asked":   {request{state: stateEstablished, lastReply: 0}, false},
-		"answered lately": {request{state: stateEstablished, sentAt: []eventloop.Micros{15 * second}, lastReply: 15 * second}, false},
-		"asked just now":  {request{state: stateEstablished, sentAt: []eventloop.Micros{19 * second}, lastReply: 0}, false},
-		"nothing back":    {request{state: stateEstablished, sentAt: []eventloop.Micros{15 * second}, lastReply: 13 * second}, true},
-		"leaving":         {request{state: stateHalfClosed, sentAt: []eventloop.Micros{15 * second}, lastReply: 13 * second}, false},
+		"no line":         {at(stateEstablished, 0), false},
+		"answered lately": {at(stateEstablished, 15*sec, 15*sec), false},
+		"just sent":       {at(stateEstablished, 0, 19*sec), false},
+		"nothing back":    {at(stateEstablished, 13*sec, 15*sec), true},
+		"half-closed":     {at(stateHalfClosed, 13*sec, 15*sec), false},
 	} {
-		if got := c.s.isSilent(20 * second); got != c.want {
+		if got := c.request.isSilent(20 * monotime.Second); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-// Lines that are passed on are timed, those without an answer by their age; one note a second, one when it is over.
-func TestServerLatency(t *testing.T) {
-	const limit = 16 * millisecond
-	p := &serverLatency{}
-	steps := []struct {
-		now, took, age eventloop.Micros
-		seen, due      bool
-	}{
-		{0, 0, 0, false, false},
-		{100 * millisecond, 2 * millisecond, 0, true, false},
-		{200 * millisecond, 0, 300 * millisecond, true, true}, // unanswered
-		{400 * millisecond, 0, 500 * millisecond, true, false},
-		{1300 * millisecond, 40 * millisecond, 0, true, true},
-		{2400 * millisecond, 3 * millisecond, 0, true, true}, // back under
-		{2600 * millisecond, 3 * millisecond, 10 * millisecond, true, false},
-	}
-	for i, c := range steps {
-		if c.took > 0 {
-			p.record(c.now, c.took)
-		}
-		p.pendingAges = nil
-		if c.age > 0 {
-			p.pendingAges = []eventloop.Micros{c.age}
-		}
-		late, _ := p.isSlow(c.now, limit)
-		took, seen := p.median(c.now, limit)
-		if late != (took > limit) {
-			t.Errorf("step %d: %d, late %v", i, took, late)
-		}
-		if seen != c.seen || seen && p.reportDue(c.now, took > limit) != c.due {
-			t.Errorf("step %d: %d, %v", i, took, seen)
-		}
-	}
-}
-
 // What discovery told is given away once for changes that come together, whole, without what is gone, and under the
 // address that told it; after a move not until the new address has answered.
 func TestListIsKept(t *testing.T) {
@@ -622,12 +594,12 @@
 	g.inLoop(func() {
 		at = g.proxy.cfg.Discovery.String()
 		for _, entries := range []string{
-			listed("s0", "127.0.0.1:2", "Terminating"),
-			`{"instanceId":"s1","lifecycle":"Gone"},` + listed("s2", "127.0.0.1:1", "Ready"),
+			listEntry("s0", "127.0.0.1:2", "Terminating"),
+			`{"instanceId":"s1","lifecycle":"Gone"},` + listEntry("s2", "127.0.0.1:1", "Ready"),
 		} {
-			c, err := g.proxy.servers.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
+			c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
 			g.check(err)
-			g.proxy.Listed(c)
+			g.proxy.servers.Listed(c)
 		}
 	})
 	got := <-kept
@@ -638,15 +610,15 @@
 	}
 	g.inLoop(func() {
 		for _, want := range c.Servers {
-			have := *g.proxy.servers.ByID([]byte(want.ID))
+			have := *g.proxy.servers.list.ByID([]byte(want.ID))
 			have.Number = want.Number
 			if have != *want {
 				t.Errorf("%+v, want %+v", *want, have)
 			}
 		}
-		g.proxy.discovery.ChangeAddress(g.proxy.cfg.Discovery)
-		g.proxy.Listed(discovery.Update{})
-		g.proxy.saveList()
+		g.proxy.servers.client.ChangeAddress(g.proxy.cfg.Discovery)
+		g.proxy.servers.Listed(discovery.Update{})
+		g.proxy.servers.save()
 	})
 	g.inLoop(func() {})
 	if len(kept) != 0 {
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -49,7 +49,7 @@
 	g.t.Helper()
 	for late := time.Now().Add(patience); ; {
 		var got discovery.ServerState
-		if g.inLoop(func() { got = g.proxy.servers.ByNumber(0).State }); got == want {
+		if g.inLoop(func() { got = g.proxy.servers.list.ByNumber(0).State }); got == want {
 			return
 		}
 		if time.Now().After(late) {
@@ -66,7 +66,7 @@
 		return fmt.Sprintf(
 			`{"generation":%d,"reset":false,"instances":[%s]}`,
 			generation,
-			listed("s0", "127.0.0.1:1", state),
+			listEntry("s0", "127.0.0.1:1", state),
 		)
 	}
 	push := strings.Replace(harnessSettings, `"discovery":"ask"`, `"discovery":"push"`, 1)
@@ -84,7 +84,7 @@
 	b := newAgent(t)
 	b.g = newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Discovery = b.addr() })
 	b.g.inLoop(func() {
-		if b.g.proxy.discovery.Watching() {
+		if b.g.proxy.servers.client.Watching() {
 			t.Error("asked where only the module asks")
 		}
 		cfg := b.g.proxy.cfg
--- /dev/null
+++ b/internal/proxy/request.go
@@ -0,0 +1,242 @@
+package proxy
+
+import (
+	"spurspread/decision"
+	"spurspread/decision/monotime"
+	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
+	"spurspread/decision/retry"
+	"spurspread/decision/timeouts"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
+)
+
+// unknownClass stands for a request class that the settings don't have.
+const unknownClass = -1
+
+// request is a client's request and, once it is established, its stream of lines.
+type request struct {
+	proxy      *Proxy
+	ref        eventloop.Ref // its slot, and its id in the decision core
+	downstream downstream
+	state      requestState
+	coreKnows  bool // the decision core knows it, or did until it was over; set by transition
+	timer      eventloop.Ref
+
+	firstLine   []byte // with its line end, until the server has accepted it
+	open        lineproto.Open
+	idTaken     bool            // its id is among the known ones
+	class       int             // index in classNames
+	classNames  []string        // as they were when it was accepted
+	retryPolicy retry.Policy    // of its class, as it was then
+	deadline    monotime.Micros // when the client gives up
+
+	attempt  *attempt // under way, or the established one
+	attempts int      // started so far
+
+	established
+
+	unansweredIndex    int32 // in requestTable.unanswered
+	awaitingReplyIndex int32 // in requestTable.awaitingReply
+	establishedIndex   int32 // in serverLatency.established
+}
+
+// openRequest begins a request with its first line, which text holds without its end and line with it. rejectOnly has
+// the client rejected. The request is over if the slots are used up.
+func (p *Proxy) openRequest(client downstream, text, line []byte, rejectOnly bool) *request {
+	r := &request{proxy: p, downstream: client, firstLine: line}
+	if !p.requests.put(r) {
+		client.sendFinal(lineproto.AppendBusy(nil, millisRoundedUp(timeouts.RejectRetryAfter)))
+		client.closeGracefully()
+		r.transition(stateClosed)
+		return r
+	}
+	p.requests.unanswered.add(r)
+	p.fitBuffersToGrowth()
+	if !r.parse(text) {
+		r.fail()
+		return r
+	}
+	r.admit(rejectOnly)
+	return r
+}
+
+// parse reads the first line. It returns false for one that is malformed, or whose id or class can't be served.
+func (r *request) parse(text []byte) bool {
+	var err error
+	// The id is new for every connection; a server that sees one again answers ERR, whoever used it before.
+	if r.open, err = lineproto.ParseOpen(text); err != nil || !r.proxy.requests.ids.Add(r.open.ID) {
+		return false
+	}
+	r.idTaken = true
+	r.classNames = r.proxy.cfg.Settings.ClassNames
+	r.class = indexOr(r.classNames, string(r.open.Class), unknownClass)
+	if r.class == unknownClass {
+		return false
+	}
+	r.retryPolicy = r.proxy.cfg.Settings.Decision.Classes[r.class].RetryPolicy()
+	return true
+}
+
+// admit rejects the request, or has it placed or reattached.
+func (r *request) admit(rejectOnly bool) {
+	p := r.proxy
+	p.stats.accepted++
+	if overload.RejectsRequest(overload.Arrival{
+		AcceptedShort: rejectOnly,
+		ShuttingDown:  p.drain.rejectsNew(),
+		Held:          p.requests.len(),
+		MaxHeld:       p.cfg.Settings.Decision.MaxHeldRequests,
+	}) {
+		r.reject(timeouts.RejectRetryAfter)
+		return
+	}
+	if !r.presentToken() {
+		return
+	}
+	if len(r.open.At) > 0 {
+		r.startReattaching()
+	} else {
+		r.place()
+	}
+}
+
+// place hands the request to the decision core.
+func (r *request) place() {
+	p := r.proxy
+	class := &p.cfg.Settings.Decision.Classes[r.class]
+	left := timeouts.Request(r.announcedDeadline(), class.Deadline)
+	r.deadline = p.loop.Now() + left
+	r.transition(statePending)
+	// The core answers before; should it ever not, the client must still get its answer.
+	r.startTimer(left, r.coreOverdue)
+	p.core.dispatch(r.event())
+}
+
+// announcedDeadline is how long the client says it waits.
+func (r *request) announcedDeadline() monotime.Micros {
+	return monotime.Micros(r.open.Millis) * monotime.Millisecond
+}
+
+// event is what the decision core is told of the request.
+func (r *request) event() decision.Request {
+	// Reloaded settings may number the classes otherwise; a class that they dropped has the strictest rules.
+	names := r.proxy.cfg.Settings.ClassNames
+	ev := decision.Request{
+		ID:          uint32(r.ref),
+		TimeLeft:    r.deadline - r.proxy.loop.Now(),
+		Class:       indexOr(names, r.classNames[r.class], len(names)),
+		Key:         r.open.Key,
+		Group:       r.open.Group,
+		LoadHint:    r.open.Hint,
+		HasLoadHint: r.open.HasHint,
+		Retry:       r.open.Retry,
+		Reconnected: r.open.Returned,
+	}
+	if r.resumable != nil {
+		ev.Resumable = true
+		ev.Pinned = r.resumable.pinned
+		ev.PinnedServer = r.resumable.server
+	}
+	return ev
+}
+
+func (r *request) startTimer(span monotime.Micros, due func()) {
+	r.proxy.loop.Cancel(&r.timer)
+	r.timer = r.proxy.loop.After(span, due)
+}
+
+func (r *request) coreOverdue() {
+	r.proxy.log.Warn("the decision core left a request unanswered")
+	r.expire()
+}
+
+// expire has the request answered at once. What the answer may promise is for the decision core to say.
+func (r *request) expire() {
+	r.proxy.core.dispatch(decision.RequestExpired{ID: uint32(r.ref)})
+	if r.state == statePending {
+		r.fail()
+		r.notifyCancelled()
+	}
+}
+
+// reject answers that the client may try again after a span.
+func (r *request) reject(retryAfter monotime.Micros) {
+	if r.state.unanswered() && !r.answeredStale() {
+		r.proxy.stats.rejected++
+		r.answer(lineproto.AppendBusy(nil, millisRoundedUp(retryAfter)))
+	}
+}
+
+// fail answers that the request failed, and may have been executed.
+func (r *request) fail() {
+	if r.state.unanswered() && !r.answeredStale() {
+		r.proxy.stats.failed++
+		r.answer([]byte("ERR\r\n"))
+	}
+}
+
+// answer gives the final answer, a line with its end.
+func (r *request) answer(line []byte) {
+	r.downstream.sendFinal(line)
+	r.finish(outcome.Cancelled)
+}
+
+// finish ends both sides gracefully. status is the outcome of an attempt that is still there.
+func (r *request) finish(status outcome.Status) {
+	if r.state == stateClosed {
+		return
+	}
+	r.downstream.closeGracefully()
+	r.release(status)
+}
+
+// close ends a request whose client is gone.
+func (r *request) close() {
+	if r.state == stateClosed {
+		return
+	}
+	// Of a half-closed one the core was notified when its client ended its side.
+	notify := r.coreKnows && r.state != stateHalfClosed
+	r.downstream.Close()
+	r.release(outcome.Cancelled)
+	if notify {
+		r.notifyCancelled()
+	}
+}
+
+// release frees what the request has. Its slot is freed once the core has handled all events that name it.
+func (r *request) release(status outcome.Status) {
+	p := r.proxy
+	r.transition(stateClosed)
+	p.loop.Cancel(&r.timer)
+	if r.idTaken {
+		p.requests.ids.Finish(r.open.ID)
+	}
+	r.firstLine = nil
+	r.sentAt = nil
+	r.partial = lineBuffer{}
+	p.requests.unanswered.remove(r)
+	p.requests.awaitingReply.remove(r)
+	if r.latency != nil {
+		r.latency.established.remove(r)
+		r.latency = nil
+	}
+	if r.attempt != nil {
+		r.attempt.end(status)
+	}
+	r.releaseClaim(nil, status)
+	p.requests.closed = append(p.requests.closed, r)
+	if !p.core.dispatching {
+		p.requests.freeClosed()
+	}
+}
+
+func (r *request) notifyCancelled() {
+	r.proxy.core.dispatch(decision.RequestCancelled{ID: uint32(r.ref)})
+}
+
+// millisRoundedUp is a span in whole milliseconds, no shorter than the span.
+func millisRoundedUp(span monotime.Micros) int64 {
+	return int64((span + monotime.Millisecond - 1) / monotime.Millisecond)
+}
--- a/internal/proxy/roster_test.go
+++ b/internal/proxy/request_set_test.go
@@ -64,8 +64,8 @@
 	}
 	kept := -1
 	g.inLoop(func() {
-		g.proxy.sweep()
-		kept = len(g.proxy.latencyOf(0).samples)
+		g.proxy.latencies.sweep()
+		kept = g.proxy.latencies.of(0).delay.Samples()
 	})
 	if kept != 0 {
 		t.Fatalf("%d times are kept", kept)
@@ -82,9 +82,9 @@
 			g.inLoop(
 				func() {
 					got = [3]int{
-						len(g.proxy.unanswered.members),
-						len(g.proxy.awaitingReply.members),
-						len(g.proxy.latencyOf(0).established.members),
+						len(g.proxy.requests.unanswered.members),
+						len(g.proxy.requests.awaitingReply.members),
+						len(g.proxy.latencies.of(0).established.members),
 					}
 				},
 			)
--- /dev/null
+++ b/internal/proxy/request_state_test.go
@@ -0,0 +1,56 @@
+package proxy
+
+import (
+	"io"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+)
+
+// Of all transitions only those of the table are allowed; nothing follows the end, and nothing goes back to the start.
+func TestTransitions(t *testing.T) {
+	allowed := map[requestState][]requestState{
+		stateNew:          {statePending, stateReattaching, stateClosed},
+		statePending:      {stateEstablished, stateClosed},
+		stateReattaching:  {stateEstablished, stateClosed},
+		stateEstablished:  {stateHalfClosed, stateTransferring, stateClosed},
+		stateHalfClosed:   {stateClosed},
+		stateTransferring: {stateEstablished, stateClosed},
+		stateClosed:       {},
+	}
+	for from := range stateClosed + 2 {
+		want := map[requestState]bool{}
+		for _, to := range allowed[from] {
+			want[to] = true
+		}
+		for to := range stateClosed + 2 {
+			if got := transitionAllowed(from, to); got != want[to] {
+				t.Errorf("%v to %v: %v", from, to, got)
+			}
+		}
+	}
+}
+
+// The decision core knows a request once it is placed or established, and goes on to know it.
+func TestCoreKnowsWhatIsPlacedOrEstablished(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	log.AddHook(transitionHook{t})
+	for _, c := range []struct {
+		path []requestState
+		want []bool
+	}{
+		{[]requestState{statePending, stateEstablished, stateHalfClosed, stateClosed}, []bool{true, true, true, true}},
+		{[]requestState{stateReattaching, stateEstablished, stateTransferring}, []bool{false, true, true}},
+		{[]requestState{stateReattaching, stateClosed}, []bool{false, false}},
+		{[]requestState{stateClosed}, []bool{false}},
+	} {
+		r := &request{proxy: &Proxy{log: log}}
+		for i, to := range c.path {
+			r.transition(to)
+			if r.coreKnows != c.want[i] || r.state != to {
+				t.Errorf("%v, step %d: core knows %v", c.path, i, r.coreKnows)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/request_table.go
@@ -0,0 +1,69 @@
+package proxy
+
+import (
+	"spurspread/decision/outcome"
+	"spurspread/decision/requestids"
+	"spurspread/internal/eventloop"
+)
+
+// requestTable owns the requests: their slots, whose numbers are the ids under which the decision core knows them, the
+// ids that clients gave them, and the sets of those that something is due for.
+type requestTable struct {
+	slots         eventloop.Slots[*request]
+	unanswered    requestSet // requests that have no answer yet
+	awaitingReply requestSet // established connections with unanswered lines
+	ids           *requestids.Set
+	closed        []*request // over; their slots are freed once the core's queue is empty
+}
+
+func newRequestTable() requestTable {
+	return requestTable{
+		unanswered:    requestSet{index: func(r *request) *int32 { return &r.unansweredIndex }},
+		awaitingReply: requestSet{index: func(r *request) *int32 { return &r.awaitingReplyIndex }},
+		ids:           requestids.New(),
+	}
+}
+
+// get is the request that the decision core knows by this id.
+func (t *requestTable) get(id uint32) (*request, bool) { return t.slots.Get(eventloop.Ref(id)) }
+
+// put gives the request a slot; false where there is none left.
+func (t *requestTable) put(r *request) bool {
+	r.ref = t.slots.Put(r)
+	return r.ref != 0
+}
+
+// len is how many requests there are, those included that are over but have not been freed.
+func (t *requestTable) len() int { return t.slots.Len() }
+
+// all yields all requests in the order of their slots.
+func (t *requestTable) all(yield func(*request) bool) {
+	for _, r := range t.slots.All {
+		if !yield(r) {
+			return
+		}
+	}
+}
+
+// freeClosed frees the slots of requests that are over. It must not be called while the core may still name them.
+func (t *requestTable) freeClosed() {
+	for _, r := range t.closed {
+		t.slots.Drop(r.ref)
+	}
+	t.closed = t.closed[:0]
+}
+
+// followServerList handles a change of the server list. It recalls attempts that are on their way, their requests not
+// written, to servers whose listing has changed since, and reattaches clients whose servers may be listed by now. A
+// client that is reattached goes to its server whatever the listing is.
+func (t *requestTable) followServerList() {
+	for r := range t.unanswered.each {
+		a := r.attempt
+		if a != nil && r.state == statePending && !a.written && a.serverChanged() {
+			a.end(outcome.Inconclusive)
+		}
+	}
+	for r := range t.unanswered.each {
+		r.reattach()
+	}
+}
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"spurspread/decision"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/lineproto"
 	"spurspread/internal/token"
@@ -52,7 +53,7 @@
 			TokenLifetime: 60_000,
 			ClockSkew:     2000,
 			MaxClaims:     100,
-			DrainSpread:   100 * millisecond,
+			DrainSpread:   100 * monotime.Millisecond,
 		}
 		if change != nil {
 			change(cfg)
@@ -97,15 +98,15 @@
 func (g *harness) list(entries ...string) {
 	g.t.Helper()
 	g.inLoop(func() {
-		c, err := g.proxy.servers.Apply([]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`))
+		c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`))
 		if err == nil {
-			g.proxy.Listed(c)
+			g.proxy.servers.Listed(c)
 		}
 	})
 }
 
 func (g *harness) listDraining(i int) {
-	g.list(listed([]string{"s0", "s1"}[i], g.servers[i].Addr().String(), "Terminating"))
+	g.list(listEntry([]string{"s0", "s1"}[i], g.servers[i].Addr().String(), "Terminating"))
 }
 
 // Whatever ends a connection, a client that takes tokens is told where to go on, and goes on there.
@@ -120,7 +121,7 @@
 		"the node just ends":                       {func(_ *harness, s *peer) { _ = s.Close() }, 1},
 		"the node dies in the middle of a message": {func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() }, 1},
 		"the node falls silent": {func(g *harness, _ *peer) {
-			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.sweep() })
+			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.latencies.sweep() })
 		}, 1},
 		"the balancer stops": {func(g *harness, _ *peer) { g.loop.Post(g.proxy.Drain) }, 0},
 	} {
@@ -131,8 +132,8 @@
 			word := client.moved()
 			// The next balancer shares nothing with the first but the key and the list.
 			other.list(
-				listed("s0", g.servers[0].Addr().String(), "Ready"),
-				listed("s1", g.servers[1].Addr().String(), "Ready"),
+				listEntry("s0", g.servers[0].Addr().String(), "Ready"),
+				listEntry("s1", g.servers[1].Addr().String(), "Ready"),
 			)
 			again := other.client(comeLine + word + "\r\n")
 			next := g.acceptUpstream(c.to)
@@ -189,7 +190,7 @@
 // seal makes a token as a balancer would, changed by a test.
 func (g *harness) seal(ring *token.Ring, change func(*token.Token)) string {
 	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
-	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / millisecond) })
+	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / monotime.Millisecond) })
 	t.ExpiresAt = t.IssuedAt + 60_000
 	first, err := lineproto.ParseOpen([]byte(strings.TrimSuffix(tokenRequestLine, "\r\n")))
 	g.check(err)
@@ -311,8 +312,8 @@
 	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
 	again.want("STALE spent\r\n")
 	other.list(
-		listed("s0", g.servers[0].Addr().String(), "Ready"),
-		listed("s1", g.servers[1].Addr().String(), "Ready"),
+		listEntry("s0", g.servers[0].Addr().String(), "Ready"),
+		listEntry("s1", g.servers[1].Addr().String(), "Ready"),
 	)
 	elsewhere := other.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 	next := g.acceptUpstream(1)
@@ -335,7 +336,7 @@
 	next.line()
 	g.check(first.Close())
 	for closed := false; !closed; { // the first session is there until it has seen that
-		g.inLoop(func() { closed = g.proxy.requests.Len() == 1 })
+		g.inLoop(func() { closed = g.proxy.requests.len() == 1 })
 	}
 	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 	third.want("STALE taken\r\n")
@@ -355,7 +356,7 @@
 
 // A drain that is taken back moves nobody any more.
 func TestDrainCancelled(t *testing.T) {
-	g := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * second })
+	g := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * monotime.Second })
 	var clients []*peer
 	var last *peer
 	for i := range 8 {
@@ -368,11 +369,11 @@
 	}
 	addr := g.servers[0].Addr().String()
 	g.listDraining(0)
-	g.list(listed("s0", addr, "Ready"))
+	g.list(listEntry("s0", addr, "Ready"))
 	moved, due := 0, 0
 	g.inLoop(func() {
-		moved = g.proxy.counters.moved
-		_, next := g.proxy.resumption.drainOrder.Due(g.loop.Now()+10*second, nil)
+		moved = g.proxy.stats.moved
+		_, next := g.proxy.resumption.drains.Due(g.loop.Now()+10*monotime.Second, nil)
 		due = int(next)
 	})
 	if moved == len(clients) || due >= 0 {
--- /dev/null
+++ b/internal/proxy/serverlist.go
@@ -0,0 +1,136 @@
+package proxy
+
+import (
+	"fmt"
+	"slices"
+	"spurspread/decision"
+	"spurspread/decision/monotime"
+	"spurspread/decision/timeouts"
+	"spurspread/internal/discovery"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// saveListDelay is how long a changed list waits before it is saved; changes mostly come together.
+	saveListDelay = 200 * monotime.Millisecond
+	// unknownZone and unknownMachineType stand for names that the settings don't have.
+	unknownZone        = 255
+	unknownMachineType = 65535
+)
+
+// serverDirectory owns the discovery client and the server list. It reports changes to the decision core, to requests
+// that wait for a server, and to whoever saves the list.
+type serverDirectory struct {
+	proxy         *Proxy
+	list          *discovery.ServerList
+	client        *discovery.Client
+	saveScheduled bool
+}
+
+func newServerDirectory(p *Proxy) serverDirectory {
+	return serverDirectory{proxy: p, list: discovery.NewServerList()}
+}
+
+// open makes the discovery client and restores the cached list.
+func (d *serverDirectory) open(cfg Config) (cached discovery.Update, err error) {
+	d.client = discovery.NewClient(d.proxy.loop, cfg.Discovery, d.list, d)
+	if len(cfg.CachedList) == 0 {
+		return discovery.Update{}, nil
+	}
+	if cached, err = d.client.Restore(cfg.CachedList); err != nil {
+		return discovery.Update{}, fmt.Errorf("known: %w", err)
+	}
+	return cached, nil
+}
+
+// setWatch starts or stops the watch of discovery.
+func (d *serverDirectory) setWatch(on bool) {
+	if on {
+		d.client.Watch()
+	} else {
+		d.client.StopWatching()
+	}
+}
+
+// watchIfPushed keeps a watch where server lists are pushed. There the core never polls: an agent on this machine
+// pushes them, and watching it from the start costs nobody anything.
+func (d *serverDirectory) watchIfPushed() {
+	if !d.proxy.cfg.Settings.Decision.PollDiscovery && !d.client.Watching() {
+		d.client.Watch()
+	}
+}
+
+// Listed is part of discovery.Watcher: the list has changed.
+func (d *serverDirectory) Listed(update discovery.Update) {
+	p := d.proxy
+	kind := decision.UpdateDelta
+	if update.Full {
+		kind = decision.UpdateFull
+	}
+	p.core.dispatch(d.event(kind, update))
+	p.requests.followServerList()
+	p.resumption.followServerList(update)
+	if p.cfg.SaveList != nil && !d.saveScheduled {
+		d.saveScheduled = true
+		p.loop.After(saveListDelay, d.save)
+	}
+}
+
+// Failed is part of discovery.Watcher: a call failed or the watch broke.
+func (d *serverDirectory) Failed(err error) {
+	p := d.proxy
+	p.log.WithError(err).Warn("discovery failed")
+	p.core.dispatch(decision.ServerListUpdate{Kind: decision.UpdateFailed})
+	if !p.cfg.Settings.Decision.PollDiscovery {
+		p.loop.After(timeouts.Rewatch, d.watchIfPushed)
+	}
+}
+
+// save gives the whole list to whoever keeps it.
+func (d *serverDirectory) save() {
+	d.saveScheduled = false
+	if from, list := d.client.Snapshot(); list != nil {
+		d.proxy.cfg.SaveList(from, list)
+	}
+}
+
+// event is what the decision core is told of a change of the list.
+func (d *serverDirectory) event(kind decision.UpdateKind, update discovery.Update) decision.ServerListUpdate {
+	known := &d.proxy.cfg.Settings
+	ev := decision.ServerListUpdate{Kind: kind}
+	for _, server := range update.Servers {
+		zone := indexOr(known.ZoneNames, server.Zone, unknownZone)
+		machineType := indexOr(known.MachineTypes, server.MachineType, unknownMachineType)
+		ev.Entries = append(ev.Entries, decision.ServerEntry{
+			Server:      server.Number,
+			StableID:    xxhash.Sum64String(server.ID),
+			Zone:        uint8(zone),
+			MachineType: uint16(machineType),
+			State:       entryState(server.State),
+			Weight:      server.Weight,
+			Cell:        server.Cell,
+			StartedAt:   decision.Micros(server.StartedMillis) * monotime.Millisecond,
+		})
+	}
+	return ev
+}
+
+// entryState is the decision core's name for a state in discovery.
+func entryState(state discovery.ServerState) decision.ServerState {
+	switch state {
+	case discovery.Ready:
+		return decision.Ready
+	case discovery.Gone:
+		return decision.Removed
+	}
+	return decision.Draining
+}
+
+// indexOr is the index of a name, or the given number where the name is missing.
+func indexOr(names []string, name string, missing int) int {
+	if i := slices.Index(names, name); i >= 0 {
+		return i
+	}
+	return missing
+}
--- /dev/null
+++ b/internal/proxy/transfer_receive.go
@@ -0,0 +1,125 @@
+package proxy
+
+import (
+	"spurspread/decision"
+	"spurspread/decision/hotrestart"
+	"spurspread/decision/monotime"
+	"spurspread/decision/outcome"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/lineproto"
+	"spurspread/internal/restartproto"
+
+	"golang.org/x/sys/unix"
+)
+
+// transferReceiver accepts connections that an older process transfers to this one.
+type transferReceiver struct{ proxy *Proxy }
+
+// Ended is part of eventloop.PacketOwner.
+func (transferReceiver) Ended(link *eventloop.Packets) { link.Close() }
+
+// Packet is part of eventloop.PacketOwner: one offered connection, with its two sockets.
+func (t transferReceiver) Packet(link *eventloop.Packets, b []byte, fds []int) {
+	p := t.proxy
+	offer, err := restartproto.DecodeOffer(b)
+	if err != nil || !t.accepts(&offer, len(fds)) {
+		closeDescriptors(fds)
+		_ = link.Send(restartproto.EncodeAnswer(offer.Ref, false))
+		return
+	}
+	p.requests.ids.Add(offer.ID)
+	r := p.adoptConnection(&offer, fds)
+	if r == nil {
+		p.requests.ids.Finish(offer.ID)
+		_ = link.Send(restartproto.EncodeAnswer(offer.Ref, false))
+		return
+	}
+	if link.Send(restartproto.EncodeAnswer(offer.Ref, true)) != nil {
+		// The older process has it back.
+		p.requests.ids.Finish(offer.ID)
+		r.releaseSockets()
+		p.requests.slots.Drop(r.ref)
+		return
+	}
+	p.stats.transferredIn++
+	p.core.dispatch(decision.ExistingConnection{Request: r.event(), Server: r.attempt.server.Number})
+}
+
+// accepts reports whether an offer is accepted that came with so many sockets.
+func (t transferReceiver) accepts(offer *restartproto.ConnectionOffer, sockets int) bool {
+	p := t.proxy
+	return hotrestart.AcceptTransfer(hotrestart.OfferedConnection{
+		Sockets:          sockets,
+		ServerListed:     p.servers.list.ByID([]byte(offer.Server)) != nil,
+		IDUnused:         !p.requests.ids.Known(offer.ID),
+		Draining:         p.drain.on,
+		DescriptorsShort: p.descriptorsShort(),
+	})
+}
+
+// adoptConnection builds the request of an offered connection, without reading from it yet. It returns nil, with the
+// sockets closed, where that fails.
+func (p *Proxy) adoptConnection(offer *restartproto.ConnectionOffer, fds []int) *request {
+	client := &downstreamConn{proxy: p}
+	r := p.transferredRequest(offer, client)
+	client.request = r
+	var err error
+	if client.conn, err = p.loop.Adopt(fds[0], client); err != nil {
+		_ = unix.Close(fds[1])
+		return nil
+	}
+	server, err := p.loop.Adopt(fds[1], r.attempt)
+	if err != nil {
+		client.conn.Release()
+		return nil
+	}
+	r.attempt.upstream = server
+	if !p.requests.put(r) {
+		client.conn.Release()
+		server.Release()
+		return nil
+	}
+	p.fitBuffersToGrowth()
+	r.joinServer()
+	for _, age := range offer.Unanswered {
+		r.awaitReply(p.loop.Now() - monotime.Micros(age))
+	}
+	return r
+}
+
+// transferredRequest is the request of an offered connection, without its sockets. It is established from the start.
+func (p *Proxy) transferredRequest(offer *restartproto.ConnectionOffer, client *downstreamConn) *request {
+	now := p.loop.Now()
+	r := &request{
+		proxy:      p,
+		downstream: client,
+		state:      stateEstablished,
+		coreKnows:  true,
+		open: lineproto.Open{
+			ID:       offer.ID,
+			Key:      offer.Key,
+			Group:    offer.Group,
+			Hint:     offer.Hint,
+			HasHint:  offer.HasHint,
+			Retry:    offer.Retry,
+			Returned: offer.Returned,
+		},
+		idTaken:    true,
+		class:      0,
+		classNames: []string{offer.Class},
+		deadline:   now,
+		established: established{
+			lastReply: now - monotime.Micros(offer.SinceLastReply),
+			endStatus: outcome.Status(offer.Verdict),
+		},
+	}
+	r.attempt = &attempt{
+		proxy:     p,
+		request:   r,
+		server:    p.servers.list.ByID([]byte(offer.Server)),
+		began:     now,
+		connected: true,
+		written:   true,
+	}
+	return r
+}
--- a/internal/proxy/pass_test.go
+++ b/internal/proxy/transfer_test.go
@@ -6,6 +6,7 @@
 	"path/filepath"
 	"spurspread/decision"
 	"spurspread/decision/lifecycle"
+	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/restartproto"
@@ -106,12 +107,12 @@
 			}
 		}
 	}
-	if len(outcomes) != streams || g.proxy.counters.transferred != streams || g.proxy.counters.moved != 0 {
+	if len(outcomes) != streams || g.proxy.stats.transferredOut != streams || g.proxy.stats.moved != 0 {
 		t.Errorf(
 			"%d outcomes, %d passed, %d moved",
 			len(outcomes),
-			g.proxy.counters.transferred,
-			g.proxy.counters.moved,
+			g.proxy.stats.transferredOut,
+			g.proxy.stats.moved,
 		)
 	}
 	opened := map[uint32]bool{}
@@ -204,8 +205,8 @@
 				t.Errorf("%+v", o)
 			}
 			g.stops()
-			if g.proxy.counters.transferred != 0 {
-				t.Errorf("%d passed", g.proxy.counters.transferred)
+			if g.proxy.stats.transferredOut != 0 {
+				t.Errorf("%d passed", g.proxy.stats.transferredOut)
 			}
 		})
 	}
@@ -242,8 +243,8 @@
 	target.want("anybody?\r\n")
 	g.inLoop(func() {
 		s := g.onlyRequest()
-		s.lastReply -= 10 * second
-		s.sentAt[0] -= 10 * second
+		s.lastReply -= 10 * monotime.Second
+		s.sentAt[0] -= 10 * monotime.Second
 	})
 	quiet := make(chan eventloop.Micros, 1)
 	next.inLoop(func() {
@@ -255,14 +256,14 @@
 		}
 	})
 	g.hotRestart(path, os.Getpid())
-	if age := <-quiet; age < 10*second {
+	if age := <-quiet; age < 10*monotime.Second {
 		t.Errorf("silent for %d µs, as far as the successor knows", age)
 	}
 	client.want("MOVE\r\n")
 	client.ended(true)
 	next.inLoop(func() {
-		if next.proxy.counters.adopted != 1 || next.proxy.counters.silent != 1 {
-			t.Errorf("%+v", next.proxy.counters)
+		if next.proxy.stats.transferredIn != 1 || next.proxy.stats.silent != 1 {
+			t.Errorf("%+v", next.proxy.stats)
 		}
 	})
 }
@@ -350,8 +351,8 @@
 	g.hotRestart(path, os.Getpid())
 	client.moved()
 	g.stops()
-	if g.proxy.counters.transferred != 0 {
-		t.Errorf("%d passed", g.proxy.counters.transferred)
+	if g.proxy.stats.transferredOut != 0 {
+		t.Errorf("%d passed", g.proxy.stats.transferredOut)
 	}
 }
 
@@ -362,7 +363,7 @@
 
 // onlyRequest is the one session there is, read on the loop.
 func (g *harness) onlyRequest() (s *request) {
-	for _, s = range g.proxy.requests.All {
+	for s = range g.proxy.requests.all {
 	}
 	return s
 }
--- /dev/null
+++ b/internal/proxy/upstream.go
@@ -0,0 +1,25 @@
+package proxy
+
+import (
+	"errors"
+	"spurspread/decision/attemptoutcome"
+	"spurspread/decision/outcome"
+	"spurspread/internal/discovery"
+	"spurspread/internal/eventloop"
+)
+
+// errNoAddress is the error of a dial to a server that is not listed, or is listed without an address.
+var errNoAddress = errors.New("server has no address")
+
+// dialServer starts a connection to a server, for an attempt, a probe or a multiplexed connection.
+func (p *Proxy) dialServer(server *discovery.Server, owner eventloop.Owner) (*eventloop.Conn, error) {
+	if server == nil || !server.Addr.IsValid() {
+		return nil, errNoAddress
+	}
+	return p.loop.Dial(server.Addr, owner)
+}
+
+// dialOutcome is the outcome of a dial that failed at once.
+func dialOutcome(err error) outcome.Status {
+	return attemptoutcome.OfFailedDial(eventloop.IsResourceExhausted(err))
+}
