--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -15,8 +15,8 @@
 	"strconv"
 )
 
-// attempt is one attempt to have a server accept a request and, if it does, the upstream side of the connection. It ends
-// once, with one outcome for the decision core.
+// attempt is one attempt to have a server accept a request and, if it does, the upstream side of the connection. It
+// ends once, with one outcome for the decision core.
 type attempt struct {
 	proxy         *Proxy
 	request       *request
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -51,7 +51,7 @@
 	return c
 }
 
-// acceptMux takes the next connection at target i as one with channels.
+// acceptMux takes the next connection at server i as one with channels.
 func (g *harness) acceptMux(i int) *sshchan.Conn {
 	g.t.Helper()
 	p := g.acceptUpstream(i)
@@ -168,7 +168,7 @@
 func trimmed(text string) string { return strings.TrimSuffix(text, "\r\n") }
 
 // pair brings a stream up with either kind of connection on both sides.
-func (g *harness) pair(clientMux, targetMux bool, first string) (client, target *duplex) {
+func (g *harness) pair(clientMux, serverMux bool, first string) (client, server *duplex) {
 	g.t.Helper()
 	if clientMux {
 		c := g.connection()
@@ -178,13 +178,13 @@
 	} else {
 		client = &duplex{g: g, plain: g.client(first)}
 	}
-	if targetMux {
+	if serverMux {
 		ch := g.acceptMux(0).Accept()
 		if !strings.HasPrefix(ch.Line, first[:19]) {
 			g.t.Fatalf("%q", ch.Line)
 		}
 		g.check(ch.Confirm("UP r1 from=0"))
-		target = g.overChannel(ch)
+		server = g.overChannel(ch)
 	} else {
 		p := g.acceptUpstream(0)
 		if got := p.line(); strings.HasPrefix(got, "SSH-") { // asked whether it speaks channels
@@ -193,24 +193,24 @@
 			p.line()
 		}
 		p.say("UP r1 from=0\r\n")
-		target = &duplex{g: g, plain: p}
+		server = &duplex{g: g, plain: p}
 	}
 	if clientMux {
 		g.answered(client.ch, true, 0, "UP r1 from=0")
 	} else {
 		client.want("UP r1 from=0\r\n")
 	}
-	return client, target
+	return client, server
 }
 
-// All four pairs of connections pass lines, ends in kind, and moves, and the module hears the same.
+// All four pairs of connections pass lines, ends in kind, and moves, and the decision core hears the same.
 func TestPairs(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(client, target *duplex)
+		end  func(client, server *duplex)
 		want outcome.Status
 	}{
-		"target ends":   {func(c, s *duplex) { s.close(); c.ended(true) }, outcome.Reset},
-		"target resets": {func(c, s *duplex) { s.reset(); c.ended(false) }, outcome.Reset},
+		"server ends":   {func(c, s *duplex) { s.close(); c.ended(true) }, outcome.Reset},
+		"server resets": {func(c, s *duplex) { s.reset(); c.ended(false) }, outcome.Reset},
 		"client resets": {func(c, s *duplex) { c.reset(); s.ended(false) }, outcome.Cancelled},
 		"client ends": {func(c, s *duplex) {
 			c.closeWrite()
@@ -228,7 +228,7 @@
 				c.g.t.Errorf("token %q", token)
 			}
 		}, outcome.Cancelled},
-		"target sends away": {func(c, s *duplex) {
+		"server sends away": {func(c, s *duplex) {
 			if s.ch != nil {
 				c.g.check(s.ch.Move(""))
 			} else {
@@ -239,16 +239,16 @@
 		}, outcome.Cancelled},
 	} {
 		for _, clientMux := range []bool{false, true} {
-			for _, targetMux := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, client %v, target %v", name, clientMux, targetMux), func(t *testing.T) {
+			for _, serverMux := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, client %v, server %v", name, clientMux, serverMux), func(t *testing.T) {
 					g := newHarness(t, 1, sendToFirst, channelsOn)
-					client, target := g.pair(clientMux, targetMux, openLine)
+					client, server := g.pair(clientMux, serverMux, openLine)
 					client.say("T 1\r\n")
-					target.want("T 1\r\n")
-					target.say("LOAD 3\r\nOK 1\r\n")
+					server.want("T 1\r\n")
+					server.say("LOAD 3\r\nOK 1\r\n")
 					client.want("LOAD 3\r\n")
 					client.want("OK 1\r\n")
-					c.end(client, target)
+					c.end(client, server)
 					if o := event[decision.AttemptEnded](g); !o.RequestClosed || c.want != 255 && o.Status != c.want {
 						t.Errorf("%+v, want status %d", o, c.want)
 					}
@@ -275,8 +275,8 @@
 	s := node.Accept()
 	g.check(s.Confirm("UP r1 from=0"))
 	g.answered(ch, true, 0, "UP r1 from=0")
-	target, client := g.overChannel(s), g.overChannel(ch)
-	target.say("#1 a\r\n#2 b\r\n#3 half a mes")
+	server, client := g.overChannel(s), g.overChannel(ch)
+	server.say("#1 a\r\n#2 b\r\n#3 half a mes")
 	client.want("#1 a\r\n")
 	client.want("#2 b\r\n")
 	g.listDraining(0)
@@ -332,12 +332,12 @@
 	g.answered(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
 	stands := open("OPEN ID 3 c=sync,d=5000")
 	node := g.acceptMux(0)
-	target := node.Accept()
-	g.check(target.Confirm("UP r"))
+	server := node.Accept()
+	g.check(server.Confirm("UP r"))
 	g.answered(stands, true, 0, "UP r")
 	busy := open("OPEN ID 4 c=sync,d=5000")
 	g.check(node.Accept().Refuse(sshchan.Shortage, "BUSY"))
-	g.answered(busy, false, sshchan.Failed, "ERR") // as this module answers an outcome
+	g.answered(busy, false, sshchan.Failed, "ERR") // as this program answers an outcome
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens were done: the bucket is empty. Later there is room for one more, and then three are held.
 	g.answered(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 300")
@@ -354,7 +354,7 @@
 		sendToFirst,
 		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * monotime.Millisecond },
 	)
-	client, target := g.pair(true, true, openLine)
+	client, server := g.pair(true, true, openLine)
 	goodbye := func(what string, c *sshchan.Conn, want string) {
 		t.Helper()
 		if ch := c.Accept(); ch != nil || !strings.Contains(c.DisconnectReason, want) {
@@ -362,7 +362,9 @@
 		}
 	}
 	for what, b := range map[string][]byte{
-		"a plain line": []byte("OPEN 5 6 c=sync,d=5\r\n"), "length 0": make([]byte, 8), "a huge length": {0x7f, 0xff, 0xff, 0xff, 4},
+		"a plain line":    []byte("OPEN 5 6 c=sync,d=5\r\n"),
+		"length 0":        make([]byte, 8),
+		"a huge length":   {0x7f, 0xff, 0xff, 0xff, 4},
 		"endless garbage": bytes.Repeat([]byte{0xee}, 100_000),
 	} {
 		c := g.connection()
@@ -393,8 +395,8 @@
 		}
 	}
 	client.say("T 1\r\n")
-	target.want("T 1\r\n")
-	target.say("OK\r\n")
+	server.want("T 1\r\n")
+	server.say("OK\r\n")
 	client.want("OK\r\n")
 	for until := time.Now().Add(patience); c.Unknown() != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -411,12 +413,12 @@
 	client.ended(true)
 }
 
-// A client that does not read one channel, and a target that does not, stop their own senders and nobody else; what is
+// A client that does not read one channel, and a server that does not, stop their own senders and nobody else; what is
 // kept meanwhile is bounded.
 func TestStalledChannels(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
-	var clients, targets []*duplex
+	var clients, servers []*duplex
 	var node *sshchan.Conn
 	for i := range 3 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
@@ -427,19 +429,19 @@
 		s := node.Accept()
 		g.check(s.Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
-		clients, targets = append(clients, g.overChannel(ch)), append(targets, g.overChannel(s))
+		clients, servers = append(clients, g.overChannel(ch)), append(servers, g.overChannel(s))
 	}
 	clients[0].ch.Hold(true) // reads, but gives nothing back, as a reader that has stalled
-	targets[1].ch.Hold(true)
+	servers[1].ch.Hold(true)
 	line := strings.Repeat("x", 98) + "\r\n"
 	const lines = 20_000
-	for _, from := range []*duplex{targets[0], clients[1]} {
+	for _, from := range []*duplex{servers[0], clients[1]} {
 		go func() { _, _ = from.ch.Write([]byte(strings.Repeat(line, lines))) }()
 	}
 	for i := range 200 {
 		clients[2].say(fmt.Sprintf("T %d\r\n", i))
-		targets[2].want(fmt.Sprintf("T %d\r\n", i))
-		targets[2].say(fmt.Sprintf("OK %d\r\n", i))
+		servers[2].want(fmt.Sprintf("T %d\r\n", i))
+		servers[2].say(fmt.Sprintf("OK %d\r\n", i))
 		clients[2].want(fmt.Sprintf("OK %d\r\n", i))
 		kept := 0
 		g.inLoop(func() {
@@ -452,17 +454,17 @@
 		}
 	}
 	clients[0].ch.Hold(false)
-	targets[1].ch.Hold(false)
+	servers[1].ch.Hold(false)
 	for range lines {
 		clients[0].want(line)
-		targets[1].want(line)
+		servers[1].want(line)
 	}
 }
 
-// A trunk that breaks ends each of its channels with one outcome, and is one piece of evidence. Hops that still
-// wait for a trunk were never sent.
+// A multiplexed upstream connection that breaks ends each of its channels with one outcome, and is one piece of
+// evidence. Attempts that still wait for a multiplexed connection were never sent.
 func TestMuxUpstreamBreaks(t *testing.T) {
-	const n = 30 // fewer than have a second trunk opened ahead of need
+	const n = 30 // fewer than have a second connection opened ahead of need
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients []*sshchan.Channel
@@ -503,7 +505,7 @@
 	if c.Err() != nil {
 		t.Error("the client's connection ended with the trunk")
 	}
-	// The next comes too soon for another trunk, and is told so without one more piece of evidence.
+	// The next comes too soon for another connection, and is told so without one more piece of evidence.
 	_, err := c.Open("OPEN b1 7 c=sync,d=60000")
 	g.check(err)
 	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || !o.SharedCause {
@@ -511,7 +513,7 @@
 	}
 }
 
-// Hops that wait for a trunk that can't be opened were never sent; the first is the evidence.
+// Attempts that wait for a multiplexed connection that can't be opened were never sent; the first is the evidence.
 func TestMuxUpstreamRefused(t *testing.T) {
 	g := newHarness(t, 1, nil, channelsOn)
 	g.check(g.servers[0].Close())
@@ -545,7 +547,7 @@
 	}
 }
 
-// A target that speaks plain lines only is asked once; the hop that asked goes on as a plain one.
+// A server that speaks plain lines only is asked once; the attempt that asked goes on as a plain one.
 func TestPlainTargets(t *testing.T) {
 	for name, answer := range map[string]func(p *peer){
 		"closes": func(p *peer) { _ = p.Close() },
@@ -559,16 +561,16 @@
 				t.Fatalf("%q", got)
 			}
 			answer(asked)
-			target := g.acceptUpstream(0)
-			target.line()
-			target.say("UP r1\r\n")
+			server := g.acceptUpstream(0)
+			server.line()
+			server.say("UP r1\r\n")
 			first.want("UP r1\r\n")
 			second := g.client(another)
-			target = g.acceptUpstream(0)
-			if got := target.line(); !strings.HasPrefix(got, "OPEN 9b20") {
+			server = g.acceptUpstream(0)
+			if got := server.line(); !strings.HasPrefix(got, "OPEN 9b20") {
 				t.Errorf("asked again: %q", got)
 			}
-			target.say("UP r2\r\n")
+			server.say("UP r2\r\n")
 			second.want("UP r2\r\n")
 			for range 2 {
 				if o := event[decision.Established](g); o.Attempt != 0 {
@@ -583,7 +585,7 @@
 func TestClientConnectionEnds(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, other := g.connection(), g.connection()
-	var targets []*duplex
+	var servers []*duplex
 	var node *sshchan.Conn
 	for i, from := range []*sshchan.Conn{c, c, other} {
 		ch, err := from.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
@@ -594,15 +596,15 @@
 		s := node.Accept()
 		g.check(s.Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
-		targets = append(targets, g.overChannel(s))
+		servers = append(servers, g.overChannel(s))
 	}
 	g.check(c.Close())
-	targets[0].ended(true)
-	targets[1].ended(true)
-	targets[2].say("still there\r\n")
+	servers[0].ended(true)
+	servers[1].ended(true)
+	servers[2].say("still there\r\n")
 }
 
-// A planned stop moves every channel, and then says goodbye on the connection.
+// A planned stop moves every channel, and then disconnects.
 func TestDrainChannels(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, idle := g.connection(), g.connection()
@@ -632,7 +634,7 @@
 	g.check(err)
 }
 
-// The loop doesn't stop before a connection whose last channel has just ended has heard goodbye, nor one that came
+// The loop doesn't stop before a connection whose last channel has just ended has read DISCONNECT, nor one that came
 // late.
 func TestDisconnectBeforeTheStop(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
@@ -658,7 +660,7 @@
 	g.stops()
 }
 
-// A drain of one target moves the channels that are there, with their tokens; the connection stays for the others.
+// A drain of one server moves the channels that are there, with their tokens; the connection stays for the others.
 func TestDrainOneTarget(t *testing.T) {
 	g := newResumeHarness(t, channelsOn)
 	c := g.connection()
@@ -698,7 +700,8 @@
 	}
 }
 
-// A target that says nothing any more on a trunk is given up, its clients are moved, and that is one piece of evidence.
+// A server that says nothing any more on a multiplexed connection is given up, its clients are moved, and that is one
+// piece of evidence.
 func TestSilentMuxUpstream(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
@@ -751,7 +754,7 @@
 	if age(40 * monotime.Second) {
 		t.Error("ended before it was asked")
 	}
-	for quiet := eventloop.Micros(1); quiet > 0; { // its answer is heard
+	for quiet := eventloop.Micros(1); quiet > 0; { // its answer has arrived
 		g.inLoop(func() {
 			for m := range g.proxy.listener.muxed {
 				if quiet = 0; m.lastReceived < g.loop.Now()-monotime.Second {
@@ -769,13 +772,13 @@
 // Short of descriptors, connections without channels go first.
 func TestIdleConnectionsGoFirst(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { plainUpstreams(cfg); cfg.MaxDescriptors = 40 })
-	client, target := g.pair(true, false, openLine)
+	client, server := g.pair(true, false, openLine)
 	for range 60 {
 		p := g.client("SSH-2.0-x\r\n")
 		_ = p
 	}
 	client.say("T 1\r\n")
-	target.want("T 1\r\n")
+	server.want("T 1\r\n")
 	evicted, open := 0, 0
 	g.inLoop(func() { evicted, open = g.proxy.stats.evicted, g.loop.Descriptors() })
 	if evicted < 30 || open > 40 {
--- a/internal/proxy/connect_timeout_test.go
+++ b/internal/proxy/connect_timeout_test.go
@@ -9,7 +9,7 @@
 )
 
 // A loop that was held up finds a connection's deadline passed before it reads that the connection has come up: the
-// attempt goes on, and its target is not taken for dead. The target accepts while the loop stands, so that the
+// attempt goes on, and its server is not taken for dead. The server accepts while the loop stands, so that the
 // order is the same every time.
 func TestConnectedBehindItsDeadline(t *testing.T) {
 	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
@@ -21,11 +21,11 @@
 		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Server: 0})
 		at, err = g.servers[0].Accept()
 	})
-	target := g.peer(at, err)
-	if got := target.line(); got[:10] != openLineWithID(1)[:10] {
-		t.Fatalf("the target was sent %q", got)
+	server := g.peer(at, err)
+	if got := server.line(); got[:10] != openLineWithID(1)[:10] {
+		t.Fatalf("the server was sent %q", got)
 	}
-	target.say("UP 1\r\n")
+	server.say("UP 1\r\n")
 	client.want("UP 1\r\n")
 }
 
@@ -39,9 +39,9 @@
 		g.proxy.apply(decision.ProbeServer{Server: 0})
 		at, err = g.servers[0].Accept()
 	})
-	target := g.peer(at, err)
-	target.want("PING\r\n")
-	target.say("PONG\r\n")
+	server := g.peer(at, err)
+	server.want("PING\r\n")
+	server.say("PONG\r\n")
 	if p := event[decision.ProbeResult](g); p.Status != outcome.OK {
 		t.Fatalf("%+v", p)
 	}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -39,8 +39,8 @@
 	completeLinesOnly() bool
 }
 
-// downstreamConn is a client's connection: before its first line, while it serves a request or is multiplexed, and while
-// its client reads its final answer.
+// downstreamConn is a client's connection: before its first line, while it serves a request or is multiplexed, and
+// while its client reads its final answer.
 type downstreamConn struct {
 	proxy        *Proxy
 	conn         *eventloop.Conn
@@ -168,8 +168,8 @@
 	c.closeGracefully()
 }
 
-// answerPing answers a health checker's ping, which takes n bytes. During a drain the answer says that no new clients are
-// wanted here.
+// answerPing answers a health checker's ping, which takes n bytes. During a drain the answer says that no new clients
+// are wanted here.
 func (c *downstreamConn) answerPing(n int) {
 	answer := "PONG\r\n"
 	if c.proxy.drain.on {
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -28,8 +28,8 @@
 	closed           bool
 }
 
-// startMux makes a connection multiplexed whose first line has the greeting of one. rest is what came behind the part of
-// it that firstLine holds.
+// startMux makes a connection multiplexed whose first line has the greeting of one. rest is what came behind the part
+// of it that firstLine holds.
 func (c *downstreamConn) startMux(rest []byte) {
 	p := c.proxy
 	cfg := p.cfg.Channels
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -171,8 +171,8 @@
 	})
 }
 
-// check ends the loop once nothing is left, or when the time is up. Multiplexed connections are disconnected first, also
-// one that was opened late, or whose last channel ended in this very turn.
+// check ends the loop once nothing is left, or when the time is up. Multiplexed connections are disconnected first,
+// also one that was opened late, or whose last channel ended in this very turn.
 func (d *drain) check() {
 	p := d.proxy
 	elapsed := d.elapsed()
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// patience bounds every wait of these tests; nothing is proved by its passing.
+// patience bounds every wait of these tests; no test relies on its passing.
 const patience = 10 * time.Second
 
 const harnessSettings = `{"balancers":1,"rank":0,"zone":0,"dcs":["a","b"],"skus":["m"],"discovery":"ask",
@@ -27,26 +27,26 @@
 "request_classes":[{"name":"sync","slo":300000,"deadline":60000000,"effect":"read_like","streaming":true}],
 "specifics":{"mode":"proxy","message_aim":[50000],"tells_delay":true}}`
 
-// harness is a relay on a loop of its own, whose decisions a test writes; it stands between real sockets.
+// harness is a proxy on a loop of its own, whose decisions a test writes; it runs between real sockets.
 type harness struct {
-	cachedList []byte // the list that the relay started with
+	cachedList []byte // the list that the proxy started with
 	t          *testing.T
 	proxy      *Proxy
 	loop       *eventloop.Loop
 	decide     func(decision.Event) []decision.Action
-	module     *decision.Balancer // decides in place of the test, where there is one
+	core       *decision.Balancer // decides in place of the test, where there is one
 	events     chan decision.Event
 	stopped    chan error
 	servers    []*net.TCPListener
 }
 
-// Handle is part of decider. The lists are not kept: no test waits for one.
+// Handle is part of decisionCore. The lists are not kept: no test waits for one.
 func (g *harness) Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action {
 	if _, ok := ev.(decision.ServerListUpdate); !ok {
 		g.events <- ev
 	}
-	if g.module != nil {
-		return g.module.Handle(now, ev, out)
+	if g.core != nil {
+		return g.core.Handle(now, ev, out)
 	}
 	if g.decide != nil {
 		out = append(out, g.decide(ev)...)
@@ -54,14 +54,14 @@
 	return out
 }
 
-// newHarness starts a relay that knows n targets, s0, s1 and so on. change may alter its configuration.
+// newHarness starts a proxy that knows n servers, s0, s1 and so on. change may alter its configuration.
 func newHarness(t *testing.T, n int, decide func(decision.Event) []decision.Action, change func(*Config)) *harness {
 	t.Helper()
 	return startHarness(t, n, decide, change, false)
 }
 
-// newHarnessWithModule is newRig with the program's own decision module.
-func newHarnessWithModule(t *testing.T, n int, change func(*Config)) *harness {
+// newHarnessWithCore is newHarness with the program's own decision core.
+func newHarnessWithCore(t *testing.T, n int, change func(*Config)) *harness {
 	t.Helper()
 	return startHarness(t, n, nil, change, true)
 }
@@ -96,8 +96,8 @@
 	g.loop, err = eventloop.New()
 	g.check(err)
 	if own {
-		cfg.Settings.Decision.AllowProbes = false // a probe would be taken for a hop
-		g.module = decision.New(cfg.Settings.Decision, 1, decision.Micros(g.loop.Now()))
+		cfg.Settings.Decision.AllowProbes = false // a probe would be taken for an attempt
+		g.core = decision.New(cfg.Settings.Decision, 1, decision.Micros(g.loop.Now()))
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -111,7 +111,9 @@
 	}()
 	t.Cleanup(func() {
 		g.loop.Post(g.loop.Stop)
-		<-g.stopped
+		if err := <-g.stopped; err != nil {
+			t.Error(err)
+		}
 	})
 	return g
 }
@@ -184,7 +186,7 @@
 	}
 }
 
-// peer is a client, or a connection that a target accepted.
+// peer is a client, or a connection that a server accepted.
 type peer struct {
 	g *harness
 	*net.TCPConn
@@ -199,7 +201,7 @@
 	return &peer{g, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// client connects at the ingress and says text.
+// client connects to the listener and says text.
 func (g *harness) client(text string) *peer {
 	g.t.Helper()
 	p := g.peer(net.Dial("tcp", g.proxy.Addr().String()))
@@ -207,7 +209,7 @@
 	return p
 }
 
-// acceptUpstream takes the next connection at target i.
+// acceptUpstream takes the next connection at server i.
 func (g *harness) acceptUpstream(i int) *peer {
 	g.t.Helper()
 	g.check(g.servers[i].SetDeadline(time.Now().Add(patience)))
@@ -257,7 +259,7 @@
 // longTimeout is a time-out that no test waits for.
 const longTimeout = 30_000_000
 
-// sendToFirst sends every request to target 0, and nothing twice.
+// sendToFirst sends every request to server 0, and nothing twice.
 func sendToFirst(ev decision.Event) []decision.Action {
 	if q, ok := ev.(decision.Request); ok {
 		return []decision.Action{decision.StartAttempt{ID: q.ID, Timeout: longTimeout}}
@@ -265,14 +267,14 @@
 	return nil
 }
 
-// establish brings a connection up at target 0.
-func (g *harness) establish() (client, target *peer) {
+// establish brings a connection up at server 0.
+func (g *harness) establish() (client, server *peer) {
 	g.t.Helper()
 	client = g.client(openLine)
-	target = g.acceptUpstream(0)
-	target.line()
-	target.say("UP r1\r\n")
+	server = g.acceptUpstream(0)
+	server.line()
+	server.say("UP r1\r\n")
 	client.want("UP r1\r\n")
 	event[decision.Established](g)
-	return client, target
+	return client, server
 }
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// adminCall makes a call of the management address on the loop and returns its answer.
+// adminCall makes a command of the admin listener on the loop and returns its answer.
 func (g *harness) adminCall(c lifecycle.CommandKind) (answer string) {
 	g.inLoop(func() { answer = g.proxy.HandleAdminCall(c) })
 	return answer
 }
 
-// pinged is what a front hears at the ingress.
+// pinged is what a health checker is answered.
 func (g *harness) pinged() string {
 	g.t.Helper()
 	p := g.client("PING\r\n")
@@ -24,16 +24,17 @@
 	return p.line()
 }
 
-// A lame duck moves every standing client, tells the front no, stays, and takes clients again at REJOIN.
+// A lame duck moves every established connection, tells health checkers that it wants no clients, stays, and takes
+// clients again at REJOIN.
 func TestLameDuckMovesAllAndStays(t *testing.T) {
 	const standing = 200
 	g := newHarness(t, 1, sendToFirst, nil)
 	var clients []*peer
 	for i := range standing {
 		c := g.client(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", 0x1000+i))
-		target := g.acceptUpstream(0)
-		target.line()
-		target.say("UP r1\r\n")
+		server := g.acceptUpstream(0)
+		server.line()
+		server.say("UP r1\r\n")
 		c.want("UP r1\r\n")
 		clients = append(clients, c)
 	}
@@ -73,16 +74,16 @@
 	}
 }
 
-// A drain that is taken back at once moves nobody; SIGTERM after it still moves all and stops.
+// A drain that is cancelled at once moves nobody; SIGTERM after it still moves all and stops.
 func TestRejoinCancelsTheMoves(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
-	client, target := g.establish()
+	client, server := g.establish()
 	g.inLoop(func() {
 		g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
 		g.proxy.HandleAdminCall(lifecycle.CommandRejoin)
 	})
 	time.Sleep(3500 * time.Millisecond) // past all that the drain had planned
-	target.say("LINE 1\r\n")
+	server.say("LINE 1\r\n")
 	if got := client.line(); got != "LINE 1\r\n" {
 		t.Fatalf("after a drain taken back: %q", got)
 	}
@@ -126,7 +127,7 @@
 	return d
 }
 
-// Handed over, a balancer closes its listener at once, moves what stands and stops; nothing new is shed by it.
+// In a hot restart a balancer closes its listener at once, moves what is established and stops; it rejects nothing new.
 func TestHotRestartClosesTheListener(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	client, _ := g.establish()
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -5,8 +5,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// lineBuffer holds the start of a line back until its end has arrived: a client whose server dies in the middle of a line
-// can then still be sent elsewhere.
+// lineBuffer holds the start of a line back until its end has arrived: a client whose server dies in the middle of a
+// line can then still be sent elsewhere.
 type lineBuffer struct {
 	held        []byte // the start of a line, not forwarded
 	passThrough bool   // a line was too long to be held back
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -36,7 +36,8 @@
 	r.move(status)
 }
 
-// move sends the client away, as soon as the line that is under way to it has ended. status is the connection's outcome.
+// move sends the client away, as soon as the line that is under way to it has ended. status is the connection's
+// outcome.
 func (r *request) move(status outcome.Status) {
 	if r.state != stateEstablished {
 		return
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -16,13 +16,13 @@
 )
 
 // These tests make events meet in one order every time: what a peer does inside inLoop happens while the loop
-// stands, so that all of it waits when the loop goes on. docs/design/ordering.md has the table of states and
+// waits, so that all of it waits when the loop goes on. docs/design/ordering.md has the table of states and
 // events.
 
 // openLineWithID is a client's first line with an id of its own.
 func openLineWithID(id int) string { return fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", id) }
 
-// pendingRequest is a request that the module keeps without an attempt; it returns its client and its session.
+// pendingRequest is a request that the decision core keeps without an attempt; it returns its client and the request.
 func (g *harness) pendingRequest(id int) (*peer, *request) {
 	g.t.Helper()
 	client := g.client(openLineWithID(id))
@@ -32,18 +32,18 @@
 	return client, s
 }
 
-// decideNothing is a module that decides nothing: a test does.
+// decideNothing is a decision core that decides nothing: a test does.
 func decideNothing(decision.Event) []decision.Action { return nil }
 
-// noRequest checks that the next connection at target 0 ends without a byte.
+// noRequest checks that the next connection at server 0 ends without a byte.
 func (g *harness) noRequest() {
 	g.t.Helper()
 	if b, err := io.ReadAll(g.acceptUpstream(0)); len(b) > 0 || isTimeout(err) {
-		g.t.Fatalf("the target was sent %q, %v", b, err)
+		g.t.Fatalf("the server was sent %q, %v", b, err)
 	}
 }
 
-// noOutcome checks that the module has been asked nothing.
+// noOutcome checks that the decision core has had no request.
 func (g *harness) noOutcome() {
 	g.t.Helper()
 	for len(g.events) > 0 {
@@ -70,8 +70,8 @@
 	"ends, far behind": func(p *peer) { p.say(strings.Repeat("x", 64<<10)); _ = p.Close() },
 }
 
-// A client that left while its request waited, for a place, a retry's pause or a word of discovery, is not sent on:
-// its end is there, unread, when the module decides to send.
+// A client that left while its request waited, for a place, a retry's pause or a change of the server list, is not
+// forwarded: its end is there, unread, when the decision core decides to send.
 func TestLeftWhileItWaited(t *testing.T) {
 	for name, leave := range gone {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			_, other := g.pendingRequest(2)
 			g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(other.ref), Timeout: longTimeout}) })
 			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-				t.Errorf("the target was sent %q", got)
+				t.Errorf("the server was sent %q", got)
 			}
 		})
 	}
@@ -107,21 +107,21 @@
 	}
 }
 
-// A client that asked and left while its connection still waited to be accepted is not sent on.
+// A client that asked and left while its connection still waited to be accepted is not forwarded.
 func TestLeftBeforeItWasAccepted(t *testing.T) {
 	for _, name := range []string{"ends", "ends its side", "ends, behind", "ends, far behind"} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarnessWithModule(t, 1, nil)
+			g := newHarnessWithCore(t, 1, nil)
 			g.inLoop(func() { gone[name](g.client(openLineWithID(1))) })
 			g.client(openLineWithID(2))
 			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-				t.Errorf("the target was sent %q", got)
+				t.Errorf("the server was sent %q", got)
 			}
 		})
 	}
 }
 
-// Nor is one sent to a second target that left in the turn in which the first one refused, though that is read first.
+// Nor is one sent to a second server that left in the turn in which the first one refused, though that is read first.
 func TestLeftAsItsTargetRefused(t *testing.T) {
 	for name, refuse := range map[string]func(*peer){
 		"full":  func(p *peer) { p.say("BUSY\r\n") },
@@ -130,25 +130,25 @@
 	} {
 		for way, leave := range gone {
 			t.Run(name+", "+way, func(t *testing.T) {
-				g := newHarnessWithModule(t, 2, nil)
+				g := newHarnessWithCore(t, 2, nil)
 				client := g.client(openLineWithID(1))
-				target := g.acceptUpstream(g.chosen())
-				target.line()
+				server := g.acceptUpstream(g.chosen())
+				server.line()
 				g.inLoop(func() {
-					refuse(target)
+					refuse(server)
 					leave(client)
 				})
 				g.until(func() bool { return g.proxy.requests.len() == 0 })
 				g.client(openLineWithID(2))
 				if got := g.acceptUpstream(g.chosen()).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-					t.Errorf("a target was sent %q", got)
+					t.Errorf("a server was sent %q", got)
 				}
 			})
 		}
 	}
 }
 
-// chosen waits for an attempt and tells which target it goes to.
+// chosen waits for an attempt and tells which server it goes to.
 func (g *harness) chosen() (at int) {
 	g.t.Helper()
 	g.until(func() bool {
@@ -174,7 +174,11 @@
 				leave(client)
 				c, err := g.proxy.servers.list.Apply(
 					[]byte(
-						`{"generation":2,"instances":[` + listEntry("s9", g.servers[0].Addr().String(), "Ready") + `]}`,
+						`{"generation":2,"instances":[` + listEntry(
+							"s9",
+							g.servers[0].Addr().String(),
+							"Ready",
+						) + `]}`,
 					),
 				)
 				g.check(err)
@@ -187,7 +191,7 @@
 	}
 }
 
-// What discovery told while a connection came up counts before the first line goes out on it.
+// A change of the server list while a connection came up counts before the first line goes out on it.
 func TestRecalledBeforeTheLine(t *testing.T) {
 	for name, entry := range map[string]string{
 		"drains":       `"lifecycle":"Terminating"`,
@@ -218,7 +222,7 @@
 	}
 }
 
-// A target that is listed otherwise only in what does not matter keeps what is on its way.
+// A server that is listed otherwise only in what does not matter keeps what is on its way.
 func TestNotRecalledForOtherChanges(t *testing.T) {
 	g := newHarness(t, 1, decideNothing, nil)
 	_, s := g.pendingRequest(1)
@@ -226,8 +230,12 @@
 		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
 		c, err := g.proxy.servers.list.Apply(
 			[]byte(
-				`{"generation":2,"instances":[` + strings.Replace(listEntry("s0", g.servers[0].Addr().String(), "Ready"),
-					`"weight":1`, `"weight":2`, 1) + `]}`,
+				`{"generation":2,"instances":[` + strings.Replace(
+					listEntry("s0", g.servers[0].Addr().String(), "Ready"),
+					`"weight":1`,
+					`"weight":2`,
+					1,
+				) + `]}`,
 			),
 		)
 		g.check(err)
@@ -236,7 +244,7 @@
 	g.acceptUpstream(0).line()
 }
 
-// A repeat whose window has gone by when its connection is up is never written.
+// A retry whose window has gone by when its connection is up is never written.
 func TestSendWindowCountsAtTheWriting(t *testing.T) {
 	g := newHarness(t, 1, decideNothing, nil)
 	_, s := g.pendingRequest(1)
@@ -248,14 +256,22 @@
 	g.noRequest()
 }
 
+// idle is how many idle connections of a class there are, read on the loop.
+func (g *harness) idle(class overload.EvictionClass) int {
+	return g.proxy.listener.idle.classes[class].Len()
+}
+
+// firstIdle is the oldest connection that has sent no request, read on the loop.
+func (g *harness) firstIdle() *downstreamConn { return g.proxy.listener.idle.oldest(overload.Silent) }
+
 // waitFor lets time go by for all that counts it by the clock.
 func waitFor(span time.Duration) {
 	for began := time.Now(); time.Since(began) < span; {
 	}
 }
 
-// between acts once between the moment in which a hop is told that it is connected and its first write: there the relay
-// looks at its client.
+// between acts once between the moment in which an attempt is told that it is connected and its first write: there the
+// proxy looks at its client.
 type between struct {
 	downstream
 	act func()
@@ -273,10 +289,10 @@
 	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
 		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-		target := g.acceptUpstream(0)
+		server := g.acceptUpstream(0)
 		s.downstream = &between{s.downstream, func() {
-			g.check(target.SetLinger(0))
-			g.check(target.Close())
+			g.check(server.SetLinger(0))
+			g.check(server.Close())
 		}}
 	})
 	g.outcome(outcome.ConnectFailed, false)
@@ -301,9 +317,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t, 1, sendToFirst, nil)
 			client := g.client(openLine)
-			target := g.acceptUpstream(0)
-			target.line()
-			g.inLoop(func() { c.act(target) })
+			server := g.acceptUpstream(0)
+			server.line()
+			g.inLoop(func() { c.act(server) })
 			g.outcome(c.want, false)
 			g.inLoop(func() { g.proxy.apply(decision.Fail{ID: uint32(firstRequest(g).ref)}) })
 			client.want("ERR\r\n")
@@ -322,19 +338,19 @@
 	g := newHarness(t, 1, decideNothing, nil)
 	client, s := g.pendingRequest(1)
 	g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout}) })
-	target := g.acceptUpstream(0)
-	target.line()
+	server := g.acceptUpstream(0)
+	server.line()
 	g.inLoop(func() {
 		s.attempt.deadline = g.loop.Now() + monotime.Millisecond
 		s.attempt.awaitAnswer()
-		g.loop.After(0, func() { target.say("UP r1\r\n") }) // due before the timer, in one turn with it
+		g.loop.After(0, func() { server.say("UP r1\r\n") }) // due before the timer, in one turn with it
 		waitFor(2 * time.Millisecond)
 	})
 	event[decision.Established](g)
 	client.want("UP r1\r\n")
 }
 
-// effects are a class's rules of repeats, and what a client is told whose attempt may have run.
+// effects are a class's retry rules, and what a client is told whose attempt may have run.
 var effects = map[string]struct {
 	rule     string
 	promised string
@@ -361,14 +377,14 @@
 	for name, c := range effects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			targets := 1
+			servers := 1
 			if strings.HasSuffix(name, "not sent") {
-				targets = 0
+				servers = 0
 			}
-			g := newHarnessWithModule(t, targets, of(t, c.rule))
+			g := newHarnessWithCore(t, servers, of(t, c.rule))
 			client := g.client(openLine)
 			event[decision.Request](g)
-			for i := range targets {
+			for i := range servers {
 				g.acceptUpstream(i).line()
 			}
 			g.loop.Post(g.proxy.Drain)
@@ -386,7 +402,7 @@
 func TestDrainRejectsByTheClass(t *testing.T) {
 	for name, c := range effects {
 		t.Run(name, func(t *testing.T) {
-			g := newHarnessWithModule(t, 1, of(t, c.rule))
+			g := newHarnessWithCore(t, 1, of(t, c.rule))
 			at := "s0"
 			if strings.HasSuffix(name, "not sent") {
 				at = "nobody"
@@ -405,7 +421,7 @@
 	}
 }
 
-// waitAccepted waits until so many requests have been taken in.
+// waitAccepted waits until so many requests have been accepted.
 func (g *harness) waitAccepted(n int) {
 	g.t.Helper()
 	g.until(func() bool { return g.proxy.stats.accepted >= n })
@@ -425,7 +441,7 @@
 	}
 }
 
-// A request read after the stop began is answered and never sent on: whole and unread when it begins, in pieces
+// A request read after the stop began is answered and never forwarded: whole and unread when it begins, in pieces
 // round it, on a connection that had said nothing, in the accept queue.
 func TestRequestsAroundTheStop(t *testing.T) {
 	for name, act := range map[string]func(g *harness) []*peer{
@@ -441,12 +457,12 @@
 		"in pieces": func(g *harness) []*peer {
 			p := g.client(openLine[:20])
 			g.until(func() bool {
-				return g.proxy.listener.idle.classes[overload.Silent].Len() == 1 && len(g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn).firstLine) == 20
+				return g.idle(overload.Silent) == 1 && len(g.firstIdle().firstLine) == 20
 			})
 			g.inLoop(g.proxy.Drain)
 			p.say(openLine[20:30])
 			g.until(func() bool {
-				return len(g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn).firstLine) == 30
+				return len(g.firstIdle().firstLine) == 30
 			})
 			p.say(openLine[30:])
 			return []*peer{p}
@@ -499,7 +515,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarnessWithModule(t, 1, nil)
+			g := newHarnessWithCore(t, 1, nil)
 			for _, p := range act(g) {
 				if got := p.line(); !strings.HasPrefix(got, "BUSY ") {
 					t.Fatalf("%q", got)
@@ -513,10 +529,10 @@
 	}
 }
 
-// waitRead waits until the relay has one connection that has said nothing.
+// waitRead waits until the proxy has one connection that has said nothing.
 func (g *harness) waitRead() {
 	g.t.Helper()
-	g.until(func() bool { return g.proxy.listener.idle.classes[overload.Silent].Len() == 1 })
+	g.until(func() bool { return g.idle(overload.Silent) == 1 })
 }
 
 // A connection that rests until the balancer ends it sees a plain end, also if a request of its own crosses that
@@ -524,7 +540,7 @@
 func TestRestingConnectionsEndPlainly(t *testing.T) {
 	t.Run("crossing", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithModule(t, 1, nil)
+		g := newHarnessWithCore(t, 1, nil)
 		p := g.client("")
 		g.waitRead()
 		g.inLoop(func() {
@@ -541,7 +557,7 @@
 	})
 	t.Run("half a line", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithModule(t, 1, nil)
+		g := newHarnessWithCore(t, 1, nil)
 		p := g.client(openLine[:20])
 		p.want("ERR\r\n")
 		p.ended(true)
@@ -549,7 +565,7 @@
 	})
 	t.Run("to the end of the loop", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithModule(t, 1, nil)
+		g := newHarnessWithCore(t, 1, nil)
 		p, q := g.client(""), g.client("PING\r\n")
 		q.want("PONG\r\n")
 		g.loop.Post(g.proxy.Drain)
@@ -567,7 +583,7 @@
 	p := g.client("")
 	g.waitRead()
 	g.inLoop(func() {
-		d := g.proxy.listener.idle.classes[overload.Silent].Front().Value.(*downstreamConn)
+		d := g.firstIdle()
 		p.say("nonsense\r\n")
 		d.Readable(d.conn)
 		block := strings.Repeat("k", 64<<10)
@@ -586,9 +602,9 @@
 	}
 }
 
-// SIGTERM again, and a hand-over behind it, change nothing that a stop has begun.
+// SIGTERM again, and a hot restart behind it, change nothing that a stop has begun.
 func TestStopTwice(t *testing.T) {
-	g := newHarnessWithModule(t, 1, nil)
+	g := newHarnessWithCore(t, 1, nil)
 	client, _ := g.establish()
 	var began eventloop.Micros
 	g.inLoop(func() {
@@ -616,10 +632,11 @@
 func TestRetunedWhileARequestWaits(t *testing.T) {
 	const strict = `"effect":"non_idempotent"`
 	for name, after := range map[string]string{
-		"other rules":  harnessSettings,
-		"gone":         strings.Replace(harnessSettings, `"name":"sync"`, `"name":"other"`, 1),
-		"other number": strings.Replace(harnessSettings, `[{"name":"sync"`, `[{"name":"other","slo":1,"deadline":9000000,"effect":"read_like","streaming":true},{"name":"sync"`, 1),
-		"one attempt":  strings.Replace(harnessSettings, `"most_tries":4`, `"most_tries":1`, 1),
+		"other rules": harnessSettings,
+		"gone":        strings.Replace(harnessSettings, `"name":"sync"`, `"name":"other"`, 1),
+		"other number": strings.Replace(harnessSettings, `[{"name":"sync"`,
+			`[{"name":"other","slo":1,"deadline":9000000,"effect":"read_like","streaming":true},{"name":"sync"`, 1),
+		"one attempt": strings.Replace(harnessSettings, `"most_tries":4`, `"most_tries":1`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -627,7 +644,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := newHarnessWithModule(t, 1, of(t, strict))
+			g := newHarnessWithCore(t, 1, of(t, strict))
 			free, named := g.client(openLine), g.client("OPEN a b c=sync,d=60000,at=s0\r\n")
 			g.acceptUpstream(0).line()
 			g.acceptUpstream(0).line()
@@ -645,23 +662,24 @@
 	}
 }
 
-// Once the first line is out, its attempt is not taken back: it may have run, and its answer counts.
+// Once the first line is out, its attempt is not cancelled: it may have run, and its answer counts.
 func TestNotRecalledOnceSent(t *testing.T) {
 	for name, entry := range map[string]string{
-		"drains":     `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Terminating"}`,
-		"is gone":    `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Gone"}`,
-		"began anew": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Ready","startedAtMs":1700000000000}`,
+		"drains":  `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Terminating"}`,
+		"is gone": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Gone"}`,
+		"began anew": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Ready",` +
+			`"startedAtMs":1700000000000}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t, 1, sendToFirst, nil)
 			client := g.client(openLine)
-			target := g.acceptUpstream(0)
-			target.line()
+			server := g.acceptUpstream(0)
+			server.line()
 			g.inLoop(func() {
 				c, err := g.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
 				g.check(err)
 				g.proxy.servers.Listed(c)
-				target.say("UP r1\r\n")
+				server.say("UP r1\r\n")
 			})
 			client.want("UP r1\r\n")
 			event[decision.Established](g)
@@ -670,7 +688,7 @@
 }
 
 // A request with an attempt out when the balancer begins to leave is served all the same, once, and moved after it
-// stands.
+// is established.
 func TestAnswerWhileLeaving(t *testing.T) {
 	for name, leave := range map[string]func(*harness){
 		"stop":      func(g *harness) { g.proxy.Drain() },
@@ -683,19 +701,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarnessWithModule(t, 1, nil)
+			g := newHarnessWithCore(t, 1, nil)
 			client := g.client(openLine)
-			target := g.acceptUpstream(0)
-			target.line()
+			server := g.acceptUpstream(0)
+			server.line()
 			g.inLoop(func() {
 				leave(g)
-				target.say("UP r1\r\nfirst\r\n")
+				server.say("UP r1\r\nfirst\r\n")
 			})
 			client.want("UP r1\r\n")
 			client.want("first\r\n")
 			client.want("MOVE\r\n")
 			client.ended(true)
-			target.ended(true)
+			server.ended(true)
 		})
 	}
 }
@@ -704,17 +722,25 @@
 // meanwhile, ends.
 func TestWhileALineIsUnderWay(t *testing.T) {
 	for name, c := range map[string]struct {
-		act  func(client, target *peer)
-		seen func(client, target *peer)
+		act  func(client, server *peer)
+		seen func(client, server *peer)
 		want outcome.Status
 	}{
 		"never ends": {func(_, _ *peer) {}, func(c, s *peer) {
 			c.ended(false) // no MOVE can be said
 			s.ended(true)
 		}, outcome.Cancelled},
-		"target ends":   {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.ended(true) }, outcome.Reset},
-		"target resets": {func(_, s *peer) { _ = s.SetLinger(0); _ = s.Close() }, func(c, _ *peer) { c.ended(false) }, outcome.Reset},
-		"client resets": {func(c, _ *peer) { _ = c.SetLinger(0); _ = c.Close() }, func(_, s *peer) { s.ended(false) }, outcome.Cancelled},
+		"server ends": {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.ended(true) }, outcome.Reset},
+		"server resets": {
+			func(_, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
+			func(c, _ *peer) { c.ended(false) },
+			outcome.Reset,
+		},
+		"client resets": {
+			func(c, _ *peer) { _ = c.SetLinger(0); _ = c.Close() },
+			func(_, s *peer) { s.ended(false) },
+			outcome.Cancelled,
+		},
 		"moved again": {
 			func(c, s *peer) { c.g.inLoop(func() { firstRequest(c.g).move(outcome.Cancelled) }); s.say("\r\n") },
 			func(c, s *peer) {
@@ -727,15 +753,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := newHarness(t, 1, sendToFirst, nil)
-			client, target := g.establish()
-			target.say("half")
+			client, server := g.establish()
+			server.say("half")
 			half := make([]byte, 4)
 			if _, err := io.ReadFull(client.rd, half); err != nil {
 				t.Fatal(err)
 			}
 			g.inLoop(func() { g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(g).ref)}) })
-			c.act(client, target)
-			c.seen(client, target)
+			c.act(client, server)
+			c.seen(client, server)
 			g.outcome(c.want, true)
 			for len(g.events) > 0 {
 				if ev, ok := (<-g.events).(decision.AttemptEnded); ok {
@@ -751,12 +777,12 @@
 func TestRequestReadOnEviction(t *testing.T) {
 	g := newHarness(t, 0, nil, nil)
 	asks, silent := g.client(""), g.client("")
-	g.until(func() bool { return g.proxy.listener.idle.classes[overload.Silent].Len() == 2 })
+	g.until(func() bool { return g.idle(overload.Silent) == 2 })
 	g.inLoop(func() {
 		asks.say(openLine)
 		g.proxy.cfg.MaxDescriptors = 1
 		g.proxy.listener.evictIdle()
-		if n := g.proxy.listener.idle.classes[overload.Silent].Len() + g.proxy.listener.idle.classes[overload.Answered].Len(); n != 0 {
+		if n := g.idle(overload.Silent) + g.idle(overload.Answered); n != 0 {
 			t.Errorf("%d connections stay", n)
 		}
 	})
@@ -768,7 +794,8 @@
 	g.noOutcome()
 }
 
-// Settings read again during a planned stop don't shorten it: who stands is moved as was planned, and not cut off.
+// Settings read again during a planned stop don't shorten it: established connections are moved as was planned, and
+// not cut off.
 func TestRetunedDuringAStop(t *testing.T) {
 	for name, leave := range map[string]func(*harness){
 		"stop":      func(g *harness) { g.proxy.Drain() },
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -10,7 +10,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// healthProbe is one probe of a server, on a connection of its own. It ends once, with one result for the decision core.
+// healthProbe is one probe of a server, on a connection of its own. It ends once, with one result for the decision
+// core.
 type healthProbe struct {
 	proxy     *Proxy
 	server    uint32
@@ -119,8 +120,8 @@
 	})
 }
 
-// parseLoadReport reads the load report behind a server's answer, in the order of the columns that the settings name. It
-// is empty where one of them can't be read.
+// parseLoadReport reads the load report behind a server's answer, in the order of the columns that the settings name.
+// It is empty where one of them can't be read.
 func parseLoadReport(text []byte, columns []string) (report decision.LoadReport) {
 	for i, name := range columns {
 		if i >= len(report.Values) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -19,16 +19,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// A target that tells how long messages take says so with LOAD lines. Read as a connection's load, which the module
-// has no use for, they left clients on slow targets.
+// A server that tells how long messages take says so with LOAD lines. Read as a connection's load, which the decision
+// core has no use for, they left clients on slow servers.
 func TestLoadLineIsTheNoteThatSettingsPromise(t *testing.T) {
 	for _, c := range []struct {
 		tellsLoad bool
 		want      decision.MetricKind
 	}{{false, decision.MessageLatencyMetric}, {true, decision.LoadMetric}} {
 		g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsLoad = c.tellsLoad })
-		client, target := g.establish()
-		target.say("LOAD 192.5\r\n")
+		client, server := g.establish()
+		server.say("LOAD 192.5\r\n")
 		client.want("LOAD 192.5\r\n")
 		if n := event[decision.ConnectionMetric](g); n.Kind != c.want || n.Value != 192.5 || n.Server != 0 {
 			t.Errorf("tells load %v: %+v", c.tellsLoad, n)
@@ -40,25 +40,25 @@
 func TestServed(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	client := g.client(openLine)
-	target := g.acceptUpstream(0)
-	got := target.line()
+	server := g.acceptUpstream(0)
+	got := server.line()
 	before, rest, _ := strings.Cut(got, "d=")
 	d, after, _ := strings.Cut(rest, ",")
 	if n, err := strconv.Atoi(d); err != nil || n < 1 || n > longTimeout/1000 || before+"d=60000,"+after != openLine {
 		t.Fatalf("%q", got)
 	}
-	target.say("UP r1\r\nwith it\r\nhal")
+	server.say("UP r1\r\nwith it\r\nhal")
 	client.want("UP r1\r\n")
 	client.want("with it\r\n")
-	target.say("f\r\n")
+	server.say("f\r\n")
 	client.want("half\r\n")
 	client.say("more\r\n")
-	target.want("more\r\n")
+	server.want("more\r\n")
 	if e := event[decision.Established](g); e.Attempt != 0 || e.SetupTime <= 0 {
 		t.Errorf("%+v", e)
 	}
-	target.say("BYE\r\n")
-	g.check(target.Close())
+	server.say("BYE\r\n")
+	g.check(server.Close())
 	client.want("BYE\r\n")
 	client.ended(true)
 	if o := event[decision.AttemptEnded](g); o.Status != outcome.OK || !o.RequestClosed {
@@ -66,7 +66,8 @@
 	}
 }
 
-// Each Send has one outcome, told apart as the protocol says, and its hop is closed before the next one starts.
+// Each StartAttempt has one outcome, distinguished as the protocol says, and its attempt is closed before the next one
+// starts.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(*peer)
@@ -129,15 +130,19 @@
 	}
 }
 
-// What the module has given up on is answered at once, with its hold-off, and a hop that is out brings its outcome.
+// What the decision core has given up on is answered at once, with its retry delay, and an attempt that is out brings
+// its outcome.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		last func(id uint32) decision.Action
 		want string
 	}{
-		"refused": {func(id uint32) decision.Action { return decision.Reject{ID: id, RetryAfter: 340_000} }, "BUSY 340\r\n"},
-		"bare":    {func(id uint32) decision.Action { return decision.Reject{ID: id} }, "BUSY\r\n"},
-		"failed":  {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
+		"refused": {
+			func(id uint32) decision.Action { return decision.Reject{ID: id, RetryAfter: 340_000} },
+			"BUSY 340\r\n",
+		},
+		"bare":   {func(id uint32) decision.Action { return decision.Reject{ID: id} }, "BUSY\r\n"},
+		"failed": {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
 	} {
 		g := newHarness(t, 1, func(ev decision.Event) []decision.Action {
 			if q, ok := ev.(decision.Request); ok {
@@ -159,19 +164,19 @@
 }
 
 // A client that does not wait for its answer is told so and never served: what it sends would be taken for lines of a
-// connection that stands. The answer ends plainly, as closing with unread bytes would be a reset.
+// connection that is established. The answer ends plainly, as closing with unread bytes would be a reset.
 func TestEarlyBytes(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	behind := g.client(openLine + strings.Repeat("too early\r\n", 10_000))
 	behind.want("ERR\r\n")
 	behind.ended(true)
 	late := g.client(another)
-	target := g.acceptUpstream(0)
-	target.line()
+	server := g.acceptUpstream(0)
+	server.line()
 	// Both are there when the loop looks, whichever it sees first.
 	g.inLoop(func() {
 		late.say("too early\r\n")
-		target.say("UP r1\r\n")
+		server.say("UP r1\r\n")
 	})
 	late.want("ERR\r\n")
 	late.ended(true)
@@ -180,13 +185,13 @@
 	}
 }
 
-// The id is new for every connection. Passed on, one that another has would come back as a target's error.
+// The id is new for every connection. Passed on, one that another has would come back as a server's error.
 func TestRepeatedID(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
-	client, target := g.establish()
+	client, server := g.establish()
 	g.client(openLine).want("ERR\r\n")
-	target.say("BYE\r\n")
-	g.check(target.Close())
+	server.say("BYE\r\n")
+	g.check(server.Close())
 	client.want("BYE\r\n")
 	client.ended(true)
 	g.client(openLine).want("ERR\r\n")
@@ -243,15 +248,15 @@
 	}
 }
 
-// A silent crowd uses up no descriptors: the oldest goes when one is needed, the front's connection and those that
-// are served stay.
+// A silent crowd uses up no descriptors: the oldest goes when one is needed, the health checker's connection and those
+// that are served stay.
 func TestCrowd(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = 64 })
 	front := g.client("PING\r\n")
 	front.want("PONG\r\n")
 	front.say("PING\r\n")
 	front.want("PONG\r\n")
-	served, target := g.establish()
+	served, server := g.establish()
 	var crowd []*peer
 	for i := range 120 {
 		crowd = append(crowd, g.client([]string{"", "PING\r\n"}[i%2]))
@@ -261,7 +266,7 @@
 	g.acceptUpstream(0).line()
 	front.say("PING\r\n")
 	front.want("PONG\r\n")
-	target.say("still there\r\n")
+	server.say("still there\r\n")
 	served.want("still there\r\n")
 	g.inLoop(func() {
 		if n := g.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
@@ -270,16 +275,19 @@
 	})
 }
 
-// That this machine has no descriptor left is no evidence against a target.
+// That this machine has no descriptor left is no evidence against a server.
 func TestDescriptorExhaustionIsInconclusive(t *testing.T) {
-	for err, want := range map[error]outcome.Status{unix.EMFILE: outcome.Inconclusive, unix.ECONNREFUSED: outcome.ConnectFailed} {
+	for err, want := range map[error]outcome.Status{
+		unix.EMFILE:       outcome.Inconclusive,
+		unix.ECONNREFUSED: outcome.ConnectFailed,
+	} {
 		if got := dialOutcome(fmt.Errorf("connect: %w", err)); got != want {
 			t.Errorf("%v: %d", err, got)
 		}
 	}
 }
 
-// A hop whose first line is not out whole can't have run.
+// An attempt whose first line is not out whole can't have run.
 func TestUnsentAttemptNeverRan(t *testing.T) {
 	for sent, want := range map[bool]outcome.Status{false: outcome.ConnectFailed, true: outcome.Reset} {
 		if got := attemptoutcome.OfUnanswered(outcome.Reset, sent); got != want {
@@ -288,7 +296,7 @@
 	}
 }
 
-// A module that never answers must not cost the client its answer.
+// A decision core that never answers must not cost the client its answer.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	g := newHarness(t, 0, nil, nil)
 	g.client("OPEN a b c=sync,d=30\r\n").want("ERR\r\n")
@@ -297,13 +305,13 @@
 
 func TestMove(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
-	client, target := g.establish()
-	target.say("half a li")
+	client, server := g.establish()
+	server.say("half a li")
 	if got, err := client.rd.Peek(9); err != nil || string(got) != "half a li" {
 		t.Fatalf("%q, %v", got, err)
 	}
 	g.inLoop(func() { g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(g).ref)}) })
-	target.say("ne\r\nnever passed on\r\n")
+	server.say("ne\r\nnever passed on\r\n")
 	client.want("half a line\r\n")
 	client.want("MOVE\r\n")
 	client.ended(true)
@@ -322,12 +330,12 @@
 // Ends are passed on in kind.
 func TestEnds(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(client, target *peer)
-		seen func(client, target *peer)
+		end  func(client, server *peer)
+		seen func(client, server *peer)
 		want outcome.Status
 	}{
-		"target ends": {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.ended(true) }, outcome.Reset},
-		"target resets": {
+		"server ends": {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.ended(true) }, outcome.Reset},
+		"server resets": {
 			func(_, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
 			func(c, _ *peer) { c.ended(false) }, outcome.Reset,
 		},
@@ -335,7 +343,7 @@
 			func(c, _ *peer) { _ = c.SetLinger(0); _ = c.Close() },
 			func(_, s *peer) { s.ended(false) }, outcome.Cancelled,
 		},
-		"client ends its side, target has more to say": {func(c, _ *peer) { _ = c.CloseWrite() }, func(c, s *peer) {
+		"client ends its side, server has more to say": {func(c, _ *peer) { _ = c.CloseWrite() }, func(c, s *peer) {
 			s.ended(true)
 			s.say("more\r\nBYE\r\n")
 			_ = s.Close()
@@ -343,20 +351,20 @@
 			c.want("BYE\r\n")
 			c.ended(true)
 		}, outcome.OK},
-		"client ends its side, target just ends": {
+		"client ends its side, server just ends": {
 			func(c, s *peer) { _ = c.CloseWrite(); s.ended(true); _ = s.Close() },
 			func(c, _ *peer) { c.ended(true) }, outcome.Cancelled,
 		},
-		"target sends the client away": {func(_, s *peer) { s.say("MOVE\r\n"); _ = s.Close() }, func(c, _ *peer) {
+		"server sends the client away": {func(_, s *peer) { s.say("MOVE\r\n"); _ = s.Close() }, func(c, _ *peer) {
 			c.want("MOVE\r\n")
 			c.ended(true)
 		}, outcome.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t, 1, sendToFirst, nil)
-			client, target := g.establish()
-			c.end(client, target)
-			c.seen(client, target)
+			client, server := g.establish()
+			c.end(client, server)
+			c.seen(client, server)
 			if o := event[decision.AttemptEnded](g); o.Status != c.want || !o.RequestClosed {
 				t.Errorf("%+v, want status %d", o, c.want)
 			}
@@ -364,21 +372,21 @@
 	}
 }
 
-// A client that leaves before it is served takes its hop with it.
+// A client that leaves before it is served takes its attempt with it.
 func TestClientLeavesEarly(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	client := g.client(openLine)
-	target := g.acceptUpstream(0)
-	target.line()
+	server := g.acceptUpstream(0)
+	server.line()
 	g.check(client.Close())
-	target.ended(true)
+	server.ended(true)
 	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
 	event[decision.RequestCancelled](g)
 }
 
-// Whatever a first line is, it is answered and the relay lives.
+// Whatever a first line is, it is answered and the proxy goes on.
 func TestBadFirstLines(t *testing.T) {
 	g := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
@@ -397,7 +405,7 @@
 	client.want("PONG\r\n")
 }
 
-// A connection that stood before this process did goes to its target, also when that is listed only later.
+// A connection that was established before this process did goes to its server, also when that is listed only later.
 func TestResumed(t *testing.T) {
 	g := newHarness(t, 1, nil, nil)
 	client := g.client("OPEN a b c=sync,d=2000,at=late\r\n")
@@ -410,14 +418,14 @@
 			g.proxy.servers.Listed(c)
 		}
 	})
-	target := g.acceptUpstream(0)
-	target.line()
-	target.say("UP r1\r\n")
+	server := g.acceptUpstream(0)
+	server.line()
+	server.say("UP r1\r\n")
 	client.want("UP r1\r\n")
 	if o := event[decision.ExistingConnection](g); o.Server != 1 {
 		t.Errorf("%+v", o)
 	}
-	g.check(target.Close())
+	g.check(server.Close())
 	if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset || o.Attempt != 0 {
 		t.Errorf("%+v", o)
 	}
@@ -429,15 +437,24 @@
 		answer string
 		want   outcome.Status
 	}{
-		"alive": {"PONG\r\n", outcome.OK}, "sick": {"ERR\r\n", outcome.ErrorResponse}, "barred": {"NO\r\n", outcome.ErrorResponse},
+		"alive": {
+			"PONG\r\n",
+			outcome.OK,
+		}, "sick": {
+			"ERR\r\n",
+			outcome.ErrorResponse,
+		}, "barred": {
+			"NO\r\n",
+			outcome.ErrorResponse,
+		},
 		"ended": {"", outcome.Reset},
 	} {
 		g := newHarness(t, 1, nil, nil)
 		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
-		target := g.acceptUpstream(0)
-		target.want("PING\r\n")
-		target.say(c.answer)
-		g.check(target.Close())
+		server := g.acceptUpstream(0)
+		server.want("PING\r\n")
+		server.say(c.answer)
+		g.check(server.Close())
 		if p := event[decision.ProbeResult](g); p.Status != c.want || p.Server != 0 {
 			t.Errorf("%s: %+v", name, p)
 		}
@@ -468,16 +485,16 @@
 			func(cfg *Config) { cfg.Settings.Decision.LoadReportColumns = []string{"depth", "tps", "x0"} },
 		)
 		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
-		target := g.acceptUpstream(0)
-		target.want("STATS\r\n")
-		target.say(answer)
+		server := g.acceptUpstream(0)
+		server.want("STATS\r\n")
+		server.say(answer)
 		if p := event[decision.ProbeResult](g); p.Status != outcome.OK || p.LoadReport != want {
 			t.Errorf("%q: %+v", answer, p)
 		}
 	}
 }
 
-// A planned stop sheds what is new, moves what stands, and ends the loop.
+// A planned stop rejects what is new, moves what is established, and ends the loop.
 func TestDrain(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	client, _ := g.establish()
@@ -496,7 +513,7 @@
 	g.noOutcome()
 }
 
-// Short of descriptors, clients are shed and not cut off.
+// Short of descriptors, clients are rejected and not cut off.
 func TestShortOfDescriptors(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = overload.ReservedDescriptors + 2 })
 	if got := g.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
@@ -504,7 +521,7 @@
 	}
 }
 
-// What is more than the settings let a balancer hold is turned away before the module hears of it.
+// What is more than the settings let a balancer hold is rejected before the decision core hears of it.
 func TestHoldsNoMoreThanItMay(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 1 })
 	g.establish()
@@ -513,14 +530,14 @@
 	}
 }
 
-// A slow reader costs a bounded buffer: its target is left alone until it has caught up.
+// A slow reader costs a bounded buffer: its server is left alone until it has caught up.
 func TestSlowReader(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
-	client, target := g.establish()
+	client, server := g.establish()
 	const lines = 200_000
 	g.check(client.SetReadBuffer(256 << 10))
 	go func() {
-		_, _ = target.Write([]byte(strings.Repeat("0123456789abcdef0123456789abcdef\r\n", lines)))
+		_, _ = server.Write([]byte(strings.Repeat("0123456789abcdef0123456789abcdef\r\n", lines)))
 	}()
 	kept := 0
 	look := func() { kept = firstRequest(g).downstream.Pending() }
@@ -533,7 +550,7 @@
 		}
 	}
 	silent := 0
-	g.inLoop(func() { // nor is it the target that brings nothing back
+	g.inLoop(func() { // nor is it the server that brings nothing back
 		s := firstRequest(g)
 		s.replied(len(s.sentAt))
 		s.lastReply = 1
@@ -543,15 +560,18 @@
 		silent = g.proxy.stats.silent
 	})
 	if silent != 0 {
-		t.Fatal("a slow reader was taken for a silent target")
+		t.Fatal("a slow reader was taken for a silent server")
 	}
 	client.say("T 1\r\n")
-	target.want("T 1\r\n")
+	server.want("T 1\r\n")
 	defer func() {
 		samples := 0
 		g.inLoop(func() { samples = g.proxy.latencies.of(0).delay.Samples() })
 		if samples > 0 {
-			t.Errorf("a line that waited for its client to read was timed: %d", g.proxy.latencies.of(0).delay.Samples())
+			t.Errorf(
+				"a line that waited for its client to read was timed: %d",
+				g.proxy.latencies.of(0).delay.Samples(),
+			)
 		}
 	}()
 	for i := range lines {
@@ -583,8 +603,8 @@
 	}
 }
 
-// What discovery told is given away once for changes that come together, whole, without what is gone, and under the
-// address that told it; after a move not until the new address has answered.
+// A changed server list is saved once for changes that come together, whole, without what is gone, and under the
+// address that it came from; after a move not until the new address has answered.
 func TestListIsKept(t *testing.T) {
 	kept := make(chan string, 10)
 	g := newHarness(t, 2, sendToFirst, func(cfg *Config) {
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// agent stands for the one that lists are pushed to, on the balancer's own machine.
+// agent is the one that lists are pushed to, on the balancer's own machine.
 type agent struct {
 	g  *harness
 	ln *net.TCPListener
@@ -29,7 +29,7 @@
 
 func (a *agent) addr() netip.AddrPort { return netip.MustParseAddrPort(a.ln.Addr().String()) }
 
-// watch takes the next watch, which must begin after the index, and tells one object on it.
+// watch takes the next watch, which must begin after the index, and sends one object on it.
 func (a *agent) watch(index int, object string) *peer {
 	a.g.t.Helper()
 	a.g.check(a.ln.SetDeadline(time.Now().Add(patience)))
@@ -44,7 +44,7 @@
 	return p
 }
 
-// state waits until target 0 is listed so.
+// state waits until server 0 is listed so.
 func (g *harness) state(want discovery.ServerState) {
 	g.t.Helper()
 	for late := time.Now().Add(patience); ; {
@@ -53,14 +53,14 @@
 			return
 		}
 		if time.Now().After(late) {
-			g.t.Fatalf("target 0 is %v, not %v", got, want)
+			g.t.Fatalf("server 0 is %v, not %v", got, want)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Where lists are pushed the module never asks. They are heard all the same: from the start, again when the watch
-// breaks, and when a retuning says that lists are pushed from now on.
+// Where lists are pushed the decision core never polls. They are watched all the same: from the start, again when the
+// watch breaks, and when a reload says that lists are pushed from now on.
 func TestPushedListsAreWatchedFromTheStart(t *testing.T) {
 	entry := func(generation int, state string) string {
 		return fmt.Sprintf(
--- a/internal/proxy/request_set.go
+++ b/internal/proxy/request_set.go
@@ -1,8 +1,8 @@
 package proxy
 
-// requestSet is a set of requests, in no order. Each request notes its index in it, so that adding and removing cost the
-// same however many there are. What happens several times a second iterates over a set of those that it concerns, and
-// never over all requests: of 80,000 that are established, a hundredth have an unanswered line.
+// requestSet is a set of requests, in no order. Each request notes its index in it, so that adding and removing cost
+// the same however many there are. What happens several times a second iterates over a set of those that it concerns,
+// and never over all requests: of 80,000 that are established, a hundredth have an unanswered line.
 type requestSet struct {
 	members []*request
 	index   func(*request) *int32 // where a request notes its index, from 1 on; 0 while it is not in
@@ -33,8 +33,8 @@
 	*at = 0
 }
 
-// each yields the members. Requests may be removed meanwhile, also others than the one that was yielded; one may then be
-// yielded twice.
+// each yields the members. Requests may be removed meanwhile, also others than the one that was yielded; one may then
+// be yielded twice.
 func (s *requestSet) each(yield func(*request) bool) {
 	for i := len(s.members) - 1; i >= 0; i-- {
 		if i < len(s.members) && !yield(s.members[i]) {
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A roster has what was put in and not taken out again, each once, and knows where.
+// A request set has what was put in and not taken out again, each once, and knows where.
 func TestRequestSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := requestSet{index: func(s *request) *int32 { return &s.awaitingReplyIndex }}
@@ -52,14 +52,14 @@
 	})
 }
 
-// Where nobody expects notes of slow messages, what lines took is not kept: it would grow for as long as lines come.
+// Where nobody expects reports of slow messages, what lines took is not kept: it would grow for as long as lines come.
 func TestTimesAreNotKeptForNobody(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsDelay = false })
-	client, target := g.establish()
+	client, server := g.establish()
 	for range 3 {
 		client.say("T 1\r\n")
-		target.want("T 1\r\n")
-		target.say("T 1\r\n")
+		server.want("T 1\r\n")
+		server.say("T 1\r\n")
 		client.want("T 1\r\n")
 	}
 	kept := -1
@@ -72,7 +72,7 @@
 	}
 }
 
-// Sessions are in the rosters that concern them, and in none once they are over.
+// Requests are in the sets that concern them, and in none once they are over.
 func TestRequestSetsFollowRequests(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	look := func(want [3]int) {
@@ -93,16 +93,16 @@
 			t.Fatalf("under way, awaited, standing: %v, want %v", got, want)
 		}
 	}
-	client, target := g.establish()
+	client, server := g.establish()
 	look([3]int{0, 0, 1})
 	client.say("T 1\r\n")
-	target.want("T 1\r\n")
+	server.want("T 1\r\n")
 	look([3]int{0, 1, 1})
-	target.say("T 1\r\n")
+	server.say("T 1\r\n")
 	client.want("T 1\r\n")
 	look([3]int{0, 0, 1})
 	_ = client.Close()
-	target.ended(true)
-	_ = target.Close()
+	server.ended(true)
+	_ = server.Close()
 	look([3]int{})
 }
--- a/internal/proxy/request_state_test.go
+++ b/internal/proxy/request_state_test.go
@@ -40,7 +40,10 @@
 		path []requestState
 		want []bool
 	}{
-		{[]requestState{statePending, stateEstablished, stateHalfClosed, stateClosed}, []bool{true, true, true, true}},
+		{
+			[]requestState{statePending, stateEstablished, stateHalfClosed, stateClosed},
+			[]bool{true, true, true, true},
+		},
 		{[]requestState{stateReattaching, stateEstablished, stateTransferring}, []bool{false, true, true}},
 		{[]requestState{stateReattaching, stateClosed}, []bool{false, false}},
 		{[]requestState{stateClosed}, []bool{false}},
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -129,8 +129,8 @@
 	x.claimed = false
 }
 
-// tokenRejectedByServer handles a server's answer that it does not accept the token, with its word for the reason. Where
-// there is no token the protocol does not have that answer.
+// tokenRejectedByServer handles a server's answer that it does not accept the token, with its word for the reason.
+// Where there is no token the protocol does not have that answer.
 func (r *request) tokenRejectedByServer(word []byte) {
 	why, ok := resume.ParseReason(word)
 	if r.resumable == nil || !r.resumable.claimed || !ok {
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// sendOrMove sends what is pinned where it is pinned to, all else to target 0, and has what leaves go to target 1.
+// sendOrMove sends what is pinned where it is pinned to, all else to server 0, and has what leaves go to server 1.
 func sendOrMove(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// resuming rigs have two targets, s0 and s1, and a site file that allows tokens.
+// newResumeHarness has two servers, s0 and s1, and a site file that allows tokens.
 func newResumeHarness(t *testing.T, change func(*Config)) *harness {
 	t.Helper()
 	return newHarness(t, 2, sendOrMove, func(cfg *Config) {
@@ -66,21 +66,21 @@
 	comeLine         = "OPEN 2 7f c=sync,d=60000,g=5c,owner=o,again=1,cur=2,tok="
 )
 
-// establishResumable brings a stream up at target 0 and lets two messages pass.
-func (g *harness) establishResumable() (client, target *peer) {
+// establishResumable brings a stream up at server 0 and lets two messages pass.
+func (g *harness) establishResumable() (client, server *peer) {
 	g.t.Helper()
 	client = g.client(tokenRequestLine)
-	target = g.acceptUpstream(0)
-	if got := target.line(); !strings.HasSuffix(got, ",tok=ask\r\n") {
+	server = g.acceptUpstream(0)
+	if got := server.line(); !strings.HasSuffix(got, ",tok=ask\r\n") {
 		g.t.Fatalf("%q", got)
 	}
-	target.say("UP r1 from=0\r\n#1 a\r\nLOAD 3\r\n")
+	server.say("UP r1 from=0\r\n#1 a\r\nLOAD 3\r\n")
 	client.want("UP r1 from=0\r\n")
 	client.want("#1 a\r\n")
 	client.want("LOAD 3\r\n")
-	target.say("#2 b\r\n")
+	server.say("#2 b\r\n")
 	client.want("#2 b\r\n")
-	return client, target
+	return client, server
 }
 
 // moved reads MOVE with a token, and the end.
@@ -98,7 +98,9 @@
 func (g *harness) list(entries ...string) {
 	g.t.Helper()
 	g.inLoop(func() {
-		c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`))
+		c, err := g.proxy.servers.list.Apply(
+			[]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`),
+		)
 		if err == nil {
 			g.proxy.servers.Listed(c)
 		}
@@ -112,14 +114,23 @@
 // Whatever ends a connection, a client that takes tokens is told where to go on, and goes on there.
 func TestStreamGoesOn(t *testing.T) {
 	for name, c := range map[string]struct {
-		end func(g *harness, target *peer)
+		end func(g *harness, server *peer)
 		to  int
 	}{
-		"the node is listed as draining":           {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
-		"the node sends its clients away":          {func(_ *harness, s *peer) { s.say("MOVE\r\n"); _ = s.Close() }, 1},
-		"the node dies":                            {func(_ *harness, s *peer) { _ = s.SetLinger(0); _ = s.Close() }, 1},
-		"the node just ends":                       {func(_ *harness, s *peer) { _ = s.Close() }, 1},
-		"the node dies in the middle of a message": {func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() }, 1},
+		"the node is listed as draining": {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
+		"the node sends its clients away": {
+			func(_ *harness, s *peer) { s.say("MOVE\r\n"); _ = s.Close() },
+			1,
+		},
+		"the node dies": {
+			func(_ *harness, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
+			1,
+		},
+		"the node just ends": {func(_ *harness, s *peer) { _ = s.Close() }, 1},
+		"the node dies in the middle of a message": {
+			func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() },
+			1,
+		},
 		"the node falls silent": {func(g *harness, _ *peer) {
 			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.latencies.sweep() })
 		}, 1},
@@ -127,8 +138,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
-			client, target := g.establishResumable()
-			c.end(g, target)
+			client, server := g.establishResumable()
+			c.end(g, server)
 			word := client.moved()
 			// The next balancer shares nothing with the first but the key and the list.
 			other.list(
@@ -167,20 +178,20 @@
 	} {
 		g := newResumeHarness(t, c.change)
 		client := g.client(c.first)
-		target := g.acceptUpstream(0)
-		if got := target.line(); got[:19] != c.first[:19] ||
+		server := g.acceptUpstream(0)
+		if got := server.line(); got[:19] != c.first[:19] ||
 			got[strings.Index(got, ",d=")+8:] != c.first[strings.Index(c.first, ",d=")+8:] {
 			t.Errorf("%s: %q", name, got)
 		}
-		target.say("UP r1 from=0\r\n#1 a\r\nhalf a")
+		server.say("UP r1 from=0\r\n#1 a\r\nhalf a")
 		client.want("UP r1 from=0\r\n")
 		client.want("#1 a\r\n")
 		if got, err := client.rd.Peek(6); string(got) != "half a" || err != nil {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
 		g.listDraining(0)
-		target.say(" line\r\nMOVE\r\n")
-		g.check(target.Close())
+		server.say(" line\r\nMOVE\r\n")
+		g.check(server.Close())
 		client.want("half a line\r\n")
 		client.want("MOVE\r\n")
 		client.ended(true)
@@ -201,7 +212,7 @@
 	return string(ring.Seal(nil, &t))
 }
 
-// What is wrong with a token is told at once; neither the module nor any target hears of it.
+// What is wrong with a token is told at once; neither the decision core nor any server learns of it.
 func TestTokenRejected(t *testing.T) {
 	g := newResumeHarness(t, nil)
 	ring := ringWith(t, token.Key{Secret: keyOf(1), Issues: true})
@@ -248,32 +259,48 @@
 	}
 }
 
-// What becomes of a token that went on to its target, and what it is good for after that.
+// What becomes of a token that went on to its server, and what it is good for after that.
 func TestTokenAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer       func(target *peer)
+		answer       func(server *peer)
 		first, again string
 	}{
-		"stands":               {func(s *peer) { s.say("UP r from=2\r\n") }, "UP r from=2\r\n", "STALE taken\r\n"},
-		"full":                 {func(s *peer) { s.say("BUSY\r\n"); _ = s.Close() }, "BUSY 70\r\n", ""},
-		"its log is too short": {func(s *peer) { s.say("STALE gap\r\n"); _ = s.Close() }, "STALE gap\r\n", "STALE spent\r\n"},
-		"another has it":       {func(s *peer) { s.say("STALE taken\r\n") }, "STALE taken\r\n", "STALE spent\r\n"},
-		"resets":               {func(s *peer) { _ = s.SetLinger(0); _ = s.Close() }, "STALE unsure\r\n", "STALE spent\r\n"},
-		"errs":                 {func(s *peer) { s.say("ERR\r\n") }, "STALE unsure\r\n", "STALE spent\r\n"},
-		"odd reason":           {func(s *peer) { s.say("STALE whatever\r\n") }, "STALE unsure\r\n", "STALE spent\r\n"},
-		"knows no tokens":      {func(s *peer) { s.say("UP r\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
-		"goes on elsewhere":    {func(s *peer) { s.say("UP r from=7\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
+		"stands": {func(s *peer) { s.say("UP r from=2\r\n") }, "UP r from=2\r\n", "STALE taken\r\n"},
+		"full":   {func(s *peer) { s.say("BUSY\r\n"); _ = s.Close() }, "BUSY 70\r\n", ""},
+		"its log is too short": {
+			func(s *peer) { s.say("STALE gap\r\n"); _ = s.Close() },
+			"STALE gap\r\n",
+			"STALE spent\r\n",
+		},
+		"another has it": {func(s *peer) { s.say("STALE taken\r\n") }, "STALE taken\r\n", "STALE spent\r\n"},
+		"resets": {
+			func(s *peer) { _ = s.SetLinger(0); _ = s.Close() },
+			"STALE unsure\r\n",
+			"STALE spent\r\n",
+		},
+		"errs": {func(s *peer) { s.say("ERR\r\n") }, "STALE unsure\r\n", "STALE spent\r\n"},
+		"odd reason": {
+			func(s *peer) { s.say("STALE whatever\r\n") },
+			"STALE unsure\r\n",
+			"STALE spent\r\n",
+		},
+		"knows no tokens": {func(s *peer) { s.say("UP r\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
+		"goes on elsewhere": {
+			func(s *peer) { s.say("UP r from=7\r\n") },
+			"STALE unsupported\r\n",
+			"STALE spent\r\n",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newResumeHarness(t, nil)
 			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 			client := g.client(comeLine + word + "\r\n")
-			target := g.acceptUpstream(1)
-			target.line()
-			// At the same time, in the same balancer: no second hop.
+			server := g.acceptUpstream(1)
+			server.line()
+			// At the same time, in the same balancer: no second attempt.
 			twin := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
 			twin.want("STALE taken\r\n")
-			c.answer(target)
+			c.answer(server)
 			client.want(c.first)
 			again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 			if c.again != "" {
@@ -286,7 +313,7 @@
 }
 
 // An attempt that was given up may still run: its client starts over, this balancer refuses the token from then on, and
-// at another one only the target can know.
+// at another one only the server can know.
 func TestTokenTimesOut(t *testing.T) {
 	hasty := func(ev decision.Event) []decision.Action {
 		acts := sendOrMove(ev)
@@ -302,10 +329,10 @@
 	g.inLoop(func() { g.decide = hasty })
 	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 	client := g.client(comeLine + word + "\r\n")
-	target := g.acceptUpstream(1)
-	target.line()
+	server := g.acceptUpstream(1)
+	server.line()
 	client.want("STALE unsure\r\n")
-	target.ended(true)
+	server.ended(true)
 	if o := event[decision.AttemptEnded](g); o.Status != outcome.TimedOut || o.RequestClosed {
 		t.Errorf("%+v", o)
 	}
@@ -322,20 +349,20 @@
 	elsewhere.want("STALE taken\r\n")
 }
 
-// What is left of a session whose token was given back must not give back the claim of the next.
+// What is left of a request whose token was given back must not give back the claim of the next.
 func TestTokenReleasedOnce(t *testing.T) {
 	g := newResumeHarness(t, nil)
 	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
 	first := g.client(comeLine + word + "\r\n")
-	target := g.acceptUpstream(1)
-	target.line()
-	target.say("BUSY\r\n")
+	server := g.acceptUpstream(1)
+	server.line()
+	server.say("BUSY\r\n")
 	first.want("BUSY 70\r\n")
 	second := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
 	next := g.acceptUpstream(1)
 	next.line()
 	g.check(first.Close())
-	for closed := false; !closed; { // the first session is there until it has seen that
+	for closed := false; !closed; { // the first request is there until it has seen that
 		g.inLoop(func() { closed = g.proxy.requests.len() == 1 })
 	}
 	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
@@ -347,14 +374,14 @@
 // A stream that is served to its end has ended, and does not go on.
 func TestStreamEnds(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	client, target := g.establishResumable()
-	target.say("BYE\r\n")
-	g.check(target.Close())
+	client, server := g.establishResumable()
+	server.say("BYE\r\n")
+	g.check(server.Close())
 	client.want("BYE\r\n")
 	client.ended(true)
 }
 
-// A drain that is taken back moves nobody any more.
+// A drain that is cancelled moves nobody any more.
 func TestDrainCancelled(t *testing.T) {
 	g := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * monotime.Second })
 	var clients []*peer
@@ -400,13 +427,13 @@
 	event[decision.RequestCancelled](g)
 	g.inLoop(func() { hold = false })
 	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	target := g.acceptUpstream(1)
-	target.line()
-	target.say("UP r from=2\r\n")
+	server := g.acceptUpstream(1)
+	server.line()
+	server.say("UP r from=2\r\n")
 	again.want("UP r from=2\r\n")
 	g.check(again.Close())
-	target.ended(true)
-	g.check(target.Close())
+	server.ended(true)
+	g.check(server.Close())
 	event[decision.AttemptEnded](g)
 	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 	third.want("STALE spent\r\n")
@@ -438,9 +465,9 @@
 		t.Errorf("%+v, %v", opened, err)
 	}
 	again := g.client(comeLine + before + "\r\n")
-	target := g.acceptUpstream(1)
-	target.line()
-	target.say("UP r from=2\r\n")
+	server := g.acceptUpstream(1)
+	server.line()
+	server.say("UP r from=2\r\n")
 	again.want("UP r from=2\r\n")
 	reload(fresh)
 	withdrawn := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + before + "\r\n")
@@ -448,10 +475,10 @@
 	g.inLoop(func() {
 		cfg := g.proxy.cfg
 		cfg.Resume = nil
-		g.proxy.Reload(cfg) // off: standing streams go on, and are moved without a token
+		g.proxy.Reload(cfg) // off: established streams go on, and are moved without a token
 	})
 	g.listDraining(1)
-	target.say("#3 c\r\nMOVE\r\n")
+	server.say("#3 c\r\nMOVE\r\n")
 	again.want("#3 c\r\n")
 	again.want("MOVE\r\n")
 }
@@ -459,13 +486,13 @@
 // A line that no message can be is passed on as it comes, and its connection ends in kind.
 func TestMessageTooLong(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	client, target := g.establishResumable()
-	target.say(strings.Repeat("x", lineproto.Max+10))
+	client, server := g.establishResumable()
+	server.say(strings.Repeat("x", lineproto.Max+10))
 	if _, err := client.rd.Peek(lineproto.Max); err != nil {
 		t.Fatal(err)
 	}
-	g.check(target.SetLinger(0))
-	g.check(target.Close())
+	g.check(server.SetLinger(0))
+	g.check(server.Close())
 	for {
 		if _, err := client.rd.ReadByte(); err != nil {
 			break
@@ -479,7 +506,7 @@
 // Clients that present garbage at full speed are all answered, and cost neither memory nor anyone's connection.
 func TestGarbageTokens(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	client, target := g.establishResumable()
+	client, server := g.establishResumable()
 	for i := range 500 {
 		c := g.client(
 			strings.Replace(comeLine, "OPEN 2", fmt.Sprint("OPEN a", i), 1) + strings.Repeat("A", 320) + "\r\n",
@@ -487,7 +514,7 @@
 		c.want("STALE malformed\r\n")
 		_ = c.Close()
 	}
-	target.say("#3 c\r\n")
+	server.say("#3 c\r\n")
 	client.want("#3 c\r\n")
 	g.inLoop(func() {
 		if p, l, s := g.proxy.resumption.tokens.Counts(); p+l+s != 0 {
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// successor is a second relay with the same list of servers, which takes standing connections at the path.
+// successor is a second proxy with the same list of servers, which takes established connections at the path.
 func (g *harness) successor() (next *harness, path string) {
 	g.t.Helper()
 	next = newHarness(g.t, 0, sendToFirst, func(cfg *Config) { cfg.CachedList = g.cachedList })
@@ -25,20 +25,20 @@
 	return next, path
 }
 
-// hotRestart has the relay end for process pid's sake.
+// hotRestart has the proxy end for process pid's sake.
 func (g *harness) hotRestart(path string, pid int) {
 	g.loop.Post(func() { g.proxy.HotRestart(path, pid) })
 }
 
 // establishID brings up a connection with an id of its own.
-func (g *harness) establishID(id int) (client, target *peer) {
+func (g *harness) establishID(id int) (client, server *peer) {
 	g.t.Helper()
 	client = g.client(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000,g=5c\r\n", id))
-	target = g.acceptUpstream(0)
-	target.line()
-	target.say("UP r1\r\n")
+	server = g.acceptUpstream(0)
+	server.line()
+	server.say("UP r1\r\n")
 	client.want("UP r1\r\n")
-	return client, target
+	return client, server
 }
 
 func (g *harness) stops() {
@@ -49,15 +49,15 @@
 }
 
 // Streams that run while a new version takes over go on as if nothing were: every line arrives once and in order, both
-// ways, nobody is moved, and each Send has brought one Outcome.
+// ways, nobody is moved, and each attempt has had one outcome.
 func TestConnectionsTransferToTheSuccessor(t *testing.T) {
 	const streams, lines = 60, 400
 	g := newHarness(t, 1, sendToFirst, nil)
 	next, path := g.successor()
 	var pairs [][2]*peer
 	for i := range streams {
-		client, target := g.establishID(0x1000 + i)
-		pairs = append(pairs, [2]*peer{client, target})
+		client, server := g.establishID(0x1000 + i)
+		pairs = append(pairs, [2]*peer{client, server})
 	}
 	for range streams {
 		event[decision.Established](g)
@@ -118,8 +118,8 @@
 	opened := map[uint32]bool{}
 	for range streams {
 		o := event[decision.ExistingConnection](next)
-		opened[o.Request.ID] = true
-		if o.Server != 0 || o.Request.Key != 0x7f3a || o.Request.Group != 0x5c {
+		opened[o.ID] = true
+		if o.Server != 0 || o.Key != 0x7f3a || o.Group != 0x5c {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -144,10 +144,13 @@
 	for _, c := range []struct {
 		name  string
 		peer  func(*harness) (path string, pid int) // the other side
-		first func(client, target *peer)            // said before the hand-over
-		then  string                                // said by the target after it
+		first func(client, server *peer)            // said before the hot restart
+		then  string                                // said by the server after it
 	}{
-		{name: "nobody there", peer: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() }},
+		{
+			name: "nobody there",
+			peer: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() },
+		},
 		{name: "another process than the note says", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
 			return path, 1
@@ -169,13 +172,19 @@
 		}},
 		{name: "a successor that never answers", peer: silentSuccessor(nil)},
 		{name: "a successor that dies", peer: silentSuccessor(func(link *eventloop.Packets) { link.Close() })},
-		{name: "a successor that talks nonsense", peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) })},
-		{name: "a successor that takes another", peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) })},
+		{
+			name: "a successor that talks nonsense",
+			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) }),
+		},
+		{
+			name: "a successor that takes another",
+			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
+		},
 		{name: "a line under way", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
 			return path, os.Getpid()
-		}, first: func(client, target *peer) {
-			target.say("ha")
+		}, first: func(client, server *peer) {
+			server.say("ha")
 			two := make([]byte, 2)
 			_, err := client.rd.Read(two)
 			client.g.check(err)
@@ -184,9 +193,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newHarness(t, 1, sendToFirst, nil)
 			path, pid := c.peer(g)
-			client, target := g.establish()
+			client, server := g.establish()
 			if c.first != nil {
-				c.first(client, target)
+				c.first(client, server)
 			}
 			g.hotRestart(path, pid)
 			if c.then != "" {
@@ -195,7 +204,7 @@
 						func() { done = g.proxy.drain.transfer != nil && g.proxy.drain.transfer.plan.Draining() },
 					)
 				}
-				target.say(c.then)
+				server.say(c.then)
 				client.want(c.then)
 			}
 			client.want("MOVE\r\n")
@@ -217,7 +226,7 @@
 func TestNothingIsReadWhileOffered(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	path, pid := silentSuccessor(nil)(g)
-	client, target := g.establish()
+	client, server := g.establish()
 	g.hotRestart(path, pid)
 	for offered := 0; offered == 0; {
 		g.inLoop(func() {
@@ -227,8 +236,8 @@
 		})
 	}
 	client.say("from the client\r\n")
-	target.say("from the server\r\n")
-	target.want("from the client\r\n")
+	server.say("from the server\r\n")
+	server.want("from the client\r\n")
 	client.want("from the server\r\n")
 	client.want("MOVE\r\n")
 	client.ended(true)
@@ -238,9 +247,9 @@
 func TestSilenceIsTransferred(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	next, path := g.successor()
-	client, target := g.establish()
+	client, server := g.establish()
 	client.say("anybody?\r\n")
-	target.want("anybody?\r\n")
+	server.want("anybody?\r\n")
 	g.inLoop(func() {
 		s := g.onlyRequest()
 		s.lastReply -= 10 * monotime.Second
@@ -295,11 +304,11 @@
 	}
 }
 
-// What comes to the socket and is no standing connection is refused, holds no descriptor, and hurts nobody.
+// What comes to the socket and is no established connection is refused, holds no descriptor, and hurts nobody.
 func TestBadOffers(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, nil)
 	_, path := g.successor()
-	client, target := g.establish()
+	client, server := g.establish()
 	good := restartproto.ConnectionOffer{Ref: 9, ID: 1, Class: "sync", Server: "s0"}
 	packet, err := good.Encode()
 	g.check(err)
@@ -330,7 +339,7 @@
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
-	target.say("still there\r\n")
+	server.say("still there\r\n")
 	client.want("still there\r\n")
 	for _, want := range []string{"+9", "-9"} { // a second one of the same id is not new
 		g.inLoop(func() {
@@ -361,7 +370,7 @@
 func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
 func (h packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
 
-// onlyRequest is the one session there is, read on the loop.
+// onlyRequest is the one request there is, read on the loop.
 func (g *harness) onlyRequest() (s *request) {
 	for s = range g.proxy.requests.all {
 	}
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -18,8 +18,8 @@
 // retireInterval is how often idle upstream connections are looked for.
 const retireInterval = monotime.Second
 
-// muxUpstreams owns the multiplexed upstream connections. How many there are, and which one an attempt takes, is decided
-// by the pool.
+// muxUpstreams owns the multiplexed upstream connections. How many there are, and which one an attempt takes, is
+// decided by the pool.
 type muxUpstreams struct {
 	proxy *Proxy
 	pool  *upstreampool.Pool // nil until channels are turned on
