--- a/decision/attemptoutcome/attemptoutcome.go
+++ b/decision/attemptoutcome/attemptoutcome.go
@@ -56,12 +56,17 @@
 	LastReported   outcome.Status // as for OfEstablished
 }
 
-// ContinuesOnAnotherServer reports whether a client is sent on to another server with a token rather than told of the end:
-// its stream can be continued, and is not finished.
+// ContinuesOnAnotherServer reports whether a client is sent on to another server with a token rather than told of the
+// end: its stream can be continued, and is not finished.
 func ContinuesOnAnotherServer(s Stream) bool {
 	return s.Numbered && s.LastReported != outcome.OK && s.AtLineBoundary
 }
 
+// ContinuesAfterCursor reports whether a server that accepts a request with a token continues the stream where the
+// client left it. numbered tells whether it numbers the messages, from is the message that it continues after, cursor
+// the last one that the client has. If not, the client would miss messages or have some twice.
+func ContinuesAfterCursor(numbered bool, from, cursor uint64) bool { return numbered && from == cursor }
+
 // SharedFailure tells the first of several attempts that end because one connection failed from the others: the
 // failure is one piece of evidence of the server's health, however many attempts it ended.
 type SharedFailure struct{ reported bool }
--- a/decision/attemptoutcome/attemptoutcome_test.go
+++ b/decision/attemptoutcome/attemptoutcome_test.go
@@ -52,6 +52,23 @@
 	}
 }
 
+func TestContinuesAfterCursor(t *testing.T) {
+	for name, c := range map[string]struct {
+		numbered     bool
+		from, cursor uint64
+		want         bool
+	}{
+		"right after it":   {true, 41, 41, true},
+		"before it":        {true, 40, 41, false},
+		"behind it":        {true, 42, 41, false},
+		"without a number": {false, 41, 41, false},
+	} {
+		if got := ContinuesAfterCursor(c.numbered, c.from, c.cursor); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
+
 func TestSharedFailureIsOnePieceOfEvidence(t *testing.T) {
 	var f SharedFailure
 	ends := []struct{ failed, want bool }{{false, true}, {false, true}, {true, true}, {true, false}, {true, false}}
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -55,6 +55,10 @@
 	return int(min(max(each, minPendingBytes), MaxPendingBytes))
 }
 
+// IsStalled reports whether a reader is so slow that its sender is left unread until it has caught up. pending is how
+// many bytes wait for it, limit how many may; both in bytes.
+func IsStalled(pending, limit int) bool { return pending > limit }
+
 // WindowBudget is how many bytes peers may be granted to send at once, over all channels. memory is as for
 // PendingLimit.
 func WindowBudget(memory int64) int64 {
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -58,6 +58,12 @@
 	}
 }
 
+func TestIsStalled(t *testing.T) {
+	if IsStalled(4096, 4096) || !IsStalled(4097, 4096) {
+		t.Error("a reader is stalled beyond the limit, and not at it")
+	}
+}
+
 func TestStopsReading(t *testing.T) {
 	if StopsReading(256<<10) || !StopsReading(256<<10+1) {
 		t.Error("256 KiB are discarded")
--- a/decision/recall/recall.go
+++ b/decision/recall/recall.go
@@ -12,10 +12,22 @@
 	Addr      netip.AddrPort // where it listens
 }
 
-// Needed reports whether an attempt is to be recalled and its request placed again. Its inputs are the listing that
-// the placement was based on and the current one. It is needed if the server is no longer ready, has restarted or
-// has moved to another address: a placement made now would not choose it, and nothing has been written yet.
-func Needed(chosen, current Listing) bool {
+// Attempt is an attempt that has no answer yet.
+type Attempt struct {
+	Placed  bool    // the core placed it; false where its client names the server
+	Written bool    // its request is written, and may have been executed
+	Chosen  Listing // of its server, when it was chosen
+	Current Listing // of its server, now
+}
+
+// Needed reports whether an attempt is recalled and its request placed again. That is so if nothing has been written
+// and the server is no longer ready, has restarted or has another address: a placement made now would not choose it.
+// An attempt at a server that the client names goes on whatever the listing is.
+func Needed(a Attempt) bool {
+	return a.Placed && !a.Written && changed(a.Chosen, a.Current)
+}
+
+func changed(chosen, current Listing) bool {
 	restarted := current.StartedAt != chosen.StartedAt
 	readdressed := current.Addr != chosen.Addr
 	return !current.Ready || restarted || readdressed
--- a/decision/recall/recall_test.go
+++ b/decision/recall/recall_test.go
@@ -19,8 +19,17 @@
 		"other address":        {chosen, Listing{true, chosen.StartedAt, netip.MustParseAddrPort("10.0.0.1:81")}, true},
 		"was draining before":  {Listing{false, chosen.StartedAt, at}, chosen, false},
 	} {
-		if got := Needed(c.chosen, c.current); got != c.want {
+		a := Attempt{Placed: true, Chosen: c.chosen, Current: c.current}
+		if got := Needed(a); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
+		a.Written = true
+		if Needed(a) {
+			t.Errorf("%s: recalled after its request was written", name)
+		}
+		a.Written, a.Placed = false, false
+		if Needed(a) {
+			t.Errorf("%s: recalled though its client names the server", name)
+		}
 	}
 }
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -55,8 +55,8 @@
 // Reattach is how long a client waits for the server that it names, from what it announces; at most MaxReattach.
 func Reattach(announced Micros) Micros { return min(announced, MaxReattach) }
 
-// ReattachAttempt is how long an attempt at the server that a client names may take, from the time that its client still
-// waits; at least minReattachAttempt.
+// ReattachAttempt is how long an attempt at the server that a client names may take, from the time that the client
+// still waits; at least minReattachAttempt.
 func ReattachAttempt(left Micros) Micros { return max(left, minReattachAttempt) }
 
 // Attempt is how long an attempt may take, from the placement's time-out (0: none of its own) and the time that its
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -7,6 +7,7 @@
 	"spurspread/decision/attemptoutcome"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
 	"spurspread/decision/recall"
 	"spurspread/decision/timeouts"
 	"spurspread/internal/discovery"
@@ -100,8 +101,15 @@
 	}
 }
 
-// serverChanged reports whether the server's listing has changed so that the attempt is recalled.
-func (a *attempt) serverChanged() bool { return recall.Needed(a.chosen, listingOf(a.server)) }
+// recalled reports whether the attempt, which has no answer yet, is recalled for a change of its server's listing.
+func (a *attempt) recalled() bool {
+	return recall.Needed(recall.Attempt{
+		Placed:  a.request.state == statePending,
+		Written: a.written,
+		Chosen:  a.chosen,
+		Current: listingOf(a.server),
+	})
+}
 
 // dial gives the attempt a connection of its own.
 func (a *attempt) dial() {
@@ -202,7 +210,7 @@
 		if a.ended || !a.connected || r.state == stateTransferring {
 			return
 		}
-		if r.downstream.Pending() > a.proxy.buffers.maxPending {
+		if overload.IsStalled(r.downstream.Pending(), a.proxy.buffers.maxPending) {
 			r.clientStalled = true
 			return
 		}
@@ -309,6 +317,13 @@
 	a.timer = a.proxy.loop.After(0, func() { a.end(status) })
 }
 
+// cancelAttempt ends the attempt with this number, unless its server has answered.
+func (r *request) cancelAttempt(number int) {
+	if r.attempt != nil && r.attempt.number == number && r.state != stateEstablished {
+		r.attempt.end(outcome.Cancelled)
+	}
+}
+
 // end closes the attempt's connection or channel and reports its outcome to the decision core, once.
 func (a *attempt) end(status outcome.Status) {
 	if a.ended {
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -2,7 +2,6 @@
 
 import (
 	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"spurspread/internal/eventloop"
 )
 
@@ -75,10 +74,3 @@
 		}
 	}
 }
-
-// cancelAttempt ends the attempt with this number, unless its server has answered.
-func (r *request) cancelAttempt(number int) {
-	if r.attempt != nil && r.attempt.number == number && r.state != stateEstablished {
-		r.attempt.end(outcome.Cancelled)
-	}
-}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -176,7 +176,7 @@
 		answer = "ERR\r\n"
 	}
 	c.conn.Write([]byte(answer))
-	if c.conn.Pending() > c.proxy.buffers.maxPending {
+	if overload.IsStalled(c.conn.Pending(), c.proxy.buffers.maxPending) {
 		c.close() // it pings and does not read
 		return
 	}
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -9,6 +9,7 @@
 	"spurspread/decision/messagedelay"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
 	"spurspread/decision/timeouts"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/lineproto"
@@ -100,7 +101,7 @@
 	case stateClosed, stateHalfClosed, stateTransferring:
 		return false
 	case stateEstablished:
-		return r.attempt.upstream.Pending() <= r.proxy.buffers.maxPending
+		return !overload.IsStalled(r.attempt.upstream.Pending(), r.proxy.buffers.maxPending)
 	case stateNew, statePending, stateReattaching:
 	}
 	return true
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -5,6 +5,7 @@
 	"spurspread/decision/messagedelay"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
+	"spurspread/decision/overload"
 )
 
 // sweepInterval is how often established connections are looked at.
@@ -55,7 +56,7 @@
 	}
 	for r := range p.requests.awaitingReply.each {
 		// While a client does not read its server is left unread: what is late then is not the server's doing.
-		if r.state != stateEstablished || r.downstream.Pending() > p.buffers.maxPending {
+		if r.state != stateEstablished || overload.IsStalled(r.downstream.Pending(), p.buffers.maxPending) {
 			continue
 		}
 		if r.isSilent(now) {
--- a/internal/proxy/request_table.go
+++ b/internal/proxy/request_table.go
@@ -58,8 +58,7 @@
 // client that is reattached goes to its server whatever the listing is.
 func (t *requestTable) followServerList() {
 	for r := range t.unanswered.each {
-		a := r.attempt
-		if a != nil && r.state == statePending && !a.written && a.serverChanged() {
+		if a := r.attempt; a != nil && a.recalled() {
 			a.end(outcome.Inconclusive)
 		}
 	}
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"spurspread/decision/attemptoutcome"
 	"spurspread/decision/outcome"
 	"spurspread/decision/resume"
 	"spurspread/internal/discovery"
@@ -164,7 +165,7 @@
 	if !x.pinned {
 		return true
 	}
-	if !x.numbered || x.lastMessage != x.cursor {
+	if !attemptoutcome.ContinuesAfterCursor(x.numbered, x.lastMessage, x.cursor) {
 		x.numbered = false
 		r.endTokenAttempt(resume.Unsupported)
 		return false
