--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"reflect"
 	"spurspread/decision"
 	"strings"
@@ -57,7 +58,7 @@
 	}
 }
 
-// What weights mean, and that loads are told, decide how servers are compared.
+// The meaning of weights, and whether loads are reported, decide how servers are compared.
 func TestSettingsOfLoad(t *testing.T) {
 	for text, want := range map[string][2]bool{
 		"": {}, "weights=nominal\nspecifics.tells_load=false": {}, "weights=live": {true, false},
@@ -66,7 +67,7 @@
 		s, err := ParseText([]byte(minimal + text + "\n"))
 		if err != nil || s.Decision.DynamicWeights != want[0] || s.Decision.ReportsConnectionLoad != want[1] {
 			t.Errorf(
-				"%q: live %v, told %v, %v",
+				"%q: dynamic weights %v, reports load %v, %v",
 				text,
 				s.Decision.DynamicWeights,
 				s.Decision.ReportsConnectionLoad,
@@ -76,17 +77,21 @@
 	}
 }
 
-func TestSettingsNameWhatIsWrong(t *testing.T) {
-	for bad, want := range map[string]string{
-		"rules.cold=":                      "rules.cold:",
-		"limits.most_tries=":               "limits.most_tries:",
-		"request_classes.0.effect=":        "request_classes.0.effect:",
-		"discovery=ask":                    "discovery:",
-		"request_classes.0.key_scope=cell": "request_classes.0.key_scope:",
+func TestProblemsNameTheKey(t *testing.T) {
+	for bad, wanted := range map[string]struct {
+		text string
+		kind error
+	}{
+		"rules.cold=":                      {"rules.cold:", ErrNotNumber},
+		"limits.most_tries=":               {"limits.most_tries:", ErrNotNumber},
+		"request_classes.0.effect=":        {"request_classes.0.effect:", ErrNotAllowed},
+		"discovery=ask":                    {"discovery:", ErrNotAllowed},
+		"request_classes.0.key_scope=cell": {"request_classes.0.key_scope:", ErrNotAllowed},
 	} {
 		key, _, _ := strings.Cut(bad, "=")
 		text := strings.Replace(minimal, key+"=", key+"=x", 1)
-		if _, err := ParseText([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := ParseText([]byte(text))
+		if err == nil || !strings.Contains(err.Error(), wanted.text) || !errors.Is(err, wanted.kind) {
 			t.Errorf("%s unreadable: %v", key, err)
 		}
 	}
@@ -100,11 +105,47 @@
 		!strings.Contains(err.Error(), "rules.drain_grace: missing") {
 		t.Errorf("missing: %v", err)
 	}
-	if _, err := ParseText([]byte("what is this")); err == nil {
-		t.Error("a line without '=' passed")
+	if _, err := ParseText([]byte("what is this")); !errors.Is(err, ErrNoSeparator) {
+		t.Errorf("a line without '=': %v", err)
 	}
-	if _, err := ParseText([]byte(strings.Replace(minimal, "count=1", "count=9999999", 1))); err == nil {
-		t.Error("a huge count passed")
+	huge := strings.Replace(minimal, "count=1", "count=9999999", 1)
+	if _, err := ParseText([]byte(huge)); !errors.Is(err, ErrTooMany) {
+		t.Errorf("a huge count: %v", err)
+	}
+	if _, err := ParseText(make([]byte, maxTextBytes+1)); !errors.Is(err, ErrTooLong) {
+		t.Errorf("a huge text: %v", err)
+	}
+}
+
+// All problems are reported at once, each with its key and kind, in the order in which keys are read.
+func TestAllProblemsAtOnce(t *testing.T) {
+	text := strings.NewReplacer("rank=1\n", "", "rules.cold=23000000", "rules.cold=-1",
+		"limits.most_tries=6", "limits.most_tries=0").Replace(minimal)
+	_, err := ParseText([]byte(text))
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("%v", err)
+	}
+	want := []KeyError{
+		{"rank", "missing", ErrMissing},
+		{"rules.cold", `"-1" is not a number that can be used`, ErrNotNumber},
+		{"limits.most_tries", "0 is not over 0", ErrNotPositive},
+	}
+	var got []KeyError
+	for _, problem := range invalid.Problems {
+		got = append(got, *problem)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v; want %+v", got, want)
+	}
+	var first *KeyError
+	if !errors.As(err, &first) || first.Key != "rank" || !errors.Is(err, ErrNotPositive) || errors.Is(err, ErrTooMany) {
+		t.Errorf("%v, %v", first, err)
+	}
+	const all = "settings: rank: missing\nrules.cold: \"-1\" is not a number that can be used\n" +
+		"limits.most_tries: 0 is not over 0"
+	if err.Error() != all {
+		t.Errorf("%q; want %q", err, all)
 	}
 }
 
@@ -139,8 +180,8 @@
 	}
 }
 
-// Each kind of broken file that a retune may bring is refused whole, with the key at fault named.
-func TestBrokenRetunesAreRefused(t *testing.T) {
+// Each kind of broken file that a reload may bring is rejected as a whole, with the key at fault named.
+func TestBrokenSettingsAreRejected(t *testing.T) {
 	good := `{"balancers":2,"rank":1,"zone":1,"dcs":["a"],"discovery":"push",
 		"limits":{"most_tries":3},"rules":{"cold":1,"cold_from":0.2,"drain_grace":1,"overload_factor":2,"tip_after":1},
 		"request_classes":[{"name":"sync","slo":300,"deadline":1000,"effect":"read_like"},
@@ -152,9 +193,18 @@
 		{"empty", ``, "not a JSON object"},
 		{"cut off", good[:len(good)/2], "not a JSON object"},
 		{"short of a key", strings.Replace(good, `"deadline":1000,`, ``, 1), "request_classes.0.deadline: missing"},
-		{"deadline not over 0", strings.Replace(good, `"deadline":1000`, `"deadline":0`, 1), "request_classes.0.deadline: 0 is not over 0"},
-		{"deadline below 0", strings.Replace(good, `"deadline":1000`, `"deadline":-5`, 1), "request_classes.0.deadline:"},
-		{"attempts not over 0", strings.Replace(good, `"most_tries":3`, `"most_tries":0`, 1), "limits.most_tries: 0 is not over 0"},
+		{
+			"deadline not over 0", strings.Replace(good, `"deadline":1000`, `"deadline":0`, 1),
+			"request_classes.0.deadline: 0 is not over 0",
+		},
+		{
+			"deadline below 0", strings.Replace(good, `"deadline":1000`, `"deadline":-5`, 1),
+			"request_classes.0.deadline:",
+		},
+		{
+			"attempts not over 0", strings.Replace(good, `"most_tries":3`, `"most_tries":0`, 1),
+			"limits.most_tries: 0 is not over 0",
+		},
 		{"an unknown effect", strings.Replace(good, `"read_like"`, `"sometimes"`, 1), "request_classes.0.effect:"},
 		{"a class named twice", strings.Replace(good, `"watch"`, `"sync"`, 1), `"sync" is named twice`},
 	} {
