--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,66 +1,77 @@
 package discovery
 
 import (
-	"bytes"
-	"errors"
 	"fmt"
-	"io"
 	"net/netip"
 	"spurspread/internal/eventloop"
 )
 
 const (
-	targetsPath = "/api/targets"
-	// Discovery serves calls one after another and answers 503 after a second; one that says nothing at all is
-	// given up after callTime, so that a further one can still bring what counts as told by then.
-	callTimeout = 1_500_000
-	// On a watch an empty line comes every 2 s; one that is silent for longer, with some room, is dead.
-	watchIdleTimeout = 2_000_000 + 800_000
-	// What a new address has to tell counts as told 4 s after it was named. Until it has answered, or moveTime is
-	// over, a failed call is repeated here: the pauses between what its user asks are longer.
-	addressChangeWindow     = 4_000_000
-	addressChangeRetryDelay = 150_000
+	targetsPath    = "/api/targets"
+	readBufferSize = 16 << 10 // bytes
+
+	// callTimeout is for a call's first object. Discovery serves calls one after another and rejects those that waited
+	// for a second; one that does not answer at all is given up soon enough for another before a change is due.
+	callTimeout eventloop.Micros = 1_500_000
+	// heartbeatInterval is how often an idle watch carries an empty line.
+	heartbeatInterval eventloop.Micros = 2_000_000
+	// watchIdleTimeout ends a watch without object or heartbeat.
+	watchIdleTimeout = heartbeatInterval + 800_000
+	// addressChangeWindow is for how long failed calls at a new address are retried here: what is published there has
+	// to take effect 4 s after the address was given, and the user's own polling intervals are longer.
+	addressChangeWindow eventloop.Micros = 4_000_000
+	// addressChangeRetryDelay is the pause before such a retry.
+	addressChangeRetryDelay eventloop.Micros = 150_000
 )
 
-var ErrTimeout = errors.New("discovery is silent")
-
-// Watcher is told what discovery says.
+// Watcher receives what a Client learns. Its methods are called on the event loop, and may call the Client.
 type Watcher interface {
-	// Listed brings a change that the table holds now.
-	Listed(Update)
-	// Failed tells that a call failed or that the watch broke.
-	Failed(error)
+	// Listed brings an update that has been applied to the server list.
+	Listed(update Update)
+	// Failed reports that a call failed or that the watch ended, with the reason.
+	Failed(reason error)
 }
 
-// Client asks discovery for the route table over one watch, and single calls.
+// Client watches or fetches the server list. All of its methods must be called on the event loop.
 type Client struct {
-	loop           *eventloop.Loop
-	addr           netip.AddrPort
-	list           *ServerList
-	watcher        Watcher
-	generation     uint64
-	watch          *call // the watch that has answered
-	pendingWatch   *call // a watch that has not answered yet
-	addressChanged bool  // generation and live are of the address before
-	retryUntil     eventloop.Micros
+	loop       *eventloop.Loop
+	addr       netip.AddrPort
+	list       *ServerList
+	watcher    Watcher
+	generation uint64 // version of the list, as counted by the discovery that published it
+
+	watch        *call // the established watch; nil where there is none
+	pendingWatch *call // a watch without its first object; nil where there is none
+
+	// addressChanged is set from a change of address until the first object comes from there: till then the list, its
+	// generation and the established watch are those of the address before.
+	addressChanged bool
+	retryUntil     eventloop.Micros // until when a failed watch at a changed address is retried
 	retryTimer     eventloop.Ref
-	readBuffer     []byte
+
+	readBuffer []byte
 }
 
-// NewClient returns a client that asks nothing yet.
-func NewClient(l *eventloop.Loop, addr netip.AddrPort, table *ServerList, to Watcher) *Client {
-	return &Client{loop: l, addr: addr, list: table, watcher: to, readBuffer: make([]byte, 16<<10)}
+// NewClient returns a client that makes no call yet.
+func NewClient(loop *eventloop.Loop, addr netip.AddrPort, list *ServerList, watcher Watcher) *Client {
+	return &Client{
+		loop:       loop,
+		addr:       addr,
+		list:       list,
+		watcher:    watcher,
+		readBuffer: make([]byte, readBufferSize),
+	}
 }
 
-// Restore applies a list that was held before the process started.
+// Restore applies a list that was stored before the process started. It returns ErrMalformedList where it can't.
 func (d *Client) Restore(text []byte) (Update, error) {
-	c, err := d.list.Apply(text)
-	d.generation = c.Generation
-	return c, err
+	update, err := d.list.Apply(text)
+	d.generation = update.Generation
+	return update, err
 }
 
-// Snapshot is the table as discovery last told it, in discovery's own form, and the address at which that is told. It
-// is nil after a move until the new address has answered: whose generation it would have is not known.
+// Snapshot is the current list in discovery's own JSON form, with the address that published it. The text is nil from
+// a change of address until the new one has answered: the generation that the list would have there is not known.
 func (d *Client) Snapshot() (netip.AddrPort, []byte) {
 	if d.addressChanged {
 		return d.addr, nil
@@ -68,30 +79,36 @@
 	return d.addr, d.list.Snapshot(d.generation)
 }
 
-// Watch subscribes to changes. Asked again, the old watch stays until the new one has answered, so that no change
-// falls between them.
+// Watch subscribes to changes. Where a watch is established already it stays until the new one has brought its first
+// object, so that no change falls between them.
 func (d *Client) Watch() {
 	if d.pendingWatch != nil {
 		d.pendingWatch.close()
 		d.pendingWatch = nil
 	}
 	d.loop.Cancel(&d.retryTimer)
-	c := &call{client: d, isWatch: true}
-	d.pendingWatch = c
-	index := d.generation
+	d.pendingWatch = newCall(d, callSubscribing)
+	d.pendingWatch.start(fmt.Sprintf("%s?stream=1&index=%d", targetsPath, d.resumeGeneration()))
+}
+
+// resumeGeneration is the generation after which a new watch starts; 0 asks for the full list. Generations of another
+// address mean nothing to this one.
+func (d *Client) resumeGeneration() uint64 {
 	if d.addressChanged {
-		index = 0 // whose versions these are is not known: the whole list is asked for
+		return 0
 	}
-	c.start(fmt.Sprintf("%s?stream=1&index=%d", targetsPath, index))
+	return d.generation
 }
 
-// Watching tells whether a watch is open, or asked for.
+// Watching reports whether a watch is established, pending or about to be retried.
 func (d *Client) Watching() bool { return d.watch != nil || d.pendingWatch != nil || d.retryTimer != 0 }
 
-// ChangeAddress goes over to another address. The table stays, and so does a watch at the old address until the new one has
-// answered or the old one ends it.
-func (d *Client) ChangeAddress(to netip.AddrPort) {
-	d.addr, d.addressChanged, d.retryUntil = to, true, d.loop.Now()+addressChangeWindow
+// ChangeAddress watches another address from now on. The list stays as it is, and so does the watch at the old
+// address, until the new one has brought its full list or the old one ends the watch.
+func (d *Client) ChangeAddress(addr netip.AddrPort) {
+	d.addr = addr
+	d.addressChanged = true
+	d.retryUntil = d.loop.Now() + addressChangeWindow
 	d.Watch()
 }
 
@@ -103,174 +120,75 @@
 			c.close()
 		}
 	}
-	d.watch, d.pendingWatch = nil, nil
+	d.watch = nil
+	d.pendingWatch = nil
 }
 
-// Fetch asks once for the whole list.
-func (d *Client) Fetch() { (&call{client: d}).start(targetsPath) }
+// Fetch asks for the full list once.
+func (d *Client) Fetch() { newCall(d, callFetching).start(targetsPath) }
 
-// applyUpdate applies one object. While an older watch is live, a newer one may begin behind it; not so at a new address,
-// whose versions are its own.
-func (d *Client) applyUpdate(c *call, text []byte) error {
-	first := c.isWatch && c == d.pendingWatch
-	if first && d.addressChanged {
+// received applies one object that c brought. The first object of a pending watch makes it the established one.
+func (d *Client) received(c *call, text []byte) error {
+	first := c.state == callSubscribing
+	switch {
+	case first && d.addressChanged:
 		d.addressChanged = false
-	} else if d.watch != nil && d.watch != c {
-		if g, err := parseGeneration(text); err == nil && g < d.generation {
-			text = fmt.Appendf(nil, `{"generation":%d}`, d.generation)
-		}
+	case d.watch != nil && d.watch != c:
+		text = d.skipIfBehind(text)
 	}
-	change, err := d.list.Apply(text)
+	update, err := d.list.Apply(text)
 	if err != nil {
 		return err
 	}
-	d.generation = change.Generation
+	d.generation = update.Generation
 	if first {
-		if d.watch != nil {
-			d.watch.close()
-		}
-		d.watch, d.pendingWatch = c, nil
+		d.establish(c)
 	}
-	d.watcher.Listed(change)
+	d.watcher.Listed(update)
 	return nil
 }
 
-// call is one HTTP call on a connection of its own.
-type call struct {
-	client   *Client
-	isWatch  bool
-	conn     *eventloop.Conn
-	response responseParser
-	object   []byte // of the object under way
-	nesting  nestingScanner
-	scanned  int // bytes of text that are counted in depth
-	err      error
-	timer    eventloop.Ref
-	closed   bool
-}
-
-func (c *call) start(target string) {
-	c.response.onBody = c.receiveBody
-	c.setTimeout(callTimeout)
-	conn, err := c.client.loop.Dial(c.client.addr, c)
-	if err != nil {
-		// Told in a later turn: the caller is in the middle of something.
-		c.client.loop.Cancel(&c.timer)
-		c.timer = c.client.loop.After(0, func() { c.fail(err) })
-		return
+// skipIfBehind replaces an object that is older than the list by an empty one of the list's generation: while one
+// watch is established, another call may be answered from before that watch's last object.
+func (d *Client) skipIfBehind(text []byte) []byte {
+	generation, err := parseGeneration(text)
+	if err == nil && generation < d.generation {
+		return fmt.Appendf(nil, `{"generation":%d}`, d.generation)
 	}
-	c.conn = conn
-	conn.Write([]byte("GET "+target+" HTTP/1.1\r\nHost: "), []byte(c.client.addr.String()), []byte("\r\n\r\n"))
+	return text
 }
 
-func (c *call) setTimeout(span eventloop.Micros) {
-	c.client.loop.Cancel(&c.timer)
-	c.timer = c.client.loop.After(span, func() { c.fail(ErrTimeout) })
-}
-
-// Connected is part of loop.Owner.
-func (c *call) Connected(_ *eventloop.Conn, err error) {
-	if err != nil {
-		c.fail(err)
+// establish puts c in the place of the watch before it.
+func (d *Client) establish(c *call) {
+	if d.watch != nil {
+		d.watch.close()
 	}
+	c.state = callWatching
+	d.watch = c
+	d.pendingWatch = nil
 }
 
-// Flushed is part of loop.Owner.
-func (c *call) Flushed(*eventloop.Conn) {}
-
-// Readable is part of loop.Owner.
-func (c *call) Readable(conn *eventloop.Conn) {
-	for !c.closed {
-		n, err := conn.Read(c.client.readBuffer)
-		switch {
-		case errors.Is(err, eventloop.ErrAgain):
-			return
-		case errors.Is(err, io.EOF) && !c.isWatch && c.response.completeAtEOF():
-			c.complete()
-			return
-		case err != nil:
-			c.fail(err)
-			return
-		}
-		if err = c.response.feed(c.client.readBuffer[:n]); err == nil {
-			err = c.err
-		}
-		switch {
-		case c.closed:
-		case err != nil:
-			c.fail(err)
-		case c.response.state == stateComplete && c.isWatch:
-			c.fail(io.EOF)
-		case c.response.state == stateComplete:
-			c.complete()
-		}
-	}
-}
-
-// receiveBody takes what the answer's body brings: a line for each object on a watch, else one object in all.
-func (c *call) receiveBody(b []byte) {
-	for len(b) > 0 && c.err == nil && !c.closed {
-		end := bytes.IndexByte(b, '\n')
-		if !c.isWatch || end < 0 {
-			if c.object = append(c.object, b...); len(c.object) > maxObjectBytes {
-				c.err = ErrMalformedResponse
-			}
-			return
-		}
-		c.object = append(c.object, b[:end+1]...)
-		b = b[end+1:]
-		text := bytes.TrimSpace(c.object)
-		if open := c.nesting.feed(c.object[c.scanned:]); open && len(c.object) <= maxObjectBytes {
-			c.scanned = len(c.object) // an object may be indented, over many lines
-			continue
-		}
-		c.nesting, c.scanned = nestingScanner{}, 0
-		// A whole object, or an empty line, shows that discovery lives; until the first object only the call's own time
-		// counts, and lines of an object that does not end show nothing.
-		if c.client.watch == c {
-			c.setTimeout(watchIdleTimeout)
-		}
-		if len(text) > 0 {
-			if c.err = c.client.applyUpdate(c, text); c.err == nil {
-				c.setTimeout(watchIdleTimeout)
-			}
-		}
-		c.object = c.object[:0]
-	}
-}
-
-func (c *call) complete() {
-	if err := c.client.applyUpdate(c, c.object); err != nil {
-		c.fail(err)
-		return
-	}
-	c.close()
-}
-
-func (c *call) fail(err error) {
-	if c.closed {
-		return
-	}
-	c.close()
-	d := c.client
-	if d.watch == c {
+// failed handles the failure of a call that was in the given state. A failure is reported, unless another watch is on
+// its way: then that one's outcome counts.
+func (d *Client) failed(state callState, reason error) {
+	switch state {
+	case callWatching:
 		d.watch = nil
 		if d.pendingWatch != nil || d.retryTimer != 0 {
-			return // the watch that is being asked for tells
+			return
 		}
-	}
-	if d.pendingWatch == c {
+	case callSubscribing:
 		d.pendingWatch = nil
-		if d.addressChanged && d.loop.Now() < d.retryUntil {
+		if d.retriesChangedAddress() {
 			d.retryTimer = d.loop.After(addressChangeRetryDelay, d.Watch)
 			return
 		}
 	}
-	d.watcher.Failed(err)
+	d.watcher.Failed(reason)
 }
 
-func (c *call) close() {
-	c.closed = true
-	c.client.loop.Cancel(&c.timer)
-	c.conn.Close()
+// retriesChangedAddress decides that a failed watch is retried without reporting it: while a changed address has not
+// answered, for addressChangeWindow after the change.
+func (d *Client) retriesChangedAddress() bool {
+	return d.addressChanged && d.loop.Now() < d.retryUntil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/client_test.go
@@ -11,86 +11,7 @@
 	"time"
 )
 
-const (
-	one      = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,"lifecycle":"Ready","weight":1.5,"startedAtMs":7}`
-	two      = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
-	fullList = `{"generation":41,"reset":true,"instances":[` + one + `,` + two + `]}`
-)
-
-func TestTable(t *testing.T) {
-	tab := NewServerList()
-	c, err := tab.Apply([]byte(fullList))
-	if err != nil || !c.Full || c.Generation != 41 || len(c.Servers) != 2 {
-		t.Fatalf("%+v, %v", c, err)
-	}
-	want := Server{
-		ID: "s1", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Zone: "a", MachineType: "m2", Cell: 3, Weight: 1.5,
-		StartedMillis: 7,
-	}
-	if s1, s2 := tab.ByID([]byte("s1")), tab.ByNumber(1); *s1 != want || s2.State != Terminating ||
-		s2.Addr.IsValid() {
-		t.Errorf("%+v, %+v", s1, s2)
-	}
-	again := NewServerList()
-	if c, err := again.Apply(tab.Snapshot(41)); err != nil || !c.Full || c.Generation != 41 ||
-		*again.ByNumber(0) != want ||
-		*again.ByNumber(1) != *tab.ByNumber(1) {
-		t.Errorf("there and back: %s, %v", tab.Snapshot(41), err)
-	}
-	if _, err = tab.Apply([]byte(`{"generation":42,"reset":true,"instances":[` + one + `]}`)); err != nil ||
-		tab.ByNumber(1).State != Gone || tab.ByNumber(0).State != Ready || tab.ByNumber(2) != nil {
-		t.Errorf("a whole list removes what it lacks: %+v, %v", tab.ByNumber(1), err)
-	}
-	for _, bad := range []string{
-		"", "[]", "{", `{"instances":[]}`, `{"generation":1,"instances":7}`,
-		`{"generation":50,"reset":true,"instances":[{"instanceId":"","lifecycle":"Ready"}]}`,
-		`{"generation":50,"reset":true,"instances":[{"instanceId":"s3","lifecycle":"Odd"}]}`,
-	} {
-		if _, err := tab.Apply([]byte(bad)); err == nil || tab.ByNumber(0).State != Ready {
-			t.Errorf("%q: %v, %+v", bad, err, tab.ByNumber(0))
-		}
-	}
-}
-
-// However an answer's bytes are split, its body comes out whole.
-func TestResponseSplits(t *testing.T) {
-	for name, c := range map[string]struct{ in, body string }{
-		"chunked": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab\r\n\r\n3;x=y\r\ncde\r\n0\r\n\r\n", "ab\r\ncde"},
-		"length":  {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde", "abcde"},
-		"empty":   {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", ""},
-	} {
-		for step := 1; step <= len(c.in); step++ {
-			var got strings.Builder
-			r := responseParser{onBody: func(b []byte) { got.Write(b) }}
-			for at := 0; at < len(c.in); at += step {
-				if err := r.feed([]byte(c.in[at:min(at+step, len(c.in))])); err != nil {
-					t.Fatalf("%s, step %d: %v", name, step, err)
-				}
-			}
-			if got.String() != c.body || r.state != stateComplete {
-				t.Fatalf("%s, step %d: %q, stage %d", name, step, got.String(), r.state)
-			}
-		}
-	}
-}
-
-func TestResponseMalformed(t *testing.T) {
-	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for in, want := range map[string]error{
-		"HTTP/1.1 503 Busy\r\n\r\n": ErrStatus, "SSH-2.0\r\n\r\n": ErrMalformedResponse, strings.Repeat("x", maxHeadBytes): ErrMalformedResponse,
-		chunked + "zz\r\n": ErrMalformedResponse, chunked + "ffffffff\r\n": ErrMalformedResponse, chunked + "-1\r\n": ErrMalformedResponse,
-		chunked + "1\r\nab": ErrMalformedResponse, chunked + strings.Repeat("0", maxHeadBytes+1): ErrMalformedResponse,
-		"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n":      ErrMalformedResponse,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n": ErrMalformedResponse,
-	} {
-		r := responseParser{onBody: func([]byte) {}}
-		if err := r.feed([]byte(in)); !errors.Is(err, want) {
-			t.Errorf("%.40q: %v", in, err)
-		}
-	}
-}
-
-// recordingWatcher collects what a Discovery says; a Watcher.
+// recordingWatcher is a Watcher that records a text for each update or failure.
 type recordingWatcher struct{ events chan string }
 
 func (w recordingWatcher) Listed(c Update) {
@@ -100,6 +21,7 @@
 	}
 	w.events <- text
 }
+
 func (w recordingWatcher) Failed(error) { w.events <- "failed" }
 
 func (w recordingWatcher) want(t *testing.T, text string) {
@@ -107,19 +29,20 @@
 	select {
 	case got := <-w.events:
 		if got != text {
-			t.Fatalf("told %q, want %q", got, text)
+			t.Fatalf("reported %q, want %q", got, text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not told %q", text)
+		t.Fatalf("%q is not reported", text)
 	}
 }
 
+// fakeDiscovery is a listener at which a test answers the client's calls.
 type fakeDiscovery struct {
 	*net.TCPListener
 	t *testing.T
 }
 
-// call takes the next call, checks its request and answers.
+// call accepts the next call, checks its request and answers it.
 func (f fakeDiscovery) call(request, answer string) net.Conn {
 	f.t.Helper()
 	_ = f.SetDeadline(time.Now().Add(10 * time.Second))
@@ -131,7 +54,7 @@
 	buf := make([]byte, 1000)
 	n, _ := c.Read(buf)
 	if want := "GET " + request + " HTTP/1.1\r\nHost: " + f.Addr().String() + "\r\n\r\n"; string(buf[:n]) != want {
-		f.t.Fatalf("asked %q, not %q", buf[:n], request)
+		f.t.Fatalf("request %q, want %q", buf[:n], request)
 	}
 	_, _ = c.Write([]byte(answer))
 	return c
@@ -166,12 +89,14 @@
 	go func() { done <- l.Run() }()
 	t.Cleanup(func() {
 		l.Post(l.Stop)
-		<-done
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
 	})
 	return f, w, l, d
 }
 
-// watching is start with a watch that has brought the whole list; conn is discovery's end of it.
+// watching is start with an established watch that has brought the full list; conn is discovery's end of it.
 func watching(t *testing.T) (f fakeDiscovery, w recordingWatcher, l *eventloop.Loop, d *Client, conn net.Conn) {
 	t.Helper()
 	f, w, l, d = start(t)
@@ -181,17 +106,17 @@
 	return f, w, l, d, conn
 }
 
-// A watch carries the version on, and asking again keeps the old watch until the new one has answered.
-func TestWatchAskedAgainLeavesNoGap(t *testing.T) {
+// A new watch continues from the generation held, and the established one stays until the new one has answered.
+func TestNewWatchLeavesNoGap(t *testing.T) {
 	f, w, l, d, first := watching(t)
 	l.Post(d.Watch)
 	second := f.call("/api/targets?stream=1&index=41", "")
 	_, _ = first.Write([]byte(chunk("") + chunk(`{"generation":43,"instances":[`+two+`]}`)))
-	w.want(t, "43 s2") // the old one still counts
+	w.want(t, "43 s2") // the established one still counts
 	_, _ = second.Write([]byte(watchHead + chunk(`{"generation":42,"instances":[`+one+`]}`)))
-	w.want(t, "43") // behind what is held: an answer, but no step back
+	w.want(t, "43") // older than the list: an answer that changes nothing
 	if n, err := first.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Fatal("the old watch stays")
+		t.Fatal("the old watch is not closed")
 	}
 	_, _ = second.Write([]byte(chunk(`{"generation":44,"instances":[` + one + `]}`)))
 	w.want(t, "44 s1")
@@ -199,9 +124,9 @@
 	w.want(t, "failed")
 }
 
-// A new address is asked for the whole list, whose versions are its own, and asked again where it fails. Until it has
-// answered, what comes from the old one counts; that one's end is no failure.
-func TestMove(t *testing.T) {
+// A new address, whose generations are its own, is asked for the full list, and retried where it fails. Until it has
+// answered, updates from the old one count; the end of that watch is no failure.
+func TestChangeAddress(t *testing.T) {
 	_, w, l, d, old := watching(t)
 	next := newFakeDiscovery(t)
 	l.Post(func() { d.ChangeAddress(next.addr()) })
@@ -219,7 +144,7 @@
 	next.call("/api/targets?stream=1&index=8", "")
 }
 
-// A call that is refused, or a watch that breaks or says what can't be read, is one failure.
+// A call that is rejected, or a watch that breaks or brings what can't be parsed, is reported as one failure.
 func TestFailures(t *testing.T) {
 	for name, answer := range map[string]string{
 		"503": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "garbage": "\x00\xff\r\n\r\n\r\n\r\n",
@@ -244,23 +169,21 @@
 	w.want(t, "failed")
 }
 
-// A watch that says nothing for longer than its empty lines come is dead, though its connection stands.
+// A watch without heartbeats fails, though its connection is open.
 func TestSilentWatchFails(t *testing.T) {
 	_, w, _, _, _ := watching(t)
 	w.want(t, "failed")
 }
 
-// indentedObject is an object as some services print it, with all that could be taken for its end.
-const indentedObject = "{\n  \"generation\": 41,\n  \"reset\": true,\n\n  \"note\": \"}]\\\" {\",\n  \"instances\": [\n    " + one + ",\n    " + two +
-	"\n  ]\n}"
+// indentedObject is an object as some services print it, with all that could be mistaken for its end.
+const indentedObject = "{\n  \"generation\": 41,\n  \"reset\": true,\n\n  \"note\": \"}]\\\" {\",\n" +
+	"  \"instances\": [\n    " +
+	one + ",\n    " + two + "\n  ]\n}"
 
 // Objects on a watch may span lines, with empty ones between and within, however their bytes are split.
 func TestIndentedObjectsOnAWatch(t *testing.T) {
-	text := indentedObject + "\n\n" + `{"generation":42,"instances":[` + one + "]}\n" + strings.ReplaceAll(
-		indentedObject,
-		"\n",
-		"\r\n",
-	) + "\r\n"
+	withCRLF := strings.ReplaceAll(indentedObject, "\n", "\r\n")
+	text := indentedObject + "\n\n" + `{"generation":42,"instances":[` + one + "]}\n" + withCRLF + "\r\n"
 	for step := 1; step <= len(text); step++ {
 		c, w := newPendingWatch(t)
 		for at := 0; at < len(text); at += step {
@@ -275,7 +198,7 @@
 	}
 }
 
-// newPendingWatch is a watch that was asked for and has been answered nothing yet; nobody is at its other end.
+// newPendingWatch is a watch without an answer; it has no connection.
 func newPendingWatch(t *testing.T) (*call, recordingWatcher) {
 	t.Helper()
 	l, err := eventloop.New()
@@ -285,11 +208,11 @@
 	t.Cleanup(func() { _ = l.Close() })
 	w := recordingWatcher{make(chan string, 100)}
 	d := NewClient(l, netip.AddrPort{}, NewServerList(), w)
-	d.pendingWatch = &call{client: d, isWatch: true}
+	d.pendingWatch = newCall(d, callSubscribing)
 	return d.pendingWatch, w
 }
 
-// An object that goes on and on in short lines is held to the same bound, however its lines are cut.
+// An object that never ends is bounded, also where it comes in short lines.
 func TestObjectWithoutEnd(t *testing.T) {
 	c, _ := newPendingWatch(t)
 	c.receiveBody([]byte("{\n"))
@@ -298,9 +221,17 @@
 			t.Fatalf("%d bytes are kept", len(c.object))
 		}
 	}
+	if !errors.Is(c.err, ErrMalformedList) {
+		t.Errorf("in lines: %v", c.err)
+	}
+	c, _ = newPendingWatch(t)
+	c.receiveBody([]byte(strings.Repeat("1", maxObjectBytes+1)))
+	if !errors.Is(c.err, ErrTooLarge) {
+		t.Errorf("without lines: %v", c.err)
+	}
 }
 
-// A watch that sends on and on, but never an object whole, is as dead as one that is silent; and what it sends is
+// A watch that keeps sending but never completes an object fails like one that is silent, and what it sends is
 // bounded.
 func TestWatchWithoutEnd(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -318,10 +249,10 @@
 			w.want(t, "41 s1 s2")
 			for sent := 0; ; sent++ {
 				if _, err := conn.Write([]byte(chunk(c.part))); err != nil {
-					break // it was given up
+					break // the client has closed it
 				}
 				if sent == 64 { // twelve seconds, or sixteen times what an object may hold
-					t.Fatal("all of it was taken")
+					t.Fatal("the watch is not closed")
 				}
 				time.Sleep(c.rest)
 			}
@@ -330,19 +261,18 @@
 	}
 }
 
-// A new watch that is silent, too, fails by a time of its own; and one that began to answer, but not an object, is
-// not live.
+// A new watch that is silent, too, fails by a timeout of its own, and so does one that answers without an object.
 func TestNewWatchSilentToo(t *testing.T) {
 	f, w, l, d, _ := watching(t)
 	w.want(t, "failed")
 	l.Post(d.Watch)
 	second := f.call("/api/targets?stream=1&index=41", watchHead)
-	for sent := 0; ; sent++ { // empty lines alone: it may not keep what the list was for ever
+	for sent := 0; ; sent++ { // heartbeats alone must not keep an old list for ever
 		if _, err := second.Write([]byte(chunk(""))); err != nil {
 			break
 		}
 		if sent == 60 {
-			t.Fatal("a watch that brings no list stays")
+			t.Fatal("a watch that brings no list is not closed")
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -352,16 +282,16 @@
 	w.want(t, "43 s2")
 }
 
-// A move while the watch is silent, and again before the new address has answered: only the last counts, and its
-// versions are its own though they are lower.
-func TestMovedTwice(t *testing.T) {
+// A change of address while the watch is silent, and another before the new address has answered: only the last
+// counts, and its generations are its own though they are lower.
+func TestChangeAddressTwice(t *testing.T) {
 	_, w, l, d, _ := watching(t)
 	second, third := newFakeDiscovery(t), newFakeDiscovery(t)
 	l.Post(func() { d.ChangeAddress(second.addr()) })
 	late := second.call("/api/targets?stream=1&index=0", "")
 	l.Post(func() { d.ChangeAddress(third.addr()) })
 	if n, err := late.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Fatal("the call at the address between stays")
+		t.Fatal("the call at the second address is not closed")
 	}
 	live := third.call(
 		"/api/targets?stream=1&index=0",
--- /dev/null
+++ b/internal/discovery/serverlist_test.go
@@ -0,0 +1,48 @@
+package discovery
+
+import (
+	"errors"
+	"net/netip"
+	"testing"
+)
+
+const (
+	one = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,` +
+		`"lifecycle":"Ready","weight":1.5,"startedAtMs":7}`
+	two      = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
+	fullList = `{"generation":41,"reset":true,"instances":[` + one + `,` + two + `]}`
+)
+
+func TestServerList(t *testing.T) {
+	list := NewServerList()
+	c, err := list.Apply([]byte(fullList))
+	if err != nil || !c.Full || c.Generation != 41 || len(c.Servers) != 2 {
+		t.Fatalf("%+v, %v", c, err)
+	}
+	want := Server{
+		ID: "s1", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Zone: "a", MachineType: "m2", Cell: 3, Weight: 1.5,
+		StartedMillis: 7,
+	}
+	if s1, s2 := list.ByID([]byte("s1")), list.ByNumber(1); *s1 != want || s2.State != Terminating ||
+		s2.Addr.IsValid() {
+		t.Errorf("%+v, %+v", s1, s2)
+	}
+	restored := NewServerList()
+	if c, err := restored.Apply(list.Snapshot(41)); err != nil || !c.Full || c.Generation != 41 ||
+		*restored.ByNumber(0) != want || *restored.ByNumber(1) != *list.ByNumber(1) {
+		t.Errorf("restored from %s, %v", list.Snapshot(41), err)
+	}
+	if _, err = list.Apply([]byte(`{"generation":42,"reset":true,"instances":[` + one + `]}`)); err != nil ||
+		list.ByNumber(1).State != Gone || list.ByNumber(0).State != Ready || list.ByNumber(2) != nil {
+		t.Errorf("a full list removes what it lacks: %+v, %v", list.ByNumber(1), err)
+	}
+	for _, bad := range []string{
+		"", "[]", "{", `{"instances":[]}`, `{"generation":1,"instances":7}`,
+		`{"generation":50,"reset":true,"instances":[{"instanceId":"","lifecycle":"Ready"}]}`,
+		`{"generation":50,"reset":true,"instances":[{"instanceId":"s3","lifecycle":"Odd"}]}`,
+	} {
+		if _, err := list.Apply([]byte(bad)); !errors.Is(err, ErrMalformedList) || list.ByNumber(0).State != Ready {
+			t.Errorf("%q: %v, %+v", bad, err, list.ByNumber(0))
+		}
+	}
+}
