--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,13 +12,14 @@
 	"time"
 )
 
-// serve runs a management server on a loop of its own, with a duty that calls change, until the test ends.
+// serve runs an admin server on a loop of its own, with a lifecycle that commands change, until the test ends.
 func serve(t *testing.T) string {
+	t.Helper()
 	addr, _ := serveCounted(t)
 	return addr
 }
 
-// serveCounted is serve, and also tells how many callers the server holds.
+// serveCounted is serve, and also returns a function that counts the open connections.
 func serveCounted(t *testing.T) (string, func() int) {
 	t.Helper()
 	l, err := eventloop.New()
@@ -43,22 +44,22 @@
 		}
 		_ = l.Close()
 	})
-	held := func() int {
+	connections := func() int {
 		n := make(chan int)
 		l.Post(func() { n <- s.Connections() })
 		return <-n
 	}
-	return s.Addr().String(), held
+	return s.Addr().String(), connections
 }
 
-// call sends what it is given, ends its side if told to, and returns the answer's line.
+// call sends text, ends its side where end is set, and returns the reply line.
 func call(t *testing.T, addr, send string, end bool) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a broken server ends the test
 	if _, err := c.Write([]byte(send)); err != nil {
 		t.Fatal(err)
@@ -73,7 +74,7 @@
 	return strings.TrimRight(answer, "\r\n")
 }
 
-func TestCalls(t *testing.T) {
+func TestCommands(t *testing.T) {
 	addr := serve(t)
 	for _, c := range []struct {
 		send string
@@ -93,13 +94,13 @@
 		{"\xff\xfe\n", false, "-ERR not text"},
 		{strings.Repeat("P", 200) + "\r\n", false, "-ERR line too long"},
 		{strings.Repeat("P", 200), false, "-ERR line too long"},
-		// heard whole; nobody here has records
+		// read as one line; this handler has no records
 		{"RECORD n " + strings.Repeat("v", 90) + "\r\n", false, "-ERR unknown call"},
 		{"RECORD n " + strings.Repeat("v", 200), false, "-ERR line too long"},
 		{"PIN", true, "-ERR a call without its line end"},
 		{"PIN", false, "-ERR no whole call within 0.8 s"},
 		{"", false, "-ERR no whole call within 0.8 s"},
-		{"PING\r\nPING\r\nLAMEDUCK\r\n", false, "+OK serving"}, // one call a connection
+		{"PING\r\nPING\r\nLAMEDUCK\r\n", false, "+OK serving"}, // one command a connection
 	} {
 		if got := call(t, addr, c.send, c.end); got != c.want {
 			t.Errorf("%q (end %v): %q; want %q", c.send, c.end, got, c.want)
@@ -107,9 +108,9 @@
 	}
 }
 
-// Callers that send nothing and stay hold nobody up, however many come.
-func TestSilentCallersHoldNobodyUp(t *testing.T) {
-	addr, held := serveCounted(t)
+// Clients that connect and send nothing delay nobody, however many come.
+func TestSilentConnectionsDelayNobody(t *testing.T) {
+	addr, connections := serveCounted(t)
 	var silent []net.Conn
 	for range 3 * admin.MaxConnections {
 		c, err := net.Dial("tcp", addr)
@@ -125,17 +126,17 @@
 	}()
 	start := time.Now()
 	if got := call(t, addr, "PING\r\n", false); got != "+OK serving" {
-		t.Fatalf("PING among silent callers: %q", got)
+		t.Fatalf("PING among silent connections: %q", got)
 	}
-	if n := held(); n > admin.MaxConnections {
-		t.Errorf("%d callers held; at most %d", n, admin.MaxConnections)
+	if n := connections(); n > admin.MaxConnections {
+		t.Errorf("%d connections are open; at most %d", n, admin.MaxConnections)
 	}
-	// Each silent one is answered and closed, by the crowd or by its time; none is left holding a descriptor.
+	// Each silent one gets a reply and is closed, displaced or by its timeout; none keeps a descriptor.
 	for i, c := range silent {
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 		answer, _ := bufio.NewReader(c).ReadString('\n')
 		if !strings.HasPrefix(answer, "-ERR") {
-			t.Errorf("silent caller %d: %q", i, answer)
+			t.Errorf("silent connection %d: %q", i, answer)
 		}
 	}
 	t.Logf("answered in %v", time.Since(start))
