--- /dev/null
+++ b/internal/restartproto/announcement.go
@@ -0,0 +1,59 @@
+package restartproto
+
+import (
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"strings"
+)
+
+// maxAnnouncementBytes bounds the file.
+const maxAnnouncementBytes = 4 << 10
+
+// Announcement tells which process serves a listen address.
+type Announcement struct {
+	Version int    `json:"version"`
+	PID     int    `json:"pid"`    // of the process that serves
+	Listen  string `json:"listen"` // the address that clients connect to
+	Since   int64  `json:"since"`  // when it began to serve, Unix milliseconds
+}
+
+// AnnouncementPath is the file for a listen address in dir. The address is part of its name, so that balancers of
+// several addresses on one machine do not mix.
+func AnnouncementPath(dir string, listen netip.AddrPort) string {
+	return fmt.Sprintf("%s.json", basePath(dir, listen))
+}
+
+// basePath is the path that the files and the socket for a listen address have in common, without extension.
+func basePath(dir string, listen netip.AddrPort) string {
+	name := strings.NewReplacer(":", "_", "[", "", "]", "").Replace(listen.String())
+	return filepath.Join(dir, fmt.Sprintf("spurspread-%s.v%d", name, Version))
+}
+
+// WriteAnnouncement replaces the file at path, and sets the version. Errors are those of the file system.
+func WriteAnnouncement(path string, a Announcement) error {
+	a.Version = Version
+	return replaceFile(path, a)
+}
+
+// ReadAnnouncement reads the file at path. It returns ErrTooLarge, ErrMalformed, ErrVersion, or the error of the file
+// system.
+func ReadAnnouncement(path string) (Announcement, error) {
+	var a Announcement
+	if err := readFile(path, maxAnnouncementBytes, &a); err != nil {
+		return a, err
+	}
+	return a, checkVersion(path, a.Version)
+}
+
+// IsSuccessor decides whether a names a successor of the process self on the listen address: another process, still
+// alive, that serves the same address. Then self may stop listening at once, for the kernel gives new connections to
+// the successor.
+func IsSuccessor(a Announcement, self int, listen netip.AddrPort, alive func(pid int) bool) bool {
+	return a.Version == Version && a.Listen == listen.String() && isOtherProcess(a.PID, self, alive)
+}
+
+// isOtherProcess reports whether pid is a living process other than self.
+func isOtherProcess(pid, self int, alive func(pid int) bool) bool {
+	return pid > 0 && pid != self && alive(pid)
+}
--- a/internal/restartproto/note_test.go
+++ b/internal/restartproto/announcement_test.go
@@ -1,6 +1,7 @@
 package restartproto
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -12,10 +13,11 @@
 
 var listenAddr = netip.MustParseAddrPort("127.0.0.1:8081")
 
-func TestWriteThenRead(t *testing.T) {
+func TestAnnouncementRoundTrip(t *testing.T) {
 	path := AnnouncementPath(t.TempDir(), listenAddr)
 	want := Announcement{Version: Version, PID: 42, Listen: listenAddr.String(), Since: 1_700_000_000_000}
-	if err := WriteAnnouncement(path, Announcement{PID: 42, Listen: listenAddr.String(), Since: want.Since}); err != nil {
+	written := Announcement{PID: 42, Listen: listenAddr.String(), Since: want.Since}
+	if err := WriteAnnouncement(path, written); err != nil {
 		t.Fatal(err)
 	}
 	got, err := ReadAnnouncement(path)
@@ -27,26 +29,36 @@
 	}
 	left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".spurspread-handover-*"))
 	if len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files are left: %v", left)
 	}
 }
 
-// A file that is missing, broken, too large or of another version says nothing.
-func TestReadRefuses(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
-		{"empty", ``, "EOF"},
-		{"cut off", `{"version":1,"pid":4`, "unexpected EOF"},
-		{"another version", `{"version":2,"pid":4,"listen":"127.0.0.1:8081"}`, "of version 2"},
-		{"an unknown field", `{"version":1,"pid":4,"listen":"127.0.0.1:8081","x":1}`, "unknown field"},
-		{"too large", `{"version":1,"listen":"` + strings.Repeat("a", maxAnnouncementBytes) + `"}`, "over"},
-		{"not JSON", "\x00\x01", "invalid character"},
+// A file that is missing, broken, too large or of another version is rejected.
+func TestReadAnnouncementRejects(t *testing.T) {
+	for _, c := range []struct {
+		name, text, want string
+		kind             error
+	}{
+		{"empty", ``, "EOF", ErrMalformed},
+		{"cut off", `{"version":1,"pid":4`, "unexpected EOF", ErrMalformed},
+		{"another version", `{"version":2,"pid":4,"listen":"127.0.0.1:8081"}`, "of version 2", ErrVersion},
+		{
+			"an unknown field", `{"version":1,"pid":4,"listen":"127.0.0.1:8081","x":1}`,
+			"unknown field", ErrMalformed,
+		},
+		{
+			"too large", `{"version":1,"listen":"` + strings.Repeat("a", maxAnnouncementBytes) + `"}`,
+			"over", ErrTooLarge,
+		},
+		{"not JSON", "\x00\x01", "invalid character", ErrMalformed},
 	} {
-		path := filepath.Join(t.TempDir(), "note")
+		path := filepath.Join(t.TempDir(), "announcement")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadAnnouncement(path); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v; want %q", c.name, err, c.want)
+		_, err := ReadAnnouncement(path)
+		if err == nil || !strings.Contains(err.Error(), c.want) || !errors.Is(err, c.kind) {
+			t.Errorf("%s: %v; want %q, %v", c.name, err, c.want, c.kind)
 		}
 	}
 	if _, err := ReadAnnouncement(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) {
@@ -54,7 +66,7 @@
 	}
 }
 
-func TestSucceeded(t *testing.T) {
+func TestIsSuccessor(t *testing.T) {
 	alive := func(pid int) bool { return pid != 13 }
 	good := Announcement{Version: Version, PID: 42, Listen: listenAddr.String()}
 	for _, c := range []struct {
@@ -66,7 +78,7 @@
 		{"this process itself", Announcement{Version: Version, PID: 7, Listen: listenAddr.String()}, false},
 		{"a process that has gone", Announcement{Version: Version, PID: 13, Listen: listenAddr.String()}, false},
 		{"another address", Announcement{Version: Version, PID: 42, Listen: "127.0.0.1:8082"}, false},
-		{"no note", Announcement{}, false},
+		{"no announcement", Announcement{}, false},
 	} {
 		if got := IsSuccessor(c.n, 7, listenAddr, alive); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
--- /dev/null
+++ b/internal/restartproto/file.go
@@ -0,0 +1,66 @@
+package restartproto
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+)
+
+// Version is the version of both files' form. A file of another version is not read.
+const Version = 1
+
+// replaceFile writes value as JSON beside path and renames it over path, so that a reader sees the old value or the new
+// one, never part of one.
+func replaceFile(path string, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	file, err := os.CreateTemp(filepath.Dir(path), ".spurspread-handover-*")
+	if err != nil {
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	_, err = file.Write(text)
+	err = errors.Join(err, file.Close())
+	if err == nil {
+		err = os.Rename(file.Name(), path)
+	}
+	if err != nil {
+		_ = os.Remove(file.Name())
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	return nil
+}
+
+// readFile reads JSON of at most maxBytes into value, and accepts no unknown field.
+func readFile(path string, maxBytes int64, value any) error {
+	file, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = file.Close() }()
+	text, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
+	if err != nil {
+		return err
+	}
+	if int64(len(text)) > maxBytes {
+		return fmt.Errorf("hot restart: %s: %w: over %d bytes", path, ErrTooLarge, maxBytes)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
+		return fmt.Errorf("hot restart: %s: %w: %w", path, ErrMalformed, err)
+	}
+	return nil
+}
+
+func checkVersion(path string, version int) error {
+	if version != Version {
+		return fmt.Errorf("hot restart: %s: %w: it is of version %d, not %d", path, ErrVersion, version, Version)
+	}
+	return nil
+}
--- a/internal/restartproto/golden_test.go
+++ b/internal/restartproto/golden_test.go
@@ -6,22 +6,17 @@
 	"testing"
 )
 
-// What one version writes, another reads: the exact bytes of both files, of a connection's packet and of its answer.
+// Other versions of the program read these: the exact bytes of both files, of an offer and of its answer.
 func TestStableForm(t *testing.T) {
 	dir := t.TempDir()
-	note, list := AnnouncementPath(dir, listenAddr), ServerListPath(dir, listenAddr)
-	if err := WriteAnnouncement(note, Announcement{PID: 42, Listen: listenAddr.String(), Since: 1_700_000_000_000}); err != nil {
+	announcement, list := AnnouncementPath(dir, listenAddr), ServerListPath(dir, listenAddr)
+	serving := Announcement{PID: 42, Listen: listenAddr.String(), Since: 1_700_000_000_000}
+	if err := WriteAnnouncement(announcement, serving); err != nil {
 		t.Fatal(err)
 	}
-	err := WriteServerList(
-		list,
-		ServerList{
-			PID:       42,
-			Listen:    listenAddr.String(),
-			Discovery: discoveryAddr.String(),
-			Snapshot:  []byte(`{"generation":7}`),
-		},
-	)
+	err := WriteServerList(list, ServerList{
+		PID: 42, Listen: listenAddr.String(), Discovery: discoveryAddr.String(), Snapshot: []byte(`{"generation":7}`),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,14 +32,17 @@
 		return string(text)
 	}
 	for _, c := range []struct{ name, got, want string }{
-		{"name of the note", filepath.Base(note), `spurspread-127.0.0.1_8081.v1.json`},
-		{"note", read(note), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","since":1700000000000}`},
+		{"name of the announcement", filepath.Base(announcement), `spurspread-127.0.0.1_8081.v1.json`},
+		{"announcement", read(announcement), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","since":1700000000000}`},
 		{"name of the list", filepath.Base(list), `spurspread-127.0.0.1_8081.v1.list.json`},
-		{"list", read(list), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500","list":{"generation":7}}`},
+		{"list", read(list), `{"version":1,"pid":42,"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500",` +
+			`"list":{"generation":7}}`},
 		{"name of the socket", filepath.Base(SocketPath(dir, listenAddr)), `spurspread-127.0.0.1_8081.v1.sock`},
-		{"standing connection", string(packet), `{"version":1,"ref":4294967295,"id":18446744073709551615,"key":9223372036854775808,"group":7,"class":"index-sync","hint":1.5,"has_hint":true,"retry":true,"returned":true,"target":"s-1","verdict":3,"quiet":5,"waiting":[9,0]}`},
-		{"taken", string(EncodeAnswer(1<<32-1, true)), `+4294967295`},
-		{"refused", string(EncodeAnswer(0, false)), `-0`},
+		{"offer", string(packet), `{"version":1,"ref":4294967295,"id":18446744073709551615,"key":9223372036854775808,` +
+			`"group":7,"class":"index-sync","hint":1.5,"has_hint":true,"retry":true,"returned":true,` +
+			`"target":"s-1","verdict":3,"quiet":5,"waiting":[9,0]}`},
+		{"accepted", string(EncodeAnswer(1<<32-1, true)), `+4294967295`},
+		{"rejected", string(EncodeAnswer(0, false)), `-0`},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %s; want %s", c.name, c.got, c.want)
--- a/internal/restartproto/list_test.go
+++ b/internal/restartproto/serverlist_test.go
@@ -1,6 +1,7 @@
 package restartproto
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -10,7 +11,7 @@
 
 var discoveryAddr = netip.MustParseAddrPort("127.0.0.1:8500")
 
-func TestListThereAndBack(t *testing.T) {
+func TestServerListRoundTrip(t *testing.T) {
 	path := ServerListPath(t.TempDir(), listenAddr)
 	if filepath.Base(path) != "spurspread-127.0.0.1_8081.v1.list.json" {
 		t.Error(path)
@@ -30,21 +31,25 @@
 	}
 	long := want
 	long.Snapshot = []byte(`"` + strings.Repeat("a", maxServerListBytes) + `"`)
-	if err := WriteServerList(path, long); err == nil {
-		t.Error("a list over the bound was written")
+	if err := WriteServerList(path, long); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("a list over the bound: %v", err)
 	}
-	for _, text := range []string{"", "{}", `{"version":2,"pid":1}`, `{"version":1,"x":1}`, strings.Repeat(" ", maxServerListBytes+1)} {
+	for text, kind := range map[string]error{
+		"": ErrMalformed, "{}": ErrVersion, `{"version":2,"pid":1}`: ErrVersion, `{"version":1,"x":1}`: ErrMalformed,
+		strings.Repeat(" ", maxServerListBytes+1): ErrTooLarge,
+	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadServerList(path); err == nil {
-			t.Errorf("%.30q was read", text)
+		if _, err := ReadServerList(path); !errors.Is(err, kind) {
+			t.Errorf("%.30q: %v; want %v", text, err, kind)
 		}
 	}
 }
 
-// Only a living process on the same address that hears the same discovery is one to inherit from.
-func TestInherits(t *testing.T) {
+// Only the list of a living process on the same address with the same discovery can be inherited.
+func TestCanInherit(t *testing.T) {
+	alive := func(pid int) bool { return pid != 13 }
 	good := ServerList{PID: 42, Listen: listenAddr.String(), Discovery: discoveryAddr.String()}
 	for name, spoil := range map[string]func(*ServerList){
 		"nothing wrong": nil, "itself": func(l *ServerList) { l.PID = 7 }, "nobody": func(l *ServerList) { l.PID = 0 },
@@ -55,7 +60,7 @@
 		if spoil != nil {
 			spoil(&l)
 		}
-		if got := CanInherit(l, 7, listenAddr, discoveryAddr, func(pid int) bool { return pid != 13 }); got != (spoil == nil) {
+		if got := CanInherit(l, 7, listenAddr, discoveryAddr, alive); got != (spoil == nil) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
