--- a/internal/logging/output_test.go
+++ b/internal/logging/logging_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// stalledWriter blocks until release is closed.
 type stalledWriter struct{ release chan struct{} }
 
 func (s stalledWriter) Write(b []byte) (int, error) {
@@ -13,27 +14,28 @@
 	return len(b), nil
 }
 
-// A log that nobody reads must not hold up the loop, nor the end of the program.
-func TestStalledLogBlocksNothing(t *testing.T) {
+// A log that nobody reads must not delay the event loop, nor the end of the program.
+func TestStalledReaderBlocksNothing(t *testing.T) {
 	s := stalledWriter{make(chan struct{})}
 	defer close(s.release)
-	o := NewAsyncWriter(s)
+	w := NewAsyncWriter(s)
 	for range 10_000 {
-		if _, err := o.Write([]byte("line\n")); err != nil {
+		if _, err := w.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	o.Close()
+	w.Close()
 }
 
 func TestJSON(t *testing.T) {
 	var out bytes.Buffer
-	New(&out, JSON).WithField(Connections, 3).Info("so far")
+	New(&out, JSON).WithField(Connections, 3).Info("statistics")
 	var line struct {
-		Msg, Level string
-		Standing   int
+		Msg, Level  string
+		Connections int
 	}
-	if err := json.Unmarshal(out.Bytes(), &line); err != nil || line.Msg != "so far" || line.Standing != 3 {
+	if err := json.Unmarshal(out.Bytes(), &line); err != nil || line.Msg != "statistics" ||
+		line.Level != "info" || line.Connections != 3 {
 		t.Errorf("%s: %v", out.Bytes(), err)
 	}
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"spurspread/internal/logging"
 	"spurspread/lab/checker"
 	"spurspread/lab/deployment"
 	"spurspread/lab/report"
@@ -66,11 +67,17 @@
 	return late
 }
 
-// balancerFigures are the greatest values that fields of the balancers' logs had.
+// balancerFigures are the greatest values that fields of the balancers' logs had. Reports name them by the word of the
+// logs of programs before the field was renamed, and such programs are read as well.
 func (pl *player) balancerFigures(more map[string]float64) {
-	for _, field := range []string{"kept", "promised", "trunks_failed", "echoes", "muxed", "trunks", "evicted"} {
+	for name, field := range map[string]string{
+		"kept": logging.QueuedBytes, "promised": logging.ReceiveWindowBytes, "evicted": logging.Evicted,
+		"trunks": logging.MuxUpstreams, "trunks_failed": logging.MuxUpstreamsFailed, "muxed": logging.MuxClients,
+		"echoes": logging.CorrelatedFailures,
+	} {
 		for _, b := range pl.w.Balancers {
-			more["balancer_"+field] = max(more["balancer_"+field], b.MaxLogged(field))
+			logged := max(b.MaxLogged(field), b.MaxLogged(name))
+			more["balancer_"+name] = max(more["balancer_"+name], logged)
 		}
 	}
 }
