--- a/cmd/spurspread/lists.go
+++ b/cmd/spurspread/lists.go
@@ -26,7 +26,7 @@
 		return
 	}
 	cfg.CachedList = l.Snapshot
-	log.WithField(logging.Count, len(told.Servers)).Info("takes over what discovery told the process before this one")
+	log.WithField(logging.Count, len(told.Servers)).Info("hot restart: server list taken over from the running process")
 }
 
 // serverListWriter writes what discovery told into its file, on a goroutine of its own: the loop never waits for it. Of lists
@@ -56,7 +56,7 @@
 		told := false
 		for l := range w.pending {
 			if err := restartproto.WriteServerList(w.path, l); err != nil && !told {
-				w.log.WithError(err).Warn("what discovery tells is not kept for a new version")
+				w.log.WithError(err).Warn("hot restart: server list can't be stored for a new process")
 				told = true
 			}
 		}
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -203,12 +203,12 @@
 	answers()
 	write("nowhere")
 	signal(unix.SIGHUP)
-	logged("stay as they were, whole: configuration: discovery")
+	logged("reload rejected, nothing changed: configuration: discovery")
 	answers()
 	write(is.Addr().String())
 	keyed("three") // which nobody made: neither file changes anything
 	signal(unix.SIGHUP)
-	logged("stay as they were, whole: " + siteFile + ":1: key@file: can't be read: no such file")
+	logged("reload rejected, nothing changed: " + siteFile + ":1: key@file: can't be read: no such file")
 	answers()
 	keyed("two")
 	signal(unix.SIGHUP)
@@ -383,7 +383,7 @@
 		t.Fatal(err)
 	}
 	for first.log.Scan() {
-		if text := first.log.Text(); strings.Contains(text, "handed over") {
+		if text := first.log.Text(); strings.Contains(text, "hot restart: successor accepts new clients") {
 			t.Error(text)
 		}
 	}
@@ -415,7 +415,7 @@
 			_ = old.cmd.Process.Kill()
 			_ = old.cmd.Wait()
 		} else {
-			old.logged("handed over")
+			old.logged("hot restart: successor accepts new clients")
 		}
 		// Were the old one still listening, about half of these would reach it and hear that it drains.
 		for i := range 40 {
--- a/cmd/spurspread/retune_test.go
+++ b/cmd/spurspread/retune_test.go
@@ -54,7 +54,7 @@
 		if err := p.cmd.Process.Signal(unix.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		if said := p.logged("stay as they were, whole"); !strings.Contains(said, c.fault) ||
+		if said := p.logged("reload rejected, nothing changed"); !strings.Contains(said, c.fault) ||
 			!strings.Contains(said, path) {
 			t.Errorf("%s: the log says %q", c.name, said)
 		}
@@ -66,7 +66,7 @@
 	if err := p.cmd.Process.Signal(unix.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	p.logged("settings retuned")
+	p.logged("settings changed")
 	if old, fresh := answer("index-sync"), answer("renamed"); old != "ERR\r\n" || fresh != "UP 1\r\n" {
 		t.Errorf("retuned: the old class is answered %q, the file's %q", old, fresh)
 	}
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -156,11 +156,11 @@
 // to it.
 func (p *balancerProcess) announce() {
 	if err := p.proxy.AcceptTransfers(p.transferSocketPath); err != nil {
-		p.log.WithError(err).Warn("takes no standing connections from an older process")
+		p.log.WithError(err).Warn("hot restart: can't accept connections from an older process")
 	}
 	n := restartproto.Announcement{PID: os.Getpid(), Listen: p.listenAddr.String(), Since: time.Now().UnixMilli()}
 	if err := restartproto.WriteAnnouncement(p.announcementPath, n); err != nil {
-		p.log.WithError(err).Warn("no hand-over note")
+		p.log.WithError(err).Warn("hot restart: can't write the announcement")
 	}
 	p.log.WithField(logging.Listen, p.proxy.Addr()).Info("started")
 }
@@ -203,7 +203,7 @@
 	}
 	if err != nil {
 		log.WithField(logging.File, c.Config).
-			Error("the configuration and settings stay as they were, whole: ", oneLine(err))
+			Error("reload rejected, nothing changed: ", oneLine(err))
 		return
 	}
 	lim.limitMemory()
--- a/cmd/spurspread/upgrade_test.go
+++ b/cmd/spurspread/upgrade_test.go
@@ -105,7 +105,7 @@
 	if err := old.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	old.logged("passed standing connections")
+	old.logged("hot restart: connections transferred to successor")
 	if err := old.cmd.Wait(); err != nil {
 		t.Errorf("the old one ended with %v", err)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -163,7 +163,7 @@
 	)
 	h.position, h.positionRevision = h.fleet.Position(), h.fleet.Revision()
 	h.zones = h.startZones()
-	log.WithFields(logrus.Fields{logging.Listen: sock.Addr(), logging.Member: cfg.Name}).Info("in the fleet")
+	log.WithFields(logrus.Fields{logging.Listen: sock.Addr(), logging.Member: cfg.Name}).Info("membership started")
 	h.tick()
 	h.requestTakeover(takeoverAttempts)
 	return h, nil
@@ -260,7 +260,7 @@
 	}
 	h.dispatch(h.fleet.Tick(now))
 	if h.fleet.Superseded() {
-		h.log.WithField(logging.Member, h.cfg.Name).Warn("a later process has this name: it is the member now")
+		h.log.WithField(logging.Member, h.cfg.Name).Warn("membership ended: a newer process has this name")
 		h.Close()
 		return
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -90,7 +90,7 @@
 	r.startDrain()
 	r.drain.stopping, r.drain.handingOver = true, true
 	r.closeListener()
-	r.log.Info("handed over: the successor takes new clients")
+	r.log.Info("hot restart: successor accepts new clients")
 	r.startTransfer(path, pid)
 	r.loop.After(drainCheckInterval, r.checkDrained)
 }
--- a/internal/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -26,7 +26,7 @@
 	p := &transferSender{proxy: r, plan: hotrestart.New(r.loop.Now(), r.drain.duration)}
 	var err error
 	if p.link, err = r.loop.DialPackets(path, pid, p); err != nil {
-		r.log.WithError(err).Info("the successor takes no standing connections: moving them")
+		r.log.WithError(err).Info("hot restart: successor accepts no connections, moving clients instead")
 		r.moveEstablished(r.drain.duration)
 		return
 	}
@@ -102,7 +102,7 @@
 	s, _ := p.proxy.requests.Get(eventloop.Ref(ref))
 	switch {
 	case err != nil || !p.plan.Answered(ref, taken):
-		p.proxy.log.WithError(err).Warn("the successor's answer makes no sense")
+		p.proxy.log.WithError(err).Warn("hot restart: unexpected answer from successor")
 		p.link.Shut()
 		return
 	case taken:
@@ -152,7 +152,7 @@
 	}
 	p.proxy.log.WithField(logging.TransferredOut, p.proxy.counters.transferred).
 		WithField(logging.Connections, p.proxy.requests.Len()).
-		Info("passed standing connections to the successor")
+		Info("hot restart: connections transferred to successor")
 	p.proxy.moveEstablished(p.proxy.drain.duration)
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -156,13 +156,13 @@
 // keep the class that they were asked under.
 func (r *Proxy) Reload(cfg Config) {
 	if cfg.Listen != r.cfg.Listen {
-		r.log.Warn("a change of listen takes a restart")
+		r.log.Warn("change of listen ignored, it needs a restart")
 	}
 	r.applyFleet(&cfg.Settings.Decision)
 	if !reflect.DeepEqual(cfg.Settings, r.cfg.Settings) {
 		r.cfg.Settings = cfg.Settings
 		r.dispatch(decision.SettingsChanged{Settings: cfg.Settings.Decision})
-		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.ClassNames, ",")).Info("settings retuned")
+		r.log.WithField(logging.Classes, strings.Join(cfg.Settings.ClassNames, ",")).Info("settings changed")
 	}
 	r.cfg.MaxDescriptors, r.cfg.MemoryLimit = cfg.MaxDescriptors, cfg.MemoryLimit
 	r.sizeBuffers()
@@ -173,7 +173,7 @@
 		r.discovery.ChangeAddress(cfg.Discovery)
 	}
 	r.watchPushedLists()
-	r.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration read again")
+	r.log.WithField(logging.Discovery, cfg.Discovery).Info("configuration reloaded")
 }
 
 // dispatch hands an event to the module and carries out what it decides. What that brings about in turn waits in line,
@@ -357,5 +357,5 @@
 		fields[logging.ReceiveWindowBytes], fields[logging.QueuedBytes] = r.windowBudget.Promised(), r.bufferedBytes()
 		fields[logging.MuxUpstreamsFailed], fields[logging.CorrelatedFailures] = r.counters.upstreamsFailed, r.counters.sharedFailures
 	}
-	r.log.WithFields(fields).Info("so far")
+	r.log.WithFields(fields).Info("statistics")
 }
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -223,7 +223,7 @@
 }
 
 func (s *request) moduleOverdue() {
-	s.proxy.log.Warn("the module left a request without an answer")
+	s.proxy.log.Warn("request expired: no decision was made in time")
 	s.expire()
 }
 
