--- a/cmd/spurspread/upgrade_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -17,13 +17,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientStream is a client that stands; it says a line and waits until that has come back, over and over.
+// clientStream is a client with an established connection, to a server that echoes its lines.
 type clientStream struct {
 	c    net.Conn
 	in   *bufio.Reader
-	said int
+	sent int // lines
 }
 
+// open connects and sends a request; it returns the reply line.
 func open(addr, class string, id int) (*clientStream, string, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -38,35 +39,39 @@
 	return s, answer, err
 }
 
-// exchange says one line and reads it back.
+// exchange sends one line and reads its echo.
 func (s *clientStream) exchange() error {
-	s.said++
-	text := fmt.Sprintf("line %d\r\n", s.said)
+	s.sent++
+	text := fmt.Sprintf("line %d\r\n", s.sent)
 	if _, err := s.c.Write([]byte(text)); err != nil {
 		return err
 	}
-	if got, err := s.in.ReadString('\n'); got != text {
-		return fmt.Errorf("%q came back for %q, %v", got, text, err)
+	got, err := s.in.ReadString('\n')
+	if err != nil {
+		return fmt.Errorf("%q came back for %q: %w", got, text, err)
+	}
+	if got != text {
+		return fmt.Errorf("%q came back for %q", got, text)
 	}
 	return nil
 }
 
-// Under a steady load, standing streams go on through an upgrade without noticing it, and every client that comes
-// meanwhile is answered, by one process or the other.
+// Under a steady load, established connections continue through an upgrade unharmed, and every client that connects
+// meanwhile gets a reply, from one process or the other.
 func TestUpgradeUnderLoad(t *testing.T) {
-	const standing = 24
+	const established = 24
 	silent, clients := listener(t), freePort(t)
-	var asked sync.Map // ids, of those that asked after the upgrade began
+	var requested sync.Map // ids of requests since the upgrade began
 	var counting atomic.Bool
 	path, _ := configured(t, append(startServers(t, func(_ int, first string) {
 		if counting.Load() {
-			asked.Store(strings.Fields(first)[1], true)
+			requested.Store(strings.Fields(first)[1], true)
 		}
 	}), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
 	tmp := "TMPDIR=" + t.TempDir()
 	old := start(t, "GW_CONFIG="+path, tmp)
 	var streams []*clientStream
-	for i := range standing {
+	for i := range established {
 		s, answer, err := open(clients, "index-sync", i)
 		if answer != "UP 1\r\n" {
 			t.Fatalf("stream %d: %q, %v", i, answer, err)
@@ -88,17 +93,17 @@
 			}
 		})
 	}
-	came := 0
+	newClients := 0
 	load.Go(func() {
 		for id := 1000; !stop.Load(); id++ {
 			s, answer, err := open(clients, "index-sync", id)
 			if answer != "UP 1\r\n" && !strings.HasPrefix(answer, "BUSY") {
-				t.Errorf("a client that came meanwhile: %q, %v", answer, err)
+				t.Errorf("a client that connected meanwhile: %q, %v", answer, err)
 			}
 			if s != nil {
 				_ = s.c.Close()
 			}
-			came++
+			newClients++
 		}
 	})
 	next := start(t, "GW_CONFIG="+path, tmp)
@@ -107,20 +112,20 @@
 	}
 	old.logged("hot restart: connections transferred to successor")
 	if err := old.cmd.Wait(); err != nil {
-		t.Errorf("the old one ended with %v", err)
+		t.Errorf("the old process ended with %v", err)
 	}
-	for from := rounds.Load(); rounds.Load() < from+50*standing && !t.Failed(); {
+	for from := rounds.Load(); rounds.Load() < from+50*established && !t.Failed(); {
 		time.Sleep(time.Millisecond)
 	}
 	stop.Store(true)
 	load.Wait()
-	t.Logf("%d rounds, %d clients came", rounds.Load(), came)
-	for i := range standing {
-		if _, again := asked.Load(fmt.Sprintf("%08x", i)); again {
-			t.Errorf("stream %d asked again", i)
+	t.Logf("%d rounds, %d new clients", rounds.Load(), newClients)
+	for i := range established {
+		if _, again := requested.Load(fmt.Sprintf("%08x", i)); again {
+			t.Errorf("stream %d has sent its request again", i)
 		}
 	}
-	// They are the new one's now: it moves them all when it goes.
+	// They are the new process's now: it moves them all when it stops.
 	if err := next.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -131,40 +136,40 @@
 		_ = s.c.Close()
 	}
 	if err := next.cmd.Wait(); err != nil {
-		t.Errorf("the new one ended with %v", err)
+		t.Errorf("the new process ended with %v", err)
 	}
 }
 
-// A new version that starts while discovery is down goes on from what the old one heard, and not from the older
-// list in its configuration: nothing new goes to a server that drains.
-func TestNewVersionKnowsWhatDiscoveryTold(t *testing.T) {
-	told, err := discoveryserver.Start(0)
+// A new process that starts while discovery is down starts from the old one's server list, and not from the older one
+// in its configuration: no new connection goes to a server that drains.
+func TestNewProcessInheritsServerList(t *testing.T) {
+	published, err := discoveryserver.Start(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clients := freePort(t)
-	var asked [2]atomic.Int64
-	pairs := startServers(t, func(i int, _ string) { asked[i].Add(1) })
+	var requests [2]atomic.Int64
+	pairs := startServers(t, func(i int, _ string) { requests[i].Add(1) })
 	// the configuration's list is of generation 1
 	for i, state := range []string{discoveryserver.Ready, discoveryserver.Terminating} {
-		told.Set(discoveryserver.Entry{
+		published.Set(discoveryserver.Entry{
 			ID: fmt.Sprint("toy-", 2-i), Addr: pairs[3-2*i], Zone: "here", Machine: "toy", Lifecycle: state,
 			Weight: 1,
 		})
 	}
-	path, _ := configured(t, append(pairs, "127.0.0.1:8081", clients, "127.0.0.1:8500", told.Addr())...)
+	path, _ := configured(t, append(pairs, "127.0.0.1:8081", clients, "127.0.0.1:8500", published.Addr())...)
 	dir := t.TempDir()
 	old := start(t, "GW_CONFIG="+path, "TMPDIR="+dir)
-	kept := restartproto.ServerListPath(dir, netip.MustParseAddrPort(clients))
+	stored := restartproto.ServerListPath(dir, netip.MustParseAddrPort(clients))
 	for until := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if l, err := restartproto.ReadServerList(kept); err == nil &&
+		if l, err := restartproto.ReadServerList(stored); err == nil &&
 			strings.Contains(string(l.Snapshot), discoveryserver.Terminating) {
 			break
 		} else if time.Now().After(until) {
-			t.Fatalf("nothing was kept: %v", err)
+			t.Fatalf("no list was stored: %v", err)
 		}
 	}
-	if err := told.Close(); err != nil {
+	if err := published.Close(); err != nil {
 		t.Fatal(err)
 	}
 	next := start(t, "GW_CONFIG="+path, "TMPDIR="+dir)
@@ -172,7 +177,7 @@
 		t.Fatal(err)
 	}
 	if err := old.cmd.Wait(); err != nil {
-		t.Errorf("the old one ended with %v", err)
+		t.Errorf("the old process ended with %v", err)
 	}
 	for i := range 16 {
 		s, answer, err := open(clients, "index-sync", i)
@@ -181,16 +186,16 @@
 		}
 		_ = s.c.Close()
 	}
-	if asked[0].Load() != 0 || asked[1].Load() < 16 {
-		t.Errorf("%d went to the server that drains, %d to the other", asked[0].Load(), asked[1].Load())
+	if requests[0].Load() != 0 || requests[1].Load() < 16 {
+		t.Errorf("%d went to the server that drains, %d to the other", requests[0].Load(), requests[1].Load())
 	}
 	if err := next.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := next.cmd.Wait(); err != nil {
-		t.Errorf("the new one ended with %v", err)
+		t.Errorf("the new process ended with %v", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files are left: %v", left)
 	}
 }
--- a/cmd/spurspread/crowd_test.go
+++ b/cmd/spurspread/idle_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// descriptors counts what a process holds, as the kernel tells it.
+// descriptors is the number of descriptors that the process has open, from /proc.
 func (p *process) descriptors() int {
 	p.t.Helper()
 	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
@@ -19,24 +19,23 @@
 	return len(held)
 }
 
-// A crowd of idle clients, three times as many as the program may hold descriptors, comes while discovery is down.
-// By the kernel's count it never holds more than it may; servers are reached all the same, and discovery once it is
-// back.
-func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
-	const most = 160
+// Idle clients, three times as many as the program may have descriptors, connect while discovery is down. The program
+// never has more descriptors than it may; requests reach servers all the same, and discovery is called once it is up.
+func TestManyIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+	const limit = 160
 	clients, away := freePort(t), freePort(t)
 	path, _ := configured(t, append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", away,
-		`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, most))...)
+		`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, limit))...)
 	p := start(t, "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	peak := 0
-	for i := range 3 * most {
+	for i := range 3 * limit {
 		c, err := net.Dial("tcp", clients)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
 		if i%2 == 0 {
-			_, _ = c.Write([]byte("PING\r\n")) // it may be ended before that
+			_, _ = c.Write([]byte("PING\r\n")) // it may be closed before that
 		}
 		peak = max(peak, p.descriptors())
 	}
@@ -48,8 +47,8 @@
 		t.Cleanup(func() { _ = s.c.Close() })
 		peak = max(peak, p.descriptors())
 	}
-	if peak > most || peak < most*3/4 {
-		t.Errorf("%d descriptors held, %d allowed; the crowd should have filled most of them", peak, most)
+	if peak > limit || peak < limit*3/4 {
+		t.Errorf("%d descriptors open, %d allowed; idle clients should have filled most of them", peak, limit)
 	}
 	ln, err := net.Listen("tcp", away)
 	if err != nil {
@@ -57,7 +56,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // only so that a fault ends the test
-	if call := acceptDiscoveryRequest(t, ln.(*net.TCPListener)); !strings.HasPrefix(call, "GET ") {
-		t.Errorf("%q came to discovery", call)
+	if request := acceptDiscoveryRequest(t, ln.(*net.TCPListener)); !strings.HasPrefix(request, "GET ") {
+		t.Errorf("request %q", request)
 	}
 }
--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -1,6 +1,3 @@
-// Command spurspread is one balancer for long-lived connections: it takes clients in, has the decision module place
-// them on egress targets, and passes their lines on until they end or move. Its sub-commands look after what it is
-// told. This package knows arguments and wiring, and nothing else.
 package main
 
 import (
@@ -14,16 +11,22 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitOK = iota
-	exitFailed
-	exitUsage
+	exitOK     = iota
+	exitFailed // the command failed; a line on standard error says why
+	exitUsage  // the command line can't be understood
 )
 
-// cli is the command line. Without a command it serves, as the platform starts it.
+const (
+	notExited = -1  // no exit code
+	helpWidth = 100 // columns
+)
+
+// cli is the command line. Without a command, as the platform starts it, it serves.
 type cli struct {
-	Serve   serve      `cmd:"" default:"withargs" help:"Serve as a balancer until SIGTERM; what is done without a command."`
+	Serve serve `cmd:"" default:"withargs" help:"Serve as a balancer until SIGTERM; what is done without a command."`
+
 	Site    siteCmds   `cmd:"" help:"Look after site files."`
 	Token   tokenCmds  `cmd:"" help:"Look after resume tokens and their keys."`
 	Members membersCmd `cmd:"" help:"Show the fleet of balancers as one member sees it."`
@@ -33,7 +36,7 @@
 	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"How log lines are written: text or json."`
 }
 
-// streams are where a command reads its environment and writes what it has to say.
+// streams are a command's environment and output.
 type streams struct {
 	getenv   func(string) string
 	out, err io.Writer
@@ -45,9 +48,9 @@
 }
 
 // run carries out a command line and returns the exit code.
-func run(args []string, s *streams) (code int) {
+func run(args []string, s *streams) int {
 	var c cli
-	exited := -1
+	exited := notExited
 	parser, err := kong.New(
 		&c,
 		kong.Name("spurspread"),
@@ -55,14 +58,14 @@
 		kong.Description(
 			"A balancer for long-lived connections.\n\nWithout a command it serves, told by GW_CONFIG's file.",
 		),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
 		kong.Exit(func(code int) { exited = code }),
 	)
 	if err != nil {
-		panic(err) // the struct above is at fault
+		panic(err) // a tag of cli is wrong
 	}
 	ctx, err := parser.Parse(args)
-	if exited >= 0 { // help was asked for and given
+	if exited != notExited { // --help has been printed
 		return exited
 	}
 	if err != nil {
@@ -77,12 +80,13 @@
 	return exitOK
 }
 
-// oneLine joins what several errors say.
+// oneLine is the text of joined errors on one line.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
+// versionCmd prints how the program was built.
 type versionCmd struct{}
 
-// Run prints what the linker knows.
+// Run prints the version and revision that the linker has recorded.
 func (versionCmd) Run(s *streams) error {
 	revision, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -99,7 +103,7 @@
 	return err
 }
 
-// version is the module's, as the linker knows it; without a release it is "devel".
+// version is the module version that the linker has recorded; "devel" for a build that is no release.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" || strings.HasPrefix(info.Main.Version, "(") {
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -53,16 +53,16 @@
 	return path, text
 }
 
-// startServers are index nodes in place of the example's, and the pairs that put them there; asked hears of each first
-// line, with the node's number.
-func startServers(t *testing.T, asked func(node int, first string)) (pairs []string) {
+// startServers starts servers in place of the example's, and returns the pairs of texts that put them into its
+// configuration. onRequest is called with the number of the server and the first line of each connection.
+func startServers(t *testing.T, onRequest func(server int, first string)) (pairs []string) {
 	t.Helper()
 	for i, at := range []string{"127.0.0.1:9001", "127.0.0.1:9002"} {
 		ln := listener(t)
 		_ = ln.SetDeadline(time.Time{})
 		go echo.Serve(ln, func(first string) {
-			if asked != nil && strings.HasPrefix(first, "OPEN ") {
-				asked(i, first)
+			if onRequest != nil && strings.HasPrefix(first, "OPEN ") {
+				onRequest(i, first)
 			}
 		})
 		pairs = append(pairs, at, ln.Addr().String())
@@ -70,7 +70,7 @@
 	return pairs
 }
 
-// withAdminAddr adds $GW_MGMT to what getenv tells.
+// withAdminAddr is getenv with $GW_MGMT set.
 func withAdminAddr(getenv func(string) string, addr string) func(string) string {
 	return func(name string) string {
 		if name == "GW_MGMT" {
@@ -80,30 +80,32 @@
 	}
 }
 
-// What is wrong with a configuration is said in one line.
+// What is wrong with a configuration is printed on one line.
 func TestBadConfiguration(t *testing.T) {
+	anyPort := env(t, "127.0.0.1:8081", "127.0.0.1:0")
 	for want, getenv := range map[string]func(string) string{
-		"GW_CONFIG names no":                              func(string) string { return "" },
-		"no such file":                                    func(string) string { return "/nowhere/config.json" },
-		"is not a JSON object":                            env(t, "{", "["),
-		`listen "nowhere" is not an address`:              env(t, "127.0.0.1:8081", "nowhere"),
-		`discovery "" is not an address`:                  env(t, `"discovery": "127.0.0.1:8500"`, `"discovery": ""`),
-		`seed "zz" is not hexadecimal`:                    env(t, "8c1f30d27a5be964", "zz"),
-		"settings: not a JSON object":                     env(t, `"settings": {`, `"other": {`),
-		"rules.cold: missing; rules.drain_grace: missing": env(t, `"cold": 23000000, "cold_from": 0.13, "drain_grace"`, `"cold_from": 0.1, "x"`),
-		"rules.cold: missing":                             env(t, `"cold": 23000000`, `"warm": 1`),
-		"known: discovery's list is":                      env(t, `"generation": 1`, `"generation": "x"`),
-		"listen on 192.0.2.1:8081":                        env(t, "127.0.0.1:8081", "192.0.2.1:8081"),
-		"management address: listen on 192.0.2.1:9901":    withAdminAddr(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "192.0.2.1:9901"),
-		`management address "9901" is not an address`:     withAdminAddr(env(t, "127.0.0.1:8081", "127.0.0.1:0"), "9901"),
+		"GW_CONFIG names no":                 func(string) string { return "" },
+		"no such file":                       func(string) string { return "/nowhere/config.json" },
+		"is not a JSON object":               env(t, "{", "["),
+		`listen "nowhere" is not an address`: env(t, "127.0.0.1:8081", "nowhere"),
+		`discovery "" is not an address`:     env(t, `"discovery": "127.0.0.1:8500"`, `"discovery": ""`),
+		`seed "zz" is not hexadecimal`:       env(t, "8c1f30d27a5be964", "zz"),
+		"settings: not a JSON object":        env(t, `"settings": {`, `"other": {`),
+		"rules.cold: missing; rules.drain_grace: missing": env(t,
+			`"cold": 23000000, "cold_from": 0.13, "drain_grace"`, `"cold_from": 0.1, "x"`),
+		"rules.cold: missing":                          env(t, `"cold": 23000000`, `"warm": 1`),
+		"known: discovery's list is":                   env(t, `"generation": 1`, `"generation": "x"`),
+		"listen on 192.0.2.1:8081":                     env(t, "127.0.0.1:8081", "192.0.2.1:8081"),
+		"management address: listen on 192.0.2.1:9901": withAdminAddr(anyPort, "192.0.2.1:9901"),
+		`management address "9901" is not an address`:  withAdminAddr(anyPort, "9901"),
 	} {
-		var out, said bytes.Buffer
+		var out, errOut bytes.Buffer
 		code := run(
 			[]string{"serve", "--config=" + getenv("GW_CONFIG")},
-			&streams{getenv: getenv, out: &out, err: &said},
+			&streams{getenv: getenv, out: &out, err: &errOut},
 		)
-		if code != exitFailed || !strings.Contains(said.String(), want) || strings.Count(said.String(), "\n") != 1 {
-			t.Errorf("want %q, got %q and %d", want, said.String(), code)
+		if code != exitFailed || !strings.Contains(errOut.String(), want) || strings.Count(errOut.String(), "\n") != 1 {
+			t.Errorf("want %q, got %q and %d", want, errOut.String(), code)
 		}
 	}
 }
@@ -117,7 +119,7 @@
 	os.Exit(m.Run())
 }
 
-// listener stands in for discovery, which is asked but says nothing.
+// listener stands in for a discovery that accepts connections but sends nothing.
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -129,7 +131,7 @@
 	return ln
 }
 
-// acceptDiscoveryRequest takes the next call that comes to discovery.
+// acceptDiscoveryRequest accepts the next call to discovery and returns its first line.
 func acceptDiscoveryRequest(t *testing.T, ln *net.TCPListener) string {
 	t.Helper()
 	c, err := ln.Accept()
@@ -141,9 +143,9 @@
 	return text
 }
 
-// The program takes SIGHUP without a gap, with a good file and a bad one, and ends well on SIGTERM.
+// The program reloads on SIGHUP without interruption, with a good file and a bad one, and ends with 0 on SIGTERM.
 func TestSignals(t *testing.T) {
-	was, is := listener(t), listener(t)
+	oldDiscovery, newDiscovery := listener(t), listener(t)
 	free := listener(t)
 	addr := free.Addr().String()
 	_ = free.Close()
@@ -158,24 +160,21 @@
 			t.Fatal(err)
 		}
 	}
-	write(was.Addr().String())
+	write(oldDiscovery.Addr().String())
 	siteFile := filepath.Join(t.TempDir(), "site.xml")
-	keyed := func(name string) {
-		text := fmt.Sprintf(
-			`<spurspread xmlns="urn:spurspread:site:1" name="x"><resume><keys><key id=%q file=%q use="mint"/></keys></resume></spurspread>`,
-			name,
-			name,
-		)
+	useKey := func(name string) {
+		text := fmt.Sprintf(`<spurspread xmlns="urn:spurspread:site:1" name="x">`+
+			`<resume><keys><key id=%q file=%q use="mint"/></keys></resume></spurspread>`, name, name)
 		if err := os.WriteFile(siteFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, name := range []string{"one", "two"} {
-		if code, _, said := command(t, "token", "key", filepath.Join(filepath.Dir(siteFile), name)); code != exitOK {
-			t.Fatal(said)
+		if code, _, errOut := command(t, "token", "key", filepath.Join(filepath.Dir(siteFile), name)); code != exitOK {
+			t.Fatal(errOut)
 		}
 	}
-	keyed("one")
+	useKey("one")
 	p := start(t, "GW_CONFIG="+path, "SPURSPREAD_SITE="+siteFile)
 	cmd, logged := p.cmd, p.logged
 	signal := func(s unix.Signal) {
@@ -183,8 +182,8 @@
 			t.Fatal(err)
 		}
 	}
-	if got := acceptDiscoveryRequest(t, was); !strings.Contains(got, "index=1 ") {
-		t.Errorf("asked %q", got)
+	if got := acceptDiscoveryRequest(t, oldDiscovery); !strings.Contains(got, "index=1 ") {
+		t.Errorf("request %q", got)
 	}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -205,16 +204,16 @@
 	signal(unix.SIGHUP)
 	logged("reload rejected, nothing changed: configuration: discovery")
 	answers()
-	write(is.Addr().String())
-	keyed("three") // which nobody made: neither file changes anything
+	write(newDiscovery.Addr().String())
+	useKey("three") // which does not exist: neither file changes anything
 	signal(unix.SIGHUP)
 	logged("reload rejected, nothing changed: " + siteFile + ":1: key@file: can't be read: no such file")
 	answers()
-	keyed("two")
+	useKey("two")
 	signal(unix.SIGHUP)
-	// The versions of the new address may be its own, so the whole list is asked for.
-	if got := acceptDiscoveryRequest(t, is); !strings.Contains(got, "index=0 ") {
-		t.Errorf("asked %q", got)
+	// Generations of the new address may be its own, so the full list is requested.
+	if got := acceptDiscoveryRequest(t, newDiscovery); !strings.Contains(got, "index=0 ") {
+		t.Errorf("request %q", got)
 	}
 	answers()
 	signal(unix.SIGHUP)
@@ -228,27 +227,28 @@
 	}
 }
 
-// command runs one command line and returns its code and what it said.
-func command(t *testing.T, args ...string) (code int, out, said string) {
+// command runs one command line and returns its exit code and output.
+func command(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
 	code = run(args, &streams{getenv: func(string) string { return "" }, out: &stdout, err: &stderr})
 	return code, stdout.String(), stderr.String()
 }
 
-// Usage has its own exit code, help teaches, and what is wrong with a file is told with its line.
+// Usage has its own exit code, help shows examples, and a fault of a file is reported with its line.
 func TestCommandLine(t *testing.T) {
 	t.Setenv("GW_CONFIG", "")
 	t.Setenv("SPURSPREAD_SITE", "")
 	dir := t.TempDir()
 	key, bad := filepath.Join(dir, "key"), filepath.Join(dir, "bad.xml")
-	if err := os.WriteFile(bad, []byte("<spurspread xmlns=\"urn:spurspread:site:1\">\n</spurspread>\n"), 0o600); err != nil {
+	nameless := "<spurspread xmlns=\"urn:spurspread:site:1\">\n</spurspread>\n"
+	if err := os.WriteFile(bad, []byte(nameless), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args      []string
-		code      int
-		out, said string
+		args        []string
+		code        int
+		out, errOut string
 	}{
 		{[]string{"--help"}, exitOK, "Without a command it serves", ""},
 		{[]string{"serve", "--help"}, exitOK, "SIGHUP reads both files again", ""},
@@ -265,20 +265,23 @@
 		{[]string{"site", "check", filepath.Join(dir, "none.xml")}, exitFailed, "", "no such file"},
 		{[]string{"token", "key", key}, exitOK, ": key ", ""},
 		{[]string{"token", "key", key}, exitFailed, "", "file exists"},
-		{[]string{"token", "inspect", "--site=../../deploy/spurspread.xml", "x"}, exitFailed, "", "has no element <resume>"},
+		{
+			[]string{"token", "inspect", "--site=../../deploy/spurspread.xml", "x"},
+			exitFailed, "", "has no element <resume>",
+		},
 	} {
-		code, out, said := command(t, c.args...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(said, c.said) {
-			t.Errorf("%q: code %d, %q, %q", c.args, code, out, said)
+		code, out, errOut := command(t, c.args...)
+		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errOut, c.errOut) {
+			t.Errorf("%q: code %d, %q, %q", c.args, code, out, errOut)
 		}
 	}
 }
 
-// A key that was made can be named by a site file, and tokens sealed with it can be inspected.
+// A new key can be used by a site file, and tokens sealed with it can be inspected.
 func TestInspect(t *testing.T) {
 	dir := t.TempDir()
-	if code, _, said := command(t, "token", "key", filepath.Join(dir, "key")); code != exitOK {
-		t.Fatal(said)
+	if code, _, errOut := command(t, "token", "key", filepath.Join(dir, "key")); code != exitOK {
+		t.Fatal(errOut)
 	}
 	file := filepath.Join(dir, "site.xml")
 	if err := os.WriteFile(file, []byte(`<spurspread xmlns="urn:spurspread:site:1" name="x">
@@ -294,24 +297,24 @@
 		t.Fatal(err)
 	}
 	text := ring.Seal(nil, &token.Token{LastSequence: 41, Class: []byte("sync"), Server: []byte("s1")})
-	code, out, said := command(t, "token", "inspect", "--site="+file, string(text))
+	code, out, errOut := command(t, "token", "inspect", "--site="+file, string(text))
 	if code != exitOK || !strings.Contains(out, "top      41\n") ||
 		!strings.Contains(out, "server   s1, started long ago") {
-		t.Errorf("%d, %q, %q", code, out, said)
+		t.Errorf("%d, %q, %q", code, out, errOut)
 	}
-	// Another letter of the same alphabet: any other byte would be no token at all.
+	// Another letter of the same alphabet: with any other byte it would not be decoded.
 	if text[70] != 'A' {
 		text[70] = 'A'
 	} else {
 		text[70] = 'B'
 	}
-	if code, _, said := command(t, "token", "inspect", "--site="+file, string(text)); code != exitFailed ||
-		!strings.Contains(said, "seal") {
-		t.Errorf("%d, %q", code, said)
+	if code, _, errOut := command(t, "token", "inspect", "--site="+file, string(text)); code != exitFailed ||
+		!strings.Contains(errOut, "seal") {
+		t.Errorf("%d, %q", code, errOut)
 	}
 }
 
-// process is the built program, started as the platform starts it, whose log a test reads.
+// process is this binary run as the program, as the platform starts it; the test reads its log.
 type process struct {
 	t   *testing.T
 	cmd *exec.Cmd
@@ -335,19 +338,19 @@
 	return p
 }
 
-// logged reads the log until a line says what, and returns it; the process must not end before.
-func (p *process) logged(what string) string {
+// logged reads the log until a line contains text, and returns the line; the process must not end before.
+func (p *process) logged(text string) string {
 	p.t.Helper()
 	for p.log.Scan() {
-		if strings.Contains(p.log.Text(), what) {
+		if strings.Contains(p.log.Text(), text) {
 			return p.log.Text()
 		}
 	}
-	p.t.Fatalf("the program ended without logging %q", what)
+	p.t.Fatalf("the program ended without logging %q", text)
 	return ""
 }
 
-// exchangeLine sends one line to addr and returns the line that answers it, or what went wrong.
+// exchangeLine sends one line to addr and returns the reply line, or the text of the error.
 func exchangeLine(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -374,8 +377,8 @@
 	return addr
 }
 
-// Balancers that share a $TMPDIR and were given ports by the kernel are no versions of one another.
-func TestStrangersHandNothingOver(t *testing.T) {
+// Balancers that share a $TMPDIR but serve different addresses are not successors of one another.
+func TestNoHotRestartBetweenAddresses(t *testing.T) {
 	path, tmp := env(t, "127.0.0.1:8081", "127.0.0.1:0")("GW_CONFIG"), "TMPDIR="+t.TempDir()
 	first := start(t, "GW_CONFIG="+path, tmp)
 	start(t, "GW_CONFIG="+path, tmp)
@@ -392,20 +395,20 @@
 	}
 }
 
-// A new version beside the old one: it says yes when it serves; at SIGTERM the old one hands over, and from then on
-// every new client reaches the new one, also after the old one was killed in the middle.
-func TestNewVersionBesideTheOld(t *testing.T) {
+// A new process beside the old one: its PING is answered when it serves; at SIGTERM the old one's listener closes, and
+// from then on every new client reaches the new one, also where the old one was killed in between.
+func TestHotRestart(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		clients, discovery := freePort(t), listener(t)
 		path, _ := configured(t, "127.0.0.1:8081", clients, "127.0.0.1:8500", discovery.Addr().String())
 		tmp := t.TempDir()
-		oldMgmt, newMgmt := freePort(t), freePort(t)
-		old := start(t, "GW_CONFIG="+path, "GW_MGMT="+oldMgmt, "TMPDIR="+tmp)
-		if got := exchangeLine(t, oldMgmt, "PING\r\n"); got != "+OK serving" {
+		oldAdmin, newAdmin := freePort(t), freePort(t)
+		old := start(t, "GW_CONFIG="+path, "GW_MGMT="+oldAdmin, "TMPDIR="+tmp)
+		if got := exchangeLine(t, oldAdmin, "PING\r\n"); got != "+OK serving" {
 			t.Fatalf("old PING: %q", got)
 		}
-		start(t, "GW_CONFIG="+path, "GW_MGMT="+newMgmt, "TMPDIR="+tmp)
-		if got := exchangeLine(t, newMgmt, "PING\r\n"); got != "+OK serving" {
+		start(t, "GW_CONFIG="+path, "GW_MGMT="+newAdmin, "TMPDIR="+tmp)
+		if got := exchangeLine(t, newAdmin, "PING\r\n"); got != "+OK serving" {
 			t.Fatalf("new PING: %q", got)
 		}
 		if err := old.cmd.Process.Signal(unix.SIGTERM); err != nil {
@@ -417,20 +420,20 @@
 		} else {
 			old.logged("hot restart: successor accepts new clients")
 		}
-		// Were the old one still listening, about half of these would reach it and hear that it drains.
+		// If the old one were still listening, about half of these would reach it and be told that it drains.
 		for i := range 40 {
 			if got := exchangeLine(t, clients, "PING\r\n"); got != "PONG" {
-				t.Fatalf("killed %v, client %d after the hand-over: %q", kill, i, got)
+				t.Fatalf("killed %v, client %d after the hot restart: %q", kill, i, got)
 			}
 		}
 		if !kill {
 			if err := old.cmd.Wait(); err != nil {
-				t.Errorf("the old one ended with %v", err)
+				t.Errorf("the old process ended with %v", err)
 			}
 		}
-		notes, _ := filepath.Glob(filepath.Join(tmp, "spurspread-*.v1.json"))
-		if len(notes) != 1 {
-			t.Errorf("notes %v", notes)
+		announcements, _ := filepath.Glob(filepath.Join(tmp, "spurspread-*.v1.json"))
+		if len(announcements) != 1 {
+			t.Errorf("announcements %v", announcements)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/spurspread/memberscmd_test.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"spurspread/internal/siteconfig"
+	"strings"
+	"testing"
+)
+
+// fakeAdmin stands in for a member's admin address: it replies to one command, which it sends to the channel.
+func fakeAdmin(t *testing.T, reply string) (addr string, command <-chan string) {
+	t.Helper()
+	ln := listener(t)
+	commands := make(chan string, 1)
+	go func() {
+		c, err := ln.AcceptTCP()
+		if err != nil {
+			return
+		}
+		defer func() { _ = c.Close() }()
+		b := make([]byte, 256)
+		n, _ := c.Read(b)
+		commands <- string(b[:n])
+		_, _ = fmt.Fprintf(c, "%s\r\n", reply)
+	}()
+	return ln.Addr().String(), commands
+}
+
+// withoutZones is the report of a member in a fleet without zones, byte for byte.
+const withoutZones = `{"doubts":false,"divisor":1,"members":[{"name":"a","addr":"10.0.0.4:7946","state":"alive",` +
+	`"incarnation":5,"since_ms":0,"heard_ms":0,"rtt_us":0,"lost_out":0,"lost_in":0}],"counts":{"Sent":0,` +
+	`"SentBytes":0,"Taken":0,"Saved":0,"Malformed":0,"Forged":0,"Replayed":0,"Lost":0,"Pauses":0,"Accusations":0}}`
+
+// The report of a member in a fleet without zones has none of their fields; printed, it ends with the members.
+func TestMembersWithoutZones(t *testing.T) {
+	var v membersReport
+	if err := json.Unmarshal([]byte(withoutZones), &v); err != nil || v.ZonesReport != nil {
+		t.Fatalf("%+v, %v", v, err)
+	}
+	if again, err := json.Marshal(v); err != nil || string(again) != withoutZones {
+		t.Errorf("%s, %v", again, err)
+	}
+	addr, _ := fakeAdmin(t, "+OK "+withoutZones)
+	code, out, errOut := command(t, "members", "--mgmt", addr)
+	if lines := strings.Count(out, "\n"); code != exitOK || lines != 2 {
+		t.Errorf("code %d, %q, %q", code, out, errOut)
+	}
+}
+
+// Zones and records are printed below the members.
+func TestMembersWithZones(t *testing.T) {
+	zones := `,"zone":"east-1","region":"east","live":4,"known":5,"zones":[` +
+		`{"region":"east","zone":"east-1","state":"reachable","live":2,"known":2,"version":8,"delegates":["a"],` +
+		`"own":true,"since_ms":100},{"region":"west","zone":"west-1","state":"cut","live":2,"known":3,"version":9,` +
+		`"delegates":["10.2.0.4:7946"],"own":false,"since_ms":2500}],` +
+		`"records":[{"name":"limits","version":7,"value":"two words"}]}`
+	addr, _ := fakeAdmin(t, "+OK "+strings.TrimSuffix(withoutZones, "}")+zones)
+	code, out, errOut := command(t, "members", "--mgmt", addr)
+	for _, want := range []string{
+		"\n4 members live in all zones, 5 are known; rates are divided by 1.0\n",
+		"east    east-1  reachable  own       2     2      8        a\n",
+		"west    west-1  cut        2.5s ago  2     3      9        10.2.0.4:7946\n",
+		"limits  7        two words\n",
+	} {
+		if code != exitOK || !strings.Contains(out, want) {
+			t.Errorf("code %d, no %q in\n%s%s", code, want, out, errOut)
+		}
+	}
+}
+
+// A record is published by one command; an invalid one is not sent.
+func TestRecordCommand(t *testing.T) {
+	addr, sent := fakeAdmin(t, "+OK 17")
+	code, out, errOut := command(t, "record", "limits", "two words", "--mgmt", addr)
+	if got := <-sent; code != exitOK || got != "RECORD limits two words\r\n" || out != "limits has version 17\n" {
+		t.Errorf("code %d, %q, %q, %q", code, got, out, errOut)
+	}
+	for _, c := range [][2]string{
+		{"two words", "x"},
+		{"", "x"},
+		{"n", ""},
+		{"n", " x"},
+		{"n", "a\nb"},
+		{strings.Repeat("n", 33), "x"},
+		{"n", strings.Repeat("v", 65)},
+	} {
+		if code, _, errOut := command(t, "record", c[0], c[1], "--mgmt", "127.0.0.1:1"); code != exitFailed ||
+			!strings.Contains(errOut, errInvalidRecord.Error()) {
+			t.Errorf("%q: code %d, %q", c, code, errOut)
+		}
+	}
+	closed := listener(t)
+	_ = closed.Close()
+	code, _, errOut = command(t, "record", "n", "v", "--mgmt", closed.Addr().String())
+	if code != exitFailed || errOut == "" {
+		t.Errorf("code %d, %q", code, errOut)
+	}
+}
+
+// The example site file turns on everything, a zone included, and can be used once its keys are made.
+func TestExampleHasAZone(t *testing.T) {
+	text, err := os.ReadFile("../../example/site.xml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	file := filepath.Join(dir, "site.xml")
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range []string{"key-1", "fleet-1"} {
+		if code, _, errOut := command(t, "token", "key", filepath.Join(dir, key)); code != exitOK {
+			t.Fatal(errOut)
+		}
+	}
+	if code, out, errOut := command(t, "site", "check", file); code != exitOK ||
+		!strings.Contains(out, "2 seeds, region east, zone east-1, rack r7") {
+		t.Errorf("code %d, %q, %q", code, out, errOut)
+	}
+}
+
+// The name of a zone is bounded by what datagrams carry.
+func TestLocalSite(t *testing.T) {
+	if at, err := localSite(&siteconfig.Membership{Region: "east", Zone: "east-1"}); err != nil ||
+		at.Region != "east" ||
+		at.Zone != "east-1" {
+		t.Errorf("%+v, %v", at, err)
+	}
+	if _, err := localSite(&siteconfig.Membership{Zone: "a-name-that-has-more-than-32-bytes"}); err == nil {
+		t.Error("a zone's name that no datagram can carry is accepted")
+	}
+}
--- a/cmd/spurspread/retune_test.go
+++ b/cmd/spurspread/reload_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Whatever is wrong with a file at SIGHUP, the old settings stay whole, and are seen to act; one line names the
-// file and the fault. A good file after them is taken whole, and what stands goes on.
-func TestRetune(t *testing.T) {
+// Whatever is wrong with a file at SIGHUP, all old settings stay in force; one line names the file and the fault. A
+// good file after them replaces all settings, and established connections continue.
+func TestReloadSettings(t *testing.T) {
 	clients, silent := freePort(t), listener(t)
 	path, good := configured(
 		t,
@@ -30,11 +30,11 @@
 		}
 		return got
 	}
-	standing, got, err := open(clients, "index-sync", id)
+	established, got, err := open(clients, "index-sync", id)
 	if got != "UP 1\r\n" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	// Each of these files has the class renamed, too: taken in part, it would show.
+	// Each of these files has the class renamed, too, which shows whether it was used in part.
 	renamed := strings.Replace(good, `"index-sync"`, `"renamed"`, 1)
 	for _, c := range []struct{ name, text, fault string }{
 		{"empty", "", "is not a JSON object"},
@@ -42,9 +42,15 @@
 		{"no object", "[" + renamed + "]", "is not a JSON object"},
 		{"a key missing", strings.Replace(renamed, `"drain_grace"`, `"grace"`, 1), "rules.drain_grace: missing"},
 		{"no classes", strings.Replace(renamed, `"request_classes"`, `"classes"`, 1), "request_classes"},
-		{"a deadline of 0", strings.Replace(renamed, `"deadline": 1200000`, `"deadline": 0`, 1), "deadline: 0 is not over 0"},
+		{
+			"a deadline of 0", strings.Replace(renamed, `"deadline": 1200000`, `"deadline": 0`, 1),
+			"deadline: 0 is not over 0",
+		},
 		{"a deadline below 0", strings.Replace(renamed, `"deadline": 1200000`, `"deadline": -1`, 1), "deadline"},
-		{"no attempts", strings.Replace(renamed, `"most_tries": 4`, `"most_tries": 0`, 1), "most_tries: 0 is not over 0"},
+		{
+			"no attempts", strings.Replace(renamed, `"most_tries": 4`, `"most_tries": 0`, 1),
+			"most_tries: 0 is not over 0",
+		},
 		{"an unknown effect", strings.Replace(renamed, `"read_like"`, `"sometimes"`, 1), "request_classes.0.effect"},
 	} {
 		if c.text == renamed {
@@ -54,9 +60,9 @@
 		if err := p.cmd.Process.Signal(unix.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		if said := p.logged("reload rejected, nothing changed"); !strings.Contains(said, c.fault) ||
-			!strings.Contains(said, path) {
-			t.Errorf("%s: the log says %q", c.name, said)
+		if line := p.logged("reload rejected, nothing changed"); !strings.Contains(line, c.fault) ||
+			!strings.Contains(line, path) {
+			t.Errorf("%s: the log has %q", c.name, line)
 		}
 		if old, fresh := answer("index-sync"), answer("renamed"); old != "UP 1\r\n" || fresh != "ERR\r\n" {
 			t.Errorf("%s: the old class is answered %q, the file's %q", c.name, old, fresh)
@@ -68,9 +74,9 @@
 	}
 	p.logged("settings changed")
 	if old, fresh := answer("index-sync"), answer("renamed"); old != "ERR\r\n" || fresh != "UP 1\r\n" {
-		t.Errorf("retuned: the old class is answered %q, the file's %q", old, fresh)
+		t.Errorf("reloaded: the old class is answered %q, the file's %q", old, fresh)
 	}
-	if err := standing.exchange(); err != nil {
+	if err := established.exchange(); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -2,15 +2,12 @@
 
 import (
 	"fmt"
-	"spurspread/decision/upstreampool"
-	"spurspread/internal/eventloop"
-	"spurspread/internal/proxy"
 	"spurspread/internal/siteconfig"
-	"spurspread/internal/token"
 	"spurspread/internal/xmlconfig"
 	"strings"
 )
 
+// siteCmds are the commands about site files.
 type siteCmds struct {
 	Check  siteCheck  `cmd:"" help:"Check a site file, with the secrets that it names."`
 	Schema siteSchema `cmd:"" help:"Print the schema of site files (XSD 1.0)."`
@@ -22,30 +19,35 @@
 
 // Help is shown below the command's own line.
 func (siteCheck) Help() string {
-	return `Tells all that is wrong with the file at once, a line each: file, line, element, what is wrong, how to mend it.
+	return "Tells all that is wrong with the file at once, a line each: file, line, element, " +
+		`what is wrong, how to mend it.
 Exits with 1 if anything is.
 
 Example:
   spurspread site check deploy/spurspread.xml`
 }
 
-// Run checks the file as serve does.
+// placeholderName stands in for the platform's name of the balancer, which a check does not know.
+const placeholderName = "a-member"
+
+// Run checks the file as serve does, and prints what it turns on.
 func (c siteCheck) Run(s *streams) error {
-	got, err := siteconfig.Load(c.File)
+	site, err := siteconfig.Load(c.File)
 	if err != nil {
 		_, _ = fmt.Fprintln(s.err, err)
 		return fmt.Errorf("%s can't be used", c.File)
 	}
-	if _, err := resumeConfig(got); err != nil {
+	if _, err := resumeConfig(site); err != nil {
 		return err
 	}
-	if _, err := peerConfig(got, "a-member", 0); err != nil {
+	if _, err := peerConfig(site, placeholderName, 0); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "%s: site %q: %s\n", c.File, got.Name, summary(got))
+	_, err = fmt.Fprintf(s.out, "%s: site %q: %s\n", c.File, site.Name, summary(site))
 	return err
 }
 
+// summary is what a site file turns on.
 func summary(s *siteconfig.Site) string {
 	var on []string
 	if s.Resume != nil {
@@ -71,7 +73,7 @@
 	return strings.Join(on, "; ")
 }
 
-// placement says where a member stands, if it says so itself.
+// placement is the region, zone and rack of a member, as far as they are given.
 func placement(f *siteconfig.Membership) (text string) {
 	for _, part := range []struct {
 		what string
@@ -92,56 +94,8 @@
   spurspread site schema > spurspread.xsd && xmllint --noout --schema spurspread.xsd my-site.xml`
 }
 
-// Run prints it.
+// Run prints the schema.
 func (siteSchema) Run(s *streams) error {
 	_, err := s.out.Write(siteconfig.Schema())
 	return err
 }
-
-// resumeConfig is what the relay is told of resume tokens, nil where they are off.
-func resumeConfig(s *siteconfig.Site) (*proxy.ResumeConfig, error) {
-	if s.Resume == nil {
-		return nil, nil
-	}
-	ring, err := tokenRing(&s.Resume.Keys)
-	if err != nil {
-		return nil, err
-	}
-	return &proxy.ResumeConfig{
-		Ring: ring, TokenLifetime: s.Resume.Lifetime.Std().Milliseconds(), ClockSkew: s.Resume.Skew.Std().Milliseconds(),
-		MaxClaims: s.Resume.MaxClaims, DrainSpread: eventloop.Micros(s.Resume.MoveSpread.Micros()),
-	}, nil
-}
-
-// channelsConfig is what the relay is told of multiplexed channels, nil where they are off.
-func channelsConfig(s *siteconfig.Site) *proxy.ChannelConfig {
-	c := s.Channels
-	if c == nil {
-		return nil
-	}
-	t := c.UpstreamPool
-	if t == nil {
-		t = siteconfig.DefaultUpstreamPool()
-	}
-	return &proxy.ChannelConfig{
-		Downstreams: c.Clients, Upstreams: c.Upstreams, Version: version(), MaxChannels: c.MaxChannels, OpensPerSecond: float64(c.OpenRate),
-		Window: uint32(
-			c.Window,
-		), SetupTimeout: eventloop.Micros(c.FirstPacket.Micros()), IdleTimeout: eventloop.Micros(c.Idle.Micros()),
-		Pool: upstreampool.Limits{
-			ChannelsPerConnection: t.ChannelsPerConnection,
-			ConnectionsPerServer:  t.ConnectionsPerServer,
-			Connections:           t.MaxConnections,
-			IdleTimeout:           eventloop.Micros(t.Idle.Micros()),
-			PlainTTL:              eventloop.Micros(t.PlainOnlyTTL.Micros()),
-		},
-	}
-}
-
-func tokenRing(keys *siteconfig.Keys) (*token.Ring, error) {
-	var ring []token.Key
-	for _, k := range keys.Key {
-		ring = append(ring, token.Key{Secret: k.Secret, Issues: k.Use == "mint"})
-	}
-	return token.NewRing(ring)
-}
--- /dev/null
+++ b/cmd/spurspread/siteconfig.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"spurspread/decision/upstreampool"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/proxy"
+	"spurspread/internal/siteconfig"
+	"spurspread/internal/token"
+)
+
+// resumeConfig is the proxy's configuration of resume tokens; nil where they are off.
+func resumeConfig(site *siteconfig.Site) (*proxy.ResumeConfig, error) {
+	r := site.Resume
+	if r == nil {
+		return nil, nil
+	}
+	ring, err := tokenRing(&r.Keys)
+	if err != nil {
+		return nil, err
+	}
+	return &proxy.ResumeConfig{
+		Ring:          ring,
+		TokenLifetime: r.Lifetime.Std().Milliseconds(),
+		ClockSkew:     r.Skew.Std().Milliseconds(),
+		MaxClaims:     r.MaxClaims,
+		DrainSpread:   eventloop.Micros(r.MoveSpread.Micros()),
+	}, nil
+}
+
+func tokenRing(keys *siteconfig.Keys) (*token.Ring, error) {
+	var ring []token.Key
+	for _, key := range keys.Key {
+		ring = append(ring, token.Key{Secret: key.Secret, Issues: key.IsPrimary()})
+	}
+	return token.NewRing(ring)
+}
+
+// channelsConfig is the proxy's configuration of multiplexed channels; nil where they are off.
+func channelsConfig(site *siteconfig.Site) *proxy.ChannelConfig {
+	c := site.Channels
+	if c == nil {
+		return nil
+	}
+	return &proxy.ChannelConfig{
+		Downstreams:    c.Clients,
+		Upstreams:      c.Upstreams,
+		Version:        version(),
+		MaxChannels:    c.MaxChannels,
+		OpensPerSecond: float64(c.OpenRate),
+		Window:         uint32(c.Window),
+		SetupTimeout:   eventloop.Micros(c.FirstPacket.Micros()),
+		IdleTimeout:    eventloop.Micros(c.Idle.Micros()),
+		Pool:           poolLimits(c.UpstreamPool),
+	}
+}
+
+func poolLimits(pool *siteconfig.UpstreamPool) upstreampool.Limits {
+	if pool == nil {
+		pool = siteconfig.DefaultUpstreamPool()
+	}
+	return upstreampool.Limits{
+		ChannelsPerConnection: pool.ChannelsPerConnection,
+		ConnectionsPerServer:  pool.ConnectionsPerServer,
+		Connections:           pool.MaxConnections,
+		IdleTimeout:           eventloop.Micros(pool.Idle.Micros()),
+		PlainTTL:              eventloop.Micros(pool.PlainOnlyTTL.Micros()),
+	}
+}
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -5,12 +5,15 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"spurspread/internal/siteconfig"
 	"spurspread/internal/token"
+	"strings"
 	"time"
 )
 
+// tokenCmds are the commands about resume tokens.
 type tokenCmds struct {
 	Inspect tokenInspect `cmd:"" help:"Tell what a resume token says, and whether its seal holds."`
 	Key     tokenKey     `cmd:"" help:"Make a new key for resume tokens."`
@@ -29,16 +32,16 @@
   spurspread token inspect --site /etc/spurspread/site.xml AZx3...`
 }
 
-// Run prints a line for each thing that the token says.
+// Run prints the fields of the token, a line each.
 func (c tokenInspect) Run(s *streams) error {
-	at, err := siteconfig.Load(c.Site)
+	site, err := siteconfig.Load(c.Site)
 	if err != nil {
 		return err
 	}
-	if at.Resume == nil {
+	if site.Resume == nil {
 		return fmt.Errorf("%s has no element <resume>, so it names no keys", c.Site)
 	}
-	ring, err := tokenRing(&at.Resume.Keys)
+	ring, err := tokenRing(&site.Resume.Keys)
 	if err != nil {
 		return err
 	}
@@ -46,34 +49,42 @@
 	if err := ring.Open([]byte(c.Token), &t); err != nil {
 		return fmt.Errorf("the token does not open: %w", err)
 	}
+	return printToken(s.out, &t)
+}
+
+// printToken prints the fields of a token. Scripts read the names.
+func printToken(out io.Writer, t *token.Token) error {
 	started := "long ago"
 	if t.ServerStarted != 0 {
 		started = timestamp(t.ServerStarted)
 	}
-	_, err = fmt.Fprintf(
-		s.out,
-		"id       %x\nstream   %016x\nclass    %s\nkey      %016x\ngroup    %016x\ntenant   %016x\ntop      %d\n"+
-			"minted   %s\nexpires  %s (%s)\nserver   %s, started %s\n",
-		t.ID,
-		t.Stream,
-		t.Class,
-		t.Key,
-		t.Group,
-		t.Tenant,
-		t.LastSequence,
-		timestamp(t.IssuedAt),
-		timestamp(t.ExpiresAt),
-		expiryText(time.UnixMilli(t.ExpiresAt)),
-		t.Server,
-		started,
-	)
+	expiry := expiryText(time.UnixMilli(t.ExpiresAt))
+	fields := []struct{ name, value string }{
+		{"id", fmt.Sprintf("%x", t.ID)},
+		{"stream", fmt.Sprintf("%016x", t.Stream)},
+		{"class", string(t.Class)},
+		{"key", fmt.Sprintf("%016x", t.Key)},
+		{"group", fmt.Sprintf("%016x", t.Group)},
+		{"tenant", fmt.Sprintf("%016x", t.Tenant)},
+		{"top", fmt.Sprintf("%d", t.LastSequence)},
+		{"minted", timestamp(t.IssuedAt)},
+		{"expires", fmt.Sprintf("%s (%s)", timestamp(t.ExpiresAt), expiry)},
+		{"server", fmt.Sprintf("%s, started %s", t.Server, started)},
+	}
+	var text strings.Builder
+	for _, field := range fields {
+		fmt.Fprintf(&text, "%-9s%s\n", field.name, field.value)
+	}
+	_, err := io.WriteString(out, text.String())
 	return err
 }
 
+// timestamp is a time in Unix milliseconds as text.
 func timestamp(millis int64) string {
 	return time.UnixMilli(millis).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
+// expiryText is how long it is until a time.
 func expiryText(at time.Time) string {
 	if left := time.Until(at).Round(time.Second); left > 0 {
 		return fmt.Sprintf("in %v", left)
@@ -87,23 +98,24 @@
 
 // Help is shown below the command's own line.
 func (tokenKey) Help() string {
-	return `Writes 32 random bytes in hexadecimal to a new file that nobody else may read. Balancers and index nodes need
+	return "Writes 32 random bytes in hexadecimal to a new file that nobody else may read. " +
+		`Balancers and index nodes need
 the same file. To rotate: list the new key as "accept" everywhere, then as "mint", then remove the old one.
 
 Example:
   spurspread token key /etc/spurspread/key-2`
 }
 
-// Run makes the file.
+// Run writes a random key to a new file.
 func (c tokenKey) Run(s *streams) error {
 	secret := make([]byte, siteconfig.SecretSize)
-	_, _ = rand.Read(secret) // never fails
-	f, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	_, _ = rand.Read(secret) // documented never to fail
+	file, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(f, hex.EncodeToString(secret))
-	if err = errors.Join(err, f.Close()); err != nil {
+	_, err = fmt.Fprintln(file, hex.EncodeToString(secret))
+	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.out, "%s: key %s\n", c.File, siteconfig.Fingerprint([siteconfig.SecretSize]byte(secret)))
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -111,6 +111,9 @@
 	Secret [SecretSize]byte `xml:"-"` // what File holds
 }
 
+// IsPrimary reports whether new tokens, or datagrams, are sealed with the key.
+func (k *Key) IsPrimary() bool { return k.Use == "mint" }
+
 // SecretSize is the length of a key, in bytes.
 const SecretSize = 32
 
