--- /dev/null
+++ b/internal/siteconfig/keys.go
@@ -0,0 +1,130 @@
+package siteconfig
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"spurspread/internal/xmlconfig"
+)
+
+const (
+	// SecretSize is the length of a key, in bytes.
+	SecretSize = 32
+
+	secretDigits     = 2 * SecretSize // in a key file
+	maxKeyFileSize   = 2 * secretDigits
+	permissionsOther = 0o077 // of the group and others
+	fingerprintSize  = 4     // bytes
+
+	usePrimary = "mint"
+
+	makeKey = "make one: spurspread token key FILE" // how to mend most faults of a key file
+)
+
+// Keys are the keys that seal tokens, or the fleet's datagrams. Exactly one is primary.
+type Keys struct {
+	Key []*Key `xml:"key" least:"1" most:"8" doc:"a key; what is sealed with one that is not listed is refused"`
+}
+
+// Key is one of Keys. To rotate: add the new one as 'accept' on all machines, then make it 'mint', and remove the old
+// one when the last token that it has sealed has expired.
+type Key struct {
+	ID   xmlconfig.Name `xml:"id,attr" use:"required" key:"keys" doc:"what the key is called in logs"`
+	File xmlconfig.Path `xml:"file,attr" use:"required" doc:"a file of 64 hexadecimal digits that nobody else may read"`
+	Use  string         `xml:"use,attr" use:"required" enum:"mint,accept" doc:"mint: new tokens are sealed with it, too; one key of all does that"`
+
+	Secret [SecretSize]byte `xml:"-"` // the content of File
+}
+
+// IsPrimary reports whether new tokens, or datagrams, are sealed with the key. Other keys only open what is sealed.
+func (k *Key) IsPrimary() bool { return k.Use == usePrimary }
+
+// Fingerprint identifies a key by its content, so that machines that name it differently can compare.
+func Fingerprint(secret [SecretSize]byte) string {
+	sum := sha256.Sum256(secret[:])
+	return fmt.Sprintf("%x", sum[:fingerprintSize])
+}
+
+// Check reads the key files and checks that exactly one key is primary and that all differ.
+func (k *Keys) Check(file *xmlconfig.File) {
+	primaries := 0
+	seen := map[[SecretSize]byte]xmlconfig.Name{}
+	for _, key := range k.Key {
+		if key.IsPrimary() {
+			primaries++
+		}
+		if key.IsPrimary() && primaries > 1 {
+			file.Fault(&key.Use, `write use="accept" for all but one`, "a second key mints")
+		}
+		if !key.load(file) {
+			continue
+		}
+		if other, duplicate := seen[key.Secret]; duplicate {
+			file.Fault(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q", other)
+		}
+		seen[key.Secret] = key.ID
+	}
+	if primaries == 0 {
+		file.Fault(k, `write use="mint" for one of them`, "no key mints")
+	}
+}
+
+// load reads the key's file, relative to the site file, into Secret. It returns false and reports the fault where the
+// file can't be used.
+func (k *Key) load(file *xmlconfig.File) bool {
+	path := string(k.File)
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(filepath.Dir(file.Name), path)
+	}
+	if !k.checkFile(file, path) {
+		return false
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		file.Fault(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+		return false
+	}
+	text = bytes.TrimSpace(text)
+	if len(text) != secretDigits {
+		file.Fault(&k.File, makeKey, "has %d characters and not %d hexadecimal digits", len(text), secretDigits)
+		return false
+	}
+	if _, err := hex.Decode(k.Secret[:], text); err != nil {
+		file.Fault(&k.File, makeKey, "holds something else than hexadecimal digits")
+		return false
+	}
+	return true
+}
+
+// checkFile checks that path is a small regular file that only its owner may use.
+func (k *Key) checkFile(file *xmlconfig.File, path string) bool {
+	info, err := os.Stat(path)
+	switch {
+	case err != nil:
+		file.Fault(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+	case !info.Mode().IsRegular():
+		file.Fault(&k.File, makeKey, "%s is no plain file", k.File)
+	case info.Mode().Perm()&permissionsOther != 0:
+		fix := "chmod 600 " + string(k.File)
+		file.Fault(&k.File, fix, "others may read it or write it (mode %04o)", info.Mode().Perm())
+	case info.Size() > maxKeyFileSize:
+		file.Fault(&k.File, makeKey, "has %d bytes and not %d hexadecimal digits", info.Size(), secretDigits)
+	default:
+		return true
+	}
+	return false
+}
+
+// withoutPath is an error of the file system without the path, which the fault names already.
+func withoutPath(err error) error {
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return pathError.Err
+	}
+	return err
+}
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -15,7 +15,7 @@
 
 const schemaFile = "../../deploy/spurspread.xsd"
 
-// folder is a place for site files, with the key files that the corpus names.
+// folder is a directory for site files, with the key files that the files in testdata name.
 func folder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -38,7 +38,7 @@
 	return dir
 }
 
-// validates tells whether xmllint, which knows nothing of the reader, holds a file to be as the schema says.
+// validates reports whether xmllint, which is independent of the reader, finds a file valid against the schema.
 func validates(t *testing.T, path string) bool {
 	t.Helper()
 	out, err := exec.Command("xmllint", "--nonet", "--noout", "--schema", schemaFile, path).CombinedOutput()
@@ -55,7 +55,7 @@
 
 var expectation = regexp.MustCompile(`<!-- want (.*) -->\n<!-- schema (refuses|accepts) -->`)
 
-// Every broken file is refused with a message for each fault that names its line; the schema refuses what it can.
+// Every broken file is rejected with a message for each fault that names its line; the schema rejects what it can.
 func TestBroken(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.xml")
 	if err != nil || len(files) < 25 {
@@ -70,7 +70,7 @@
 			}
 			want := expectation.FindSubmatch(text)
 			if want == nil {
-				t.Fatal("says not what is wanted")
+				t.Fatal("the file has no comment with the expected faults")
 			}
 			path := filepath.Join(dir, filepath.Base(file))
 			if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -102,20 +102,25 @@
 	}
 }
 
-// What the reader accepts, the schema accepts; the schema beside the site file is the reader's own.
+// What the reader accepts, the schema accepts; the schema in deploy is the one that the program prints.
 func TestAccepted(t *testing.T) {
 	if text, err := os.ReadFile(schemaFile); err != nil || !bytes.Equal(text, Schema()) {
 		t.Errorf("%s is not what `spurspread site schema` prints (%v)", schemaFile, err)
 	}
 	dir := folder(t)
+	const keys = `<keys><key id="f" file="k1" use="mint"/></keys></fleet>`
 	for name, body := range map[string]string{
 		"least": `name="x"/>`,
 		"full": `name="trinidad-main"><!-- a word --><resume life="10m" skew="0s" claims="64" spread="2.2s"><keys>
-<key id="old" file="k1" use="accept"/><key id="new" file="` + filepath.Join(dir, "k2") + `" use="mint"/></keys></resume></spurspread>`,
-		"fleet": `name="x"><fleet member="b-1" listen="127.0.0.1:7946" tells="[::1]:7946"><seeds><seed at="b-2.example:7946"/><seed at="127.0.0.2:1"/></seeds>
-<reach><member name="b-2" at="127.0.0.3:7"/></reach><keys><key id="f" file="k1" use="mint"/></keys></fleet><resume><keys><key id="t" file="k2" use="mint"/></keys></resume></spurspread>`,
-		"zones":    `name="x"><fleet listen="127.0.0.1:7946" region="east" zone="east-1" rack="r7"><seeds/><keys><key id="f" file="k1" use="mint"/></keys></fleet></spurspread>`,
-		"zone":     `name="x"><fleet listen="127.0.0.1:7946" zone="east-1"><seeds/><keys><key id="f" file="k1" use="mint"/></keys></fleet></spurspread>`,
+<key id="old" file="k1" use="accept"/><key id="new" file="` + filepath.Join(dir, "k2") +
+			`" use="mint"/></keys></resume></spurspread>`,
+		"fleet": `name="x"><fleet member="b-1" listen="127.0.0.1:7946" tells="[::1]:7946">` +
+			`<seeds><seed at="b-2.example:7946"/><seed at="127.0.0.2:1"/></seeds>
+<reach><member name="b-2" at="127.0.0.3:7"/></reach>` + keys +
+			`<resume><keys><key id="t" file="k2" use="mint"/></keys></resume></spurspread>`,
+		"zones": `name="x"><fleet listen="127.0.0.1:7946" region="east" zone="east-1" rack="r7"><seeds/>` + keys +
+			`</spurspread>`,
+		"zone":     `name="x"><fleet listen="127.0.0.1:7946" zone="east-1"><seeds/>` + keys + `</spurspread>`,
 		"defaults": `name="a-b_c.9"><resume><keys><key id="k" use="mint" file="k3"/></keys></resume></spurspread>`,
 	} {
 		path := filepath.Join(dir, name+".xml")
@@ -132,7 +137,7 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if s, err = Load("../../deploy/spurspread.xml"); err != nil || s.Resume != nil {
-		t.Errorf("on the platform something is turned on: %+v, %v", s, err)
+		t.Errorf("the site file in deploy turns something on: %+v, %v", s, err)
 	}
 }
 
@@ -144,7 +149,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		err := xmlconfig.Read("fuzz.xml", text, Document, &Site{})
+		err := xmlconfig.Read("fuzz.xml", text, document(), &Site{})
 		var faults xmlconfig.Faults
 		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Errorf("%v", err)
