--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -89,7 +89,7 @@
 		h.memberAt[addr] = NameID(name)
 	}
 	h.join()
-	log.WithFields(logrus.Fields{logging.Listen: socket.Addr(), logging.Member: cfg.Name}).Info("in the fleet")
+	log.WithFields(logrus.Fields{logging.Listen: socket.Addr(), logging.Member: cfg.Name}).Info("membership started")
 	h.tick()
 	h.requestTakeover(takeoverAttempts)
 	return h, nil
@@ -135,7 +135,7 @@
 	}
 	h.dispatch(h.fleet.Tick(now))
 	if h.fleet.Superseded() {
-		h.log.WithField(logging.Member, h.cfg.Name).Warn("a later process has this name: it is the member now")
+		h.log.WithField(logging.Member, h.cfg.Name).Warn("membership ended: a newer process has this name")
 		h.Close()
 		return
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -74,7 +74,7 @@
 	d.stopping = true
 	d.handingOver = true
 	d.proxy.listener.close()
-	d.proxy.log.Info("handed over: the successor takes new clients")
+	d.proxy.log.Info("hot restart: successor accepts new clients")
 	d.startTransfer(path, pid)
 	d.proxy.loop.After(drainschedule.CheckInterval, d.check)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -162,7 +162,7 @@
 // them, and connections keep the class that they were accepted with.
 func (p *Proxy) Reload(cfg Config) {
 	if cfg.Listen != p.cfg.Listen {
-		p.log.Warn("a change of listen takes a restart")
+		p.log.Warn("change of listen ignored, it needs a restart")
 	}
 	p.reloadSettings(cfg.Settings)
 	p.cfg.MaxDescriptors = cfg.MaxDescriptors
@@ -185,7 +185,7 @@
 	}
 	p.cfg.Settings = changed
 	p.core.dispatch(decision.SettingsChanged{Settings: changed.Decision})
-	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings retuned")
+	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings changed")
 }
 
 // descriptorsShort reports whether the process comes near its limit of descriptors.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -147,7 +147,7 @@
 }
 
 func (r *request) coreOverdue() {
-	r.proxy.log.Warn("the decision core left a request unanswered")
+	r.proxy.log.Warn("request expired: no decision was made in time")
 	r.expire()
 }
 
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -44,7 +44,7 @@
 	}
 	p.resumption.addStats(fields)
 	p.addChannelStats(fields)
-	p.log.WithFields(fields).Info("traffic statistics")
+	p.log.WithFields(fields).Info("statistics")
 }
 
 func (p *Proxy) addChannelStats(fields logrus.Fields) {
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -26,7 +26,7 @@
 	t := &transferSender{proxy: p, plan: hotrestart.New(p.loop.Now(), d.duration)}
 	var err error
 	if t.link, err = p.loop.DialPackets(path, pid, t); err != nil {
-		p.log.WithError(err).Info("the successor accepts no connection transfers: moving clients")
+		p.log.WithError(err).Info("hot restart: successor accepts no connections, moving clients instead")
 		d.moveEstablished(d.duration)
 		return
 	}
@@ -137,7 +137,7 @@
 	closeDescriptors(fds) // none are expected
 	id, accepted, err := restartproto.DecodeAnswer(b)
 	if err != nil || !t.plan.Answered(id, accepted) {
-		t.proxy.log.WithError(err).Warn("invalid answer of the successor to a connection transfer")
+		t.proxy.log.WithError(err).Warn("hot restart: unexpected answer from successor")
 		t.link.Shut()
 		return
 	}
@@ -190,7 +190,7 @@
 	p := t.proxy
 	p.log.WithField(logging.TransferredOut, p.stats.transferredOut).
 		WithField(logging.Connections, p.requests.len()).
-		Info("passed standing connections to the successor")
+		Info("hot restart: connections transferred to successor")
 	p.drain.moveEstablished(p.drain.duration)
 }
 
