--- a/decision/admission.go
+++ b/decision/admission.go
@@ -53,7 +53,7 @@
 // with the part of recent set-ups that failed: without it, retrying clients keep an overload alive that they cannot
 // get past.
 func (b *Balancer) rejectSetup() bool {
-	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare()) {
+	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare) {
 		return false
 	}
 	b.setups.RecordShed()
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -33,6 +33,7 @@
 	meanWeight  float64 // of the Ready servers
 	polling     polling.Schedule
 	fleetSize   fleetsize.Estimate
+	fleetShare  float64 // part of the budgets of the whole fleet that each balancer may use, over 0 to 1
 
 	requests    map[uint32]*request // that have not ended
 	setups      concurrency.Limiter
@@ -142,9 +143,3 @@
 func (b *Balancer) jitterAround(d Micros) Micros {
 	return d*minAround/quarters + b.jitter(d/aroundRange)
 }
-
-// fleetShare is the part of a budget of the whole fleet that this balancer may use, over 0 to 1. All balancers get the
-// same part.
-func (b *Balancer) fleetShare() float64 {
-	return 1 / float64(max(b.settings.Balancers, 1))
-}
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -21,7 +21,7 @@
 // than the server was last seen to carry in time. Whoever finds no capacity in the home zone goes on to others. In
 // passthrough mode there is no such limit.
 func (b *Balancer) hasSpareCapacity(now Micros, s *server, admissionCost float64) bool {
-	share := max(b.fleetShare(), slowstart.MinFleetShare)
+	share := max(b.fleetShare, slowstart.MinFleetShare)
 	s.budget.Refill(now, b.relativeWeight(s)*share, admissionCost)
 	if b.settings.Passthrough {
 		return true
@@ -36,10 +36,8 @@
 func (b *Balancer) slowStartAllows(now Micros, s *server) bool {
 	window := b.settings.OverloadWindow
 	slot, slotStart := slowstart.SlotAt(now, s.StartedAt, window)
-	rate := slowstart.WarmUpRate * s.Weight / b.meanWeight * b.warmupFactor(
-		slotStart,
-		s,
-	) * b.settings.OverloadFactor
+	warmup := b.warmupFactor(slotStart, s)
+	rate := slowstart.WarmUpRate * s.Weight / b.meanWeight * warmup * b.settings.OverloadFactor
 	quota := rate * window.Seconds() / b.meanChargedWork
 	return s.budget.GrantAvailable(slot, quota, slowstart.Fleet{
 		Rank:        b.settings.Rank,
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -2,11 +2,11 @@
 // is retried, held, rejected or failed, which servers are trusted, when connections move to another server, and when
 // discovery and servers are polled.
 //
-// The core is a state machine: events in, actions out. The caller creates one Balancer with New, passes each event
-// to Balancer.Handle together with the time, and carries out the returned actions in their order. For every
-// StartAttempt it reports Established and, exactly once, AttemptEnded; for every ProbeServer one ProbeResult; for
-// every SetTimer one TimerFired with the same token. Each request gets at most one final answer: a Reject, a Fail,
-// or its connection.
+// The core is a state machine: events in, actions out. The caller creates one Balancer with New, passes each event to
+// Balancer.Handle together with the time, and carries out the returned actions in their order. For every StartAttempt
+// it reports Established if the connection is established, and AttemptEnded exactly once; for every ProbeServer one
+// ProbeResult; for every SetTimer one TimerFired with the same token. Each request gets one final answer: its
+// connection, a Reject or a Fail, unless it is cancelled before.
 //
 // A Balancer is not safe for concurrent use: one goroutine, usually the event loop, owns it. Handle does no I/O, never
 // blocks, starts no goroutine and reads no clock; its random numbers come from the seed that New is given. The same
--- a/decision/events.go
+++ b/decision/events.go
@@ -8,7 +8,8 @@
 // ServerState is a server's state as discovery lists it. The values cross the simulator's wire.
 type ServerState uint8
 
-// The listed states. Only Ready servers get new connections. Connections of Draining ones are moved bit by bit.
+// The listed states. Only Ready servers get new connections. Those of a Draining one leave it by rebalance, where
+// servers report loads, or by MoveRequested.
 const (
 	Draining ServerState = iota
 	Removed
@@ -68,14 +69,14 @@
 	Request struct {
 		ID            uint32
 		TimeLeft      Micros
-		Class         int // index in Settings.Classes; out of range is treated as NonIdempotent
-		Tenant        int
+		Class         int     // index in Settings.Classes; out of range is treated as NonIdempotent
+		Tenant        int     // index in Settings.Tenants. Not used.
 		Key           uint64  // idempotency key; selects the server where Settings.Passthrough is set
 		Group         uint64  // connections of one group are placed together; 0: none
 		LoadHint      float64 // expected load, in microseconds of work a second; valid if HasLoadHint
 		HasLoadHint   bool
-		Retry         bool // the client says that it has tried before
-		MidConnection bool // packets of an established connection now arrive at this balancer
+		Retry         bool // the client has tried before. Not used.
+		MidConnection bool // packets of an established connection now arrive at this balancer. Not used.
 		Reconnected   bool // the client came back after its connection was lost or moved
 		Resumable     bool // when moved, the client can be sent to a certain server; see MoveConnection
 		Pinned        bool // the client was sent to PinnedServer: no other may serve it, in one attempt
--- a/decision/health.go
+++ b/decision/health.go
@@ -268,7 +268,7 @@
 		}
 		return
 	}
-	share := max(b.fleetShare(), slowstart.MinFleetShare)
+	share := max(b.fleetShare, slowstart.MinFleetShare)
 	for _, other := range b.servers {
 		other.budget.CapTokens(share)
 	}
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -210,7 +210,10 @@
 
 // A single reset may be the network's fault; a second one soon after is the server's.
 func TestSecondResetDemotes(t *testing.T) {
-	for gap, want := range map[Micros]healthState{resetPairWindow / 2: healthUnhealthy, resetPairWindow * 2: healthConnected} {
+	for gap, want := range map[Micros]healthState{
+		resetPairWindow / 2: healthUnhealthy,
+		resetPairWindow * 2: healthConnected,
+	} {
 		g := newHarness(t, testSettings(), serverList(2, 0))
 		g.connectMany(40)
 		s := g.b.serversByID[1]
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -137,8 +137,8 @@
 	p.t.Helper()
 	pending, established, charged := map[*server]int{}, map[*server]int{}, map[*server]int{}
 	for id, r := range p.b.requests {
-		hasServer, isCharged := r.state != requestWaiting, r.state == requestConnecting ||
-			r.state == requestEstablished
+		hasServer := r.state != requestWaiting
+		isCharged := r.state == requestConnecting || r.state == requestEstablished
 		if (r.server != nil) != hasServer || isCharged && r.chargedTo != r.server {
 			p.t.Fatalf("request %d in state %d at server %v, charged to %v", id, r.state, r.server, r.chargedTo)
 		}
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -48,7 +48,7 @@
 
 // maxRetryTokens is the bound of this balancer's retry budget, in retries: its share of the fleet's.
 func (b *Balancer) maxRetryTokens() float64 {
-	return max(fleetRetryTokens*b.fleetShare(), minRetryTokens)
+	return max(fleetRetryTokens*b.fleetShare, minRetryTokens)
 }
 
 // earnRetryTokens adds to the retry budget what one request earns.
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -28,9 +28,9 @@
 	Idempotency      Idempotency
 	DedupScope       DedupScope // servers that discard duplicates, for IdempotentWithKey
 	DedupWindow      Micros     // how long they do so after the first attempt, for IdempotentWithKey
-	Priority         float64    // weight among the classes, above or equal to 0
+	Priority         float64    // weight among the classes, above or equal to 0; decides by RelativePriority
 	RelativePriority float64    // Priority over the highest Priority of all classes, 0 to 1
-	Streaming        bool
+	Streaming        bool       // the connections carry streams. Not used.
 
 	// MessageLatencyObjective is for one message on an established connection; 0 where the class states none. A server
 	// that exceeds it gets fewer connections and loses some of those it has.
@@ -122,6 +122,7 @@
 // applySettings makes s hold for all decisions from now on. Requests keep the class that they arrived with.
 func (b *Balancer) applySettings(s Settings) {
 	b.settings = s
+	b.fleetShare = 1 / float64(max(s.Balancers, 1))
 	b.loadModel.DynamicWeights = s.DynamicWeights
 	b.loadModel.LoadsReported = s.ReportsConnectionLoad
 	b.polling.Rank = s.Rank
