--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -19,7 +19,7 @@
 // hasSpareCapacity reports whether s may get one more connection that takes admissionCost tokens. It needs the
 // tokens, which come at a rate by the server's weight and this balancer's share of the fleet, and fewer connections
 // than the server was last seen to carry in time. Whoever finds no capacity in the home zone goes on to others. In
-// passthrough mode there is no such limit.
+// passthrough mode there is no such limit. The tokens are refilled up to now, whatever the verdict.
 func (b *Balancer) hasSpareCapacity(now Micros, s *server, admissionCost float64) bool {
 	share := max(b.fleetShare, slowstart.MinFleetShare)
 	s.budget.Refill(now, b.relativeWeight(s)*share, admissionCost)
@@ -32,7 +32,7 @@
 // slowStartAllows reports whether a server that is warming up may get one more connection of this balancer's. In
 // Settings.OverloadWindow all balancers together may send it Settings.OverloadFactor times what it can take at its
 // weight and warm-up factor; they divide that into grants without talking to each other. One grant is for a
-// connection of mean work.
+// connection of mean work. The grants are counted up to now, whatever the verdict.
 func (b *Balancer) slowStartAllows(now Micros, s *server) bool {
 	window := b.settings.OverloadWindow
 	slot, slotStart := slowstart.SlotAt(now, s.StartedAt, window)
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -146,14 +146,8 @@
 			}
 			m.run(start + c.freshWithin)
 			if len(q.firstFreshAt) != c.balancers {
-				t.Errorf(
-					"%s, seed %d: %d of %d have a fresh list after %d s",
-					name,
-					seed,
-					len(q.firstFreshAt),
-					c.balancers,
-					c.freshWithin/sec,
-				)
+				t.Errorf("%s, seed %d: %d of %d have a fresh list after %d s",
+					name, seed, len(q.firstFreshAt), c.balancers, c.freshWithin/sec)
 			}
 			for second, n := range q.calls {
 				if n > c.maxInSecond {
@@ -164,13 +158,8 @@
 					lasting += q.calls[second+later]
 				}
 				if lasting > c.maxInTenSeconds {
-					t.Errorf(
-						"%s, seed %d: %d calls in ten seconds from %d on",
-						name,
-						seed,
-						lasting,
-						second-start/sec,
-					)
+					t.Errorf("%s, seed %d: %d calls in ten seconds from %d on",
+						name, seed, lasting, second-start/sec)
 				}
 			}
 		}
@@ -217,100 +206,94 @@
 // docs/design/fleet.md. A fleet's slow-start budget stays under OverloadFactor times this.
 const warmServerRate = 3.8
 
+// slowStartCase is how requests come to a fleet of which one server warms up.
+type slowStartCase struct {
+	zones    int
+	interval Micros  // between two requests at each balancer
+	first    Micros  // time of the first request at the first balancer
+	spread   Micros  // time from that to the last balancer's first
+	minUsed  float64 // part of the budget that has to be used
+}
+
+// playSlowStart returns how many attempts eighty balancers together start at a warming server, by second.
+func playSlowStart(t *testing.T, c slowStartCase, seed uint64) map[Micros]float64 {
+	t.Helper()
+	const balancers, warmingServer = 80, 50
+	s := testSettings()
+	s.Zones = c.zones
+	// The stable ID decides which balancer gets which grant.
+	warming := ServerEntry{
+		Server: warmingServer, StableID: stableID(warmingServer + 1000*int(seed)), State: Ready, StartedAt: start,
+	}
+	m := newBalancerFleet(t, balancers, s, append(serverList(4, 0), warming), seed)
+	attempts := map[Micros]float64{}
+	m.onAction = func(i int, action Action) {
+		a, ok := action.(StartAttempt)
+		if !ok {
+			return
+		}
+		if a.Server == warmingServer {
+			attempts[(m.now-start)/sec]++
+		}
+		m.after(20*ms, func() { m.handle(i, Established{ID: a.ID, Server: a.Server, SetupTime: 20 * ms}) })
+	}
+	// With a part of the fleet absent, warming servers of other zones get connections, too.
+	absent := []ServerEntry{{Server: 1, StableID: stableID(1), State: Removed}}
+	for i := range m.balancers {
+		m.handle(i, ServerListUpdate{Kind: UpdateDelta, Entries: absent})
+	}
+	next := uint32(0)
+	for i := range m.balancers {
+		var request func()
+		request = func() {
+			next++
+			m.handle(i, Request{ID: next, TimeLeft: sec, Key: uint64(next)})
+			m.after(c.interval, request)
+		}
+		m.after(c.first+c.spread*Micros(i)/balancers, request)
+	}
+	m.run(start + 18*sec)
+	return attempts
+}
+
+// slowStartLimit is how many connections a second all balancers may start at a server of that age.
+func slowStartLimit(age float64) float64 { return 2.5 * warmServerRate * (0.2 + 0.8*age/20) }
+
 // Eighty balancers together stay within a warming server's slow-start budget in every second, though each one's part is
 // far less than one connection, also where all get a request at once after a quiet time. Where few have a request in a
 // second, the budget is not all wasted.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
-	for title, c := range map[string]struct {
-		zones    int
-		interval Micros  // between two requests at each balancer
-		first    Micros  // time of the first request at the first balancer
-		spread   Micros  // time from that to the last balancer's first
-		minUsed  float64 // part of the budget
-	}{
-		"a crowd":                   {1, 500 * ms, 0, 500 * ms, 0.2},
-		"a request a second":        {1, sec, 0, sec, 0.2},
-		"sparse":                    {1, 4 * sec, 0, 4 * sec, 0.1},
-		"all at once, now and then": {1, 6 * sec, 5 * sec, sec, 0},
-		"all at once, three zones":  {3, 6 * sec, 5 * sec, sec, 0},
-		"a crowd, three zones":      {3, 500 * ms, 0, 500 * ms, 0.2},
+	for name, c := range map[string]slowStartCase{
+		"many requests":              {1, 500 * ms, 0, 500 * ms, 0.2},
+		"a request a second":         {1, sec, 0, sec, 0.2},
+		"few requests":               {1, 4 * sec, 0, 4 * sec, 0.1},
+		"all at once, now and then":  {1, 6 * sec, 5 * sec, sec, 0},
+		"all at once, three zones":   {3, 6 * sec, 5 * sec, sec, 0},
+		"many requests, three zones": {3, 500 * ms, 0, 500 * ms, 0.2},
 	} {
-		sums, limits := map[Micros]float64{}, map[Micros]float64{}
+		sums := map[Micros]float64{}
 		for seed := range uint64(manyFleetSeeds) {
-			s := testSettings()
-			s.Zones = c.zones
-			// The stable ID decides which balancer gets which grant.
-			warming := ServerEntry{
-				Server:    50,
-				StableID:  stableID(50 + 1000*int(seed)),
-				State:     Ready,
-				StartedAt: start,
-			}
-			m := newBalancerFleet(t, 80, s, append(serverList(4, 0), warming), seed)
-			single := map[Micros]float64{}
-			m.onAction = func(i int, a Action) {
-				if a, ok := a.(StartAttempt); ok {
-					if a.Server == 50 {
-						sums[(m.now-start)/sec]++
-						single[(m.now-start)/sec]++
-					}
-					m.after(
-						20*ms,
-						func() { m.handle(i, Established{ID: a.ID, Server: a.Server, SetupTime: 20 * ms}) },
-					)
-				}
-			}
-			// With a part of the fleet absent, warming servers of other zones get connections, too.
-			for i := range m.balancers {
-				m.handle(
-					i,
-					ServerListUpdate{
-						Kind:    UpdateDelta,
-						Entries: []ServerEntry{{Server: 1, StableID: stableID(1), State: Removed}},
-					},
-				)
-			}
-			next := uint32(0)
-			for i := range m.balancers {
-				var request func()
-				request = func() {
-					next++
-					m.handle(i, Request{ID: next, TimeLeft: sec, Key: uint64(next)})
-					m.after(c.interval, request)
-				}
-				m.after(c.first+c.spread*Micros(i)/80, request)
-			}
-			m.run(start + 18*sec)
-			for second, sent := range single {
-				n := 2.5 * warmServerRate * (0.2 + 0.8*float64(second)/20)
-				if limit := n + 2*math.Sqrt(n) + 2; sent > limit {
-					t.Errorf(
-						"%s: seed %d: %.0f sent in second %d, at most %.1f are expected by chance",
-						title,
-						seed,
-						sent,
-						second,
-						limit,
-					)
+			for second, n := range playSlowStart(t, c, seed) {
+				sums[second] += n
+				mean := slowStartLimit(float64(second))
+				if limit := mean + 2*math.Sqrt(mean) + 2; n > limit {
+					t.Errorf("%s: seed %d: %.0f attempts in second %d, at most %.1f are expected by chance",
+						name, seed, n, second, limit)
 				}
 			}
 		}
 		all, allowed := 0.0, 0.0
 		for second := range Micros(18) {
-			limits[second] = manyFleetSeeds * 2.5 * warmServerRate * (0.2 + 0.8*(float64(second)+0.5)/20)
-			all, allowed = all+sums[second], allowed+limits[second]
-			if chance := 3 * math.Sqrt(limits[second]); sums[second] > limits[second]+chance {
-				t.Errorf(
-					"%s: %.1f sent in second %d, %.1f allowed",
-					title,
-					sums[second]/manyFleetSeeds,
-					second,
-					limits[second]/manyFleetSeeds,
-				)
+			limit := manyFleetSeeds * slowStartLimit(float64(second)+0.5)
+			all += sums[second]
+			allowed += limit
+			if chance := 3 * math.Sqrt(limit); sums[second] > limit+chance {
+				t.Errorf("%s: %.1f attempts in second %d, %.1f allowed",
+					name, sums[second]/manyFleetSeeds, second, limit/manyFleetSeeds)
 			}
 		}
 		if all < c.minUsed*allowed {
-			t.Errorf("%s: %.0f sent of %.0f allowed", title, all, allowed)
+			t.Errorf("%s: %.0f attempts of %.0f allowed", name, all, allowed)
 		}
 	}
 }
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -51,18 +51,18 @@
 }
 
 // add considers one more server; of equal draws the first wins.
-func (c *selection) add(s *server, zone, rank int, draw float64) {
-	best := &c[rank][zone]
+func (sel *selection) add(s *server, zone, rank int, draw float64) {
+	best := &sel[rank][zone]
 	if best.server == nil || draw < best.draw {
 		best.server, best.draw = s, draw
 	}
 }
 
 // server returns the server selected: health goes before zone. It is nil if none was added.
-func (c *selection) server() *server {
-	for rank := range c {
-		for zone := range c[rank] {
-			if s := c[rank][zone].server; s != nil {
+func (sel *selection) server() *server {
+	for rank := range sel {
+		for zone := range sel[rank] {
+			if s := sel[rank][zone].server; s != nil {
 				return s
 			}
 		}
