--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -1,8 +1,12 @@
-// Package drainorder decides in which order and when the connections on a draining server are moved away, so that all
-// have moved in time and no two moves fall together that need not. It has no clock and no sockets.
+// Package drainorder decides in which order and when the connections on draining servers are moved away, so that all
+// have moved in time and the moves are spread evenly.
 //
-// The invariant: every connection that an order covers falls due once, within the span of that order; an order that is
-// withdrawn brings no more.
+// It does not know sockets, clocks or where connections go, and knows connections by their ids only. The socket side
+// starts a drain, adds connections that are established later, and moves what Due returns, at the time for which it
+// asked. Times are monotime.Micros.
+//
+// Invariant: each connection of a drain falls due once, within the drain's duration; a drain that is cancelled
+// yields no more. State is bounded by the connections on draining servers.
 package drainorder
 
 import (
@@ -12,90 +16,117 @@
 	"spurspread/decision/monotime"
 )
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
+// noneDue is what Due returns as the next time where nothing is left.
+const noneDue monotime.Micros = -1
+
+// seedStream is the second half of the random source's seed, which keeps its draws apart from those of others that
+// have the same first half.
+const seedStream = 0x65766163
 
-// Connection is one connection that stands on the server.
+// Connection is a connection that is established on a draining server.
 type Connection struct {
-	ID    uint32
-	Group uint64 // members of one group go one after another, for their server of the next is likely to be the same
+	ID uint32
+	// Group is 0 for none. Members of a group are moved one after another: the server that is best for one is likely to
+	// be best for the next.
+	Group uint64
 }
 
-// Plan holds the orders under way. Its state is bounded by the connections that stand.
+// Plan holds the drains in progress.
 type Plan struct {
 	rng    *rand.Rand
 	drains map[uint32]*drain // by server
 }
 
 type drain struct {
-	startedAt, duration Micros
-	queue               []move // by time
+	startedAt monotime.Micros
+	duration  monotime.Micros
+	queue     []move // by time
 }
 
 type move struct {
 	id  uint32
-	due Micros
+	due monotime.Micros
 }
 
-// New returns a plan without orders. Balancers that drain one server at one moment have different seeds, so that
-// their moves fall between one another's.
+// New returns a plan without drains. Balancers that drain one server at the same time need different seeds, so that
+// their moves interleave.
 func New(seed uint64) *Plan {
-	return &Plan{rng: rand.New(rand.NewPCG(seed, 0x65766163)), drains: map[uint32]*drain{}}
+	return &Plan{rng: rand.New(rand.NewPCG(seed, seedStream)), drains: map[uint32]*drain{}}
 }
 
-// StartDrain has all that stands on a server moved within span, evenly. An order for a server that has one changes nothing.
-func (p *Plan) StartDrain(now Micros, server uint32, standing []Connection, span Micros) {
+// StartDrain decides when each connection on a server is moved: evenly spread over duration, group by group, from a
+// random phase of the first interval on. For a server that is being drained already it changes nothing.
+func (p *Plan) StartDrain(now monotime.Micros, server uint32, connections []Connection, duration monotime.Micros) {
 	if p.drains[server] != nil {
 		return
 	}
-	o := &drain{startedAt: now, duration: span}
-	p.drains[server] = o
-	streams := slices.Clone(standing)
-	slices.SortStableFunc(streams, func(a, b Connection) int { return cmp.Compare(a.Group, b.Group) })
+	d := &drain{startedAt: now, duration: duration}
+	p.drains[server] = d
+	byGroup := slices.Clone(connections)
+	slices.SortStableFunc(byGroup, func(a, b Connection) int { return cmp.Compare(a.Group, b.Group) })
 	phase := p.rng.Float64()
-	for i, s := range streams {
-		at := now + Micros(float64(span)*(float64(i)+phase)/float64(len(streams)))
-		o.queue = append(o.queue, move{s.ID, at})
+	for i, c := range byGroup {
+		offset := float64(duration) * (float64(i) + phase) / float64(len(byGroup))
+		d.queue = append(d.queue, move{id: c.ID, due: now + monotime.Micros(offset)})
 	}
 }
 
-// AddConnection adds a connection that has come to stand on a server after its order: an attempt that was under way when the
-// order came. It tells whether there is an order at all.
-func (p *Plan) AddConnection(now Micros, server uint32, id uint32) bool {
-	o := p.drains[server]
-	if o == nil {
+// AddConnection decides when a connection is moved that was established on a server only after its drain started: at a
+// random time of what is left of the drain, or now if that is over. It returns false if the server has no drain.
+func (p *Plan) AddConnection(now monotime.Micros, server, id uint32) bool {
+	d := p.drains[server]
+	if d == nil {
 		return false
 	}
-	end := o.startedAt + o.duration
-	at := max(now, now+Micros(p.rng.Float64()*float64(end-now)))
-	i, _ := slices.BinarySearchFunc(o.queue, at, func(m move, at Micros) int { return cmp.Compare(m.due, at+1) })
-	o.queue = slices.Insert(o.queue, i, move{id, at})
+	left := d.startedAt + d.duration - now
+	due := max(now, now+monotime.Micros(p.rng.Float64()*float64(left)))
+	d.insert(move{id: id, due: due})
 	return true
 }
 
-// CancelDrain ends a server's order: it is listed as ready again, or gone with all that stood there.
+// insert adds a move after those that are due no later.
+func (d *drain) insert(m move) {
+	after := m.due + 1
+	i, _ := slices.BinarySearchFunc(d.queue, after, func(queued move, due monotime.Micros) int {
+		return cmp.Compare(queued.due, due)
+	})
+	d.queue = slices.Insert(d.queue, i, m)
+}
+
+// CancelDrain ends a server's drain: it is listed as ready again, or gone with all its connections.
 func (p *Plan) CancelDrain(server uint32) { delete(p.drains, server) }
 
-// Due appends the connections that are to be moved by now to out, and tells when the next falls due; next is below 0
-// where none is left. Some of them may have ended meanwhile.
-func (p *Plan) Due(now Micros, out []uint32) (due []uint32, next Micros) {
-	next = -1
-	servers := make([]uint32, 0, len(p.drains))
-	for s := range p.drains {
-		servers = append(servers, s)
-	}
-	slices.Sort(servers) // the same events give the same actions
-	for _, s := range servers {
-		o := p.drains[s]
-		n := 0
-		for n < len(o.queue) && o.queue[n].due <= now {
-			out = append(out, o.queue[n].id)
-			n++
-		}
-		o.queue = o.queue[n:]
-		if len(o.queue) > 0 && (next < 0 || o.queue[0].due < next) {
-			next = o.queue[0].due
+// Due appends to out the ids of the connections that are to be moved by now, and returns when the next falls due, below
+// 0 where none is left. Some of them may have ended meanwhile.
+func (p *Plan) Due(now monotime.Micros, out []uint32) (due []uint32, next monotime.Micros) {
+	next = noneDue
+	for _, server := range p.drainingServers() {
+		d := p.drains[server]
+		out = d.takeDue(now, out)
+		if len(d.queue) > 0 && (next < 0 || d.queue[0].due < next) {
+			next = d.queue[0].due
 		}
 	}
 	return out, next
 }
+
+// drainingServers returns the servers in order, so that the same events lead to the same moves.
+func (p *Plan) drainingServers() []uint32 {
+	servers := make([]uint32, 0, len(p.drains))
+	for server := range p.drains {
+		servers = append(servers, server)
+	}
+	slices.Sort(servers)
+	return servers
+}
+
+// takeDue removes from the queue what is due by now, and appends it to out.
+func (d *drain) takeDue(now monotime.Micros, out []uint32) []uint32 {
+	n := 0
+	for n < len(d.queue) && d.queue[n].due <= now {
+		out = append(out, d.queue[n].id)
+		n++
+	}
+	d.queue = d.queue[n:]
+	return out
+}
--- a/decision/lifecycle/lifecycle_test.go
+++ b/decision/lifecycle/lifecycle_test.go
@@ -1,6 +1,7 @@
 package lifecycle
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -8,7 +9,7 @@
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
-		call CommandKind
+		kind CommandKind
 		err  error
 	}{
 		{"PING", CommandPing, nil},
@@ -25,9 +26,9 @@
 		{strings.Repeat("P", MaxLine), 0, ErrUnknownCommand},
 		{strings.Repeat("P", MaxLine+1), 0, ErrLineTooLong},
 	} {
-		call, err := Parse([]byte(c.line))
-		if err != c.err || err == nil && call != (Command{Kind: c.call}) {
-			t.Errorf("Parse(%q) = %v, %v; want %v, %v", c.line, call, err, c.call, c.err)
+		command, err := Parse([]byte(c.line))
+		if !errors.Is(err, c.err) || err == nil && command != (Command{Kind: c.kind}) {
+			t.Errorf("Parse(%q) = %v, %v; want %v, %v", c.line, command, err, c.kind, c.err)
 		}
 	}
 }
@@ -50,7 +51,7 @@
 		{long + strings.Repeat("v", MaxRecordLine+1-len(long)), "", "", ErrLineTooLong},
 	} {
 		got, err := Parse([]byte(c.line))
-		if err != c.err || err == nil && got != (Command{CommandRecord, c.name, c.value}) {
+		if !errors.Is(err, c.err) || err == nil && got != (Command{CommandRecord, c.name, c.value}) {
 			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
 		}
 	}
@@ -58,26 +59,26 @@
 
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
-		in      State
-		call    CommandKind
+		before  State
+		kind    CommandKind
 		next    State
 		changed bool
-		line    string
+		reply   string
 	}{
 		{Serving, CommandPing, Serving, false, "+OK serving"},
 		{LameDuck, CommandPing, LameDuck, false, "+OK lameduck"},
 		{Stopping, CommandPing, Stopping, false, "-ERR stopping"},
 		{Serving, CommandLameDuck, LameDuck, true, "+OK lameduck"},
-		{LameDuck, CommandLameDuck, LameDuck, false, "+OK lameduck"}, // twice acts once
-		{Serving, CommandRejoin, Serving, false, "+OK serving"},      // without a drain nothing changes
+		{LameDuck, CommandLameDuck, LameDuck, false, "+OK lameduck"}, // a second one changes nothing
+		{Serving, CommandRejoin, Serving, false, "+OK serving"},      // nothing to end
 		{LameDuck, CommandRejoin, Serving, true, "+OK serving"},
 		{Stopping, CommandRejoin, Stopping, false, "-ERR stopping"},
-		{Serving, CommandRecord, Serving, false, "-ERR unknown call"}, // without a fleet there is none
+		{Serving, CommandRecord, Serving, false, "-ERR unknown call"}, // not a member of a fleet
 		{Stopping, CommandLameDuck, Stopping, false, "-ERR stopping"},
 	} {
-		a := Apply(c.in, c.call)
-		if a != (Transition{c.next, c.changed, c.line}) {
-			t.Errorf("Apply(%v, %v) = %+v; want %v %v %q", c.in, c.call, a, c.next, c.changed, c.line)
+		got := Apply(c.before, c.kind)
+		if got != (Transition{c.next, c.changed, c.reply}) {
+			t.Errorf("Apply(%v, %v) = %+v; want %v %v %q", c.before, c.kind, got, c.next, c.changed, c.reply)
 		}
 	}
 }
@@ -87,10 +88,14 @@
 	f.Add([]byte("LAMEDUCK "))
 	f.Add([]byte("RECORD limits 7"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		call, err := Parse(b)
-		if err == nil &&
-			(len(b) > LineLimit(b) || call.Kind > CommandRecord || call.Kind != CommandRecord && call != (Command{Kind: call.Kind})) {
-			t.Fatalf("Parse(%q) = %v", b, call)
+		command, err := Parse(b)
+		if err != nil {
+			return
+		}
+		withoutArguments := command == Command{Kind: command.Kind}
+		if len(b) > LineLimit(b) || command.Kind > CommandRecord ||
+			command.Kind != CommandRecord && !withoutArguments {
+			t.Fatalf("Parse(%q) = %v", b, command)
 		}
 	})
 }
--- a/internal/eventloop/slots.go
+++ b/internal/eventloop/slots.go
@@ -34,11 +34,13 @@
 	// A few free slots are kept resting, or a lone busy one would run through its generations.
 	const resting = 64
 	i := len(t.cells)
-	if len(t.free) > resting || i == maxSlots && len(t.free) > 0 {
-		i, t.free = t.free[0], t.free[1:]
-	} else if i == maxSlots {
+	switch {
+	case len(t.free) > resting || i == maxSlots && len(t.free) > 0:
+		i = t.free[0]
+		t.free = t.free[1:]
+	case i == maxSlots:
 		return 0
-	} else {
+	default:
 		t.cells = append(t.cells, slot[T]{})
 	}
 	c := &t.cells[i]
@@ -50,7 +52,7 @@
 	return makeRef(i, c.gen)
 }
 
-// Get returns what r names, if it still stands.
+// Get returns what r names, if that use of the slot has not ended.
 func (t *Slots[T]) Get(r Ref) (v T, ok bool) {
 	if i := r.index(); i < len(t.cells) && t.cells[i].used && t.cells[i].gen == r.gen() {
 		return t.cells[i].v, true
@@ -70,7 +72,7 @@
 	t.count--
 }
 
-// Len tells how many slots are in use.
+// Len returns how many slots are in use.
 func (t *Slots[T]) Len() int { return t.count }
 
 // All yields what is in use, in the order of the slots. The table may change meanwhile.
--- a/internal/settings/range_test.go
+++ b/internal/settings/range_test.go
@@ -74,7 +74,7 @@
 
 type timer struct {
 	at    decision.Micros
-	token uint64
+	token decision.TimerToken
 }
 
 // simulate has the decisions serve 30 requests that succeed, fail or find no server, with a server that warms up, a
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -205,13 +205,13 @@
 			return Record{}, fmt.Errorf("list %d of kind %d is neither", rec[2], rec[3])
 		}
 		return Record{
-				Kind:       ListUpdate,
-				ListNumber: rec[2],
-				ListKind:   decision.UpdateKind(rec[3]),
-			}, checkPadding(
-				rec,
-				12,
-			)
+			Kind:       ListUpdate,
+			ListNumber: rec[2],
+			ListKind:   decision.UpdateKind(rec[3]),
+		}, checkPadding(
+			rec,
+			12,
+		)
 	case evNoteFrom:
 		_, err := b.tailBytes(rec[6:])
 		return Record{Kind: Ignored}, errors.Join(err, checkPadding(rec, 14))
@@ -228,7 +228,7 @@
 func balancerEvent(code uint16, rec []byte) (ev decision.Event, used int, err error) {
 	switch code {
 	case evElapsed:
-		return decision.TimerFired{Token: le.Uint64(rec[2:])}, 10, nil
+		return decision.TimerFired{Token: decision.TimerToken(le.Uint64(rec[2:]))}, 10, nil
 	case evWithdrawn:
 		return decision.RequestCancelled{ID: le.Uint32(rec[2:])}, 6, nil
 	case evHead:
@@ -402,7 +402,7 @@
 		case decision.SetTimer:
 			rec := r.record(acTimer)
 			le.PutUint32(rec[2:], clampU32(a.Delay))
-			le.PutUint64(rec[6:], a.Token)
+			le.PutUint64(rec[6:], uint64(a.Token))
 		default:
 			return fmt.Errorf("action %T has no record on the wire", a)
 		}
