--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/binary"
 	"encoding/hex"
 	"errors"
 	"io"
@@ -14,6 +15,8 @@
 	"testing"
 )
 
+var le = binary.LittleEndian
+
 // rec builds an event record from hex, padded to its size.
 func rec(t testing.TB, text string) []byte {
 	t.Helper()
@@ -34,6 +37,7 @@
 	return append(out, body...)
 }
 
+// one decodes a single record with its tail.
 func one(t *testing.T, tail []byte, record string) (Record, error) {
 	t.Helper()
 	b, err := NewReader(bytes.NewReader(frame(1, 5, tail, rec(t, record)))).Next()
@@ -57,7 +61,9 @@
 		},
 		"mid-flow request": {
 			"3804 01000000 02000000 0300 0000000000000000 0400 00000000 1a 0000000000000000",
-			decision.Request{ID: 1, TimeLeft: 2, Class: 3, Tenant: 4, Retry: true, MidConnection: true, Reconnected: true},
+			decision.Request{
+				ID: 1, TimeLeft: 2, Class: 3, Tenant: 4, Retry: true, MidConnection: true, Reconnected: true,
+			},
 		},
 		"timer":     {"f203 4d00000000000000", decision.TimerFired{Token: 77}},
 		"withdrawn": {"0604 192b6f0e", decision.RequestCancelled{ID: 0x0e6f2b19}},
@@ -67,11 +73,15 @@
 		},
 		"note": {
 			"2e04 c4913a5d 01 074a1203 02 00002041",
-			decision.ConnectionMetric{ID: 0x5d3a91c4, Attempt: 1, Server: 0x03124a07, Kind: decision.MessageLatencyMetric, Value: 10},
+			decision.ConnectionMetric{
+				ID: 0x5d3a91c4, Attempt: 1, Server: 0x03124a07, Kind: decision.MessageLatencyMetric, Value: 10,
+			},
 		},
 		"outcome": {
 			"fc03 c4913a5d 00 074a1203 c800 44480000 01 00",
-			decision.AttemptEnded{ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.OK, Duration: 18500, RequestClosed: true},
+			decision.AttemptEnded{
+				ID: 0x5d3a91c4, Server: 0x03124a07, Status: outcome.OK, Duration: 18500, RequestClosed: true,
+			},
 		},
 		"outcome with report": {
 			"fc03 c4913a5d 00 074a1203 5602 44480000 00 02 0000803f 00000040",
@@ -112,24 +122,24 @@
 		{Server: 0x2c9011f2, StableID: 0x2c9011f2, Zone: 1, State: decision.Ready, Weight: 1.5, StartedAt: 0x5d1420},
 	}
 	if err != nil || got.Kind != ServerList || !reflect.DeepEqual(got.Entries, want) {
-		t.Errorf("census: %v, %+v", err, got.Entries)
+		t.Errorf("server list: %v, %+v", err, got.Entries)
 	}
 	if got, err = one(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != ListUpdate ||
 		got.ListKind != decision.UpdateCached {
-		t.Errorf("update: %v, %+v", err, got)
+		t.Errorf("list update: %v, %+v", err, got)
 	}
 	if got, err = one(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil || got.Kind != Start ||
 		got.Seed != 9 || string(got.Text) != "a=b" {
-		t.Errorf("boot: %v, %+v", err, got)
+		t.Errorf("start: %v, %+v", err, got)
 	}
 	if got, err = one(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
-		t.Errorf("target: %v, %+v", err, got)
+		t.Errorf("select instance: %v, %+v", err, got)
 	}
 	if got, err = one(t, nil, "1004"); err != nil || got.Kind != Stop {
-		t.Errorf("power off: %v, %+v", err, got)
+		t.Errorf("stop: %v, %+v", err, got)
 	}
 	if got, err = one(t, []byte("hi"), "2404 01000000 00000000 02000000"); err != nil || got.Kind != Ignored {
-		t.Errorf("note from a peer: %v, %+v", err, got)
+		t.Errorf("message from a peer: %v, %+v", err, got)
 	}
 }
 
@@ -175,8 +185,8 @@
 func TestUnknownActionIsAnError(t *testing.T) {
 	var r Reply
 	r.Begin(1)
-	if err := r.Add(0, []decision.Action{nil}); err == nil {
-		t.Fatal("no error")
+	if err := r.Add(0, []decision.Action{nil}); !errors.Is(err, ErrUnknownAction) {
+		t.Fatalf("%v", err)
 	}
 }
 
@@ -188,16 +198,22 @@
 	le.PutUint32(short[4:], 3)
 	count := append([]byte(nil), good...)
 	le.PutUint32(count[8:], 1<<30)
-	for name, in := range map[string][]byte{
-		"header cut": good[:7], "body cut": good[:30], "oversized": long, "undersized": short, "too many records": count,
-		"clock": frame(1, math.MaxUint64, nil),
+	for name, c := range map[string]struct {
+		in   []byte
+		want error
+	}{
+		"header cut": {good[:7], io.ErrUnexpectedEOF}, "body cut": {good[:30], io.ErrUnexpectedEOF},
+		"oversized": {long, ErrMalformedFrame}, "undersized": {short, ErrMalformedFrame},
+		"too many records": {count, ErrMalformedFrame}, "clock": {frame(1, math.MaxUint64, nil), ErrMalformedFrame},
 	} {
-		if _, err := NewReader(bytes.NewReader(in)).Next(); err == nil || err == io.EOF {
+		if _, err := NewReader(bytes.NewReader(c.in)).Next(); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
+	if _, err := one(t, nil, "0100"); !errors.Is(err, ErrUnknownEvent) {
+		t.Errorf("unknown code: %v", err)
+	}
 	for name, record := range map[string]string{
-		"unknown code":       "0100",
 		"unknown outcome":    "fc03 c4913a5d 00 074a1203 0100 44480000 01 00",
 		"report of 5 values": "fc03 c4913a5d 00 074a1203 c800 44480000 01 05",
 		"offset past tail":   "4204 00 01000000 01000000",
@@ -206,15 +222,16 @@
 		"update of kind 4":   "5604 00 04",
 		"padding not zero":   "1004 0000 01",
 		"settings past tail": "e803 0900000000000000 00000000 03000000",
+		"message past tail":  "2404 01000000 00000000 02000000",
 	} {
-		if _, err := one(t, nil, record); err == nil {
-			t.Errorf("%s: no error", name)
+		if _, err := one(t, nil, record); !errors.Is(err, ErrMalformedRecord) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A length that lies costs no memory before the bytes have come.
-func TestLyingLengthAllocatesLittle(t *testing.T) {
+// A wrong length costs no memory before the bytes have come.
+func TestWrongLengthAllocatesLittle(t *testing.T) {
 	in := frame(1, 5, nil)
 	le.PutUint32(in[4:], maxFrame)
 	var before, after runtime.MemStats
@@ -226,7 +243,7 @@
 	}
 }
 
-// FuzzFrame feeds the decoder whatever comes: it may refuse it, never panic.
+// FuzzFrame feeds the decoder any bytes: it may reject them, but never panic.
 func FuzzFrame(f *testing.F) {
 	f.Add(frame(1, 5, nil))
 	f.Add(
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -7,8 +7,8 @@
 	return xmlconfig.Document{Root: "spurspread", Namespace: "urn:spurspread:site:1"}
 }
 
-// Load reads the site file at path, with the secrets that it names. An error that is xmlconfig.FieldErrors lists all that is
-// wrong with it; any other is of the file system.
+// Load reads the site file at path, with the secrets that it names. An error that is xmlconfig.FieldErrors lists all
+// that is wrong with it; any other is of the file system.
 func Load(path string) (*Site, error) {
 	s := &Site{}
 	if err := xmlconfig.Load(path, document(), s); err != nil {
