--- a/cmd/spurspread-sim/main_test.go
+++ b/cmd/spurspread-sim/main_test.go
@@ -26,6 +26,7 @@
 
 var le = binary.LittleEndian
 
+// record builds an event record from its code and fields, padded to its size.
 func record(code uint16, fields ...any) []byte {
 	b := le.AppendUint16(nil, code)
 	for _, f := range fields {
@@ -34,6 +35,7 @@
 	return append(b, make([]byte, 40-len(b))...)
 }
 
+// batch builds a frame from records and a tail.
 func batch(seq uint32, now uint64, tail []byte, recs ...[]byte) []byte {
 	body := append(bytes.Join(recs, nil), tail...)
 	out, _ := binary.Append(nil, le, []uint32{seq, uint32(12 + len(body)), uint32(len(recs))})
@@ -41,41 +43,44 @@
 	return append(out, body...)
 }
 
-func target(who uint16) []byte { return record(1120, who) }
+// target selects an instance.
+func target(instance uint16) []byte { return record(1120, instance) }
 
-// bootBatch starts the instances with one ready server, number 77.
-func bootBatch(seq uint32, who ...uint16) []byte {
+// startBatch starts the instances with one ready server, number 77.
+func startBatch(seq uint32, instances ...uint16) []byte {
 	entry, _ := binary.Append(nil, le, uint32(77))
 	entry = append(entry, 0, 0, 0, 2)
 	entry = append(entry, make([]byte, 14)...)
 	recs := [][]byte{record(1090, uint8(0), uint32(len(profile)), uint32(1))}
-	for _, w := range who {
+	for _, instance := range instances {
 		recs = append(
 			recs,
-			target(w),
-			record(1000, uint64(w), uint32(0), uint32(len(profile))),
+			target(instance),
+			record(1000, uint64(instance), uint32(0), uint32(len(profile))),
 			record(1110, uint8(0), uint8(2), uint64(1)),
 		)
 	}
 	return batch(seq, 1000000, append([]byte(profile), entry...), recs...)
 }
 
+// request is a request with 1.2 s left.
 func request(id uint32) []byte { return record(1080, id, uint32(1200000)) }
 
-// actions lists the codes of a reply and the instance that each belongs to.
-func actions(t *testing.T, out []byte) (codes []uint16, whos []uint16, rest []byte) {
+// actions lists the codes of a reply and the instance of each, and returns what follows the reply.
+func actions(t *testing.T, out []byte) (codes, instances []uint16, rest []byte) {
 	t.Helper()
 	n := le.Uint32(out[8:])
-	who := uint16(0)
+	instance := uint16(0)
 	for i := range n {
 		r := out[12+16*i:]
 		if c := le.Uint16(r); c == 1120 {
-			who = le.Uint16(r[2:])
+			instance = le.Uint16(r[2:])
 		} else {
-			codes, whos = append(codes, c), append(whos, who)
+			codes = append(codes, c)
+			instances = append(instances, instance)
 		}
 	}
-	return codes, whos, out[8+le.Uint32(out[4:]):]
+	return codes, instances, out[8+le.Uint32(out[4:]):]
 }
 
 func count(codes []uint16, code uint16) int {
@@ -89,41 +94,42 @@
 }
 
 func TestTwoInstances(t *testing.T) {
-	in := append(bootBatch(1, 4, 9), batch(2, 1001000, nil, target(4), request(1), target(9), request(2))...)
+	in := append(startBatch(1, 4, 9), batch(2, 1001000, nil, target(4), request(1), target(9), request(2))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	_, _, rest := actions(t, out.Bytes())
-	codes, whos, rest := actions(t, rest)
-	if len(rest) != 0 || count(codes, 1040) != 2 || whos[0] != 4 || whos[len(whos)-1] != 9 {
-		t.Fatalf("codes %v of %v, %d bytes left", codes, whos, len(rest))
+	codes, instances, rest := actions(t, rest)
+	if len(rest) != 0 || count(codes, 1040) != 2 || instances[0] != 4 || instances[len(instances)-1] != 9 {
+		t.Fatalf("codes %v of %v, %d bytes left", codes, instances, len(rest))
 	}
 }
 
-func TestPowerOffForgets(t *testing.T) {
-	in := append(bootBatch(1, 4), batch(2, 1001000, nil, target(4), request(1), record(1040))...)
+func TestStopForgets(t *testing.T) {
+	in := append(startBatch(1, 4), batch(2, 1001000, nil, target(4), request(1), record(1040))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	_, _, rest := actions(t, out.Bytes())
 	if codes, _, _ := actions(t, rest); len(codes) != 0 {
-		t.Fatalf("a dead instance acted: %v", codes)
+		t.Fatalf("a stopped instance has actions: %v", codes)
 	}
 	err := run(bytes.NewReader(append(in, batch(3, 1002000, nil, target(4), request(2))...)), &out)
 	if err == nil || !strings.Contains(err.Error(), "instance 4 was not started") {
-		t.Fatalf("after its end: %v", err)
+		t.Fatalf("after it was stopped: %v", err)
 	}
 }
 
 func TestMessages(t *testing.T) {
 	for want, in := range map[string][]byte{
 		"no instance was named": batch(1, 1, nil, request(1)),
-		"list 3 was never sent": append(bootBatch(1, 4), batch(2, 1000001, nil, target(4), record(1110, uint8(3), uint8(1)))...),
-		"instance 4: settings":  batch(1, 1, []byte("rank=0"), target(4), record(1000, uint64(1), uint32(0), uint32(6))),
-		"no such event":         batch(1, 1, nil, target(4), record(7)),
-		"header cut short":      {1, 2, 3},
+		"list 3 was never sent": append(startBatch(1, 4),
+			batch(2, 1000001, nil, target(4), record(1110, uint8(3), uint8(1)))...),
+		"instance 4: settings": batch(1, 1, []byte("rank=0"), target(4), record(1000, uint64(1), uint32(0), uint32(6))),
+		"no such event":        batch(1, 1, nil, target(4), record(7)),
+		"header cut short":     {1, 2, 3},
 	} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
@@ -131,14 +137,14 @@
 	}
 }
 
-// The same instances, in one host or in two, act alike.
+// An instance has the same actions alone in a host as beside another.
 func TestSplitHosts(t *testing.T) {
-	play := func(who ...uint16) []byte {
-		in := bootBatch(1, who...)
+	simulate := func(instances ...uint16) []byte {
+		in := startBatch(1, instances...)
 		for i := range uint32(50) {
 			var recs [][]byte
-			for _, w := range who {
-				recs = append(recs, target(w), request(i*100+uint32(w)))
+			for _, instance := range instances {
+				recs = append(recs, target(instance), request(i*100+uint32(instance)))
 			}
 			in = append(in, batch(2+i, 1001000+uint64(i)*1000, nil, recs...)...)
 		}
@@ -148,18 +154,18 @@
 		}
 		return out.Bytes()
 	}
-	both, alone := play(4, 9), play(9)
+	both, alone := simulate(4, 9), simulate(9)
 	for len(both) > 0 {
-		codesBoth, whos, restBoth := actions(t, both)
+		codesBoth, instances, restBoth := actions(t, both)
 		codesAlone, _, restAlone := actions(t, alone)
 		var of9 []uint16
 		for i, c := range codesBoth {
-			if whos[i] == 9 {
+			if instances[i] == 9 {
 				of9 = append(of9, c)
 			}
 		}
 		if string(le16(of9)) != string(le16(codesAlone)) {
-			t.Fatalf("%v in company, %v alone", of9, codesAlone)
+			t.Fatalf("%v beside another, %v alone", of9, codesAlone)
 		}
 		both, alone = restBoth, restAlone
 	}
