--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -420,7 +420,7 @@
 		} else {
 			old.logged("hot restart: successor accepts new clients")
 		}
-		// If the old one were still listening, about half of these would reach it and be told that it drains.
+		// If the old one were still listening, about half of these would reach it and be rejected.
 		for i := range 40 {
 			if got := exchangeLine(t, clients, "PING\r\n"); got != "PONG" {
 				t.Fatalf("killed %v, client %d after the hot restart: %q", kill, i, got)
--- a/cmd/spurspread/member.go
+++ b/cmd/spurspread/member.go
@@ -64,7 +64,7 @@
 func (f *fleetMember) close() {
 	if f != nil {
 		f.stopSeeds()
-		waitAtMost(f.seedsDone, stopTimeout)
+		waitWithTimeout(f.seedsDone, stopTimeout)
 	}
 }
 
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -31,7 +31,7 @@
   spurspread members --mgmt 127.0.0.1:9901`
 }
 
-// Run asks a member for its report, and prints it.
+// Run prints the report of a member.
 func (c membersCmd) Run(s *streams) error {
 	reply, err := callAdmin(c.Mgmt, "MEMBERS")
 	if err != nil {
@@ -61,7 +61,7 @@
 		since := ageText(m.SinceMillis) + " ago"
 		heard := ageText(m.LastReceivedMillis) + " ago"
 		roundTrip := fmt.Sprintf("%.1f ms", float64(m.RTTMicros)/1000)
-		if i == 0 { // the member that was asked
+		if i == 0 { // the member that reports
 			since, heard, roundTrip = "-", "itself", "-"
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%.0f%%\t%.0f%%\t%s\n", m.Name, m.State, since, m.Incarnation,
--- a/cmd/spurspread/signals.go
+++ b/cmd/spurspread/signals.go
@@ -36,11 +36,11 @@
 // stop ends the goroutine and waits for it, at most stopTimeout.
 func (h *signalHandler) stop() {
 	close(h.stopping)
-	waitAtMost(h.done, stopTimeout)
+	waitWithTimeout(h.done, stopTimeout)
 }
 
-// waitAtMost waits until done is closed, but not longer than limit.
-func waitAtMost(done <-chan struct{}, limit time.Duration) {
+// waitWithTimeout waits until done is closed, but not longer than limit.
+func waitWithTimeout(done <-chan struct{}, limit time.Duration) {
 	select {
 	case <-done:
 	case <-time.After(limit):
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -91,7 +91,7 @@
 	d.pendingWatch.start(fmt.Sprintf("%s?stream=1&index=%d", targetsPath, d.resumeGeneration()))
 }
 
-// resumeGeneration is the generation after which a new watch starts; 0 asks for the full list. Generations of another
+// resumeGeneration is the generation after which a new watch starts; 0 requests the full list. Generations of another
 // address mean nothing to this one.
 func (d *Client) resumeGeneration() uint64 {
 	if d.addressChanged {
@@ -124,7 +124,7 @@
 	d.pendingWatch = nil
 }
 
-// Fetch asks for the full list once.
+// Fetch requests the full list once.
 func (d *Client) Fetch() { newCall(d, callFetching).start(targetsPath) }
 
 // received applies one object that c brought. The first object of a pending watch makes it the established one.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -124,7 +124,7 @@
 	w.want(t, "failed")
 }
 
-// A new address, whose generations are its own, is asked for the full list, and retried where it fails. Until it has
+// A new address, whose generations are its own, gets a request for the full list, retried where it fails. Until it has
 // answered, updates from the old one count; the end of that watch is no failure.
 func TestChangeAddress(t *testing.T) {
 	_, w, l, d, old := watching(t)
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// parseField reads the fields that tell a body's length.
+// parseField reads the header fields that determine the body's length.
 func (r *responseParser) parseField(name, value string) error {
 	switch name {
 	case "transfer-encoding":
--- a/internal/discovery/serverlist.go
+++ b/internal/discovery/serverlist.go
@@ -33,7 +33,7 @@
 }
 
 // ServerList is all servers that were ever named to this process. A server keeps its number and its address in memory
-// when it changes, and none is removed: State tells that it is gone.
+// when it changes, and none is removed: its State becomes Gone.
 type ServerList struct {
 	servers []*Server // by number
 	byID    map[string]*Server
--- a/internal/restartproto/announcement.go
+++ b/internal/restartproto/announcement.go
@@ -10,7 +10,7 @@
 // maxAnnouncementBytes bounds the file.
 const maxAnnouncementBytes = 4 << 10
 
-// Announcement tells which process serves a listen address.
+// Announcement names the process that serves a listen address.
 type Announcement struct {
 	Version int    `json:"version"`
 	PID     int    `json:"pid"`    // of the process that serves
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -28,7 +28,7 @@
 	eventProbeResult        = 1130 // check result
 )
 
-// Record is one event record of a batch. Kind tells which of the other fields are set.
+// Record is one event record of a batch. Which of the other fields are set depends on Kind.
 type Record struct {
 	Kind       RecordKind
 	Instance   uint16                 // SelectInstance
