--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -123,7 +123,7 @@
 	a.upstream = conn
 	wait := timeouts.Connect(a.deadline-p.loop.Now(), p.cfg.Settings.ConnectTimeout)
 	a.timer = p.loop.After(wait, func() {
-		conn.DrainEvents() // it may be connected, and not have been told yet
+		conn.DrainEvents() // its success may be waiting in this very turn
 		if !a.connected {
 			a.end(outcome.ConnectFailed)
 		}
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -17,14 +17,14 @@
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, other := g.connection(), g.connection()
 	var servers []*duplex
-	var node *sshchan.Conn
+	var upstream *sshchan.Conn
 	for i, from := range []*sshchan.Conn{c, c, other} {
 		ch, err := from.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
-		if node == nil {
-			node = g.acceptMux(0)
+		if upstream == nil {
+			upstream = g.acceptMux(0)
 		}
-		s := node.Accept()
+		s := upstream.Accept()
 		g.check(s.Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		servers = append(servers, g.overChannel(s))
@@ -40,14 +40,14 @@
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c, idle := g.connection(), g.connection()
 	var clients []*duplex
-	var node *sshchan.Conn
+	var upstream *sshchan.Conn
 	for i := range 4 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
-		if node == nil {
-			node = g.acceptMux(0)
+		if upstream == nil {
+			upstream = g.acceptMux(0)
 		}
-		g.check(node.Accept().Confirm("UP r"))
+		g.check(upstream.Accept().Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		clients = append(clients, g.overChannel(ch))
 	}
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -268,8 +268,8 @@
 	c := g.connection()
 	ch, err := c.Open(trimmed(tokenRequestLine))
 	g.check(err)
-	node := g.acceptMux(0)
-	s := node.Accept()
+	upstream := g.acceptMux(0)
+	s := upstream.Accept()
 	g.check(s.Confirm("UP r1 from=0"))
 	g.answered(ch, true, 0, "UP r1 from=0")
 	server, client := g.overChannel(s), g.overChannel(ch)
@@ -292,8 +292,8 @@
 	twice, err := c.Open(trimmed(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word))
 	g.check(err)
 	g.answered(twice, false, sshchan.Failed, "STALE taken")
-	if node.Err() != nil {
-		t.Error("the trunk ended with one of its channels:", node.Err())
+	if upstream.Err() != nil {
+		t.Error("the trunk ended with one of its channels:", upstream.Err())
 	}
 }
 
@@ -328,12 +328,12 @@
 	g.answered(open("PING"), false, 1, "ERR")
 	g.answered(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
 	stands := open("OPEN ID 3 c=sync,d=5000")
-	node := g.acceptMux(0)
-	server := node.Accept()
+	upstream := g.acceptMux(0)
+	server := upstream.Accept()
 	g.check(server.Confirm("UP r"))
 	g.answered(stands, true, 0, "UP r")
 	busy := open("OPEN ID 4 c=sync,d=5000")
-	g.check(node.Accept().Refuse(sshchan.Shortage, "BUSY"))
+	g.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
 	g.answered(busy, false, sshchan.Failed, "ERR") // as this program answers an outcome
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens were done: the bucket is empty. Later there is room for one more, and then three are held.
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -16,14 +16,14 @@
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients, servers []*duplex
-	var node *sshchan.Conn
+	var upstream *sshchan.Conn
 	for i := range 3 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
-		if node == nil {
-			node = g.acceptMux(0)
+		if upstream == nil {
+			upstream = g.acceptMux(0)
 		}
-		s := node.Accept()
+		s := upstream.Accept()
 		g.check(s.Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		clients, servers = append(clients, g.overChannel(ch)), append(servers, g.overChannel(s))
@@ -65,20 +65,20 @@
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients []*sshchan.Channel
-	var node *sshchan.Conn
+	var upstream *sshchan.Conn
 	for i := range n {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
-		if node == nil {
-			node = g.acceptMux(0)
+		if upstream == nil {
+			upstream = g.acceptMux(0)
 		}
-		s := node.Accept()
+		s := upstream.Accept()
 		if clients = append(clients, ch); i < n-5 { // some are not answered yet
 			g.check(s.Confirm("UP r"))
 			g.answered(ch, true, 0, "UP r")
 		}
 	}
-	g.check(node.Abort())
+	g.check(upstream.Abort())
 	evidence, outcomes := 0, map[uint32]int{}
 	for range n {
 		o := event[decision.AttemptEnded](g)
@@ -184,14 +184,14 @@
 	g := newHarness(t, 1, sendToFirst, channelsOn)
 	c := g.connection()
 	var clients []*duplex
-	var node *sshchan.Conn
+	var upstream *sshchan.Conn
 	for i := range 3 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
 		g.check(err)
-		if node == nil {
-			node = g.acceptMux(0)
+		if upstream == nil {
+			upstream = g.acceptMux(0)
 		}
-		g.check(node.Accept().Confirm("UP r"))
+		g.check(upstream.Accept().Confirm("UP r"))
 		g.answered(ch, true, 0, "UP r")
 		clients = append(clients, g.overChannel(ch))
 	}
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -32,7 +32,6 @@
 // establish forwards the server's UP, a line without its end; from now on the connection is established.
 func (r *request) establish(up []byte) {
 	p := r.proxy
-	a := r.attempt
 	reattached := r.state == stateReattaching
 	p.stats.established++
 	r.transition(stateEstablished)
@@ -41,28 +40,38 @@
 	r.lastReply = p.loop.Now()
 	r.endStatus = outcome.Reset
 	p.loop.Cancel(&r.timer)
+	r.freeFirstLine()
+	r.downstream.sendUp(append(up, lineEnd...))
+	r.notifyEstablished(reattached)
+	if p.drain.on {
+		p.drain.moveAfterFirstLines(r)
+	}
+	p.resumption.joinDrain(r)
+	r.readClient()
+}
+
+// freeFirstLine frees what would keep the whole first line in memory for as long as the connection lives.
+func (r *request) freeFirstLine() {
 	r.firstLine = nil
 	if r.resumable == nil {
-		// They would keep the whole first line in memory for as long as the connection lives.
 		r.open.Class = nil
 		r.open.At = nil
 	}
-	r.downstream.sendUp(append(up, lineEnd...))
+}
+
+// notifyEstablished notifies the decision core; it does not know a reattached request yet.
+func (r *request) notifyEstablished(reattached bool) {
+	p, a := r.proxy, r.attempt
 	if reattached {
 		p.core.dispatch(decision.ExistingConnection{Request: r.event(), Server: a.server.Number})
-	} else {
-		p.core.dispatch(decision.Established{
-			ID:        uint32(r.ref),
-			Attempt:   a.number,
-			Server:    a.server.Number,
-			SetupTime: p.loop.Now() - a.began,
-		})
-	}
-	if p.drain.on {
-		p.drain.moveAfterFirstLines(r)
+		return
 	}
-	p.resumption.joinDrain(r)
-	r.readClient()
+	p.core.dispatch(decision.Established{
+		ID:        uint32(r.ref),
+		Attempt:   a.number,
+		Server:    a.server.Number,
+		SetupTime: p.loop.Now() - a.began,
+	})
 }
 
 // joinServer counts the request among those that are established at its server.
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -13,8 +13,8 @@
 }
 
 // completeLines takes bytes from the server and returns the whole lines among them, with what was held back. sentAway
-// reports that the server sends the client away; its MOVE is not among the lines, for the client is told in a form of
-// its own. A line that is longer than a line may be is forwarded as it arrives, with all that follows.
+// reports that the server sends the client away; its MOVE is not among the lines, for the client is sent away in a
+// form of its own. A line that is longer than a line may be is forwarded as it arrives, with all that follows.
 func (l *lineBuffer) completeLines(b []byte) (lines []byte, sentAway bool) {
 	if l.passThrough {
 		return b, false
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -8,7 +8,7 @@
 )
 
 // moveAway has an established connection end gracefully, because its server drains, is gone or is silent, or because
-// this balancer stops. status is its outcome. sameServerAllowed tells whether it may go on at the same server. The
+// this balancer stops. status is its outcome. sameServerAllowed reports whether it may go on at the same server. The
 // decision core says where a client that takes tokens is to go.
 func (r *request) moveAway(status outcome.Status, sameServerAllowed bool) {
 	if r.state != stateEstablished || r.moving {
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -44,7 +44,7 @@
 
 // connectTimedOut ends the probe, unless it is connected: then its server has some time to answer.
 func (h *healthProbe) connectTimedOut() {
-	h.conn.DrainEvents() // it may be connected, and not have been told yet
+	h.conn.DrainEvents() // its success may be waiting in this very turn
 	if h.ended {
 		return
 	}
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -7,7 +7,7 @@
 )
 
 // startReattaching has the request go to the server that its client names, which an earlier process of this deployment
-// connected it to. The decision core hears of it once it is established.
+// connected it to. The decision core knows it once it is established.
 func (r *request) startReattaching() {
 	left := timeouts.Reattach(r.announcedDeadline())
 	r.deadline = r.proxy.loop.Now() + left
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -11,7 +11,7 @@
 	"spurspread/internal/lineproto"
 )
 
-// unknownClass stands for a request class that the settings don't have.
+// unknownClass is the index of a request class that the settings don't have.
 const unknownClass = -1
 
 // request is a client's request and, once it is established, its stream of lines.
@@ -118,7 +118,7 @@
 	return monotime.Micros(r.open.Millis) * monotime.Millisecond
 }
 
-// event is what the decision core is told of the request.
+// event is the request as the decision core sees it.
 func (r *request) event() decision.Request {
 	// Reloaded settings may number the classes otherwise; a class that they dropped has the strictest rules.
 	names := r.proxy.cfg.Settings.ClassNames
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -70,7 +70,7 @@
 			)
 		}
 		if got != want {
-			t.Fatalf("under way, awaited, standing: %v, want %v", got, want)
+			t.Fatalf("unanswered, awaiting a reply, established: %v, want %v", got, want)
 		}
 	}
 	client, server := g.establish()
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -116,21 +116,21 @@
 		end func(g *harness, server *peer)
 		to  int
 	}{
-		"the node is listed as draining": {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
-		"the node sends its clients away": {
+		"the server is listed as draining": {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
+		"the server sends its clients away": {
 			func(_ *harness, s *peer) { s.say("MOVE\r\n"); _ = s.Close() },
 			1,
 		},
-		"the node dies": {
+		"the server dies": {
 			func(_ *harness, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
 			1,
 		},
-		"the node just ends": {func(_ *harness, s *peer) { _ = s.Close() }, 1},
-		"the node dies in the middle of a message": {
+		"the server just ends": {func(_ *harness, s *peer) { _ = s.Close() }, 1},
+		"the server dies in the middle of a message": {
 			func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() },
 			1,
 		},
-		"the node falls silent": {func(g *harness, _ *peer) {
+		"the server falls silent": {func(g *harness, _ *peer) {
 			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.latencies.sweep() })
 		}, 1},
 		"the balancer stops": {func(g *harness, _ *peer) { g.loop.Post(g.proxy.Drain) }, 0},
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -14,7 +14,7 @@
 const (
 	// saveListDelay is how long a changed list waits before it is saved; changes mostly come together.
 	saveListDelay = 200 * monotime.Millisecond
-	// unknownZone and unknownMachineType stand for names that the settings don't have.
+	// unknownZone and unknownMachineType are the numbers of names that the settings don't have.
 	unknownZone        = 255
 	unknownMachineType = 65535
 )
@@ -95,7 +95,7 @@
 	}
 }
 
-// event is what the decision core is told of a change of the list.
+// event is a change of the list as the decision core sees it.
 func (d *serverDirectory) event(kind decision.UpdateKind, update discovery.Update) decision.ServerListUpdate {
 	known := &d.proxy.cfg.Settings
 	ev := decision.ServerListUpdate{Kind: kind}
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// transferRecord is what the successor is told of an established connection.
+// transferRecord is what the successor needs to know of an established connection.
 func (r *request) transferRecord() restartproto.ConnectionOffer {
 	now := r.proxy.loop.Now()
 	offer := restartproto.ConnectionOffer{
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -88,8 +88,8 @@
 	k.attempt.answered(rejectionLine(code, description))
 }
 
-// rejectionLine is the line that a server's rejection stands for. Its description is the line, unless it is missing or
-// is one that accepts.
+// rejectionLine is the line that a server would have sent in place of a rejection. Its description is the line, unless
+// it is missing or is one that accepts.
 func rejectionLine(code uint32, description []byte) []byte {
 	verb, _ := lineproto.ParseServerLine(description)
 	switch {
