--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -219,7 +219,7 @@
 			c.ended(true)
 		}, outcome.OK},
 		"both end at once": {func(c, s *duplex) { c.close(); s.close() }, 255},
-		"module moves": {func(c, s *duplex) {
+		"core moves": {func(c, s *duplex) {
 			c.g.inLoop(func() { c.g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(c.g).ref)}) })
 			if token := c.moved(); token != "" {
 				c.g.t.Errorf("token %q", token)
@@ -293,7 +293,7 @@
 	g.check(err)
 	g.answered(twice, false, sshchan.Failed, "STALE taken")
 	if upstream.Err() != nil {
-		t.Error("the trunk ended with one of its channels:", upstream.Err())
+		t.Error("the upstream connection ended with one of its channels:", upstream.Err())
 	}
 }
 
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -100,7 +100,7 @@
 		d.ended(false)
 	}
 	if c.Err() != nil {
-		t.Error("the client's connection ended with the trunk")
+		t.Error("the client's connection ended with the upstream connection")
 	}
 	// The next comes too soon for another connection, and is told so without one more piece of evidence.
 	_, err := c.Open("OPEN b1 7 c=sync,d=60000")
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -93,7 +93,7 @@
 		g.inLoop(func() { left = g.proxy.requests.len() })
 	}
 	if left != 0 {
-		t.Errorf("%d sessions left", left)
+		t.Errorf("%d requests left", left)
 	}
 }
 
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -44,7 +44,7 @@
 	g.t.Helper()
 	for len(g.events) > 0 {
 		if ev, ok := (<-g.events).(decision.Request); ok {
-			g.t.Fatalf("the module was asked about %+v", ev)
+			g.t.Fatalf("the core was asked about %+v", ev)
 		}
 	}
 }
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -85,7 +85,7 @@
 	b.g = newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Discovery = b.addr() })
 	b.g.inLoop(func() {
 		if b.g.proxy.servers.client.Watching() {
-			t.Error("asked where only the module asks")
+			t.Error("polled where only the core polls")
 		}
 		cfg := b.g.proxy.cfg
 		var err error
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -18,7 +18,7 @@
 		}
 		in := map[*request]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			s := rapid.SampledFrom(all).Draw(t, "session")
+			s := rapid.SampledFrom(all).Draw(t, "request")
 			if in[s] = rapid.Bool().Draw(t, "add"); in[s] {
 				q.add(s)
 			} else {
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -245,7 +245,7 @@
 	late := g.client(with(nil) + "\r\n")
 	late.want("STALE gone\r\n")
 	if len(g.events) > 0 {
-		t.Errorf("the module heard of %+v", <-g.events)
+		t.Errorf("the core was notified of %+v", <-g.events)
 	}
 	told := 0
 	g.inLoop(func() {
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -109,7 +109,7 @@
 	}
 	if len(outcomes) != streams || g.proxy.stats.transferredOut != streams || g.proxy.stats.moved != 0 {
 		t.Errorf(
-			"%d outcomes, %d passed, %d moved",
+			"%d outcomes, %d transferred, %d moved",
 			len(outcomes),
 			g.proxy.stats.transferredOut,
 			g.proxy.stats.moved,
@@ -151,7 +151,7 @@
 			name: "nobody there",
 			peer: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() },
 		},
-		{name: "another process than the note says", peer: func(g *harness) (string, int) {
+		{name: "another process than announced", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
 			return path, 1
 		}},
@@ -215,7 +215,7 @@
 			}
 			g.stops()
 			if g.proxy.stats.transferredOut != 0 {
-				t.Errorf("%d passed", g.proxy.stats.transferredOut)
+				t.Errorf("%d transferred", g.proxy.stats.transferredOut)
 			}
 		})
 	}
@@ -361,7 +361,7 @@
 	client.moved()
 	g.stops()
 	if g.proxy.stats.transferredOut != 0 {
-		t.Errorf("%d passed", g.proxy.stats.transferredOut)
+		t.Errorf("%d transferred", g.proxy.stats.transferredOut)
 	}
 }
 
