--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -67,3 +67,28 @@
 		}
 	})
 }
+
+// A request with a key that may have been executed is retried only at servers that share its keys.
+func TestDedupScope(t *testing.T) {
+	first := Location{Zone: 1, Cell: 1}
+	sameCell, sameZone, otherZone := first, Location{Zone: 1, Cell: 2}, Location{Zone: 2, Cell: 1}
+	for _, c := range []struct {
+		scope   DedupScope
+		server  Location
+		allowed bool
+	}{
+		{ScopeAll, otherZone, true},
+		{ScopeZone, sameCell, true},
+		{ScopeZone, sameZone, true},
+		{ScopeZone, otherZone, false},
+		{ScopeCell, sameCell, true},
+		{ScopeCell, sameZone, false},
+	} {
+		p := Policy{Idempotency: IdempotentWithKey, DedupScope: c.scope, DedupWindow: monotime.Second}
+		var history AttemptHistory
+		history.RecordAttempt(0, first)
+		if got := p.RetryAllowedAt(&history, monotime.Millisecond, c.server); got != c.allowed {
+			t.Errorf("scope %d, server at %+v: allowed %v, want %v", c.scope, c.server, got, c.allowed)
+		}
+	}
+}
