--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -165,13 +165,13 @@
 }
 
 // graces are the shortest that a deployment at hand gives, and a common one.
-var graces = []monotime.Micros{300 * ms, 2500 * ms}
+func graces() []monotime.Micros { return []monotime.Micros{300 * ms, 2500 * ms} }
 
 // However many balancers there are, however long discovery was away and however calls ended meanwhile: each has the
 // list before it must stop acting on the one before, where discovery can serve so many calls at all.
 func TestInformedInTimeAfterAnOutage(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
-		for _, grace := range graces {
+		for _, grace := range graces() {
 			for _, o := range []outage{{8 * second, false}, {8 * second, true}, {100 * second, true}} {
 				f := fleet{n, min(2500*ms/monotime.Micros(n), 200*ms), grace}
 				r := f.play(o, 60*second, uint64(n))
@@ -189,7 +189,7 @@
 // The same where discovery is there, and all open watches fall silent at once.
 func TestInformedInTimeAfterSilence(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
-		for _, grace := range graces {
+		for _, grace := range graces() {
 			f := fleet{n, min(1500*ms/monotime.Micros(n), 200*ms), grace}
 			r := f.play(outage{}, 60*second, uint64(n))
 			t.Logf("%d balancers, grace %d ms: the last is informed after %d ms, at most %d calls a second",
@@ -206,7 +206,7 @@
 // within a small multiple of what the answers take one after another.
 func TestLargeFleetBacksOff(t *testing.T) {
 	for _, c := range []struct{ n, rate int }{{30, 3}, {80, 5}, {300, 10}, {300, 35}, {1500, 100}, {1500, 300}} {
-		for _, grace := range graces {
+		for _, grace := range graces() {
 			f := fleet{c.n, second / monotime.Micros(c.rate), grace}
 			shortest := f.callTime * monotime.Micros(c.n)
 			r := f.play(outage{8 * second, true}, 400*second, uint64(c.n))
--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -58,9 +58,11 @@
 type Schedule struct {
 	// Rank is this balancer's place in the cycle, from 0, and Balancers how many there are.
 	Rank, Balancers int
-	// MaxInterval is the longest time that a balancer may go without polling.
+	// MaxInterval is the longest time that a balancer may go without polling; 10 s where settings don't say. A shorter
+	// one finds changes sooner, and leaves less time to spread the fleet's polls over.
 	MaxInterval monotime.Micros
-	// Grace is for how long a balancer may still act on an older list after listDeadline.
+	// Grace is for how long a balancer may still act on an older list after listDeadline. A longer one leaves more time
+	// for polls after a failure, and has drained servers used that much longer.
 	Grace monotime.Micros
 	// Jitter draws a time between 0 and limit.
 	Jitter func(limit monotime.Micros) monotime.Micros
--- a/decision/resume/invariant_test.go
+++ b/decision/resume/invariant_test.go
@@ -271,7 +271,7 @@
 }
 
 // Whatever happens to two balancers and two servers, a token is live once at most, and so never twice at one instant.
-func TestAtMostOneLive(t *testing.T) {
+func TestSingleLiveAttempt(t *testing.T) {
 	lived := 0
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDeployment(t)
--- a/decision/resume/validator.go
+++ b/decision/resume/validator.go
@@ -16,7 +16,9 @@
 	claims claimTable
 }
 
-// NewValidator returns a validator that remembers at most maxClaims tokens, for clocks that differ by at most skew.
+// NewValidator returns a validator that remembers at most maxClaims tokens (the site file's default is 16384, of some
+// 150 bytes each; when full it rejects new ones), for clocks that differ by at most skew (default 2 s; a larger one
+// accepts tokens from balancers whose clocks are ahead).
 func NewValidator(skew UnixMillis, maxClaims int) *Validator {
 	return &Validator{skew: skew, claims: newClaimTable(maxClaims)}
 }
--- a/decision/upstreampool/choice.go
+++ b/decision/upstreampool/choice.go
@@ -35,7 +35,7 @@
 	if now < s.plainUntil {
 		return Choice{Kind: PlainLines}
 	}
-	c := p.leastUsed(s)
+	c := p.preferredConnection(s)
 	if c == nil {
 		return p.acquireNew(now, s)
 	}
@@ -46,9 +46,9 @@
 	return Choice{Kind: Use, Connection: c.id}
 }
 
-// leastUsed returns the server's best connection with a free channel, nil if there is none: established ones first,
-// then the one with the fewest channels, so that a failure affects few.
-func (p *Pool) leastUsed(s *server) *connection {
+// preferredConnection returns the server's best connection with a free channel, nil if there is none: established
+// ones first, then the one with the fewest channels, so that a failure affects few.
+func (p *Pool) preferredConnection(s *server) *connection {
 	var best *connection
 	for _, c := range s.connections {
 		if c.channels < p.limits.ChannelsPerConnection && (best == nil || c.betterThan(best)) {
--- a/decision/upstreampool/pool.go
+++ b/decision/upstreampool/pool.go
@@ -20,19 +20,20 @@
 	unconfirmedPlainTTL = 10 * monotime.Second
 )
 
-// Limits bound a pool. All come from the site file, which has their defaults.
+// Limits bound a pool. The defaults are those of the site file, from which they come.
 type Limits struct {
-	// ChannelsPerConnection bounds the channels on one connection. More of them save connections, and lose more
-	// clients with each that fails.
+	// ChannelsPerConnection bounds the channels on one connection; default 128. More of them save connections, and lose
+	// more clients with each that fails.
 	ChannelsPerConnection int
-	// ConnectionsPerServer bounds the connections to one server.
+	// ConnectionsPerServer bounds the connections to one server; default 4. More of them allow more channels there.
 	ConnectionsPerServer int
-	// Connections bounds the connections to all servers together, and with them descriptors and buffers.
+	// Connections bounds the connections to all servers together, and with them descriptors and buffers; default 256.
 	Connections int
-	// IdleTimeout is the time without a channel after which a connection is closed. A longer one saves set-ups.
+	// IdleTimeout is the time without a channel after which a connection is closed; default 10 s. A longer one saves
+	// set-ups, and holds descriptors.
 	IdleTimeout monotime.Micros
-	// PlainTTL is for how long it is remembered that a server understands plain lines only. A longer one saves
-	// attempts; a server that has been upgraded is used with channels that much later.
+	// PlainTTL is for how long it is remembered that a server understands plain lines only; default 10 min. A
+	// longer one saves attempts; a server that has been upgraded is used with channels that much later.
 	PlainTTL monotime.Micros
 }
 
