--- a/decision/requestids/requestids_test.go
+++ b/decision/requestids/requestids_test.go
@@ -14,14 +14,12 @@
 		active := map[uint64]bool{}
 		var finished []uint64
 		next := uint64(0)
+		lifetime := rapid.Uint64Range(1, 5).Draw(t, "lifetime")
 		for range rapid.IntRange(1, 3*Remembered).Draw(t, "steps") {
-			if len(active) > 0 && next%3 == 0 {
-				for id := range active {
-					delete(active, id)
-					s.Finish(id)
-					finished = append(finished, id)
-					break
-				}
+			if id := next - lifetime; next >= lifetime {
+				delete(active, id)
+				s.Finish(id)
+				finished = append(finished, id)
 			}
 			if !s.Add(next) {
 				t.Fatalf("new id %d is taken for a duplicate", next)
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -36,6 +36,27 @@
 	}
 }
 
+// The protocol's limits: a client has an answer or an end within 3 s of connecting, and a silent server is given up
+// within 7 s, those 0.9 s included in which a line under way may end.
+func TestProtocolLimits(t *testing.T) {
+	for name, c := range map[string]struct{ got, want Micros }{
+		"first line":          {FirstLine, 2 * sec},
+		"health checker":      {PingGap, 60 * sec},
+		"reading the answer":  {Linger, 800 * ms},
+		"reattaching":         {MaxReattach, 40 * sec},
+		"coming back":         {RejectRetryAfter, 300 * ms},
+		"half-closed":         {HalfClose, 5 * sec},
+		"silent":              {Silence, 5500 * ms},
+		"reattaching again":   {ReattachRetry, 250 * ms},
+		"answer to a probe":   {ProbeReply, 150 * ms},
+		"watching lists anew": {Rewatch, 500 * ms},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %d, want %d", name, c.got, c.want)
+		}
+	}
+}
+
 func TestWriteForbidden(t *testing.T) {
 	if WriteForbidden(9*sec, 0) || WriteForbidden(sec-1, sec) || !WriteForbidden(sec, sec) {
 		t.Error("the window ends at its end, and where there is none it never ends")
@@ -58,8 +79,10 @@
 		"answered lately":            {15 * sec, 15 * sec, false},
 		"long pause, then a line":    {0, 19 * sec, false},
 		"nothing back":               {13 * sec, 15 * sec, true},
-		"at the limit":               {20*sec - Silence, 20*sec - Silence + clientLineInterval, false},
-		"one microsecond beyond it":  {20*sec - Silence - 1, 20*sec - Silence - 1, true},
+		"at the limit":               {14500 * ms, 16500 * ms, false},
+		"one microsecond beyond it":  {14500*ms - 1, 14500 * ms, true},
+		"pause of the client":        {14500*ms - 1, 16500 * ms, false},
+		"longer pause of the client": {14500*ms - 1, 16500*ms - 1, true},
 		"reply to a line before":     {19 * sec, 10 * sec, false},
 		"pause counts until a point": {0, 16*sec + 500*ms - 1, true},
 	} {
