--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -100,7 +100,7 @@
 	return r.downstream.Pending() == 0 && r.attempt.upstream.Pending() == 0 && !r.clientStalled
 }
 
-// releaseSockets gives up the sockets of a connection that another process has, without closing it.
+// releaseSockets gives up the sockets of a connection that another process has, without ending the connection.
 func (r *request) releaseSockets() {
 	client, server, own := r.sockets()
 	if own {
