--- a/decision/health.go
+++ b/decision/health.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"spurspread/decision/backoff"
 	"spurspread/decision/concurrency"
 	"spurspread/decision/latency"
 	"spurspread/decision/outcome"
@@ -183,7 +184,7 @@
 
 // validationDelay is the mean time from a demotion to the validation, by the number of demotions before it.
 func validationDelay(consecutiveDemotions int) Micros {
-	return min(minValidationDelay<<min(consecutiveDemotions, maxValidationDoublings), maxValidationDelay)
+	return backoff.Exponential(minValidationDelay, maxValidationDelay, consecutiveDemotions, maxValidationDoublings)
 }
 
 // recoverServer decides how an Unhealthy server whose delay is over comes back. One that failed, or has no
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -1,6 +1,9 @@
 package decision
 
-import "math"
+import (
+	"math"
+	"spurspread/decision/splitmix"
+)
 
 const (
 	// groupAffinity is how many times as likely a server is selected that has connections of the request's group: their
@@ -140,23 +143,7 @@
 	if hashed == 0 {
 		return b.rng.Float64()
 	}
-	return unitInterval(mix64(hashed ^ s.StableID*goldenRatio64))
-}
-
-// Constants of the finalizer of SplitMix64, which spreads its input over all 64 bits.
-const (
-	goldenRatio64  = 0x9e3779b97f4a7c15
-	mixMultiplier1 = 0xbf58476d1ce4e5b9
-	mixMultiplier2 = 0x94d049bb133111eb
-	mixShift1      = 30
-	mixShift2      = 27
-	mixShift3      = 31
-)
-
-func mix64(h uint64) uint64 {
-	h = (h ^ h>>mixShift1) * mixMultiplier1
-	h = (h ^ h>>mixShift2) * mixMultiplier2
-	return h ^ h>>mixShift3
+	return unitInterval(splitmix.Mix64(hashed ^ s.StableID*splitmix.Gamma))
 }
 
 // unitInterval maps the upper 53 bits of h, as many as a float64 holds, to 0 up to but not including 1.
