--- a/cmd/spurspread-sim/host.go
+++ b/cmd/spurspread-sim/host.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"spurspread/decision"
 	"spurspread/internal/settings"
 	"spurspread/internal/simwire"
--- a/cmd/spurspread-sim/main.go
+++ b/cmd/spurspread-sim/main.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"io"
 	"os"
+
 	"spurspread/internal/simwire"
 )
 
--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -8,13 +8,14 @@
 	"net/netip"
 	"os"
 	"runtime/debug"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
 	"spurspread/internal/peer"
 	"spurspread/internal/proxy"
 	"spurspread/internal/settings"
 	"spurspread/internal/siteconfig"
-	"strconv"
-
-	"github.com/tidwall/gjson"
 )
 
 const (
--- a/cmd/spurspread/goroutines_test.go
+++ b/cmd/spurspread/goroutines_test.go
@@ -5,9 +5,10 @@
 	"net/netip"
 	"os"
 	"slices"
-	"spurspread/internal/siteconfig"
 	"testing"
 	"time"
+
+	"spurspread/internal/siteconfig"
 )
 
 // The owner of a goroutine ends it and waits for it.
--- a/cmd/spurspread/hotrestart.go
+++ b/cmd/spurspread/hotrestart.go
@@ -3,15 +3,16 @@
 import (
 	"errors"
 	"os"
-	"spurspread/internal/discovery"
-	"spurspread/internal/logging"
-	"spurspread/internal/proxy"
-	"spurspread/internal/restartproto"
 	"time"
 
 	"github.com/sirupsen/logrus"
 	"github.com/tidwall/gjson"
 	"golang.org/x/sys/unix"
+
+	"spurspread/internal/discovery"
+	"spurspread/internal/logging"
+	"spurspread/internal/proxy"
+	"spurspread/internal/restartproto"
 )
 
 // noProcess is no process id.
--- a/cmd/spurspread/hotrestart_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -6,8 +6,6 @@
 	"net"
 	"net/netip"
 	"os"
-	"spurspread/internal/restartproto"
-	"spurspread/lab/discoveryserver"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -15,6 +13,9 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/internal/restartproto"
+	"spurspread/lab/discoveryserver"
 )
 
 // clientStream is a client with an established connection, to a server that echoes its lines.
--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -5,10 +5,11 @@
 	"io"
 	"os"
 	"runtime/debug"
-	"spurspread/internal/logging"
 	"strings"
 
 	"github.com/alecthomas/kong"
+
+	"spurspread/internal/logging"
 )
 
 // Exit codes.
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -8,14 +8,15 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"spurspread/internal/siteconfig"
-	"spurspread/internal/token"
-	"spurspread/lab/echo"
 	"strings"
 	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/internal/siteconfig"
+	"spurspread/internal/token"
+	"spurspread/lab/echo"
 )
 
 const example = "../../example/config.json"
--- a/cmd/spurspread/member.go
+++ b/cmd/spurspread/member.go
@@ -6,13 +6,14 @@
 	"fmt"
 	"net/netip"
 	"runtime/debug"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/lifecycle"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/peer"
 	"spurspread/internal/siteconfig"
-	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 // joinSettleTime is in which a new member has mostly found the others.
--- a/cmd/spurspread/memberconfig.go
+++ b/cmd/spurspread/memberconfig.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"net/netip"
+
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer"
 	"spurspread/internal/peer/packet"
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -6,10 +6,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"spurspread/decision/zonedirectory"
 	"strings"
 	"text/tabwriter"
 	"time"
+
+	"spurspread/decision/zonedirectory"
 )
 
 // columnGap is the space between the columns of tables, in characters.
--- a/cmd/spurspread/memberscmd_test.go
+++ b/cmd/spurspread/memberscmd_test.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"spurspread/internal/siteconfig"
 	"strings"
 	"testing"
+
+	"spurspread/internal/siteconfig"
 )
 
 // fakeAdmin stands in for a member's admin address: it replies to one command, which it sends to the channel.
--- a/cmd/spurspread/membersreport.go
+++ b/cmd/spurspread/membersreport.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
+	"time"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/monotime"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer"
-	"time"
 )
 
 // membersReport is the reply to the admin command MEMBERS: the fleet as one member sees it. The first member is that
--- a/cmd/spurspread/seeds.go
+++ b/cmd/spurspread/seeds.go
@@ -4,8 +4,9 @@
 	"context"
 	"net"
 	"net/netip"
-	"spurspread/internal/siteconfig"
 	"time"
+
+	"spurspread/internal/siteconfig"
 )
 
 const (
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -6,14 +6,15 @@
 	"os"
 	"os/signal"
 	"runtime"
-	"spurspread/internal/admin"
-	"spurspread/internal/eventloop"
-	"spurspread/internal/logging"
-	"spurspread/internal/proxy"
 	"time"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
+
+	"spurspread/internal/admin"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/logging"
+	"spurspread/internal/proxy"
 )
 
 const (
--- a/cmd/spurspread/serverlistwriter.go
+++ b/cmd/spurspread/serverlistwriter.go
@@ -3,10 +3,11 @@
 import (
 	"net/netip"
 	"os"
-	"spurspread/internal/restartproto"
 	"sync"
 
 	"github.com/sirupsen/logrus"
+
+	"spurspread/internal/restartproto"
 )
 
 // serverListWriter stores the server lists from discovery in a file, for a process that is started to replace this one.
--- a/cmd/spurspread/signals.go
+++ b/cmd/spurspread/signals.go
@@ -2,10 +2,11 @@
 
 import (
 	"os"
-	"spurspread/internal/logging"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/internal/logging"
 )
 
 // signalHandler handles signals on a goroutine of its own, since reading files would block the event loop.
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
+	"strings"
+
 	"spurspread/internal/siteconfig"
 	"spurspread/internal/xmlconfig"
-	"strings"
 )
 
 // siteCmds are the commands about site files.
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -7,10 +7,11 @@
 	"fmt"
 	"io"
 	"os"
-	"spurspread/internal/siteconfig"
-	"spurspread/internal/token"
 	"strings"
 	"time"
+
+	"spurspread/internal/siteconfig"
+	"spurspread/internal/token"
 )
 
 // tokenCmds are the commands about resume tokens.
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 // Without any server, every request still gets its answer before the deadline.
--- a/decision/attemptoutcome/attemptoutcome_test.go
+++ b/decision/attemptoutcome/attemptoutcome_test.go
@@ -1,8 +1,9 @@
 package attemptoutcome
 
 import (
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 func TestOutcomes(t *testing.T) {
--- a/decision/backoff/backoff_test.go
+++ b/decision/backoff/backoff_test.go
@@ -1,8 +1,9 @@
 package backoff
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 func TestExponential(t *testing.T) {
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+
 	"spurspread/decision/concurrency"
 	"spurspread/decision/fleetsize"
 	"spurspread/decision/polling"
--- a/decision/balancer_bench_test.go
+++ b/decision/balancer_bench_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 // benchSizes are the numbers of established connections at which costs are measured.
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"reflect"
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 // The same settings, seed and events give the same actions.
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -3,10 +3,11 @@
 import (
 	"math"
 	"slices"
+	"testing"
+
 	"spurspread/decision/latency"
 	"spurspread/decision/outcome"
 	"spurspread/decision/slowstart"
-	"testing"
 )
 
 // All balancers together do not overload a restarted server, however many requests come.
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -8,9 +8,10 @@
 	"hash/fnv"
 	"math"
 	"math/rand/v2"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/outcome"
-	"testing"
 )
 
 // wantDigests are digests of all actions of a Balancer on generated event sequences, one for each seed. They hold the
--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -13,6 +13,7 @@
 	"cmp"
 	"math/rand/v2"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/drainorder/drainorder_test.go
+++ b/decision/drainorder/drainorder_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"slices"
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 const ms = monotime.Millisecond
--- a/decision/drainschedule/drainschedule_test.go
+++ b/decision/drainschedule/drainschedule_test.go
@@ -1,8 +1,9 @@
 package drainschedule
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const ms = monotime.Millisecond
--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const start = 1000 * monotime.Second
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
+	"testing"
+
 	"spurspread/decision/outcome"
 	"spurspread/decision/slowstart"
-	"testing"
 )
 
 const start = 1000 * sec // an arbitrary time of the clock
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 func TestEstablishedMakesConnected(t *testing.T) {
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"slices"
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 func transferableState() ConnectionState {
--- a/decision/hotrestart/predecessor.go
+++ b/decision/hotrestart/predecessor.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/keepalive/keepalive_test.go
+++ b/decision/keepalive/keepalive_test.go
@@ -1,8 +1,9 @@
 package keepalive
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 func TestUpstream(t *testing.T) {
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -11,6 +11,7 @@
 
 import (
 	"math"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/latency/latency_test.go
+++ b/decision/latency/latency_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const (
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 // A group stays on one server as far as that can take it, by the reported loads, and no further.
--- a/decision/membership/deadprobe.go
+++ b/decision/membership/deadprobe.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/membership/dissemination.go
+++ b/decision/membership/dissemination.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/bits"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"net/netip"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"net/netip"
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 const start = 1000 * monotime.Second
--- a/decision/membership/ratedivisor_test.go
+++ b/decision/membership/ratedivisor_test.go
@@ -1,8 +1,9 @@
 package membership
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 // The divisor rises at once when members come and falls slowly when they go, and two sides of a partition stay within
--- a/decision/membership/rings.go
+++ b/decision/membership/rings.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/splitmix"
 )
 
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/membership/suspicion_test.go
+++ b/decision/membership/suspicion_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 // A member that doesn't answer is suspected only after two others report the same, and dead only after a suspicion
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -9,6 +9,7 @@
 import (
 	"cmp"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/messagedelay/messagedelay_test.go
+++ b/decision/messagedelay/messagedelay_test.go
@@ -1,10 +1,11 @@
 package messagedelay
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 const millisecond = monotime.Millisecond
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -1,10 +1,11 @@
 package overload
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 func TestDescriptorsShort(t *testing.T) {
--- a/decision/placement_test.go
+++ b/decision/placement_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
+	"testing"
+
 	"spurspread/decision/outcome"
 	"spurspread/decision/slowstart"
-	"testing"
 )
 
 func TestPickPrefersHomeZoneAndSpreads(t *testing.T) {
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math/rand/v2"
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const (
--- a/decision/polling/polling_test.go
+++ b/decision/polling/polling_test.go
@@ -1,8 +1,9 @@
 package polling
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const (
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/latency"
 	"spurspread/decision/serverload"
 )
--- a/decision/rebalance_test.go
+++ b/decision/rebalance_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
+	"testing"
+
 	"spurspread/decision/latency"
 	"spurspread/decision/outcome"
-	"testing"
 )
 
 // A server whose messages are late is demoted and loses connections, also if its set-ups are in time.
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math/rand/v2"
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 func TestCancelledRequestGetsNoFurtherAction(t *testing.T) {
--- a/decision/resume/invariant_test.go
+++ b/decision/resume/invariant_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"slices"
-	"spurspread/decision/outcome"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/outcome"
 )
 
 const (
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -1,8 +1,9 @@
 package resume
 
 import (
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 const (
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -1,10 +1,11 @@
 package retry
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 // model is the protocol's rule in ten lines: what may have been executed is retried only where its class allows that,
--- a/decision/server.go
+++ b/decision/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"spurspread/decision/latency"
 	"spurspread/decision/retry"
 	"spurspread/decision/serverload"
--- a/decision/serverload/rebalance.go
+++ b/decision/serverload/rebalance.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -3,10 +3,11 @@
 import (
 	"math"
 	"slices"
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 const second = monotime.Second
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"spurspread/decision/outcome"
 	"testing"
+
+	"spurspread/decision/outcome"
 )
 
 // Changed settings decide requests that arrive later; earlier ones keep the class that they arrived with.
--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -3,8 +3,9 @@
 import (
 	"math"
 	"math/rand/v2"
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 // randomBudget is a simpler design, to compare with: each balancer draws its part of a window whole or not at all, by
--- a/decision/slowstart/grants.go
+++ b/decision/slowstart/grants.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/bits"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/slowstart/slowstart_test.go
+++ b/decision/slowstart/slowstart_test.go
@@ -1,8 +1,9 @@
 package slowstart
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 // Grants of a warming server expire after two more slots, unused ones are not used together later, and what the server
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -1,8 +1,9 @@
 package timeouts
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const (
--- a/decision/upstreampool/choice.go
+++ b/decision/upstreampool/choice.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/upstreampool/limits_test.go
+++ b/decision/upstreampool/limits_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"slices"
-	"spurspread/decision/monotime"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/monotime"
 )
 
 // poolModel is what a pool must agree with: its connections by server, and the channels on them.
--- a/decision/upstreampool/upstreampool_test.go
+++ b/decision/upstreampool/upstreampool_test.go
@@ -1,8 +1,9 @@
 package upstreampool
 
 import (
-	"spurspread/decision/monotime"
 	"testing"
+
+	"spurspread/decision/monotime"
 )
 
 const second = monotime.Second
--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -5,6 +5,7 @@
 	"math"
 	"net/netip"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/config.go
+++ b/decision/zonedirectory/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/delegate.go
+++ b/decision/zonedirectory/delegate.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"net/netip"
 	"slices"
+
 	"spurspread/decision/monotime"
 	"spurspread/decision/splitmix"
 )
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"net/netip"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"math/bits"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/entry.go
+++ b/decision/zonedirectory/entry.go
@@ -5,8 +5,9 @@
 	"encoding/binary"
 	"hash/fnv"
 	"slices"
-	"spurspread/decision/splitmix"
 	"strings"
+
+	"spurspread/decision/splitmix"
 )
 
 const (
--- a/decision/zonedirectory/reachability.go
+++ b/decision/zonedirectory/reachability.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/record.go
+++ b/decision/zonedirectory/record.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -3,6 +3,7 @@
 import (
 	"net/netip"
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/zone.go
+++ b/decision/zonedirectory/zone.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/monotime"
 )
 
--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -7,12 +7,13 @@
 	"net/netip"
 	"reflect"
 	"slices"
-	"spurspread/decision/membership"
-	"spurspread/decision/monotime"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/membership"
+	"spurspread/decision/monotime"
 )
 
 const start = monotime.Second
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net/netip"
+
 	"spurspread/decision/lifecycle"
 	"spurspread/internal/eventloop"
 )
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -4,12 +4,13 @@
 	"bufio"
 	"net"
 	"net/netip"
-	"spurspread/decision/lifecycle"
-	"spurspread/internal/admin"
-	"spurspread/internal/eventloop"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/decision/lifecycle"
+	"spurspread/internal/admin"
+	"spurspread/internal/eventloop"
 )
 
 // serve runs an admin server on a loop of its own, with a lifecycle that commands change, until the test ends.
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -5,6 +5,7 @@
 	"container/list"
 	"errors"
 	"io"
+
 	"spurspread/decision/lifecycle"
 	"spurspread/internal/eventloop"
 )
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+
 	"spurspread/internal/eventloop"
 )
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+
 	"spurspread/internal/eventloop"
 )
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -5,10 +5,11 @@
 	"fmt"
 	"net"
 	"net/netip"
-	"spurspread/internal/eventloop"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/internal/eventloop"
 )
 
 // recordingWatcher is a Watcher that records a text for each update or failure.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -115,10 +115,10 @@
 	}
 }
 
-// DrainEvents checks whether a connection that is coming up has done so by now, its event still unread, and if so
+// CheckConnected checks whether a connection that is coming up has done so by now, its event still unread, and if so
 // notifies the owner. Deadlines of a turn run before the next turn's events: without it, a loop that was delayed would
 // take every connection for one that never came up.
-func (c *Conn) DrainEvents() {
+func (c *Conn) CheckConnected() {
 	if c.fd < 0 || !c.connecting {
 		return
 	}
--- a/internal/eventloop/deadlines.go
+++ b/internal/eventloop/deadlines.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/heap"
+
 	"spurspread/decision/monotime"
 )
 
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -9,11 +9,12 @@
 import (
 	"errors"
 	"fmt"
-	"spurspread/decision/monotime"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/decision/monotime"
 )
 
 // ready is what a slot of the epoll table holds.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -4,9 +4,10 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"spurspread/decision/monotime"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/decision/monotime"
 )
 
 // Listener accepts connections on one address.
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -10,22 +10,22 @@
 	"strconv"
 )
 
-// Max is how long a line may be, with its end.
-const Max = 4096
+// MaxLine is how long a line may be, with its end.
+const MaxLine = 4096
 
 // What may be wrong with a line.
 var (
-	ErrLong      = errors.New("line is over 4 KiB")
-	ErrMalformed = errors.New("line is malformed")
+	ErrLineTooLong = errors.New("line is over 4 KiB")
+	ErrMalformed   = errors.New("line is malformed")
 )
 
 // SplitLine finds the first line of buf. n is its length with its end, 0 while the end was not received. The error is
-// ErrLong or ErrMalformed.
+// ErrLineTooLong or ErrMalformed.
 func SplitLine(buf []byte) (text []byte, n int, err error) {
-	end := bytes.IndexByte(buf[:min(len(buf), Max)], '\n')
+	end := bytes.IndexByte(buf[:min(len(buf), MaxLine)], '\n')
 	if end < 0 {
-		if len(buf) >= Max {
-			return nil, 0, ErrLong
+		if len(buf) >= MaxLine {
+			return nil, 0, ErrLineTooLong
 		}
 		return nil, 0, nil
 	}
@@ -35,45 +35,45 @@
 	return buf[:end-1], end + 1, nil
 }
 
-// Verb is what a client's first line requests.
-type Verb uint8
+// ClientVerb is what a client's first line requests.
+type ClientVerb uint8
 
 // The verbs of a first line.
 const (
-	Unknown Verb = iota
-	OpenLine
-	Ping
+	VerbUnknown ClientVerb = iota
+	VerbOpen
+	VerbPing
 )
 
 // ParseVerb returns what a client's first line requests; Unknown where it is neither OPEN nor PING.
-func ParseVerb(text []byte) Verb {
+func ParseVerb(text []byte) ClientVerb {
 	verb, _, more := bytes.Cut(text, []byte(" "))
 	switch {
 	case string(verb) == "OPEN" && more:
-		return OpenLine
+		return VerbOpen
 	case string(verb) == "PING" && !more:
-		return Ping
+		return VerbPing
 	}
-	return Unknown
+	return VerbUnknown
 }
 
 // Open is a client's first line. Its slices, and the offsets of d's value, are of the line that was parsed. The
 // names in the comments are those of the line.
 type Open struct {
-	ID         uint64 // new for every connection
-	Key        uint64
-	Group      uint64  // g
-	Class      []byte  // c
-	At         []byte  // at: the server that holds the connection already
-	Millis     int64   // d: the client's deadline, milliseconds from now
-	DFrom, DTo int     // offsets of d's value in the line
-	Retry      bool    // r=1
-	Returned   bool    // again=1: the client came back after a break or a move
-	Hint       float64 // h: the connection's usual load
-	HasHint    bool
-	Tenant     uint64 // owner; 0 where none is named
-	Tok        []byte // tok: "ask" or a resume token, of a client that takes tokens
-	Cur        []byte // cur: the number of the last message that the client has
+	ID                         uint64 // new for every connection
+	Key                        uint64
+	Group                      uint64  // g
+	Class                      []byte  // c
+	HeldBy                     []byte  // at: the server that holds the connection already
+	DeadlineMillis             int64   // d: the client's deadline, milliseconds from now
+	DeadlineStart, DeadlineEnd int     // offsets of d's value in the line
+	Retry                      bool    // r=1
+	Returned                   bool    // again=1: the client came back after a break or a move
+	LoadHint                   float64 // h: the connection's usual load
+	HasLoadHint                bool
+	Tenant                     uint64 // owner; 0 where none is named
+	Token                      []byte // tok: "ask" or a resume token, of a client that takes tokens
+	Cursor                     []byte // cur: the number of the last message that the client has
 }
 
 // maxWord is how long an id or a key may be.
@@ -82,7 +82,7 @@
 // ParseOpen parses "OPEN ID KEY name=value,...". It ignores names that it does not know and is strict with all others:
 // what a server could not use would come back as the server's error. The error is ErrMalformed.
 func ParseOpen(text []byte) (Open, error) {
-	o := Open{Millis: -1}
+	o := Open{DeadlineMillis: -1}
 	fields := bytes.SplitN(text, []byte(" "), 4)
 	if len(fields) != 4 || string(fields[0]) != "OPEN" || !word(fields[1]) || !word(fields[2]) {
 		return o, ErrMalformed
@@ -103,7 +103,7 @@
 		}
 		at = end + 1
 	}
-	if len(o.Class) == 0 || o.Millis < 0 {
+	if len(o.Class) == 0 || o.DeadlineMillis < 0 {
 		return o, ErrMalformed
 	}
 	return o, nil
@@ -118,10 +118,10 @@
 		o.Class = value
 	case "d":
 		v, err := strconv.ParseUint(string(value), 10, 31)
-		if err != nil || o.Millis >= 0 {
+		if err != nil || o.DeadlineMillis >= 0 {
 			return ErrMalformed
 		}
-		o.Millis, o.DFrom, o.DTo = int64(v), end-len(value), end
+		o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd = int64(v), end-len(value), end
 	case "g":
 		o.Group = number(value)
 	case "r":
@@ -129,19 +129,19 @@
 	case "again":
 		o.Returned = string(value) == "1"
 	case "at":
-		o.At = value
+		o.HeldBy = value
 	case "owner":
 		o.Tenant = number(value)
 	case "tok":
-		o.Tok = value
+		o.Token = value
 	case "cur":
-		o.Cur = value
+		o.Cursor = value
 	case "h":
 		v, err := strconv.ParseFloat(string(value), 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return ErrMalformed
 		}
-		o.Hint, o.HasHint = v, true
+		o.LoadHint, o.HasLoadHint = v, true
 	}
 	return nil
 }
@@ -211,9 +211,9 @@
 	return Other, 0
 }
 
-// Field returns the number under a name in a line's last word, as in "PONG queue=2,x0=0.61". It returns false where the
-// name is missing, or its value negative or not a finite number.
-func Field(text []byte, name string) (float64, bool) {
+// NumberField returns the number under a name in a line's last word, as in "PONG queue=2,x0=0.61". It returns false
+// where the name is missing, or its value negative or not a finite number.
+func NumberField(text []byte, name string) (float64, bool) {
 	_, rest, _ := bytes.Cut(text, []byte(" "))
 	for len(rest) > 0 {
 		var pair []byte
@@ -226,8 +226,8 @@
 	return 0, false
 }
 
-// Word is the last word of a line, as STALE's reason is.
-func Word(text []byte) []byte {
+// LastWord is the last word of a line, as STALE's reason is.
+func LastWord(text []byte) []byte {
 	_, word, _ := bytes.Cut(text, []byte(" "))
 	return word
 }
@@ -239,11 +239,11 @@
 	if !ok {
 		return 0, false
 	}
-	return Cursor(digits)
+	return ParseCursor(digits)
 }
 
-// Cursor reads the number of a message.
-func Cursor(digits []byte) (uint64, bool) {
+// ParseCursor reads the number of a message.
+func ParseCursor(digits []byte) (uint64, bool) {
 	if len(digits) == 0 || len(digits) > 19 || digits[0] == '0' && len(digits) > 1 {
 		return 0, false
 	}
@@ -257,8 +257,8 @@
 	return n, true
 }
 
-// Number reads the number of a message, which begins with "#N ".
-func Number(text []byte) (uint64, bool) {
+// MessageNumber reads the number of a message, which begins with "#N ".
+func MessageNumber(text []byte) (uint64, bool) {
 	if len(text) == 0 || text[0] != '#' {
 		return 0, false
 	}
@@ -266,7 +266,7 @@
 	if !ok {
 		return 0, false
 	}
-	return Cursor(digits)
+	return ParseCursor(digits)
 }
 
 // AppendBusy appends the refusal, with how long the client should stay away where that is not 0.
@@ -285,8 +285,8 @@
 	n    int // length of the line so far
 }
 
-// Between reports whether the stream is at the start of a line.
-func (s *Scanner) Between() bool { return s.n == 0 }
+// AtLineStart reports whether the stream is at the start of a line.
+func (s *Scanner) AtLineStart() bool { return s.n == 0 }
 
 // Feed handles the next bytes and calls each with the start of every line that they complete.
 func (s *Scanner) Feed(b []byte, each func(start []byte)) {
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -21,10 +21,10 @@
 		"half end":       {"PING\r", "", 0, nil},
 		"no CR":          {"PING\n", "", 5, ErrMalformed},
 		"lone LF":        {"\n", "", 1, ErrMalformed},
-		"longest":        {strings.Repeat("x", Max-2) + "\r\n", strings.Repeat("x", Max-2), Max, nil},
-		"over":           {strings.Repeat("x", Max-1) + "\r\n", "", 0, ErrLong},
-		"over, no end":   {strings.Repeat("x", Max), "", 0, ErrLong},
-		"nearly, no end": {strings.Repeat("x", Max-1), "", 0, nil},
+		"longest":        {strings.Repeat("x", MaxLine-2) + "\r\n", strings.Repeat("x", MaxLine-2), MaxLine, nil},
+		"over":           {strings.Repeat("x", MaxLine-1) + "\r\n", "", 0, ErrLineTooLong},
+		"over, no end":   {strings.Repeat("x", MaxLine), "", 0, ErrLineTooLong},
+		"nearly, no end": {strings.Repeat("x", MaxLine-1), "", 0, nil},
 	} {
 		text, n, err := SplitLine([]byte(c.in))
 		if string(text) != c.text || n != c.n || !errors.Is(err, c.err) {
@@ -34,9 +34,10 @@
 }
 
 func TestFirst(t *testing.T) {
-	for in, want := range map[string]Verb{
-		"PING": Ping, "OPEN a b c=d": OpenLine, "OPEN": Unknown, "PING x": Unknown, "open a": Unknown, "": Unknown,
-		"GET / HTTP/1.1": Unknown, "\x00\xff": Unknown,
+	for in, want := range map[string]ClientVerb{
+		"PING": VerbPing, "OPEN a b c=d": VerbOpen, "OPEN": VerbUnknown, "PING x": VerbUnknown, "open a": VerbUnknown,
+		"":               VerbUnknown,
+		"GET / HTTP/1.1": VerbUnknown, "\x00\xff": VerbUnknown,
 	} {
 		if got := ParseVerb([]byte(in)); got != want {
 			t.Errorf("%q: %d, want %d", in, got, want)
@@ -49,13 +50,13 @@
 	o, err := ParseOpen([]byte(text))
 	if err != nil || o.ID != 0x9b1f03aa5c7e2d41 || o.Key != 0x7f3a9c21e0b4d655 || o.Group != 0x5c0f6e1a2b3d4c59 ||
 		string(o.Class) != "chat" ||
-		o.Millis != 2000 || text[o.DFrom:o.DTo] != "2000" || !o.Retry || !o.Returned ||
-		string(o.At) != "s-1" ||
-		o.Hint != 2.5 ||
-		!o.HasHint {
+		o.DeadlineMillis != 2000 || text[o.DeadlineStart:o.DeadlineEnd] != "2000" || !o.Retry || !o.Returned ||
+		string(o.HeldBy) != "s-1" ||
+		o.LoadHint != 2.5 ||
+		!o.HasLoadHint {
 		t.Errorf("%+v, %v", o, err)
 	}
-	if o, err = ParseOpen([]byte("OPEN a user-7 c=chat,d=0")); err != nil || o.Key == 0 || o.Millis != 0 {
+	if o, err = ParseOpen([]byte("OPEN a user-7 c=chat,d=0")); err != nil || o.Key == 0 || o.DeadlineMillis != 0 {
 		t.Errorf("a key that is a word: %+v, %v", o, err)
 	}
 	for _, bad := range []string{
@@ -94,7 +95,7 @@
 
 // However the stream is split, the scanner sees the same lines.
 func TestScannerSplits(t *testing.T) {
-	long := strings.Repeat("y", 3*Max)
+	long := strings.Repeat("y", 3*MaxLine)
 	stream := "one\r\n\r\nLOAD 3\r\n" + long + "\r\nBYE\r\nhal"
 	for step := 1; step <= len(stream); step++ {
 		var s Scanner
@@ -102,8 +103,8 @@
 		for at := 0; at < len(stream); at += step {
 			s.Feed([]byte(stream[at:min(at+step, len(stream))]), func(l []byte) { got = append(got, string(l)) })
 		}
-		if want := "one||LOAD 3|" + long[:48] + "|BYE"; strings.Join(got, "|") != want || s.Between() {
-			t.Fatalf("step %d: %q, between %v", step, got, s.Between())
+		if want := "one||LOAD 3|" + long[:48] + "|BYE"; strings.Join(got, "|") != want || s.AtLineStart() {
+			t.Fatalf("step %d: %q, between %v", step, got, s.AtLineStart())
 		}
 	}
 }
@@ -123,11 +124,12 @@
 		if err != nil {
 			return
 		}
-		if o.DFrom < 0 || o.DTo > len(text) || o.DFrom > o.DTo ||
-			strconv.FormatInt(o.Millis, 10) != strings.TrimLeft(string(text[o.DFrom:o.DTo]), "0") && o.Millis != 0 {
-			t.Errorf("%q: d is %d, at %d to %d", text, o.Millis, o.DFrom, o.DTo)
+		if o.DeadlineStart < 0 || o.DeadlineEnd > len(text) || o.DeadlineStart > o.DeadlineEnd ||
+			strconv.FormatInt(o.DeadlineMillis, 10) != strings.TrimLeft(string(text[o.DeadlineStart:o.DeadlineEnd]),
+				"0") && o.DeadlineMillis != 0 {
+			t.Errorf("%q: d is %d, at %d to %d", text, o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd)
 		}
-		if n, ok := Cursor(o.Cur); ok && strconv.FormatUint(n, 10) != string(o.Cur) {
+		if n, ok := ParseCursor(o.Cursor); ok && strconv.FormatUint(n, 10) != string(o.Cursor) {
 			t.Errorf("%q: cursor %d", text, n)
 		}
 	})
@@ -146,7 +148,7 @@
 		if kind != Load && value != 0 || value < 0 {
 			t.Errorf("%q: %v, %v", text, kind, value)
 		}
-		if n, ok := Number(text); ok && (kind != Other || !bytes.HasPrefix(text, fmt.Appendf(nil, "#%d ", n))) {
+		if n, ok := MessageNumber(text); ok && (kind != Other || !bytes.HasPrefix(text, fmt.Appendf(nil, "#%d ", n))) {
 			t.Errorf("%q: number %d", text, n)
 		}
 		if n, ok := EstablishedSequence(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -10,6 +10,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"spurspread/internal/channel"
 	"spurspread/internal/eventloop"
 )
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -6,12 +6,13 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"spurspread/internal/channel"
-	"spurspread/internal/eventloop"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/internal/channel"
+	"spurspread/internal/eventloop"
 )
 
 // pipe is a wire whose far end takes bytes when it is told to.
--- a/internal/mux/receive.go
+++ b/internal/mux/receive.go
@@ -3,6 +3,7 @@
 import (
 	"io"
 	"math"
+
 	"spurspread/internal/channel"
 	"spurspread/internal/eventloop"
 )
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer/packet"
 )
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -5,14 +5,15 @@
 	"hash/fnv"
 	"math"
 	"net/netip"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/monotime"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
 	"spurspread/internal/peer/packet"
-
-	"github.com/sirupsen/logrus"
 )
 
 // instanceSeedBits is how many bits of the random seed are the lowest ones of an instance.
--- a/internal/peer/host_test.go
+++ b/internal/peer/host_test.go
@@ -5,13 +5,14 @@
 	"io"
 	"net"
 	"net/netip"
-	"spurspread/decision/membership"
-	"spurspread/internal/eventloop"
-	"spurspread/internal/peer/packet"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"spurspread/decision/membership"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/peer/packet"
 )
 
 // patience bounds every wait; nothing is proved by its passing.
--- a/internal/peer/packet/datagram.go
+++ b/internal/peer/packet/datagram.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"net/netip"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 )
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 )
--- a/internal/peer/packet/directory_golden_test.go
+++ b/internal/peer/packet/directory_golden_test.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/hex"
 	"net/netip"
-	"spurspread/decision/zonedirectory"
 	"testing"
+
+	"spurspread/decision/zonedirectory"
 )
 
 // The exact bytes of messages between directories, which other versions of the program read.
--- a/internal/peer/packet/directory_test.go
+++ b/internal/peer/packet/directory_test.go
@@ -3,11 +3,12 @@
 import (
 	"errors"
 	"net/netip"
-	"spurspread/decision/zonedirectory"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/zonedirectory"
 )
 
 // fullMessage has one item of each kind, and a version.
--- a/internal/peer/packet/golden_test.go
+++ b/internal/peer/packet/golden_test.go
@@ -4,9 +4,10 @@
 	"encoding/hex"
 	"net/netip"
 	"os"
-	"spurspread/decision/membership"
 	"strings"
 	"testing"
+
+	"spurspread/decision/membership"
 )
 
 // goldenMessages are those of a fleet without zones, by their names in testdata/version1.txt.
--- a/internal/peer/packet/membership_test.go
+++ b/internal/peer/packet/membership_test.go
@@ -4,11 +4,12 @@
 	"bytes"
 	"net/netip"
 	"reflect"
-	"spurspread/decision/membership"
-	"spurspread/decision/zonedirectory"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
 )
 
 func drawAddr(r *rapid.T) netip.AddrPort {
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"net/netip"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/monotime"
 	"spurspread/internal/peer/packet"
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -2,11 +2,12 @@
 
 import (
 	"net/netip"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/membership"
 	"spurspread/internal/logging"
 	"spurspread/internal/peer/packet"
-
-	"github.com/sirupsen/logrus"
 )
 
 // dispatch sends the messages of membership, and logs what has changed.
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"spurspread/decision/monotime"
 	"spurspread/internal/peer/packet"
 )
--- a/internal/peer/zones.go
+++ b/internal/peer/zones.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"net/netip"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/monotime"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/logging"
 	"spurspread/internal/peer/packet"
-
-	"github.com/sirupsen/logrus"
 )
 
 // ErrNoZones is returned where a record is published in a fleet without zones: records spread from zone to zone.
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -4,10 +4,11 @@
 	"bytes"
 	"errors"
 	"net/netip"
+	"testing"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer/packet"
-	"testing"
 )
 
 var (
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"io"
+	"strconv"
+
 	"spurspread/decision"
 	"spurspread/decision/attemptoutcome"
 	"spurspread/decision/monotime"
@@ -13,7 +15,6 @@
 	"spurspread/internal/discovery"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/lineproto"
-	"strconv"
 )
 
 // attempt is one attempt to have a server accept a request and, if it does, the upstream side of the connection. It
@@ -123,7 +124,7 @@
 	a.upstream = conn
 	wait := timeouts.Connect(a.deadline-p.loop.Now(), p.cfg.Settings.ConnectTimeout)
 	a.timer = p.loop.After(wait, func() {
-		conn.DrainEvents() // its success may be waiting in this very turn
+		conn.CheckConnected() // its success may be waiting in this very turn
 		if !a.connected {
 			a.end(outcome.ConnectFailed)
 		}
@@ -168,7 +169,7 @@
 	line, open := a.request.firstLine, &a.request.open
 	millis := timeouts.AnnouncedDeadline(a.deadline - a.proxy.loop.Now())
 	wait = strconv.AppendInt(make([]byte, 0, digits), millis, 10)
-	return line[:open.DFrom], wait, line[open.DTo:]
+	return line[:open.DeadlineStart], wait, line[open.DeadlineEnd:]
 }
 
 // awaitAnswer has the attempt end if its server does not answer in time, or the request can't be written in time.
@@ -267,7 +268,7 @@
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
-		r.tokenRejectedByServer(lineproto.Word(text))
+		r.tokenRejectedByServer(lineproto.LastWord(text))
 	default:
 		status, known := answerOutcome(verb)
 		if !known {
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"fmt"
-	"spurspread/decision"
-	"spurspread/decision/attemptoutcome"
-	"spurspread/decision/outcome"
-	"spurspread/internal/lineproto"
 	"strings"
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/decision"
+	"spurspread/decision/attemptoutcome"
+	"spurspread/decision/outcome"
+	"spurspread/internal/lineproto"
 )
 
 // Each StartAttempt has one outcome, distinguished as the protocol says, and its attempt is closed before the next one
@@ -23,7 +24,7 @@
 		"full":       {func(p *peer) { p.say("BUSY\r\n") }, outcome.ServerFull},
 		"sent away":  {func(p *peer) { p.say("MOVE\r\n") }, outcome.Cancelled},
 		"odd":        {func(p *peer) { p.say("\x00\xff what\r\n") }, outcome.ErrorResponse},
-		"endless":    {func(p *peer) { p.say(strings.Repeat("x", lineproto.Max)) }, outcome.ErrorResponse},
+		"endless":    {func(p *peer) { p.say(strings.Repeat("x", lineproto.MaxLine)) }, outcome.ErrorResponse},
 		"ended":      {func(p *peer) { _ = p.Close() }, outcome.Reset},
 		"reset":      {func(p *peer) { _ = p.SetLinger(0); _ = p.Close() }, outcome.Reset},
 		"no answer":  {func(*peer) {}, outcome.TimedOut},
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"fmt"
+	"strings"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/drainschedule"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/eventloop"
 	"spurspread/lab/sshchan"
-	"strings"
-	"testing"
 )
 
 // A client's connection that ends takes its channels with it, in kind, and nothing else.
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -7,14 +7,15 @@
 	"fmt"
 	"io"
 	"net"
+	"strings"
+	"testing"
+	"time"
+
 	"spurspread/decision"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/decision/upstreampool"
 	"spurspread/lab/sshchan"
-	"strings"
-	"testing"
-	"time"
 )
 
 func channelsOn(cfg *Config) {
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
+	"strings"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/keepalive"
 	"spurspread/decision/outcome"
 	"spurspread/lab/sshchan"
-	"strings"
-	"testing"
 )
 
 // A client that does not read one channel, and a server that does not, stop their own senders and nobody else; what is
--- a/internal/proxy/connect_timeout_test.go
+++ b/internal/proxy/connect_timeout_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"net"
-	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"testing"
 	"time"
+
+	"spurspread/decision"
+	"spurspread/decision/outcome"
 )
 
 // A loop that was held up finds a connection's deadline passed before it reads that the connection has come up: the
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"slices"
+
 	"spurspread/decision/monotime"
 	"spurspread/decision/overload"
 	"spurspread/decision/timeouts"
@@ -118,7 +119,7 @@
 // readFirstLine reads the first line, or one ping after another.
 func (c *downstreamConn) readFirstLine(b []byte) {
 	had := len(c.firstLine)
-	taken := min(len(b), lineproto.Max-had)
+	taken := min(len(b), lineproto.MaxLine-had)
 	c.firstLine = append(c.firstLine, b[:taken]...)
 	if c.startsMux() {
 		c.startMux(bytes.Clone(b[taken:])) // b is the read buffer, which requests use, too
@@ -133,9 +134,9 @@
 		if had == 0 && c.pings > 0 {
 			c.expireAfter(timeouts.FirstLine) // a further line has begun
 		}
-	case verb == lineproto.Ping && bytes.IndexByte(c.firstLine[n:], '\n') < 0:
+	case verb == lineproto.VerbPing && bytes.IndexByte(c.firstLine[n:], '\n') < 0:
 		c.answerPing(n)
-	case verb == lineproto.OpenLine && n == had+len(b):
+	case verb == lineproto.VerbOpen && n == had+len(b):
 		c.openRequest(text)
 	default:
 		// This includes what has more bytes behind it: clients and health checkers wait for each answer.
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+
 	"spurspread/decision/keepalive"
 	"spurspread/decision/monotime"
 	"spurspread/decision/overload"
@@ -193,8 +194,8 @@
 
 // isOpenLine reports whether a channel's data may be a first line: one line, without its end, that opens a request.
 func isOpenLine(text []byte) bool {
-	return len(text) <= lineproto.Max-len(lineEnd) && !bytes.ContainsAny(text, lineEnd) &&
-		lineproto.ParseVerb(text) == lineproto.OpenLine
+	return len(text) <= lineproto.MaxLine-len(lineEnd) && !bytes.ContainsAny(text, lineEnd) &&
+		lineproto.ParseVerb(text) == lineproto.VerbOpen
 }
 
 // downstreamChannel is a channel of a client's multiplexed connection, which carries one request.
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"io"
+	"strings"
+	"testing"
+	"time"
+
 	"spurspread/decision"
 	"spurspread/decision/outcome"
 	"spurspread/decision/overload"
 	"spurspread/decision/requestids"
 	"spurspread/internal/lineproto"
-	"strings"
-	"testing"
-	"time"
 )
 
 // A client that does not wait for its answer is told so and never served: what it sends would be taken for lines of a
@@ -129,7 +130,7 @@
 	g := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
 		"\r\n", "\n", "OPEN\r\n", "OPEN a b c=nobody,d=5\r\n", "OPEN a b d=5\r\n", "OPEN a b c=sync\n",
-		"GET / HTTP/1.1\r\n", "\x00\x01\r\n", strings.Repeat("x", lineproto.Max),
+		"GET / HTTP/1.1\r\n", "\x00\x01\r\n", strings.Repeat("x", lineproto.MaxLine),
 	} {
 		client := g.client(bad)
 		client.want("ERR\r\n")
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"slices"
+
 	"spurspread/decision"
 	"spurspread/decision/messagedelay"
 	"spurspread/decision/monotime"
@@ -55,7 +56,7 @@
 	r.firstLine = nil
 	if r.resumable == nil {
 		r.open.Class = nil
-		r.open.At = nil
+		r.open.HeldBy = nil
 	}
 }
 
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -7,14 +7,15 @@
 	"io"
 	"net"
 	"net/netip"
-	"spurspread/decision"
-	"spurspread/internal/eventloop"
-	"spurspread/internal/settings"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"spurspread/decision"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/settings"
 )
 
 // patience bounds every wait of these tests; no test relies on its passing.
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/list"
+
 	"spurspread/decision/overload"
 )
 
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -4,10 +4,11 @@
 	"fmt"
 	"net"
 	"path/filepath"
-	"spurspread/decision/lifecycle"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/decision/lifecycle"
 )
 
 // adminCall makes a command of the admin listener on the loop and returns its answer.
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -1,11 +1,12 @@
 package proxy
 
 import (
-	"spurspread/decision"
-	"spurspread/decision/monotime"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/decision"
+	"spurspread/decision/monotime"
 )
 
 // A server that tells how long messages take says so with LOAD lines. Read as a connection's load, which the decision
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+
 	"spurspread/internal/lineproto"
 )
 
@@ -25,7 +26,7 @@
 	}
 	end := bytes.LastIndexByte(b, '\n') + 1
 	rest := b[end:]
-	if len(rest) > lineproto.Max {
+	if len(rest) > lineproto.MaxLine {
 		l.passThrough = true
 		return b, false
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"spurspread/decision/overload"
 	"spurspread/decision/timeouts"
 	"spurspread/internal/eventloop"
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -42,7 +42,7 @@
 	if r.state != stateEstablished {
 		return
 	}
-	if r.fromServer.Between() {
+	if r.fromServer.AtLineStart() {
 		r.proxy.stats.moved++
 		r.downstream.sendMove(r.appendToken(nil))
 		r.finish(status)
@@ -64,7 +64,7 @@
 func (r *request) continuesOnAnotherServer() bool {
 	return r.state == stateEstablished && attemptoutcome.ContinuesOnAnotherServer(attemptoutcome.Stream{
 		Numbered:       r.resumable.canContinue(),
-		AtLineBoundary: r.fromServer.Between(),
+		AtLineBoundary: r.fromServer.AtLineStart(),
 		LastReported:   r.endStatus,
 	})
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -3,12 +3,13 @@
 import (
 	"fmt"
 	"io"
-	"spurspread/decision"
-	"spurspread/decision/monotime"
-	"spurspread/decision/outcome"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/decision"
+	"spurspread/decision/monotime"
+	"spurspread/decision/outcome"
 )
 
 // These tests make events meet in one order every time: what a peer does inside inLoop happens while the loop
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+
 	"spurspread/decision"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
@@ -44,7 +45,7 @@
 
 // connectTimedOut ends the probe, unless it is connected: then its server has some time to answer.
 func (h *healthProbe) connectTimedOut() {
-	h.conn.DrainEvents() // its success may be waiting in this very turn
+	h.conn.CheckConnected() // its success may be waiting in this very turn
 	if h.ended {
 		return
 	}
@@ -127,7 +128,7 @@
 		if i >= len(report.Values) {
 			break
 		}
-		value, ok := lineproto.Field(text, name)
+		value, ok := lineproto.NumberField(text, name)
 		if !ok {
 			return decision.LoadReport{}
 		}
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -1,9 +1,10 @@
 package proxy
 
 import (
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/outcome"
-	"testing"
 )
 
 // Each probe brings one result.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -3,15 +3,16 @@
 import (
 	"net/netip"
 	"reflect"
+	"strings"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision"
 	"spurspread/decision/lifecycle"
 	"spurspread/decision/overload"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
 	"spurspread/internal/settings"
-	"strings"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Config is what a Proxy is started with. Reload takes a new one, of which Listen, Seed, CachedList and SaveList have
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -1,11 +1,12 @@
 package proxy
 
 import (
-	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"strconv"
 	"strings"
 	"testing"
+
+	"spurspread/decision"
+	"spurspread/decision/outcome"
 )
 
 // The first line goes on byte for byte but for d, and all that follows goes both ways unchanged.
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"net"
 	"net/netip"
-	"spurspread/internal/discovery"
-	"spurspread/internal/settings"
 	"strings"
 	"testing"
 	"time"
+
+	"spurspread/internal/discovery"
+	"spurspread/internal/settings"
 )
 
 // agent is the one that lists are pushed to, on the balancer's own machine.
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -21,7 +21,7 @@
 	if r.state != stateReattaching || r.attempt != nil {
 		return
 	}
-	server := r.proxy.servers.list.ByID(r.open.At)
+	server := r.proxy.servers.list.ByID(r.open.HeldBy)
 	if server == nil {
 		return
 	}
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"strings"
 	"testing"
+
+	"spurspread/decision"
+	"spurspread/decision/outcome"
 )
 
 // A change of the server list while a connection came up counts before the first line goes out on it.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -94,7 +94,7 @@
 	if !r.presentToken() {
 		return
 	}
-	if len(r.open.At) > 0 {
+	if len(r.open.HeldBy) > 0 {
 		r.startReattaching()
 	} else {
 		r.place()
@@ -115,7 +115,7 @@
 
 // announcedDeadline is how long the client says it waits.
 func (r *request) announcedDeadline() monotime.Micros {
-	return monotime.Micros(r.open.Millis) * monotime.Millisecond
+	return monotime.Micros(r.open.DeadlineMillis) * monotime.Millisecond
 }
 
 // event is the request as the decision core sees it.
@@ -128,8 +128,8 @@
 		Class:       indexOr(names, r.classNames[r.class], len(names)),
 		Key:         r.open.Key,
 		Group:       r.open.Group,
-		LoadHint:    r.open.Hint,
-		HasLoadHint: r.open.HasHint,
+		LoadHint:    r.open.LoadHint,
+		HasLoadHint: r.open.HasLoadHint,
 		Retry:       r.open.Retry,
 		Reconnected: r.open.Returned,
 	}
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"slices"
-	"spurspread/internal/eventloop"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"spurspread/internal/eventloop"
 )
 
 // A request set has what was put in and not taken out again, each once, and knows where.
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -3,6 +3,9 @@
 import (
 	"errors"
 	"math/rand/v2"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/drainorder"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
@@ -11,8 +14,6 @@
 	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
 	"spurspread/internal/token"
-
-	"github.com/sirupsen/logrus"
 )
 
 // streamIDSequence sets the random sequence of stream ids apart from others with the same seed.
--- a/internal/proxy/resume_keys_test.go
+++ b/internal/proxy/resume_keys_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"strings"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/lineproto"
 	"spurspread/internal/token"
-	"strings"
-	"testing"
 )
 
 // A drain that is cancelled moves nobody any more.
@@ -117,8 +118,8 @@
 func TestMessageTooLong(t *testing.T) {
 	g := newResumeHarness(t, nil)
 	client, server := g.establishResumable()
-	server.say(strings.Repeat("x", lineproto.Max+10))
-	if _, err := client.rd.Peek(lineproto.Max); err != nil {
+	server.say(strings.Repeat("x", lineproto.MaxLine+10))
+	if _, err := client.rd.Peek(lineproto.MaxLine); err != nil {
 		t.Fatal(err)
 	}
 	g.check(server.SetLinger(0))
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -35,7 +35,7 @@
 	if !x.canContinue() {
 		return
 	}
-	if n, ok := lineproto.Number(start); ok {
+	if n, ok := lineproto.MessageNumber(start); ok {
 		x.lastMessage = n
 	}
 }
@@ -43,14 +43,14 @@
 // presentToken handles what the first line says of tokens. It returns false if the client has been answered.
 func (r *request) presentToken() bool {
 	s := &r.proxy.resumption
-	if s.cfg == nil || len(r.open.Tok) == 0 {
+	if s.cfg == nil || len(r.open.Token) == 0 {
 		return true
 	}
 	cursor, cursorOK := uint64(0), true
-	if len(r.open.Cur) > 0 {
-		cursor, cursorOK = lineproto.Cursor(r.open.Cur)
+	if len(r.open.Cursor) > 0 {
+		cursor, cursorOK = lineproto.ParseCursor(r.open.Cursor)
 	}
-	if string(r.open.Tok) == firstTokenWord {
+	if string(r.open.Token) == firstTokenWord {
 		if !cursorOK {
 			r.fail()
 			return false
@@ -59,9 +59,9 @@
 		return true
 	}
 	why := resume.Malformed
-	if cursorOK && len(r.open.Cur) > 0 && len(r.open.At) == 0 {
+	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.HeldBy) == 0 {
 		// The seal comes first: a claim costs memory.
-		why = s.openToken(r.open.Tok)
+		why = s.openToken(r.open.Token)
 	}
 	if why != resume.Accepted {
 		r.rejectToken(s.tokens.Reject(why))
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -1,13 +1,14 @@
 package proxy
 
 import (
+	"strings"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/lineproto"
 	"spurspread/internal/token"
-	"strings"
-	"testing"
 )
 
 func keyOf(b byte) (k [32]byte) {
--- a/internal/proxy/scale_bench_test.go
+++ b/internal/proxy/scale_bench_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/messagedelay"
 	"spurspread/decision/monotime"
 	"spurspread/internal/discovery"
 	"spurspread/internal/eventloop"
-	"testing"
-
-	"github.com/sirupsen/logrus"
 )
 
 // benchSizes are the numbers of established connections over which a cost is looked at.
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -3,12 +3,13 @@
 import (
 	"fmt"
 	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
 	"spurspread/decision"
 	"spurspread/decision/monotime"
 	"spurspread/decision/timeouts"
 	"spurspread/internal/discovery"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 const (
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"net/netip"
-	"spurspread/internal/discovery"
 	"strings"
 	"testing"
+
+	"spurspread/internal/discovery"
 )
 
 // A changed server list is saved once for changes that come together, whole, without what is gone, and under the
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -1,10 +1,10 @@
 package proxy
 
 import (
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/monotime"
 	"spurspread/internal/logging"
-
-	"github.com/sirupsen/logrus"
 )
 
 // statsInterval is how often statistics are logged.
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"io"
+	"strings"
+	"testing"
+
 	"spurspread/decision"
 	"spurspread/decision/lifecycle"
 	"spurspread/decision/outcome"
 	"spurspread/decision/overload"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/settings"
-	"strings"
-	"testing"
 )
 
 // A planned stop rejects what is new, moves what is established, and ends the loop.
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -1,14 +1,14 @@
 package proxy
 
 import (
+	"golang.org/x/sys/unix"
+
 	"spurspread/decision/hotrestart"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/logging"
 	"spurspread/internal/restartproto"
-
-	"golang.org/x/sys/unix"
 )
 
 // transferSender transfers established connections to the successor of a hot restart, as the plan decides. A connection
@@ -69,7 +69,7 @@
 	id := uint32(r.ref)
 	client, server, own := r.sockets()
 	if !t.plan.Offer(id, hotrestart.ConnectionState{
-		AtLineBoundary:  r.fromClient.Between() && r.fromServer.Between(),
+		AtLineBoundary:  r.fromClient.AtLineStart() && r.fromServer.AtLineStart(),
 		OwnsSockets:     own,
 		NothingBuffered: r.nothingBuffered(),
 		PinnedToProcess: r.moving || r.resumable != nil,
@@ -118,8 +118,8 @@
 		Key:            r.open.Key,
 		Group:          r.open.Group,
 		Class:          r.classNames[r.class],
-		Hint:           r.open.Hint,
-		HasHint:        r.open.HasHint,
+		Hint:           r.open.LoadHint,
+		HasHint:        r.open.HasLoadHint,
 		Retry:          r.open.Retry,
 		Returned:       r.open.Returned,
 		Server:         r.attempt.server.ID,
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"golang.org/x/sys/unix"
+
 	"spurspread/decision"
 	"spurspread/decision/hotrestart"
 	"spurspread/decision/monotime"
@@ -8,8 +10,6 @@
 	"spurspread/internal/eventloop"
 	"spurspread/internal/lineproto"
 	"spurspread/internal/restartproto"
-
-	"golang.org/x/sys/unix"
 )
 
 // transferReceiver accepts connections that an older process transfers to this one.
@@ -96,13 +96,13 @@
 		state:      stateEstablished,
 		coreKnows:  true,
 		open: lineproto.Open{
-			ID:       offer.ID,
-			Key:      offer.Key,
-			Group:    offer.Group,
-			Hint:     offer.Hint,
-			HasHint:  offer.HasHint,
-			Retry:    offer.Retry,
-			Returned: offer.Returned,
+			ID:          offer.ID,
+			Key:         offer.Key,
+			Group:       offer.Group,
+			LoadHint:    offer.Hint,
+			HasLoadHint: offer.HasHint,
+			Retry:       offer.Retry,
+			Returned:    offer.Returned,
 		},
 		idTaken:    true,
 		class:      0,
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -4,16 +4,17 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"sync"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
 	"spurspread/decision"
 	"spurspread/decision/lifecycle"
 	"spurspread/decision/monotime"
 	"spurspread/decision/outcome"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/restartproto"
-	"sync"
-	"testing"
-
-	"golang.org/x/sys/unix"
 )
 
 // successor is a second proxy with the same list of servers, which takes established connections at the path.
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+
 	"spurspread/decision/attemptoutcome"
 	"spurspread/decision/outcome"
 	"spurspread/internal/discovery"
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+
 	"spurspread/decision/outcome"
 	"spurspread/decision/timeouts"
 	"spurspread/decision/upstreampool"
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+
 	"spurspread/decision/attemptoutcome"
 	"spurspread/decision/keepalive"
 	"spurspread/decision/monotime"
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"slices"
+
 	"spurspread/decision"
 )
 
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"math"
 	"slices"
-	"spurspread/decision"
 	"strconv"
 	"strings"
+
+	"spurspread/decision"
 )
 
 const (
--- a/internal/settings/range_test.go
+++ b/internal/settings/range_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"slices"
-	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"strings"
 	"testing"
+
+	"spurspread/decision"
+	"spurspread/decision/outcome"
 )
 
 // everyKey holds each key that is read, with a value that some deployment has.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"spurspread/decision"
 	"strconv"
 	"strings"
 
 	"github.com/tidwall/gjson"
+
+	"spurspread/decision"
 )
 
 const (
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"reflect"
-	"spurspread/decision"
 	"strings"
 	"testing"
+
+	"spurspread/decision"
 )
 
 const minimal = `balancers=2
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"spurspread/decision"
 	"spurspread/decision/outcome"
 )
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"math"
+
 	"spurspread/decision"
 )
 
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+
 	"spurspread/decision"
 )
 
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"math"
+
 	"spurspread/decision"
 )
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -9,10 +9,11 @@
 	"math"
 	"reflect"
 	"runtime"
-	"spurspread/decision"
-	"spurspread/decision/outcome"
 	"strings"
 	"testing"
+
+	"spurspread/decision"
+	"spurspread/decision/outcome"
 )
 
 var le = binary.LittleEndian
--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -9,6 +9,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+
 	"spurspread/internal/xmlconfig"
 )
 
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -8,9 +8,10 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"spurspread/internal/xmlconfig"
 	"strings"
 	"testing"
+
+	"spurspread/internal/xmlconfig"
 )
 
 const schemaFile = "../../deploy/spurspread.xsd"
