--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -39,7 +39,8 @@
 	member *peer.Config     // nil where membership is off
 }
 
-// limits are what the process may use, and what the platform calls it. A limit of 0 is none.
+// limits are what the process may use, and what the platform calls it. 0 is no limit; a memory limit that is taken
+// out of the configuration stays in force until the process restarts.
 type limits struct {
 	cores     float64
 	memoryMB  int64
--- a/cmd/spurspread/serverlistwriter.go
+++ b/cmd/spurspread/serverlistwriter.go
@@ -56,8 +56,8 @@
 	w.pending <- list
 }
 
-// close writes the pending list, ends the goroutine and removes the file, unless another process has replaced it: a
-// process that is started later must not use it.
+// close writes the pending list, ends the goroutine, waits for it (a write to TMPDIR is short) and removes the
+// file, unless another process has replaced it: a process that is started later must not use it.
 func (w *serverListWriter) close() {
 	close(w.pending)
 	w.done.Wait()
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -35,9 +35,10 @@
 	b.startAttempt(now, r, s)
 }
 
-// setupAllowed reports whether one more connection may be set up now. It compares the attempts under way at all servers
-// with the concurrency limit: more at once would take so long that they are retried while they are still worked on.
-// There is no limit in passthrough mode, where a set-up costs nothing.
+// setupAllowed reports whether one more connection may be set up now. It compares the attempts under way at all
+// servers, and the connections that are being closed, with the concurrency limit: more at once would take so long
+// that they are retried while they are still worked on. There is no limit in passthrough mode, where a set-up costs
+// nothing.
 func (b *Balancer) setupAllowed() bool {
 	if b.settings.Passthrough {
 		return true
@@ -49,9 +50,9 @@
 	return b.setups.Allows(underWay)
 }
 
-// rejectSetup reports whether a set-up is not started although a server was found. The probability, 0 to 1, grows
-// with the part of recent set-ups that failed: without it, retrying clients keep an overload alive that they cannot
-// get past.
+// rejectSetup decides whether a set-up is not started although a server was found, and if so counts it as shed. The
+// probability, 0 to 1, grows with the part of recent set-ups that failed: without it, retrying clients keep an
+// overload alive that they cannot get past.
 func (b *Balancer) rejectSetup() bool {
 	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare) {
 		return false
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -13,12 +13,13 @@
 	// tickInterval is the mean time between two ticks, which do the periodic work: polls, validations, moves.
 	tickInterval = 250 * ms
 
-	// A delay around d is drawn from minAround quarters of d, over a range of d / aroundRange.
+	// A delay around d is drawn evenly from 3/4 to 5/4 of d: from minAround quarters on, over a range of d /
+	// aroundRange.
 	quarters    = 4
 	minAround   = 3
 	aroundRange = 2
 
-	// rngStream selects the stream of the random source; the seed comes from the caller.
+	// rngStream selects the stream of the random source, a constant of no meaning; the seed comes from the caller.
 	rngStream = 0x726f62696e6c7567
 )
 
--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -127,7 +127,8 @@
 func (l *Limiter) SetupLatency() float64 { return l.setupLatency }
 
 // FailuresShared decides that set-ups fail for a reason that all servers share: their failure rate is above
-// sharedFailureRate. No server is demoted for such failures, and no set-up is retried, as retries would prolong them.
+// sharedFailureRate. The core demotes no server for error responses and time-outs then (failed connects and repeated
+// resets still demote), and retries no set-up, as retries would prolong the failures.
 func (l *Limiter) FailuresShared() bool { return l.failureRate > sharedFailureRate }
 
 // Allows decides whether one more set-up may be started while so many are in flight.
--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -16,7 +16,7 @@
 	FirstMoveDelay = 50 * monotime.Millisecond
 	// FinalAnswerDelay is how long after the last move all that is left is answered or moved.
 	FinalAnswerDelay = 200 * monotime.Millisecond
-	// overtime is how long the process may go on beyond the drain's duration; it is killed 0.7 s beyond it.
+	// overtime is how long the process may go on beyond the drain's duration; the platform kills it 0.7 s beyond it.
 	overtime = 450 * monotime.Millisecond
 	// MoveLineTimeout is how long a move may wait for a line that is under way to end. After that the connection is
 	// aborted: MOVE can't be sent in the middle of a line.
--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -51,9 +51,9 @@
 // ExpectReturn counts a client that may reconnect, as a server ended its connection.
 func (e *Estimate) ExpectReturn() { e.expectedReturns++ }
 
-// TakeReturn decides what the connection of a client that connects now costs, in tokens of slow start: returnPrice
-// while the fleet is reduced and returns are expected, of which it takes one, else 1. Servers that are left in a
-// reduced fleet are loaded more than usual, and so take what returns more slowly.
+// TakeReturn decides what the connection of a client that connects now costs, in tokens of a warm server's bucket:
+// returnPrice while the fleet is reduced and returns are expected, of which it takes one, else 1. Servers that are
+// left in a reduced fleet are loaded more than usual, and so take what returns more slowly.
 func (e *Estimate) TakeReturn() float64 {
 	if !e.Reduced() || e.expectedReturns < 1 {
 		return 1
--- a/decision/health.go
+++ b/decision/health.go
@@ -11,11 +11,13 @@
 // healthState is what a balancer knows of a server's health, from its own attempts, probes and metrics.
 //
 //	Unknown    newly listed or restarted; selected like Connected
-//	Connected  an attempt or a probe has succeeded, and none has failed since
+//	Connected  an attempt or a probe has succeeded, or a slow server reports no latency any more
 //	Pending    being validated (recoverServer); selected after the first two for pendingTimeout, then like them
 //	Unhealthy  demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
 //
-// A success makes any state Connected; a failure makes any state Unhealthy.
+// Any established attempt, and any latency report that is in time, makes a state Connected. Which outcomes make it
+// Unhealthy, and which do not (a full server, a first reset, failures that all servers share), is updateHealth's rule.
+// Where nothing validates a Pending server, it ranks with the healthy ones after pendingTimeout all the same.
 type healthState uint8
 
 // The four states.
--- a/decision/hotrestart/predecessor.go
+++ b/decision/hotrestart/predecessor.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// MaxPendingOffers is how many offers may be unanswered. Each has its two descriptors in both processes, and both
-	// together have the descriptors of one balancer: 64 are an eighth of the fewest that a machine may have.
+	// MaxPendingOffers is how many offers may be unanswered. Each holds two descriptors in both processes, which
+	// share the limit of one balancer (at least 512): 64 are an eighth of that.
 	MaxPendingOffers = 32
 	// OfferPeriod is for how long connections are offered. A line that is being transmitted ends sooner, and what can't
 	// be transferred by then still has most of the longest deadline left to be moved in.
--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -42,7 +42,7 @@
 	case 0:
 		return false
 	case 1:
-		return silence > isolationTimeout && silence < MaxSuspicionTimeout
+		return silence > isolationTimeout && silence < PairSuspicionTimeout
 	}
 	return silence > isolationTimeout
 }
--- a/decision/membership/config.go
+++ b/decision/membership/config.go
@@ -16,14 +16,15 @@
 	ProbeInterval = 250 * monotime.Millisecond
 	// TickInterval is how often Tick is to be called: the resolution of all timeouts here.
 	TickInterval = 50 * monotime.Millisecond
-	// MinSuspicionTimeout is how long a member is suspected at least before it is declared dead. A longer one
-	// tolerates longer pauses and finds a crash later. With probeTimeout before it, a member that was paused for 2 s
-	// has half a second left to refute the suspicion, and a crash is known to all within some 3 s.
+	// MinSuspicionTimeout is how long a suspicion lasts before a member is declared dead, counted from suspicionStart,
+	// which may lie up to maxSuspicionBackdate before the observer's change to Suspect: from that change on it takes 1
+	// to 2 s. A longer one tolerates longer pauses and finds a crash later. With probeTimeout before it, a member that
+	// was paused for 2 s has half a second left to refute the suspicion, and a crash is known to all within some 3 s.
 	MinSuspicionTimeout = 2 * monotime.Second
-	// MaxSuspicionTimeout is how long one of two members waits for the other before it takes the other for dead
-	// and not itself for isolated.
-	MaxSuspicionTimeout = 6 * monotime.Second
-	// MaxUpdates bounds the updates in one message: a datagram stays within 1,200 bytes.
+	// PairSuspicionTimeout is how long one of only two members waits for the other before it takes the other for dead
+	// rather than itself for isolated. It is no upper bound of the suspicion timer, as Lifeguard has one.
+	PairSuspicionTimeout = 6 * monotime.Second
+	// MaxUpdates bounds the updates in one message, of some 30 bytes each: a datagram stays within 1,200 bytes.
 	MaxUpdates = 32
 	// SyncBuckets is how many parts of a view are compared by their sums. More of them need a longer SyncSums and
 	// fewer entries in answer to it.
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -7,10 +7,10 @@
 	"spurspread/decision/monotime"
 )
 
-// How a member comes to be dead: a probe of it fails (see probeFailsAfter), and the observer reports that, unless it
-// is Unhealthy. Once the observer has requiredReports, its own among them, it suspects the member and disseminates
-// that. The member can refute it for MinSuspicionTimeout. Then each observer whose own probes have failed declares it
-// dead and disseminates that; all others take it from these.
+// How a member comes to be dead: a probe of it fails (see probeFailsAfter), and the observer reports that, unless
+// it is Unhealthy. Once the observer has requiredReports, its own among them, it suspects the member and
+// disseminates that. The member can refute it until MinSuspicionTimeout after suspicionStart. Then each observer
+// whose own probes have failed declares it dead and disseminates that; all others take it from these.
 
 const (
 	// maxRequiredReports is how many members must have failed to reach one before it is suspected, where that many
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -46,7 +46,8 @@
 }
 
 // PendingLimit is how many bytes are kept for one slow reader. memory is the process's limit in bytes, 0 where not
-// known. It lies between 2 and 32 KiB, so that all readers may be slow at once.
+// known. It is an equal part of an eighth of the memory, between 2 and 32 KiB; the lower bound, and the one read that
+// may follow below the limit, can exceed the eighth while very many readers are slow at once.
 func PendingLimit(memory int64, slowReaders int) int {
 	if memory <= 0 || slowReaders <= 0 {
 		return MaxPendingBytes
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -94,8 +94,9 @@
 }
 
 // mayReceive reports whether s can take r now: it is not paused, not the server that was tried last, has spare
-// capacity, a slow-start grant if it is warming up (warmup below 1), and where servers report loads, utilization
-// left for the request's load at its class's priority.
+// capacity, a slow-start grant if it is warming up (warmup below 1; a request without admission cost, see
+// moveTarget, never gets one), and where servers report loads, utilization left for the request's load at its
+// class's priority.
 func (b *Balancer) mayReceive(now Micros, r *request, s *server, warmup float64) bool {
 	if now < s.pausedUntil || s.wasLastTriedBy(r) || !b.hasSpareCapacity(now, s, r.admissionCost) {
 		return false
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -154,8 +154,8 @@
 }
 
 // moveTarget selects the server that a resumable client is sent to: the same, if that is allowed, Ready and in
-// time, else the one that a new request would get. It is nil where there is none, or where the client cannot be
-// sent to one.
+// time, else one that is selected as for a new request, but at no admission cost: tokens do not matter, and servers
+// that are warming up are left out. It is nil where there is none, or where the client cannot be sent to one.
 func (b *Balancer) moveTarget(now Micros, r *request, sameServerAllowed bool) *server {
 	if !r.resumable {
 		return nil
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -84,7 +84,8 @@
 	// MaxAttempts bounds the attempts of one request, at least 1. More attempts mask more failures and add more load
 	// while servers fail.
 	MaxAttempts int
-	// MaxHeldRequests bounds the requests that have not ended; default unlimited. The caller enforces it.
+	// MaxHeldRequests bounds the requests that have not ended, whether they wait, connect or are established; default
+	// unlimited. The caller enforces it.
 	MaxHeldRequests int
 	AllowProbes     bool // ProbeServer may be emitted; without it Unhealthy servers are validated by requests
 	AllowCancel     bool // CancelAttempt may be emitted
--- a/decision/slowstart/budget.go
+++ b/decision/slowstart/budget.go
@@ -7,9 +7,10 @@
 	// WarmUpRate is how many connections a second a server takes once warm, as the basis of its budget while it
 	// warms up.
 	WarmUpRate = 3.8
-	// Rate is how many connections a second all balancers together send a server that is warm.
+	// Rate is how many connections a second a server that is warm is sent by all balancers together, as far as each
+	// has its equal part; with more than 1/MinFleetShare balancers their parts add up to more.
 	Rate = 10.5
-	// Burst is how many connections all balancers together send a server that is warm at once.
+	// Burst is how many connections they send it at once, under the same condition.
 	Burst = 24.0
 	// MinFleetShare is the part of Rate and Burst that each balancer has at least, however many there are. With less,
 	// one of many could not place the clients that reconnect to it.
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -18,7 +18,7 @@
 
 // Counters of connections and requests.
 const (
-	Accepted       = "accepted"        // requests received
+	Accepted       = "accepted"        // requests with a valid first line, rejected ones included
 	Established    = "established"     // connections that were established with a server
 	Rejected       = "rejected"        // requests rejected
 	Failed         = "failed"          // requests answered with a failure
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -12,7 +12,7 @@
 
 // counters count since the process started.
 type counters struct {
-	accepted        int // first lines that were accepted
+	accepted        int // valid first lines, those of rejected requests included
 	established     int // connections that were established
 	rejected        int // requests that were rejected
 	failed          int // requests that failed
--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -60,18 +60,18 @@
 			primaries++
 		}
 		if key.IsPrimary() && primaries > 1 {
-			file.Fault(&key.Use, `write use="accept" for all but one`, "a second key mints")
+			file.AddError(&key.Use, `write use="accept" for all but one`, "a second key mints")
 		}
 		if !key.load(file) {
 			continue
 		}
 		if other, duplicate := seen[key.Secret]; duplicate {
-			file.Fault(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q", other)
+			file.AddError(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q", other)
 		}
 		seen[key.Secret] = key.ID
 	}
 	if primaries == 0 {
-		file.Fault(k, `write use="mint" for one of them`, "no key mints")
+		file.AddError(k, `write use="mint" for one of them`, "no key mints")
 	}
 }
 
@@ -87,16 +87,16 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		file.Fault(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+		file.AddError(&k.File, makeKey, "can't be read: %v", withoutPath(err))
 		return false
 	}
 	text = bytes.TrimSpace(text)
 	if len(text) != secretDigits {
-		file.Fault(&k.File, makeKey, "has %d characters and not %d hexadecimal digits", len(text), secretDigits)
+		file.AddError(&k.File, makeKey, "has %d characters and not %d hexadecimal digits", len(text), secretDigits)
 		return false
 	}
 	if _, err := hex.Decode(k.Secret[:], text); err != nil {
-		file.Fault(&k.File, makeKey, "holds something else than hexadecimal digits")
+		file.AddError(&k.File, makeKey, "holds something else than hexadecimal digits")
 		return false
 	}
 	return true
@@ -107,14 +107,14 @@
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		file.Fault(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+		file.AddError(&k.File, makeKey, "can't be read: %v", withoutPath(err))
 	case !info.Mode().IsRegular():
-		file.Fault(&k.File, makeKey, "%s is no plain file", k.File)
+		file.AddError(&k.File, makeKey, "%s is no plain file", k.File)
 	case info.Mode().Perm()&permissionsOther != 0:
 		fix := "chmod 600 " + string(k.File)
-		file.Fault(&k.File, fix, "others may read it or write it (mode %04o)", info.Mode().Perm())
+		file.AddError(&k.File, fix, "others may read it or write it (mode %04o)", info.Mode().Perm())
 	case info.Size() > maxKeyFileSize:
-		file.Fault(&k.File, makeKey, "has %d bytes and not %d hexadecimal digits", info.Size(), secretDigits)
+		file.AddError(&k.File, makeKey, "has %d bytes and not %d hexadecimal digits", info.Size(), secretDigits)
 	default:
 		return true
 	}
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -61,7 +61,7 @@
 // Check rejects a region without a zone.
 func (f *Membership) Check(file *xmlconfig.File) {
 	if f.Region != "" && f.Zone == "" {
-		file.Fault(&f.Region, `add zone="..." beside it, or remove the region`, "a region without a zone")
+		file.AddError(&f.Region, `add zone="..." beside it, or remove the region`, "a region without a zone")
 	}
 }
 
--- a/internal/xmlconfig/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -35,7 +35,7 @@
 // parse reads the text into nodes. What is no well-formed XML ends it; all else is noted and read on.
 func (f *File) parse(text []byte, d Document) *node {
 	if len(text) > maxBytes {
-		f.fault(place{line: 1}, "split it", "the file has %d bytes, over %d", len(text), maxBytes)
+		f.addError(place{line: 1}, "split it", "the file has %d bytes, over %d", len(text), maxBytes)
 		return nil
 	}
 	dec := xml.NewDecoder(bytes.NewReader(text))
@@ -55,8 +55,8 @@
 			return nil
 		}
 	}
-	if t.root == nil && len(f.faults) == 0 {
-		f.fault(
+	if t.root == nil && len(f.errors) == 0 {
+		f.addError(
 			place{line: 1},
 			fmt.Sprintf("begin with <%s xmlns=%q>", d.Root, d.Namespace),
 			"the file holds no element",
@@ -75,11 +75,11 @@
 	case xml.CharData:
 		t.chars(tok, line)
 	case xml.Directive:
-		t.f.fault(place{line: line}, "remove it", "a document type is not read")
+		t.f.addError(place{line: line}, "remove it", "a document type is not read")
 		return false
 	case xml.ProcInst:
 		if tok.Target != "xml" {
-			t.f.fault(place{line: line}, "remove it", "the instruction <?%s?> is not read", tok.Target)
+			t.f.addError(place{line: line}, "remove it", "the instruction <?%s?> is not read", tok.Target)
 		}
 	}
 	return true
@@ -88,7 +88,7 @@
 // begin adds an element to the one that it stands in. It returns false where nothing more is to be read.
 func (t *tree) begin(tok xml.StartElement, raw []byte, line int) bool {
 	if t.count++; t.count > maxElements || len(t.open) >= maxDepth {
-		t.f.fault(
+		t.f.addError(
 			place{line, tok.Name.Local},
 			"make it smaller",
 			"over %d elements, or %d inside each other",
@@ -100,7 +100,7 @@
 	n := &node{name: tok.Name.Local, line: line}
 	n.attrs = t.f.located(tok, raw, line)
 	if tok.Name.Space != t.d.Namespace {
-		t.f.fault(place{line, n.name}, fmt.Sprintf("put xmlns=%q on the root element", t.d.Namespace),
+		t.f.addError(place{line, n.name}, fmt.Sprintf("put xmlns=%q on the root element", t.d.Namespace),
 			"the element is not of this kind of file")
 		if t.root == nil {
 			return false
@@ -113,7 +113,7 @@
 	case t.root == nil && n.name == t.d.Root:
 		t.root = n
 	default:
-		t.f.fault(
+		t.f.addError(
 			place{line, n.name},
 			fmt.Sprintf("the root element is <%s>, once", t.d.Root),
 			"not the root element of this kind of file",
@@ -136,16 +136,16 @@
 	if len(t.open) > 0 {
 		where = t.open[len(t.open)-1].name
 	}
-	t.f.fault(place{line + skipped, where}, "put values into attributes", "text %q between elements", short(rest))
+	t.f.addError(place{line + skipped, where}, "put values into attributes", "text %q between elements", short(rest))
 }
 
 func (f *File) syntax(err error, line int) {
 	var bad *xml.SyntaxError
 	if errors.As(err, &bad) {
-		f.fault(place{line: bad.Line}, "correct the markup", "not well-formed XML: %s", bad.Msg)
+		f.addError(place{line: bad.Line}, "correct the markup", "not well-formed XML: %s", bad.Msg)
 		return
 	}
-	f.fault(place{line: line}, "save it as UTF-8", "not readable: %v", err)
+	f.addError(place{line: line}, "save it as UTF-8", "not readable: %v", err)
 }
 
 func short(b []byte) string {
@@ -169,7 +169,7 @@
 			at = lines[i]
 		}
 		if a.Name.Space != "" {
-			f.fault(
+			f.addError(
 				place{at, tok.Name.Local + "@" + a.Name.Local},
 				"remove it",
 				"attributes of other namespaces are not read",
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -29,10 +29,11 @@
 
 // Bounds of a file; one that is larger is refused before it costs memory or time.
 const (
-	maxBytes    = 8 << 20
-	maxDepth    = 16
-	maxElements = 200_000
-	maxFaults   = 100
+	maxBytes       = 8 << 20
+	maxDepth       = 16
+	maxElements    = 200_000
+	maxErrors      = 100
+	maxSuggestions = 8 // names that an error about a reference suggests
 )
 
 // FieldError is one error in a file.
@@ -66,13 +67,13 @@
 }
 
 // Checker is a struct with rules of its own, beyond what tags can say. Check is called once the whole file is read,
-// for inner elements first, and reports errors with File.Fault.
+// for inner elements first, and reports errors with File.AddError.
 type Checker interface{ Check(f *File) }
 
-// File is one file under reading.
+// File is one file that is being read.
 type File struct {
 	Name   string
-	faults FieldErrors
+	errors FieldErrors
 	at     map[any]place // by the address of the field or struct that was filled
 	keys   map[string]map[string]int
 	refs   []reference
@@ -107,33 +108,33 @@
 type Document struct{ Root, Namespace string }
 
 // Read fills to, a pointer to a struct with zero values, from text. The error is of type FieldErrors and holds all
-// that is wrong; to is then of no use.
+// that is wrong; to is undefined then.
 func Read(name string, text []byte, d Document, to any) error {
 	f := &File{Name: name, at: map[any]place{}, keys: map[string]map[string]int{}}
 	if root := f.parse(text, d); root != nil {
 		f.fill(root, reflect.ValueOf(to).Elem())
 		f.resolve()
-		if len(f.faults) == 0 { // rules build on values that could be read
+		if len(f.errors) == 0 { // rules build on values that could be read
 			for _, c := range f.checks {
 				c.Check(f)
 			}
 		}
 	}
-	if len(f.faults) == 0 {
+	if len(f.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
-	return f.faults
+	slices.SortStableFunc(f.errors, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
+	return f.errors
 }
 
-// Fault notes what is wrong with a field or struct that was filled, given by its address.
-func (f *File) Fault(field any, fix, what string, args ...any) {
-	f.fault(f.at[field], fix, what, args...)
+// AddError notes what is wrong with a field or struct that was filled, given by its address.
+func (f *File) AddError(field any, fix, what string, args ...any) {
+	f.addError(f.at[field], fix, what, args...)
 }
 
-func (f *File) fault(at place, fix, what string, args ...any) {
-	if len(f.faults) < maxFaults {
-		f.faults = append(f.faults, FieldError{f.Name, max(at.line, 1), at.where, fmt.Sprintf(what, args...), fix})
+func (f *File) addError(at place, fix, what string, args ...any) {
+	if len(f.errors) < maxErrors {
+		f.errors = append(f.errors, FieldError{f.Name, max(at.line, 1), at.where, fmt.Sprintf(what, args...), fix})
 	}
 }
 
@@ -147,7 +148,7 @@
 	for _, kid := range n.children {
 		m, ok := shape.child(kid.name)
 		if !ok {
-			f.fault(
+			f.addError(
 				place{kid.line, kid.name},
 				oneOf("remove it, or use", shape.childNames()),
 				"unknown element inside <%s>",
@@ -157,7 +158,7 @@
 		}
 		seen[kid.name]++
 		if !m.repeated && seen[kid.name] > 1 {
-			f.fault(place{kid.line, kid.name}, "keep one of them", "stands twice inside <%s>", n.name)
+			f.addError(place{kid.line, kid.name}, "keep one of them", "stands twice inside <%s>", n.name)
 			continue
 		}
 		f.fill(kid, m.open(v))
@@ -165,7 +166,7 @@
 	for _, m := range shape.children {
 		switch had := seen[m.name]; {
 		case m.required && had == 0, had < m.minCount:
-			f.fault(
+			f.addError(
 				here,
 				fmt.Sprintf("add <%s>", m.name),
 				"has %d of the elements <%s>, at least %d %s needed",
@@ -175,7 +176,7 @@
 				plural(max(m.minCount, 1), "is", "are"),
 			)
 		case m.maxCount > 0 && had > m.maxCount:
-			f.fault(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.maxCount)
+			f.addError(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.maxCount)
 		}
 	}
 	if c, ok := v.Addr().Interface().(Checker); ok {
@@ -204,9 +205,9 @@
 		m, ok := shape.attr(a.name)
 		switch {
 		case !ok:
-			f.fault(at, oneOf("remove it, or use", shape.attrNames()), "unknown attribute")
+			f.addError(at, oneOf("remove it, or use", shape.attrNames()), "unknown attribute")
 		case given[a.name]:
-			f.fault(at, "keep one of them", "stands twice")
+			f.addError(at, "keep one of them", "stands twice")
 		default:
 			f.attribute(at, m, a.value, v.Field(m.index))
 		}
@@ -220,11 +221,11 @@
 		f.at[v.Field(m.index).Addr().Interface()] = at
 		switch {
 		case m.required:
-			f.fault(at, fmt.Sprintf("add %s=%q", m.name, m.sample()), "missing")
+			f.addError(at, fmt.Sprintf("add %s=%q", m.name, m.sample()), "missing")
 		case m.defaultValue != "":
 			if err := m.set(v.Field(m.index), m.defaultValue); err != nil {
 				// a fault of the struct, found by any test of it
-				panic("form: default of " + at.where + ": " + err.Error())
+				panic("xmlconfig: default of " + at.where + ": " + err.Error())
 			}
 		}
 	}
@@ -235,10 +236,10 @@
 	if err := m.set(v, text); err != nil {
 		var bad valueError
 		if errors.As(err, &bad) {
-			f.fault(at, bad.fix, "%s", bad.what)
+			f.addError(at, bad.fix, "%s", bad.what)
 			return
 		}
-		f.fault(at, "write it like "+strconv.Quote(m.sample()), "%q is no %s", text, m.kind())
+		f.addError(at, "write it like "+strconv.Quote(m.sample()), "%q is no %s", text, m.kind())
 		return
 	}
 	if m.key != "" {
@@ -248,7 +249,7 @@
 			f.keys[m.key] = set
 		}
 		if line, had := set[text]; had {
-			f.fault(at, "give it another", "%q is used already, in line %d", text, line)
+			f.addError(at, "give it another", "%q is used already, in line %d", text, line)
 		} else {
 			set[text] = at.line
 		}
@@ -269,9 +270,9 @@
 			slices.Sort(names)
 			fix := "define it"
 			if len(names) > 0 {
-				fix += ", or use one of " + strings.Join(names[:min(len(names), 8)], ", ")
+				fix += ", or use one of " + strings.Join(names[:min(len(names), maxSuggestions)], ", ")
 			}
-			f.fault(r.at, fix, "there is no %q among the %s of this file", r.name, r.set)
+			f.addError(r.at, fix, "there is no %q among the %s of this file", r.name, r.set)
 		}
 	}
 }
@@ -284,7 +285,7 @@
 			continue
 		}
 		if err := m.set(v.Field(m.index), m.defaultValue); err != nil {
-			panic("form: default of " + m.name + ": " + err.Error())
+			panic("xmlconfig: default of " + m.name + ": " + err.Error())
 		}
 	}
 }
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -42,7 +42,7 @@
 
 func (n *Node) Check(f *File) {
 	if n.Peer == n.ID {
-		f.Fault(&n.Peer, "name another", "is its own peer")
+		f.AddError(&n.Peer, "name another", "is its own peer")
 	}
 }
 
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -103,10 +103,10 @@
 func (e *Experiment) Check(f *xmlconfig.File) {
 	for _, s := range e.Steps.Step {
 		if s.Node >= e.Fleet.Nodes {
-			f.Fault(&s.Node, fmt.Sprintf("write 0 to %d", e.Fleet.Nodes-1), "there is no node %d", s.Node)
+			f.AddError(&s.Node, fmt.Sprintf("write 0 to %d", e.Fleet.Nodes-1), "there is no node %d", s.Node)
 		}
 		if s.Balancer >= e.Fleet.Balancers {
-			f.Fault(
+			f.AddError(
 				&s.Balancer,
 				fmt.Sprintf("write 0 to %d", e.Fleet.Balancers-1),
 				"there is no balancer %d",
@@ -115,7 +115,7 @@
 		}
 	}
 	if e.Load.Node >= e.Fleet.Nodes {
-		f.Fault(&e.Load.Node, fmt.Sprintf("write 0 to %d", e.Fleet.Nodes-1), "there is no node %d", e.Load.Node)
+		f.AddError(&e.Load.Node, fmt.Sprintf("write 0 to %d", e.Fleet.Nodes-1), "there is no node %d", e.Load.Node)
 	}
 }
 
