--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -23,12 +23,12 @@
 	nodes   map[uint64]*nodeConn
 	streams map[uint64]*stream // by the flow's key, which each emulated client has for itself
 	tokens  map[string]*tokenUse
-	opens   map[string]string // why the client opened, by the id of its first line
-	up      map[string]int    // connections that are up, by node
-	copies  map[string]int    // and by the id of their first line
-	emptied map[string]time.Time
-	now     Figures
-	scratch []byte
+	openReasons   map[string]string // why the client opened, by the id of its first line
+	establishedAtNode      map[string]int    // connections that are up, by node
+	establishedByID  map[string]int    // and by the id of their first line
+	emptiedAt map[string]time.Time
+	current     Figures
+	expectedLine []byte
 }
 
 // Figures are what was counted.
@@ -39,10 +39,10 @@
 	Corrupt       int // not what the index holds
 	AnnouncedGaps int // messages that the client was told it would miss
 	Tokens        int // given with MOVE
-	Honoured      int // attempts with a token that came to stand at a node
-	MaxLive       int // of one token, at one instant
-	MaxEver       int // of one token, in all
-	MaxStream     int // of one stream, at one instant, at all nodes
+	Accepted      int // attempts with a token that came to stand at a node
+	MaxLivePerToken       int // of one token, at one instant
+	MaxUsesPerToken       int // of one token, in all
+	MaxLivePerStream     int // of one stream, at one instant, at all nodes
 	Moves         int // MOVE lines read by clients, with a token or without
 	// SessionOpens are first lines without a token that nodes read, by why the client had opened: each costs a call.
 	// StartOvers are those that clients sent.
@@ -54,7 +54,7 @@
 	Focus        Focus
 	Delays       []time.Duration // of messages, from when they were due until they were read
 	Gaps         []time.Duration // without a standing connection, from each end to the next UP
-	Ups          []time.Time     // of connections that came to stand after an earlier one of their stream
+	Reestablished          []time.Time     // of connections that came to stand after an earlier one of their stream
 }
 
 // Focus is what was counted of the streams that Watch names.
@@ -66,39 +66,39 @@
 
 type clientConn struct {
 	key   uint64
-	token bool
-	up    bool
-	over  bool   // it was up, and is no more
-	said  string // the final answer, or MOVE
+	hasToken bool
+	established    bool
+	lost  bool   // it was up, and is no more
+	lastLine  string // the final answer, or MOVE
 }
 
 type nodeConn struct {
 	key   uint64
 	id    string
 	token string
-	up    bool
+	established    bool
 }
 
 type tokenUse struct{ live, ever int }
 
 type stream struct {
 	cursor   uint64 // the last message delivered
-	begun    bool
-	unknown  bool      // where it began was not told: its first message tells
-	why      string    // its last connection ended so
-	endedAt  time.Time // zero while one stands or none has
-	standing int       // connections of the client's that stand; two only if something is wrong
-	live     int       // connections of it that are up at nodes
-	at       string    // the node where the last of them came up
+	started    bool
+	cursorUnknown  bool      // where it began was not told: its first message tells
+	lastEnd      string    // its last connection ended so
+	interruptedAt  time.Time // zero while one stands or none has
+	established int       // connections of the client's that stand; two only if something is wrong
+	establishedAtNodes     int       // connections of it that are up at nodes
+	node       string    // the node where the last of them came up
 	focus    bool
-	heard    time.Time // of its last message while in focus
+	lastMessageAt    time.Time // of its last message while in focus
 }
 
 // AfterToken begins the reason of a client that started over though it had been given a token.
 const AfterToken = "token, then "
 
 func (k *clientConn) after(what string) string {
-	if k.token {
+	if k.hasToken {
 		return AfterToken + what
 	}
 	return what
@@ -108,14 +108,14 @@
 func New(x *packageindex.Index) *Checker {
 	c := &Checker{
 		index: x, clients: map[uint64]*clientConn{}, nodes: map[uint64]*nodeConn{}, streams: map[uint64]*stream{},
-		tokens: map[string]*tokenUse{}, opens: map[string]string{}, up: map[string]int{}, copies: map[string]int{},
-		emptied: map[string]time.Time{},
+		tokens: map[string]*tokenUse{}, openReasons: map[string]string{}, establishedAtNode: map[string]int{}, establishedByID: map[string]int{},
+		emptiedAt: map[string]time.Time{},
 	}
 	c.reset()
 	return c
 }
 
-func (c *Checker) reset() { c.now = NewFigures() }
+func (c *Checker) reset() { c.current = NewFigures() }
 
 // NewFigures are figures of which nothing was counted.
 func NewFigures() Figures {
@@ -127,13 +127,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.Side == recorder.Client {
-		c.client(e)
+		c.observeClient(e)
 	} else {
-		c.node(e)
+		c.observeNode(e)
 	}
 }
 
-func (c *Checker) stream(key uint64) *stream {
+func (c *Checker) streamOf(key uint64) *stream {
 	s := c.streams[key]
 	if s == nil {
 		s = &stream{}
@@ -142,8 +142,8 @@
 	return s
 }
 
-// client follows a client's side of a connection.
-func (c *Checker) client(e recorder.Event) {
+// observeClient follows a client's side of a connection.
+func (c *Checker) observeClient(e recorder.Event) {
 	k := c.clients[e.Conn]
 	switch {
 	case e.Sent && k == nil && !e.End:
@@ -152,10 +152,10 @@
 	case e.End:
 		c.clientEnded(e, k)
 		delete(c.clients, e.Conn)
-	case !k.up:
-		c.answer(e, k)
+	case !k.established:
+		c.clientAnswered(e, k)
 	default:
-		c.message(e, k)
+		c.clientReceived(e, k)
 	}
 }
 
@@ -165,60 +165,60 @@
 	if err != nil {
 		return
 	}
-	s := c.stream(o.Key)
-	c.clients[e.Conn] = &clientConn{key: o.Key, token: o.Token != ""}
-	why := s.why
+	s := c.streamOf(o.Key)
+	c.clients[e.Conn] = &clientConn{key: o.Key, hasToken: o.Token != ""}
+	why := s.lastEnd
 	switch {
 	case o.Token != "":
 		why = "token"
-	case !s.begun && why == "":
+	case !s.started && why == "":
 		why = "first"
 	}
-	c.opens[o.ID] = why
+	c.openReasons[o.ID] = why
 	if o.Token == "" {
-		c.now.StartOvers[why]++
+		c.current.StartOvers[why]++
 	}
 }
 
-// answer notes what a client's first line was answered.
-func (c *Checker) answer(e recorder.Event, k *clientConn) {
-	s := c.stream(k.key)
+// clientAnswered notes what a client's first line was answered.
+func (c *Checker) clientAnswered(e recorder.Event, k *clientConn) {
+	s := c.streamOf(k.key)
 	text := string(e.Line)
 	a := proto.ParseAnswer(text)
-	if k.token {
+	if k.hasToken {
 		words := a.Word
 		if a.Word == "STALE" {
 			words = text
 		}
-		c.now.Answers[words]++
+		c.current.Answers[words]++
 	}
 	if a.Word != "UP" {
-		k.said = text
+		k.lastLine = text
 		if a.Word != "BUSY" {
-			s.why = k.after(text)
+			s.lastEnd = k.after(text)
 		}
 		return
 	}
-	k.up = true
-	if a.Counts && s.begun && a.From > s.cursor {
-		c.now.AnnouncedGaps += int(a.From - s.cursor)
+	k.established = true
+	if a.Counts && s.started && a.From > s.cursor {
+		c.current.AnnouncedGaps += int(a.From - s.cursor)
 		s.cursor = a.From
-	} else if !s.begun {
-		s.cursor, s.unknown = a.From, !a.Counts
+	} else if !s.started {
+		s.cursor, s.cursorUnknown = a.From, !a.Counts
 	}
-	if !s.endedAt.IsZero() {
-		c.now.Gaps = append(c.now.Gaps, e.At.Sub(s.endedAt))
-		c.now.Ups = append(c.now.Ups, e.At)
-		s.endedAt = time.Time{}
+	if !s.interruptedAt.IsZero() {
+		c.current.Gaps = append(c.current.Gaps, e.At.Sub(s.interruptedAt))
+		c.current.Reestablished = append(c.current.Reestablished, e.At)
+		s.interruptedAt = time.Time{}
 	}
-	s.begun = true
-	s.standing++
+	s.started = true
+	s.established++
 }
 
-// message notes a line that came after UP.
-func (c *Checker) message(e recorder.Event, k *clientConn) {
+// clientReceived notes a line that came after UP.
+func (c *Checker) clientReceived(e recorder.Event, k *clientConn) {
 	if bytes.HasPrefix(e.Line, []byte("MOVE")) {
-		c.moved(e, k)
+		c.clientMoved(e, k)
 		return
 	}
 	if len(e.Line) == 0 || e.Line[0] != '#' {
@@ -226,54 +226,54 @@
 	}
 	n, ok := proto.Number(e.Line)
 	if !ok {
-		c.now.Corrupt++
+		c.current.Corrupt++
 		return
 	}
-	c.scratch = c.index.Line(c.scratch[:0], k.key, n)
-	if !bytes.Equal(bytes.TrimSuffix(c.scratch, []byte("\r\n")), e.Line) || c.index.Due(k.key, n).After(e.At) {
-		c.now.Corrupt++
+	c.expectedLine = c.index.Line(c.expectedLine[:0], k.key, n)
+	if !bytes.Equal(bytes.TrimSuffix(c.expectedLine, []byte("\r\n")), e.Line) || c.index.Due(k.key, n).After(e.At) {
+		c.current.Corrupt++
 	}
-	c.now.Messages++
-	s := c.stream(k.key)
-	if s.unknown {
-		s.cursor, s.unknown = n-1, false
+	c.current.Messages++
+	s := c.streamOf(k.key)
+	if s.cursorUnknown {
+		s.cursor, s.cursorUnknown = n-1, false
 	}
 	switch {
 	case n <= s.cursor:
-		c.now.Repeated++
+		c.current.Repeated++
 		return
 	case n > s.cursor+1:
-		c.now.Lost += int(n - s.cursor - 1)
+		c.current.Lost += int(n - s.cursor - 1)
 	}
 	s.cursor = n
-	c.delayed(s, e.At, e.At.Sub(c.index.Due(k.key, n)))
+	c.recordDelay(s, e.At, e.At.Sub(c.index.Due(k.key, n)))
 }
 
-// moved notes that a client was sent away, with a token or without.
-func (c *Checker) moved(e recorder.Event, k *clientConn) {
-	c.now.Moves++
+// clientMoved notes that a client was sent away, with a token or without.
+func (c *Checker) clientMoved(e recorder.Event, k *clientConn) {
+	c.current.Moves++
 	if len(e.Line) > len("MOVE ") {
-		c.now.Tokens++
+		c.current.Tokens++
 	}
-	k.said = string(e.Line[:4])
+	k.lastLine = string(e.Line[:4])
 	if len(e.Line) == 4 {
-		c.stream(k.key).why = "MOVE without a token"
+		c.streamOf(k.key).lastEnd = "MOVE without a token"
 	}
-	c.broken(e, k)
+	c.connectionLost(e, k)
 }
 
-// delayed notes when a stream's next message came, and how late.
-func (c *Checker) delayed(s *stream, at time.Time, delay time.Duration) {
-	c.now.Delays = append(c.now.Delays, delay)
+// recordDelay notes when a stream's next message came, and how late.
+func (c *Checker) recordDelay(s *stream, at time.Time, delay time.Duration) {
+	c.current.Delays = append(c.current.Delays, delay)
 	if !s.focus {
 		return
 	}
-	f := &c.now.Focus
+	f := &c.current.Focus
 	f.Delays = append(f.Delays, delay)
-	if !s.heard.IsZero() {
-		f.Gap = max(f.Gap, at.Sub(s.heard))
+	if !s.lastMessageAt.IsZero() {
+		f.Gap = max(f.Gap, at.Sub(s.lastMessageAt))
 	}
-	s.heard = at
+	s.lastMessageAt = at
 }
 
 // Watch has the streams that choose picks counted in Focus from now on: it is given a stream's key, and the node
@@ -283,7 +283,7 @@
 	defer c.mu.Unlock()
 	n := 0
 	for key, s := range c.streams {
-		s.focus, s.heard = choose(key, s.at), time.Time{}
+		s.focus, s.lastMessageAt = choose(key, s.node), time.Time{}
 		if s.focus {
 			n++
 		}
@@ -291,37 +291,37 @@
 	return n
 }
 
-// broken notes that a connection that stood is over.
-func (c *Checker) broken(e recorder.Event, k *clientConn) {
-	if !k.up || k.over {
+// connectionLost notes that a connection that stood is over.
+func (c *Checker) connectionLost(e recorder.Event, k *clientConn) {
+	if !k.established || k.lost {
 		return
 	}
-	k.over = true
-	s := c.stream(k.key)
-	if s.standing--; s.standing == 0 {
-		s.endedAt = e.At
+	k.lost = true
+	s := c.streamOf(k.key)
+	if s.established--; s.established == 0 {
+		s.interruptedAt = e.At
 	}
 	if s.focus {
-		c.now.Focus.Ends++
+		c.current.Focus.Ends++
 	}
 }
 
 func (c *Checker) clientEnded(e recorder.Event, k *clientConn) {
-	s := c.stream(k.key)
-	if k.said == "" {
-		s.why = k.after("end without an answer")
-		if k.up {
-			s.why = "end without MOVE"
+	s := c.streamOf(k.key)
+	if k.lastLine == "" {
+		s.lastEnd = k.after("end without an answer")
+		if k.established {
+			s.lastEnd = "end without MOVE"
 		}
-		if k.token {
-			c.now.Answers["end"]++
+		if k.hasToken {
+			c.current.Answers["end"]++
 		}
 	}
-	c.broken(e, k)
+	c.connectionLost(e, k)
 }
 
-// node follows a node's side of a connection.
-func (c *Checker) node(e recorder.Event) {
+// observeNode follows a node's side of a connection.
+func (c *Checker) observeNode(e recorder.Event) {
 	k := c.nodes[e.Conn]
 	switch {
 	case !e.Sent && k == nil && !e.End:
@@ -331,30 +331,30 @@
 		}
 		c.nodes[e.Conn] = &nodeConn{key: o.Key, id: o.ID, token: o.Token}
 		if o.Token == "" {
-			c.now.SessionOpens[c.opens[o.ID]]++
+			c.current.SessionOpens[c.openReasons[o.ID]]++
 		}
 	case k == nil:
 	case e.End:
 		delete(c.nodes, e.Conn)
-		if k.up {
+		if k.established {
 			c.nodeEnded(e, k)
 		}
-	case e.Sent && !k.up && bytes.HasPrefix(e.Line, []byte("UP ")):
-		c.nodeUp(e, k)
+	case e.Sent && !k.established && bytes.HasPrefix(e.Line, []byte("UP ")):
+		c.nodeEstablished(e, k)
 	}
 }
 
-// nodeUp notes that a connection stands at a node.
-func (c *Checker) nodeUp(e recorder.Event, k *nodeConn) {
-	k.up = true
-	c.up[e.Name]++
-	if c.copies[k.id]++; c.copies[k.id] > 1 {
-		c.now.SecondCopies++
-	}
-	s := c.stream(k.key)
-	s.live++
-	s.at = e.Name
-	c.now.MaxStream = max(c.now.MaxStream, s.live)
+// nodeEstablished notes that a connection stands at a node.
+func (c *Checker) nodeEstablished(e recorder.Event, k *nodeConn) {
+	k.established = true
+	c.establishedAtNode[e.Name]++
+	if c.establishedByID[k.id]++; c.establishedByID[k.id] > 1 {
+		c.current.SecondCopies++
+	}
+	s := c.streamOf(k.key)
+	s.establishedAtNodes++
+	s.node = e.Name
+	c.current.MaxLivePerStream = max(c.current.MaxLivePerStream, s.establishedAtNodes)
 	if k.token == "" {
 		return
 	}
@@ -365,19 +365,19 @@
 	}
 	u.live++
 	u.ever++
-	c.now.Honoured++
-	c.now.MaxLive, c.now.MaxEver = max(c.now.MaxLive, u.live), max(c.now.MaxEver, u.ever)
+	c.current.Accepted++
+	c.current.MaxLivePerToken, c.current.MaxUsesPerToken = max(c.current.MaxLivePerToken, u.live), max(c.current.MaxUsesPerToken, u.ever)
 }
 
 // nodeEnded notes that a connection that stood at a node stands no more.
 func (c *Checker) nodeEnded(e recorder.Event, k *nodeConn) {
-	if c.up[e.Name]--; c.up[e.Name] == 0 {
-		c.emptied[e.Name] = e.At
+	if c.establishedAtNode[e.Name]--; c.establishedAtNode[e.Name] == 0 {
+		c.emptiedAt[e.Name] = e.At
 	}
-	if c.copies[k.id]--; c.copies[k.id] == 0 {
-		delete(c.copies, k.id)
+	if c.establishedByID[k.id]--; c.establishedByID[k.id] == 0 {
+		delete(c.establishedByID, k.id)
 	}
-	c.stream(k.key).live--
+	c.streamOf(k.key).establishedAtNodes--
 	if k.token != "" {
 		c.tokens[k.token].live--
 	}
@@ -387,19 +387,19 @@
 func (c *Checker) Split() Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.now
+	f := c.current
 	c.reset()
 	return f
 }
 
-// Missing tells of the streams that have no standing connection how their last one ended.
-func (c *Checker) Missing() map[string]int {
+// Disconnected tells of the streams that have no standing connection how their last one ended.
+func (c *Checker) Disconnected() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
 	for _, s := range c.streams {
-		if s.standing <= 0 {
-			out[cmp.Or(s.why, "nothing told")]++
+		if s.established <= 0 {
+			out[cmp.Or(s.lastEnd, "nothing told")]++
 		}
 	}
 	return out
@@ -413,18 +413,18 @@
 	f.Corrupt += g.Corrupt
 	f.AnnouncedGaps += g.AnnouncedGaps
 	f.Tokens += g.Tokens
-	f.Honoured += g.Honoured
+	f.Accepted += g.Accepted
 	f.Moves += g.Moves
 	f.SecondCopies += g.SecondCopies
-	f.MaxLive, f.MaxEver, f.MaxStream = max(
-		f.MaxLive,
-		g.MaxLive,
+	f.MaxLivePerToken, f.MaxUsesPerToken, f.MaxLivePerStream = max(
+		f.MaxLivePerToken,
+		g.MaxLivePerToken,
 	), max(
-		f.MaxEver,
-		g.MaxEver,
+		f.MaxUsesPerToken,
+		g.MaxUsesPerToken,
 	), max(
-		f.MaxStream,
-		g.MaxStream,
+		f.MaxLivePerStream,
+		g.MaxLivePerStream,
 	)
 	for _, m := range []struct{ to, from map[string]int }{
 		{f.SessionOpens, g.SessionOpens},
@@ -435,16 +435,16 @@
 			m.to[k] += n
 		}
 	}
-	f.Delays, f.Gaps, f.Ups = append(f.Delays, g.Delays...), append(f.Gaps, g.Gaps...), append(f.Ups, g.Ups...)
+	f.Delays, f.Gaps, f.Reestablished = append(f.Delays, g.Delays...), append(f.Gaps, g.Gaps...), append(f.Reestablished, g.Reestablished...)
 }
 
-// Standing tells how many streams have a connection that stands, and how many of all are further behind the index than
+// Established tells how many streams have a connection that stands, and how many of all are further behind the index than
 // slack.
-func (c *Checker) Standing(now time.Time, slack time.Duration) (standing, behind int) {
+func (c *Checker) Established(now time.Time, slack time.Duration) (standing, behind int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, s := range c.streams {
-		if s.standing != 0 {
+		if s.established != 0 {
 			standing++
 		}
 		if s.cursor < c.index.Head(key, now.Add(-slack)) {
@@ -458,10 +458,10 @@
 func (c *Checker) Emptied(node string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.up[node] > 0 {
+	if c.establishedAtNode[node] > 0 {
 		return time.Time{}
 	}
-	return c.emptied[node]
+	return c.emptiedAt[node]
 }
 
 // SessionCalls is the sum of SessionOpens.
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -71,7 +71,7 @@
 		want   func(f *Figures) bool
 	}{
 		"all well": {moved + "\nc 2 < #5", func(f *Figures) bool {
-			return f.Lost+f.Repeated+f.Corrupt == 0 && f.MaxLive == 1 && f.Messages == 3 && len(f.Gaps) == 1
+			return f.Lost+f.Repeated+f.Corrupt == 0 && f.MaxLivePerToken == 1 && f.Messages == 3 && len(f.Gaps) == 1
 		}},
 		"lost":               {moved + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 2 }},
 		"repeated":           {moved + "\nc 2 < #4", func(f *Figures) bool { return f.Repeated == 1 }},
@@ -84,15 +84,15 @@
 		},
 		"two live": {
 			moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
-			func(f *Figures) bool { return f.MaxLive == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 2 },
 		},
 		"one after another": {
 			moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
-			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxEver == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxUsesPerToken == 2 },
 		},
 		"two of a stream": {
 			strings.ReplaceAll(moved, "n 1 end", "") + "",
-			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxStream == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxLivePerStream == 2 },
 		},
 		"refused token": {begin +
 			"\nc 1 < MOVE T\nc 2 > OPEN b 5 c=s,d=1,cur=4,tok=T\nc 2 < STALE gone\nc 2 end\nc 3 > OPEN d 5 " +
@@ -127,14 +127,14 @@
 
 func TestStanding(t *testing.T) {
 	c := play(t, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
-	if standing, behind := c.Standing(now, 0); standing != 1 || behind != 1 {
+	if standing, behind := c.Established(now, 0); standing != 1 || behind != 1 {
 		t.Errorf("%d, %d", standing, behind)
 	}
-	if standing, behind := c.Standing(now, time.Hour); standing != 1 || behind != 0 {
+	if standing, behind := c.Established(now, time.Hour); standing != 1 || behind != 0 {
 		t.Errorf("%d, %d", standing, behind)
 	}
 	c.Take(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
-	if standing, _ := c.Standing(now, 0); standing != 0 {
+	if standing, _ := c.Established(now, 0); standing != 0 {
 		t.Error("stands though it has ended")
 	}
 }
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -22,7 +22,7 @@
 	Group    string
 	Owner    string
 	Link     Link     // how it reaches a balancer
-	Twice    []string // balancers: it presents every token at two of them at once, past the front
+	DuplicateAt    []string // balancers: it presents every token at two of them at once, past the front
 	At       string   // the node that its first connection stands at already
 	Tokens   bool     // it takes tokens
 	Deadline time.Duration
@@ -31,15 +31,15 @@
 }
 
 const (
-	comesAfter   = 110 * time.Millisecond // after a break or a move, to comesBy
-	comesBy      = 820 * time.Millisecond
-	retryAfter   = 14 * time.Millisecond // after a failure, to retryBy
-	retryBy      = 110 * time.Millisecond
-	patientAfter = 4 // failures in a row, from which on it waits longer
-	patientWait  = 600 * time.Millisecond
-	lineEvery    = 2 * time.Second
+	reconnectMin   = 110 * time.Millisecond // after a break or a move, to comesBy
+	reconnectMax      = 820 * time.Millisecond
+	retryMin   = 14 * time.Millisecond // after a failure, to retryBy
+	retryMax      = 110 * time.Millisecond
+	slowRetryFailures = 4 // failures in a row, from which on it waits longer
+	slowRetryWait  = 600 * time.Millisecond
+	sendInterval    = 2 * time.Second
 	answerSlack  = 200 * time.Millisecond // beyond its deadline, until it gives up
-	maxLine      = 8192
+	maxLineBytes      = 8192
 )
 
 // Client is one of them.
@@ -48,10 +48,10 @@
 	cfg    Config
 	rng    *rand.Rand
 	cursor uint64
-	has    bool // a cursor
+	hasCursor    bool // a cursor
 	token  string
-	opened int
-	fails  int
+	opens int
+	consecutiveFailures  int
 }
 
 // New returns a client that has done nothing yet.
@@ -62,7 +62,7 @@
 // Run opens, and opens again, until the context is done.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := c.once(ctx)
+		wait := c.runOnce(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -70,20 +70,20 @@
 	}
 }
 
-func (c *Client) between(from, to time.Duration) time.Duration {
+func (c *Client) randomWait(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)))
 }
 
-// line is the first line of the next connection; every id is new.
-func (c *Client) line() *proto.Open {
-	c.opened++
+// nextOpen is the first line of the next connection; every id is new.
+func (c *Client) nextOpen() *proto.Open {
+	c.opens++
 	o := &proto.Open{
 		ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
-		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opened > 1, Cur: c.has,
+		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opens > 1, Cur: c.hasCursor,
 		Cursor: c.cursor,
 		Token:  c.token, WantsToken: c.cfg.Tokens && c.token == "",
 	}
-	if c.opened == 1 {
+	if c.opens == 1 {
 		o.At = c.cfg.At
 	}
 	return o
@@ -100,17 +100,17 @@
 	})
 }
 
-// once makes one connection and lives with it. It tells how long to stay away before the next.
-func (c *Client) once(ctx context.Context) time.Duration {
+// runOnce makes one connection and lives with it. It tells how long to stay away before the next.
+func (c *Client) runOnce(ctx context.Context) time.Duration {
 	k := c.connect(ctx)
 	defer k.close()
 	stop := context.AfterFunc(ctx, k.close)
 	defer stop()
 	switch {
 	case k.err == nil && k.answer.Word == "UP":
-		c.token, c.fails = "", 0
-		c.live(k)
-		return c.between(comesAfter, comesBy)
+		c.token, c.consecutiveFailures = "", 0
+		c.readMessages(k)
+		return c.randomWait(reconnectMin, reconnectMax)
 	case k.err == nil && k.answer.Word == "BUSY":
 		if k.answer.Millis > 0 {
 			return time.Duration(k.answer.Millis) * time.Millisecond
@@ -122,58 +122,58 @@
 		c.token = ""
 	}
 	// After an end without an answer the token is as good as it was, or used: the node that it names will say.
-	if c.fails++; c.fails >= patientAfter {
-		return c.between(patientWait, 2*patientWait)
+	if c.consecutiveFailures++; c.consecutiveFailures >= slowRetryFailures {
+		return c.randomWait(slowRetryWait, 2*slowRetryWait)
 	}
-	return c.between(retryAfter, retryBy)
+	return c.randomWait(retryMin, retryMax)
 }
 
 // connect opens once, or with a token at two balancers at one instant; the one that stands is kept.
 func (c *Client) connect(ctx context.Context) *conn {
-	if len(c.cfg.Twice) < 2 || c.token == "" {
-		return c.dial(ctx, c.cfg.Link, c.line())
+	if len(c.cfg.DuplicateAt) < 2 || c.token == "" {
+		return c.dial(ctx, c.cfg.Link, c.nextOpen())
 	}
 	got := make(chan *conn, 2)
-	at := c.rng.Perm(len(c.cfg.Twice))[:2]
+	at := c.rng.Perm(len(c.cfg.DuplicateAt))[:2]
 	for _, i := range at {
-		o := c.line()
-		go func() { got <- c.dial(ctx, Own{Addr: c.cfg.Twice[i]}, o) }()
+		o := c.nextOpen()
+		go func() { got <- c.dial(ctx, DedicatedLink{Addr: c.cfg.DuplicateAt[i]}, o) }()
 	}
 	one := <-got
-	if rank(one) == standing {
+	if answerRank(one) == rankEstablished {
 		go func() { (<-got).close() }() // whatever it is told: nobody waits for it
 		return one
 	}
 	other := <-got
-	if rank(other) > rank(one) {
+	if answerRank(other) > answerRank(one) {
 		one, other = other, one
 	}
 	other.close()
 	return one
 }
 
-// standing is the rank of an answer that ends the question.
-const standing = 3
+// rankEstablished is the rank of an answer that ends the question.
+const rankEstablished = 3
 
-// rank orders answers by what they are worth to a client that has two.
-func rank(k *conn) int {
+// answerRank orders answers by what they are worth to a client that has two.
+func answerRank(k *conn) int {
 	switch {
 	case k.err != nil:
 		return 0
 	case k.answer.Word == "UP":
-		return standing
+		return rankEstablished
 	case k.answer.Word == "BUSY":
 		return 1 // what another has said counts first: the token may be used up
 	}
 	return 2
 }
 
-// live reads until the connection ends, and says something every now and then.
-func (c *Client) live(k *conn) {
+// readMessages reads until the connection ends, and says something every now and then.
+func (c *Client) readMessages(k *conn) {
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
-		tick := time.NewTicker(lineEvery)
+		tick := time.NewTicker(sendInterval)
 		defer tick.Stop()
 		for n := 1; ; n++ {
 			select {
@@ -188,7 +188,7 @@
 	}()
 	for {
 		c.Reads.Pass()
-		text, err := k.rd.ReadSlice('\n')
+		text, err := k.reader.ReadSlice('\n')
 		if err != nil {
 			if token, moved := k.moved(); moved {
 				c.token = token
@@ -196,7 +196,7 @@
 			return
 		}
 		if n, ok := proto.Number(text); ok {
-			c.cursor, c.has = n, true
+			c.cursor, c.hasCursor = n, true
 			continue
 		}
 		if move, ok := strings.CutPrefix(strings.TrimRight(string(text), "\r\n"), "MOVE"); ok {
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// garbageTime is how long a bad client waits for the error that it is owed.
-const garbageTime = 3 * time.Second
+// garbageTimeout is how long a bad client waits for the error that it is owed.
+const garbageTimeout = 3 * time.Second
 
-// Garbage presents tokens that nobody sealed, one connection after another, as fast as it is answered, until the
+// SendGarbage presents tokens that nobody sealed, one connection after another, as fast as it is answered, until the
 // context is done. It counts what it has sent, and what was answered as it should be.
-func Garbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
+func SendGarbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
 	const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 	var word strings.Builder
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", addr, garbageTime)
+		c, err := net.DialTimeout("tcp", addr, garbageTimeout)
 		if err != nil {
 			return err
 		}
@@ -29,7 +29,7 @@
 		for range 200 + 4*rng.IntN(20) - 2 {
 			word.WriteByte(letters[rng.IntN(len(letters))])
 		}
-		_ = c.SetDeadline(time.Now().Add(garbageTime))
+		_ = c.SetDeadline(time.Now().Add(garbageTimeout))
 		sent.Add(1)
 		if _, err := fmt.Fprintf(c, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", rng.Uint64(),
 			word.String()); err == nil {
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -25,7 +25,7 @@
 // conn is a stream that was asked for, and its answer.
 type conn struct {
 	*recorder.Conn
-	rd     *bufio.Reader
+	reader     *bufio.Reader
 	answer proto.Answer
 	err    error
 	moved  func() (token string, moved bool) // after its end, where MOVE is no line
@@ -37,22 +37,22 @@
 	}
 }
 
-// line reads one whole line; half a line before an end is none.
-func (k *conn) line() (string, error) {
-	text, err := k.rd.ReadSlice('\n')
+// readLine reads one whole line; half a line before an end is none.
+func (k *conn) readLine() (string, error) {
+	text, err := k.reader.ReadSlice('\n')
 	if err != nil {
 		return "", err
 	}
 	return strings.TrimRight(string(text), "\r\n"), nil
 }
 
-// Own reaches a balancer by a connection of its own for each open.
-type Own struct {
+// DedicatedLink reaches a balancer by a connection of its own for each open.
+type DedicatedLink struct {
 	Addr    string
-	Counted func() // called for each connection, if set
+	OnDial func() // called for each connection, if set
 }
 
-func (l Own) open(
+func (l DedicatedLink) open(
 	ctx context.Context,
 	o *proto.Open,
 	deadline time.Time,
@@ -63,27 +63,27 @@
 	if err != nil {
 		return &conn{err: err}
 	}
-	if l.Counted != nil {
-		l.Counted()
+	if l.OnDial != nil {
+		l.OnDial()
 	}
 	k := &conn{Conn: watch(recorder.Socket{Conn: raw}), moved: func() (string, bool) { return "", false }}
-	k.rd = bufio.NewReaderSize(k.Conn, maxLine)
+	k.reader = bufio.NewReaderSize(k.Conn, maxLineBytes)
 	_ = raw.SetDeadline(deadline)
 	if _, k.err = k.Write([]byte(o.String())); k.err == nil {
 		var text string
-		text, k.err = k.line()
+		text, k.err = k.readLine()
 		k.answer = proto.ParseAnswer(text)
 	}
 	_ = raw.SetDeadline(time.Time{})
 	return k
 }
 
-// Shared reaches a balancer by channels of one connection, which is made anew when it has ended. Counted tells how
+// SharedLink reaches a balancer by channels of one connection, which is made anew when it has ended. Counted tells how
 // often.
-type Shared struct {
+type SharedLink struct {
 	Addr    string
 	Window  uint32
-	Counted func()
+	OnDial func()
 
 	mu    sync.Mutex
 	conn  *sshchan.Conn
@@ -92,7 +92,7 @@
 
 // connect gives the connection, and makes one if there is none that stands. Those that ask meanwhile share what
 // comes of it.
-func (l *Shared) connect(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
+func (l *SharedLink) connect(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
 	if c := l.Conn(); c != nil && c.Err() == nil {
 		return c, nil
 	}
@@ -111,14 +111,14 @@
 	return got.(*sshchan.Conn), nil
 }
 
-func (l *Shared) dial(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
+func (l *SharedLink) dial(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
 	d := net.Dialer{Deadline: deadline}
 	raw, err := d.DialContext(ctx, "tcp", l.Addr)
 	if err != nil {
 		return nil, err
 	}
-	if l.Counted != nil {
-		l.Counted()
+	if l.OnDial != nil {
+		l.OnDial()
 	}
 	_ = raw.SetDeadline(deadline)
 	c, err := sshchan.Client(raw, l.Window)
@@ -132,7 +132,7 @@
 }
 
 // Conn is the connection that there is, or nil.
-func (l *Shared) Conn() *sshchan.Conn {
+func (l *SharedLink) Conn() *sshchan.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
@@ -140,7 +140,7 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-func (l *Shared) open(
+func (l *SharedLink) open(
 	ctx context.Context,
 	o *proto.Open,
 	deadline time.Time,
@@ -161,7 +161,7 @@
 			k.Note(strings.TrimRight("MOVE "+token, " "), false)
 		}
 	}
-	k.rd = bufio.NewReaderSize(k.Conn, maxLine)
+	k.reader = bufio.NewReaderSize(k.Conn, maxLineBytes)
 	k.Note(text, true)
 	late := time.NewTimer(time.Until(deadline))
 	defer late.Stop()
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -21,24 +21,24 @@
 
 // Balancer is one real balancer, which may be killed and started again at its address.
 type Balancer struct {
-	w      *Deployment
+	deployment      *Deployment
 	rank   int
 	listen string
-	mgmt   string // of the present process
+	managementAddr   string // of the present process
 	starts int
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
 	done      chan struct{} // closed when the process has ended
-	code      int
+	exitCode      int
 	tail      []string // its last log lines
 	maxLogged map[string]float64
 }
 
-// Alone starts one balancer that knows one node, at the given address, and no discovery.
-func Alone(program, dir, addr string, channels bool) (*Balancer, error) {
+// StartSingle starts one balancer that knows one node, at the given address, and no discovery.
+func StartSingle(program, dir, addr string, channels bool) (*Balancer, error) {
 	w := &Deployment{cfg: Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}}
-	err := w.secrets()
+	err := w.writeSiteFiles()
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 			Weight:    1,
 		},
 	)
-	b := &Balancer{w: w, listen: "127.0.0.1:0"}
+	b := &Balancer{deployment: w, listen: "127.0.0.1:0"}
 	return b, b.Start()
 }
 
@@ -65,7 +65,7 @@
 func (b *Balancer) Addr() string { return b.listen }
 
 const (
-	startTime = 10 * time.Second
+	startTimeout = 10 * time.Second
 	tailLines = 50
 )
 
@@ -87,13 +87,13 @@
 	b.mu.Lock()
 	b.cmd, b.done, b.tail = cmd, done, nil
 	b.mu.Unlock()
-	go b.follow(cmd, said, listens, done)
+	go b.followLog(cmd, said, listens, done)
 	select {
 	case b.listen = <-listens:
 		return nil
 	case <-done:
 		return fmt.Errorf("balancer %d ended at its start: %v", b.rank, b.Tail())
-	case <-time.After(startTime):
+	case <-time.After(startTimeout):
 		b.Kill()
 		return fmt.Errorf("balancer %d did not start: %v", b.rank, b.Tail())
 	}
@@ -103,44 +103,44 @@
 // alone. Each process has a management address of its own.
 func (b *Balancer) command() (*exec.Cmd, error) {
 	var err error
-	if b.mgmt, err = freeAddr(); err != nil {
+	if b.managementAddr, err = freeAddr(); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(b.w.cfg.Dir, fmt.Sprintf("balancer-%d.json", b.rank))
-	text, err := json.Marshal(b.w.config(b))
+	path := filepath.Join(b.deployment.cfg.Dir, fmt.Sprintf("balancer-%d.json", b.rank))
+	text, err := json.Marshal(b.deployment.balancerConfig(b))
 	if err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	tmp := b.w.cfg.Dir
-	if b.w.cfg.Apart {
+	tmp := b.deployment.cfg.Dir
+	if b.deployment.cfg.SeparateTempDirs {
 		if tmp, err = os.MkdirTemp(tmp, "apart"); err != nil {
 			return nil, err
 		}
 	}
-	cmd := exec.Command(b.w.cfg.Program)
+	cmd := exec.Command(b.deployment.cfg.Program)
 	cmd.Env = []string{
 		"GW_CONFIG=" + path,
 		"SPURSPREAD_LOG_FORMAT=json",
-		"SPURSPREAD_SITE=" + b.w.site,
+		"SPURSPREAD_SITE=" + b.deployment.site,
 		"TMPDIR=" + tmp,
 	}
 	return cmd, nil
 }
 
-// follow reads a process's log until its end, and tells where it listens and that it has ended.
-func (b *Balancer) follow(cmd *exec.Cmd, said io.Reader, listens chan<- string, done chan<- struct{}) {
+// followLog reads a process's log until its end, and tells where it listens and that it has ended.
+func (b *Balancer) followLog(cmd *exec.Cmd, said io.Reader, listens chan<- string, done chan<- struct{}) {
 	for lines := bufio.NewScanner(said); lines.Scan(); {
-		b.keep(lines.Text())
-		if addr := started(lines.Text()); addr != "" {
+		b.recordLogLine(lines.Text())
+		if addr := listenAddress(lines.Text()); addr != "" {
 			listens <- addr
 		}
 	}
 	_ = cmd.Wait() // how it ended stands in its state
 	b.mu.Lock()
-	b.code = cmd.ProcessState.ExitCode()
+	b.exitCode = cmd.ProcessState.ExitCode()
 	b.mu.Unlock()
 	close(done)
 }
@@ -156,19 +156,19 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// callTime is how long a call of the management address may take; beyond it no answer is waited for.
-const callTime = 3 * time.Second
+// managementTimeout is how long a call of the management address may take; beyond it no answer is waited for.
+const managementTimeout = 3 * time.Second
 
-// Manage makes a call of its management address, and tells how long the answer took. An answer other than +OK is an
+// CallManagement makes a call of its management address, and tells how long the answer took. An answer other than +OK is an
 // error.
-func (b *Balancer) Manage(call string) (time.Duration, error) {
+func (b *Balancer) CallManagement(call string) (time.Duration, error) {
 	began := time.Now()
-	c, err := net.DialTimeout("tcp", b.mgmt, callTime)
+	c, err := net.DialTimeout("tcp", b.managementAddr, managementTimeout)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(began.Add(callTime))
+	_ = c.SetDeadline(began.Add(managementTimeout))
 	if _, err := fmt.Fprint(c, call, "\r\n"); err != nil {
 		return 0, err
 	}
@@ -179,9 +179,9 @@
 	return time.Since(began), err
 }
 
-// started reads where a balancer listens from its first log line, in either form: programs of before JSON are measured
+// listenAddress reads where a balancer listens from its first log line, in either form: programs of before JSON are measured
 // as well.
-func started(line string) string {
+func listenAddress(line string) string {
 	if got := gjson.Parse(line); got.Get("msg").Str == "started" {
 		return got.Get("listen").Str
 	}
@@ -199,11 +199,11 @@
 	return b.maxLogged[field]
 }
 
-// Resident is its resident memory, in bytes.
-func (b *Balancer) Resident() float64 { return Resident(b.Pid()) }
+// ResidentBytes is its resident memory, in bytes.
+func (b *Balancer) ResidentBytes() float64 { return ResidentBytes(b.Pid()) }
 
-// Resident is a process's resident memory, in bytes, as the kernel has it; 0 where it can't be told.
-func Resident(pid int) float64 {
+// ResidentBytes is a process's resident memory, in bytes, as the kernel has it; 0 where it can't be told.
+func ResidentBytes(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -216,7 +216,7 @@
 	return kb * 1024
 }
 
-func (b *Balancer) keep(line string) {
+func (b *Balancer) recordLogLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.maxLogged == nil {
@@ -298,5 +298,5 @@
 	<-done
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.code
+	return b.exitCode
 }
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -28,7 +28,7 @@
 type Config struct {
 	Program   string // the balancer's
 	Dir       string // for its files; must exist
-	Apart     bool   // each process has a TMPDIR of its own, and so nothing passes to a new version
+	SeparateTempDirs     bool   // each process has a TMPDIR of its own, and so nothing passes to a new version
 	Balancers int
 	Nodes     int
 	Tokens    bool // the site file turns resume tokens on
@@ -36,13 +36,13 @@
 	MemoryMB  int  // of a balancer; 0: 192
 	Seed      uint64
 	Interval  time.Duration // between messages of a stream
-	Keep      uint64        // messages in a node's log
-	Length    int           // of a message
+	RetainedMessages      uint64        // messages in a node's log
+	MessageBytes    int           // of a message
 	StoreRate float64       // session calls a second
 	SetUp     time.Duration // a node's work for a connection
-	Patience  time.Duration // of a draining node with clients that take tokens
-	Late      time.Duration // of discovery
-	Notice    time.Duration // of the front end
+	DrainPatience  time.Duration // of a draining node with clients that take tokens
+	DiscoveryDelay      time.Duration // of discovery
+	HealthCheckDelay    time.Duration // of the front end
 	Fault     node.Fault
 }
 
@@ -61,31 +61,31 @@
 	Frontend  *frontend.Frontend
 	keys      []token.Key
 	site      string
-	Dials     Moments // connections that clients made
-	NodeDials Moments // and that nodes took
+	Dials     EventTimes // connections that clients made
+	NodeDials EventTimes // and that nodes took
 	ctx       context.Context
 	stop      context.CancelFunc
 	clients   sync.WaitGroup
 }
 
-// Moments are the times at which something happened.
-type Moments struct {
+// EventTimes are the times at which something happened.
+type EventTimes struct {
 	mu sync.Mutex
-	at []time.Time
+	times []time.Time
 }
 
-func (m *Moments) add() {
+func (m *EventTimes) record() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at = append(m.at, time.Now())
+	m.times = append(m.times, time.Now())
 }
 
 // Between tells how often it happened from one time to another.
-func (m *Moments) Between(from, to time.Time) int {
+func (m *EventTimes) Between(from, to time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
-	for _, t := range m.at {
+	for _, t := range m.times {
 		if !t.Before(from) && t.Before(to) {
 			n++
 		}
@@ -101,8 +101,8 @@
 		Index: &packageindex.Index{
 			Epoch:    time.Now().Add(-time.Minute),
 			Interval: cfg.Interval,
-			Keep:     cfg.Keep,
-			Length:   cfg.Length,
+			Keep:     cfg.RetainedMessages,
+			Length:   cfg.MessageBytes,
 		},
 	}
 	w.Check = checker.New(w.Index)
@@ -116,33 +116,33 @@
 
 func (w *Deployment) start() error {
 	var err error
-	if err = w.secrets(); err != nil {
+	if err = w.writeSiteFiles(); err != nil {
 		return err
 	}
 	if w.Store, err = store.Start(w.cfg.StoreRate, sessionCallTimeout); err != nil {
 		return err
 	}
-	if w.Discovery, err = discoveryserver.Start(w.cfg.Late); err != nil {
+	if w.Discovery, err = discoveryserver.Start(w.cfg.DiscoveryDelay); err != nil {
 		return err
 	}
 	for i := range w.cfg.Nodes {
-		n, err := w.node(i, "", true)
+		n, err := w.startNode(i, "", true)
 		if err != nil {
 			return err
 		}
 		w.Nodes = append(w.Nodes, n)
-		w.list(i, discoveryserver.Ready)
+		w.announce(i, discoveryserver.Ready)
 	}
 	var addrs []string
 	for i := range w.cfg.Balancers {
-		b := &Balancer{w: w, rank: i, listen: "127.0.0.1:0"}
+		b := &Balancer{deployment: w, rank: i, listen: "127.0.0.1:0"}
 		w.Balancers = append(w.Balancers, b)
 		if err := b.Start(); err != nil {
 			return err
 		}
 		addrs = append(addrs, b.Addr())
 	}
-	if w.Frontend, err = frontend.Start(w.cfg.Notice, addrs...); err != nil {
+	if w.Frontend, err = frontend.Start(w.cfg.HealthCheckDelay, addrs...); err != nil {
 		return err
 	}
 	return w.Await(10*time.Second, "the balancers answer the front end", func() bool {
@@ -163,8 +163,8 @@
 	return fmt.Errorf("after %v: not yet that %s", most, what)
 }
 
-// secrets writes the key file and the site file.
-func (w *Deployment) secrets() error {
+// writeSiteFiles writes the key file and the site file.
+func (w *Deployment) writeSiteFiles() error {
 	if !w.cfg.Tokens && !w.cfg.Channels {
 		return nil
 	}
@@ -187,16 +187,16 @@
 // NodeID is how discovery calls a node.
 func NodeID(i int) string { return fmt.Sprintf("s-%08x", 0x5be2a07c+i*0x01010101) }
 
-func (w *Deployment) node(i int, addr string, longAgo bool) (*node.Node, error) {
+func (w *Deployment) startNode(i int, addr string, longAgo bool) (*node.Node, error) {
 	return node.Start(node.Config{
-		ID: NodeID(i), Addr: addr, LongAgo: longAgo, Index: w.Index, Sink: w.Check,
-		Store: w.Store.Addr(), Keys: w.keys, SetUp: w.cfg.SetUp, Patience: w.cfg.Patience, Fault: w.cfg.Fault,
-		Channels: w.cfg.Channels, Accepted: func() { w.NodeDials.add() },
+		ID: NodeID(i), Addr: addr, StartedLongAgo: longAgo, Index: w.Index, Sink: w.Check,
+		Store: w.Store.Addr(), Keys: w.keys, SetUp: w.cfg.SetUp, Patience: w.cfg.DrainPatience, Fault: w.cfg.Fault,
+		Channels: w.cfg.Channels, OnAccept: func() { w.NodeDials.record() },
 	})
 }
 
-// list tells discovery how a node stands, and returns the change's generation.
-func (w *Deployment) list(i int, state string) uint64 {
+// announce tells discovery how a node stands, and returns the change's generation.
+func (w *Deployment) announce(i int, state string) uint64 {
 	return w.Discovery.Set(discoveryserver.Entry{
 		ID: NodeID(i), Addr: w.Nodes[i].Addr(), Zone: "a", Machine: "m", Lifecycle: state,
 		Weight: 1, Started: w.Nodes[i].StartedMillis(),
@@ -206,7 +206,7 @@
 // Drain drains a node, as an operator would, and returns when the first balancer was told.
 func (w *Deployment) Drain(i int) (told time.Time, err error) {
 	w.Nodes[i].Drain()
-	g := w.list(i, discoveryserver.Terminating)
+	g := w.announce(i, discoveryserver.Terminating)
 	err = w.Await(
 		5*time.Second,
 		"discovery has told a balancer",
@@ -219,24 +219,24 @@
 func (w *Deployment) KillNode(i int) { w.Nodes[i].Kill() }
 
 // ListGone lists a node as gone.
-func (w *Deployment) ListGone(i int) { w.list(i, discoveryserver.Gone) }
+func (w *Deployment) ListGone(i int) { w.announce(i, discoveryserver.Gone) }
 
 // RestartNode starts a killed node under its id and address, with nothing, and lists it.
 func (w *Deployment) RestartNode(i int) error {
-	n, err := w.node(i, w.Nodes[i].Addr(), false)
+	n, err := w.startNode(i, w.Nodes[i].Addr(), false)
 	if err != nil {
 		return err
 	}
 	w.Nodes[i] = n
-	w.list(i, discoveryserver.Ready)
+	w.announce(i, discoveryserver.Ready)
 	return nil
 }
 
-// Client adds a client and lets it run until the world stops.
-func (w *Deployment) Client(cfg client.Config) *client.Client {
+// StartClient adds a client and lets it run until the world stops.
+func (w *Deployment) StartClient(cfg client.Config) *client.Client {
 	cfg.Sink = w.Check
 	if cfg.Link == nil {
-		cfg.Link = client.Own{Addr: w.Frontend.Addr(), Counted: w.Dials.add}
+		cfg.Link = client.DedicatedLink{Addr: w.Frontend.Addr(), OnDial: w.Dials.record}
 	}
 	c := client.New(cfg)
 	w.clients.Add(1)
@@ -247,13 +247,13 @@
 	return c
 }
 
-// Shared is a connection with channels to the front end, for several clients.
-func (w *Deployment) Shared() *client.Shared {
-	return &client.Shared{Addr: w.Frontend.Addr(), Window: clientWindow, Counted: w.Dials.add}
+// SharedLink is a connection with channels to the front end, for several clients.
+func (w *Deployment) SharedLink() *client.SharedLink {
+	return &client.SharedLink{Addr: w.Frontend.Addr(), Window: clientWindowBytes, OnDial: w.Dials.record}
 }
 
-// clientWindow is what clients grant on each channel.
-const clientWindow = 64 << 10
+// clientWindowBytes is what clients grant on each channel.
+const clientWindowBytes = 64 << 10
 
 // Addrs are where the balancers listen.
 func (w *Deployment) Addrs() []string {
@@ -290,8 +290,8 @@
 	}
 }
 
-// config is what the platform would tell a balancer.
-func (w *Deployment) config(b *Balancer) map[string]any {
+// balancerConfig is what the platform would tell a balancer.
+func (w *Deployment) balancerConfig(b *Balancer) map[string]any {
 	class := func(name string, aim, deadline time.Duration, worth float64) map[string]any {
 		return map[string]any{
 			"name": name, "slo": aim.Microseconds(), "deadline": deadline.Microseconds(), "effect": "read_like",
@@ -299,7 +299,7 @@
 		}
 	}
 	return map[string]any{
-		"name": fmt.Sprint("n", b.rank), "listen": b.listen, "mgmt": b.mgmt, "discovery": w.Discovery.Addr(),
+		"name": fmt.Sprint("n", b.rank), "listen": b.listen, "mgmt": b.managementAddr, "discovery": w.Discovery.Addr(),
 		"seed":   fmt.Sprintf("%x", w.cfg.Seed*1000+uint64(b.rank*100+b.starts)),
 		"limits": map[string]any{"cores": 1, "memory_mb": cmp.Or(w.cfg.MemoryMB, 192), "sockets": 8192},
 		"known":  w.Discovery.FullList(),
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -37,9 +37,9 @@
 	Nodes     int                `xml:"nodes,attr" default:"12" min:"1" max:"200" doc:"emulated index nodes"`
 	Store     xmlconfig.Rate     `xml:"store,attr" default:"80/s" doc:"calls that the session store serves"`
 	SetUp     xmlconfig.Duration `xml:"set-up,attr" default:"4ms" max:"1s" doc:"a node's own work for a connection"`
-	Patience  xmlconfig.Duration `xml:"patience,attr" default:"2500ms" doc:"of a draining node with clients that take tokens"`
-	Late      xmlconfig.Duration `xml:"late,attr" default:"200ms" max:"10s" doc:"how late discovery tells"`
-	Notice    xmlconfig.Duration `xml:"notice,attr" default:"1500ms" max:"10s" doc:"how late the front sees that a balancer is dead"`
+	DrainPatience  xmlconfig.Duration `xml:"patience,attr" default:"2500ms" doc:"of a draining node with clients that take tokens"`
+	DiscoveryDelay      xmlconfig.Duration `xml:"late,attr" default:"200ms" max:"10s" doc:"how late discovery tells"`
+	HealthCheckDelay    xmlconfig.Duration `xml:"notice,attr" default:"1500ms" max:"10s" doc:"how late the front sees that a balancer is dead"`
 }
 
 // Load is what clients do.
@@ -48,10 +48,10 @@
 	Node     int                `xml:"node,attr" default:"0" doc:"where all of them stand at first"`
 	Groups   int                `xml:"groups,attr" default:"50" min:"1" doc:"of streams that share their work"`
 	Interval xmlconfig.Duration `xml:"interval,attr" default:"250ms" min:"1ms" doc:"between two messages of a stream"`
-	Length   xmlconfig.Size     `xml:"length,attr" default:"64B" min:"16B" max:"3KiB" doc:"of a message"`
-	Keep     int                `xml:"keep,attr" default:"400" min:"1" doc:"messages that a node's log keeps"`
+	MessageBytes   xmlconfig.Size     `xml:"length,attr" default:"64B" min:"16B" max:"3KiB" doc:"of a message"`
+	RetainedMessages     int                `xml:"keep,attr" default:"400" min:"1" doc:"messages that a node's log keeps"`
 	Spread   bool               `xml:"spread,attr" default:"false" doc:"streams stand on all nodes in turn, and not on one"`
-	Share    int                `xml:"share,attr" default:"5" min:"1" max:"1000" doc:"streams on one connection, where they are channels"`
+	StreamsPerConnection    int                `xml:"share,attr" default:"5" min:"1" max:"1000" doc:"streams on one connection, where they are channels"`
 }
 
 // Passes are the ways in which the same is played, one after another in one run.
@@ -63,8 +63,8 @@
 type Pass struct {
 	Name     xmlconfig.Name `xml:"name,attr" use:"required" key:"passes"`
 	Tokens   bool           `xml:"tokens,attr" default:"false" doc:"the site file allows tokens, and clients take them"`
-	Twice    bool           `xml:"twice,attr" default:"false" doc:"clients present each token at two balancers at once"`
-	Apart    bool           `xml:"apart,attr" default:"false" doc:"a balancer's processes have no TMPDIR in common, and so nothing passes to a new one"`
+	Duplicate    bool           `xml:"twice,attr" default:"false" doc:"clients present each token at two balancers at once"`
+	SeparateTempDirs    bool           `xml:"apart,attr" default:"false" doc:"a balancer's processes have no TMPDIR in common, and so nothing passes to a new one"`
 	Channels bool           `xml:"channels,attr" default:"false" doc:"clients and nodes speak multiplexed channels"`
 }
 
@@ -81,9 +81,9 @@
 	Node     int                `xml:"node,attr" default:"0"`
 	Balancer int                `xml:"balancer,attr" default:"0"`
 	Within   xmlconfig.Duration `xml:"within,attr" default:"30s" doc:"of settle: the run is void if it takes longer"`
-	For      xmlconfig.Duration `xml:"for,attr" default:"5s" max:"10m" doc:"of garbage: so long before it the delays of messages are measured, and so long it lasts; of watch: how long"`
-	Beside   string             `xml:"beside,attr" enum:"node,first" default:"node" doc:"of watch: the streams that do not stand on the step's node, or are not the first of their connection"`
-	As       xmlconfig.Name     `xml:"as,attr" default:"before" doc:"of watch: its figures begin so; others are compared with 'before'"`
+	Duration      xmlconfig.Duration `xml:"for,attr" default:"5s" max:"10m" doc:"of garbage: so long before it the delays of messages are measured, and so long it lasts; of watch: how long"`
+	Others   string             `xml:"beside,attr" enum:"node,first" default:"node" doc:"of watch: the streams that do not stand on the step's node, or are not the first of their connection"`
+	Prefix       xmlconfig.Name     `xml:"as,attr" default:"before" doc:"of watch: its figures begin so; others are compared with 'before'"`
 }
 
 // Bounds are what must hold.
@@ -189,7 +189,7 @@
 		if i > 0 {
 			prefix = string(p.Name) + "_"
 		}
-		if err := e.pass(ctx, o, p, prefix, r, &gaps, &ups); err != nil {
+		if err := e.runPass(ctx, o, p, prefix, r, &gaps, &ups); err != nil {
 			return nil, fmt.Errorf("pass %s: %w", p.Name, err)
 		}
 	}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -79,9 +79,9 @@
 		experiment string
 		broken     string
 	}{
-		{node.ForgetAll, "token-twice", "max_ever_live_per_token"},
-		{node.SkipOne, "token-drain", "lost"},
-		{node.SendAgain, "token-drain", "repeated"},
+		{node.ForgetClaims, "token-twice", "max_ever_live_per_token"},
+		{node.SkipMessage, "token-drain", "lost"},
+		{node.RepeatMessage, "token-drain", "repeated"},
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			t.Parallel()
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// stormSpan is how long after the first fault connections are counted that clients and nodes make.
-const stormSpan = 2 * time.Second
+// reconnectBurst is how long after the first fault connections are counted that clients and nodes make.
+const reconnectBurst = 2 * time.Second
 
 func millis(d []time.Duration) []float64 {
 	out := make([]float64, len(d))
@@ -20,29 +20,29 @@
 	return out
 }
 
-// figures adds what was measured to the report.
-func (pl *player) figures(r *report.Report, prefix string, f checker.Figures, more map[string]float64) {
+// addFigures adds what was measured to the report.
+func (pl *player) addFigures(r *report.Report, prefix string, f checker.Figures, more map[string]float64) {
 	gaps, delays := millis(f.Gaps), millis(f.Delays)
-	late := pl.lastMoved()
+	late := pl.drainMillis()
 	pl.balancerFigures(more)
 	pl.connectionFigures(more)
 	more["last_channel_moved_ms"], more["buffered_bytes"] = late, more["balancer_kept"]
 	more["evidence"] = more["channels_on_broken_trunks"] - more["balancer_echoes"]
 	for name, v := range map[string]float64{
-		"second_copies": float64(f.SecondCopies), "stand_again_ms": pl.standAgain(f.Ups),
+		"second_copies": float64(f.SecondCopies), "stand_again_ms": pl.lastEstablished(f.Reestablished),
 		"messages": float64(f.Messages), "lost": float64(f.Lost), "repeated": float64(f.Repeated),
 		"corrupt":   float64(f.Corrupt),
 		"told_gaps": float64(f.AnnouncedGaps), "tokens_given": float64(f.Tokens),
-		"tokens_honoured":    float64(f.Honoured),
-		"max_live_per_token": float64(f.MaxLive), "max_ever_live_per_token": float64(f.MaxEver),
-		"max_live_per_stream": float64(f.MaxStream), "session_calls": float64(f.SessionCalls()),
-		"session_calls_for_moves": forMoves(f.SessionOpens), "start_overs_for_moves": forMoves(f.StartOvers),
+		"tokens_honoured":    float64(f.Accepted),
+		"max_live_per_token": float64(f.MaxLivePerToken), "max_ever_live_per_token": float64(f.MaxUsesPerToken),
+		"max_live_per_stream": float64(f.MaxLivePerStream), "session_calls": float64(f.SessionCalls()),
+		"session_calls_for_moves": causedByMoves(f.SessionOpens), "start_overs_for_moves": causedByMoves(f.StartOvers),
 		"session_calls_unexplained": float64(f.SessionOpens[""]) +
 			max(more["store_calls"]-float64(f.SessionCalls()), 0), "moves": float64(f.Moves), "moved_late_ms": late,
 		"gap_p50_ms": report.Quantile(gaps, 0.5), "gap_p99_ms": report.Quantile(gaps, 0.99),
 		"gap_max_ms":   report.Quantile(gaps, 1),
 		"delay_p50_ms": report.Quantile(delays, 0.5), "delay_p99_ms": report.Quantile(delays, 0.99),
-		"resumes": float64(len(f.Ups)), "resumes_per_s_max": maxPerSecond(f.Ups),
+		"resumes": float64(len(f.Reestablished)), "resumes_per_s_max": maxPerSecond(f.Reestablished),
 	} {
 		r.Figures[prefix+name] = v
 	}
@@ -59,11 +59,11 @@
 	}
 }
 
-// lastMoved is how long after a balancer was told of a drain the last connection left the node, in milliseconds, of
+// drainMillis is how long after a balancer was told of a drain the last connection left the node, in milliseconds, of
 // all drains the longest. A node that is not yet empty counts until now.
-func (pl *player) lastMoved() (late float64) {
+func (pl *player) drainMillis() (late float64) {
 	for i, told := range pl.drainAnnounced {
-		last := pl.w.Check.Emptied(deployment.NodeID(i))
+		last := pl.deployment.Check.Emptied(deployment.NodeID(i))
 		if last.IsZero() {
 			last = time.Now()
 		}
@@ -80,7 +80,7 @@
 		"trunks": logging.MuxUpstreams, "trunks_failed": logging.MuxUpstreamsFailed, "muxed": logging.MuxClients,
 		"echoes": logging.CorrelatedFailures,
 	} {
-		for _, b := range pl.w.Balancers {
+		for _, b := range pl.deployment.Balancers {
 			logged := max(b.MaxLogged(field), b.MaxLogged(name))
 			more["balancer_"+name] = max(more["balancer_"+name], logged)
 		}
@@ -89,22 +89,22 @@
 
 // connectionFigures count connections that clients and nodes made since the first fault, and right after it.
 func (pl *player) connectionFigures(more map[string]float64) {
-	storm := pl.began.Add(stormSpan)
-	more["client_connections"] = float64(pl.w.Dials.Between(pl.began, time.Now()))
-	more["client_connections_2s"] = float64(pl.w.Dials.Between(pl.began, storm))
-	more["node_connections_2s"] = float64(pl.w.NodeDials.Between(pl.began, storm))
+	storm := pl.firstFaultAt.Add(reconnectBurst)
+	more["client_connections"] = float64(pl.deployment.Dials.Between(pl.firstFaultAt, time.Now()))
+	more["client_connections_2s"] = float64(pl.deployment.Dials.Between(pl.firstFaultAt, storm))
+	more["node_connections_2s"] = float64(pl.deployment.NodeDials.Between(pl.firstFaultAt, storm))
 }
 
-// standAgain is when the last stream stood again, in milliseconds since the first fault.
-func (pl *player) standAgain(ups []time.Time) (again float64) {
+// lastEstablished is when the last stream stood again, in milliseconds since the first fault.
+func (pl *player) lastEstablished(ups []time.Time) (again float64) {
 	for _, at := range ups {
-		again = max(again, float64(at.Sub(pl.began).Microseconds())/1000)
+		again = max(again, float64(at.Sub(pl.firstFaultAt).Microseconds())/1000)
 	}
 	return again
 }
 
-// forMoves counts what a move was the reason of.
-func forMoves(counts map[string]int) (sum float64) {
+// causedByMoves counts what a move was the reason of.
+func causedByMoves(counts map[string]int) (sum float64) {
 	for why, n := range counts {
 		if strings.HasPrefix(why, checker.AfterToken) || strings.HasPrefix(why, "MOVE") {
 			sum += float64(n)
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -44,7 +44,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	go echo.Serve(ln, nil)
-	b, err := deployment.Alone(program, dir, ln.Addr().String(), channels)
+	b, err := deployment.StartSingle(program, dir, ln.Addr().String(), channels)
 	if err != nil {
 		return Sample{}, err
 	}
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -16,73 +16,73 @@
 
 // conn is one connection, or one channel.
 type conn struct {
-	n        *Node
-	ch       *sshchan.Channel // nil for a connection of its own
+	node        *Node
+	channel       *sshchan.Channel // nil for a connection of its own
 	recorded *recorder.Conn
-	lines    chan string   // what the other side sends
-	ended    chan struct{} // closed once it has ended its side
-	away     chan time.Duration
-	open     proto.Open
-	who      string // whom it is for
+	received    chan string   // what the other side sends
+	peerClosed    chan struct{} // closed once it has ended its side
+	moveAfter     chan time.Duration
+	request     proto.Open
+	client      string // whom it is for
 	claim    resume.ID
-	up       bool   // under the node's mutex
-	buf      []byte // of messages that are sent; flow's only
+	established       bool   // under the node's mutex
+	sendBuffer      []byte // of messages that are sent; flow's only
 }
 
 func (c *conn) read() {
-	defer close(c.ended)
-	rd := bufio.NewReaderSize(c.recorded, maxLine)
+	defer close(c.peerClosed)
+	rd := bufio.NewReaderSize(c.recorded, maxLineBytes)
 	for {
 		text, err := rd.ReadSlice('\n')
 		if err != nil {
 			return
 		}
 		select {
-		case c.lines <- string(text[:max(len(text)-2, 0)]):
-		case <-time.After(headTime): // it is not read any more
+		case c.received <- string(text[:max(len(text)-2, 0)]):
+		case <-time.After(firstLineTimeout): // it is not read any more
 			return
 		}
 	}
 }
 
-func (c *conn) say(text string) {
-	c.n.awake.Pass()
+func (c *conn) write(text string) {
+	c.node.running.Pass()
 	_, _ = c.recorded.Write([]byte(text)) // an error shows as the end
 }
 
 // answer answers the first line, in the form that the connection has.
 func (c *conn) answer(text string) {
-	if c.ch == nil {
-		c.say(text + "\r\n")
+	if c.channel == nil {
+		c.write(text + "\r\n")
 		return
 	}
-	c.n.awake.Pass()
+	c.node.running.Pass()
 	c.recorded.Note(text, true)
 	word, _, _ := strings.Cut(text, " ")
 	switch word {
 	case "UP":
-		_ = c.ch.Confirm(text)
+		_ = c.channel.Confirm(text)
 	case "BUSY":
-		_ = c.ch.Refuse(sshchan.Shortage, text)
+		_ = c.channel.Refuse(sshchan.Shortage, text)
 	default:
-		_ = c.ch.Refuse(sshchan.Failed, text)
+		_ = c.channel.Refuse(sshchan.Failed, text)
 	}
 }
 
 // move sends the client away.
 func (c *conn) move() {
-	if c.ch == nil {
-		c.say("MOVE\r\n")
+	if c.channel == nil {
+		c.write("MOVE\r\n")
 		return
 	}
-	c.n.awake.Pass()
+	c.node.running.Pass()
 	c.recorded.Note("MOVE", true)
-	_ = c.ch.Move("")
+	_ = c.channel.Move("")
 }
 
 // serve lives with a connection until its end. A channel brings its first line with it.
 func (n *Node) serve(c *conn, first string) {
-	c.lines, c.ended, c.away = make(chan string, 16), make(chan struct{}), make(chan time.Duration, 1)
+	c.received, c.peerClosed, c.moveAfter = make(chan string, 16), make(chan struct{}), make(chan time.Duration, 1)
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
@@ -94,52 +94,52 @@
 	defer func() {
 		n.mu.Lock()
 		delete(n.conns, c)
-		if n.streams[c.who] == c {
-			delete(n.streams, c.who)
+		if n.streams[c.client] == c {
+			delete(n.streams, c.client)
 		}
 		n.mu.Unlock()
 		_ = c.recorded.Close()
 	}()
-	if c.ch != nil {
+	if c.channel != nil {
 		c.recorded.Note(first, false)
-		c.begin(first)
+		c.answerOpen(first)
 		return
 	}
 	go c.read()
 	for {
 		select {
-		case text := <-c.lines:
+		case text := <-c.received:
 			if text == "PING" {
-				c.say("PONG\r\n")
+				c.write("PONG\r\n")
 				continue
 			}
-			c.begin(text)
+			c.answerOpen(text)
 			return
-		case <-c.ended:
+		case <-c.peerClosed:
 			return
-		case <-time.After(headTime):
+		case <-time.After(firstLineTimeout):
 			return
 		}
 	}
 }
 
-// begin answers a first line, and lets the stream flow.
-func (c *conn) begin(text string) {
+// answerOpen answers a first line, and lets the stream flow.
+func (c *conn) answerOpen(text string) {
 	var err error
-	if c.open, err = proto.Parse(text); err != nil {
+	if c.request, err = proto.Parse(text); err != nil {
 		c.answer("ERR")
 		return
 	}
 	if c.admit() {
-		c.flow()
+		c.stream()
 	}
 }
 
 // admit answers the first line, unless the connection stands.
 func (c *conn) admit() bool {
-	n, o := c.n, &c.open
-	n.awake.Pass()
-	if why := c.present(); why != resume.Accepted {
+	n, o := c.node, &c.request
+	n.running.Pass()
+	if why := c.claimToken(); why != resume.Accepted {
 		c.answer("STALE " + why.String())
 		return false
 	}
@@ -149,7 +149,7 @@
 	if !refuse && o.Token == "" && o.At == "" {
 		ctx, stop := context.WithTimeout(
 			context.Background(),
-			min(storeTime, time.Duration(o.Millis)*time.Millisecond),
+			min(storeTimeout, time.Duration(o.Millis)*time.Millisecond),
 		)
 		err := n.session.Call(ctx)
 		stop()
@@ -159,24 +159,24 @@
 		}
 	}
 	time.Sleep(n.cfg.SetUp)
-	n.awake.Pass()
+	n.running.Pass()
 	select {
-	case <-c.ended: // it is not wanted any more, and its token is as good as before
+	case <-c.peerClosed: // it is not wanted any more, and its token is as good as before
 		refuse = true
 	default:
 	}
 	if refuse {
-		c.release()
+		c.releaseClaim()
 		c.answer("BUSY")
 		return false
 	}
-	c.stand()
+	c.establish()
 	return true
 }
 
-// present looks at the token, if there is one.
-func (c *conn) present() resume.Reason {
-	n, o := c.n, &c.open
+// claimToken looks at the token, if there is one.
+func (c *conn) claimToken() resume.Reason {
+	n, o := c.node, &c.request
 	if o.Token == "" || n.ring == nil {
 		return resume.Accepted
 	}
@@ -202,134 +202,134 @@
 	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
 	l := resume.StreamRequest{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
 	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
-	if n.cfg.Fault == ForgetAll {
-		n.keeper = resume.NewRegistry(n.cfg.ID, n.started, skew, claims)
+	if n.cfg.Fault == ForgetClaims {
+		n.registry = resume.NewRegistry(n.cfg.ID, n.started, clockSkew, maxClaims)
 	}
-	why := n.keeper.Claim(millis(now), &r, &l, log, n.draining)
+	why := n.registry.Claim(unixMillis(now), &r, &l, log, n.draining)
 	if why == resume.Accepted {
 		c.claim = r.ID
 	}
 	return why
 }
 
-func (c *conn) release() {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+func (c *conn) releaseClaim() {
+	c.node.mu.Lock()
+	defer c.node.mu.Unlock()
 	if c.claim != (resume.ID{}) {
-		c.n.keeper.Release(c.claim)
+		c.node.registry.Release(c.claim)
 	}
 }
 
-// stand lets the connection stand, and ends an older one that is for the same client.
-func (c *conn) stand() {
-	n := c.n
-	c.who = fmt.Sprintf("%x %s %s %s", c.open.Key, c.open.Class, c.open.Group, c.open.Owner)
+// establish lets the connection stand, and ends an older one that is for the same client.
+func (c *conn) establish() {
+	n := c.node
+	c.client = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
 	n.mu.Lock()
-	older := n.streams[c.who]
-	n.streams[c.who] = c
-	c.up = true
+	older := n.streams[c.client]
+	n.streams[c.client] = c
+	c.established = true
 	if c.claim != (resume.ID{}) {
-		n.keeper.Established(c.claim)
+		n.registry.Established(c.claim)
 	}
 	if n.draining {
-		c.sendAway()
+		c.scheduleMove()
 	}
 	n.mu.Unlock()
-	if older != nil && c.open.Token != "" && n.cfg.Fault != ForgetAll {
+	if older != nil && c.request.Token != "" && n.cfg.Fault != ForgetClaims {
 		_ = older.recorded.Close()
 	}
 }
 
-// sendAway has a connection moved, now or after the node's patience; under the node's mutex.
-func (c *conn) sendAway() {
+// scheduleMove has a connection moved, now or after the node's patience; under the node's mutex.
+func (c *conn) scheduleMove() {
 	wait := time.Duration(0)
-	if c.open.WantsToken || c.open.Token != "" {
-		wait = c.n.cfg.Patience
+	if c.request.WantsToken || c.request.Token != "" {
+		wait = c.node.cfg.Patience
 	}
 	select {
-	case c.away <- wait:
+	case c.moveAfter <- wait:
 	default:
 	}
 }
 
-// flow sends messages as they fall due, answers what comes, and ends when either side wants it.
-func (c *conn) flow() {
-	cursor := c.startAt()
-	if c.open.WantsToken || c.open.Token != "" {
-		c.answer(fmt.Sprintf("UP %x from=%d", c.open.Key, cursor))
+// stream sends messages as they fall due, answers what comes, and ends when either side wants it.
+func (c *conn) stream() {
+	cursor := c.resumeCursor()
+	if c.request.WantsToken || c.request.Token != "" {
+		c.answer(fmt.Sprintf("UP %x from=%d", c.request.Key, cursor))
 	} else {
-		c.answer(fmt.Sprintf("UP %x", c.open.Key))
+		c.answer(fmt.Sprintf("UP %x", c.request.Key))
 	}
-	if c.ch != nil {
+	if c.channel != nil {
 		go c.read()
 	}
 	defer c.endClaim()
-	cursor = c.plant(cursor)
+	cursor = c.injectFault(cursor)
 	var goes <-chan time.Time
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
 		select {
-		case <-c.ended:
+		case <-c.peerClosed:
 			return
-		case wait := <-c.away:
+		case wait := <-c.moveAfter:
 			goes = time.After(wait)
 		case <-goes:
 			c.move()
 			return
-		case text := <-c.lines:
-			c.say("OK " + text + "\r\n")
+		case text := <-c.received:
+			c.write("OK " + text + "\r\n")
 		case <-due.C:
 			var err error
-			if cursor, err = c.send(cursor); err != nil {
+			if cursor, err = c.sendDue(cursor); err != nil {
 				return
 			}
-			next := c.n.cfg.Index.Due(c.open.Key, cursor+1).Add(c.n.cfg.Lag)
+			next := c.node.cfg.Index.Due(c.request.Key, cursor+1).Add(c.node.cfg.Lag)
 			due.Reset(max(time.Until(next), 0))
 		}
 	}
 }
 
-// startAt is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the
+// resumeCursor is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the
 // index where it has none. A client whose cursor is no more kept sees where it goes on by the answer's from=.
-func (c *conn) startAt() uint64 {
-	x, key, now := c.n.cfg.Index, c.open.Key, time.Now().Add(-c.n.cfg.Lag)
+func (c *conn) resumeCursor() uint64 {
+	x, key, now := c.node.cfg.Index, c.request.Key, time.Now().Add(-c.node.cfg.Lag)
 	floor, head := x.Floor(key, now), x.Head(key, now)
-	if !c.open.Cur || c.open.Cursor == 0 && c.open.WantsToken {
+	if !c.request.Cur || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
 	}
-	return max(c.open.Cursor, floor)
+	return max(c.request.Cursor, floor)
 }
 
-// plant moves the cursor of a continued stream where the node has a fault on purpose.
-func (c *conn) plant(cursor uint64) uint64 {
-	if c.open.Token == "" {
+// injectFault moves the cursor of a continued stream where the node has a fault on purpose.
+func (c *conn) injectFault(cursor uint64) uint64 {
+	if c.request.Token == "" {
 		return cursor
 	}
-	switch c.n.cfg.Fault {
-	case SkipOne:
+	switch c.node.cfg.Fault {
+	case SkipMessage:
 		cursor++
-	case SendAgain:
+	case RepeatMessage:
 		cursor = max(cursor, 1) - 1
 	}
 	return cursor
 }
 
-// send sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's
+// sendDue sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's
 // number.
-func (c *conn) send(cursor uint64) (uint64, error) {
-	x, key := c.n.cfg.Index, c.open.Key
-	c.n.awake.Pass()
-	now := time.Now().Add(-c.n.cfg.Lag)
-	buf := c.buf[:0]
-	for range backlogMax {
+func (c *conn) sendDue(cursor uint64) (uint64, error) {
+	x, key := c.node.cfg.Index, c.request.Key
+	c.node.running.Pass()
+	now := time.Now().Add(-c.node.cfg.Lag)
+	buf := c.sendBuffer[:0]
+	for range maxBatch {
 		if x.Due(key, cursor+1).After(now) {
 			break
 		}
 		cursor++
 		buf = x.Line(buf, key, cursor)
 	}
-	c.buf = buf
+	c.sendBuffer = buf
 	if len(buf) == 0 {
 		return cursor, nil
 	}
@@ -339,9 +339,9 @@
 
 // endClaim notes that the connection which a token was claimed for has ended.
 func (c *conn) endClaim() {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+	c.node.mu.Lock()
+	defer c.node.mu.Unlock()
 	if c.claim != (resume.ID{}) {
-		c.n.keeper.Closed(c.claim)
+		c.node.registry.Closed(c.claim)
 	}
 }
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -22,7 +22,7 @@
 type Config struct {
 	ID             string
 	Addr           string // "": a port of its own
-	LongAgo        bool   // it has run for long, and discovery lists its start as 0
+	StartedLongAgo        bool   // it has run for long, and discovery lists its start as 0
 	Index          *packageindex.Index
 	Sink           recorder.Sink
 	Store          string        // the session store's address
@@ -31,7 +31,7 @@
 	MaxConnections int           // connections that it holds at most; 0: any number
 	Patience       time.Duration // after a drain's begin, until who takes tokens is sent away, too
 	Lag            time.Duration // its copy of the index is so late
-	Accepted       func()        // called for each connection that it takes, if set
+	OnAccept       func()        // called for each connection that it takes, if set
 	Channels       bool          // it speaks multiplexed channels as well as plain lines
 	Fault          Fault         // planted, to see that a checker finds it
 }
@@ -42,37 +42,37 @@
 // The faults that can be planted.
 const (
 	NoFault   Fault = ""
-	ForgetAll Fault = "forget-claims"  // every token is honoured, however often
-	SkipOne   Fault = "skip-message"   // a continued stream leaves out a message
-	SendAgain Fault = "repeat-message" // it sends the last one again
+	ForgetClaims Fault = "forget-claims"  // every token is honoured, however often
+	SkipMessage   Fault = "skip-message"   // a continued stream leaves out a message
+	RepeatMessage Fault = "repeat-message" // it sends the last one again
 )
 
 const (
-	skew       = resume.UnixMillis(2000)
-	claims     = 1 << 16
-	headTime   = 5 * time.Second
-	storeTime  = 3 * time.Second
-	maxLine    = 4096
-	backlogMax = 64 // messages sent in one go
+	clockSkew       = resume.UnixMillis(2000)
+	maxClaims     = 1 << 16
+	firstLineTimeout   = 5 * time.Second
+	storeTimeout  = 3 * time.Second
+	maxLineBytes    = 4096
+	maxBatch = 64 // messages sent in one go
 )
 
 // Node is one running process of a node.
 type Node struct {
 	cfg     Config
-	ln      net.Listener
+	listener      net.Listener
 	ring    *token.Ring
 	session *store.Client
 	started resume.UnixMillis
 
 	mu                 sync.Mutex
-	keeper             *resume.Registry
+	registry             *resume.Registry
 	conns              map[*conn]bool
 	streams            map[string]*conn // the connection that stands, by who it is for
 	channelConnections map[*sshchan.Conn]bool
 	draining           bool
 	closed             bool
-	awake              barrier.Barrier // shut while the node hangs
-	reads              barrier.Barrier // shut while it only does not read
+	running              barrier.Barrier // shut while the node hangs
+	reading              barrier.Barrier // shut while it only does not read
 }
 
 // Start starts a node.
@@ -86,17 +86,17 @@
 	}
 	n := &Node{
 		cfg:                cfg,
-		ln:                 ln,
+		listener:                 ln,
 		conns:              map[*conn]bool{},
 		streams:            map[string]*conn{},
 		channelConnections: map[*sshchan.Conn]bool{},
 	}
 	now := time.Now()
-	if cfg.LongAgo {
+	if cfg.StartedLongAgo {
 		now = now.Add(-time.Hour)
 	}
-	n.started = millis(now)
-	n.keeper = resume.NewRegistry(cfg.ID, n.started, skew, claims)
+	n.started = unixMillis(now)
+	n.registry = resume.NewRegistry(cfg.ID, n.started, clockSkew, maxClaims)
 	if len(cfg.Keys) > 0 {
 		if n.ring, err = token.NewRing(cfg.Keys); err != nil {
 			return nil, err
@@ -123,26 +123,26 @@
 	return nil, err
 }
 
-func millis(t time.Time) resume.UnixMillis { return resume.UnixMillis(t.UnixMilli()) }
+func unixMillis(t time.Time) resume.UnixMillis { return resume.UnixMillis(t.UnixMilli()) }
 
 // Addr is where it listens.
-func (n *Node) Addr() string { return n.ln.Addr().String() }
+func (n *Node) Addr() string { return n.listener.Addr().String() }
 
 // StartedMillis is what discovery lists as its start.
 func (n *Node) StartedMillis() int64 {
-	if n.cfg.LongAgo {
+	if n.cfg.StartedLongAgo {
 		return 0
 	}
 	return int64(n.started)
 }
 
-// Standing is how many connections are up.
-func (n *Node) Standing() int {
+// Established is how many connections are up.
+func (n *Node) Established() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	up := 0
 	for c := range n.conns {
-		if c.up {
+		if c.established {
 			up++
 		}
 	}
@@ -155,7 +155,7 @@
 	defer n.mu.Unlock()
 	n.draining = true
 	for c := range n.conns {
-		c.sendAway()
+		c.scheduleMove()
 	}
 }
 
@@ -172,7 +172,7 @@
 		conns = append(conns, c)
 	}
 	n.mu.Unlock()
-	_ = n.ln.Close()
+	_ = n.listener.Close()
 	n.ResetChannelConnections()
 	for _, c := range conns {
 		_ = c.recorded.Reset()
@@ -182,15 +182,15 @@
 }
 
 // Hang has it do nothing at all, with all its connections open.
-func (n *Node) Hang() { n.awake.Shut() }
+func (n *Node) Hang() { n.running.Shut() }
 
 // StopReading has it read nothing; it goes on sending.
-func (n *Node) StopReading() { n.reads.Shut() }
+func (n *Node) StopReading() { n.reading.Shut() }
 
 // Wake ends a hang, of either kind.
 func (n *Node) Wake() {
-	n.awake.Open()
-	n.reads.Open()
+	n.running.Open()
+	n.reading.Open()
 }
 
 // ResetChannelConnections resets its connections with channels, and tells how many channels were on them.
@@ -206,19 +206,19 @@
 
 func (n *Node) accept() {
 	for {
-		raw, err := n.ln.Accept()
+		raw, err := n.listener.Accept()
 		if err != nil {
 			return
 		}
-		if n.cfg.Accepted != nil {
-			n.cfg.Accepted()
+		if n.cfg.OnAccept != nil {
+			n.cfg.OnAccept()
 		}
-		go n.greet(hanging{raw, n})
+		go n.detectProtocol(pausableConn{raw, n})
 	}
 }
 
-// greet looks which of the protocols a connection begins with.
-func (n *Node) greet(raw hanging) {
+// detectProtocol looks which of the protocols a connection begins with.
+func (n *Node) detectProtocol(raw pausableConn) {
 	rd := bufio.NewReaderSize(raw, 64<<10)
 	if n.cfg.Channels {
 		if head, _ := rd.Peek(4); string(head) == "SSH-" {
@@ -228,31 +228,31 @@
 	}
 	n.serve(
 		&conn{
-			n:        n,
-			recorded: recorder.Wrap(buffered{recorder.Socket{Conn: raw}, rd}, n.cfg.Sink, recorder.Node, n.cfg.ID),
+			node:        n,
+			recorded: recorder.Wrap(bufferedSocket{recorder.Socket{Conn: raw}, rd}, n.cfg.Sink, recorder.Node, n.cfg.ID),
 		},
 		"",
 	)
 }
 
-// buffered is a socket of which something was read already.
-type buffered struct {
+// bufferedSocket is a socket of which something was read already.
+type bufferedSocket struct {
 	recorder.Socket
 	rd *bufio.Reader
 }
 
 // Read is part of recorder.Stream.
-func (b buffered) Read(p []byte) (int, error) { return b.rd.Read(p) }
+func (b bufferedSocket) Read(p []byte) (int, error) { return b.rd.Read(p) }
 
-// channelWindow is what the node grants on each channel.
-const channelWindow = 64 << 10
+// channelWindowBytes is what the node grants on each channel.
+const channelWindowBytes = 64 << 10
 
-func (n *Node) serveChannels(raw hanging, rd *bufio.Reader) {
+func (n *Node) serveChannels(raw pausableConn, rd *bufio.Reader) {
 	if _, err := rd.ReadString('\n'); err != nil {
 		_ = raw.Close()
 		return
 	}
-	t, err := sshchan.Server(raw, rd, channelWindow)
+	t, err := sshchan.Server(raw, rd, channelWindowBytes)
 	if err != nil {
 		_ = raw.Close()
 		return
@@ -261,26 +261,26 @@
 	n.channelConnections[t] = true
 	n.mu.Unlock()
 	for ch := t.Accept(); ch != nil; ch = t.Accept() {
-		go n.serve(&conn{n: n, ch: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}, ch.Line)
+		go n.serve(&conn{node: n, channel: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}, ch.Line)
 	}
 	n.mu.Lock()
 	delete(n.channelConnections, t)
 	n.mu.Unlock()
 }
 
-// hanging is a socket of a node that may hang: what comes meanwhile, its end too, waits.
-type hanging struct {
+// pausableConn is a socket of a node that may hang: what comes meanwhile, its end too, waits.
+type pausableConn struct {
 	net.Conn
 	n *Node
 }
 
 // Read is part of net.Conn.
-func (h hanging) Read(b []byte) (int, error) {
+func (h pausableConn) Read(b []byte) (int, error) {
 	n, err := h.Conn.Read(b)
-	h.n.awake.Pass()
-	h.n.reads.Pass()
+	h.n.running.Pass()
+	h.n.reading.Pass()
 	return n, err
 }
 
 // SetLinger makes a close a reset.
-func (h hanging) SetLinger(sec int) error { return h.Conn.(*net.TCPConn).SetLinger(sec) }
+func (h pausableConn) SetLinger(sec int) error { return h.Conn.(*net.TCPConn).SetLinger(sec) }
