--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -10,6 +11,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"spurspread/lab/discoveryserver"
 	"strings"
 	"sync"
@@ -19,133 +21,151 @@
 	"github.com/tidwall/gjson"
 )
 
-// Balancer is one real balancer, which may be killed and started again at its address.
+const (
+	// startTimeout bounds how long a process may take until it listens.
+	startTimeout = 10 * time.Second
+	// managementTimeout bounds a call of the management address.
+	managementTimeout = 3 * time.Second
+	// tailLines is how many lines of a process's log are kept for error messages.
+	tailLines = 50
+	// anyPort is the listen address of a balancer before its first start: the kernel chooses the port.
+	anyPort = "127.0.0.1:0"
+)
+
+var (
+	// ErrStart is the error of a process that ended or did not listen within the start's time limit.
+	ErrStart = errors.New("the balancer did not start")
+	// ErrManagement is the error of a management call that was answered with anything but +OK.
+	ErrManagement = errors.New("management call refused")
+)
+
+// Balancer is one real balancer, which can be ended and started again at its address. Start, Upgrade and
+// CallManagement belong to one goroutine; the other methods may be called from any.
 type Balancer struct {
-	deployment      *Deployment
-	rank   int
-	listen string
-	managementAddr   string // of the present process
-	starts int
+	deployment     *Deployment
+	rank           int    // its index in the deployment
+	listen         string // address for clients; the same after the first start
+	managementAddr string // of the present process
+	starts         int    // processes so far
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
 	done      chan struct{} // closed when the process has ended
-	exitCode      int
-	tail      []string // its last log lines
-	maxLogged map[string]float64
+	exitCode  int
+	tail      []string           // its last log lines
+	maxLogged map[string]float64 // greatest value of each numeric field of the log, over all its processes
 }
 
-// StartSingle starts one balancer that knows one node, at the given address, and no discovery.
-func StartSingle(program, dir, addr string, channels bool) (*Balancer, error) {
-	w := &Deployment{cfg: Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}}
-	err := w.writeSiteFiles()
+// StartSingle starts one balancer whose only node is at the given address. Its discovery is closed once it listens.
+func StartSingle(program, dir, nodeAddr string, channels bool) (*Balancer, error) {
+	cfg := Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}
+	d := &Deployment{cfg: cfg}
+	err := d.writeSiteFiles()
 	if err != nil {
 		return nil, err
 	}
-	if w.Discovery, err = discoveryserver.Start(0); err != nil {
+	if d.Discovery, err = discoveryserver.Start(0); err != nil {
 		return nil, err
 	}
-	// It is needed for the list at the start only; a balancer that can't reach it goes on with that.
-	defer func() { _ = w.Discovery.Close() }()
-	w.Discovery.Set(
-		discoveryserver.Entry{
-			ID:        NodeID(0),
-			Addr:      addr,
-			Zone:      "a",
-			Machine:   "m",
-			Lifecycle: discoveryserver.Ready,
-			Weight:    1,
-		},
-	)
-	b := &Balancer{deployment: w, listen: "127.0.0.1:0"}
+	// It is needed for the list at the start only: a balancer that can't reach discovery continues with that list.
+	defer func() { _ = d.Discovery.Close() }()
+	d.Discovery.Set(discoveryserver.Entry{
+		ID:        NodeID(0),
+		Addr:      nodeAddr,
+		Zone:      "a",
+		Machine:   "m",
+		Lifecycle: discoveryserver.Ready,
+		Weight:    1,
+	})
+	b := &Balancer{deployment: d, listen: anyPort}
 	return b, b.Start()
 }
 
-// Addr is where it listens.
+// Addr is the address at which it listens for clients.
 func (b *Balancer) Addr() string { return b.listen }
 
-const (
-	startTimeout = 10 * time.Second
-	tailLines = 50
-)
-
-// Start starts the process and waits until it listens.
+// Start starts a process and waits until it listens. An error that wraps ErrStart has the end of the log.
 func (b *Balancer) Start() error {
 	b.starts++
 	cmd, err := b.command()
 	if err != nil {
 		return err
 	}
-	said, err := cmd.StderrPipe()
+	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	listens, done := make(chan string, 1), make(chan struct{})
+	listens := make(chan string, 1)
+	done := make(chan struct{})
 	b.mu.Lock()
-	b.cmd, b.done, b.tail = cmd, done, nil
+	b.cmd = cmd
+	b.done = done
+	b.tail = nil
 	b.mu.Unlock()
-	go b.followLog(cmd, said, listens, done)
+	go b.followLog(cmd, log, listens, done)
 	select {
 	case b.listen = <-listens:
 		return nil
 	case <-done:
-		return fmt.Errorf("balancer %d ended at its start: %v", b.rank, b.Tail())
+		return fmt.Errorf("%w: balancer %d ended at its start: %v", ErrStart, b.rank, b.Tail())
 	case <-time.After(startTimeout):
 		b.Kill()
-		return fmt.Errorf("balancer %d did not start: %v", b.rank, b.Tail())
+		return fmt.Errorf("%w: balancer %d did not listen in %v: %v", ErrStart, b.rank, startTimeout, b.Tail())
 	}
 }
 
-// command writes the process's configuration and makes its command: as the platform starts it, by its environment
-// alone. Each process has a management address of its own.
+// command writes the configuration of the next process and makes its command. The process gets the environment that
+// the platform gives it, and no arguments. Each process has a management address of its own.
 func (b *Balancer) command() (*exec.Cmd, error) {
+	d := b.deployment
 	var err error
 	if b.managementAddr, err = freeAddr(); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(b.deployment.cfg.Dir, fmt.Sprintf("balancer-%d.json", b.rank))
-	text, err := json.Marshal(b.deployment.balancerConfig(b))
+	path := filepath.Join(d.cfg.Dir, fmt.Sprintf("balancer-%d.json", b.rank))
+	text, err := json.Marshal(d.balancerConfig(b))
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, text, secretFileMode); err != nil {
 		return nil, err
 	}
-	tmp := b.deployment.cfg.Dir
-	if b.deployment.cfg.SeparateTempDirs {
-		if tmp, err = os.MkdirTemp(tmp, "apart"); err != nil {
+	tempDir := d.cfg.Dir
+	if d.cfg.SeparateTempDirs {
+		if tempDir, err = os.MkdirTemp(tempDir, "apart"); err != nil {
 			return nil, err
 		}
 	}
-	cmd := exec.Command(b.deployment.cfg.Program)
+	cmd := exec.Command(d.cfg.Program)
 	cmd.Env = []string{
 		"GW_CONFIG=" + path,
 		"SPURSPREAD_LOG_FORMAT=json",
-		"SPURSPREAD_SITE=" + b.deployment.site,
-		"TMPDIR=" + tmp,
+		"SPURSPREAD_SITE=" + d.site,
+		"TMPDIR=" + tempDir,
 	}
 	return cmd, nil
 }
 
-// followLog reads a process's log until its end, and tells where it listens and that it has ended.
-func (b *Balancer) followLog(cmd *exec.Cmd, said io.Reader, listens chan<- string, done chan<- struct{}) {
-	for lines := bufio.NewScanner(said); lines.Scan(); {
+// followLog reads a process's log until its end. It sends the address at which the process listens, and closes done
+// once the process has ended.
+func (b *Balancer) followLog(cmd *exec.Cmd, log io.Reader, listens chan<- string, done chan<- struct{}) {
+	for lines := bufio.NewScanner(log); lines.Scan(); {
 		b.recordLogLine(lines.Text())
 		if addr := listenAddress(lines.Text()); addr != "" {
 			listens <- addr
 		}
 	}
-	_ = cmd.Wait() // how it ended stands in its state
+	_ = cmd.Wait() // the process state has how it ended
 	b.mu.Lock()
 	b.exitCode = cmd.ProcessState.ExitCode()
 	b.mu.Unlock()
 	close(done)
 }
 
-// freeAddr is an address that nobody listens at, and that the kernel deals to nobody else before it is used: outgoing
+// freeAddr is an address that nobody listens at and that the kernel gives to nobody else before it is used: outgoing
 // connections come from 127.0.0.1, as most listeners do, and this is another of 127.0.0.0/8.
 func freeAddr() (string, error) {
 	ip := net.IPv4(127, byte(64+rand.IntN(128)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
@@ -156,34 +176,31 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// managementTimeout is how long a call of the management address may take; beyond it no answer is waited for.
-const managementTimeout = 3 * time.Second
-
-// CallManagement makes a call of its management address, and tells how long the answer took. An answer other than +OK is an
-// error.
+// CallManagement makes a call of its management address, and returns how long the answer took. An answer other than
+// +OK is ErrManagement.
 func (b *Balancer) CallManagement(call string) (time.Duration, error) {
 	began := time.Now()
-	c, err := net.DialTimeout("tcp", b.managementAddr, managementTimeout)
+	conn, err := net.DialTimeout("tcp", b.managementAddr, managementTimeout)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(began.Add(managementTimeout))
-	if _, err := fmt.Fprint(c, call, "\r\n"); err != nil {
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(began.Add(managementTimeout))
+	if _, err := fmt.Fprint(conn, call, "\r\n"); err != nil {
 		return 0, err
 	}
-	answer, err := bufio.NewReader(c).ReadString('\n')
+	answer, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(answer, "+OK") {
-		err = fmt.Errorf("%s was answered %q", call, answer)
+		err = fmt.Errorf("%w: %s was answered %q", ErrManagement, call, answer)
 	}
 	return time.Since(began), err
 }
 
-// listenAddress reads where a balancer listens from its first log line, in either form: programs of before JSON are measured
-// as well.
+// listenAddress is the address in the log line of a balancer that has started, "" for any other line. Lines of
+// programs from before JSON logs are read as well, as these are measured, too.
 func listenAddress(line string) string {
-	if got := gjson.Parse(line); got.Get("msg").Str == "started" {
-		return got.Get("listen").Str
+	if fields := gjson.Parse(line); fields.Get("msg").Str == "started" {
+		return fields.Get("listen").Str
 	}
 	if _, rest, ok := strings.Cut(line, `msg=started listen="`); ok {
 		addr, _, _ := strings.Cut(rest, `"`)
@@ -192,18 +209,19 @@
 	return ""
 }
 
-// MaxLogged is the greatest value that a field of its log had, since it was first started.
+// MaxLogged is the greatest value that a numeric field of its log has had since its first start; 0 if it had none.
 func (b *Balancer) MaxLogged(field string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.maxLogged[field]
 }
 
-// ResidentBytes is its resident memory, in bytes.
-func (b *Balancer) ResidentBytes() float64 { return ResidentBytes(b.Pid()) }
+// ResidentBytes is the resident memory of its process; see Resident.
+func (b *Balancer) ResidentBytes() float64 { return Resident(b.Pid()) }
 
-// ResidentBytes is a process's resident memory, in bytes, as the kernel has it; 0 where it can't be told.
-func ResidentBytes(pid int) float64 {
+// Resident is the resident memory of a process in bytes, as the kernel reports it; 0 where it can't be read.
+func Resident(pid int) float64 {
+	const bytesPerKB = 1024
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -213,18 +231,19 @@
 	if _, err := fmt.Sscan(rest, &kb); err != nil {
 		return 0
 	}
-	return kb * 1024
+	return kb * bytesPerKB
 }
 
+// recordLogLine keeps the line for Tail and its numeric fields for MaxLogged.
 func (b *Balancer) recordLogLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.maxLogged == nil {
 		b.maxLogged = map[string]float64{}
 	}
-	gjson.Parse(line).ForEach(func(key, v gjson.Result) bool {
-		if v.Type == gjson.Number {
-			b.maxLogged[key.Str] = max(b.maxLogged[key.Str], v.Num)
+	gjson.Parse(line).ForEach(func(key, value gjson.Result) bool {
+		if value.Type == gjson.Number {
+			b.maxLogged[key.Str] = max(b.maxLogged[key.Str], value.Num)
 		}
 		return true
 	})
@@ -234,23 +253,23 @@
 	}
 }
 
-// Tail is the end of its log.
+// Tail is the end of the present process's log, tailLines lines at most.
 func (b *Balancer) Tail() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.tail...)
+	return slices.Clone(b.tail)
 }
 
-// Signal sends its process a signal.
+// Signal sends its process a signal; one that has ended gets none.
 func (b *Balancer) Signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cmd != nil {
-		_ = b.cmd.Process.Signal(s) // one that has ended needs none
+		_ = b.cmd.Process.Signal(s) // it may have ended already
 	}
 }
 
-// Pid is its process, 0 where it has none.
+// Pid is the process id, 0 before the first start.
 func (b *Balancer) Pid() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -260,17 +279,18 @@
 	return b.cmd.Process.Pid
 }
 
-// Kill ends its process at once.
+// Kill ends its process with SIGKILL, and waits for its end.
 func (b *Balancer) Kill() {
 	b.Signal(syscall.SIGKILL)
 	b.wait()
 }
 
-// Upgrade starts a new process beside the present one, on the same address, and once that listens ends the old one
-// in the planned way. It returns the old one's exit code.
+// Upgrade starts a new process on the same address while the present one runs, and once the new one listens ends the
+// old one with SIGTERM. It returns the old one's exit code.
 func (b *Balancer) Upgrade() (int, error) {
 	b.mu.Lock()
-	old, done := b.cmd, b.done
+	old := b.cmd
+	done := b.done
 	b.mu.Unlock()
 	if err := b.Start(); err != nil {
 		return 0, err
@@ -282,12 +302,13 @@
 	return old.ProcessState.ExitCode(), nil
 }
 
-// Terminate ends it in the planned way, and returns its exit code.
+// Terminate ends its process with SIGTERM, and returns its exit code.
 func (b *Balancer) Terminate() int {
 	b.Signal(syscall.SIGTERM)
 	return b.wait()
 }
 
+// wait waits for the end of the present process, if there is one, and returns its exit code.
 func (b *Balancer) wait() int {
 	b.mu.Lock()
 	done := b.done
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -1,17 +1,12 @@
-// Package deployment puts an emulated deployment together, on loopback: nodes, the session store, discovery, a front
-// end, and real balancers, each a process of its own. It knows how the balancers are started and stopped, and nothing
-// of their insides.
+// Package deployment assembles an emulated deployment on loopback: nodes, the session store, discovery, a front end,
+// and real balancers, each a process of its own. Start starts it, its methods drain, kill and restart single parts,
+// and Stop ends whatever was started. It knows how balancers are configured, started and stopped, and must not know
+// their internals: they are observed by their sockets, logs and memory only.
 package deployment
 
 import (
-	"cmp"
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
 	"spurspread/internal/token"
 	"spurspread/lab/checker"
 	"spurspread/lab/client"
@@ -24,312 +19,266 @@
 	"time"
 )
 
-// Config says what a deployment is like.
+const (
+	// sessionCallTimeout is how long a session call waits before it fails.
+	sessionCallTimeout = 3 * time.Second
+	// frontendTimeout bounds how long the front end may take to find all balancers healthy.
+	frontendTimeout = 10 * time.Second
+	// announceTimeout bounds how long discovery may take to send a drain to the first balancer.
+	announceTimeout = 5 * time.Second
+	// pollInterval is the pause between two looks at an awaited condition.
+	pollInterval = 5 * time.Millisecond
+	// indexAge is how long ago the package index began, so that streams have a backlog at the start.
+	indexAge = time.Minute
+	// clientWindowBytes is the receive window that clients grant on each channel.
+	clientWindowBytes = 64 << 10
+)
+
+// The request classes of the balancers, and the deadline of the first.
+const (
+	IndexSync     = "index-sync"
+	MetadataWatch = "metadata-watch"
+	Deadline      = 1200 * time.Millisecond
+)
+
+// Config describes a deployment. Program, Dir, Balancers, Nodes and Interval must be set.
 type Config struct {
-	Program   string // the balancer's
-	Dir       string // for its files; must exist
-	SeparateTempDirs     bool   // each process has a TMPDIR of its own, and so nothing passes to a new version
-	Balancers int
-	Nodes     int
-	Tokens    bool // the site file turns resume tokens on
-	Channels  bool // and multiplexed channels, which the nodes speak, too
-	MemoryMB  int  // of a balancer; 0: 192
-	Seed      uint64
-	Interval  time.Duration // between messages of a stream
-	RetainedMessages      uint64        // messages in a node's log
-	MessageBytes    int           // of a message
-	StoreRate float64       // session calls a second
-	SetUp     time.Duration // a node's work for a connection
-	DrainPatience  time.Duration // of a draining node with clients that take tokens
-	DiscoveryDelay      time.Duration // of discovery
-	HealthCheckDelay    time.Duration // of the front end
-	Fault     node.Fault
+	Program          string // path of the balancer's executable
+	Dir              string // an existing folder for its files
+	SeparateTempDirs bool   // each process has a TMPDIR of its own, so an upgrade has nothing to hand over by
+	Balancers        int
+	Nodes            int
+	Tokens           bool // the site file turns resume tokens on, and the nodes have the key
+	Channels         bool // the site file turns multiplexed channels on, and the nodes accept them
+	MemoryMB         int  // memory limit of a balancer; 0: defaultMemoryMB
+	Seed             uint64
+	Interval         time.Duration // between two messages of a stream
+	RetainedMessages uint64        // messages of each stream that a node's log retains
+	MessageBytes     int           // length of a message
+	StoreRate        float64       // session calls that the store serves in a second
+	SetUp            time.Duration // a node's own work for a new connection
+	DrainPatience    time.Duration // from a drain until clients that take tokens are moved, too
+	DiscoveryDelay   time.Duration // from a change until discovery announces it
+	HealthCheckDelay time.Duration // from a balancer's death until the front end passes it over
+	Fault            node.Fault    // injected into the nodes; "": none
 }
 
-// sessionCallTimeout is how long a session call waits before it fails.
-const sessionCallTimeout = 3 * time.Second
-
-// Deployment is a deployment that runs.
+// Deployment is a running deployment. The parts may be used at any time after Start; its methods belong to one
+// goroutine.
 type Deployment struct {
-	cfg       Config
 	Index     *packageindex.Index
-	Check     *checker.Checker
+	Check     *checker.Checker // records what clients and nodes send and receive
 	Store     *store.Store
 	Discovery *discoveryserver.Server
 	Nodes     []*node.Node
 	Balancers []*Balancer
 	Frontend  *frontend.Frontend
-	keys      []token.Key
-	site      string
-	Dials     EventTimes // connections that clients made
-	NodeDials EventTimes // and that nodes took
-	ctx       context.Context
-	stop      context.CancelFunc
-	clients   sync.WaitGroup
-}
-
-// EventTimes are the times at which something happened.
-type EventTimes struct {
-	mu sync.Mutex
-	times []time.Time
-}
+	Dials     EventTimes // connections that clients made through the front end
+	NodeDials EventTimes // connections that nodes accepted
 
-func (m *EventTimes) record() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.times = append(m.times, time.Now())
+	cfg     Config
+	keys    []token.Key
+	site    string // path of the site file; "": none
+	ctx     context.Context
+	stop    context.CancelFunc
+	clients sync.WaitGroup
 }
 
-// Between tells how often it happened from one time to another.
-func (m *EventTimes) Between(from, to time.Time) int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	n := 0
-	for _, t := range m.times {
-		if !t.Before(from) && t.Before(to) {
-			n++
-		}
-	}
-	return n
-}
-
-// Start starts all but the clients, and waits until the front end has all balancers. Once the context is done,
-// waits end.
+// Start starts all but the clients, and waits until the front end finds all balancers healthy. Once the context is
+// done, waits return its error. After an error nothing is left running.
 func Start(ctx context.Context, cfg Config) (*Deployment, error) {
-	w := &Deployment{
+	d := &Deployment{
 		cfg: cfg,
 		Index: &packageindex.Index{
-			Epoch:    time.Now().Add(-time.Minute),
+			Epoch:    time.Now().Add(-indexAge),
 			Interval: cfg.Interval,
 			Keep:     cfg.RetainedMessages,
 			Length:   cfg.MessageBytes,
 		},
 	}
-	w.Check = checker.New(w.Index)
-	w.ctx, w.stop = context.WithCancel(ctx)
-	if err := w.start(); err != nil {
-		w.Stop()
+	d.Check = checker.New(d.Index)
+	d.ctx, d.stop = context.WithCancel(ctx)
+	if err := d.start(); err != nil {
+		d.Stop()
 		return nil, err
 	}
-	return w, nil
+	return d, nil
 }
 
-func (w *Deployment) start() error {
+func (d *Deployment) start() error {
 	var err error
-	if err = w.writeSiteFiles(); err != nil {
+	if err = d.writeSiteFiles(); err != nil {
 		return err
 	}
-	if w.Store, err = store.Start(w.cfg.StoreRate, sessionCallTimeout); err != nil {
+	if d.Store, err = store.Start(d.cfg.StoreRate, sessionCallTimeout); err != nil {
 		return err
 	}
-	if w.Discovery, err = discoveryserver.Start(w.cfg.DiscoveryDelay); err != nil {
+	if d.Discovery, err = discoveryserver.Start(d.cfg.DiscoveryDelay); err != nil {
 		return err
 	}
-	for i := range w.cfg.Nodes {
-		n, err := w.startNode(i, "", true)
+	if err = d.startNodes(); err != nil {
+		return err
+	}
+	if err = d.startBalancers(); err != nil {
+		return err
+	}
+	if d.Frontend, err = frontend.Start(d.cfg.HealthCheckDelay, d.Addrs()...); err != nil {
+		return err
+	}
+	return d.Await(frontendTimeout, "the balancers answer the front end", func() bool {
+		return d.Frontend.Healthy() == d.cfg.Balancers
+	})
+}
+
+func (d *Deployment) startNodes() error {
+	for i := range d.cfg.Nodes {
+		n, err := d.startNode(i, "", true)
 		if err != nil {
 			return err
 		}
-		w.Nodes = append(w.Nodes, n)
-		w.announce(i, discoveryserver.Ready)
+		d.Nodes = append(d.Nodes, n)
+		d.announce(i, discoveryserver.Ready)
 	}
-	var addrs []string
-	for i := range w.cfg.Balancers {
-		b := &Balancer{deployment: w, rank: i, listen: "127.0.0.1:0"}
-		w.Balancers = append(w.Balancers, b)
+	return nil
+}
+
+func (d *Deployment) startBalancers() error {
+	for i := range d.cfg.Balancers {
+		b := &Balancer{deployment: d, rank: i, listen: anyPort}
+		d.Balancers = append(d.Balancers, b)
 		if err := b.Start(); err != nil {
 			return err
 		}
-		addrs = append(addrs, b.Addr())
 	}
-	if w.Frontend, err = frontend.Start(w.cfg.HealthCheckDelay, addrs...); err != nil {
-		return err
-	}
-	return w.Await(10*time.Second, "the balancers answer the front end", func() bool {
-		return w.Frontend.Healthy() == w.cfg.Balancers
-	})
+	return nil
 }
 
-// Await waits until a condition holds; past the limit it is an error that says what did not come.
-func (w *Deployment) Await(most time.Duration, what string, holds func() bool) error {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// Await polls a condition until it holds. After the timeout it returns an error that names the condition, after the
+// end of the deployment's context the context's error.
+func (d *Deployment) Await(timeout time.Duration, condition string, holds func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if holds() {
 			return nil
 		}
-		if err := w.ctx.Err(); err != nil {
+		if err := d.ctx.Err(); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("after %v: not yet that %s", most, what)
-}
-
-// writeSiteFiles writes the key file and the site file.
-func (w *Deployment) writeSiteFiles() error {
-	if !w.cfg.Tokens && !w.cfg.Channels {
-		return nil
-	}
-	text := `<spurspread xmlns="urn:spurspread:site:1" name="lab">` + "\n"
-	if w.cfg.Channels {
-		text += `<channels most="1024" opens="2000/s"><trunks channels="1024"/></channels>` + "\n"
-	}
-	var err error
-	if w.cfg.Tokens {
-		var secret [32]byte
-		_, _ = rand.Read(secret[:]) // never fails
-		w.keys = []token.Key{{Secret: secret, Issues: true}}
-		err = os.WriteFile(filepath.Join(w.cfg.Dir, "key"), []byte(hex.EncodeToString(secret[:])), 0o600)
-		text += `<resume><keys><key id="lab" file="key" use="mint"/></keys></resume>` + "\n"
-	}
-	w.site = filepath.Join(w.cfg.Dir, "site.xml")
-	return errors.Join(err, os.WriteFile(w.site, []byte(text+"</spurspread>\n"), 0o600))
+	return fmt.Errorf("after %v: not yet that %s", timeout, condition)
 }
 
-// NodeID is how discovery calls a node.
+// NodeID is the node's id in discovery.
 func NodeID(i int) string { return fmt.Sprintf("s-%08x", 0x5be2a07c+i*0x01010101) }
 
-func (w *Deployment) startNode(i int, addr string, longAgo bool) (*node.Node, error) {
+// startNode starts a node. An empty addr gives it a port of its own; startedLongAgo makes it an established one.
+func (d *Deployment) startNode(i int, addr string, startedLongAgo bool) (*node.Node, error) {
 	return node.Start(node.Config{
-		ID: NodeID(i), Addr: addr, StartedLongAgo: longAgo, Index: w.Index, Sink: w.Check,
-		Store: w.Store.Addr(), Keys: w.keys, SetUp: w.cfg.SetUp, Patience: w.cfg.DrainPatience, Fault: w.cfg.Fault,
-		Channels: w.cfg.Channels, OnAccept: func() { w.NodeDials.record() },
+		ID:             NodeID(i),
+		Addr:           addr,
+		StartedLongAgo: startedLongAgo,
+		Index:          d.Index,
+		Sink:           d.Check,
+		Store:          d.Store.Addr(),
+		Keys:           d.keys,
+		SetUp:          d.cfg.SetUp,
+		Patience:       d.cfg.DrainPatience,
+		Fault:          d.cfg.Fault,
+		Channels:       d.cfg.Channels,
+		OnAccept:       d.NodeDials.record,
 	})
 }
 
-// announce tells discovery how a node stands, and returns the change's generation.
-func (w *Deployment) announce(i int, state string) uint64 {
-	return w.Discovery.Set(discoveryserver.Entry{
-		ID: NodeID(i), Addr: w.Nodes[i].Addr(), Zone: "a", Machine: "m", Lifecycle: state,
-		Weight: 1, Started: w.Nodes[i].StartedMillis(),
+// announce lists a node with a lifecycle state in discovery, and returns the change's generation.
+func (d *Deployment) announce(i int, lifecycle string) uint64 {
+	return d.Discovery.Set(discoveryserver.Entry{
+		ID:        NodeID(i),
+		Addr:      d.Nodes[i].Addr(),
+		Zone:      "a",
+		Machine:   "m",
+		Lifecycle: lifecycle,
+		Weight:    1,
+		Started:   d.Nodes[i].StartedMillis(),
 	})
 }
 
-// Drain drains a node, as an operator would, and returns when the first balancer was told.
-func (w *Deployment) Drain(i int) (told time.Time, err error) {
-	w.Nodes[i].Drain()
-	g := w.announce(i, discoveryserver.Terminating)
-	err = w.Await(
-		5*time.Second,
-		"discovery has told a balancer",
-		func() bool { return !w.Discovery.AnnouncedAt(g).IsZero() },
-	)
-	return w.Discovery.AnnouncedAt(g), err
+// Drain drains a node, as an operator would, and returns when discovery first sent it to a balancer.
+func (d *Deployment) Drain(i int) (announcedAt time.Time, err error) {
+	d.Nodes[i].Drain()
+	generation := d.announce(i, discoveryserver.Terminating)
+	announced := func() bool { return !d.Discovery.AnnouncedAt(generation).IsZero() }
+	err = d.Await(announceTimeout, "discovery has told a balancer", announced)
+	return d.Discovery.AnnouncedAt(generation), err
 }
 
-// KillNode ends a node's process. Discovery learns of it when it lists it next.
-func (w *Deployment) KillNode(i int) { w.Nodes[i].Kill() }
+// KillNode resets a node's connections and closes its listener. Discovery goes on listing it until ListGone.
+func (d *Deployment) KillNode(i int) { d.Nodes[i].Kill() }
 
-// ListGone lists a node as gone.
-func (w *Deployment) ListGone(i int) { w.announce(i, discoveryserver.Gone) }
+// ListGone lists a node as gone in discovery.
+func (d *Deployment) ListGone(i int) { d.announce(i, discoveryserver.Gone) }
 
-// RestartNode starts a killed node under its id and address, with nothing, and lists it.
-func (w *Deployment) RestartNode(i int) error {
-	n, err := w.startNode(i, w.Nodes[i].Addr(), false)
+// RestartNode starts a killed node again under its id and address, without its former state, and lists it as ready.
+func (d *Deployment) RestartNode(i int) error {
+	n, err := d.startNode(i, d.Nodes[i].Addr(), false)
 	if err != nil {
 		return err
 	}
-	w.Nodes[i] = n
-	w.announce(i, discoveryserver.Ready)
+	d.Nodes[i] = n
+	d.announce(i, discoveryserver.Ready)
 	return nil
 }
 
-// StartClient adds a client and lets it run until the world stops.
-func (w *Deployment) StartClient(cfg client.Config) *client.Client {
-	cfg.Sink = w.Check
+// StartClient starts a client, which runs until the clients are stopped. Without a link in its configuration it makes
+// connections of its own to the front end.
+func (d *Deployment) StartClient(cfg client.Config) *client.Client {
+	cfg.Sink = d.Check
 	if cfg.Link == nil {
-		cfg.Link = client.DedicatedLink{Addr: w.Frontend.Addr(), OnDial: w.Dials.record}
+		cfg.Link = client.DedicatedLink{Addr: d.Frontend.Addr(), OnDial: d.Dials.record}
 	}
 	c := client.New(cfg)
-	w.clients.Add(1)
+	d.clients.Add(1)
 	go func() {
-		defer w.clients.Done()
-		c.Run(w.ctx)
+		defer d.clients.Done()
+		c.Run(d.ctx)
 	}()
 	return c
 }
 
-// SharedLink is a connection with channels to the front end, for several clients.
-func (w *Deployment) SharedLink() *client.SharedLink {
-	return &client.SharedLink{Addr: w.Frontend.Addr(), Window: clientWindowBytes, OnDial: w.Dials.record}
+// SharedLink is a multiplexed connection to the front end, for several clients.
+func (d *Deployment) SharedLink() *client.SharedLink {
+	return &client.SharedLink{Addr: d.Frontend.Addr(), Window: clientWindowBytes, OnDial: d.Dials.record}
 }
 
-// clientWindowBytes is what clients grant on each channel.
-const clientWindowBytes = 64 << 10
-
-// Addrs are where the balancers listen.
-func (w *Deployment) Addrs() []string {
+// Addrs are the addresses at which the balancers listen for clients.
+func (d *Deployment) Addrs() []string {
 	var out []string
-	for _, b := range w.Balancers {
+	for _, b := range d.Balancers {
 		out = append(out, b.Addr())
 	}
 	return out
 }
 
-// StopClients ends the clients only.
-func (w *Deployment) StopClients() {
-	w.stop()
-	w.clients.Wait()
+// StopClients ends the clients only, and waits for them.
+func (d *Deployment) StopClients() {
+	d.stop()
+	d.clients.Wait()
 }
 
-// Stop ends all of it. Only processes and listeners that the world started are ended.
-func (w *Deployment) Stop() {
-	w.StopClients()
-	if w.Frontend != nil {
-		_ = w.Frontend.Close()
+// Stop ends the clients and every process and listener that was started. It may follow a failed start.
+func (d *Deployment) Stop() {
+	d.StopClients()
+	if d.Frontend != nil {
+		_ = d.Frontend.Close()
 	}
-	for _, b := range w.Balancers {
+	for _, b := range d.Balancers {
 		b.Kill()
 	}
-	for _, n := range w.Nodes {
+	for _, n := range d.Nodes {
 		n.Kill()
 	}
-	if w.Discovery != nil {
-		_ = w.Discovery.Close()
-	}
-	if w.Store != nil {
-		_ = w.Store.Close()
+	if d.Discovery != nil {
+		_ = d.Discovery.Close()
 	}
-}
-
-// balancerConfig is what the platform would tell a balancer.
-func (w *Deployment) balancerConfig(b *Balancer) map[string]any {
-	class := func(name string, aim, deadline time.Duration, worth float64) map[string]any {
-		return map[string]any{
-			"name": name, "slo": aim.Microseconds(), "deadline": deadline.Microseconds(), "effect": "read_like",
-			"streaming": true, "worth": worth,
-		}
-	}
-	return map[string]any{
-		"name": fmt.Sprint("n", b.rank), "listen": b.listen, "mgmt": b.managementAddr, "discovery": w.Discovery.Addr(),
-		"seed":   fmt.Sprintf("%x", w.cfg.Seed*1000+uint64(b.rank*100+b.starts)),
-		"limits": map[string]any{"cores": 1, "memory_mb": cmp.Or(w.cfg.MemoryMB, 192), "sockets": 8192},
-		"known":  w.Discovery.FullList(),
-		"settings": map[string]any{
-			"balancers": w.cfg.Balancers, "rank": b.rank, "zone": 0, "dcs": []string{"a"}, "skus": []string{"m"},
-			"discovery": "ask",
-			"limits": map[string]any{
-				"most_tries": 4, "probes": true, "may_cancel": true, "retry_after": true,
-				"max_retry_after": 1_000_000, "connect_timeout": 75_000,
-			},
-			"rules": map[string]any{
-				"answer_slack": 8000, "ask_every": 10_000_000, "cold": 23_000_000, "cold_from": 0.13,
-				"drain_grace": 2_500_000, "overload_factor": 3, "tip_after": 1_000_000,
-			},
-			"request_classes": []any{
-				class(IndexSync, 300*time.Millisecond, Deadline, 5),
-				class(MetadataWatch, 500*time.Millisecond, 2*time.Second, 1),
-			},
-			"specifics": map[string]any{
-				"mode": "proxy", "groups": true, "message_aim": []float64{250_000, 50_000},
-				"tells_delay": true, "tells_load": false,
-			},
-			"tenants": []any{},
-		},
+	if d.Store != nil {
+		_ = d.Store.Close()
 	}
 }
-
-// The classes, and how long a client of the first waits.
-const (
-	IndexSync     = "index-sync"
-	MetadataWatch = "metadata-watch"
-	Deadline      = 1200 * time.Millisecond
-)
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -115,8 +115,8 @@
 // measureIdle reports the resident memory of both, and the processor time that membership has used.
 func measureIdle(measured [2]*procs.Proc, r *report.Report) {
 	idle := [2]float64{
-		deployment.ResidentBytes(measured[0].Pid()) / (1 << 20),
-		deployment.ResidentBytes(measured[1].Pid()) / (1 << 20),
+		deployment.Resident(measured[0].Pid()) / (1 << 20),
+		deployment.Resident(measured[1].Pid()) / (1 << 20),
 	}
 	cpu := loadgen.CPUTime(measured[1].Pid())
 	r.Figures["idle_cpu_ms_per_s"] = float64(cpu.Milliseconds()) / idleTime.Seconds()
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -28,7 +28,7 @@
 	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
 	return cost{
 		at:       time.Now(),
-		resident: deployment.ResidentBytes(pid),
+		resident: deployment.Resident(pid),
 		cpu:      cpuTime(pid),
 		fds:      len(entries),
 		slab:     slab(),
--- a/lab/scale/kernel.go
+++ b/lab/scale/kernel.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		u.processes++
-		u.bytes += deployment.ResidentBytes(pid)
+		u.bytes += deployment.Resident(pid)
 		u.cpu += loadgen.CPUTime(pid)
 	}
 	return u, nil
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -225,6 +225,6 @@
 	}
 	p.pid, p.cpuTotal = pid, cpu
 	if f.watch.judged {
-		p.memory = max(p.memory, deployment.ResidentBytes(pid)/(1<<20))
+		p.memory = max(p.memory, deployment.Resident(pid)/(1<<20))
 	}
 }
