--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -8,27 +8,26 @@
 	"time"
 )
 
-var now = time.Now()
-
-func testIndex() *packageindex.Index {
+func testIndex(now time.Time) *packageindex.Index {
 	return &packageindex.Index{Epoch: now.Add(-time.Hour), Interval: 10 * time.Millisecond, Keep: 1000, Length: 20}
 }
 
-// play feeds a checker a script: "SIDE CONN > LINE" is sent, "<" read, "end" an end. #N stands for the true message.
-func play(t *testing.T, script string) *Checker {
+// observe feeds a checker a script at one time: "SIDE CONN > LINE" is sent, "<" is read, and "end" is an end. #N is
+// replaced by the index's message of that number.
+func observe(t *testing.T, now time.Time, script string) *Checker {
 	t.Helper()
-	x := testIndex()
-	c := New(x)
+	index := testIndex(now)
+	c := New(index)
 	for _, step := range strings.Split(strings.TrimSpace(script), "\n") {
 		if step = strings.TrimSpace(step); step == "" {
 			continue
 		}
-		f := strings.SplitN(step, " ", 4)
-		e := recorder.Event{At: now, Side: recorder.Client, Name: f[0], Conn: uint64(f[1][0])}
-		if f[0] != "c" {
+		fields := strings.SplitN(step, " ", 4)
+		e := recorder.Event{At: now, Side: recorder.Client, Name: fields[0], Conn: uint64(fields[1][0])}
+		if fields[0] != "c" {
 			e.Side = recorder.Node
 		}
-		switch f[2] {
+		switch fields[2] {
 		case "end":
 			e.End = true
 		case ">":
@@ -38,9 +37,9 @@
 			t.Fatalf("%q", step)
 		}
 		if !e.End {
-			e.Line = []byte(f[3])
-			if n := strings.TrimPrefix(f[3], "#"); n != f[3] && len(n) == 1 {
-				e.Line = x.Line(nil, 5, uint64(n[0]-'0'))
+			e.Line = []byte(fields[3])
+			if n := strings.TrimPrefix(fields[3], "#"); n != fields[3] && len(n) == 1 {
+				e.Line = index.Line(nil, 5, uint64(n[0]-'0'))
 				e.Line = e.Line[:len(e.Line)-2]
 			}
 		}
@@ -49,7 +48,7 @@
 	return c
 }
 
-// What a checker must find, and what it must let pass.
+// What the checker must find, and what it must accept.
 func TestChecker(t *testing.T) {
 	const begin = `
 		c 1 > OPEN a 5 c=s,d=1,tok=ask
@@ -78,7 +77,7 @@
 		"corrupt":            {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"from the future":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"answer, no message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
-		"told of a gap": {
+		"announced gap": {
 			strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7",
 			func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 },
 		},
@@ -118,23 +117,24 @@
 			func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 },
 		},
 	} {
-		f := play(t, c.script).Split()
+		f := observe(t, time.Now(), c.script).Split()
 		if !c.want(&f) {
 			t.Errorf("%s: %+v", name, f)
 		}
 	}
 }
 
-func TestStanding(t *testing.T) {
-	c := play(t, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
-	if standing, behind := c.Established(now, 0); standing != 1 || behind != 1 {
-		t.Errorf("%d, %d", standing, behind)
+func TestEstablished(t *testing.T) {
+	now := time.Now()
+	c := observe(t, now, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
+	if established, behind := c.Established(now, 0); established != 1 || behind != 1 {
+		t.Errorf("%d, %d", established, behind)
 	}
-	if standing, behind := c.Established(now, time.Hour); standing != 1 || behind != 0 {
-		t.Errorf("%d, %d", standing, behind)
+	if established, behind := c.Established(now, time.Hour); established != 1 || behind != 0 {
+		t.Errorf("%d, %d", established, behind)
 	}
 	c.Take(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
-	if standing, _ := c.Established(now, 0); standing != 0 {
-		t.Error("stands though it has ended")
+	if established, _ := c.Established(now, 0); established != 0 {
+		t.Error("established though it has ended")
 	}
 }
--- /dev/null
+++ b/lab/checker/client.go
@@ -0,0 +1,207 @@
+package checker
+
+import (
+	"bytes"
+	"spurspread/lab/proto"
+	"spurspread/lab/recorder"
+	"time"
+)
+
+// moveWord begins the line by which a client is moved; a token may follow it.
+const moveWord = "MOVE"
+
+// AfterToken begins the reason of a client that started over though it had a token.
+const AfterToken = "token, then "
+
+// clientConn is a connection as its client's side shows it.
+type clientConn struct {
+	key         uint64
+	hasToken    bool // its first line presented one
+	established bool
+	lost        bool   // it was established, and is no longer
+	lastLine    string // the final answer, or MOVE; "": none yet
+}
+
+// endReason is why the client opens its next connection.
+func (k *clientConn) endReason(what string) string {
+	if k.hasToken {
+		return AfterToken + what
+	}
+	return what
+}
+
+// observeClient follows a client's side of a connection.
+func (c *Checker) observeClient(e recorder.Event) {
+	k := c.clients[e.Conn]
+	switch {
+	case e.Sent && k == nil && !e.End:
+		c.clientOpened(e)
+	case k == nil || e.Sent:
+	case e.End:
+		c.clientEnded(e, k)
+		delete(c.clients, e.Conn)
+	case !k.established:
+		c.clientAnswered(e, k)
+	default:
+		c.clientReceived(e, k)
+	}
+}
+
+// clientOpened notes a first line, and why the client sent it.
+func (c *Checker) clientOpened(e recorder.Event) {
+	o, err := proto.Parse(string(e.Line))
+	if err != nil {
+		return
+	}
+	s := c.streamOf(o.Key)
+	c.clients[e.Conn] = &clientConn{key: o.Key, hasToken: o.Token != ""}
+	reason := s.lastEnd
+	switch {
+	case o.Token != "":
+		reason = "token"
+	case !s.started && reason == "":
+		reason = "first"
+	}
+	c.openReasons[o.ID] = reason
+	if o.Token == "" {
+		c.current.StartOvers[reason]++
+	}
+}
+
+// clientAnswered notes the answer to a client's first line.
+func (c *Checker) clientAnswered(e recorder.Event, k *clientConn) {
+	text := string(e.Line)
+	answer := proto.ParseAnswer(text)
+	if k.hasToken {
+		words := answer.Word
+		if answer.Word == "STALE" {
+			words = text
+		}
+		c.current.Answers[words]++
+	}
+	if answer.Word != "UP" {
+		k.lastLine = text
+		if answer.Word != "BUSY" {
+			c.streamOf(k.key).lastEnd = k.endReason(text)
+		}
+		return
+	}
+	c.clientEstablished(e, k, answer)
+}
+
+// clientEstablished notes that a client's connection is established, and where its stream continues.
+func (c *Checker) clientEstablished(e recorder.Event, k *clientConn, answer proto.Answer) {
+	k.established = true
+	s := c.streamOf(k.key)
+	if !s.started {
+		s.cursor = answer.From
+		s.cursorUnknown = !answer.Counts
+	} else if answer.Counts && answer.From > s.cursor {
+		c.current.AnnouncedGaps += int(answer.From - s.cursor)
+		s.cursor = answer.From
+	}
+	if !s.interruptedAt.IsZero() {
+		c.current.Gaps = append(c.current.Gaps, e.At.Sub(s.interruptedAt))
+		c.current.Reestablished = append(c.current.Reestablished, e.At)
+		s.interruptedAt = time.Time{}
+	}
+	s.started = true
+	s.established++
+}
+
+// clientReceived notes a line that came after UP. Answers to the client's own lines are no messages.
+func (c *Checker) clientReceived(e recorder.Event, k *clientConn) {
+	if bytes.HasPrefix(e.Line, []byte(moveWord)) {
+		c.clientMoved(e, k)
+		return
+	}
+	if len(e.Line) == 0 || e.Line[0] != '#' {
+		return
+	}
+	n, ok := proto.Number(e.Line)
+	if !ok {
+		c.current.Corrupt++
+		return
+	}
+	if !c.isMessage(e, k.key, n) {
+		c.current.Corrupt++
+	}
+	c.current.Messages++
+	s := c.streamOf(k.key)
+	if s.cursorUnknown {
+		s.cursor = n - 1
+		s.cursorUnknown = false
+	}
+	if n <= s.cursor {
+		c.current.Repeated++
+		return
+	}
+	c.current.Lost += int(n - s.cursor - 1)
+	s.cursor = n
+	c.recordDelay(s, e.At, e.At.Sub(c.index.Due(k.key, n)))
+}
+
+// isMessage reports whether a line is the index's message of that number, and was due when it came.
+func (c *Checker) isMessage(e recorder.Event, key, n uint64) bool {
+	c.expectedLine = c.index.Line(c.expectedLine[:0], key, n)
+	expected := bytes.TrimSuffix(c.expectedLine, []byte("\r\n"))
+	return bytes.Equal(expected, e.Line) && !c.index.Due(key, n).After(e.At)
+}
+
+// clientMoved notes that a client was moved, with a token or without.
+func (c *Checker) clientMoved(e recorder.Event, k *clientConn) {
+	c.current.Moves++
+	if len(e.Line) > len(moveWord)+len(" ") {
+		c.current.Tokens++
+	}
+	k.lastLine = moveWord
+	if len(e.Line) == len(moveWord) {
+		c.streamOf(k.key).lastEnd = "MOVE without a token"
+	}
+	c.connectionLost(e, k)
+}
+
+// recordDelay notes when a stream's next message came, and how long after it was due.
+func (c *Checker) recordDelay(s *stream, at time.Time, delay time.Duration) {
+	c.current.Delays = append(c.current.Delays, delay)
+	if !s.focus {
+		return
+	}
+	focus := &c.current.Focus
+	focus.Delays = append(focus.Delays, delay)
+	if !s.lastMessageAt.IsZero() {
+		focus.Gap = max(focus.Gap, at.Sub(s.lastMessageAt))
+	}
+	s.lastMessageAt = at
+}
+
+// connectionLost notes once that an established connection is no longer established.
+func (c *Checker) connectionLost(e recorder.Event, k *clientConn) {
+	if !k.established || k.lost {
+		return
+	}
+	k.lost = true
+	s := c.streamOf(k.key)
+	s.established--
+	if s.established == 0 {
+		s.interruptedAt = e.At
+	}
+	if s.focus {
+		c.current.Focus.Ends++
+	}
+}
+
+// clientEnded notes the end of a client's connection.
+func (c *Checker) clientEnded(e recorder.Event, k *clientConn) {
+	if k.lastLine == "" {
+		s := c.streamOf(k.key)
+		s.lastEnd = k.endReason("end without an answer")
+		if k.established {
+			s.lastEnd = "end without MOVE"
+		}
+		if k.hasToken {
+			c.current.Answers["end"]++
+		}
+	}
+	c.connectionLost(e, k)
+}
--- /dev/null
+++ b/lab/checker/node.go
@@ -0,0 +1,105 @@
+package checker
+
+import (
+	"bytes"
+	"spurspread/lab/proto"
+	"spurspread/lab/recorder"
+	"time"
+)
+
+// nodeConn is a connection as its node's side shows it.
+type nodeConn struct {
+	key         uint64
+	id          string // of its first line
+	token       string // of its first line; "": none
+	established bool
+}
+
+// tokenUse counts the connections that were established with one token.
+type tokenUse struct{ live, ever int }
+
+// observeNode follows a node's side of a connection.
+func (c *Checker) observeNode(e recorder.Event) {
+	k := c.nodes[e.Conn]
+	switch {
+	case !e.Sent && k == nil && !e.End:
+		c.nodeOpened(e)
+	case k == nil:
+	case e.End:
+		delete(c.nodes, e.Conn)
+		if k.established {
+			c.nodeEnded(e, k)
+		}
+	case e.Sent && !k.established && bytes.HasPrefix(e.Line, []byte("UP ")):
+		c.nodeEstablished(e, k)
+	}
+}
+
+// nodeOpened notes a first line that a node read. One without a token costs a session call.
+func (c *Checker) nodeOpened(e recorder.Event) {
+	o, err := proto.Parse(string(e.Line))
+	if err != nil {
+		return
+	}
+	c.nodes[e.Conn] = &nodeConn{key: o.Key, id: o.ID, token: o.Token}
+	if o.Token == "" {
+		c.current.SessionOpens[c.openReasons[o.ID]]++
+	}
+}
+
+// nodeEstablished notes that a connection is established at a node.
+func (c *Checker) nodeEstablished(e recorder.Event, k *nodeConn) {
+	k.established = true
+	c.establishedAtNode[e.Name]++
+	c.establishedByID[k.id]++
+	if c.establishedByID[k.id] > 1 {
+		c.current.SecondCopies++
+	}
+	s := c.streamOf(k.key)
+	s.establishedAtNodes++
+	s.node = e.Name
+	c.current.MaxLivePerStream = max(c.current.MaxLivePerStream, s.establishedAtNodes)
+	if k.token != "" {
+		c.tokenUsed(k.token)
+	}
+}
+
+// tokenUsed notes that a connection was established with a token.
+func (c *Checker) tokenUsed(token string) {
+	use := c.tokens[token]
+	if use == nil {
+		use = &tokenUse{}
+		c.tokens[token] = use
+	}
+	use.live++
+	use.ever++
+	c.current.Accepted++
+	c.current.MaxLivePerToken = max(c.current.MaxLivePerToken, use.live)
+	c.current.MaxUsesPerToken = max(c.current.MaxUsesPerToken, use.ever)
+}
+
+// nodeEnded notes the end of a connection that was established at a node.
+func (c *Checker) nodeEnded(e recorder.Event, k *nodeConn) {
+	c.establishedAtNode[e.Name]--
+	if c.establishedAtNode[e.Name] == 0 {
+		c.emptiedAt[e.Name] = e.At
+	}
+	c.establishedByID[k.id]--
+	if c.establishedByID[k.id] == 0 {
+		delete(c.establishedByID, k.id)
+	}
+	c.streamOf(k.key).establishedAtNodes--
+	if k.token != "" {
+		c.tokens[k.token].live--
+	}
+}
+
+// Emptied is when the last connection of a node ended; zero while one is established, or if none ever was.
+func (c *Checker) Emptied(node string) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.establishedAtNode[node] > 0 {
+		return time.Time{}
+	}
+	return c.emptiedAt[node]
+}
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,6 +1,7 @@
-// Package client is an emulated client of one stream: it opens, keeps the number of the last whole message that it has,
-// and comes again after whatever ends its connection, with a token where it was given one. It speaks the protocol and
-// asks nobody else.
+// Package client is an emulated client of one stream. It opens the stream through a Link, keeps the number of the
+// last whole message that it received, and reconnects after whatever ends its connection, with a resume token if it
+// was given one. It knows the protocol of clients only: what it received is judged by the sink that observes its
+// socket.
 package client
 
 import (
@@ -14,52 +15,66 @@
 	"time"
 )
 
-// Config says what a client is like.
+// Config describes a client. Key, Class, Link, Deadline and Sink must be set.
 type Config struct {
-	Name     string
-	Key      uint64
-	Class    string
-	Group    string
-	Owner    string
-	Link     Link     // how it reaches a balancer
-	DuplicateAt    []string // balancers: it presents every token at two of them at once, past the front
-	At       string   // the node that its first connection stands at already
-	Tokens   bool     // it takes tokens
-	Deadline time.Duration
-	Sink     recorder.Sink
-	Seed     uint64
+	Name        string
+	Key         uint64 // of the stream
+	Class       string
+	Group       string
+	Owner       string
+	Link        Link          // how it reaches a balancer
+	DuplicateAt []string      // balancers; with two or more it presents each token at two of them at the same time
+	At          string        // node at which its stream already is when the run begins; "": none
+	Tokens      bool          // it takes resume tokens
+	Deadline    time.Duration // for the answer to an open
+	Sink        recorder.Sink // receives what crosses its sockets
+	Seed        uint64        // of its random waits and ids, together with Key
 }
 
+// Bounds of the random waits between two connections.
 const (
-	reconnectMin   = 110 * time.Millisecond // after a break or a move, to comesBy
+	reconnectMin      = 110 * time.Millisecond // after an established connection has ended
 	reconnectMax      = 820 * time.Millisecond
-	retryMin   = 14 * time.Millisecond // after a failure, to retryBy
-	retryMax      = 110 * time.Millisecond
-	slowRetryFailures = 4 // failures in a row, from which on it waits longer
-	slowRetryWait  = 600 * time.Millisecond
-	sendInterval    = 2 * time.Second
-	answerSlack  = 200 * time.Millisecond // beyond its deadline, until it gives up
-	maxLineBytes      = 8192
+	retryMin          = 14 * time.Millisecond // after an open that failed
+	retryMax          = 110 * time.Millisecond
+	slowRetryFailures = 4                      // failures in a row, from which on it waits longer
+	slowRetryWait     = 600 * time.Millisecond // up to twice as long
 )
 
-// Client is one of them.
+const (
+	sendInterval = 2 * time.Second        // between two lines of the client on an established connection
+	answerSlack  = 200 * time.Millisecond // beyond its deadline, until it gives up an open
+	// initialTimeout bounds an open at the node where its stream already is: many of them come at once.
+	initialTimeout = time.Minute
+	maxLineBytes   = 8192
+)
+
+// Words of the protocol's answers.
+const (
+	wordUp    = "UP"
+	wordBusy  = "BUSY"
+	wordStale = "STALE"
+	wordMove  = "MOVE"
+)
+
+// Client is one emulated client. All but Reads belongs to the goroutine of Run.
 type Client struct {
-	Reads  barrier.Barrier // shut, it reads nothing more from a connection that stands
-	cfg    Config
-	rng    *rand.Rand
-	cursor uint64
-	hasCursor    bool // a cursor
-	token  string
-	opens int
-	consecutiveFailures  int
+	Reads               barrier.Barrier // while it is shut, the client reads nothing from an established connection
+	cfg                 Config
+	rng                 *rand.Rand
+	cursor              uint64 // last message received; valid if hasCursor
+	hasCursor           bool
+	token               string // to be presented next; "": none
+	opens               int
+	consecutiveFailures int
 }
 
-// New returns a client that has done nothing yet.
+// New returns a client that connects once it is run.
 func New(cfg Config) *Client {
 	return &Client{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Key))}
 }
 
-// Run opens, and opens again, until the context is done.
+// Run keeps the stream open, connection after connection, until the context is done.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := c.runOnce(ctx)
@@ -70,18 +85,26 @@
 	}
 }
 
+// randomWait draws a wait from the half-open span.
 func (c *Client) randomWait(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)))
 }
 
-// nextOpen is the first line of the next connection; every id is new.
+// nextOpen is the first line of the next connection; each has a new id.
 func (c *Client) nextOpen() *proto.Open {
 	c.opens++
 	o := &proto.Open{
-		ID: fmt.Sprintf("%016x", c.rng.Uint64()), Key: c.cfg.Key, Class: c.cfg.Class, Group: c.cfg.Group,
-		Owner: c.cfg.Owner, Millis: int(c.cfg.Deadline.Milliseconds()), Again: c.opens > 1, Cur: c.hasCursor,
-		Cursor: c.cursor,
-		Token:  c.token, WantsToken: c.cfg.Tokens && c.token == "",
+		ID:         fmt.Sprintf("%016x", c.rng.Uint64()),
+		Key:        c.cfg.Key,
+		Class:      c.cfg.Class,
+		Group:      c.cfg.Group,
+		Owner:      c.cfg.Owner,
+		Millis:     int(c.cfg.Deadline.Milliseconds()),
+		Again:      c.opens > 1,
+		Cur:        c.hasCursor,
+		Cursor:     c.cursor,
+		Token:      c.token,
+		WantsToken: c.cfg.Tokens && c.token == "",
 	}
 	if c.opens == 1 {
 		o.At = c.cfg.At
@@ -89,103 +112,108 @@
 	return o
 }
 
-// dial opens by a link and waits for the answer, as long as the client's patience lasts.
-func (c *Client) dial(ctx context.Context, by Link, o *proto.Open) *conn {
-	deadline := time.Now().Add(time.Duration(o.Millis)*time.Millisecond + answerSlack)
+// dial opens by a link, and waits for the answer until shortly after the deadline.
+func (c *Client) dial(ctx context.Context, link Link, o *proto.Open) *conn {
+	timeout := time.Duration(o.Millis)*time.Millisecond + answerSlack
 	if o.At != "" {
-		deadline = time.Now().Add(time.Minute)
+		timeout = initialTimeout
 	}
-	return by.open(ctx, o, deadline, func(s recorder.Stream) *recorder.Conn {
+	return link.open(ctx, o, time.Now().Add(timeout), func(s recorder.Stream) *recorder.Conn {
 		return recorder.Wrap(s, c.cfg.Sink, recorder.Client, c.cfg.Name)
 	})
 }
 
-// runOnce makes one connection and lives with it. It tells how long to stay away before the next.
+// runOnce makes one connection, and reads from it until its end if it is established. It returns how long to wait
+// before the next.
 func (c *Client) runOnce(ctx context.Context) time.Duration {
 	k := c.connect(ctx)
 	defer k.close()
 	stop := context.AfterFunc(ctx, k.close)
 	defer stop()
-	switch {
-	case k.err == nil && k.answer.Word == "UP":
-		c.token, c.consecutiveFailures = "", 0
+	if k.err != nil {
+		// Without an answer the token may be unused or used: the node that it names will answer that.
+		return c.retryWait()
+	}
+	switch k.answer.Word {
+	case wordUp:
+		c.token = ""
+		c.consecutiveFailures = 0
 		c.readMessages(k)
 		return c.randomWait(reconnectMin, reconnectMax)
-	case k.err == nil && k.answer.Word == "BUSY":
+	case wordBusy:
 		if k.answer.Millis > 0 {
 			return time.Duration(k.answer.Millis) * time.Millisecond
 		}
-	case k.err == nil && k.answer.Word == "STALE":
+	case wordStale:
 		c.token = ""
 		return 0
-	case k.err == nil:
+	default:
 		c.token = ""
 	}
-	// After an end without an answer the token is as good as it was, or used: the node that it names will say.
-	if c.consecutiveFailures++; c.consecutiveFailures >= slowRetryFailures {
+	return c.retryWait()
+}
+
+// retryWait counts a failed open, and returns how long to wait after it.
+func (c *Client) retryWait() time.Duration {
+	c.consecutiveFailures++
+	if c.consecutiveFailures >= slowRetryFailures {
 		return c.randomWait(slowRetryWait, 2*slowRetryWait)
 	}
 	return c.randomWait(retryMin, retryMax)
 }
 
-// connect opens once, or with a token at two balancers at one instant; the one that stands is kept.
+// connect opens once, or with a token at two balancers at the same time; then the better answer is kept.
 func (c *Client) connect(ctx context.Context) *conn {
-	if len(c.cfg.DuplicateAt) < 2 || c.token == "" {
+	const duplicates = 2
+	if len(c.cfg.DuplicateAt) < duplicates || c.token == "" {
 		return c.dial(ctx, c.cfg.Link, c.nextOpen())
 	}
-	got := make(chan *conn, 2)
-	at := c.rng.Perm(len(c.cfg.DuplicateAt))[:2]
-	for _, i := range at {
+	answered := make(chan *conn, duplicates)
+	for _, i := range c.rng.Perm(len(c.cfg.DuplicateAt))[:duplicates] {
 		o := c.nextOpen()
-		go func() { got <- c.dial(ctx, DedicatedLink{Addr: c.cfg.DuplicateAt[i]}, o) }()
+		link := DedicatedLink{Addr: c.cfg.DuplicateAt[i]}
+		go func() { answered <- c.dial(ctx, link, o) }()
 	}
-	one := <-got
-	if answerRank(one) == rankEstablished {
-		go func() { (<-got).close() }() // whatever it is told: nobody waits for it
-		return one
+	best := <-answered
+	if answerRank(best) == rankEstablished {
+		go func() { (<-answered).close() }() // nobody waits for the other answer
+		return best
 	}
-	other := <-got
-	if answerRank(other) > answerRank(one) {
-		one, other = other, one
+	other := <-answered
+	if answerRank(other) > answerRank(best) {
+		best, other = other, best
 	}
 	other.close()
-	return one
+	return best
 }
 
-// rankEstablished is the rank of an answer that ends the question.
-const rankEstablished = 3
+// Ranks of answers, the most useful to the client last.
+const (
+	rankFailed = iota
+	rankBusy   // below a refusal: the other balancer's answer shows that the token may be used up
+	rankRefused
+	rankEstablished
+)
 
-// answerRank orders answers by what they are worth to a client that has two.
+// answerRank orders the answers of a client that has two.
 func answerRank(k *conn) int {
 	switch {
 	case k.err != nil:
-		return 0
-	case k.answer.Word == "UP":
+		return rankFailed
+	case k.answer.Word == wordUp:
 		return rankEstablished
-	case k.answer.Word == "BUSY":
-		return 1 // what another has said counts first: the token may be used up
+	case k.answer.Word == wordBusy:
+		return rankBusy
+	default:
+		return rankRefused
 	}
-	return 2
 }
 
-// readMessages reads until the connection ends, and says something every now and then.
+// readMessages reads until the connection ends or the client is moved, and meanwhile sends a line every sendInterval.
 func (c *Client) readMessages(k *conn) {
 	done := make(chan struct{})
 	defer close(done)
-	go func() {
-		tick := time.NewTicker(sendInterval)
-		defer tick.Stop()
-		for n := 1; ; n++ {
-			select {
-			case <-done:
-				return
-			case <-tick.C:
-				if _, err := fmt.Fprintf(k, "T %d\r\n", n); err != nil {
-					return
-				}
-			}
-		}
-	}()
+	go sendLines(k, done)
 	for {
 		c.Reads.Pass()
 		text, err := k.reader.ReadSlice('\n')
@@ -196,12 +224,30 @@
 			return
 		}
 		if n, ok := proto.Number(text); ok {
-			c.cursor, c.hasCursor = n, true
+			c.cursor = n
+			c.hasCursor = true
 			continue
 		}
-		if move, ok := strings.CutPrefix(strings.TrimRight(string(text), "\r\n"), "MOVE"); ok {
-			c.token = strings.TrimPrefix(move, " ")
+		line := strings.TrimRight(string(text), "\r\n")
+		if token, ok := strings.CutPrefix(line, wordMove); ok {
+			c.token = strings.TrimPrefix(token, " ")
+			return
+		}
+	}
+}
+
+// sendLines sends numbered lines until done is closed or a write fails.
+func sendLines(k *conn, done <-chan struct{}) {
+	tick := time.NewTicker(sendInterval)
+	defer tick.Stop()
+	for n := 1; ; n++ {
+		select {
+		case <-done:
 			return
+		case <-tick.C:
+			if _, err := fmt.Fprintf(k, "T %d\r\n", n); err != nil {
+				return
+			}
 		}
 	}
 }
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -11,33 +11,50 @@
 	"time"
 )
 
-// garbageTimeout is how long a bad client waits for the error that it is owed.
-const garbageTimeout = 3 * time.Second
+const (
+	// garbageTimeout bounds a connection with a garbage token, until its answer.
+	garbageTimeout = 3 * time.Second
+	// tokenPrefix is a token's version; a token without it would be refused before it is decrypted.
+	tokenPrefix = "AQ"
+	// tokenLetters are the letters of a token's text.
+	tokenLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
+)
 
-// SendGarbage presents tokens that nobody sealed, one connection after another, as fast as it is answered, until the
-// context is done. It counts what it has sent, and what was answered as it should be.
+// SendGarbage presents random tokens, one connection after another, as fast as they are answered, until the context
+// is done. It counts the tokens that it has sent, and those that were refused as stale. An error means that it could
+// not connect.
 func SendGarbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
-	const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
-	var word strings.Builder
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", addr, garbageTimeout)
+		conn, err := net.DialTimeout("tcp", addr, garbageTimeout)
 		if err != nil {
 			return err
 		}
-		word.Reset()
-		word.WriteString("AQ") // the version that there is
-		for range 200 + 4*rng.IntN(20) - 2 {
-			word.WriteByte(letters[rng.IntN(len(letters))])
-		}
-		_ = c.SetDeadline(time.Now().Add(garbageTimeout))
+		text := garbageToken(rng)
+		_ = conn.SetDeadline(time.Now().Add(garbageTimeout))
 		sent.Add(1)
-		if _, err := fmt.Fprintf(c, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", rng.Uint64(),
-			word.String()); err == nil {
-			if got, err := bufio.NewReader(c).ReadString('\n'); err == nil && strings.HasPrefix(got, "STALE ") {
-				answered.Add(1)
-			}
+		if refusedAsStale(conn, rng.Uint64(), text) {
+			answered.Add(1)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	return nil
 }
+
+// garbageToken draws a text that has the length and the letters of a token.
+func garbageToken(rng *rand.Rand) string {
+	var text strings.Builder
+	text.WriteString(tokenPrefix)
+	for range 200 + 4*rng.IntN(20) - len(tokenPrefix) {
+		text.WriteByte(tokenLetters[rng.IntN(len(tokenLetters))])
+	}
+	return text.String()
+}
+
+// refusedAsStale opens a stream with a token, and reports whether the answer is STALE.
+func refusedAsStale(conn net.Conn, id uint64, token string) bool {
+	if _, err := fmt.Fprintf(conn, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", id, token); err != nil {
+		return false
+	}
+	answer, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && strings.HasPrefix(answer, wordStale+" ")
+}
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -19,16 +19,21 @@
 // Link is how a client reaches a balancer: by a connection of its own for each open, or by a channel of one that
 // several clients share.
 type Link interface {
-	open(ctx context.Context, o *proto.Open, deadline time.Time, watch func(recorder.Stream) *recorder.Conn) *conn
+	// open opens a stream, and waits for its answer until the deadline. The result is never nil; its err is set if
+	// there was no answer. The wrap function has the stream's bytes recorded.
+	open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn
 }
 
-// conn is a stream that was asked for, and its answer.
+// wrapper has a stream's bytes recorded.
+type wrapper func(recorder.Stream) *recorder.Conn
+
+// conn is a stream that was opened, and its answer.
 type conn struct {
-	*recorder.Conn
-	reader     *bufio.Reader
-	answer proto.Answer
-	err    error
-	moved  func() (token string, moved bool) // after its end, where MOVE is no line
+	*recorder.Conn // nil if the balancer could not be reached
+	reader         *bufio.Reader
+	answer         proto.Answer
+	err            error                             // why there is no answer
+	moved          func() (token string, moved bool) // after its end: whether it was moved without a MOVE line
 }
 
 func (k *conn) close() {
@@ -37,7 +42,7 @@
 	}
 }
 
-// readLine reads one whole line; half a line before an end is none.
+// readLine reads one whole line. Half a line before the end is an error.
 func (k *conn) readLine() (string, error) {
 	text, err := k.reader.ReadSlice('\n')
 	if err != nil {
@@ -48,26 +53,25 @@
 
 // DedicatedLink reaches a balancer by a connection of its own for each open.
 type DedicatedLink struct {
-	Addr    string
-	OnDial func() // called for each connection, if set
+	Addr   string
+	OnDial func() // called for each connection made; may be nil
 }
 
-func (l DedicatedLink) open(
-	ctx context.Context,
-	o *proto.Open,
-	deadline time.Time,
-	watch func(recorder.Stream) *recorder.Conn,
-) *conn {
-	d := net.Dialer{Deadline: deadline}
-	raw, err := d.DialContext(ctx, "tcp", l.Addr)
+func (l DedicatedLink) open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn {
+	dialer := net.Dialer{Deadline: deadline}
+	raw, err := dialer.DialContext(ctx, "tcp", l.Addr)
 	if err != nil {
 		return &conn{err: err}
 	}
 	if l.OnDial != nil {
 		l.OnDial()
 	}
-	k := &conn{Conn: watch(recorder.Socket{Conn: raw}), moved: func() (string, bool) { return "", false }}
-	k.reader = bufio.NewReaderSize(k.Conn, maxLineBytes)
+	recorded := wrap(recorder.Socket{Conn: raw})
+	k := &conn{
+		Conn:   recorded,
+		reader: bufio.NewReaderSize(recorded, maxLineBytes),
+		moved:  func() (string, bool) { return "", false },
+	}
 	_ = raw.SetDeadline(deadline)
 	if _, k.err = k.Write([]byte(o.String())); k.err == nil {
 		var text string
@@ -78,25 +82,25 @@
 	return k
 }
 
-// SharedLink reaches a balancer by channels of one connection, which is made anew when it has ended. Counted tells how
-// often.
+// SharedLink reaches a balancer by channels of one connection, which is made again after it has ended. Several
+// clients may use it at the same time.
 type SharedLink struct {
-	Addr    string
-	Window  uint32
-	OnDial func()
+	Addr   string
+	Window uint32 // receive window of each channel, in bytes
+	OnDial func() // called for each connection made; may be nil
 
 	mu    sync.Mutex
 	conn  *sshchan.Conn
 	group singleflight.Group
 }
 
-// connect gives the connection, and makes one if there is none that stands. Those that ask meanwhile share what
-// comes of it.
+// connect returns the connection, and makes it if there is none or it has ended. Clients that call it meanwhile get
+// the same result.
 func (l *SharedLink) connect(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
 	if c := l.Conn(); c != nil && c.Err() == nil {
 		return c, nil
 	}
-	got, err, _ := l.group.Do("", func() (any, error) {
+	made, err, _ := l.group.Do("", func() (any, error) {
 		c, err := l.dial(ctx, deadline)
 		if err == nil {
 			l.mu.Lock()
@@ -108,12 +112,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return got.(*sshchan.Conn), nil
+	return made.(*sshchan.Conn), nil
 }
 
 func (l *SharedLink) dial(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
-	d := net.Dialer{Deadline: deadline}
-	raw, err := d.DialContext(ctx, "tcp", l.Addr)
+	dialer := net.Dialer{Deadline: deadline}
+	raw, err := dialer.DialContext(ctx, "tcp", l.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +135,7 @@
 	return c, nil
 }
 
-// Conn is the connection that there is, or nil.
+// Conn is the present connection, which may have ended; nil before the first.
 func (l *SharedLink) Conn() *sshchan.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,48 +144,52 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-func (l *SharedLink) open(
-	ctx context.Context,
-	o *proto.Open,
-	deadline time.Time,
-	watch func(recorder.Stream) *recorder.Conn,
-) *conn {
-	c, err := l.connect(ctx, deadline)
+func (l *SharedLink) open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn {
+	connection, err := l.connect(ctx, deadline)
 	if err != nil {
 		return &conn{err: err}
 	}
 	text := strings.TrimRight(o.String(), "\r\n")
-	ch, err := c.Open(text)
+	channel, err := connection.Open(text)
 	if err != nil {
 		return &conn{err: err}
 	}
-	k := &conn{Conn: watch(ch), moved: ch.Moved}
+	k := &conn{Conn: wrap(channel), moved: channel.Moved}
 	k.AtEnd = func() {
-		if token, moved := ch.Moved(); moved {
-			k.Note(strings.TrimRight("MOVE "+token, " "), false)
+		if token, moved := channel.Moved(); moved {
+			k.Note(strings.TrimRight(wordMove+" "+token, " "), false)
 		}
 	}
 	k.reader = bufio.NewReaderSize(k.Conn, maxLineBytes)
 	k.Note(text, true)
-	late := time.NewTimer(time.Until(deadline))
-	defer late.Stop()
+	k.awaitAnswer(ctx, channel, deadline)
+	return k
+}
+
+// awaitAnswer waits for the answer to a channel's open until the deadline, and sets answer or err.
+func (k *conn) awaitAnswer(ctx context.Context, channel *sshchan.Channel, deadline time.Time) {
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
-	case a, ok := <-ch.Answered():
+	case answer, ok := <-channel.Answered():
 		if !ok {
 			k.err = io.ErrUnexpectedEOF
-			return k
+			return
 		}
-		k.Note(a.Line, false)
-		k.answer = proto.ParseAnswer(a.Line)
-	case <-late.C:
+		k.Note(answer.Line, false)
+		k.answer = proto.ParseAnswer(answer.Line)
+	case <-timeout.C:
 		k.err = errNoAnswer
-		go func() { // closed as soon as it is known by which number
-			if a, ok := <-ch.Answered(); ok && a.Up {
-				_ = ch.Close()
-			}
-		}()
+		go closeWhenAnswered(channel)
 	case <-ctx.Done():
 		k.err = ctx.Err()
 	}
-	return k
+}
+
+// closeWhenAnswered closes a channel that nobody waits for. It can't be closed before the peer has confirmed it with
+// its number.
+func closeWhenAnswered(channel *sshchan.Channel) {
+	if answer, ok := <-channel.Answered(); ok && answer.Up {
+		_ = channel.Close()
+	}
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -14,43 +14,56 @@
 	"time"
 )
 
-// conn is one connection, or one channel.
+// Words of the protocol's answers.
+const (
+	wordUp   = "UP"
+	wordBusy = "BUSY"
+	wordMove = "MOVE"
+	wordErr  = "ERR"
+)
+
+// receivedLines is how many lines of the peer wait until the stream answers them.
+const receivedLines = 16
+
+// conn is one connection with plain lines, or one channel. A goroutine serves it, and another reads its lines.
 type conn struct {
 	node        *Node
-	channel       *sshchan.Channel // nil for a connection of its own
-	recorded *recorder.Conn
-	received    chan string   // what the other side sends
-	peerClosed    chan struct{} // closed once it has ended its side
-	moveAfter     chan time.Duration
+	channel     *sshchan.Channel // nil for a connection of its own
+	recorded    *recorder.Conn
+	received    chan string        // lines of the peer
+	peerClosed  chan struct{}      // closed once the peer has ended its side
+	moveAfter   chan time.Duration // at most one wait after which the client is moved
 	request     proto.Open
-	client      string // whom it is for
-	claim    resume.ID
-	established       bool   // under the node's mutex
-	sendBuffer      []byte // of messages that are sent; flow's only
+	client      string    // identifies the client whose stream it is
+	claim       resume.ID // of its token; zero: none
+	established bool      // guarded by the node's mutex
+	sendBuffer  []byte    // of the stream's goroutine only
 }
 
+// read passes the peer's lines on until its end, or until nobody has taken one for firstLineTimeout.
 func (c *conn) read() {
 	defer close(c.peerClosed)
-	rd := bufio.NewReaderSize(c.recorded, maxLineBytes)
+	reader := bufio.NewReaderSize(c.recorded, maxLineBytes)
 	for {
-		text, err := rd.ReadSlice('\n')
+		text, err := reader.ReadSlice('\n')
 		if err != nil {
 			return
 		}
 		select {
-		case c.received <- string(text[:max(len(text)-2, 0)]):
-		case <-time.After(firstLineTimeout): // it is not read any more
+		case c.received <- string(text[:max(len(text)-len("\r\n"), 0)]):
+		case <-time.After(firstLineTimeout):
 			return
 		}
 	}
 }
 
+// write writes lines, unless the node hangs: then it waits.
 func (c *conn) write(text string) {
 	c.node.running.Pass()
-	_, _ = c.recorded.Write([]byte(text)) // an error shows as the end
+	_, _ = c.recorded.Write([]byte(text)) // the reader sees an error as the connection's end
 }
 
-// answer answers the first line, in the form that the connection has.
+// answer answers the first line: with a line, or by confirming or refusing the channel.
 func (c *conn) answer(text string) {
 	if c.channel == nil {
 		c.write(text + "\r\n")
@@ -60,74 +73,91 @@
 	c.recorded.Note(text, true)
 	word, _, _ := strings.Cut(text, " ")
 	switch word {
-	case "UP":
+	case wordUp:
 		_ = c.channel.Confirm(text)
-	case "BUSY":
+	case wordBusy:
 		_ = c.channel.Refuse(sshchan.Shortage, text)
 	default:
 		_ = c.channel.Refuse(sshchan.Failed, text)
 	}
 }
 
-// move sends the client away.
+// move asks the client to reconnect elsewhere.
 func (c *conn) move() {
 	if c.channel == nil {
-		c.write("MOVE\r\n")
+		c.write(wordMove + "\r\n")
 		return
 	}
 	c.node.running.Pass()
-	c.recorded.Note("MOVE", true)
+	c.recorded.Note(wordMove, true)
 	_ = c.channel.Move("")
 }
 
-// serve lives with a connection until its end. A channel brings its first line with it.
-func (n *Node) serve(c *conn, first string) {
-	c.received, c.peerClosed, c.moveAfter = make(chan string, 16), make(chan struct{}), make(chan time.Duration, 1)
-	n.mu.Lock()
-	if n.closed {
-		n.mu.Unlock()
+// serve serves a connection until its end. firstLine is a channel's; a connection with plain lines sends its own.
+func (n *Node) serve(c *conn, firstLine string) {
+	c.received = make(chan string, receivedLines)
+	c.peerClosed = make(chan struct{})
+	c.moveAfter = make(chan time.Duration, 1)
+	if !n.add(c) {
 		_ = c.recorded.Reset()
 		return
 	}
-	n.conns[c] = true
-	n.mu.Unlock()
-	defer func() {
-		n.mu.Lock()
-		delete(n.conns, c)
-		if n.streams[c.client] == c {
-			delete(n.streams, c.client)
-		}
-		n.mu.Unlock()
-		_ = c.recorded.Close()
-	}()
+	defer n.remove(c)
 	if c.channel != nil {
-		c.recorded.Note(first, false)
-		c.answerOpen(first)
+		c.recorded.Note(firstLine, false)
+		c.answerOpen(firstLine)
 		return
 	}
 	go c.read()
+	if line, ok := c.awaitFirstLine(); ok {
+		c.answerOpen(line)
+	}
+}
+
+// add notes a connection; a killed node has none.
+func (n *Node) add(c *conn) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed {
+		return false
+	}
+	n.conns[c] = true
+	return true
+}
+
+func (n *Node) remove(c *conn) {
+	n.mu.Lock()
+	delete(n.conns, c)
+	if n.streams[c.client] == c {
+		delete(n.streams, c.client)
+	}
+	n.mu.Unlock()
+	_ = c.recorded.Close()
+}
+
+// awaitFirstLine answers pings until the first other line. It gives up at the connection's end, or if nothing comes
+// within firstLineTimeout.
+func (c *conn) awaitFirstLine() (line string, ok bool) {
 	for {
 		select {
 		case text := <-c.received:
-			if text == "PING" {
-				c.write("PONG\r\n")
-				continue
+			if text != "PING" {
+				return text, true
 			}
-			c.answerOpen(text)
-			return
+			c.write("PONG\r\n")
 		case <-c.peerClosed:
-			return
+			return "", false
 		case <-time.After(firstLineTimeout):
-			return
+			return "", false
 		}
 	}
 }
 
-// answerOpen answers a first line, and lets the stream flow.
+// answerOpen answers a first line, and runs the stream if it is admitted.
 func (c *conn) answerOpen(text string) {
 	var err error
 	if c.request, err = proto.Parse(text); err != nil {
-		c.answer("ERR")
+		c.answer(wordErr)
 		return
 	}
 	if c.admit() {
@@ -135,56 +165,97 @@
 	}
 }
 
-// admit answers the first line, unless the connection stands.
+// takesTokens reports whether the client has a resume token or wants one.
+func (c *conn) takesTokens() bool { return c.request.WantsToken || c.request.Token != "" }
+
+// admit decides whether the stream is established. If it is not, the first line has been answered.
 func (c *conn) admit() bool {
-	n, o := c.node, &c.request
+	n := c.node
 	n.running.Pass()
-	if why := c.claimToken(); why != resume.Accepted {
-		c.answer("STALE " + why.String())
+	if reason := c.claimToken(); reason != resume.Accepted {
+		c.answer("STALE " + reason.String())
 		return false
 	}
-	n.mu.Lock()
-	refuse := n.draining && o.At == "" || n.cfg.MaxConnections > 0 && len(n.conns) > n.cfg.MaxConnections
-	n.mu.Unlock()
-	if !refuse && o.Token == "" && o.At == "" {
-		ctx, stop := context.WithTimeout(
-			context.Background(),
-			min(storeTimeout, time.Duration(o.Millis)*time.Millisecond),
-		)
-		err := n.session.Call(ctx)
-		stop()
-		if err != nil {
-			c.answer("ERR")
+	refused := c.mustRefuse()
+	if !refused && c.request.Token == "" && c.request.At == "" {
+		if err := c.callSessionStore(); err != nil {
+			c.answer(wordErr)
 			return false
 		}
 	}
 	time.Sleep(n.cfg.SetUp)
 	n.running.Pass()
 	select {
-	case <-c.peerClosed: // it is not wanted any more, and its token is as good as before
-		refuse = true
+	case <-c.peerClosed: // the client gave up, and its token can be used again
+		refused = true
 	default:
 	}
-	if refuse {
+	if refused {
 		c.releaseClaim()
-		c.answer("BUSY")
+		c.answer(wordBusy)
 		return false
 	}
 	c.establish()
 	return true
 }
 
-// claimToken looks at the token, if there is one.
+// mustRefuse reports whether the node takes no new stream: it drains, unless the client was at this node before the
+// run, or it has more connections than it may.
+func (c *conn) mustRefuse() bool {
+	n := c.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.draining && c.request.At == "" {
+		return true
+	}
+	return n.cfg.MaxConnections > 0 && len(n.conns) > n.cfg.MaxConnections
+}
+
+// callSessionStore makes the session call that a client without a token costs.
+func (c *conn) callSessionStore() error {
+	timeout := min(storeTimeout, time.Duration(c.request.Millis)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	return c.node.session.Call(ctx)
+}
+
+// claimToken checks the token of the request, and claims it for this connection. Without a token it accepts.
 func (c *conn) claimToken() resume.Reason {
-	n, o := c.node, &c.request
-	if o.Token == "" || n.ring == nil {
+	n := c.node
+	request := &c.request
+	if request.Token == "" || n.ring == nil {
 		return resume.Accepted
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var t token.Token
-	switch err := n.ring.Open([]byte(o.Token), &t); {
-	case err == nil:
+	if err := n.ring.Open([]byte(request.Token), &t); err != nil {
+		return reasonOf(err)
+	}
+	now := time.Now()
+	grant := grantOf(&t)
+	// The node can't parse group and owner; the balancer has compared them with the token.
+	stream := resume.StreamRequest{
+		Class:  request.Class,
+		Key:    request.Key,
+		Group:  t.Group,
+		Tenant: t.Tenant,
+		Cursor: request.Cursor,
+	}
+	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(request.Key, now.Add(-n.cfg.Lag))}
+	if n.cfg.Fault == ForgetClaims {
+		n.registry = resume.NewRegistry(n.cfg.ID, n.started, clockSkew, maxClaims)
+	}
+	reason := n.registry.Claim(unixMillis(now), &grant, &stream, log, n.draining)
+	if reason == resume.Accepted {
+		c.claim = grant.ID
+	}
+	return reason
+}
+
+// reasonOf is the reason for which a token that could not be opened is refused.
+func reasonOf(err error) resume.Reason {
+	switch {
 	case errors.Is(err, token.ErrUnknownKey):
 		return resume.UnknownKey
 	case errors.Is(err, token.ErrForged):
@@ -192,26 +263,25 @@
 	default:
 		return resume.Malformed
 	}
-	now := time.Now()
-	r := resume.Grant{
-		ID: resume.ID(t.ID), IssuedAt: resume.UnixMillis(t.IssuedAt), ExpiresAt: resume.UnixMillis(t.ExpiresAt),
-		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, LastDelivered: t.LastSequence,
+}
+
+// grantOf is the content of a token as the registry takes it.
+func grantOf(t *token.Token) resume.Grant {
+	return resume.Grant{
+		ID:              resume.ID(t.ID),
+		IssuedAt:        resume.UnixMillis(t.IssuedAt),
+		ExpiresAt:       resume.UnixMillis(t.ExpiresAt),
+		Class:           string(t.Class),
+		Key:             t.Key,
+		Group:           t.Group,
+		Tenant:          t.Tenant,
+		LastDelivered:   t.LastSequence,
 		Server:          string(t.Server),
 		ServerStartedAt: resume.UnixMillis(t.ServerStarted),
 	}
-	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
-	l := resume.StreamRequest{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
-	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
-	if n.cfg.Fault == ForgetClaims {
-		n.registry = resume.NewRegistry(n.cfg.ID, n.started, clockSkew, maxClaims)
-	}
-	why := n.registry.Claim(unixMillis(now), &r, &l, log, n.draining)
-	if why == resume.Accepted {
-		c.claim = r.ID
-	}
-	return why
 }
 
+// releaseClaim gives the claim of a stream back that was not established: its token can be used again.
 func (c *conn) releaseClaim() {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
@@ -220,7 +290,7 @@
 	}
 }
 
-// establish lets the connection stand, and ends an older one that is for the same client.
+// establish makes this the client's connection. With a token, an older connection of the same client is closed.
 func (c *conn) establish() {
 	n := c.node
 	c.client = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
@@ -240,10 +310,11 @@
 	}
 }
 
-// scheduleMove has a connection moved, now or after the node's patience; under the node's mutex.
+// scheduleMove has the client moved: now, or after the node's patience if it takes tokens. The caller holds the
+// node's mutex.
 func (c *conn) scheduleMove() {
 	wait := time.Duration(0)
-	if c.request.WantsToken || c.request.Token != "" {
+	if c.takesTokens() {
 		wait = c.node.cfg.Patience
 	}
 	select {
@@ -252,20 +323,17 @@
 	}
 }
 
-// stream sends messages as they fall due, answers what comes, and ends when either side wants it.
+// stream answers that the stream is established, sends messages when they are due, answers the peer's lines, and ends
+// when the peer ends it or the client is moved.
 func (c *conn) stream() {
 	cursor := c.resumeCursor()
-	if c.request.WantsToken || c.request.Token != "" {
-		c.answer(fmt.Sprintf("UP %x from=%d", c.request.Key, cursor))
-	} else {
-		c.answer(fmt.Sprintf("UP %x", c.request.Key))
-	}
+	c.answer(c.upLine(cursor))
 	if c.channel != nil {
 		go c.read()
 	}
-	defer c.endClaim()
+	defer c.closeClaim()
 	cursor = c.injectFault(cursor)
-	var goes <-chan time.Time
+	var move <-chan time.Time
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
@@ -273,8 +341,8 @@
 		case <-c.peerClosed:
 			return
 		case wait := <-c.moveAfter:
-			goes = time.After(wait)
-		case <-goes:
+			move = time.After(wait)
+		case <-move:
 			c.move()
 			return
 		case text := <-c.received:
@@ -290,18 +358,31 @@
 	}
 }
 
-// resumeCursor is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the
-// index where it has none. A client whose cursor is no more kept sees where it goes on by the answer's from=.
+// upLine is the answer to an admitted client; one that takes tokens is given the message after which the stream
+// continues.
+func (c *conn) upLine(cursor uint64) string {
+	line := fmt.Sprintf("%s %x", wordUp, c.request.Key)
+	if c.takesTokens() {
+		line += fmt.Sprintf(" from=%d", cursor)
+	}
+	return line
+}
+
+// resumeCursor is the message after which the stream continues: the client's cursor, or the head of the node's copy
+// of the index if it has none. A client whose cursor is no longer retained sees it by the answer's from=.
 func (c *conn) resumeCursor() uint64 {
-	x, key, now := c.node.cfg.Index, c.request.Key, time.Now().Add(-c.node.cfg.Lag)
-	floor, head := x.Floor(key, now), x.Head(key, now)
+	index := c.node.cfg.Index
+	key := c.request.Key
+	now := time.Now().Add(-c.node.cfg.Lag)
+	floor := index.Floor(key, now)
+	head := index.Head(key, now)
 	if !c.request.Cur || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
 	}
 	return max(c.request.Cursor, floor)
 }
 
-// injectFault moves the cursor of a continued stream where the node has a fault on purpose.
+// injectFault changes the cursor of a continued stream where the node has an injected fault.
 func (c *conn) injectFault(cursor uint64) uint64 {
 	if c.request.Token == "" {
 		return cursor
@@ -315,30 +396,31 @@
 	return cursor
 }
 
-// sendDue sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's
+// sendDue sends the messages after the cursor that are due, maxBatch at most, in one write. It returns the last one's
 // number.
 func (c *conn) sendDue(cursor uint64) (uint64, error) {
-	x, key := c.node.cfg.Index, c.request.Key
+	index := c.node.cfg.Index
+	key := c.request.Key
 	c.node.running.Pass()
 	now := time.Now().Add(-c.node.cfg.Lag)
-	buf := c.sendBuffer[:0]
+	lines := c.sendBuffer[:0]
 	for range maxBatch {
-		if x.Due(key, cursor+1).After(now) {
+		if index.Due(key, cursor+1).After(now) {
 			break
 		}
 		cursor++
-		buf = x.Line(buf, key, cursor)
+		lines = index.Line(lines, key, cursor)
 	}
-	c.sendBuffer = buf
-	if len(buf) == 0 {
+	c.sendBuffer = lines
+	if len(lines) == 0 {
 		return cursor, nil
 	}
-	_, err := c.recorded.Write(buf)
+	_, err := c.recorded.Write(lines)
 	return cursor, err
 }
 
-// endClaim notes that the connection which a token was claimed for has ended.
-func (c *conn) endClaim() {
+// closeClaim notes in the registry that the connection for which a token was claimed has ended.
+func (c *conn) closeClaim() {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
 	if c.claim != (resume.ID{}) {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -1,7 +1,7 @@
-// Package node is an emulated index node: it speaks the protocol's lines on sockets, numbers the messages of
-// streams and continues them after a cursor, keeps the claims of resume tokens, calls the session store for what is
-// new to it, and drains, dies, hangs and starts cold when it is told to. It takes the part that
-// docs/protocol/resume.md gives to nodes, with the project's own keeper of claims.
+// Package node is an emulated index node. It accepts connections and channels on a socket, numbers the messages of
+// streams and continues them after a cursor, keeps the claims of resume tokens in the project's own registry, and
+// calls the session store for clients that have no token. Its methods drain, kill and hang it. It has the node's part
+// of docs/protocol/resume.md, and must not know balancers or the checker that observes its sockets.
 package node
 
 import (
@@ -18,64 +18,73 @@
 	"time"
 )
 
-// Config says what a node is like.
+// Config describes a node. ID, Index, Sink and Store must be set.
 type Config struct {
 	ID             string
-	Addr           string // "": a port of its own
-	StartedLongAgo        bool   // it has run for long, and discovery lists its start as 0
+	Addr           string // listen address; "": a port of its own
+	StartedLongAgo bool   // it started an hour ago, and discovery lists its start as 0
 	Index          *packageindex.Index
-	Sink           recorder.Sink
-	Store          string        // the session store's address
-	Keys           []token.Key   // none: it knows no tokens
+	Sink           recorder.Sink // receives what crosses its sockets
+	Store          string        // address of the session store
+	Keys           []token.Key   // of resume tokens; none: it accepts no tokens
 	SetUp          time.Duration // its own work for a new connection
-	MaxConnections int           // connections that it holds at most; 0: any number
-	Patience       time.Duration // after a drain's begin, until who takes tokens is sent away, too
-	Lag            time.Duration // its copy of the index is so late
-	OnAccept       func()        // called for each connection that it takes, if set
-	Channels       bool          // it speaks multiplexed channels as well as plain lines
-	Fault          Fault         // planted, to see that a checker finds it
+	MaxConnections int           // connections beyond it are refused with BUSY; 0: no limit
+	Patience       time.Duration // from a drain until clients that take tokens are moved, too
+	Lag            time.Duration // how late its copy of the index is
+	OnAccept       func()        // called for each accepted connection; may be nil
+	Channels       bool          // it accepts multiplexed channels as well as plain lines
+	Fault          Fault         // injected, to test that a checker finds it
 }
 
-// Fault is a bug on purpose.
+// Fault is a bug that is injected on purpose.
 type Fault string
 
-// The faults that can be planted.
+// The faults that can be injected.
 const (
-	NoFault   Fault = ""
-	ForgetClaims Fault = "forget-claims"  // every token is honoured, however often
+	NoFault       Fault = ""
+	ForgetClaims  Fault = "forget-claims"  // every token is accepted, however often it is presented
 	SkipMessage   Fault = "skip-message"   // a continued stream leaves out a message
-	RepeatMessage Fault = "repeat-message" // it sends the last one again
+	RepeatMessage Fault = "repeat-message" // a continued stream sends its last message again
 )
 
 const (
-	clockSkew       = resume.UnixMillis(2000)
-	maxClaims     = 1 << 16
-	firstLineTimeout   = 5 * time.Second
-	storeTimeout  = 3 * time.Second
-	maxLineBytes    = 4096
-	maxBatch = 64 // messages sent in one go
+	clockSkew          = resume.UnixMillis(2000) // between the clocks of nodes, which the registry allows for
+	maxClaims          = 1 << 16                 // claims that the registry keeps
+	firstLineTimeout   = 5 * time.Second         // until a connection's first line, and until a line is taken
+	storeTimeout       = 3 * time.Second         // of a session call, if the client's deadline is not shorter
+	maxLineBytes       = 4096
+	maxBatch           = 64        // messages that are written in one go
+	channelWindowBytes = 64 << 10  // receive window that is granted on each channel
+	readBufferBytes    = 64 << 10  // of an accepted socket
+	longAgo            = time.Hour // age of a node with StartedLongAgo
+	listenAttempts     = 50
+	listenPause        = 10 * time.Millisecond // between two attempts to listen
 )
 
-// Node is one running process of a node.
+// sshPrefix begins a connection with multiplexed channels.
+const sshPrefix = "SSH-"
+
+// Node is one running process of a node. Its methods may be called from any goroutine.
 type Node struct {
-	cfg     Config
-	listener      net.Listener
-	ring    *token.Ring
-	session *store.Client
-	started resume.UnixMillis
+	cfg      Config
+	listener net.Listener
+	ring     *token.Ring // nil: it accepts no tokens
+	session  *store.Client
+	started  resume.UnixMillis
+	running  barrier.Barrier // shut while the node hangs
+	reading  barrier.Barrier // shut while the node does not read but sends
 
 	mu                 sync.Mutex
-	registry             *resume.Registry
+	registry           *resume.Registry
 	conns              map[*conn]bool
-	streams            map[string]*conn // the connection that stands, by who it is for
+	streams            map[string]*conn // the established connection of each client
 	channelConnections map[*sshchan.Conn]bool
 	draining           bool
 	closed             bool
-	running              barrier.Barrier // shut while the node hangs
-	reading              barrier.Barrier // shut while it only does not read
 }
 
-// Start starts a node.
+// Start starts a node that listens at once. It fails if its address stays in use, a key is invalid, or the session
+// store does not accept a connection.
 func Start(cfg Config) (*Node, error) {
 	if cfg.Addr == "" {
 		cfg.Addr = "127.0.0.1:0"
@@ -86,19 +95,20 @@
 	}
 	n := &Node{
 		cfg:                cfg,
-		listener:                 ln,
+		listener:           ln,
 		conns:              map[*conn]bool{},
 		streams:            map[string]*conn{},
 		channelConnections: map[*sshchan.Conn]bool{},
 	}
 	now := time.Now()
 	if cfg.StartedLongAgo {
-		now = now.Add(-time.Hour)
+		now = now.Add(-longAgo)
 	}
 	n.started = unixMillis(now)
 	n.registry = resume.NewRegistry(cfg.ID, n.started, clockSkew, maxClaims)
 	if len(cfg.Keys) > 0 {
 		if n.ring, err = token.NewRing(cfg.Keys); err != nil {
+			_ = ln.Close()
 			return nil, err
 		}
 	}
@@ -110,25 +120,25 @@
 	return n, nil
 }
 
-// listen binds an address that a killed node may have left a moment ago.
+// listen listens at an address that a killed node may have used a moment ago, and so tries for a while.
 func listen(addr string) (net.Listener, error) {
 	var err error
-	for range 50 {
+	for range listenAttempts {
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", addr); err == nil {
 			return ln, nil
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(listenPause)
 	}
 	return nil, err
 }
 
 func unixMillis(t time.Time) resume.UnixMillis { return resume.UnixMillis(t.UnixMilli()) }
 
-// Addr is where it listens.
+// Addr is the address at which it listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// StartedMillis is what discovery lists as its start.
+// StartedMillis is its start as discovery lists it, in milliseconds since 1970; 0 for a node that started long ago.
 func (n *Node) StartedMillis() int64 {
 	if n.cfg.StartedLongAgo {
 		return 0
@@ -136,20 +146,21 @@
 	return int64(n.started)
 }
 
-// Established is how many connections are up.
+// Established is the number of established connections and channels.
 func (n *Node) Established() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	up := 0
+	established := 0
 	for c := range n.conns {
 		if c.established {
-			up++
+			established++
 		}
 	}
-	return up
+	return established
 }
 
-// Drain has it refuse what is new, and send its clients away: plain ones at once, others after its patience.
+// Drain makes it refuse new streams and move its clients away: plain ones at once, those that take tokens after its
+// patience.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -159,7 +170,8 @@
 	}
 }
 
-// Kill ends the process: what stands is reset, and nobody listens.
+// Kill emulates the sudden end of the process: connections are reset, and the listener is closed. A second call does
+// nothing.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	if n.closed {
@@ -181,25 +193,25 @@
 	n.Wake()
 }
 
-// Hang has it do nothing at all, with all its connections open.
+// Hang makes it do nothing at all, with all its connections open, until Wake.
 func (n *Node) Hang() { n.running.Shut() }
 
-// StopReading has it read nothing; it goes on sending.
+// StopReading makes it read nothing, while it goes on sending, until Wake.
 func (n *Node) StopReading() { n.reading.Shut() }
 
-// Wake ends a hang, of either kind.
+// Wake ends Hang and StopReading.
 func (n *Node) Wake() {
 	n.running.Open()
 	n.reading.Open()
 }
 
-// ResetChannelConnections resets its connections with channels, and tells how many channels were on them.
+// ResetChannelConnections resets its connections with channels, and returns how many channels were on them.
 func (n *Node) ResetChannelConnections() (channels int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for t := range n.channelConnections {
-		channels += t.Len()
-		_ = t.Abort()
+	for c := range n.channelConnections {
+		channels += c.Len()
+		_ = c.Abort()
 	}
 	return channels
 }
@@ -217,70 +229,64 @@
 	}
 }
 
-// detectProtocol looks which of the protocols a connection begins with.
+// detectProtocol serves a connection with channels or with plain lines, by its first bytes.
 func (n *Node) detectProtocol(raw pausableConn) {
-	rd := bufio.NewReaderSize(raw, 64<<10)
+	reader := bufio.NewReaderSize(raw, readBufferBytes)
 	if n.cfg.Channels {
-		if head, _ := rd.Peek(4); string(head) == "SSH-" {
-			n.serveChannels(raw, rd)
+		if prefix, _ := reader.Peek(len(sshPrefix)); string(prefix) == sshPrefix {
+			n.serveChannels(raw, reader)
 			return
 		}
 	}
-	n.serve(
-		&conn{
-			node:        n,
-			recorded: recorder.Wrap(bufferedSocket{recorder.Socket{Conn: raw}, rd}, n.cfg.Sink, recorder.Node, n.cfg.ID),
-		},
-		"",
-	)
+	socket := bufferedSocket{recorder.Socket{Conn: raw}, reader}
+	n.serve(&conn{node: n, recorded: recorder.Wrap(socket, n.cfg.Sink, recorder.Node, n.cfg.ID)}, "")
 }
 
-// bufferedSocket is a socket of which something was read already.
+// bufferedSocket is a socket of which a buffer has read something already.
 type bufferedSocket struct {
 	recorder.Socket
-	rd *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Read is part of recorder.Stream.
-func (b bufferedSocket) Read(p []byte) (int, error) { return b.rd.Read(p) }
-
-// channelWindowBytes is what the node grants on each channel.
-const channelWindowBytes = 64 << 10
+// Read implements recorder.Stream.
+func (b bufferedSocket) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-func (n *Node) serveChannels(raw pausableConn, rd *bufio.Reader) {
-	if _, err := rd.ReadString('\n'); err != nil {
+// serveChannels serves the channels of a connection until it ends.
+func (n *Node) serveChannels(raw pausableConn, reader *bufio.Reader) {
+	if _, err := reader.ReadString('\n'); err != nil {
 		_ = raw.Close()
 		return
 	}
-	t, err := sshchan.Server(raw, rd, channelWindowBytes)
+	connection, err := sshchan.Server(raw, reader, channelWindowBytes)
 	if err != nil {
 		_ = raw.Close()
 		return
 	}
 	n.mu.Lock()
-	n.channelConnections[t] = true
+	n.channelConnections[connection] = true
 	n.mu.Unlock()
-	for ch := t.Accept(); ch != nil; ch = t.Accept() {
-		go n.serve(&conn{node: n, channel: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}, ch.Line)
+	for ch := connection.Accept(); ch != nil; ch = connection.Accept() {
+		c := &conn{node: n, channel: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}
+		go n.serve(c, ch.Line)
 	}
 	n.mu.Lock()
-	delete(n.channelConnections, t)
+	delete(n.channelConnections, connection)
 	n.mu.Unlock()
 }
 
-// pausableConn is a socket of a node that may hang: what comes meanwhile, its end too, waits.
+// pausableConn is a socket whose reads return only while the node is neither hanging nor has stopped reading.
 type pausableConn struct {
 	net.Conn
-	n *Node
+	node *Node
 }
 
-// Read is part of net.Conn.
-func (h pausableConn) Read(b []byte) (int, error) {
-	n, err := h.Conn.Read(b)
-	h.n.running.Pass()
-	h.n.reading.Pass()
+// Read implements net.Conn.
+func (p pausableConn) Read(b []byte) (int, error) {
+	n, err := p.Conn.Read(b)
+	p.node.running.Pass()
+	p.node.reading.Pass()
 	return n, err
 }
 
 // SetLinger makes a close a reset.
-func (h pausableConn) SetLinger(sec int) error { return h.Conn.(*net.TCPConn).SetLinger(sec) }
+func (p pausableConn) SetLinger(sec int) error { return p.Conn.(*net.TCPConn).SetLinger(sec) }
