--- a/cmd/spurspread-lab/main.go
+++ b/cmd/spurspread-lab/main.go
@@ -47,8 +47,8 @@
 
 type streams struct{ out, err io.Writer }
 
-// errBroken says that a bound does not hold; the table has told which.
-var errBroken = errors.New("a bound does not hold")
+// errBoundBroken says that a bound does not hold; the table has told which.
+var errBoundBroken = errors.New("a bound does not hold")
 
 func main() { os.Exit(run(os.Args[1:], &streams{os.Stdout, os.Stderr})) }
 
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.give(e, c.Name, c.Plant); err != nil {
+	if err := c.apply(e, c.Name, c.Plant); err != nil {
 		return err
 	}
 	program, err := program(c.Spurspread)
@@ -161,7 +161,7 @@
 	for i := range all {
 		o := o // each run has its own
 		o.Seed = c.Seed + uint64(i)
-		o.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, o.Seed, c.given())
+		o.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, o.Seed, c.asWritten())
 		group.Go(func() (err error) {
 			all[i], err = e.Run(ctx, o)
 			return err
@@ -188,7 +188,7 @@
 		err = all.Keep(c.Out)
 	}
 	if err == nil && !all.Pass() {
-		err = errBroken
+		err = errBoundBroken
 	}
 	return err
 }
@@ -240,7 +240,7 @@
 	var all []*scenario.Result
 	broken := 0
 	for _, script := range scripts {
-		got, err := c.repeat(script, build, log)
+		got, err := c.runRepeats(script, build, log)
 		if err != nil {
 			return err
 		}
@@ -265,18 +265,18 @@
 		all = append(all, got...)
 	}
 	if c.Out != "" {
-		if err := writePlays(c.Out, all); err != nil {
+		if err := writeRuns(c.Out, all); err != nil {
 			return err
 		}
 	}
 	if broken > 0 {
-		return errBroken
+		return errBoundBroken
 	}
 	return nil
 }
 
-// repeat plays one script with as many seeds as were asked for, several at once.
-func (c *virtualCmd) repeat(
+// runRepeats plays one script with as many seeds as were asked for, several at once.
+func (c *virtualCmd) runRepeats(
 	script string, build func(w *simulation.Cluster, i, start int) simulation.Detector, log func(string, ...any),
 ) ([]*scenario.Result, error) {
 	got := make([]*scenario.Result, max(c.Repeat, 1))
@@ -301,7 +301,7 @@
 func summary(script string, all []*scenario.Result) string {
 	var bytes, seen []float64
 	for _, r := range all {
-		bytes, seen = append(bytes, r.BytesPerS), append(seen, r.SeenAt(0.99).Seconds())
+		bytes, seen = append(bytes, r.BytesPerS), append(seen, r.DetectionQuantile(0.99).Seconds())
 	}
 	return fmt.Sprintf(
 		"%-10s %d plays; bytes a second and member %.0f, at most %.0f; crashes seen (p99 of a play) after %.2f s, "+
@@ -316,8 +316,8 @@
 	)
 }
 
-// writePlays writes a row for each play.
-func writePlays(path string, all []*scenario.Result) error {
+// writeRuns writes a row for each play.
+func writeRuns(path string, all []*scenario.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -34,8 +34,8 @@
 	Partition time.Duration `name:"cut" help:"How long each cut lasts; 0: as long as the bounds ask for."`
 }
 
-// given are the flags as they were written, each with a blank before it.
-func (f scaleFlags) given() (out string) {
+// asWritten are the flags as they were written, each with a blank before it.
+func (f scaleFlags) asWritten() (out string) {
 	for _, one := range []struct {
 		name  string
 		value int
@@ -56,8 +56,8 @@
 	return out
 }
 
-// give hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
-func (f scaleFlags) give(e runner, name, plant string) error {
+// apply hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
+func (f scaleFlags) apply(e runner, name, plant string) error {
 	ofScale := slices.Contains(scale.Plants, scale.Plant(plant))
 	s, is := e.(*scaleRun)
 	switch {
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// beat is how often a watch says something: an empty line, or, where weights fall with use, the list with those of now.
-const beat = time.Second
+// heartbeat is how often a watch says something: an empty line, or, where weights fall with use, the list with those of now.
+const heartbeat = time.Second
 
 // discovery lists the nodes, whole, whenever one of them has changed.
 type discovery struct {
@@ -30,7 +30,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *discovery) list() (string, chan struct{}) {
+func (d *discovery) render() (string, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var items []string
@@ -50,7 +50,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	text, changed := d.list()
+	text, changed := d.render()
 	if r.URL.Query().Get("stream") == "" {
 		_, _ = fmt.Fprintln(w, text)
 		return
@@ -62,10 +62,10 @@
 		}
 		select {
 		case <-changed:
-			text, changed = d.list()
-		case <-time.After(beat):
+			text, changed = d.render()
+		case <-time.After(heartbeat):
 			if text = ""; d.pushed {
-				text, changed = d.list()
+				text, changed = d.render()
 			}
 		case <-r.Context().Done():
 			return
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -24,8 +24,8 @@
 	for _, addr := range strings.Split(*nodes, ",") {
 		at = append(at, listen(addr))
 	}
-	d := start(at, *pushed)
-	go d.drainTyped(os.Stdin)
+	d := startNodes(at, *pushed)
+	go d.drainOnInput(os.Stdin)
 	log.Fatal(http.Serve(listen(*list), d))
 }
 
@@ -37,8 +37,8 @@
 	return ln
 }
 
-// start has a node serve at each listener, and returns their discovery.
-func start(at []net.Listener, pushed bool) *discovery {
+// startNodes has a node serve at each listener, and returns their discovery.
+func startNodes(at []net.Listener, pushed bool) *discovery {
 	d := &discovery{pushed: pushed, generation: 1, changed: make(chan struct{})}
 	for i, ln := range at {
 		n := &node{
@@ -53,7 +53,7 @@
 	return d
 }
 
-func (d *discovery) drainTyped(in io.Reader) {
+func (d *discovery) drainOnInput(in io.Reader) {
 	for typed := bufio.NewScanner(in); typed.Scan(); {
 		if i, err := strconv.Atoi(strings.TrimSpace(typed.Text())); err == nil && i > 0 && i <= len(d.nodes) {
 			d.nodes[i-1].drain()
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -13,9 +13,9 @@
 
 const (
 	cores = 2.0
-	// usual is the load of a connection that brings no hint, in microseconds of work a second.
-	usual = 50_000.0
-	core  = 1_000_000.0 // what one core does, the same
+	// defaultLoad is the load of a connection that brings no hint, in microseconds of work a second.
+	defaultLoad = 50_000.0
+	coreLoad    = 1_000_000.0 // what one core does, the same
 )
 
 // node is one toy server.
@@ -50,47 +50,47 @@
 		verb, rest, _ := strings.Cut(in.Text(), " ")
 		switch {
 		case verb == "PING":
-			say(c, "PONG")
+			writeLine(c, "PONG")
 			continue
 		case verb == "STATS" && n.reportsLoad:
-			say(c, n.report())
+			writeLine(c, n.report())
 			continue
 		case verb != "OPEN":
-			say(c, "SYNTAX")
+			writeLine(c, "SYNTAX")
 			return
 		}
-		load := hint(rest)
-		if !n.enter(c, load) {
-			say(c, "BUSY")
+		load := expectedLoad(rest)
+		if !n.admit(c, load) {
+			writeLine(c, "BUSY")
 			return
 		}
-		defer n.leave(c)
-		say(c, "UP "+n.name)
+		defer n.remove(c)
+		writeLine(c, "UP "+n.name)
 		n.reportLoad(c, load)
 		for in.Scan() {
-			say(c, in.Text())
+			writeLine(c, in.Text())
 			if load, ok := strings.CutPrefix(in.Text(), "work "); ok {
-				n.reportLoad(c, number(load, usual))
+				n.reportLoad(c, parseLoad(load, defaultLoad))
 			}
 		}
 		return
 	}
 }
 
-// say writes a line; a client that has gone shows at the next read.
-func say(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%s\r\n", text) }
+// writeLine writes a line; a client that has gone shows at the next read.
+func writeLine(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%s\r\n", text) }
 
-// hint is the load that an OPEN line leads to expect.
-func hint(first string) float64 {
+// expectedLoad is the load that an OPEN line leads to expect.
+func expectedLoad(first string) float64 {
 	for _, pair := range strings.Split(first[strings.LastIndexByte(first, ' ')+1:], ",") {
 		if value, ok := strings.CutPrefix(pair, "h="); ok {
-			return number(value, usual)
+			return parseLoad(value, defaultLoad)
 		}
 	}
-	return usual
+	return defaultLoad
 }
 
-func number(text string, otherwise float64) float64 {
+func parseLoad(text string, otherwise float64) float64 {
 	if v, err := strconv.ParseFloat(text, 64); err == nil && v >= 0 {
 		return v
 	}
@@ -105,7 +105,7 @@
 	n.mu.Lock()
 	n.loads[c] = load
 	n.mu.Unlock()
-	say(c, fmt.Sprintf("LOAD %.0f", load))
+	writeLine(c, fmt.Sprintf("LOAD %.0f", load))
 }
 
 // report is the answer to STATS: nothing waits at a toy, and x0 is what is asked of it over what it can do.
@@ -116,10 +116,10 @@
 	for _, load := range n.loads {
 		sum += load
 	}
-	return fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f", sum/(cores*core))
+	return fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f", sum/(cores*coreLoad))
 }
 
-func (n *node) enter(c net.Conn, load float64) bool {
+func (n *node) admit(c net.Conn, load float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.draining {
@@ -128,7 +128,7 @@
 	return !n.draining
 }
 
-func (n *node) leave(c net.Conn) {
+func (n *node) remove(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.loads, c)
@@ -139,7 +139,7 @@
 	defer n.mu.Unlock()
 	n.draining = true
 	for c := range n.loads {
-		say(c, "MOVE")
+		writeLine(c, "MOVE")
 		_ = c.Close()
 	}
 }
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// patience bounds every wait; nothing is proved by its passing.
-const patience = 15 * time.Second
+// awaitTimeout bounds every wait; nothing is proved by its passing.
+const awaitTimeout = 15 * time.Second
 
 // installation is one of the example's, with a process of the balancer in front of it.
 type installation struct {
-	t  *testing.T
-	d  *discovery
-	at string // where clients connect
+	t    *testing.T
+	d    *discovery
+	addr string // where clients connect
 }
 
 // install starts the program with an example's configuration, at addresses that are free here.
@@ -30,22 +30,22 @@
 	var nodes []net.Listener
 	for range 2 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		check(t, err)
+		mustSucceed(t, err)
 		t.Cleanup(func() { _ = ln.Close() })
 		nodes = append(nodes, ln)
 	}
-	d := start(nodes, pushed)
+	d := startNodes(nodes, pushed)
 	list := httptest.NewServer(http.Handler(d))
 	t.Cleanup(list.CloseClientConnections) // ends the watches, which list.Close would wait for
 	free, err := net.Listen("tcp", "127.0.0.1:0")
-	check(t, err)
-	in := &installation{t: t, d: d, at: free.Addr().String()}
-	check(t, free.Close())
+	mustSucceed(t, err)
+	in := &installation{t: t, d: d, addr: free.Addr().String()}
+	mustSucceed(t, free.Close())
 	text, err := os.ReadFile(config)
-	check(t, err)
+	mustSucceed(t, err)
 	var pairs []string
 	for i, now := range []string{
-		in.at, list.Listener.Addr().String(), nodes[0].Addr().String(),
+		in.addr, list.Listener.Addr().String(), nodes[0].Addr().String(),
 		nodes[1].Addr().String(),
 	} {
 		if was := "127.0.0.1:" + ports[i]; strings.Contains(string(text), was) {
@@ -55,15 +55,15 @@
 		}
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	check(t, os.WriteFile(path, []byte(strings.NewReplacer(pairs...).Replace(string(text))), 0o600))
+	mustSucceed(t, os.WriteFile(path, []byte(strings.NewReplacer(pairs...).Replace(string(text))), 0o600))
 	cmd := exec.Command(program)
 	cmd.Env = []string{"GW_CONFIG=" + path, "TMPDIR=" + t.TempDir()}
-	check(t, cmd.Start())
+	mustSucceed(t, cmd.Start())
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	})
-	for late := time.Now().Add(patience); in.ask("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
+	for late := time.Now().Add(awaitTimeout); in.request("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("never ready")
 		}
@@ -71,43 +71,43 @@
 	return in
 }
 
-func check(t *testing.T, err error) {
+func mustSucceed(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// ask says one line on a connection of its own, and returns the answer, "" where none came.
-func (in *installation) ask(text string) string {
-	c, err := net.Dial("tcp", in.at)
+// request says one line on a connection of its own, and returns the answer, "" where none came.
+func (in *installation) request(text string) string {
+	c, err := net.Dial("tcp", in.addr)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
-	say(c, text)
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	writeLine(c, text)
+	_ = c.SetReadDeadline(time.Now().Add(awaitTimeout))
 	answer, _ := bufio.NewReader(c).ReadString('\n')
 	return strings.TrimSpace(answer)
 }
 
 // client is a connection that stands.
 type client struct {
-	in   *installation
-	c    net.Conn
-	rd   *bufio.Reader
-	node string
+	installation *installation
+	conn         net.Conn
+	reader       *bufio.Reader
+	node         string
 }
 
 func (in *installation) open(id int, class, more string) *client {
 	in.t.Helper()
-	c, err := net.Dial("tcp", in.at)
-	check(in.t, err)
+	c, err := net.Dial("tcp", in.addr)
+	mustSucceed(in.t, err)
 	in.t.Cleanup(func() { _ = c.Close() })
-	check(in.t, c.SetDeadline(time.Now().Add(patience)))
-	p := &client{in: in, c: c, rd: bufio.NewReader(c)}
-	say(c, fmt.Sprintf("OPEN %x 7 c=%s,d=1200%s", id, class, more))
-	up := p.line()
+	mustSucceed(in.t, c.SetDeadline(time.Now().Add(awaitTimeout)))
+	p := &client{installation: in, conn: c, reader: bufio.NewReader(c)}
+	writeLine(c, fmt.Sprintf("OPEN %x 7 c=%s,d=1200%s", id, class, more))
+	up := p.readLine()
 	name, ok := strings.CutPrefix(up, "UP ")
 	if !ok {
 		in.t.Fatalf("%q for id %x", up, id)
@@ -116,17 +116,17 @@
 	return p
 }
 
-func (p *client) line() string {
-	p.in.t.Helper()
-	text, err := p.rd.ReadString('\n')
-	check(p.in.t, err)
+func (p *client) readLine() string {
+	p.installation.t.Helper()
+	text, err := p.reader.ReadString('\n')
+	mustSucceed(p.installation.t, err)
 	return strings.TrimSpace(text)
 }
 
-// heard reads on to a line.
-func (p *client) heard(want string) {
-	p.in.t.Helper()
-	for p.line() != want {
+// awaitLine reads on to a line.
+func (p *client) awaitLine(want string) {
+	p.installation.t.Helper()
+	for p.readLine() != want {
 	}
 }
 
@@ -142,7 +142,7 @@
 	pushed := install(t, program, "../pushed.json", true, [4]string{"8082", "8501", "9101", "9102"})
 
 	heavy := pushed.open(1, "feed", ",g=1,h=1500000")
-	heavy.heard("LOAD 1500000")
+	heavy.awaitLine("LOAD 1500000")
 	for i := range 5 {
 		if p := pushed.open(2+i, "watch", ",g=2,h=20000"); p.node == heavy.node {
 			t.Errorf("connection %d went to %s, which has all it can do", i, p.node)
@@ -153,8 +153,8 @@
 		stands := map[string]*client{}
 		for i := 0; len(stands) < 2 && i < 100; i++ {
 			p := in.open(1000+i, class, ",h=1000")
-			say(p.c, "hello")
-			p.heard("hello")
+			writeLine(p.conn, "hello")
+			p.awaitLine("hello")
 			stands[p.node] = p
 		}
 		if len(stands) < 2 {
@@ -162,9 +162,9 @@
 		}
 		in.d.nodes[0].drain()
 		in.d.notifyWatches()
-		stands["toy-1"].heard("MOVE")
-		say(stands["toy-2"].c, "still there")
-		stands["toy-2"].heard("still there")
+		stands["toy-1"].awaitLine("MOVE")
+		writeLine(stands["toy-2"].conn, "still there")
+		stands["toy-2"].awaitLine("still there")
 		for i := range 20 {
 			if p := in.open(2000+i, class, ",h=1000"); p.node != "toy-2" {
 				t.Fatalf("%s: connection %d went to %s, which drains", class, i, p.node)
--- a/lab/barrier/barrier.go
+++ b/lab/barrier/barrier.go
@@ -1,48 +1,48 @@
-// Package barrier holds up goroutines, all at once, for as long as a caller wants.
+// Package barrier suspends goroutines: those that pass a shut barrier wait until it is opened.
 package barrier
 
 import "sync"
 
-// Barrier is open until it is shut. The zero Gate is open.
+// Barrier is open until it is shut. The zero Barrier is open. It may be used from several goroutines.
 type Barrier struct {
 	mu   sync.Mutex
-	open chan struct{} // closed while the gate is open; nil as long as it was never shut
+	open chan struct{} // closed while the barrier is open; nil if it has never been shut
 }
 
-// Shut holds up whoever passes from now on.
-func (g *Barrier) Shut() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.open == nil {
-		g.open = make(chan struct{})
+// Shut makes Pass wait from now on.
+func (b *Barrier) Shut() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.open == nil {
+		b.open = make(chan struct{})
 		return
 	}
 	select {
-	case <-g.open:
-		g.open = make(chan struct{})
+	case <-b.open:
+		b.open = make(chan struct{})
 	default: // shut already
 	}
 }
 
-// Open lets all pass.
-func (g *Barrier) Open() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.open == nil {
+// Open ends all waits.
+func (b *Barrier) Open() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.open == nil {
 		return
 	}
 	select {
-	case <-g.open:
+	case <-b.open: // open already
 	default:
-		close(g.open)
+		close(b.open)
 	}
 }
 
-// Pass waits while the gate is shut.
-func (g *Barrier) Pass() {
-	g.mu.Lock()
-	open := g.open
-	g.mu.Unlock()
+// Pass waits while the barrier is shut.
+func (b *Barrier) Pass() {
+	b.mu.Lock()
+	open := b.open
+	b.mu.Unlock()
 	if open != nil {
 		<-open
 	}
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -15,27 +15,24 @@
 
 const docs = "../../docs"
 
-// Each figure on the page that is marked as measured stands in a kept result, and each calculation comes out as shown.
+// Each figure that the page marks as measured is in a stored result, and each calculation gives what is shown.
 func TestCapacityPage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := Check(text, func(file string) ([]Run, error) { return Read(filepath.Join(docs, file)) })
-	for _, w := range p.Wrong {
+	for _, w := range p.Problems {
 		t.Errorf("docs/CAPACITY.md, %s", w)
 	}
 	if p.Measured == 0 || p.Formulas == 0 {
-		t.Errorf(
-			"%d measured figures and %d formulas: the page has another form than the check",
-			p.Measured,
-			p.Formulas,
-		)
+		t.Errorf("%d measured figures and %d formulas: the page has another form than the check",
+			p.Measured, p.Formulas)
 	}
 }
 
-// Each kept line is what its kept runs give.
-func TestKeptLines(t *testing.T) {
+// Each stored line is that of its stored runs.
+func TestStoredLines(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(docs, "results", "*-fit.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -47,22 +44,18 @@
 	}
 }
 
-// checked is what a page is found to hold that has these lines, beside a kept result of three runs.
-func checked(lines ...string) Page {
+// checkedPage checks a page of these lines, beside a stored result of three runs.
+func checkedPage(lines ...string) Page {
 	return Check([]byte(strings.Join(lines, "\n")), func(file string) ([]Run, error) {
 		if file != "results/a.csv" {
 			return nil, os.ErrNotExist
 		}
-		return readCSV(
-			[]byte(
-				"experiment,commit,seed,members,bytes,share\nx,c,1,60,1234.56,0.0421\n" +
-					"x,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n",
-			),
-		)
+		return readCSV([]byte("experiment,commit,seed,members,bytes,share\n" +
+			"x,c,1,60,1234.56,0.0421\nx,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n"))
 	})
 }
 
-func TestPageIsHeldAgainstKeptResults(t *testing.T) {
+func TestPageIsCheckedAgainstStoredResults(t *testing.T) {
 	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
 	for line, fault := range map[string]string{
 		"[1,240 bytes](results/a.csv#bytes)":                "",
@@ -91,8 +84,8 @@
 		"`f(2) = 4`":                                        "no such function",
 		"`(1 = 2`":                                          "expected",
 	} {
-		p := checked(line)
-		if got := strings.Join(p.Wrong, "; "); fault == "" && got != "" || !strings.Contains(got, fault) ||
+		p := checkedPage(line)
+		if got := strings.Join(p.Problems, "; "); fault == "" && got != "" || !strings.Contains(got, fault) ||
 			p.Measured+p.Formulas == 0 {
 			t.Errorf("%s: %q, %q expected", line, got, fault)
 		}
@@ -109,7 +102,7 @@
 		"| a | 7 | guessed |":                                 "no basis",
 		"| a | 7 |":                                           "no cell",
 	} {
-		if got := strings.Join(checked(append(table, row)...).Wrong, "; "); fault == "" && got != "" ||
+		if got := strings.Join(checkedPage(append(table, row)...).Problems, "; "); fault == "" && got != "" ||
 			!strings.Contains(got, fault) {
 			t.Errorf("%s: %q, %q expected", row, got, fault)
 		}
@@ -121,22 +114,23 @@
 		"| `3 * 2 = 6` | - | 0.5 | worked out |":                      "not what the row computes",
 		"| `3 * 2 = 6` | `7 * 1 = 7` | `6 / 12 = 0.5` | worked out |": "",
 	} {
-		if got := strings.Join(checked(append(table, row)...).Wrong, "; "); fault == "" && got != "" ||
+		if got := strings.Join(checkedPage(append(table, row)...).Problems, "; "); fault == "" && got != "" ||
 			!strings.Contains(got, fault) {
 			t.Errorf("%s: %q, %q expected", row, got, fault)
 		}
 	}
-	if p := checked("as `[1](results/b.csv#bytes)` has it"); len(p.Wrong) > 0 || p.Measured != 0 {
+	if p := checkedPage("as `[1](results/b.csv#bytes)` has it"); len(p.Problems) > 0 || p.Measured != 0 {
 		t.Errorf("an example in a code span is checked: %+v", p)
 	}
-	if p := checked("```", "[1](results/b.csv#bytes) `1 = 2`", "```", "`1 + 1 = 2`"); len(p.Wrong) > 0 ||
+	if p := checkedPage("```", "[1](results/b.csv#bytes) `1 = 2`", "```", "`1 + 1 = 2`"); len(p.Problems) > 0 ||
 		p.Formulas != 1 {
 		t.Errorf("a fenced block is checked: %+v", p)
 	}
 }
 
-// keep writes kept reports of so many sizes, three seeds each, and tells their files.
-func keep(t *testing.T, dir string, sizes ...int) (files []string) {
+// writeReports writes reports of these sizes, three seeds each, and returns their files.
+func writeReports(t *testing.T, dir string, sizes ...int) (files []string) {
+	t.Helper()
 	for _, size := range sizes {
 		for seed := range uint64(3) {
 			r := report.Report{Experiment: "scale-rest", Seed: seed, Commit: "c1", Figures: map[string]float64{
@@ -151,14 +145,14 @@
 	return files
 }
 
-func TestLinesAreKeptAndComputedAgain(t *testing.T) {
+func TestLinesAreStoredAndComputedAgain(t *testing.T) {
 	dir := t.TempDir()
 	f := Fits{
-		Size:   "members",
-		Target: 1500,
-		Held:   850,
-		Lines:  []string{"bytes", "false_dead"},
-		From:   keep(t, dir, 60, 300, 600, 850, 1500),
+		Size:    "members",
+		Target:  1500,
+		HeldOut: 850,
+		Lines:   []string{"bytes", "false_dead"},
+		From:    writeReports(t, dir, 60, 300, 600, 850, 1500),
 	}
 	if err := f.Compute(dir); err != nil {
 		t.Fatal(err)
@@ -183,12 +177,12 @@
 	}
 	if runs, err := Read(path); err != nil || len(runs) != 1 ||
 		runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
-		t.Errorf("kept lines are read as %+v, %v", runs, err)
+		t.Errorf("stored lines are read as %+v, %v", runs, err)
 	}
 	readBack := func(file string) ([]Run, error) { return Read(filepath.Join(dir, filepath.Base(file))) }
 	head := "| a | b | c | d | e | f | g | h | i | basis |\n| --- |\n"
 	rows := f.Rows(filepath.Base(path), map[string]float64{"bytes": 4096})
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Wrong) > 0 || len(rows) != 2 ||
+	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Problems) > 0 || len(rows) != 2 ||
 		p.Measured != 7 ||
 		p.Formulas != 1 {
 		t.Errorf("rows %q: %+v", rows, p)
@@ -205,12 +199,12 @@
 		t.Error("a row is filled in that is not there")
 	}
 	rows = f.Predictions(filepath.Base(path))
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Wrong) > 0 || len(rows) != 1 ||
+	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Problems) > 0 || len(rows) != 1 ||
 		p.Measured != 3 {
 		t.Errorf("predictions %q: %+v", rows, p)
 	}
 	less := f
-	if less.Without = []float64{600}; less.Compute(dir) != nil || less.Refused["bytes"] == "" {
+	if less.ExcludedSizes = []float64{600}; less.Compute(dir) != nil || less.Refused["bytes"] == "" {
 		t.Errorf("a line through three sizes: %+v", less.Figures)
 	}
 	f.Figures["bytes.slope"] *= 1.001
@@ -222,7 +216,7 @@
 	}
 }
 
-// A run that plays several sizes names its figures by size.
+// A run of several sizes names its figures by size.
 func TestRunsOfSeveralSizes(t *testing.T) {
 	dir := t.TempDir()
 	f := Fits{Size: "connections", Target: 80000, Lines: []string{"mb"}}
@@ -230,7 +224,7 @@
 		r := report.Report{Seed: seed, Figures: map[string]float64{
 			"n02000_mb": 6, "n05000_mb": 15, "mb_at_10000": 30, "mb_at_20000": 60,
 			"mb_at_500": 99, "p99_ms": 4,
-		}, Notes: map[string]string{notValid: "500: late", notValid + "_at_500": "late"}}
+		}, Notes: map[string]string{notValidNote: "500: late", notValidNote + "_at_500": "late"}}
 		f.From = append(f.From, fmt.Sprintf("%d.json", seed))
 		if err := r.JSON(filepath.Join(dir, f.From[seed])); err != nil {
 			t.Fatal(err)
@@ -244,12 +238,12 @@
 	}
 }
 
-// A run that says of itself that it is not valid counts nowhere.
+// A run with a note that it is not valid counts nowhere.
 func TestRunsThatAreNotValid(t *testing.T) {
 	dir := t.TempDir()
 	r := report.Report{
 		Figures: map[string]float64{"members": 60, "bytes": 1},
-		Notes:   map[string]string{notValid: "loops ran late"},
+		Notes:   map[string]string{notValidNote: "loops ran late"},
 	}
 	if err := r.JSON(filepath.Join(dir, "a.json")); err != nil {
 		t.Fatal(err)
@@ -266,11 +260,11 @@
 	}
 }
 
-// Runs are joined to one list, each once; what is not valid in it stays so.
+// Runs are joined to one list, each once; a run that is not valid remains so.
 func TestJoin(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
-	for i, note := range []map[string]string{nil, {notValid: "loops ran late"}} {
+	for i, note := range []map[string]string{nil, {notValidNote: "loops ran late"}} {
 		r := report.Report{
 			Command: fmt.Sprint("run ", i),
 			Seed:    uint64(i),
@@ -299,8 +293,8 @@
 	}
 }
 
-// The constants of the code that the page computes with are those of the code.
-func TestPageHasTheCodesSizes(t *testing.T) {
+// The sizes with which the page computes are those of the code.
+func TestPageHasSizesOfCode(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -328,13 +322,13 @@
 		0.0421:      "0.0421",
 		-0.00012345: "-0.000123", 999: "999", -100: "-100", -100000: "-100,000",
 	} {
-		if got := number(v); got != want || !shows(got, v) {
+		if got := formatNumber(v); got != want || !rendersAs(got, v) {
 			t.Errorf("%v is written as %q, %q wanted", v, got, want)
 		}
 	}
 }
 
-func TestReadsWhatIsKept(t *testing.T) {
+func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"one.csv":  "name,measured,limit,ok\ncommand,bin/spurlab run x,,\ncommit,abc+,,\nseed,7,,\nbytes,5.5,10,true\n",
--- a/lab/capacity/fits.go
+++ b/lab/capacity/fits.go
@@ -16,60 +16,66 @@
 	"strings"
 )
 
-// Fits are lines through figures of kept runs, kept themselves: From names what they rest on, so that they can be
-// computed again. Figures has, for each of Lines, NAME.slope, .intercept, .rms, .most and .exponent (package
-// slope), .target (what the line says of Target), .at_target (the median measured there, where runs of it are among
-// From), and where there are runs of the size Held, which no line rests on, .held (the median measured), .held_line
-// (what the line says) and .prediction_error.
+// Fits are lines through figures of stored runs, to be stored themselves. From names the runs, so that the lines can
+// be computed again. Figures has for each of Lines:
+//   - NAME.slope, .intercept, .rms, .most and .exponent, see package slope,
+//   - .target, the line at Target, and .at_target, the median that was measured there, if From has runs of that size,
+//   - if From has runs of the size HeldOut: .held, the median that was measured there, .held_line, the line there, and
+//     .prediction_error.
 type Fits struct {
 	Command string  `json:"command"`
 	Commit  string  `json:"commit"` // of the runs
 	Size    string  `json:"size"`   // the figure that the others may grow with
 	Target  float64 `json:"target"`
-	Held    float64 `json:"held,omitempty"`
-	// sizes that are left out, as one of which too few runs are valid
-	Without []float64          `json:"without,omitempty"`
-	Only    map[string]string  `json:"only,omitempty"` // figures or words that a run has to have
-	Lines   []string           `json:"lines"`
-	From    []string           `json:"from"` // files in the folder of this one
-	Figures map[string]float64 `json:"figures"`
-	Refused map[string]string  `json:"refused,omitempty"` // of Lines, those that cannot be fitted, and why
+	HeldOut float64 `json:"held,omitempty"` // the size whose runs no line is fitted to; 0: none
+	// ExcludedSizes are left out, such as one of which too few runs are valid.
+	ExcludedSizes []float64          `json:"without,omitempty"`
+	Required      map[string]string  `json:"only,omitempty"` // figures or words that a run has to have
+	Lines         []string           `json:"lines"`          // names of the figures
+	From          []string           `json:"from"`           // files in the folder of this one
+	Figures       map[string]float64 `json:"figures"`
+	Refused       map[string]string  `json:"refused,omitempty"` // of Lines, those that can't be fitted, and why
 }
 
-// Compute fits the lines anew through what is kept in a folder.
+// ErrNoRuns is the error of Compute if no run is valid and has what is required.
+var ErrNoRuns = errors.New("none of the runs is valid and has what is asked for")
+
+// Compute sets Commit, Figures and Refused from the runs in a folder. Lines that can't be fitted are in Refused, and
+// no error.
 func (f *Fits) Compute(dir string) error {
 	var runs []Run
 	for _, file := range f.From {
-		read, err := Read(filepath.Join(dir, file))
+		stored, err := Read(filepath.Join(dir, file))
 		if err != nil {
 			return err
 		}
-		for _, r := range read {
-			runs = append(runs, f.split(r)...)
+		for _, r := range stored {
+			runs = append(runs, f.splitBySize(r)...)
 		}
 	}
-	runs = slices.DeleteFunc(runs, func(r Run) bool { return !f.takes(r) })
+	runs = slices.DeleteFunc(runs, func(r Run) bool { return !f.includes(r) })
 	if len(runs) == 0 {
-		return errors.New("none of the runs is valid and has what is asked for")
+		return ErrNoRuns
 	}
-	f.Commit = commits(runs)
-	f.Figures, f.Refused = map[string]float64{}, map[string]string{}
+	f.Commit = commitsOf(runs)
+	f.Figures = map[string]float64{}
+	f.Refused = map[string]string{}
 	for _, name := range f.Lines {
-		if err := f.line(name, runs); err != nil {
+		if err := f.fitLine(name, runs); err != nil {
 			f.Refused[name] = err.Error()
 		}
 	}
 	return nil
 }
 
-// How a run that plays several sizes names its figures: n02000_mb_idle, or control_memory_mb_at_600.
+// A run of several sizes names its figures by size: n02000_mb_idle, or control_memory_mb_at_600.
 var (
 	sizeBefore = regexp.MustCompile(`^[a-z](\d+)_(.+)$`)
 	sizeAfter  = regexp.MustCompile(`^(.+)_at_(\d+)$`)
 )
 
-// sized takes such a name apart.
-func sized(name string) (size, figure string, ok bool) {
+// sizeInName splits such a name.
+func sizeInName(name string) (size, figure string, ok bool) {
 	if m := sizeBefore.FindStringSubmatch(name); m != nil {
 		return m[1], m[2], true
 	}
@@ -79,30 +85,37 @@
 	return "", "", false
 }
 
-// split takes a run of several sizes apart, a run for each. Each of them is valid or not by its own note.
-func (f *Fits) split(r Run) []Run {
-	if _, one := r.Figures[f.Size]; one {
+// splitBySize makes a run of several sizes a run for each. Each of them is valid or not by its own note.
+func (f *Fits) splitBySize(r Run) []Run {
+	if _, ok := r.Figures[f.Size]; ok {
 		return []Run{r}
 	}
-	sizes := map[string]Run{}
+	runs := map[string]Run{}
 	for name, v := range r.Figures {
-		size, figure, ok := sized(name)
+		size, figure, ok := sizeInName(name)
 		if !ok {
 			continue
 		}
-		if _, begun := sizes[size]; !begun {
-			one := r
-			one.Figures, one.NotValid = map[string]float64{}, r.Words[notValid+"_at_"+size]
-			one.Figures[f.Size], _ = strconv.ParseFloat(size, 64) // digits
-			sizes[size] = one
+		if _, ok := runs[size]; !ok {
+			runs[size] = f.emptyRun(r, size)
 		}
-		sizes[size].Figures[figure] = v
+		runs[size].Figures[figure] = v
 	}
-	return slices.Collect(maps.Values(sizes))
+	return slices.Collect(maps.Values(runs))
+}
+
+// emptyRun is the part of a run that has one size, without figures but the size.
+func (f *Fits) emptyRun(r Run, size string) Run {
+	part := r
+	part.NotValid = r.Words[notValidNote+"_at_"+size]
+	part.Figures = map[string]float64{}
+	part.Figures[f.Size], _ = strconv.ParseFloat(size, 64) // digits: it can't fail
+	return part
 }
 
-func (f *Fits) takes(r Run) bool {
-	for name, value := range f.Only {
+// includes reports whether a run is valid and has what is required.
+func (f *Fits) includes(r Run) bool {
+	for name, value := range f.Required {
 		if !r.has(name, value) {
 			return false
 		}
@@ -110,8 +123,8 @@
 	return r.NotValid == ""
 }
 
-// commits are those of the runs, each once.
-func commits(runs []Run) string {
+// commitsOf are those of the runs, each once.
+func commitsOf(runs []Run) string {
 	var all []string
 	for _, r := range runs {
 		if r.Commit != "" && !slices.Contains(all, r.Commit) {
@@ -121,17 +134,45 @@
 	return strings.Join(all, " ")
 }
 
-func (f *Fits) line(name string, runs []Run) error {
-	var fitted, held, atTarget []slope.Point
+// fitLine fits a line through one figure of the runs, and sets the line's figures.
+func (f *Fits) fitLine(name string, runs []Run) error {
+	fitted, heldOut, atTarget := f.pointsOf(name, runs)
+	line, err := slope.Fit(fitted)
+	if err != nil {
+		return err
+	}
+	f.Figures[name+".slope"] = line.Slope
+	f.Figures[name+".intercept"] = line.Intercept
+	f.Figures[name+".rms"] = line.RMS
+	f.Figures[name+".most"] = line.MaxResidual
+	f.Figures[name+".target"] = line.At(f.Target)
+	if !math.IsNaN(line.Exponent) {
+		f.Figures[name+".exponent"] = line.Exponent
+	}
+	if len(atTarget) > 0 {
+		f.Figures[name+".at_target"] = median(atTarget)
+	}
+	if len(heldOut) == 0 {
+		return nil
+	}
+	f.Figures[name+".held"] = median(heldOut)
+	f.Figures[name+".held_line"] = line.At(f.HeldOut)
+	f.Figures[name+".prediction_error"], err = line.PredictionError(heldOut)
+	return err
+}
+
+// pointsOf are a figure's values by size: those that the line is fitted to, those of the size that is held out, and
+// of the first those at the target.
+func (f *Fits) pointsOf(name string, runs []Run) (fitted, heldOut, atTarget []slope.Point) {
 	for _, r := range runs {
-		v, is := r.Figures[name]
-		size, sized := r.Figures[f.Size]
-		if !is || !sized || slices.Contains(f.Without, size) {
+		v, hasFigure := r.Figures[name]
+		size, hasSize := r.Figures[f.Size]
+		if !hasFigure || !hasSize || slices.Contains(f.ExcludedSizes, size) {
 			continue
 		}
 		p := slope.Point{Size: size, Seed: r.Seed, Value: v}
-		if f.Held != 0 && size == f.Held {
-			held = append(held, p)
+		if f.HeldOut != 0 && size == f.HeldOut {
+			heldOut = append(heldOut, p)
 			continue
 		}
 		if size == f.Target {
@@ -139,28 +180,7 @@
 		}
 		fitted = append(fitted, p)
 	}
-	l, err := slope.Fit(fitted)
-	if err != nil {
-		return err
-	}
-	for of, v := range map[string]float64{
-		"slope": l.Slope, "intercept": l.Intercept, "rms": l.RMS,
-		"most": l.MaxResidual, "target": l.At(f.Target),
-	} {
-		f.Figures[name+"."+of] = v
-	}
-	if !math.IsNaN(l.Exponent) {
-		f.Figures[name+".exponent"] = l.Exponent
-	}
-	if len(atTarget) > 0 {
-		f.Figures[name+".at_target"] = median(atTarget)
-	}
-	if len(held) == 0 {
-		return nil
-	}
-	f.Figures[name+".held"], f.Figures[name+".held_line"] = median(held), l.At(f.Held)
-	f.Figures[name+".prediction_error"], err = l.PredictionError(held)
-	return err
+	return fitted, heldOut, atTarget
 }
 
 func median(points []slope.Point) float64 {
@@ -171,40 +191,47 @@
 	return report.Quantile(values, 0.5)
 }
 
-// Write keeps the lines.
+// Write writes the lines to a file.
 func (f *Fits) Write(path string) error {
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644)
+	return os.WriteFile(path, append(text, '\n'), fileMode)
 }
 
-// CheckFits computes kept lines again, and tells what is not as it is kept.
+// ErrChanged is the error of stored lines that are not those of their runs.
+var ErrChanged = errors.New("not what is computed again")
+
+const (
+	maxRelativeError = 1e-6 // between a stored figure and the one that is computed again
+	smallestFigure   = 1e-9 // below it the error is not relative
+)
+
+// CheckFits computes stored lines again. Other figures are ErrChanged.
 func CheckFits(path string) error {
+	file := filepath.Base(path)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	var kept Fits
-	if err := json.Unmarshal(text, &kept); err != nil {
-		return fmt.Errorf("%s: %w", filepath.Base(path), err)
-	}
-	again := kept
-	if err := again.Compute(filepath.Dir(path)); err != nil {
-		return fmt.Errorf("%s: %w", filepath.Base(path), err)
-	}
-	if len(again.Figures) != len(kept.Figures) {
-		return fmt.Errorf(
-			"%s: %d figures, %d when computed again",
-			filepath.Base(path),
-			len(kept.Figures),
-			len(again.Figures),
-		)
-	}
-	for name, v := range again.Figures {
-		if was, is := kept.Figures[name]; !is || math.Abs(v-was) > 1e-6*math.Max(math.Abs(v), 1e-9) {
-			return fmt.Errorf("%s: %s is %v, and %v when computed again", filepath.Base(path), name, was, v)
+	var stored Fits
+	if err := json.Unmarshal(text, &stored); err != nil {
+		return fmt.Errorf("%s: %w", file, err)
+	}
+	computed := stored
+	if err := computed.Compute(filepath.Dir(path)); err != nil {
+		return fmt.Errorf("%s: %w", file, err)
+	}
+	if len(computed.Figures) != len(stored.Figures) {
+		return fmt.Errorf("%s: %w: %d figures, and now %d",
+			file, ErrChanged, len(stored.Figures), len(computed.Figures))
+	}
+	for name, v := range computed.Figures {
+		before, ok := stored.Figures[name]
+		tolerance := maxRelativeError * math.Max(math.Abs(v), smallestFigure)
+		if !ok || math.Abs(v-before) > tolerance {
+			return fmt.Errorf("%s: %w: %s is %v, and now %v", file, ErrChanged, name, before, v)
 		}
 	}
 	return nil
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// The forms that the page has for what it says. A measured figure is a link to the kept result in which it stands,
-// [1,234](results/FILE.json#NAME), and a name may be given to it with `name` = before. A formula stands in a code
-// span with an equals sign in it, see formulas.
+// The forms of the page's figures. A measured figure is a link to the stored result that has it,
+// [1,234](results/FILE.json#NAME); `name` = before it gives it a name. A formula is a code span with an equals sign,
+// see formulas.
 var (
 	measuredPattern = regexp.MustCompile(
 		"(?:`([a-z][a-z0-9_]*)` = )?" + `\[([^\]]*)\]\((results/[^)#]+\.(?:json|csv))#([^)]+)\)`,
@@ -20,163 +20,193 @@
 	basisPattern   = regexp.MustCompile(`^(measured|worked out|published \(.+\)|not measured(: .+)?|told by .+)$`)
 )
 
-// basisColumn heads the column of a table that tells what a row's figures rest on.
-const basisColumn = "basis"
+const (
+	// basisColumn heads the column of a table that names what a row's figures are based on.
+	basisColumn = "basis"
 
-// computedColumns head the columns in which a plain number of a row that was worked out has to be one that the row
-// computes, or one that has a name.
-var computedColumns = []string{"at the target", "ratio"}
+	basisMeasured    = "measured"
+	basisComputed    = "worked out"
+	basisNotMeasured = "not measured"
+)
+
+// isComputedColumn reports whether a column's plain numbers, in a row that was worked out, have to be ones that the
+// row computes or that have a name.
+func isComputedColumn(head string) bool { return head == "at the target" || head == "ratio" }
 
-// Page is what a page was found to hold.
+// Page is the result of checking a page.
 type Page struct {
-	Measured, Formulas int
-	Wrong              []string           // a line each, with the number of the page's line
-	Names              map[string]float64 // that formulas and figures were given
+	Measured int                // measured figures
+	Formulas int                // formulas
+	Problems []string           // one for each fault, with the number of the page's line
+	Names    map[string]float64 // the values of names that formulas and figures were given
 }
 
-type checker struct {
+// pageChecker checks a page line by line.
+type pageChecker struct {
 	Page
 	line     int
-	read     func(file string) ([]Run, error) // a kept result by its path from the page's folder
+	read     func(file string) ([]Run, error) // reads a stored result by its path from the page's folder
 	names    formulas
 	computed []float64 // by the formulas of the present line
-	basis    int       // the place of the basis column in the present table, -1 where there is none
-	columns  []int     // the places of the computed columns
-	fenced   bool
+	basis    int       // index of the basis column in the present table; -1: no table
+	columns  []int     // indexes of the computed columns
+	fenced   bool      // the line is in a fenced block
 }
 
-// Check holds each measured figure against its kept result, each formula against its operands, and each row's basis
-// against what stands in it: a measured row has a measured figure, and one that was worked out has a formula.
+// Check compares each measured figure with its stored result, each formula with its operands, and each row's basis
+// with its cells: a measured row has a measured figure, and one that was worked out has a formula. Problems are in
+// the Page.
 func Check(text []byte, read func(file string) ([]Run, error)) Page {
-	c := &checker{read: read, names: formulas{}, basis: -1}
+	c := &pageChecker{read: read, names: formulas{}, basis: -1}
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
 		c.line++
 		c.check(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
-		c.wrong("%v", err)
+		c.addProblem("%v", err)
 	}
 	c.Names = c.names
 	return c.Page
 }
 
-func (c *checker) wrong(format string, args ...any) {
-	c.Wrong = append(c.Wrong, fmt.Sprintf("line %d: %s", c.line, fmt.Sprintf(format, args...)))
+func (c *pageChecker) addProblem(format string, args ...any) {
+	c.Problems = append(c.Problems, fmt.Sprintf("line %d: %s", c.line, fmt.Sprintf(format, args...)))
 }
 
-func (c *checker) check(line string) {
+func (c *pageChecker) check(line string) {
 	if strings.HasPrefix(strings.TrimSpace(line), "```") {
 		c.fenced = !c.fenced
 	}
 	if c.fenced {
 		return
 	}
-	measured := c.Measured
-	c.computed = c.computed[:0]
+	measuredBefore := c.Measured
+	c.checkLinks(line)
+	c.checkFormulas(line)
+	c.checkRow(line, c.Measured > measuredBefore)
+}
+
+// checkLinks checks the line's measured figures. One within a code span is an example.
+func (c *pageChecker) checkLinks(line string) {
 	for _, at := range measuredPattern.FindAllStringIndex(line, -1) {
-		if strings.Count(line[:at[0]], "`")%2 == 0 { // else it is within a code span, as an example
+		inCodeSpan := strings.Count(line[:at[0]], "`")%2 == 1
+		if !inCodeSpan {
 			m := measuredPattern.FindStringSubmatch(line[at[0]:at[1]])
-			c.measured(m[1], m[2], m[3], m[4])
+			c.checkMeasured(m[1], m[2], m[3], m[4])
 		}
 	}
+}
+
+// checkFormulas checks the line's formulas, and keeps their values.
+func (c *pageChecker) checkFormulas(line string) {
+	c.computed = c.computed[:0]
 	for _, m := range formulaPattern.FindAllStringSubmatch(line, -1) {
 		c.Formulas++
-		v, err := c.names.take(m[1])
+		v, err := c.names.check(m[1])
 		if err != nil {
-			c.wrong("%v", err)
+			c.addProblem("%v", err)
 		}
 		c.computed = append(c.computed, v)
 	}
-	c.row(line, c.Measured > measured)
 }
 
-// measured checks one figure, and keeps the name that it is given: it stands for what is shown.
-func (c *checker) measured(name, text, file, reference string) {
+// checkMeasured checks one figure, and keeps the name that it is given with the value that is shown.
+func (c *pageChecker) checkMeasured(name, text, file, reference string) {
 	c.Measured++
 	runs, err := c.read(file)
 	if err != nil {
-		c.wrong("%v", err)
+		c.addProblem("%v", err)
 		return
 	}
 	v, err := Find(runs, reference)
 	if err != nil {
-		c.wrong("%s: %v", file, err)
+		c.addProblem("%s: %v", file, err)
 		return
 	}
-	if !shows(text, v) {
-		c.wrong("%q is %v in %s#%s", text, v, file, reference)
+	if !rendersAs(text, v) {
+		c.addProblem("%q is %v in %s#%s", text, v, file, reference)
 	}
-	if name != "" {
-		c.names[name], err = c.names.value(numberPattern.FindString(text))
-		if err != nil {
-			c.wrong("%q: %v", text, err)
-		}
+	if name == "" {
+		return
+	}
+	c.names[name], err = c.names.evaluate(numberPattern.FindString(text))
+	if err != nil {
+		c.addProblem("%q: %v", text, err)
 	}
 }
 
-// row checks the basis of a table's row.
-func (c *checker) row(line string, measured bool) {
+// checkRow checks the basis of a table's row.
+func (c *pageChecker) checkRow(line string, hasMeasured bool) {
 	if !strings.HasPrefix(line, "|") {
 		c.basis = -1
 		return
 	}
-	cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
+	cells := cellsOf(line)
+	switch {
+	case c.basis < 0:
+		c.tableHead(cells)
+	case strings.HasPrefix(cells[0], "---"):
+	case c.basis >= len(cells):
+		c.addProblem("no cell for the basis")
+	default:
+		c.checkBasis(cells, hasMeasured)
+	}
+}
+
+func cellsOf(row string) []string {
+	cells := strings.Split(strings.Trim(strings.TrimSpace(row), "|"), "|")
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
 	}
-	if c.basis < 0 {
-		c.head(cells)
-		return
-	}
-	if strings.HasPrefix(cells[0], "---") {
-		return
-	}
-	if c.basis >= len(cells) {
-		c.wrong("no cell for the basis")
-		return
-	}
+	return cells
+}
+
+// checkBasis compares a row's basis with its cells.
+func (c *pageChecker) checkBasis(cells []string, hasMeasured bool) {
 	basis := cells[c.basis]
 	switch {
 	case !basisPattern.MatchString(basis):
-		c.wrong("%q is no basis", basis)
-	case basis == "measured" && !measured:
-		c.wrong("measured, with no kept result")
-	case basis == "worked out" && len(c.computed) == 0:
-		c.wrong("worked out, with no formula")
-	case basis == "worked out":
+		c.addProblem("%q is no basis", basis)
+	case basis == basisMeasured && !hasMeasured:
+		c.addProblem("measured, with no kept result")
+	case basis == basisComputed && len(c.computed) == 0:
+		c.addProblem("worked out, with no formula")
+	case basis == basisComputed:
 		for _, i := range c.columns {
-			c.plainNumber(cells[i])
+			c.checkPlainNumber(cells[i])
 		}
-	case strings.HasPrefix(basis, "not measured") && measured:
-		c.wrong("not measured, with a kept result")
+	case strings.HasPrefix(basis, basisNotMeasured) && hasMeasured:
+		c.addProblem("not measured, with a kept result")
 	}
 }
 
-// head takes the first row of a table.
-func (c *checker) head(cells []string) {
-	c.basis, c.columns = slices.Index(cells, basisColumn), nil
+// tableHead takes the first row of a table.
+func (c *pageChecker) tableHead(cells []string) {
+	c.basis = slices.Index(cells, basisColumn)
+	c.columns = nil
 	for i, cell := range cells {
-		if slices.Contains(computedColumns, cell) {
+		if isComputedColumn(cell) {
 			c.columns = append(c.columns, i)
 		}
 	}
 }
 
-// plainNumber checks that a cell's number, which is no formula itself, is one that was computed or has a name.
-func (c *checker) plainNumber(cell string) {
+// checkPlainNumber checks that a cell's number, which is neither a formula nor a link, is one that the row computed
+// or that has a name.
+func (c *pageChecker) checkPlainNumber(cell string) {
 	if strings.ContainsAny(cell, "`[") || !numberPattern.MatchString(cell) {
 		return
 	}
 	for _, v := range c.computed {
-		if shows(cell, v) {
+		if rendersAs(cell, v) {
 			return
 		}
 	}
 	for _, v := range c.names {
-		if shows(cell, v) {
+		if rendersAs(cell, v) {
 			return
 		}
 	}
-	c.wrong("%q is not what the row computes", cell)
+	c.addProblem("%q is not what the row computes", cell)
 }
--- a/lab/capacity/page/main.go
+++ b/lab/capacity/page/main.go
@@ -1,5 +1,5 @@
-// Command page helps to fill docs/CAPACITY.md in: it joins reports of many runs to one kept file, fits lines
-// through kept runs, and prints rows and cells with their links.
+// Command page helps to write docs/CAPACITY.md: it joins reports of many runs to one stored file, fits lines through
+// stored runs, and prints rows and cells with their links.
 package main
 
 import (
@@ -13,6 +13,9 @@
 	"github.com/alecthomas/kong"
 )
 
+// fileMode is that of a page.
+const fileMode = 0o644
+
 type cli struct {
 	Join joinCmd `cmd:"" help:"Keep the reports of many runs in one file, so that a figure can be the median or the worst of them."`
 	Fit  fitCmd  `cmd:"" help:"Least squares through kept runs: four sizes and three seeds at least."`
@@ -30,7 +33,7 @@
 	Reports []string `arg:"" help:"Reports, as bin/spurspread-lab run --json writes them, or lists of them."`
 }
 
-// Run joins them. A run given twice is refused.
+// Run joins the reports. A run that is given twice is refused.
 func (c *joinCmd) Run() error { return capacity.Join(c.Out, c.Reports) }
 
 type cellCmd struct {
@@ -68,12 +71,17 @@
 	Runs    []string           `arg:"" help:"Kept runs, JSON or CSV."`
 }
 
-// Run fits, keeps and prints the lines.
+// Run fits, stores and prints the lines.
 func (c *fitCmd) Run() error {
 	dir := filepath.Dir(c.Out)
 	f := capacity.Fits{
-		Size: c.Size, Target: c.Target, Held: c.Held, Without: c.Without, Only: c.Only, Lines: c.Lines,
-		Command: "go run ./lab/capacity/page " + strings.Join(os.Args[1:], " "),
+		Command:       "go run ./lab/capacity/page " + strings.Join(os.Args[1:], " "),
+		Size:          c.Size,
+		Target:        c.Target,
+		HeldOut:       c.Held,
+		ExcludedSizes: c.Without,
+		Required:      c.Only,
+		Lines:         c.Lines,
 	}
 	for _, run := range c.Runs {
 		if filepath.Dir(run) != dir {
@@ -90,17 +98,17 @@
 	file := filepath.Base(c.Out)
 	rows := append(f.Rows(file, c.Limits), f.Predictions(file)...)
 	if c.Into != "" {
-		return fill(c.Into, rows)
+		return replaceRows(c.Into, rows)
 	}
 	if c.Rows {
 		_, err := fmt.Println(strings.Join(rows, "\n"))
 		return err
 	}
-	return table(&f)
+	return writeTable(&f)
 }
 
-// fill puts rows into a page.
-func fill(path string, rows []string) error {
+// replaceRows puts rows into a page.
+func replaceRows(path string, rows []string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -109,34 +117,26 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return os.WriteFile(path, []byte(filled), 0o644)
+	return os.WriteFile(path, []byte(filled), fileMode)
 }
 
-// table writes a row for each line, residuals and errors as parts of 1.
-func table(f *capacity.Fits) error {
+// writeTable writes a row for each line, residuals and errors as parts of 1.
+func writeTable(f *capacity.Fits) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	columns := []string{
-		"slope",
-		"intercept",
-		"rms",
-		"most",
-		"exponent",
-		"target",
-		"at_target",
-		"held_line",
-		"held",
-		"prediction_error",
+		"slope", "intercept", "rms", "most", "exponent",
+		"target", "at_target", "held_line", "held", "prediction_error",
 	}
 	fmt.Fprintf(w, "figure\t%s\n", strings.Join(columns, "\t"))
 	for _, name := range f.Lines {
-		if why := f.Refused[name]; why != "" {
-			fmt.Fprintf(w, "%s\tno line: %s\n", name, why)
+		if reason := f.Refused[name]; reason != "" {
+			fmt.Fprintf(w, "%s\tno line: %s\n", name, reason)
 			continue
 		}
 		fmt.Fprint(w, name)
 		for _, column := range columns {
 			cell := "-"
-			if v, is := f.Figures[name+"."+column]; is {
+			if v, ok := f.Figures[name+"."+column]; ok {
 				cell = fmt.Sprintf("%.6g", v)
 			}
 			fmt.Fprint(w, "\t", cell)
--- /dev/null
+++ b/lab/capacity/results.go
@@ -0,0 +1,228 @@
+// Package capacity checks docs/CAPACITY.md: each figure that is marked as measured against the stored result that it
+// names, and each calculation against its operands. It also fits lines through stored scale runs, so that a reader
+// can compute each slope on the page again. It measures nothing, and must not know how a result was measured.
+package capacity
+
+import (
+	"bytes"
+	"encoding/csv"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"spurspread/lab/report"
+	"strconv"
+	"strings"
+)
+
+const (
+	// notValidNote is the note of a report by which its harness marks its figures as not to be used.
+	notValidNote = "not valid"
+	fileMode     = 0o644
+)
+
+// errNoRun is the error of a result without a run.
+var errNoRun = errors.New("no run in it")
+
+// Run is one run of a stored result: its figures, and its words, as the experiment's name and the notes.
+type Run struct {
+	Command  string
+	Commit   string
+	Seed     uint64
+	Figures  map[string]float64
+	Words    map[string]string
+	NotValid string // why its figures must not be used, such as a harness that was short of processor time; "": valid
+}
+
+// Read reads a stored result: the JSON of one report or of a list of them, or the CSV of one report (name and
+// measured in the first columns) or of many runs (a row each, with a column named seed). A result without a run is an
+// error.
+func Read(path string) ([]Run, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var runs []Run
+	if filepath.Ext(path) == ".json" {
+		runs, err = readJSON(text)
+	} else {
+		runs, err = readCSV(text)
+	}
+	if err == nil && len(runs) == 0 {
+		err = errNoRun
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", filepath.Base(path), err)
+	}
+	return runs, nil
+}
+
+// parseReports parses one report, or a list of them.
+func parseReports(text []byte) ([]report.Report, error) {
+	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("[")) {
+		var all []report.Report
+		err := json.Unmarshal(text, &all)
+		return all, err
+	}
+	all := make([]report.Report, 1)
+	err := json.Unmarshal(text, &all[0])
+	return all, err
+}
+
+// ErrTwice is the error of Join for a command that is given twice: its run would count twice.
+var ErrTwice = errors.New("is given twice")
+
+// Join writes the reports of several files to one file, as a list. Each report must have a command of its own.
+func Join(out string, files []string) error {
+	var all []report.Report
+	seen := map[string]bool{}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		reports, err := parseReports(text)
+		if err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
+		for _, r := range reports {
+			if seen[r.Command] {
+				return fmt.Errorf("%s: %q %w", file, r.Command, ErrTwice)
+			}
+			seen[r.Command] = true
+		}
+		all = append(all, reports...)
+	}
+	text, err := json.MarshalIndent(all, "", " ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(out, append(text, '\n'), fileMode)
+}
+
+func readJSON(text []byte) ([]Run, error) {
+	reports, err := parseReports(text)
+	if err != nil {
+		return nil, err
+	}
+	var runs []Run
+	for _, r := range reports {
+		words := map[string]string{"experiment": r.Experiment}
+		maps.Copy(words, r.Notes)
+		runs = append(runs, Run{
+			Command:  r.Command,
+			Commit:   r.Commit,
+			Seed:     r.Seed,
+			Figures:  r.Figures,
+			Words:    words,
+			NotValid: r.Notes[notValidNote],
+		})
+	}
+	return runs, nil
+}
+
+func readCSV(text []byte) ([]Run, error) {
+	reader := csv.NewReader(bytes.NewReader(text))
+	reader.FieldsPerRecord = -1 // rows of different lengths
+	rows, err := reader.ReadAll()
+	if err != nil || len(rows) == 0 {
+		return nil, err
+	}
+	if slices.Contains(rows[0], "seed") {
+		var runs []Run
+		for _, row := range rows[1:] {
+			runs = append(runs, readPairs(rows[0], row))
+		}
+		return runs, nil
+	}
+	var names, values []string
+	for _, row := range rows[1:] {
+		if len(row) > 1 {
+			names = append(names, row[0])
+			values = append(values, row[1])
+		}
+	}
+	return []Run{readPairs(names, values)}, nil
+}
+
+// readPairs is the run that has values by their names. A value that is no number is a word.
+func readPairs(names, values []string) Run {
+	r := Run{Figures: map[string]float64{}, Words: map[string]string{}}
+	for i, name := range names[:min(len(names), len(values))] {
+		v, err := strconv.ParseFloat(values[i], 64)
+		switch {
+		case name == "command":
+			r.Command = values[i]
+		case name == "commit":
+			r.Commit = values[i]
+		case name == "seed":
+			r.Seed, _ = strconv.ParseUint(values[i], 10, 64) // not a number: 0
+		case err != nil:
+			r.Words[name] = values[i]
+		default:
+			r.Figures[name] = v
+		}
+	}
+	return r
+}
+
+// has reports whether the run has a figure or a word of this value.
+func (r Run) has(name, value string) bool {
+	if name == "seed" {
+		return value == strconv.FormatUint(r.Seed, 10)
+	}
+	if v, ok := r.Figures[name]; ok {
+		wanted, err := strconv.ParseFloat(value, 64)
+		return err == nil && v == wanted
+	}
+	return r.Words[name] == value
+}
+
+// ErrNotFound is the error of Find if no valid run has the figure.
+var ErrNotFound = errors.New("no valid run in it has")
+
+// Find is the figure that a reference names: NAME, or NAME&name=value&... for the runs that have these values only.
+// Of several runs it is the median, or with &least or &most at the end the least or the greatest.
+func Find(runs []Run, reference string) (float64, error) {
+	parts, quantile := splitReference(reference)
+	name := parts[0]
+	conditions := parts[1:]
+	var found []float64
+	for _, r := range runs {
+		if v, ok := r.Figures[name]; ok && r.NotValid == "" && r.hasAll(conditions) {
+			found = append(found, v)
+		}
+	}
+	if len(found) == 0 {
+		return 0, fmt.Errorf("%w %s", ErrNotFound, reference)
+	}
+	return report.Quantile(found, quantile), nil
+}
+
+// splitReference is the name and the conditions of a reference, and which quantile of several runs it means.
+func splitReference(reference string) (parts []string, quantile float64) {
+	parts = strings.Split(reference, "&")
+	last := len(parts) - 1
+	switch parts[last] {
+	case "least":
+		return parts[:last], 0
+	case "most":
+		return parts[:last], 1
+	default:
+		return parts, 0.5
+	}
+}
+
+// hasAll reports whether the run meets all conditions of the form name=value.
+func (r Run) hasAll(conditions []string) bool {
+	for _, condition := range conditions {
+		name, value, _ := strings.Cut(condition, "=")
+		if !r.has(name, value) {
+			return false
+		}
+	}
+	return true
+}
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -1,113 +1,146 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strconv"
 	"strings"
 )
 
-// number writes a figure with three significant digits at least, and commas between thousands.
-func number(v float64) string {
+const (
+	significantDigits = 3
+	digitsPerGroup    = 3 // between commas
+)
+
+// formatNumber writes a figure with three significant digits at least, and commas between thousands.
+func formatNumber(v float64) string {
 	decimals := 0
 	if v != 0 {
-		decimals = max(0, 2-int(math.Floor(math.Log10(math.Abs(v)))))
+		magnitude := int(math.Floor(math.Log10(math.Abs(v))))
+		decimals = max(0, significantDigits-1-magnitude)
 	}
 	text := strconv.FormatFloat(v, 'f', decimals, 64)
-	whole, part, _ := strings.Cut(text, ".")
-	at := len(whole) - 3
-	for ; at > 0 && whole[at-1] != '-'; at -= 3 {
+	whole, fraction, _ := strings.Cut(text, ".")
+	for at := len(whole) - digitsPerGroup; at > 0 && whole[at-1] != '-'; at -= digitsPerGroup {
 		whole = whole[:at] + "," + whole[at:]
 	}
-	if part != "" {
-		return whole + "." + part
+	if fraction == "" {
+		return whole
 	}
-	return whole
+	return whole + "." + fraction
 }
 
-// measured writes a figure as the page has it: a link to where it stands.
-func measured(v float64, file, name string) string {
-	return fmt.Sprintf("[%s](results/%s#%s)", number(v), file, name)
+// measuredCell is a figure as the page has it: a link to the stored result.
+func measuredCell(v float64, file, name string) string {
+	return fmt.Sprintf("[%s](results/%s#%s)", formatNumber(v), file, name)
 }
 
-// Cell is a figure of a kept result as the page has it, by its reference (see Find).
+// Cell is a figure of a stored result as the page has it, by its reference, see Find.
 func Cell(runs []Run, file, reference string) (string, error) {
 	v, err := Find(runs, reference)
-	return measured(v, file, reference), err
+	return measuredCell(v, file, reference), err
 }
 
-// Rows are the rows of the page's table of lines, for lines that are kept in a file of this name, with the limits
+// emptyCell is the cell of a figure that there is not.
+const emptyCell = "-"
+
+// Rows are the rows of the page's table of lines, for lines that are stored in a file of this name, with the limits
 // that are known: figure, slope, intercept, residuals (r.m.s., most), exponent, the line at the target, the median
 // measured there, limit, ratio, basis.
 func (f *Fits) Rows(file string, limits map[string]float64) (rows []string) {
 	for _, name := range f.Lines {
-		if why := f.Refused[name]; why != "" {
-			rows = append(rows, fmt.Sprintf("| `%s` | - | - | - | - | - | - | - | - | not measured: %s |", name, why))
+		if reason := f.Refused[name]; reason != "" {
+			row := fmt.Sprintf("| `%s` | - | - | - | - | - | - | - | - | not measured: %s |", name, reason)
+			rows = append(rows, row)
 			continue
 		}
-		link := func(of string) string {
-			v, is := f.Figures[name+"."+of]
-			if !is {
-				return "-"
-			}
-			return measured(v, file, name+"."+of)
-		}
-		limit, ratio := "-", "-"
-		if l, is := limits[name]; is && l > 0 {
-			shown := number(f.Figures[name+".target"])
-			v, _ := formulas{}.value(shown) // number's own form
-			limit, ratio = number(l), fmt.Sprintf("`%s / %s = %s`", shown, number(l), number(v/l))
-		}
-		cells := []string{
-			"`" + name + "`", link("slope"), link("intercept"), link("rms") + ", " + link("most"),
-			link("exponent"), link("target"),
-			link("at_target"), limit, ratio, "measured",
-		}
-		rows = append(rows, "| "+strings.Join(cells, " | ")+" |")
+		rows = append(rows, f.lineRow(file, name, limits[name]))
 	}
 	return rows
 }
 
-// Predictions are the rows of the page's table of what lines predicted for a size that none was fitted to: figure,
+// lineRow is the row of one line; a limit of 0 is none.
+func (f *Fits) lineRow(file, name string, limit float64) string {
+	limitCell, ratioCell := f.limitCells(name, limit)
+	cells := []string{
+		"`" + name + "`",
+		f.cell(file, name+".slope"),
+		f.cell(file, name+".intercept"),
+		f.cell(file, name+".rms") + ", " + f.cell(file, name+".most"),
+		f.cell(file, name+".exponent"),
+		f.cell(file, name+".target"),
+		f.cell(file, name+".at_target"),
+		limitCell,
+		ratioCell,
+		basisMeasured,
+	}
+	return "| " + strings.Join(cells, " | ") + " |"
+}
+
+// cell is the cell of one of the figures.
+func (f *Fits) cell(file, name string) string {
+	v, ok := f.Figures[name]
+	if !ok {
+		return emptyCell
+	}
+	return measuredCell(v, file, name)
+}
+
+// limitCells are a line's limit, and the ratio of the line at the target over it, computed with the numbers shown.
+func (f *Fits) limitCells(name string, limit float64) (limitCell, ratioCell string) {
+	if limit <= 0 {
+		return emptyCell, emptyCell
+	}
+	target := formatNumber(f.Figures[name+".target"])
+	limitCell = formatNumber(limit)
+	v, _ := formulas{}.evaluate(target) // formatNumber's form: it can't fail
+	return limitCell, fmt.Sprintf("`%s / %s = %s`", target, limitCell, formatNumber(v/limit))
+}
+
+// Predictions are the rows of the page's table of what lines predicted for the size that none was fitted to: figure,
 // predicted, measured (median), prediction_error, basis.
 func (f *Fits) Predictions(file string) (rows []string) {
 	for _, name := range f.Lines {
-		e, is := f.Figures[name+".prediction_error"]
-		if !is {
+		if _, ok := f.Figures[name+".prediction_error"]; !ok {
 			continue
 		}
-		rows = append(
-			rows,
-			fmt.Sprintf(
-				"| `%s` | %s | %s | %s | measured |",
-				name,
-				measured(f.Figures[name+".held_line"], file, name+".held_line"),
-				measured(f.Figures[name+".held"], file, name+".held"),
-				measured(e, file, name+".prediction_error"),
-			),
-		)
+		predicted := f.cell(file, name+".held_line")
+		measured := f.cell(file, name+".held")
+		predictionError := f.cell(file, name+".prediction_error")
+		row := fmt.Sprintf("| `%s` | %s | %s | %s | measured |", name, predicted, measured, predictionError)
+		rows = append(rows, row)
 	}
 	return rows
 }
 
-// Replace puts rows in the place of a page's rows that have the same first cell and as many cells. It fails where
-// there is none.
+// ErrNoRow is the error of Replace for a row that has no place on the page.
+var ErrNoRow = errors.New("no row for")
+
+// Replace puts rows in the place of a page's rows that have the same first cell and as many cells. A row without such
+// a place is ErrNoRow.
 func Replace(page string, rows []string) (string, error) {
 	lines := strings.Split(page, "\n")
 	for _, row := range rows {
 		found := false
 		for i, line := range lines {
-			if firstCell(line) == firstCell(row) && strings.Count(line, " | ") == strings.Count(row, " | ") {
-				lines[i], found = row, true
+			if sameForm(line, row) {
+				lines[i] = row
+				found = true
 			}
 		}
 		if !found {
-			return "", fmt.Errorf("no row for %s", firstCell(row))
+			return "", fmt.Errorf("%w %s", ErrNoRow, firstCell(row))
 		}
 	}
 	return strings.Join(lines, "\n"), nil
 }
 
+// sameForm reports whether two rows have the same first cell and as many cells.
+func sameForm(a, b string) bool {
+	return firstCell(a) == firstCell(b) && strings.Count(a, " | ") == strings.Count(b, " | ")
+}
+
 func firstCell(row string) string {
 	cell, _, _ := strings.Cut(strings.TrimPrefix(row, "| "), " | ")
 	return cell
--- a/lab/checker/client.go
+++ b/lab/checker/client.go
@@ -95,8 +95,8 @@
 	s := c.streamOf(k.key)
 	if !s.started {
 		s.cursor = answer.From
-		s.cursorUnknown = !answer.Counts
-	} else if answer.Counts && answer.From > s.cursor {
+		s.cursorUnknown = !answer.Numbered
+	} else if answer.Numbered && answer.From > s.cursor {
 		c.current.AnnouncedGaps += int(answer.From - s.cursor)
 		s.cursor = answer.From
 	}
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Config describes a client. Key, Class, Link, Deadline and Sink must be set.
+// Config describes a client. Key, Class, Link, Deadline and Recorder must be set.
 type Config struct {
 	Name        string
 	Key         uint64 // of the stream
 	Class       string
 	Group       string
 	Owner       string
-	Link        Link          // how it reaches a balancer
-	DuplicateAt []string      // balancers; with two or more it presents each token at two of them at the same time
-	At          string        // node at which its stream already is when the run begins; "": none
-	Tokens      bool          // it takes resume tokens
-	Deadline    time.Duration // for the answer to an open
-	Sink        recorder.Sink // receives what crosses its sockets
-	Seed        uint64        // of its random waits and ids, together with Key
+	Link        Link               // how it reaches a balancer
+	DuplicateAt []string           // balancers; with two or more it presents each token at two of them at the same time
+	At          string             // node at which its stream already is when the run begins; "": none
+	Tokens      bool               // it takes resume tokens
+	Deadline    time.Duration      // for the answer to an open
+	Recorder    *recorder.Recorder // of its connections
+	Seed        uint64             // of its random waits and ids, together with Key
 }
 
 // Bounds of the random waits between two connections.
@@ -94,17 +94,17 @@
 func (c *Client) nextOpen() *proto.Open {
 	c.opens++
 	o := &proto.Open{
-		ID:         fmt.Sprintf("%016x", c.rng.Uint64()),
-		Key:        c.cfg.Key,
-		Class:      c.cfg.Class,
-		Group:      c.cfg.Group,
-		Owner:      c.cfg.Owner,
-		Millis:     int(c.cfg.Deadline.Milliseconds()),
-		Again:      c.opens > 1,
-		Cur:        c.hasCursor,
-		Cursor:     c.cursor,
-		Token:      c.token,
-		WantsToken: c.cfg.Tokens && c.token == "",
+		ID:             fmt.Sprintf("%016x", c.rng.Uint64()),
+		Key:            c.cfg.Key,
+		Class:          c.cfg.Class,
+		Group:          c.cfg.Group,
+		Owner:          c.cfg.Owner,
+		DeadlineMillis: int(c.cfg.Deadline.Milliseconds()),
+		Again:          c.opens > 1,
+		HasCursor:      c.hasCursor,
+		Cursor:         c.cursor,
+		Token:          c.token,
+		WantsToken:     c.cfg.Tokens && c.token == "",
 	}
 	if c.opens == 1 {
 		o.At = c.cfg.At
@@ -114,12 +114,12 @@
 
 // dial opens by a link, and waits for the answer until shortly after the deadline.
 func (c *Client) dial(ctx context.Context, link Link, o *proto.Open) *conn {
-	timeout := time.Duration(o.Millis)*time.Millisecond + answerSlack
+	timeout := time.Duration(o.DeadlineMillis)*time.Millisecond + answerSlack
 	if o.At != "" {
 		timeout = initialTimeout
 	}
 	return link.open(ctx, o, time.Now().Add(timeout), func(s recorder.Stream) *recorder.Conn {
-		return recorder.Wrap(s, c.cfg.Sink, recorder.Client, c.cfg.Name)
+		return c.cfg.Recorder.Wrap(s, recorder.Client, c.cfg.Name)
 	})
 }
 
@@ -141,8 +141,8 @@
 		c.readMessages(k)
 		return c.randomWait(reconnectMin, reconnectMax)
 	case wordBusy:
-		if k.answer.Millis > 0 {
-			return time.Duration(k.answer.Millis) * time.Millisecond
+		if k.answer.RetryMillis > 0 {
+			return time.Duration(k.answer.RetryMillis) * time.Millisecond
 		}
 	case wordStale:
 		c.token = ""
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -14,6 +14,7 @@
 	"spurspread/lab/frontend"
 	"spurspread/lab/node"
 	"spurspread/lab/packageindex"
+	"spurspread/lab/recorder"
 	"spurspread/lab/store"
 	"sync"
 	"time"
@@ -76,12 +77,13 @@
 	Dials     EventTimes // connections that clients made through the front end
 	NodeDials EventTimes // connections that nodes accepted
 
-	cfg     Config
-	keys    []token.Key
-	site    string // path of the site file; "": none
-	ctx     context.Context
-	stop    context.CancelFunc
-	clients sync.WaitGroup
+	cfg      Config
+	recorder *recorder.Recorder // of all clients and nodes, for Check
+	keys     []token.Key
+	site     string // path of the site file; "": none
+	ctx      context.Context
+	stop     context.CancelFunc
+	clients  sync.WaitGroup
 }
 
 // Start starts all but the clients, and waits until the front end finds all balancers healthy. Once the context is
@@ -90,13 +92,14 @@
 	d := &Deployment{
 		cfg: cfg,
 		Index: &packageindex.Index{
-			Epoch:    time.Now().Add(-indexAge),
-			Interval: cfg.Interval,
-			Keep:     cfg.RetainedMessages,
-			Length:   cfg.MessageBytes,
+			Epoch:            time.Now().Add(-indexAge),
+			Interval:         cfg.Interval,
+			RetainedMessages: cfg.RetainedMessages,
+			MessageBytes:     cfg.MessageBytes,
 		},
 	}
 	d.Check = checker.New(d.Index)
+	d.recorder = recorder.New(d.Check)
 	d.ctx, d.stop = context.WithCancel(ctx)
 	if err := d.start(); err != nil {
 		d.Stop()
@@ -177,7 +180,7 @@
 		Addr:           addr,
 		StartedLongAgo: startedLongAgo,
 		Index:          d.Index,
-		Sink:           d.Check,
+		Recorder:       d.recorder,
 		Store:          d.Store.Addr(),
 		Keys:           d.keys,
 		SetUp:          d.cfg.SetUp,
@@ -230,7 +233,7 @@
 // StartClient starts a client, which runs until the clients are stopped. Without a link in its configuration it makes
 // connections of its own to the front end.
 func (d *Deployment) StartClient(cfg client.Config) *client.Client {
-	cfg.Sink = d.Check
+	cfg.Recorder = d.recorder
 	if cfg.Link == nil {
 		cfg.Link = client.DedicatedLink{Addr: d.Frontend.Addr(), OnDial: d.Dials.record}
 	}
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -1,26 +1,24 @@
-// Package discoveryserver is the emulated discovery service: the list of nodes over HTTP, whole or as a watch on
-// changes, with a configurable delay. Every balancer is sent the same.
+// Package discoveryserver is the emulated discovery service. It publishes the list of nodes over HTTP, whole or as a
+// watch of changes, with a configurable delay, and notes when a change was first sent. Every balancer gets the same
+// list. It must not know what a balancer does with it.
 package discoveryserver
 
 import (
-	"encoding/json"
-	"fmt"
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 )
 
-// The states in which a node is listed.
+// The lifecycle states of a node.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-// Entry is one node as it is listed.
+// Entry is one node of the list.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -29,101 +27,97 @@
 	Cell      int     `json:"cell"`
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"`
+	Started   int64   `json:"startedAtMs"` // milliseconds since 1970; 0: long ago
 }
 
-// List is one object of discovery's.
+// List is the whole list, or the changes since a generation.
 type List struct {
-	Generation uint64  `json:"generation"`
-	Reset      bool    `json:"reset"`
+	Generation uint64  `json:"generation"` // after the changes
+	Reset      bool    `json:"reset"`      // it is the whole list
 	Instances  []Entry `json:"instances"`
 }
 
-// Server is discovery.
+// Server is the service. Its methods may be called from any goroutine.
 type Server struct {
-	late        time.Duration
-	http        *http.Server
-	addr        string
-	mu          sync.Mutex
-	log         []change // by generation
-	wakeup      chan struct{}
-	announcedAt map[uint64]time.Time // when a generation was first written to a watch
-}
+	delay time.Duration
+	http  *http.Server
+	addr  string
 
-type change struct {
-	generation uint64
-	entry      Entry
+	mu          sync.Mutex
+	changes     []Entry              // the change of generation g at index g-1
+	changed     chan struct{}        // closed by the next change
+	announcedAt map[uint64]time.Time // when a generation was first sent on a watch
 }
 
-// heartbeat is how often an empty line comes on a watch on which nothing changes.
-const heartbeat = 2 * time.Second
+// headerTimeout bounds how long a request's header may take.
+const headerTimeout = 5 * time.Second
 
-// Start listens on loopback. What is set is told as late as late.
-func Start(late time.Duration) (*Server, error) {
+// Start starts a service on loopback. A change is published after the delay.
+func Start(delay time.Duration) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		late:        late,
+		delay:       delay,
 		addr:        ln.Addr().String(),
-		wakeup:      make(chan struct{}),
+		changed:     make(chan struct{}),
 		announcedAt: map[uint64]time.Time{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", s.serve)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = s.http.Serve(ln) }() // ends with Close
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr is the address at which it listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends it, with all its watches.
+// Close ends the service, with all watches.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Set lists a node, from the lateness on. It returns the change's generation once it is listed.
+// Set publishes a node's entry after the delay, and then returns the change's generation.
 func (s *Server) Set(e Entry) uint64 {
-	time.Sleep(s.late)
+	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := uint64(len(s.log) + 1)
-	s.log = append(s.log, change{g, e})
-	close(s.wakeup)
-	s.wakeup = make(chan struct{})
-	return g
+	s.changes = append(s.changes, e)
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return uint64(len(s.changes))
 }
 
-// AnnouncedAt is when a change was first written to a balancer; zero while it was not.
+// AnnouncedAt is when a change was first sent on a watch; zero if it was not yet.
 func (s *Server) AnnouncedAt(generation uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.announcedAt[generation]
 }
 
-// FullList is the list as it stands, as a balancer's configuration may hold it.
+// FullList is the present list, as a balancer's configuration may have it.
 func (s *Server) FullList() List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since(0)
+	return s.changesSince(0)
 }
 
-// since gives what changed after a generation; under the mutex.
-func (s *Server) since(after uint64) List {
-	at := uint64(len(s.log))
-	if after > at {
-		after = 0 // of another discovery
+// changesSince is what has changed after a generation, the last entry of each node only. It is the whole list,
+// without nodes that are gone, for generation 0 and for one of another service. The caller holds the mutex.
+func (s *Server) changesSince(generation uint64) List {
+	current := uint64(len(s.changes))
+	if generation > current {
+		generation = 0
 	}
-	l := List{Generation: at, Reset: after == 0, Instances: []Entry{}}
-	last := map[string]int{}
-	for _, c := range s.log[after:] {
-		if i, had := last[c.entry.ID]; had {
-			l.Instances[i] = c.entry
+	l := List{Generation: current, Reset: generation == 0, Instances: []Entry{}}
+	indexes := map[string]int{}
+	for _, e := range s.changes[generation:] {
+		if i, ok := indexes[e.ID]; ok {
+			l.Instances[i] = e
 			continue
 		}
-		last[c.entry.ID] = len(l.Instances)
-		l.Instances = append(l.Instances, c.entry)
+		indexes[e.ID] = len(l.Instances)
+		l.Instances = append(l.Instances, e)
 	}
 	if l.Reset {
 		l.Instances = slices.DeleteFunc(l.Instances, func(e Entry) bool { return e.Lifecycle == Gone })
@@ -131,48 +125,13 @@
 	return l
 }
 
-func (s *Server) serve(w http.ResponseWriter, q *http.Request) {
-	at, err := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64)
-	stream := q.URL.Query().Get("stream") == "1"
-	if stream && err != nil {
-		http.Error(w, "index is no number", http.StatusBadRequest)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	if !stream {
-		_ = json.NewEncoder(w).Encode(s.FullList()) // a caller that has gone misses nothing
-		return
-	}
-	for first := true; ; first = false {
-		s.mu.Lock()
-		wakeup, l := s.wakeup, s.since(at)
-		s.mu.Unlock()
-		if first || l.Generation != at {
-			text, _ := json.Marshal(l) // a struct of plain values
-			if _, err := fmt.Fprintf(w, "%s\n", text); err != nil {
-				return
-			}
-			s.mark(at, l.Generation)
-			at = l.Generation
-		} else if _, err := fmt.Fprint(w, "\n"); err != nil {
-			return
-		}
-		w.(http.Flusher).Flush()
-		select {
-		case <-wakeup:
-		case <-time.After(heartbeat):
-		case <-q.Context().Done():
-			return
-		}
-	}
-}
-
-func (s *Server) mark(after, to uint64) {
+// markAnnounced notes that the generations after the first one, up to the second, are sent.
+func (s *Server) markAnnounced(after, to uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for g := after + 1; g <= to; g++ {
-		if _, had := s.announcedAt[g]; !had {
-			s.announcedAt[g] = time.Now()
+	for generation := after + 1; generation <= to; generation++ {
+		if _, ok := s.announcedAt[generation]; !ok {
+			s.announcedAt[generation] = time.Now()
 		}
 	}
 }
--- a/lab/echo/echo.go
+++ b/lab/echo/echo.go
@@ -1,5 +1,5 @@
-// Package echo is the plainest index node: it takes every connection, says UP, and sends back each line. It knows the
-// protocol's first words, and nothing of clients, balancers or measurements.
+// Package echo is the simplest index node: it accepts every connection and channel with UP, and sends each further
+// line back. It knows the protocol's first words only, and must not know clients, balancers or measurements.
 package echo
 
 import (
@@ -9,58 +9,78 @@
 	"spurspread/lab/sshchan"
 )
 
-// Window is what a node promises to take on a channel, in bytes.
+// Window is the receive window that a node grants on a channel, in bytes.
 const Window = 64 << 10
 
-// Serve serves plain connections and such with channels until the listener closes. asked, if it is set, is called
-// with the first line of each plain one, from a goroutine of its own.
-func Serve(ln net.Listener, asked func(first string)) {
+// sshPrefix begins a connection with channels.
+const sshPrefix = "SSH-"
+
+// Serve serves connections with plain lines and with channels until the listener is closed. onOpen, if it is not nil,
+// is called with the first line of each plain connection, by the connection's goroutine.
+func Serve(ln net.Listener, onOpen func(first string)) {
 	for {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			defer func() { _ = c.Close() }()
-			rd := bufio.NewReaderSize(c, Window)
-			head, _ := rd.Peek(4)
-			if string(head) != "SSH-" {
-				lines(rd, c, true, asked)
-				return
-			}
-			if _, err := rd.ReadString('\n'); err != nil {
-				return
-			}
-			t, err := sshchan.Server(c, rd, Window)
-			if err != nil {
-				return
-			}
-			for ch := t.Accept(); ch != nil; ch = t.Accept() {
-				if ch.Confirm("UP 1") != nil {
-					return
-				}
-				go lines(bufio.NewReader(ch), ch, false, nil)
-			}
-		}()
+		go serveConn(conn, onOpen)
 	}
 }
 
-func lines(rd *bufio.Reader, w io.Writer, first bool, asked func(string)) {
-	for ; ; first = false {
-		text, err := rd.ReadSlice('\n')
-		if err != nil {
+func serveConn(conn net.Conn, onOpen func(first string)) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReaderSize(conn, Window)
+	prefix, _ := reader.Peek(len(sshPrefix))
+	if string(prefix) == sshPrefix {
+		serveChannels(conn, reader)
+		return
+	}
+	if answerOpen(reader, conn, onOpen) {
+		echoLines(reader, conn)
+	}
+}
+
+// serveChannels accepts channels until the connection ends.
+func serveChannels(conn net.Conn, reader *bufio.Reader) {
+	if _, err := reader.ReadString('\n'); err != nil {
+		return
+	}
+	channels, err := sshchan.Server(conn, reader, Window)
+	if err != nil {
+		return
+	}
+	for channel := channels.Accept(); channel != nil; channel = channels.Accept() {
+		if channel.Confirm("UP 1") != nil {
 			return
 		}
-		switch {
-		case first && string(text) == "PING\r\n":
-			text = []byte("PONG\r\n")
-		case first:
-			if asked != nil {
-				asked(string(text))
-			}
-			text = []byte("UP 1\r\n")
+		go echoLines(bufio.NewReader(channel), channel)
+	}
+}
+
+// answerOpen answers the first line, a ping or an open. It reports whether the connection goes on.
+func answerOpen(reader *bufio.Reader, w io.Writer, onOpen func(first string)) bool {
+	line, err := reader.ReadSlice('\n')
+	if err != nil {
+		return false
+	}
+	answer := "UP 1\r\n"
+	if string(line) == "PING\r\n" {
+		answer = "PONG\r\n"
+	} else if onOpen != nil {
+		onOpen(string(line))
+	}
+	_, err = io.WriteString(w, answer)
+	return err == nil
+}
+
+// echoLines sends each line back until the end.
+func echoLines(reader *bufio.Reader, w io.Writer) {
+	for {
+		line, err := reader.ReadSlice('\n')
+		if err != nil {
+			return
 		}
-		if _, err := w.Write(text); err != nil {
+		if _, err := w.Write(line); err != nil {
 			return
 		}
 	}
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a proxy between processes that send each other datagrams, with a link for every ordered
-// pair: each direction fails by itself. It loses, delays, repeats, reorders, spoils, cuts, and plays again what it
-// has recorded; it knows addresses and bytes, and nothing of what they mean.
+// Package faultproxy is a proxy for datagrams between processes, with a lab/link for each ordered pair: each
+// direction fails by itself. It loses, delays, duplicates, reorders, corrupts and partitions, and replays what it has
+// recorded. It knows addresses and bytes, and must not know what they mean.
 package faultproxy
 
 import (
@@ -9,224 +9,215 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"slices"
 	"spurspread/lab/link"
 	"sync"
 	"time"
 )
 
-// maxRecorded datagrams of a link are kept to be played again.
-const maxRecorded = 256
+const (
+	// maxRecorded datagrams of a link are recorded for Replay.
+	maxRecorded = 256
+	// maxDatagram bytes of a datagram are forwarded.
+	maxDatagram = 2048
+	// linkStream selects the random sequence of the links; other users of the seed select others.
+	linkStream = 0x637574
+)
 
-// Proxy is the links between some processes.
+// Proxy has the links between some processes, which are numbered by their addresses. Its methods may be called from
+// any goroutine.
 type Proxy struct {
-	mu     sync.Mutex
+	addrs []netip.AddrPort // where each process receives datagrams
+	links [][]*pair        // by sender and receiver; nil from a process to itself
+	wg    sync.WaitGroup
+
+	mu     sync.Mutex // of the links' state, too
 	rng    *rand.Rand
-	at     []netip.AddrPort // where each process takes datagrams
-	links  [][]*pair
-	wg     sync.WaitGroup
 	record bool
 }
 
-// pair is the socket at which one process reaches another, and the link from the one to the other.
+// pair is the link from one process to another, and the socket at which the first reaches the second.
 type pair struct {
 	link.Link
-	from, to int
-	conn     *net.UDPConn
-	kept     [][]byte
-	bytes    int64
-	came     int64 // bytes of what was not lost
-}
-
-// New makes links between processes that will take datagrams at these addresses.
-func New(at []netip.AddrPort, seed uint64) (*Proxy, error) {
-	n := &Proxy{at: at, rng: rand.New(rand.NewPCG(seed, 0x637574))}
-	for a := range at {
-		row := make([]*pair, len(at))
-		for b := range at {
-			if a == b {
-				continue
-			}
-			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-			if err != nil {
-				n.links = append(n.links, row)
-				return nil, errors.Join(fmt.Errorf("link from %d to %d: %w", a, b, err), n.Close())
-			}
-			row[b] = &pair{from: a, to: b, conn: c}
+	from, to       int
+	conn           *net.UDPConn
+	recorded       [][]byte
+	sentBytes      int64
+	deliveredBytes int64 // of the datagrams that were not lost
+}
+
+// New makes links between processes that will receive datagrams at these addresses. The seed is that of the links'
+// random draws.
+func New(addrs []netip.AddrPort, seed uint64) (*Proxy, error) {
+	p := &Proxy{addrs: addrs, rng: rand.New(rand.NewPCG(seed, linkStream))}
+	for from := range addrs {
+		row, err := p.listenRow(from)
+		p.links = append(p.links, row)
+		if err != nil {
+			return nil, errors.Join(err, p.Close())
+		}
+	}
+	p.each(func(l *pair) {
+		p.wg.Add(1)
+		go p.forward(l)
+	})
+	return p, nil
+}
+
+// listenRow opens the sockets at which one process reaches the others. After an error it has those that were opened.
+func (p *Proxy) listenRow(from int) ([]*pair, error) {
+	row := make([]*pair, len(p.addrs))
+	for to := range p.addrs {
+		if from == to {
+			continue
+		}
+		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			return row, fmt.Errorf("link from %d to %d: %w", from, to, err)
 		}
-		n.links = append(n.links, row)
+		row[to] = &pair{from: from, to: to, conn: conn}
 	}
-	for _, row := range n.links {
-		for _, p := range row {
-			if p != nil {
-				n.wg.Add(1)
-				go n.forward(p)
+	return row, nil
+}
+
+// each calls a function with each link, by senders and then receivers.
+func (p *Proxy) each(do func(l *pair)) {
+	for _, row := range p.links {
+		for _, l := range row {
+			if l != nil {
+				do(l)
 			}
 		}
 	}
-	return n, nil
 }
 
-// Via is where process a reaches process b.
-func (n *Proxy) Via(a, b int) netip.AddrPort {
-	return n.links[a][b].conn.LocalAddr().(*net.UDPAddr).AddrPort()
+// Via is the address at which one process reaches another.
+func (p *Proxy) Via(from, to int) netip.AddrPort {
+	return p.links[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// forward takes what comes to one pair's socket: from the one that reaches the other there, or from the other,
-// answering.
-func (n *Proxy) forward(p *pair) {
-	defer n.wg.Done()
-	buf := make([]byte, 2048)
+// forward forwards what comes to a link's socket until it is closed: from the link's sender, and the answers of its
+// receiver, which are sent over the opposite link.
+func (p *Proxy) forward(l *pair) {
+	defer p.wg.Done()
+	buf := make([]byte, maxDatagram)
 	for {
-		size, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		size, source, err := l.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			return // closed
+			return
 		}
-		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		is, to := p, n.at[p.to]
-		if from == n.at[p.to] {
-			is, to = n.links[p.to][p.from], n.at[p.from]
+		datagram := slices.Clone(buf[:size])
+		if netip.AddrPortFrom(source.Addr().Unmap(), source.Port()) == p.addrs[l.to] {
+			p.transmit(l.conn, p.links[l.to][l.from], datagram)
+		} else {
+			p.transmit(l.conn, l, datagram)
 		}
-		n.pass(p, is, to, append([]byte(nil), buf[:size]...))
 	}
 }
 
-// pass has a datagram come through, or not, as the link is.
-func (n *Proxy) pass(via, is *pair, to netip.AddrPort, b []byte) {
-	n.mu.Lock()
-	is.bytes += int64(len(b))
-	if n.record && len(is.kept) < maxRecorded {
-		is.kept = append(is.kept, append([]byte(nil), b...))
+// transmit sends a datagram from a socket to the receiver of a link, as the link's state has it.
+func (p *Proxy) transmit(conn *net.UDPConn, l *pair, datagram []byte) {
+	p.mu.Lock()
+	l.sentBytes += int64(len(datagram))
+	if p.record && len(l.recorded) < maxRecorded {
+		l.recorded = append(l.recorded, slices.Clone(datagram))
 	}
-	waits := make([]time.Duration, is.Times(n.rng))
+	waits := make([]time.Duration, l.Times(p.rng))
 	for i := range waits {
-		waits[i] = is.Wait(n.rng)
+		waits[i] = l.Wait(p.rng)
 	}
-	is.Spoil(n.rng, b)
-	is.came += int64(len(waits) * len(b))
-	n.mu.Unlock()
-	for _, d := range waits {
-		if d == 0 {
-			_, _ = via.conn.WriteToUDPAddrPort(b, to) // one that is not there loses it, as on any network
-			continue
+	l.Spoil(p.rng, datagram)
+	l.deliveredBytes += int64(len(waits) * len(datagram))
+	p.mu.Unlock()
+	// A datagram to a process that does not run is lost, as in any network.
+	send := func() { _, _ = conn.WriteToUDPAddrPort(datagram, p.addrs[l.to]) }
+	for _, wait := range waits {
+		if wait == 0 {
+			send()
+		} else {
+			time.AfterFunc(wait, send)
 		}
-		time.AfterFunc(d, func() { _, _ = via.conn.WriteToUDPAddrPort(b, to) })
 	}
 }
 
-// Set changes the links from some to others, one way.
-func (n *Proxy) Set(from, to []int, change func(*link.Link)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// Set changes the links from some processes to others, one way.
+func (p *Proxy) Set(from, to []int, change func(*link.Link)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				change(&n.links[a][b].Link)
+				change(&p.links[a][b].Link)
 			}
 		}
 	}
 }
 
-// Heal makes all links whole.
-func (n *Proxy) Heal() {
-	all := n.all()
-	n.Set(all, all, func(l *link.Link) { *l = link.Link{} })
+// Heal resets all links: they lose and delay nothing.
+func (p *Proxy) Heal() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.each(func(l *pair) { l.Link = link.Link{} })
 }
 
-func (n *Proxy) all() []int {
-	all := make([]int, len(n.at))
-	for i := range all {
-		all[i] = i
-	}
-	return all
-}
-
-// Cuts lists the links that are cut, as from and to.
-func (n *Proxy) Cuts() map[[2]int]bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	out := map[[2]int]bool{}
-	for a, row := range n.links {
-		for b, p := range row {
-			if p != nil && p.Partitioned {
-				out[[2]int{a, b}] = true
-			}
+// Partitioned lists the links that are partitioned, as from and to.
+func (p *Proxy) Partitioned() map[[2]int]bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	partitioned := map[[2]int]bool{}
+	p.each(func(l *pair) {
+		if l.Partitioned {
+			partitioned[[2]int{l.from, l.to}] = true
 		}
-	}
-	return out
+	})
+	return partitioned
 }
 
-// Record begins to keep what passes, or ends it.
-func (n *Proxy) Record(on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.record = on
+// Record begins to record datagrams, or ends it.
+func (p *Proxy) Record(on bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.record = on
 }
 
-// Replay sends again, to where it went, all that was recorded, and returns how much that was.
-func (n *Proxy) Replay() (count int) {
-	n.mu.Lock()
-	type again struct {
-		p *pair
-		b [][]byte
-	}
-	var all []again
-	for _, row := range n.links {
-		for _, p := range row {
-			if p != nil {
-				all = append(all, again{p, p.kept})
-			}
-		}
-	}
-	n.mu.Unlock()
-	for _, a := range all {
-		for _, b := range a.b {
-			_, _ = a.p.conn.WriteToUDPAddrPort(b, n.at[a.p.to])
+// Replay sends all recorded datagrams again to their receivers, without loss or delay, and returns how many these
+// were.
+func (p *Proxy) Replay() (count int) {
+	p.mu.Lock()
+	recorded := map[*pair][][]byte{}
+	p.each(func(l *pair) { recorded[l] = l.recorded })
+	p.mu.Unlock()
+	p.each(func(l *pair) {
+		for _, datagram := range recorded[l] {
+			_, _ = l.conn.WriteToUDPAddrPort(datagram, p.addrs[l.to])
 			count++
 		}
-	}
+	})
 	return count
 }
 
 // Bytes is what each process has sent so far.
-func (n *Proxy) Bytes() []int64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	out := make([]int64, len(n.at))
-	for a, row := range n.links {
-		for _, p := range row {
-			if p != nil {
-				out[a] += p.bytes
-			}
-		}
-	}
-	return out
-}
-
-// Received is what has come to each process so far.
-func (n *Proxy) Received() []int64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	out := make([]int64, len(n.at))
-	for _, row := range n.links {
-		for b, p := range row {
-			if p != nil {
-				out[b] += p.came
-			}
-		}
-	}
-	return out
+func (p *Proxy) Bytes() []int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	sent := make([]int64, len(p.addrs))
+	p.each(func(l *pair) { sent[l.from] += l.sentBytes })
+	return sent
 }
 
-// Close ends all links.
-func (n *Proxy) Close() error {
-	var err error
-	for _, row := range n.links {
-		for _, p := range row {
-			if p != nil {
-				err = errors.Join(err, p.conn.Close())
-			}
-		}
-	}
-	n.wg.Wait()
-	return err
+// Received is what was delivered to each process so far.
+func (p *Proxy) Received() []int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delivered := make([]int64, len(p.addrs))
+	p.each(func(l *pair) { delivered[l.to] += l.deliveredBytes })
+	return delivered
+}
+
+// Close ends all links, and waits until nothing is forwarded any more.
+func (p *Proxy) Close() error {
+	var errs []error
+	p.each(func(l *pair) { errs = append(errs, l.conn.Close()) })
+	p.wg.Wait()
+	return errors.Join(errs...)
 }
--- a/lab/frontend/frontend.go
+++ b/lab/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend is a stand-in for the front end before the balancers: it hands clients' connections out in turn,
-// uses one once it has answered PING, and notices only after a while that one has died. It forwards bytes and ends,
-// and reads nothing.
+// Package frontend is the emulated front end before the balancers. It gives each connection to the next balancer that
+// answers PING, and notices only after a while that one has died. It forwards bytes, ends and resets, and must not
+// read what it forwards.
 package frontend
 
 import (
@@ -13,47 +13,55 @@
 	"time"
 )
 
-// Frontend is one listener in front of some balancers.
+const (
+	pingInterval = 100 * time.Millisecond
+	pingTimeout  = 500 * time.Millisecond
+)
+
+// Frontend is one listener in front of some balancers. Its methods may be called from any goroutine.
 type Frontend struct {
-	ln       net.Listener
-	notice   time.Duration
-	mu       sync.Mutex
-	backends []*backend
-	next     int
-	conns    map[net.Conn]bool
-	stop     chan struct{}
+	listener     net.Listener
+	failureDelay time.Duration
+	stop         chan struct{}
+
+	mu          sync.Mutex
+	backends    []*backend
+	nextBackend int // by round robin
+	conns       map[net.Conn]bool
 }
 
+// backend is one balancer.
 type backend struct {
 	addr    string
 	healthy bool
 }
 
-const (
-	pingEvery = 100 * time.Millisecond
-	pingTime  = 500 * time.Millisecond
-)
-
-// Start listens on loopback. notice is how long a dead balancer is still sent clients.
-func Start(notice time.Duration, balancers ...string) (*Frontend, error) {
+// Start starts a front end on loopback. A balancer that no longer answers is given connections for failureDelay more.
+func Start(failureDelay time.Duration, balancers ...string) (*Frontend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &Frontend{ln: ln, notice: notice, conns: map[net.Conn]bool{}, stop: make(chan struct{})}
+	f := &Frontend{
+		listener:     ln,
+		failureDelay: failureDelay,
+		stop:         make(chan struct{}),
+		conns:        map[net.Conn]bool{},
+	}
 	for _, addr := range balancers {
-		b := &backend{addr: addr}
-		f.backends = append(f.backends, b)
-		go f.watch(b)
+		f.backends = append(f.backends, &backend{addr: addr})
+	}
+	for _, b := range f.backends {
+		go f.checkHealth(b)
 	}
 	go f.accept()
 	return f, nil
 }
 
-// Addr is where clients connect.
-func (f *Frontend) Addr() string { return f.ln.Addr().String() }
+// Addr is the address at which clients connect.
+func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
-// Healthy is how many balancers clients are handed to.
+// Healthy is the number of balancers that are given connections.
 func (f *Frontend) Healthy() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,71 +74,74 @@
 	return n
 }
 
-// Close ends it with all connections.
+// Close ends the front end with all its connections. It may be called once.
 func (f *Frontend) Close() error {
 	close(f.stop)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for c := range f.conns {
-		_ = c.Close()
+	for conn := range f.conns {
+		_ = conn.Close()
 	}
-	return f.ln.Close()
+	return f.listener.Close()
 }
 
-// watch pings one balancer for as long as the front end runs.
-func (f *Frontend) watch(b *backend) {
-	var badSince time.Time
+// checkHealth pings one balancer periodically until the front end is closed. The balancer is healthy from its first
+// answer on, and no longer once all pings of failureDelay have failed.
+func (f *Frontend) checkHealth(b *backend) {
+	var failingSince time.Time
 	for {
 		ok := ping(b.addr)
 		f.mu.Lock()
 		switch {
 		case ok:
-			b.healthy, badSince = true, time.Time{}
-		case badSince.IsZero():
-			badSince = time.Now()
-		case time.Since(badSince) >= f.notice:
+			b.healthy = true
+			failingSince = time.Time{}
+		case failingSince.IsZero():
+			failingSince = time.Now()
+		case time.Since(failingSince) >= f.failureDelay:
 			b.healthy = false
 		}
 		f.mu.Unlock()
 		select {
 		case <-f.stop:
 			return
-		case <-time.After(pingEvery):
+		case <-time.After(pingInterval):
 		}
 	}
 }
 
+// ping reports whether a balancer answers within pingTimeout.
 func ping(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, pingTime)
+	conn, err := net.DialTimeout("tcp", addr, pingTimeout)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(pingTime))
-	if _, err := c.Write([]byte("PING\r\n")); err != nil {
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(pingTimeout))
+	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
 		return false
 	}
-	got, err := bufio.NewReader(c).ReadString('\n')
-	return err == nil && got == "PONG\r\n"
+	answer, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && answer == "PONG\r\n"
 }
 
 func (f *Frontend) accept() {
 	for {
-		c, err := f.ln.Accept()
+		conn, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		go f.forward(c.(*net.TCPConn))
+		go f.forward(conn.(*net.TCPConn))
 	}
 }
 
-// pick is the next balancer's turn.
-func (f *Frontend) pick() string {
+// nextHealthy is the address of the next healthy balancer by round robin, "" if none is.
+func (f *Frontend) nextHealthy() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.backends {
-		b := f.backends[f.next%len(f.backends)]
-		f.next++
+		b := f.backends[f.nextBackend%len(f.backends)]
+		f.nextBackend++
 		if b.healthy {
 			return b.addr
 		}
@@ -138,20 +149,29 @@
 	return ""
 }
 
-// forward copies bytes both ways, and each side's end in kind.
-func (f *Frontend) forward(client *net.TCPConn) {
-	var server *net.TCPConn
-	if addr := f.pick(); addr != "" {
-		if c, err := net.Dial("tcp", addr); err == nil {
-			server = c.(*net.TCPConn)
-		}
+// dial connects to the next healthy balancer; nil if there is none or it can't be reached.
+func (f *Frontend) dial() *net.TCPConn {
+	addr := f.nextHealthy()
+	if addr == "" {
+		return nil
 	}
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return nil
+	}
+	return conn.(*net.TCPConn)
+}
+
+// forward copies bytes both ways, and ends each side as the other was ended. Without a balancer the client's
+// connection is closed.
+func (f *Frontend) forward(client *net.TCPConn) {
+	server := f.dial()
 	if server == nil {
 		_ = client.Close()
 		return
 	}
-	f.track(client, server, true)
-	defer f.track(client, server, false)
+	f.track(client, server)
+	defer f.untrack(client, server)
 	done := make(chan struct{})
 	go func() {
 		copyBytes(server, client)
@@ -163,18 +183,23 @@
 	_ = server.Close()
 }
 
-func (f *Frontend) track(a, b net.Conn, on bool) {
+func (f *Frontend) track(conns ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range []net.Conn{a, b} {
-		if on {
-			f.conns[c] = true
-		} else {
-			delete(f.conns, c)
-		}
+	for _, conn := range conns {
+		f.conns[conn] = true
+	}
+}
+
+func (f *Frontend) untrack(conns ...net.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range conns {
+		delete(f.conns, conn)
 	}
 }
 
+// copyBytes copies until the source ends, and then ends the destination alike: by a reset or by FIN.
 func copyBytes(to, from *net.TCPConn) {
 	_, err := io.Copy(to, from)
 	if errors.Is(err, syscall.ECONNRESET) {
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -1,5 +1,6 @@
-// Package link says how one direction between two processes is, and draws what becomes of each message that is sent
-// there. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/simulation), and knows neither.
+// Package link models one direction of a network link between two processes, and draws what becomes of each message
+// that is sent over it. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/simulation), and
+// must not know which of them it serves.
 package link
 
 import (
@@ -7,49 +8,49 @@
 	"time"
 )
 
-// Link is how one direction is. A zero Link loses and delays nothing.
+// Link is the state of one direction. A zero Link loses and delays nothing. It belongs to one goroutine at a time.
 type Link struct {
-	Partitioned bool
-	Loss        float64 // part of all messages
-	Burst       float64 // mean length of a row of lost ones, where over 1
-	Delay       time.Duration
-	Jitter      time.Duration // and up to so much more, each by itself, so that messages overtake one another
-	Twice       float64       // part that comes a second time
-	Spoilt      float64       // part of which a byte is changed
+	Partitioned bool          // it loses everything
+	Loss        float64       // part of all messages that is lost, from 0 to 1
+	Burst       float64       // mean number of messages that are lost in a row; up to 1: losses are independent
+	Delay       time.Duration // least time that a message takes
+	Jitter      time.Duration // up to which each message takes longer, so that messages overtake one another
+	Duplicated  float64       // part of the messages that comes twice, from 0 to 1
+	Corrupted   float64       // part of the messages of which a byte is changed, from 0 to 1
 
-	losing bool
+	losing bool // the present state of losses in a row
 }
 
 // Times draws how often the next message comes: not at all, once or twice.
 func (l *Link) Times(rng *rand.Rand) int {
-	switch {
-	case !l.passes(rng):
+	if l.loses(rng) {
 		return 0
-	case l.Twice > 0 && rng.Float64() < l.Twice:
+	}
+	if l.Duplicated > 0 && rng.Float64() < l.Duplicated {
 		return 2
 	}
 	return 1
 }
 
-// passes tells whether the next message comes through. Losses come in rows: a state that is left with probability
-// 1/Burst.
-func (l *Link) passes(rng *rand.Rand) bool {
-	switch {
-	case l.Partitioned:
-		return false
-	case l.Burst > 1 && l.Loss < 1:
-		leave := 1 / l.Burst
-		if l.losing {
-			l.losing = rng.Float64() >= leave
-		} else {
-			l.losing = rng.Float64() < l.Loss/(1-l.Loss)*leave
-		}
-		return !l.losing
+// loses draws whether the next message is lost. Losses in a row are those of a Gilbert model: each message in the
+// losing state is lost, and that state is left with probability 1/Burst.
+func (l *Link) loses(rng *rand.Rand) bool {
+	if l.Partitioned {
+		return true
+	}
+	if l.Burst <= 1 || l.Loss >= 1 {
+		return rng.Float64() < l.Loss
+	}
+	leave := 1 / l.Burst
+	if l.losing {
+		l.losing = rng.Float64() >= leave
+	} else {
+		l.losing = rng.Float64() < l.Loss/(1-l.Loss)*leave
 	}
-	return rng.Float64() >= l.Loss
+	return l.losing
 }
 
-// Wait draws how long a message is on its way.
+// Wait draws how long a message takes.
 func (l *Link) Wait(rng *rand.Rand) time.Duration {
 	if l.Jitter <= 0 {
 		return l.Delay
@@ -57,9 +58,9 @@
 	return l.Delay + time.Duration(rng.Int64N(int64(l.Jitter)))
 }
 
-// Spoil draws whether a byte of a message is changed, and which, and changes it.
-func (l *Link) Spoil(rng *rand.Rand, b []byte) {
-	if l.Spoilt > 0 && len(b) > 0 && rng.Float64() < l.Spoilt {
-		b[rng.IntN(len(b))] ^= byte(1 + rng.IntN(255))
+// Spoil draws whether a byte of a message is changed, and which, and changes it in place.
+func (l *Link) Spoil(rng *rand.Rand, message []byte) {
+	if l.Corrupted > 0 && len(message) > 0 && rng.Float64() < l.Corrupted {
+		message[rng.IntN(len(message))] ^= byte(1 + rng.IntN(255))
 	}
 }
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -1,6 +1,7 @@
-// Package loadgen is a closed-loop load generator: its clients each send a line, wait for its echo and send the
-// next, or open and end connections, as fast as a balancer lets them. Two programs are measured in turn, in one
-// run, so that a machine that changes its speed changes both.
+// Package loadgen is a closed-loop load generator. Its clients send a line, wait for its echo and send the next, or
+// open and close connections, as fast as a balancer lets them; a Sample is the rate that they reached. Two programs
+// are measured by turns in one run, so that a machine that changes its speed changes both. The package must not know
+// how a balancer forwards.
 package loadgen
 
 import (
@@ -10,28 +11,37 @@
 	"io"
 	"net"
 	"os"
-	"path/filepath"
 	"spurspread/lab/deployment"
 	"spurspread/lab/echo"
 	"spurspread/lab/sshchan"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
+const (
+	// streamsPerConnection channels share a connection.
+	streamsPerConnection = 8
+	// warmUpPart of the measured span is waited before it, until all clients run.
+	warmUpPart = 10
+	// refusedPause is how long a client of SetUps waits after a refusal.
+	refusedPause = 20 * time.Millisecond
+	// A client of Lines opens openAttempts times, with openPause between: a balancer fills its nodes at a limited
+	// rate.
+	openAttempts = 200
+	openPause    = 100 * time.Millisecond
+	// directions are counted for each echoed line.
+	directions = 2
+)
+
 // Sample is one measurement of one program.
 type Sample struct {
-	PerSecond float64 // lines passed on a second, both ways
-	PerCPU    float64 // lines passed on a second of the balancer's CPU time
+	PerSecond float64 // lines forwarded, both ways, or connections set up
+	PerCPU    float64 // the same per second of the balancer's processor time
 }
 
-// share is how many channels a connection carries.
-const share = 8
-
-// Measure runs one balancer between conns clients and an echoing node for span, with a connection for each, or with
-// channels of fewer connections on both sides.
+// Measure starts a balancer and an echoing node, and measures Lines.
 func Measure(program string, conns int, span time.Duration, channels bool) (Sample, error) {
 	dir, err := os.MkdirTemp("", "loadgen")
 	if err != nil {
@@ -52,197 +62,214 @@
 	return Lines(b.Addr(), b.Pid(), conns, span, channels)
 }
 
-// Lines measures a balancer that runs, with clients on a node that echoes.
+// Lines measures how many lines a running balancer forwards for conns clients, whose node echoes, during span. Each
+// client has a connection of its own, or with channels a channel of a shared one. The first client that fails ends
+// the measurement with its error.
 func Lines(addr string, pid, conns int, span time.Duration, channels bool) (Sample, error) {
-	var lines atomic.Int64
-	var failed atomic.Pointer[error]
-	var clients, up sync.WaitGroup
-	stop := make(chan struct{})
-	begin := make(chan struct{})
+	clients := newLineClients(addr)
 	var shared *sshchan.Conn
 	for i := range conns {
-		if channels && i%share == 0 {
+		if channels && i%streamsPerConnection == 0 {
 			var err error
-			if shared, err = connect(addr); err != nil {
+			if shared, err = dialChannels(addr); err != nil {
 				return Sample{}, err
 			}
 			defer func(c *sshchan.Conn) { _ = c.Close() }(shared)
 		}
-		clients.Add(1)
-		up.Add(1)
-		over := shared
-		go func() {
-			defer clients.Done()
-			if err := echoLines(addr, over, i, &up, begin, stop, &lines); err != nil {
-				failed.Store(&err)
-			}
-		}()
+		clients.start(i, shared)
 	}
-	up.Wait()
-	close(begin)
-	time.Sleep(span / 10) // until all run
-	return finish(pid, span, 2, &lines, func() error {
-		close(stop)
-		clients.Wait()
-		if err := failed.Load(); err != nil {
-			return *err
+	clients.opened.Wait()
+	close(clients.begin)
+	time.Sleep(span / warmUpPart)
+	return countSpan(pid, span, directions, &clients.lines, clients.stop)
+}
+
+// lineClients are clients that send lines, from the time when all have opened their connections.
+type lineClients struct {
+	addr    string
+	opened  sync.WaitGroup // the clients that have opened, or failed to
+	running sync.WaitGroup
+	begin   chan struct{} // closed when they may send
+	end     chan struct{} // closed when they must stop
+	lines   atomic.Int64  // echoes received
+	failed  atomic.Pointer[error]
+}
+
+func newLineClients(addr string) *lineClients {
+	return &lineClients{addr: addr, begin: make(chan struct{}), end: make(chan struct{})}
+}
+
+// start starts client i, over a channel of shared if that is set.
+func (l *lineClients) start(i int, shared *sshchan.Conn) {
+	l.running.Add(1)
+	l.opened.Add(1)
+	go func() {
+		defer l.running.Done()
+		if err := l.sendLines(i, shared); err != nil {
+			l.failed.Store(&err)
 		}
-		return nil
-	})
+	}()
+}
+
+// stop ends the clients, and returns the error of one of them.
+func (l *lineClients) stop() error {
+	close(l.end)
+	l.running.Wait()
+	if err := l.failed.Load(); err != nil {
+		return *err
+	}
+	return nil
+}
+
+// sendLines opens a connection, and then sends lines and reads their echoes.
+func (l *lineClients) sendLines(i int, shared *sshchan.Conn) error {
+	conn, reader, err := openAdmitted(l.addr, shared, i)
+	l.opened.Done()
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	<-l.begin
+	line := []byte(fmt.Sprintf("T %d 0123456789abcdef0123456789abcdef\r\n", i))
+	for {
+		select {
+		case <-l.end:
+			return nil
+		default:
+		}
+		if _, err := conn.Write(line); err != nil {
+			return err
+		}
+		if _, err := reader.ReadSlice('\n'); err != nil {
+			return err
+		}
+		l.lines.Add(1)
+	}
 }
 
-// finish counts for a span, and ends what is counted.
-func finish(pid int, span time.Duration, each float64, count *atomic.Int64, stop func() error) (Sample, error) {
-	from, cpu := count.Load(), CPUTime(pid)
+// countSpan measures how much a count grows during span, each step worth weight, and then stops what is counted.
+func countSpan(pid int, span time.Duration, weight float64, count *atomic.Int64, stop func() error) (Sample, error) {
+	countBefore := count.Load()
+	cpuBefore := CPUTime(pid)
 	start := time.Now()
 	time.Sleep(span)
-	passed, took, used := count.Load()-from, time.Since(start), CPUTime(pid)-cpu
-	return Sample{each * float64(passed) / took.Seconds(), each * float64(passed) / used.Seconds()}, stop()
+	counted := weight * float64(count.Load()-countBefore)
+	elapsed := time.Since(start)
+	cpu := CPUTime(pid) - cpuBefore
+	return Sample{PerSecond: counted / elapsed.Seconds(), PerCPU: counted / cpu.Seconds()}, stop()
 }
 
-// refusedWait is how long a client waits before it asks again.
-const refusedWait = 20 * time.Millisecond
-
-// SetUps measures how many connections come to stand, with clients that each open one, end it, and open the next.
+// SetUps measures how many connections a running balancer sets up during span, for clients that each open one, close
+// it and open the next. Refusals and errors are not counted, and not reported.
 func SetUps(addr string, pid, clients int, span time.Duration) (Sample, error) {
-	var ups, tries atomic.Int64
-	var wg sync.WaitGroup
-	stop := make(chan struct{})
+	var established, attempts atomic.Int64
+	var running sync.WaitGroup
+	end := make(chan struct{})
 	for i := range clients {
-		wg.Add(1)
+		running.Add(1)
 		go func() {
-			defer wg.Done()
+			defer running.Done()
 			for {
 				select {
-				case <-stop:
+				case <-end:
 					return
 				default:
 				}
-				c, _, err := Open(
-					addr,
-					fmt.Sprintf("OPEN %x%08x 7f c=%s,d=1200", i+1, tries.Add(1), deployment.IndexSync),
-					0,
-				)
-				if errors.Is(err, ErrRefused) {
-					time.Sleep(refusedWait)
+				if openAndClose(addr, openLine(fmt.Sprintf("%x%08x", i+1, attempts.Add(1)))) {
+					established.Add(1)
 				}
-				if err != nil {
-					continue
-				}
-				ups.Add(1)
-				_ = c.Close()
 			}
 		}()
 	}
-	time.Sleep(span / 10)
-	return finish(pid, span, 1, &ups, func() error {
-		close(stop)
-		wg.Wait()
+	time.Sleep(span / warmUpPart)
+	return countSpan(pid, span, 1, &established, func() error {
+		close(end)
+		running.Wait()
 		return nil
 	})
 }
 
-func connect(addr string) (*sshchan.Conn, error) {
-	c, err := net.Dial("tcp", addr)
+// openAndClose reports whether a connection was established. It waits a little after a refusal.
+func openAndClose(addr, first string) bool {
+	conn, _, err := Open(addr, first, 0)
+	if errors.Is(err, ErrRefused) {
+		time.Sleep(refusedPause)
+	}
 	if err != nil {
-		return nil, err
+		return false
 	}
-	return sshchan.Client(c, echo.Window)
+	_ = conn.Close()
+	return true
 }
 
-func echoLines(
-	addr string,
-	over *sshchan.Conn,
-	i int,
-	up *sync.WaitGroup,
-	begin, stop chan struct{},
-	lines *atomic.Int64,
-) error {
-	c, rd, err := open(addr, over, i, up)
+// openLine is a first line, without its end.
+func openLine(id string) string {
+	return fmt.Sprintf("OPEN %s 7f c=%s,d=1200", id, deployment.IndexSync)
+}
+
+func dialChannels(addr string) (*sshchan.Conn, error) {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		return err
-	}
-	defer func() { _ = c.Close() }()
-	<-begin
-	line := []byte(fmt.Sprintf("T %d 0123456789abcdef0123456789abcdef\r\n", i))
-	for {
-		select {
-		case <-stop:
-			return nil
-		default:
-		}
-		if _, err := c.Write(line); err != nil {
-			return err
-		}
-		if _, err := rd.ReadSlice('\n'); err != nil {
-			return err
-		}
-		lines.Add(1)
+		return nil, err
 	}
+	return sshchan.Client(conn, echo.Window)
 }
 
-// ErrRefused says that a balancer was reached, and that the connection did not come to stand.
+// ErrRefused is the error of a balancer that was reached, and did not establish the connection.
 var ErrRefused = errors.New("the connection did not come to stand")
 
-// Open opens a connection with a first line, written without its end, and waits for the answer, for as long as most
-// where that is not 0. The error is ErrRefused where the answer is not UP, and where none comes.
-func Open(addr, first string, most time.Duration) (net.Conn, *bufio.Reader, error) {
-	c, err := net.DialTimeout("tcp", addr, most)
+// Open opens a connection with a first line, given without its end, and waits for the answer. The timeout bounds the
+// dial, and the time from then until the connection is closed; 0 is no bound. The error is ErrRefused if the answer
+// is not UP, or if the connection ends without one.
+func Open(addr, first string, timeout time.Duration) (net.Conn, *bufio.Reader, error) {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, nil, err
 	}
-	if most > 0 {
-		_ = c.SetDeadline(time.Now().Add(most))
+	if timeout > 0 {
+		_ = conn.SetDeadline(time.Now().Add(timeout))
 	}
-	rd := bufio.NewReader(c)
-	_, _ = fmt.Fprint(c, first+"\r\n") // an error shows at the read
-	got, err := rd.ReadString('\n')
-	if err != nil || !strings.HasPrefix(got, "UP ") {
-		_ = c.Close()
+	reader := bufio.NewReader(conn)
+	_, _ = fmt.Fprint(conn, first+"\r\n") // the read shows an error
+	answer, err := reader.ReadString('\n')
+	if err != nil || !strings.HasPrefix(answer, "UP ") {
+		_ = conn.Close()
 		return nil, nil, ErrRefused
 	}
-	return c, rd, nil
+	return conn, reader, nil
 }
 
-// open comes to stand; a balancer fills its nodes at a rate, so it is asked until it has room.
-func open(addr string, over *sshchan.Conn, i int, up *sync.WaitGroup) (io.ReadWriteCloser, *bufio.Reader, error) {
-	defer up.Done()
-	for try := range 200 {
-		first := fmt.Sprintf("OPEN %x%04x 7f c=%s,d=1200", i+1, try, deployment.IndexSync)
-		if over != nil {
-			ch, err := over.Open(first)
-			if err != nil {
-				return nil, nil, err
-			}
-			if a := <-ch.Answered(); a.Up {
-				return ch, bufio.NewReader(ch), nil
-			}
-			time.Sleep(100 * time.Millisecond)
-			continue
-		}
-		c, rd, err := Open(addr, first, 0)
+// openAdmitted opens client i's connection, or its channel if shared is set, again and again while it is refused.
+func openAdmitted(addr string, shared *sshchan.Conn, i int) (io.ReadWriteCloser, *bufio.Reader, error) {
+	for attempt := range openAttempts {
+		first := openLine(fmt.Sprintf("%x%04x", i+1, attempt))
+		conn, reader, err := openOnce(addr, shared, first)
 		if err == nil {
-			return c, rd, nil
+			return conn, reader, nil
 		}
 		if !errors.Is(err, ErrRefused) {
 			return nil, nil, err
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(openPause)
 	}
-	return nil, nil, fmt.Errorf("connection %d never came to stand", i)
+	return nil, nil, fmt.Errorf("connection %d, %d attempts: %w", i, openAttempts, ErrRefused)
 }
 
-// CPUTime is what a process has used, from /proc; its clock ticks a hundred times a second.
-func CPUTime(pid int) time.Duration {
-	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
+// openOnce opens a channel of shared, or a connection without it.
+func openOnce(addr string, shared *sshchan.Conn, first string) (io.ReadWriteCloser, *bufio.Reader, error) {
+	if shared == nil {
+		conn, reader, err := Open(addr, first, 0)
+		if err != nil {
+			return nil, nil, err
+		}
+		return conn, reader, nil
+	}
+	channel, err := shared.Open(first)
 	if err != nil {
-		return 0
+		return nil, nil, err
 	}
-	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(fields) < 13 {
-		return 0
+	if answer := <-channel.Answered(); !answer.Up {
+		return nil, nil, ErrRefused
 	}
-	user, _ := strconv.ParseInt(fields[11], 10, 64)
-	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond
+	return channel, bufio.NewReader(channel), nil
 }
--- a/lab/loadgen/loadgen_test.go
+++ b/lab/loadgen/loadgen_test.go
@@ -9,12 +9,12 @@
 
 // An answer other than UP, and an end without one, are refusals; an address where nobody listens is not.
 func TestOpen(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.91.3.7:0") // whose ports the kernel deals to no connection
+	ln, err := net.Listen("tcp", "127.91.3.7:0") // the kernel gives ports of this address to no connection
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	held := make(chan net.Conn, 1)
+	served := make(chan net.Conn, 1)
 	answer := ""
 	serve := func() {
 		c, err := ln.Accept()
@@ -27,18 +27,19 @@
 		} else {
 			_, _ = c.Write([]byte(answer))
 		}
-		held <- c
+		served <- c
 	}
 	for _, answer = range []string{"UP 1\r\n", "BUSY\r\n", "end"} {
 		go serve()
-		c, rd, err := Open(ln.Addr().String(), "OPEN 1 2", 0)
-		if up := answer == "UP 1\r\n"; up != (err == nil) || up != (rd != nil) || !up && !errors.Is(err, ErrRefused) {
+		c, reader, err := Open(ln.Addr().String(), "OPEN 1 2", 0)
+		up := answer == "UP 1\r\n"
+		if up != (err == nil) || up != (reader != nil) || !up && !errors.Is(err, ErrRefused) {
 			t.Errorf("%q: %v", answer, err)
 		}
 		if c != nil {
 			_ = c.Close()
 		}
-		_ = (<-held).Close()
+		_ = (<-served).Close()
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"spurspread/lab/deployment"
 	"spurspread/lab/echo"
-	"spurspread/lab/experiment"
 	"spurspread/lab/loadgen"
 	"spurspread/lab/procs"
 	"spurspread/lab/report"
@@ -16,64 +15,68 @@
 )
 
 const (
-	costRounds  = 10
-	costSpan    = 2 * time.Second
-	costConns   = 32
-	costClients = 16
-	// costNodes are enough that a balancer's rate of filling each does not bound what is measured.
+	costRounds    = 10
+	costRoundTime = 2 * time.Second // of each measurement of a round
+	costConns     = 32              // over which lines are echoed
+	costClients   = 16              // that set connections up
+	// costNodes are so many that a balancer's rate of filling each does not bound what is measured.
 	costNodes = 150
-	idleTime  = 10 * time.Second
+	// costSockets is the balancers' socket limit.
+	costSockets = 4096
+	idleTime    = 10 * time.Second
+	bytesPerMiB = 1 << 20
 )
 
-// cost measures one balancer with membership on, in a fleet, beside one with it off, in turn.
-func (c *Trial) cost(
-	ctx context.Context,
-	o experiment.Options,
-	dir string,
-	r *report.Report,
-	log func(string, ...any),
-) error {
-	known, stop, err := echoServers()
+// Indexes of what is compared.
+const (
+	withoutMembership = iota
+	withMembership
+	variants
+)
+
+// runCost measures one balancer with membership on, in a fleet, beside one with it off, by turns.
+func (r *run) runCost(ctx context.Context) error {
+	known, stop, err := startEchoServers()
 	defer stop()
 	if err != nil {
 		return err
 	}
-	var measured [2]*procs.Proc // without membership, and with it
-	for on, n := range []int{1, c.Processes} {
-		f, err := c.costFleet(o, filepath.Join(dir, fmt.Sprint(on)), n, known)
+	var measured [variants]*procs.Proc
+	for variant, n := range [variants]int{withoutMembership: 1, withMembership: r.trial.Processes} {
+		f, err := r.costFleet(filepath.Join(r.dir, fmt.Sprint(variant)), n, known)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		f.Apart = on == 0
+		f.Apart = variant == withoutMembership
 		if err := f.Start(); err != nil {
 			return err
 		}
-		measured[on] = f.Procs[0]
+		measured[variant] = f.Procs[0]
 	}
-	log("idle for %v", idleTime)
+	r.log("idle for %v", idleTime)
 	time.Sleep(idleTime)
-	measureIdle(measured, r)
+	r.measureIdle(measured)
 	var all throughput
 	for round := range costRounds {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		log("round %d of %d", round+1, costRounds)
-		for k := range 2 {
-			which := (round + k) % 2
-			if err := all.measure(which, measured[which]); err != nil {
+		r.log("round %d of %d", round+1, costRounds)
+		for turn := range variants {
+			variant := (round + turn) % variants
+			if err := all.measure(variant, measured[variant]); err != nil {
 				return err
 			}
 		}
 	}
-	all.report(r)
+	all.addTo(r.report)
 	return nil
 }
 
-// echoServers starts servers that echo lines, and lists them as discovery does. stop closes those that were
+// startEchoServers starts servers that echo lines, and lists them as discovery does. stop closes those that were
 // started, also after an error.
-func echoServers() (known []any, stop func(), err error) {
+func startEchoServers() (known []any, stop func(), err error) {
 	var open []net.Listener
 	stop = func() {
 		for _, ln := range open {
@@ -92,66 +95,77 @@
 	return known, stop, nil
 }
 
-// costFleet prepares n processes that are not started. Each is told that the fleet has the trial's number of
-// balancers, so that what one may send does not depend on n.
-func (c *Trial) costFleet(o experiment.Options, dir string, n int, known []any) (*procs.Fleet, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+// costFleet prepares n processes. Each has the trial's number of balancers in its settings, so that what one may send
+// does not depend on n.
+func (r *run) costFleet(dir string, n int, known []any) (*procs.Fleet, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, err
 	}
-	f, err := procs.New(o.Program, dir, n, c.Seeds, o.Seed)
+	f, err := procs.New(r.options.Program, dir, n, r.trial.Seeds, r.options.Seed)
 	if err != nil {
 		return nil, err
 	}
 	f.Known = known
 	f.Change = func(_ int, config map[string]any) {
 		settings := config["settings"].(map[string]any)
-		settings["balancers"] = c.Processes
-		settings["request_classes"].([]any)[0].(map[string]any)["name"] = "index-sync"
-		config["limits"].(map[string]any)["sockets"] = 4096
+		settings["balancers"] = r.trial.Processes
+		class := settings["request_classes"].([]any)[0].(map[string]any)
+		class["name"] = "index-sync"
+		config["limits"].(map[string]any)["sockets"] = costSockets
 	}
 	return f, nil
 }
 
-// measureIdle reports the resident memory of both, and the processor time that membership has used.
-func measureIdle(measured [2]*procs.Proc, r *report.Report) {
-	idle := [2]float64{
-		deployment.Resident(measured[0].Pid()) / (1 << 20),
-		deployment.Resident(measured[1].Pid()) / (1 << 20),
-	}
-	cpu := loadgen.CPUTime(measured[1].Pid())
-	r.Figures["idle_cpu_ms_per_s"] = float64(cpu.Milliseconds()) / idleTime.Seconds()
-	r.Figures["idle_mb"], r.Figures["idle_mb_off"], r.Figures["idle_mb_more"] = idle[1], idle[0], idle[1]-idle[0]
+// measureIdle adds the resident memory of both, and the processor time that membership has used.
+func (r *run) measureIdle(measured [variants]*procs.Proc) {
+	without := deployment.Resident(measured[withoutMembership].Pid()) / bytesPerMiB
+	with := deployment.Resident(measured[withMembership].Pid()) / bytesPerMiB
+	cpu := loadgen.CPUTime(measured[withMembership].Pid())
+	figures := r.report.Figures
+	figures["idle_cpu_ms_per_s"] = float64(cpu.Milliseconds()) / idleTime.Seconds()
+	figures["idle_mb"] = with
+	figures["idle_mb_off"] = without
+	figures["idle_mb_more"] = with - without
 }
 
-// throughput is what was measured in each round, without membership and with it.
-type throughput struct{ lines, byCPU, setUps [2][]float64 }
+// throughput is what was measured in each round, by variant.
+type throughput struct {
+	lines  [variants][]float64 // per second
+	byCPU  [variants][]float64 // lines per second of processor time
+	setUps [variants][]float64 // per second
+}
 
-// measure adds a round of one of the two.
-func (t *throughput) measure(which int, p *procs.Proc) error {
-	s, err := loadgen.Lines(p.Listen, p.Pid(), costConns, costSpan, false)
+// measure adds a round of one variant.
+func (t *throughput) measure(variant int, p *procs.Proc) error {
+	lines, err := loadgen.Lines(p.Listen, p.Pid(), costConns, costRoundTime, false)
 	if err != nil {
 		return err
 	}
-	t.lines[which], t.byCPU[which] = append(t.lines[which], s.PerSecond), append(t.byCPU[which], s.PerCPU)
-	if s, err = loadgen.SetUps(p.Listen, p.Pid(), costClients, costSpan); err != nil {
+	t.lines[variant] = append(t.lines[variant], lines.PerSecond)
+	t.byCPU[variant] = append(t.byCPU[variant], lines.PerCPU)
+	setUps, err := loadgen.SetUps(p.Listen, p.Pid(), costClients, costRoundTime)
+	if err != nil {
 		return err
 	}
-	t.setUps[which] = append(t.setUps[which], s.PerSecond)
+	t.setUps[variant] = append(t.setUps[variant], setUps.PerSecond)
 	return nil
 }
 
-// report reports medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a
-// round.
-func (t *throughput) report(r *report.Report) {
-	for name, v := range map[string][2][]float64{
-		"lines_per_s": t.lines, "lines_per_cpu_s": t.byCPU,
-		"set_ups_per_s": t.setUps,
+// addTo adds medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a round.
+func (t *throughput) addTo(r *report.Report) {
+	for name, values := range map[string][variants][]float64{
+		"lines_per_s":     t.lines,
+		"lines_per_cpu_s": t.byCPU,
+		"set_ups_per_s":   t.setUps,
 	} {
-		r.Figures[name], r.Figures[name+"_off"] = report.Quantile(v[1], 0.5), report.Quantile(v[0], 0.5)
+		without := values[withoutMembership]
+		with := values[withMembership]
 		var ratios []float64
-		for i := range v[0] {
-			ratios = append(ratios, v[1][i]/v[0][i])
+		for i := range without {
+			ratios = append(ratios, with[i]/without[i])
 		}
+		r.Figures[name] = report.Quantile(with, 0.5)
+		r.Figures[name+"_off"] = report.Quantile(without, 0.5)
 		r.Figures[name+"_on_over_off"] = report.Quantile(ratios, 0.5)
 	}
 }
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -1,11 +1,13 @@
-// Package members plays the named trials of membership on real processes of the balancer: each says in a file of
-// its own how many there are, what is done to them and which bounds hold. What is done, and who judges it, is
-// lab/scenario's.
+// Package members runs named trials of membership on real processes of the balancer. A trial's XML file gives the
+// number of processes, the script of faults and the bounds; Find reads it, and Run returns a report. Faults and the
+// checker are those of lab/scenario; the package must not know how members exchange what they know.
 package members
 
 import (
+	"cmp"
 	"context"
 	"embed"
+	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -21,8 +23,10 @@
 //go:embed *.xml
 var files embed.FS
 
-// Document is what a trial's file looks like.
-var Document = xmlconfig.Document{Root: "trial", Namespace: "urn:spurspread:trial:1"}
+// document is the form of a trial's file.
+func document() xmlconfig.Document {
+	return xmlconfig.Document{Root: "trial", Namespace: "urn:spurspread:trial:1"}
+}
 
 // Trial is one trial's file.
 type Trial struct {
@@ -34,68 +38,106 @@
 	Bounds    experiment.Bounds `xml:"bounds"`
 }
 
-// Names are the kept trials.
-func Names() (out []string) {
+// Names returns the names of the embedded trials, sorted.
+func Names() (names []string) {
 	entries, _ := files.ReadDir(".") // embedded: it can be read
 	for _, e := range entries {
-		out = append(out, strings.TrimSuffix(e.Name(), ".xml"))
+		names = append(names, strings.TrimSuffix(e.Name(), ".xml"))
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// Find finds a kept trial by its name.
+// ErrUnknown is the error of Find for a name that no embedded trial has.
+var ErrUnknown = errors.New("there is no trial")
+
+// Find returns the embedded trial of that name. A name that is not there gives ErrUnknown.
 func Find(name string) (*Trial, error) {
 	text, err := files.ReadFile(name + ".xml")
 	if err != nil {
-		return nil, fmt.Errorf("there is no trial %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w %q; there are %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
 	t := &Trial{}
-	return t, xmlconfig.Read(name+".xml", text, Document, t)
+	return t, xmlconfig.Read(name+".xml", text, document(), t)
 }
 
-// joinTime bounds how long all may take to find each other.
-const joinTime = time.Minute
+// joinTimeout bounds how long members may take to find each other.
+const joinTimeout = time.Minute
 
-// Run plays the trial. An error means that it could not be played; bounds that do not hold are in the report.
-func (c *Trial) Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
+// run is one run of a trial.
+type run struct {
+	trial   *Trial
+	options experiment.Options
+	dir     string // of the processes' files
+	report  *report.Report
+}
+
+// Run runs the trial. An error means that it could not be run; bounds that were broken are in the report.
+func (t *Trial) Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
 	dir, err := os.MkdirTemp("", "spurspread-lab")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r := &report.Report{
-		Experiment: string(c.Name), Seed: o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{},
-		Notes: map[string]string{},
+	r := &run{
+		trial:   t,
+		options: o,
+		dir:     dir,
+		report: &report.Report{
+			Experiment: string(t.Name),
+			Seed:       o.Seed,
+			Command:    o.Command,
+			Commit:     o.Commit,
+			Figures:    map[string]float64{"members": float64(t.Processes)},
+			Notes:      map[string]string{},
+		},
 	}
-	r.Figures["members"] = float64(c.Processes)
-	log := func(format string, args ...any) {
-		if o.Progress != nil {
-			_, _ = fmt.Fprintf(o.Progress, string(c.Name)+" "+format+"\n", args...)
-		}
+	if err := r.runNamed(ctx); err != nil {
+		return nil, err
 	}
-	play := map[string]func(context.Context, experiment.Options, string, *report.Report, func(string, ...any)) error{
-		"rates": c.rates, "cost": c.cost, "fleet": c.fleet,
-	}[c.Script]
-	if play == nil {
-		play = c.script
+	t.Bounds.Check(r.report)
+	return r.report, nil
+}
+
+// runNamed runs the trial's script: one of this package, or one of lab/scenario.
+func (r *run) runNamed(ctx context.Context) error {
+	switch r.trial.Script {
+	case "rates":
+		return r.runRates(ctx)
+	case "cost":
+		return r.runCost(ctx)
+	case "fleet":
+		return r.runVirtualFleets(ctx)
+	default:
+		return r.runScript(ctx)
 	}
-	if err := play(ctx, o, dir, r, log); err != nil {
-		return nil, err
+}
+
+func (r *run) log(format string, args ...any) {
+	if r.options.Progress != nil {
+		_, _ = fmt.Fprintf(r.options.Progress, string(r.trial.Name)+" "+format+"\n", args...)
 	}
-	c.Bounds.Check(r)
-	return r, nil
 }
 
-// script plays one of lab/scenario's scripts.
-func (c *Trial) script(
-	ctx context.Context,
-	o experiment.Options,
-	dir string,
-	r *report.Report,
-	log func(string, ...any),
-) error {
-	f, err := procs.New(o.Program, dir, c.Processes, c.Seeds, o.Seed)
+// newFleet prepares the trial's processes.
+func (r *run) newFleet(dir string) (*procs.Fleet, error) {
+	return procs.New(r.options.Program, dir, r.trial.Processes, r.trial.Seeds, r.options.Seed)
+}
+
+// awaitJoined waits until all members have found each other, or the context is done.
+func awaitJoined(ctx context.Context, f *procs.Fleet, all []int) error {
+	return procs.Await(joinTimeout, "all find each other", func() bool {
+		return ctx.Err() != nil || f.Converged(all)
+	})
+}
+
+// runScript runs one of lab/scenario's scripts.
+func (r *run) runScript(ctx context.Context) error {
+	script, ok := scenario.Find(r.trial.Script)
+	if !ok {
+		return fmt.Errorf("no scenario %q", r.trial.Script)
+	}
+	f, err := r.newFleet(r.dir)
 	if err != nil {
 		return err
 	}
@@ -103,40 +145,47 @@
 	if err := f.Start(); err != nil {
 		return err
 	}
-	s := procs.NewStage(f, o.Seed)
+	s := procs.NewStage(f, r.options.Seed)
 	defer s.Close()
 	defer context.AfterFunc(ctx, f.Close)()
-	t := scenario.New(s, log)
-	if err := procs.Await(joinTime, "all find each other",
-		func() bool { return ctx.Err() != nil || f.Agreed(t.All()) }); err != nil {
+	t := scenario.New(s, r.log)
+	if err := awaitJoined(ctx, f, t.All()); err != nil {
 		return err
 	}
-	// What was said before is not judged.
+	// What members reported while they joined is not judged.
 	if err := s.Run(s.Now()); err != nil {
 		return err
 	}
 	s.Changed = t.Changed
-	s.Count()
-	t.Watch()
-	until := s.Now() + scenario.Scenarios[c.Script](t) + scenario.Settle
+	s.CountBytes()
+	t.WatchViews()
+	until := s.Now() + script(t) + scenario.SettleTime
 	if err := s.Run(until); err != nil || ctx.Err() != nil {
-		return fmt.Errorf("the trial ended early: %w", context.Cause(ctx))
+		return fmt.Errorf("the trial ended early: %w", cmp.Or(err, context.Cause(ctx)))
 	}
-	got := t.Result(c.Script, o.Seed)
-	got.BytesPerS = s.BytesPerS()
-	for _, one := range got.Figures() {
-		r.Figures[one.Name] = one.Measured
+	result := t.Result(r.trial.Script, r.options.Seed)
+	result.BytesPerS = s.BytesPerS()
+	r.addResult(result)
+	r.report.Notes["faults"] = strings.Join(t.Faults, "; ")
+	return nil
+}
+
+// addResult adds the figures of a script's result, and the chart of its detection times.
+func (r *run) addResult(result *scenario.Result) {
+	for _, f := range result.Figures() {
+		r.report.Figures[f.Name] = f.Measured
 	}
-	var seen []float64
-	for _, d := range got.Seen {
-		seen = append(seen, float64(d.Microseconds())/1000)
+	var detections []float64
+	for _, d := range result.DetectionTimes {
+		detections = append(detections, float64(d.Microseconds())/1000)
 	}
-	r.Figures["crash_seen_p50_ms"], r.Figures["crashes_seen"] = report.Quantile(seen, 0.5), float64(len(seen))
-	r.Notes["faults"] = strings.Join(t.Faults, "; ")
-	r.Charts = []report.Chart{{
-		Name: "seen", Title: string(c.Name) + ": from a crash until a member holds it dead",
-		X: "members and crashes, %",
-		Y: "ms", Series: []report.Series{report.Percentiles("seen", seen)},
+	r.report.Figures["crash_seen_p50_ms"] = report.Quantile(detections, 0.5)
+	r.report.Figures["crashes_seen"] = float64(len(detections))
+	r.report.Charts = []report.Chart{{
+		Name:   "seen",
+		Title:  string(r.trial.Name) + ": from a crash until a member holds it dead",
+		X:      "members and crashes, %",
+		Y:      "ms",
+		Series: []report.Series{report.Percentiles("seen", detections)},
 	}}
-	return nil
 }
--- a/lab/members/node.go
+++ b/lab/members/node.go
@@ -9,88 +9,129 @@
 	"time"
 )
 
-// node is a stand-in for a server that notes what comes: set-ups, and probes with and without a report.
+// node is an emulated server. It records when connections are set up, and when it is probed, with or without a report
+// of its load.
 type node struct {
-	ln net.Listener
+	listener net.Listener
 
-	mu     sync.Mutex
-	setUps []time.Time
-	probes []time.Time
-	load   int
+	mu          sync.Mutex
+	setUps      []time.Time
+	probes      []time.Time
+	connections int
 }
 
+// startNode starts a node on a port of its own.
 func startNode() (*node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &node{ln: ln}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return // closed
-			}
-			go n.serve(c)
-		}
-	}()
+	n := &node{listener: ln}
+	go n.accept()
 	return n, nil
 }
 
-// instance is what discovery would write of a server at an address; started is the zero time for long ago.
+// accept serves connections until the listener is closed.
+func (n *node) accept() {
+	for {
+		conn, err := n.listener.Accept()
+		if err != nil {
+			return
+		}
+		go n.serve(conn)
+	}
+}
+
+// instance is a server's entry as discovery writes it; started is the zero time for long ago.
 func instance(i int, addr net.Addr, started time.Time) any {
-	at := int64(0)
+	startedMillis := int64(0)
 	if !started.IsZero() {
-		at = started.UnixMilli()
+		startedMillis = started.UnixMilli()
 	}
 	return map[string]any{
-		"instanceId": fmt.Sprintf("s-%08x", i+1), "hostPort": addr.String(), "zone": "a", "machineType": "m",
-		"cell": i, "lifecycle": "Ready", "weight": 1, "startedAtMs": at,
+		"instanceId":  fmt.Sprintf("s-%08x", i+1),
+		"hostPort":    addr.String(),
+		"zone":        "a",
+		"machineType": "m",
+		"cell":        i,
+		"lifecycle":   "Ready",
+		"weight":      1,
+		"startedAtMs": startedMillis,
 	}
 }
 
-func (n *node) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	rd := bufio.NewReader(c)
-	for first := true; ; {
-		line, err := rd.ReadString('\n')
+// serve answers probes until an OPEN, and then echoes lines until the connection ends.
+func (n *node) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	established := false
+	for {
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		switch word, _, _ := strings.Cut(strings.TrimSpace(line), " "); {
-		case first && word == "OPEN":
-			n.note(&n.setUps, 1)
-			defer n.note(nil, -1)
-			first, line = false, "UP 1\r\n"
-		case first && (word == "PING" || word == "STATS"):
-			load := n.note(&n.probes, 0)
-			line = "PONG\r\n"
-			if word == "STATS" {
-				line = fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f\r\n", float64(load)/100)
+		answer := line
+		if !established {
+			word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
+			switch word {
+			case "OPEN":
+				established = true
+				n.setUp()
+				defer n.ended()
+				answer = "UP 1\r\n"
+			case "PING":
+				n.probed()
+				answer = "PONG\r\n"
+			case "STATS":
+				answer = fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f\r\n", float64(n.probed())/connectionsPerLoad)
 			}
 		}
-		if _, err := c.Write([]byte(line)); err != nil {
+		if _, err := conn.Write([]byte(answer)); err != nil {
 			return
 		}
 	}
 }
 
-// note notes a moment, and that so many more stand.
-func (n *node) note(at *[]time.Time, more int) int {
+// connectionsPerLoad is how many connections a node reports as a load of 1.
+const connectionsPerLoad = 100
+
+func (n *node) setUp() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if at != nil {
-		*at = append(*at, time.Now())
-	}
-	n.load += more
-	return n.load
+	n.setUps = append(n.setUps, time.Now())
+	n.connections++
+}
+
+func (n *node) ended() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.connections--
+}
+
+// probed records a probe, and returns the number of established connections.
+func (n *node) probed() (connections int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.probes = append(n.probes, time.Now())
+	return n.connections
 }
 
-// came is how many moments lie between two.
-func (n *node) came(at *[]time.Time, from, to time.Time) (count int) {
+// setUpsBetween counts the connections that were set up in the half-open span.
+func (n *node) setUpsBetween(from, to time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, t := range *at {
+	return countBetween(n.setUps, from, to)
+}
+
+// probesBetween counts the probes in the half-open span.
+func (n *node) probesBetween(from, to time.Time) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return countBetween(n.probes, from, to)
+}
+
+func countBetween(times []time.Time, from, to time.Time) (count int) {
+	for _, t := range times {
 		if !t.Before(from) && t.Before(to) {
 			count++
 		}
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -7,7 +7,6 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"spurspread/lab/experiment"
 	"spurspread/lab/link"
 	"spurspread/lab/loadgen"
 	"spurspread/lab/procs"
@@ -17,117 +16,127 @@
 	"time"
 )
 
-// The stand-in fleet of servers: some warm ones, and one that warms slowly, so that it is cold for the whole of the
-// trial.
+// The emulated servers: some warm ones, and one that warms so slowly that it is cold for the whole of the trial.
 const (
-	warmNodes      = 3
-	coldSpan       = 100 * time.Second
-	coldFrom       = 0.13
-	coldTimes      = 3.0
-	clients        = 60
-	clientLifetime = time.Second
-	phase          = 20 * time.Second
-	// openTime bounds a client's wait for its answer: its deadline of 1.2 s, and what a paused member holds it up.
-	openTime = 3 * time.Second
-	// countSpan is over which set-ups are counted: chance moves the sum of a shorter one by more than it tells.
+	warmNodes  = 3
+	coldSpan   = 100 * time.Second // until it is warm
+	coldFrom   = 0.13              // its part of a warm server's capacity at its start
+	coldFactor = 3.0               // how many times the members' budget of one server it may get
+)
+
+// The budget of a cold server from the members of its zone, all of them together: decision/slowstart.
+const (
+	budgetRate = 3.8 // set-ups per second
+	budgetPart = 0.6
+)
+
+const (
+	clientCount    = 60
+	clientLifetime = time.Second // of a connection
+	clientMaxPause = 200 * time.Millisecond
+	// openTimeout bounds a client's wait for its answer: its deadline of 1.2 s, and the delay by a paused member.
+	openTimeout = 3 * time.Second
+	// phaseTime is the time before the faults, half of the time with them, and the time after them.
+	phaseTime = 20 * time.Second
+	// countSpan is the span over which set-ups are compared with the budget: over a shorter one chance decides.
 	countSpan = 10 * time.Second
+	countStep = time.Second
+	dirMode   = 0o700
+	// faultStream selects the random sequence of the faults; other users of the seed select others.
+	faultStream = 0x7261746573
+)
 
-	// What the balancers' law allows a cold server of mean size from those at home, of all of them together:
-	// decision/slowstart.
-	lawRate, lawPart = 3.8, 0.6
+// Members that fail; with those that are partitioned they are the first of a random order.
+const (
+	killedMembers      = 4
+	pausedMembers      = 4
+	partitionedMembers = 2
 )
 
-// rates has clients ask all of a fleet for more than its warm nodes take, while members are killed, paused and cut
-// off, and holds what a cold node gets from all of them together against the fleet's budget.
-func (c *Trial) rates(
-	ctx context.Context,
-	o experiment.Options,
-	dir string,
-	r *report.Report,
-	log func(string, ...any),
-) error {
-	for _, p := range []struct {
-		prefix string
-		apart  bool
-	}{{"", false}, {"apart_", true}} {
-		sub := filepath.Join(dir, "fleet"+p.prefix)
-		if err := os.MkdirAll(sub, 0o700); err != nil {
+// runRates has clients open more connections than a fleet's warm nodes take, while members are killed, paused and
+// partitioned, and compares what a cold node gets from all members with the fleet's budget. It does so with members
+// that know of each other, and with members that don't.
+func (r *run) runRates(ctx context.Context) error {
+	for _, pass := range []struct {
+		prefix            string
+		withoutMembership bool
+	}{
+		{"", false},
+		{"apart_", true},
+	} {
+		dir := filepath.Join(r.dir, "fleet"+pass.prefix)
+		if err := os.MkdirAll(dir, dirMode); err != nil {
 			return err
 		}
-		if err := c.ratesOf(ctx, o, sub, p.prefix, p.apart, r, log); err != nil {
+		if err := r.runRatesPass(ctx, dir, pass.prefix, pass.withoutMembership); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ratesOf plays it once, with the figures' names beginning with prefix. Where apart is set, no member knows of another.
-func (c *Trial) ratesOf(
-	ctx context.Context,
-	o experiment.Options,
-	dir, prefix string,
-	apart bool,
-	r *report.Report,
-	log func(string, ...any),
-) error {
-	f, err := procs.New(o.Program, dir, c.Processes, c.Seeds, o.Seed)
+// runRatesPass runs the faults once, and adds figures whose names begin with the prefix.
+func (r *run) runRatesPass(ctx context.Context, dir, prefix string, withoutMembership bool) error {
+	f, err := r.newFleet(dir)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	f.Apart, f.Change = apart, ratesConfig
+	f.Apart = withoutMembership
+	f.Change = ratesConfig
 	s, err := startServers(time.Now())
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	f.Known = s.known()
+	f.Known = s.discoveryList()
 	if err := f.Start(); err != nil {
 		return err
 	}
-	all := make([]int, c.Processes)
+	all := make([]int, r.trial.Processes)
 	for i := range all {
 		all[i] = i
 	}
-	if !apart {
-		if err := procs.Await(joinTime, "all find each other",
-			func() bool { return ctx.Err() != nil || f.Agreed(all) }); err != nil {
+	if !withoutMembership {
+		if err := awaitJoined(ctx, f, all); err != nil {
 			return err
 		}
 	}
-	stop, served := runClients(f, o.Seed)
+	stop, served := startClients(f, r.options.Seed)
 	defer stop()
-	log("%d members serve", c.Processes)
-	at := playFaults(ctx, f, all, o.Seed, log)
+	r.log("%d members serve", r.trial.Processes)
+	at := r.injectFaults(ctx, f, all)
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	s.measure(r, prefix, at)
-	r.Figures[prefix+"served_per_s"] = float64(served.Load()) / at.end.Sub(at.begin).Seconds()
+	s.addFigures(r.report, prefix, at)
+	r.report.Figures[prefix+"served_per_s"] = float64(served.Load()) / at.end.Sub(at.begin).Seconds()
 	return nil
 }
 
-// ratesConfig changes a member's configuration: what its settings say of the fleet's size where it knows no better,
-// the law of cold servers, and probes that tell of load.
+// ratesConfig changes a member's configuration: the fleet's size for members that know no other, the warming of cold
+// servers, and probes that report load.
 func ratesConfig(_ int, config map[string]any) {
-	s := config["settings"].(map[string]any)
-	s["balancers"] = 1
-	s["rules"].(map[string]any)["cold"] = coldSpan.Microseconds()
-	s["stats"] = map[string]any{"via": "on_probe", "columns": []string{"queue", "qps", "x0"}}
-	s["fees"] = map[string]any{"probe": 0.004}
+	settings := config["settings"].(map[string]any)
+	settings["balancers"] = 1
+	settings["rules"].(map[string]any)["cold"] = coldSpan.Microseconds()
+	settings["stats"] = map[string]any{"via": "on_probe", "columns": []string{"queue", "qps", "x0"}}
+	settings["fees"] = map[string]any{"probe": 0.004}
 }
 
-// instants are when clients began, when the faults did, and when it was over.
-type instants struct{ begin, faults, end time.Time }
+// phases are when clients began, when the faults did, and when it was over.
+type phases struct{ begin, faults, end time.Time }
 
-// playFaults kills, pauses and cuts off some of the members, drawn from the seed, and heals what can be healed.
-func playFaults(ctx context.Context, f *procs.Fleet, all []int, seed uint64, log func(string, ...any)) (at instants) {
-	rng := rand.New(rand.NewPCG(seed, 0x7261746573))
+// injectFaults kills, pauses and partitions some of the members, drawn from the seed, and heals what can be healed.
+func (r *run) injectFaults(ctx context.Context, f *procs.Fleet, all []int) (at phases) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, faultStream))
 	at.begin = time.Now()
-	sleep(ctx, phase)
+	sleep(ctx, phaseTime)
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	killed, paused, cut := all[:4], all[4:8], all[8:10]
-	log("killed %v, paused %v, heard by nobody any more %v", killed, paused, cut)
+	killed := all[:killedMembers]
+	paused := all[killedMembers : killedMembers+pausedMembers]
+	partitioned := all[killedMembers+pausedMembers : killedMembers+pausedMembers+partitionedMembers]
+	r.log("killed %v, paused %v, heard by nobody any more %v", killed, paused, partitioned)
 	at.faults = time.Now()
 	for _, i := range killed {
 		f.Procs[i].Kill()
@@ -135,27 +144,27 @@
 	for _, i := range paused {
 		f.Procs[i].Pause()
 	}
-	f.Net.Set(cut, all, func(l *link.Link) { l.Partitioned = true })
-	sleep(ctx, 2*phase)
-	log("paused members go on, links are good again")
+	f.Net.Set(partitioned, all, func(l *link.Link) { l.Partitioned = true })
+	sleep(ctx, 2*phaseTime)
+	r.log("paused members go on, links are good again")
 	for _, i := range paused {
 		f.Procs[i].Continue()
 	}
 	f.Net.Heal()
-	sleep(ctx, phase)
+	sleep(ctx, phaseTime)
 	at.end = time.Now()
 	return at
 }
 
-// servers are the stand-in fleet's; the last one is cold.
+// servers are the emulated servers; the last one is cold.
 type servers struct {
-	nodes   []*node
-	started time.Time // of the cold one
+	nodes       []*node
+	coldStarted time.Time
 }
 
-// startServers starts them all. What was started before an error is closed.
-func startServers(started time.Time) (*servers, error) {
-	s := &servers{started: started}
+// startServers starts them all. After an error none is left.
+func startServers(coldStarted time.Time) (*servers, error) {
+	s := &servers{coldStarted: coldStarted}
 	for range warmNodes + 1 {
 		n, err := startNode()
 		if err != nil {
@@ -167,61 +176,65 @@
 	return s, nil
 }
 
-// known lists them as discovery does: the warm ones started long ago.
-func (s *servers) known() (list []any) {
+// discoveryList lists them as discovery does: the warm ones started long ago.
+func (s *servers) discoveryList() (list []any) {
 	for i, n := range s.nodes {
-		at := time.Time{}
+		started := time.Time{}
 		if i == warmNodes {
-			at = s.started
+			started = s.coldStarted
 		}
-		list = append(list, instance(i, n.ln.Addr(), at))
+		list = append(list, instance(i, n.listener.Addr(), started))
 	}
 	return list
 }
 
 func (s *servers) close() {
 	for _, n := range s.nodes {
-		_ = n.ln.Close()
+		_ = n.listener.Close()
 	}
 }
 
-// measure reports what the servers got, and how much of its budget the cold one did.
-func (s *servers) measure(r *report.Report, prefix string, at instants) {
+// addFigures adds what the servers got, and what part of its budget the cold one got.
+func (s *servers) addFigures(r *report.Report, prefix string, at phases) {
 	cold := s.nodes[warmNodes]
-	over := 0.0
-	for from := at.begin; from.Add(countSpan).Before(at.end); from = from.Add(time.Second) {
-		got := float64(cold.came(&cold.setUps, from, from.Add(countSpan)))
-		over = max(over, got/allowed(from.Sub(s.started), countSpan))
+	overBudget := 0.0
+	for from := at.begin; from.Add(countSpan).Before(at.end); from = from.Add(countStep) {
+		setUps := float64(cold.setUpsBetween(from, from.Add(countSpan)))
+		overBudget = max(overBudget, setUps/setUpBudget(from.Sub(s.coldStarted), countSpan))
 	}
-	r.Figures[prefix+"cold_set_ups"] = float64(cold.came(&cold.setUps, at.begin, at.end))
-	r.Figures[prefix+"cold_set_ups_over_budget"] = over
-	before, after := s.probes(at.begin, at.faults), s.probes(at.faults, at.end)
-	r.Figures[prefix+"probes_per_s_before"], r.Figures[prefix+"probes_per_s"] = before, after
+	r.Figures[prefix+"cold_set_ups"] = float64(cold.setUpsBetween(at.begin, at.end))
+	r.Figures[prefix+"cold_set_ups_over_budget"] = overBudget
+	before := s.probesPerSecond(at.begin, at.faults)
+	after := s.probesPerSecond(at.faults, at.end)
+	r.Figures[prefix+"probes_per_s_before"] = before
+	r.Figures[prefix+"probes_per_s"] = after
 	if before > 0 {
 		r.Figures[prefix+"probes_over_budget"] = after / before
 	}
 }
 
-// probes is how many of them came a second, at all servers together.
-func (s *servers) probes(from, to time.Time) float64 {
+// probesPerSecond is the rate of probes at all servers together.
+func (s *servers) probesPerSecond(from, to time.Time) float64 {
 	sum := 0
 	for _, n := range s.nodes {
-		sum += n.came(&n.probes, from, to)
+		sum += n.probesBetween(from, to)
 	}
 	return float64(sum) / to.Sub(from).Seconds()
 }
 
-// allowed is how many set-ups the fleet's budget has for the cold node from some time after its start on.
-func allowed(from, span time.Duration) float64 {
-	sum := 0.0
+// setUpBudget is how many set-ups the fleet's budget has for the cold node in a span that begins at some time after
+// the node's start.
+func setUpBudget(from, span time.Duration) float64 {
 	const step = 100 * time.Millisecond
+	sum := 0.0
 	for t := from; t < from+span; t += step {
 		warm := math.Min(coldFrom+(1-coldFrom)*t.Seconds()/coldSpan.Seconds(), 1)
-		sum += lawPart * lawRate * coldTimes * warm * step.Seconds()
+		sum += budgetPart * budgetRate * coldFactor * warm * step.Seconds()
 	}
 	return sum
 }
 
+// sleep waits for a time, or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -229,14 +242,14 @@
 	}
 }
 
-// runClients has clients open a connection, hold it for a while and open the next, each time at the next balancer
-// that runs.
-func runClients(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
+// startClients has clients open a connection, hold it for a while and open the next, each time at the next balancer
+// that runs. stop ends them, and served counts the connections that were established.
+func startClients(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
 	served = &atomic.Int64{}
-	var next, ids atomic.Int64
+	var nextProc, lastID atomic.Int64
 	quit := make(chan struct{})
 	var wg sync.WaitGroup
-	for i := range clients {
+	for i := range clientCount {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
 		wg.Add(1)
 		go func() {
@@ -245,25 +258,30 @@
 				select {
 				case <-quit:
 					return
-				case <-time.After(time.Duration(rng.Int64N(int64(200 * time.Millisecond)))):
+				case <-time.After(time.Duration(rng.Int64N(int64(clientMaxPause)))):
 				}
-				p := f.Procs[int(next.Add(1))%len(f.Procs)]
-				if p.Runs() && open(p.Listen, fmt.Sprintf("%x", ids.Add(1)), quit) {
+				p := f.Procs[int(nextProc.Add(1))%len(f.Procs)]
+				if p.Runs() && openAndHold(p.Listen, fmt.Sprintf("%x", lastID.Add(1)), quit) {
 					served.Add(1)
 				}
 			}
 		}()
 	}
-	return func() { close(quit); wg.Wait() }, served
+	stop = func() {
+		close(quit)
+		wg.Wait()
+	}
+	return stop, served
 }
 
-// open opens one connection and holds it for clientLife, or until quit closes. It tells whether the connection stood.
-func open(addr, id string, quit chan struct{}) bool {
-	c, _, err := loadgen.Open(addr, fmt.Sprintf("OPEN %s %s c=sync,d=1200", id, id), openTime)
+// openAndHold opens a connection and holds it for clientLifetime, or until quit is closed. It reports whether the
+// connection was established.
+func openAndHold(addr, id string, quit <-chan struct{}) bool {
+	conn, _, err := loadgen.Open(addr, fmt.Sprintf("OPEN %s %s c=sync,d=1200", id, id), openTimeout)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = c.Close() }()
+	defer func() { _ = conn.Close() }()
 	select {
 	case <-quit:
 	case <-time.After(clientLifetime):
--- a/lab/members/virtual.go
+++ b/lab/members/virtual.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"runtime"
-	"spurspread/lab/experiment"
 	"spurspread/lab/report"
 	"spurspread/lab/scenario"
 	"spurspread/lab/simulation"
@@ -13,131 +12,156 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// The fleets that are played in virtual time, and what is done to them.
-var (
-	fleetSizes   = []int{30, 100, 300, 1000}
-	fleetScripts = []string{"quiet", "loss", "pause"}
-)
-
-// What charts are drawn for: the ways, taken and not, on the same seeds.
 const (
+	// virtualSeeds members are the seeds of all in virtual time.
+	virtualSeeds = 3
+	// The algorithms are compared in fleets of chartMembers, on chartSeeds seeds each.
 	chartMembers = 30
 	chartSeeds   = 6
+	// pausesPerScript is how many members scenario.SinglePauses pauses.
+	pausesPerScript = 6
+	// detectionQuantile of detections is drawn and logged.
+	detectionQuantile = 0.99
 )
 
-// fleet plays members in virtual time: on the same bounds whatever their number, and beside the ways that were not
-// taken.
-func (c *Trial) fleet(
-	ctx context.Context,
-	o experiment.Options,
-	_ string,
-	r *report.Report,
-	log func(string, ...any),
-) error {
+// fleetSizes are the numbers of members in virtual time, the smallest first.
+func fleetSizes() []int { return []int{30, 100, 300, 1000} }
+
+// fleetScripts are the scripts that each of them runs.
+func fleetScripts() []string { return []string{"quiet", "loss", "pause"} }
+
+// runVirtualFleets runs scripts in virtual time, with the same bounds for any number of members, and compares the
+// project's algorithm with others.
+func (r *run) runVirtualFleets(ctx context.Context) error {
 	worst := map[string]float64{}
-	for _, n := range fleetSizes {
-		results, err := playFleetScripts(n, o.Seed)
+	sizes := fleetSizes()
+	for _, members := range sizes {
+		results, err := runFleetScripts(members, r.options.Seed)
 		if err != nil {
 			return err
 		}
-		for _, got := range results {
-			log(
-				"%d members, %s: %.0f bytes a second, crashes seen after %.2f s, views differ for %.2f s",
-				n,
-				got.Scenario,
-				got.BytesPerS,
-				got.SeenAt(0.99).Seconds(),
-				got.Differ.Seconds(),
-			)
-			for _, f := range got.Figures() {
-				r.Figures[fmt.Sprintf("%s_%s_%d", f.Name, got.Scenario, n)] = f.Measured
-				worst[f.Name] = max(worst[f.Name], f.Measured)
-			}
+		for _, result := range results {
+			r.addVirtualResult(result, worst)
 		}
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
 	}
-	for name, v := range worst {
-		r.Figures[name] = v
+	for name, value := range worst {
+		r.report.Figures[name] = value
 	}
 	quiet := func(members int) string { return fmt.Sprintf("bytes_per_s_per_member_quiet_%d", members) }
-	r.Ratio("bytes_largest_over_least", quiet(fleetSizes[len(fleetSizes)-1]), quiet(fleetSizes[0]))
-	r.Charts = append(
-		r.Charts,
-		c.chart(
-			o,
-			"by-loss",
-			"from a crash until a member holds it dead, 99 of 100",
-			"messages lost, %",
-			"s",
-			[]float64{0, 5, 10, 20, 30},
-			func(x float64) scenario.Script { return scenario.Lossy(x / 100) },
-			func(got *scenario.Result) float64 { return got.SeenAt(0.99).Seconds() },
-		),
-		c.chart(
-			o,
-			"by-pause",
-			"members held dead for a pause",
-			"pause, s",
-			"observers for each pause",
-			[]float64{0.5, 1, 2, 3, 4, 6},
-			func(x float64) scenario.Script { return scenario.Paused(time.Duration(x * float64(time.Second))) },
-			func(got *scenario.Result) float64 { return float64(got.HeldDead) / 6 },
-		),
-	)
+	r.report.Ratio("bytes_largest_over_least", quiet(sizes[len(sizes)-1]), quiet(sizes[0]))
+	r.report.Charts = append(r.report.Charts, r.compareByLoss(), r.compareByPause())
 	return nil
 }
 
-// playFleetScripts plays each of fleetScripts once with so many members, all at the same time.
-func playFleetScripts(members int, seed uint64) ([]*scenario.Result, error) {
-	results := make([]*scenario.Result, len(fleetScripts))
+// runFleetScripts runs each of fleetScripts once with so many members, all at the same time.
+func runFleetScripts(members int, seed uint64) ([]*scenario.Result, error) {
+	scripts := fleetScripts()
+	results := make([]*scenario.Result, len(scripts))
 	var group errgroup.Group
-	for i, script := range fleetScripts {
+	for i, script := range scripts {
 		group.Go(func() (err error) {
-			results[i], err = simulation.Play(script, members, seed, simulation.Members(3), nil)
+			results[i], err = simulation.Play(script, members, seed, simulation.Members(virtualSeeds), nil)
 			return err
 		})
 	}
 	return results, group.Wait()
 }
 
-// chart plays a script with each of some figures, each way on the same seeds, and takes the mean of what was measured.
-func (c *Trial) chart(
-	o experiment.Options,
-	name, title, x, y string,
-	xs []float64,
-	script func(float64) scenario.Script,
-	measure func(*scenario.Result) float64,
-) report.Chart {
-	chart := report.Chart{Name: name, Title: fmt.Sprintf("%d members: %s", chartMembers, title), X: x, Y: y}
-	for _, way := range []string{"members", "heartbeats", "phi", "swim"} {
-		build := simulation.Members(3)
-		if way != "members" {
-			build = simulation.Alternatives()[way]
-		}
-		s := report.Series{Name: way, X: xs, Y: make([]float64, len(xs))}
-		all := make([][]float64, len(xs))
-		var group errgroup.Group
-		group.SetLimit(runtime.NumCPU())
-		for i := range xs {
-			all[i] = make([]float64, chartSeeds)
-			for k := range chartSeeds {
-				group.Go(func() error {
-					all[i][k] = measure(
-						simulation.PlayScript(way, script(xs[i]), chartMembers, o.Seed+uint64(k), build, nil),
-					)
-					return nil
-				})
-			}
+// addVirtualResult logs and adds the figures of one script, and keeps the worst of each figure.
+func (r *run) addVirtualResult(result *scenario.Result, worst map[string]float64) {
+	r.log("%d members, %s: %.0f bytes a second, crashes seen after %.2f s, views differ for %.2f s",
+		result.Members, result.Scenario, result.BytesPerS,
+		result.DetectionQuantile(detectionQuantile).Seconds(), result.Divergence.Seconds())
+	for _, f := range result.Figures() {
+		r.report.Figures[fmt.Sprintf("%s_%s_%d", f.Name, result.Scenario, result.Members)] = f.Measured
+		worst[f.Name] = max(worst[f.Name], f.Measured)
+	}
+}
+
+func (r *run) compareByLoss() report.Chart {
+	return r.compareAlgorithms(comparison{
+		name:   "by-loss",
+		title:  "from a crash until a member holds it dead, 99 of 100",
+		x:      "messages lost, %",
+		y:      "s",
+		values: []float64{0, 5, 10, 20, 30},
+		script: func(percent float64) scenario.Script { return scenario.KillsUnderLoss(percent / 100) },
+		measure: func(result *scenario.Result) float64 {
+			return result.DetectionQuantile(detectionQuantile).Seconds()
+		},
+	})
+}
+
+func (r *run) compareByPause() report.Chart {
+	return r.compareAlgorithms(comparison{
+		name:   "by-pause",
+		title:  "members held dead for a pause",
+		x:      "pause, s",
+		y:      "observers for each pause",
+		values: []float64{0.5, 1, 2, 3, 4, 6},
+		script: func(seconds float64) scenario.Script {
+			return scenario.SinglePauses(time.Duration(seconds * float64(time.Second)))
+		},
+		measure: func(result *scenario.Result) float64 { return float64(result.HeldDead) / pausesPerScript },
+	})
+}
+
+// comparison is a chart of what algorithms reach with a script, for each value of the script's parameter.
+type comparison struct {
+	name, title string
+	x, y        string // labels of the axes
+	values      []float64
+	script      func(value float64) scenario.Script
+	measure     func(*scenario.Result) float64
+}
+
+// compareAlgorithms runs the comparison with each algorithm on the same seeds.
+func (r *run) compareAlgorithms(c comparison) report.Chart {
+	chart := report.Chart{
+		Name:  c.name,
+		Title: fmt.Sprintf("%d members: %s", chartMembers, c.title),
+		X:     c.x,
+		Y:     c.y,
+	}
+	for _, algorithm := range []string{"members", "heartbeats", "phi", "swim"} {
+		chart.Series = append(chart.Series, report.Series{
+			Name: algorithm,
+			X:    c.values,
+			Y:    c.meansOf(algorithm, r.options.Seed),
+		})
+	}
+	return chart
+}
+
+// meansOf is the mean of what one algorithm reached over all seeds, for each value.
+func (c *comparison) meansOf(algorithm string, seed uint64) []float64 {
+	build := simulation.Members(virtualSeeds)
+	if algorithm != "members" {
+		build = simulation.Alternatives()[algorithm]
+	}
+	measured := make([][]float64, len(c.values))
+	var group errgroup.Group
+	group.SetLimit(runtime.NumCPU())
+	for i, value := range c.values {
+		measured[i] = make([]float64, chartSeeds)
+		for k := range chartSeeds {
+			group.Go(func() error {
+				script := c.script(value)
+				result := simulation.PlayScript(algorithm, script, chartMembers, seed+uint64(k), build, nil)
+				measured[i][k] = c.measure(result)
+				return nil
+			})
 		}
-		_ = group.Wait() // none fails
-		for i := range xs {
-			for _, v := range all[i] {
-				s.Y[i] += v / chartSeeds
-			}
+	}
+	_ = group.Wait() // none fails
+	means := make([]float64, len(c.values))
+	for i := range means {
+		for _, v := range measured[i] {
+			means[i] += v / chartSeeds
 		}
-		chart.Series = append(chart.Series, s)
 	}
-	return chart
+	return means
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -213,7 +213,7 @@
 
 // callSessionStore makes the session call that a client without a token costs.
 func (c *conn) callSessionStore() error {
-	timeout := min(storeTimeout, time.Duration(c.request.Millis)*time.Millisecond)
+	timeout := min(storeTimeout, time.Duration(c.request.DeadlineMillis)*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return c.node.session.Call(ctx)
@@ -376,7 +376,7 @@
 	now := time.Now().Add(-c.node.cfg.Lag)
 	floor := index.Floor(key, now)
 	head := index.Head(key, now)
-	if !c.request.Cur || c.request.Cursor == 0 && c.request.WantsToken {
+	if !c.request.HasCursor || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
 	}
 	return max(c.request.Cursor, floor)
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -18,22 +18,22 @@
 	"time"
 )
 
-// Config describes a node. ID, Index, Sink and Store must be set.
+// Config describes a node. ID, Index, Recorder and Store must be set.
 type Config struct {
 	ID             string
 	Addr           string // listen address; "": a port of its own
 	StartedLongAgo bool   // it started an hour ago, and discovery lists its start as 0
 	Index          *packageindex.Index
-	Sink           recorder.Sink // receives what crosses its sockets
-	Store          string        // address of the session store
-	Keys           []token.Key   // of resume tokens; none: it accepts no tokens
-	SetUp          time.Duration // its own work for a new connection
-	MaxConnections int           // connections beyond it are refused with BUSY; 0: no limit
-	Patience       time.Duration // from a drain until clients that take tokens are moved, too
-	Lag            time.Duration // how late its copy of the index is
-	OnAccept       func()        // called for each accepted connection; may be nil
-	Channels       bool          // it accepts multiplexed channels as well as plain lines
-	Fault          Fault         // injected, to test that a checker finds it
+	Recorder       *recorder.Recorder // of its connections
+	Store          string             // address of the session store
+	Keys           []token.Key        // of resume tokens; none: it accepts no tokens
+	SetUp          time.Duration      // its own work for a new connection
+	MaxConnections int                // connections beyond it are refused with BUSY; 0: no limit
+	Patience       time.Duration      // from a drain until clients that take tokens are moved, too
+	Lag            time.Duration      // how late its copy of the index is
+	OnAccept       func()             // called for each accepted connection; may be nil
+	Channels       bool               // it accepts multiplexed channels as well as plain lines
+	Fault          Fault              // injected, to test that a checker finds it
 }
 
 // Fault is a bug that is injected on purpose.
@@ -239,7 +239,7 @@
 		}
 	}
 	socket := bufferedSocket{recorder.Socket{Conn: raw}, reader}
-	n.serve(&conn{node: n, recorded: recorder.Wrap(socket, n.cfg.Sink, recorder.Node, n.cfg.ID)}, "")
+	n.serve(&conn{node: n, recorded: n.cfg.Recorder.Wrap(socket, recorder.Node, n.cfg.ID)}, "")
 }
 
 // bufferedSocket is a socket of which a buffer has read something already.
@@ -266,7 +266,7 @@
 	n.channelConnections[connection] = true
 	n.mu.Unlock()
 	for ch := connection.Accept(); ch != nil; ch = connection.Accept() {
-		c := &conn{node: n, channel: ch, recorded: recorder.Wrap(ch, n.cfg.Sink, recorder.Node, n.cfg.ID)}
+		c := &conn{node: n, channel: ch, recorded: n.cfg.Recorder.Wrap(ch, recorder.Node, n.cfg.ID)}
 		go n.serve(c, ch.Line)
 	}
 	n.mu.Lock()
--- a/lab/packageindex/packageindex.go
+++ b/lab/packageindex/packageindex.go
@@ -1,9 +1,11 @@
-// Package packageindex is the emulated package index: for every stream, numbered messages that fall due at known times.
-// Each message is a pure function of the stream's key and its number, so that every emulated node has the same index
-// without communication, and a checker can tell whether what a client was sent is what it should have been.
+// Package packageindex is the emulated package index: for every stream, numbered messages that are due at known
+// times. Each message is a pure function of the stream's key and its number. So every emulated node has the same
+// index without communication, and a checker can recompute what a client must have received. It must not know nodes
+// or clients.
 package packageindex
 
 import (
+	"encoding/binary"
 	"math/rand/v2"
 	"strconv"
 	"time"
@@ -11,25 +13,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Index says how often messages come and how many of them a node's log keeps.
+const (
+	// minMessageBytes is the least length of a message's text: short texts of different messages could be equal.
+	minMessageBytes = 16
+	// Texts are the hexadecimal digits of a linear congruential sequence.
+	textMultiplier = 0x9e3779b97f4a7c15
+	textIncrement  = 1
+	// phaseStream selects the random sequence of a key from which its phase is drawn.
+	phaseStream = 1
+)
+
+// Index describes the messages of all streams. Epoch and Interval must be set. It has no state.
 type Index struct {
-	Epoch    time.Time     // before it there is no message
-	Interval time.Duration // between two messages of one stream
-	Keep     uint64        // messages that a log still has
-	Length   int           // of a message's text, about, in bytes
+	Epoch            time.Time     // before it there are no messages
+	Interval         time.Duration // between two messages of a stream
+	RetainedMessages uint64        // messages of a stream that a node's log retains
+	MessageBytes     int           // least length of a message's text, at least minMessageBytes
 }
 
-// phase spreads the streams' messages over the interval.
+// phase spreads the messages of different streams over the interval.
 func (x *Index) phase(key uint64) time.Duration {
-	return time.Duration(rand.New(rand.NewPCG(key, 1)).Int64N(int64(x.Interval)))
+	return time.Duration(rand.New(rand.NewPCG(key, phaseStream)).Int64N(int64(x.Interval)))
 }
 
-// Due is when message n of a stream exists; numbers start at 1.
+// Due is the time from which message n of a stream exists; numbers start at 1.
 func (x *Index) Due(key, n uint64) time.Time {
 	return x.Epoch.Add(x.phase(key) + time.Duration(n)*x.Interval)
 }
 
-// Head is the number of the last message that exists at now, 0 where none does.
+// Head is the number of the last message that exists at now, 0 if there is none.
 func (x *Index) Head(key uint64, now time.Time) uint64 {
 	since := now.Sub(x.Epoch) - x.phase(key)
 	if since < x.Interval {
@@ -38,27 +50,28 @@
 	return uint64(since / x.Interval)
 }
 
-// Floor is the lowest cursor after which a log can continue at now.
+// Floor is the lowest cursor after which a log can continue at now: it retains all later messages.
 func (x *Index) Floor(key uint64, now time.Time) uint64 {
 	head := x.Head(key, now)
-	if head <= x.Keep {
+	if head <= x.RetainedMessages {
 		return 0
 	}
-	return head - x.Keep
+	return head - x.RetainedMessages
 }
 
-// Line appends message n of a stream as a node sends it, with its end.
+// Line appends message n of a stream to a buffer, as a node sends it, with its end.
 func (x *Index) Line(to []byte, key, n uint64) []byte {
 	to = append(to, '#')
 	to = strconv.AppendUint(to, n, 10)
 	to = append(to, ' ')
 	var seed [16]byte
-	for i := range 8 {
-		seed[i], seed[8+i] = byte(key>>(8*i)), byte(n>>(8*i))
-	}
-	for word, from := xxhash.Sum64(seed[:]), len(to); len(to)-from < max(x.Length,
-		16); word = word*0x9e3779b97f4a7c15 + 1 {
+	binary.LittleEndian.PutUint64(seed[:8], key)
+	binary.LittleEndian.PutUint64(seed[8:], n)
+	word := xxhash.Sum64(seed[:])
+	end := len(to) + max(x.MessageBytes, minMessageBytes)
+	for len(to) < end {
 		to = strconv.AppendUint(to, word, 16)
+		word = word*textMultiplier + textIncrement
 	}
 	return append(to, '\r', '\n')
 }
--- a/lab/packageindex/packageindex_test.go
+++ b/lab/packageindex/packageindex_test.go
@@ -8,29 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// Head, floor and due times agree, and a message is the same for whoever makes it.
+// Head, floor and due times agree, and a message is a function of its key and number.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
+		interval := time.Duration(rapid.IntRange(1, 5_000_000).Draw(t, "interval")) * time.Microsecond
+		retained := uint64(rapid.IntRange(1, 100).Draw(t, "keep"))
 		x := &Index{
-			Epoch: time.Unix(
-				1_800_000_000,
-				0,
-			), Interval: time.Duration(rapid.IntRange(1, 5_000_000).Draw(t, "interval")) * 1000,
-			Keep: uint64(rapid.IntRange(1, 100).Draw(t, "keep")), Length: 30,
+			Epoch:            time.Unix(1_800_000_000, 0),
+			Interval:         interval,
+			RetainedMessages: retained,
+			MessageBytes:     30,
 		}
 		key := rapid.Uint64().Draw(t, "key")
-		now := x.Epoch.Add(time.Duration(rapid.IntRange(-1_000_000, 1_000_000_000).Draw(t, "since")) * 1000)
+		now := x.Epoch.Add(time.Duration(rapid.IntRange(-1_000_000, 1_000_000_000).Draw(t, "since")) * time.Microsecond)
 		head := x.Head(key, now)
 		if head > 0 && x.Due(key, head).After(now) || !x.Due(key, head+1).After(now) {
 			t.Fatalf("head %d: due %v, next %v, now %v", head, x.Due(key, head), x.Due(key, head+1), now)
 		}
-		if f := x.Floor(key, now); f > head || head-f > x.Keep {
+		if f := x.Floor(key, now); f > head || head-f > x.RetainedMessages {
 			t.Fatalf("floor %d, head %d", f, head)
 		}
-		if a, b := x.Line(nil, key, head), x.Line(nil, key, head); !bytes.Equal(a, b) ||
-			bytes.Equal(a, x.Line(nil, key, head+1)) ||
-			!bytes.HasSuffix(a, []byte("\r\n")) {
-			t.Fatalf("%q", a)
+		line := x.Line(nil, key, head)
+		if !bytes.Equal(line, x.Line(nil, key, head)) {
+			t.Fatalf("%q is not the same a second time", line)
+		}
+		if bytes.Equal(line, x.Line(nil, key, head+1)) || !bytes.HasSuffix(line, []byte("\r\n")) {
+			t.Fatalf("%q", line)
 		}
 	})
 }
--- /dev/null
+++ b/lab/procs/loopback.go
@@ -0,0 +1,62 @@
+package procs
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+)
+
+// Ports of each process, on an address of its own: below those that the kernel gives to outgoing connections.
+const (
+	listenPort = 7001 + iota
+	managementPort
+	fleetPort
+)
+
+// FleetPort is where each process receives datagrams of the fleet, on its own address.
+const FleetPort = fleetPort
+
+const (
+	addrsPerNet     = 250 // loopback addresses that are used of each 256
+	loopbackRetries = 20  // networks that are tried
+)
+
+// Loopbacks finds n loopback addresses on which the ports of a process are free. Addresses in 127.0.0.0/8 need no
+// setting up, and outgoing connections come from 127.0.0.1, so that nothing takes a port between its check and its
+// use.
+func Loopbacks(n int) ([]netip.Addr, error) {
+	var err error
+	for range loopbackRetries {
+		second := byte(64 + rand.IntN(128))
+		third := rand.IntN(256 - n/addrsPerNet)
+		var all []netip.Addr
+		for i := range n {
+			ip := netip.AddrFrom4([4]byte{127, second, byte(third + i/addrsPerNet), byte(i%addrsPerNet + 1)})
+			if err = checkFree(ip); err != nil {
+				break
+			}
+			all = append(all, ip)
+		}
+		if len(all) == n {
+			return all, nil
+		}
+	}
+	return nil, fmt.Errorf("no %d free loopback addresses: %w", n, err)
+}
+
+// checkFree returns an error if a port of a process is in use at an address.
+func checkFree(ip netip.Addr) error {
+	for _, port := range []uint16{listenPort, managementPort} {
+		ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, port)))
+		if err != nil {
+			return err
+		}
+		_ = ln.Close()
+	}
+	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, fleetPort)))
+	if err != nil {
+		return err
+	}
+	return c.Close()
+}
--- a/lab/procs/stage.go
+++ b/lab/procs/stage.go
@@ -15,83 +15,110 @@
 	"time"
 )
 
-// lookEvery is how often each process is asked for its view.
-const lookEvery = 100 * time.Millisecond
+const (
+	// viewPollInterval is the pause between two reads of a process's view.
+	viewPollInterval = 100 * time.Millisecond
+	// logLineQueue is how many log lines may wait for Run.
+	logLineQueue = 4096
+	// stageStream selects the stage's random sequence of a seed; other users of the seed select others.
+	stageStream = 0x7374616765
+	// memberChanged is in the log lines that report a member's change of state.
+	memberChanged = `"a member has changed"`
+)
 
-// Stage is a fleet of processes as a trial's stage: what falls due is done in real time, one thing after another,
-// and what processes say of one another is taken from their logs and from the views that they tell.
+// Stage is a fleet of processes as a scenario.Stage. Run calls what is scheduled in real time, one call after
+// another. What the processes report of one another is taken from their logs and from their views. All methods belong
+// to the goroutine of Run.
 type Stage struct {
-	f        *Fleet
-	rng      *rand.Rand
-	began    time.Time
-	due      deadlines
-	made     int // deadlines so far
-	logLines chan logLine
-	// failed takes what kept a process from starting.
-	failed chan error
-	views  []atomic.Pointer[View]
-	quit   chan struct{}
-	wg     sync.WaitGroup
-	errs   []error
-	bytes  []int64 // that each had sent when counting began
-	counts time.Duration
-
-	// Changed is told what processes say of one another.
-	Changed func(at time.Duration, observer, of int, from, to membership.State, inc uint64)
-}
-
-// logLine is a line of a log that tells of a change.
+	fleet     *Fleet
+	rng       *rand.Rand
+	startedAt time.Time
+	timers    timers
+	scheduled int          // timers so far
+	logLines  chan logLine // for Run
+	failed    chan error   // for Run: what kept a process from starting
+	errs      []error
+	views     []atomic.Pointer[View] // last read of each process; nil: none, or it does not run
+	quit      chan struct{}
+	wg        sync.WaitGroup
+
+	bytesBefore []int64       // that each process had sent when CountBytes was called
+	countedFrom time.Duration // when it was called
+
+	// Changed is called by Run with each state change that an observer reports.
+	Changed func(at time.Duration, observer, of int, from, to membership.State, incarnation uint64)
+}
+
+// logLine is a line of an observer's log that reports a change.
 type logLine struct {
 	at       time.Time
 	observer int
 	line     string
 }
 
-type deadline struct {
-	at  time.Duration
-	seq int
-	do  func()
+// timer is a scheduled call. Timers of the same time are called in the order in which they were scheduled.
+type timer struct {
+	at       time.Duration // since the stage's start
+	sequence int
+	callback func()
 }
 
-type deadlines []deadline
+// timers is a heap.Interface, the next timer first.
+type timers []timer
 
-func (d deadlines) Len() int { return len(d) }
-func (d deadlines) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (t timers) Len() int { return len(t) }
+
+func (t timers) Less(i, j int) bool {
+	if t[i].at != t[j].at {
+		return t[i].at < t[j].at
+	}
+	return t[i].sequence < t[j].sequence
 }
-func (d deadlines) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *deadlines) Push(x any)   { *d = append(*d, x.(deadline)) }
-func (d *deadlines) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+
+func (t *timers) Pop() any {
+	last := (*t)[len(*t)-1]
+	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-// NewStage makes a stage of processes that run.
+// NewStage returns a stage of processes that run. Its time begins now.
 func NewStage(f *Fleet, seed uint64) *Stage {
 	s := &Stage{
-		f: f, rng: rand.New(rand.NewPCG(seed, 0x7374616765)), began: time.Now(), logLines: make(chan logLine, 4096),
-		failed: make(chan error),
-		views:  make([]atomic.Pointer[View], len(f.Procs)), quit: make(chan struct{}),
-		Changed: func(time.Duration, int, int, membership.State, membership.State, uint64) {},
+		fleet:     f,
+		rng:       rand.New(rand.NewPCG(seed, stageStream)),
+		startedAt: time.Now(),
+		logLines:  make(chan logLine, logLineQueue),
+		failed:    make(chan error),
+		views:     make([]atomic.Pointer[View], len(f.Procs)),
+		quit:      make(chan struct{}),
+		Changed:   func(time.Duration, int, int, membership.State, membership.State, uint64) {},
 	}
 	for i, p := range f.Procs {
-		p.OnLogLine(func(line string) {
-			if strings.Contains(line, `"a member has changed"`) {
-				select {
-				case s.logLines <- logLine{time.Now(), i, line}:
-				case <-s.quit:
-				}
-			}
-		})
+		p.OnLogLine(func(line string) { s.queueLogLine(i, line) })
 		s.wg.Add(1)
-		go s.look(i, p)
+		go s.pollView(i, p)
 	}
 	return s
 }
 
-// look asks a process for its view again and again.
-func (s *Stage) look(i int, p *Proc) {
+// queueLogLine passes a line that reports a change on to Run. It is called by the goroutine that reads the log.
+func (s *Stage) queueLogLine(observer int, line string) {
+	if !strings.Contains(line, memberChanged) {
+		return
+	}
+	select {
+	case s.logLines <- logLine{time.Now(), observer, line}:
+	case <-s.quit:
+	}
+}
+
+// pollView reads a process's view until the stage is closed. One that answers no more keeps its last view while it
+// runs.
+func (s *Stage) pollView(i int, p *Proc) {
 	defer s.wg.Done()
 	for {
 		if p.Runs() {
@@ -104,64 +131,67 @@
 		select {
 		case <-s.quit:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(viewPollInterval):
 		}
 	}
 }
 
-// Close ends the stage, and leaves the processes as they are.
+// Close ends the stage. The processes go on as they are.
 func (s *Stage) Close() {
 	close(s.quit)
 	s.wg.Wait()
-	for _, p := range s.f.Procs {
+	for _, p := range s.fleet.Procs {
 		p.OnLogLine(nil)
 	}
 }
 
-// Run does what falls due until then. An error says that the stage failed, and not a member.
+// Run calls what is scheduled up to a time, which is since the stage's start. An error means that the stage failed,
+// not a member: a process did not start, or a log line could not be read.
 func (s *Stage) Run(until time.Duration) error {
 	for {
 		next := until
-		if len(s.due) > 0 {
-			next = min(next, s.due[0].at)
+		if len(s.timers) > 0 {
+			next = min(next, s.timers[0].at)
 		}
 		select {
-		case one := <-s.logLines:
-			s.handleLogLine(one)
+		case line := <-s.logLines:
+			s.handleLogLine(line)
 			continue
 		case err := <-s.failed:
 			s.errs = append(s.errs, err)
 			continue
 		case <-time.After(next - s.Now()):
 		}
-		if next == until && (len(s.due) == 0 || s.due[0].at > until) {
+		if next == until && (len(s.timers) == 0 || s.timers[0].at > until) {
 			return errors.Join(s.errs...)
 		}
-		heap.Pop(&s.due).(deadline).do()
+		heap.Pop(&s.timers).(timer).callback()
 	}
 }
 
-// handleLogLine takes a line of a log.
-func (s *Stage) handleLogLine(one logLine) {
-	var l struct {
+// handleLogLine passes the change that a line reports to Changed.
+func (s *Stage) handleLogLine(l logLine) {
+	var change struct {
 		Member      string `json:"member"`
 		State       string `json:"state"`
 		Before      string `json:"before"`
 		Incarnation uint64 `json:"incarnation"`
 	}
-	of, err := -1, json.Unmarshal([]byte(one.line), &l)
+	member := -1
+	err := json.Unmarshal([]byte(l.line), &change)
 	if err == nil {
-		of, err = strconv.Atoi(strings.TrimPrefix(l.Member, "n"))
+		member, err = strconv.Atoi(strings.TrimPrefix(change.Member, "n"))
 	}
-	if err != nil || of < 0 || of >= len(s.f.Procs) {
-		s.errs = append(s.errs, fmt.Errorf("n%d wrote %q", one.observer, one.line))
+	if err != nil || member < 0 || member >= len(s.fleet.Procs) {
+		s.errs = append(s.errs, fmt.Errorf("n%d wrote %q", l.observer, l.line))
 		return
 	}
-	s.Changed(one.at.Sub(s.began), one.observer, of, state(l.Before), state(l.State), l.Incarnation)
+	at := l.at.Sub(s.startedAt)
+	s.Changed(at, l.observer, member, parseState(change.Before), parseState(change.State), change.Incarnation)
 }
 
-// state reads a state's name; any other word is Unknown.
-func state(word string) membership.State {
+// parseState is the state of that name; any other word is Unknown.
+func parseState(word string) membership.State {
 	for s := membership.Alive; s <= membership.Left; s++ {
 		if s.String() == word {
 			return s
@@ -170,78 +200,81 @@
 	return membership.Unknown
 }
 
-// Members is how many there are. It and what follows are a trial's stage.
-func (s *Stage) Members() int { return len(s.f.Procs) }
+// Members implements scenario.Stage, as do the following methods up to StateSeen.
+func (s *Stage) Members() int { return len(s.fleet.Procs) }
 
 // Now is the time since the stage began.
-func (s *Stage) Now() time.Duration { return time.Since(s.began) }
+func (s *Stage) Now() time.Duration { return time.Since(s.startedAt) }
 
-// After has something done, by Run.
-func (s *Stage) After(d time.Duration, do func()) {
-	s.made++
-	heap.Push(&s.due, deadline{s.Now() + d, s.made, do})
+// After schedules a call by Run.
+func (s *Stage) After(d time.Duration, callback func()) {
+	s.scheduled++
+	heap.Push(&s.timers, timer{s.Now() + d, s.scheduled, callback})
 }
 
-// Rand draws for scripts of faults.
+// Rand is the source from which scripts draw their faults.
 func (s *Stage) Rand() *rand.Rand { return s.rng }
 
 // Set changes the links from some processes to others, one way.
-func (s *Stage) Set(from, to []int, change func(*link.Link)) { s.f.Net.Set(from, to, change) }
+func (s *Stage) Set(from, to []int, change func(*link.Link)) { s.fleet.Net.Set(from, to, change) }
 
-// Heal makes all links whole.
-func (s *Stage) Heal() { s.f.Net.Heal() }
+// Heal resets all links: they lose and delay nothing.
+func (s *Stage) Heal() { s.fleet.Net.Heal() }
 
-// Cuts lists the links that are cut.
-func (s *Stage) Cuts() map[[2]int]bool { return s.f.Net.Cuts() }
+// Partitioned lists the links that are partitioned, as from and to.
+func (s *Stage) Partitioned() map[[2]int]bool { return s.fleet.Net.Partitioned() }
 
-// Kill ends a process without a word.
+// Kill ends a process with SIGKILL.
 func (s *Stage) Kill(i int) {
-	s.f.Procs[i].Kill()
+	s.fleet.Procs[i].Kill()
 	s.views[i].Store(nil)
 }
 
-// Stop has a process end in the planned way, and does not wait for that.
-func (s *Stage) Stop(i int) { s.f.Procs[i].Terminate() }
+// Stop asks a process to end, and does not wait for it.
+func (s *Stage) Stop(i int) { s.fleet.Procs[i].Terminate() }
 
-// Start starts a process, and does not wait until it serves.
+// Start starts a process, and does not wait until it serves. Run returns its error.
 func (s *Stage) Start(i int) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		if err := s.f.Procs[i].Start(); err != nil {
+		if err := s.fleet.Procs[i].Start(); err != nil {
 			select {
-			case <-s.quit: // ended before it had started
+			case <-s.quit: // the stage ended before the process had started
 			case s.failed <- err:
 			}
 		}
 	}()
 }
 
-// Pause stops a process for a while.
+// Pause suspends a process for a while.
 func (s *Stage) Pause(i int, d time.Duration) {
-	p := s.f.Procs[i]
+	p := s.fleet.Procs[i]
 	p.Pause()
 	s.After(d, p.Continue)
 }
 
-// Holds is what a process holds another to be, as it has told last.
-func (s *Stage) Holds(observer, of int) membership.State {
+// StateSeen is another member's state in a process's last view, Unknown if there is none.
+func (s *Stage) StateSeen(observer, of int) membership.State {
 	v := s.views[observer].Load()
 	if v == nil {
 		return membership.Unknown
 	}
-	word, _ := v.State(s.f.Procs[of].Name)
-	return state(word)
+	word, _ := v.State(s.fleet.Procs[of].Name)
+	return parseState(word)
 }
 
-// Count begins to count what processes send.
-func (s *Stage) Count() { s.bytes, s.counts = s.f.Net.Bytes(), s.Now() }
+// CountBytes begins to count what processes send, for BytesPerS.
+func (s *Stage) CountBytes() {
+	s.bytesBefore = s.fleet.Net.Bytes()
+	s.countedFrom = s.Now()
+}
 
-// BytesPerS is what a process has sent a second since then, on average.
+// BytesPerS is what a process has sent in a second since CountBytes, on average.
 func (s *Stage) BytesPerS() float64 {
 	sum := int64(0)
-	for i, b := range s.f.Net.Bytes() {
-		sum += b - s.bytes[i]
+	for i, sent := range s.fleet.Net.Bytes() {
+		sum += sent - s.bytesBefore[i]
 	}
-	return float64(sum) / float64(len(s.bytes)) / (s.Now() - s.counts).Seconds()
+	return float64(sum) / float64(len(s.bytesBefore)) / (s.Now() - s.countedFrom).Seconds()
 }
--- a/lab/procs/zones_test.go
+++ b/lab/procs/zones_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// zoned starts n processes, by turns in two zones of two regions. The one seed of all stands in the first.
-func zoned(t *testing.T, n int) *Fleet {
+// zonedFleet starts n processes, by turns in two zones of two regions. The only seed is in the first.
+func zonedFleet(t *testing.T, n int) *Fleet {
 	t.Helper()
 	f, err := New(program, t.TempDir(), n, 1, 1)
 	if err != nil {
@@ -24,10 +24,10 @@
 	return f
 }
 
-// everywhere waits until something holds of what all that run tell.
-func (f *Fleet) everywhere(t *testing.T, what string, holds func(i int, v *View) bool) {
+// awaitViews waits until a condition holds of the views of all running processes.
+func (f *Fleet) awaitViews(t *testing.T, what string, holds func(i int, v *View) bool) {
 	t.Helper()
-	if err := Await(patience, what, func() bool {
+	if err := Await(awaitTimeout, what, func() bool {
 		for i, p := range f.Procs {
 			if !p.Runs() {
 				continue
@@ -46,29 +46,28 @@
 	}
 }
 
-// awaitZones waits until all count so many members, and hold the other zone to be in a state.
+// awaitZones waits until all count that many live members, and see the other zone in a state.
 func (f *Fleet) awaitZones(t *testing.T, what, state string, live int) {
 	t.Helper()
-	f.everywhere(t, what, func(i int, v *View) bool {
+	f.awaitViews(t, what, func(i int, v *View) bool {
 		return v.ZoneState(fmt.Sprint("zone-", (i+1)%2)) == state && v.Live == live &&
 			len(v.Members) == len(f.Procs)/2
 	})
 }
 
-// Two zones find each other from one seed; a record that is published by the command in one is shown by the command
-// in the other. Cut from each other neither can tell whether the other lives; healed, all is as before.
+// Two zones find each other from one seed, and a record that the command publishes in one is shown by the command in
+// the other. While they are partitioned, each sees the other as unknown; once healed, as reachable.
 func TestTwoZonesOfProcesses(t *testing.T) {
-	f := zoned(t, 4)
-	out, err := exec.Command(program, "record", "limits", "two words", "--mgmt", f.Procs[0].Mgmt).CombinedOutput()
+	f := zonedFleet(t, 4)
+	publish := exec.Command(program, "record", "limits", "two words", "--mgmt", f.Procs[0].ManagementAddr)
+	out, err := publish.CombinedOutput()
 	if err != nil || !strings.HasPrefix(string(out), "limits has version ") {
 		t.Fatalf("%v: %s", err, out)
 	}
-	f.everywhere(
-		t,
-		"the record is in the other zone",
-		func(_ int, v *View) bool { return v.Record("limits") == "two words" },
-	)
-	if out, err = exec.Command(program, "members", "--mgmt", f.Procs[1].Mgmt).CombinedOutput(); err != nil {
+	hasRecord := func(_ int, v *View) bool { return v.Record("limits") == "two words" }
+	f.awaitViews(t, "the record is in the other zone", hasRecord)
+	show := exec.Command(program, "members", "--mgmt", f.Procs[1].ManagementAddr)
+	if out, err = show.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, want := range []string{"4 members live in all zones", "zone-0", "own", "two words"} {
@@ -76,17 +75,17 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	cutOff := func(l *link.Link) { l.Partitioned = true }
-	f.Net.Set([]int{0, 2}, []int{1, 3}, cutOff)
-	f.Net.Set([]int{1, 3}, []int{0, 2}, cutOff)
+	partition := func(l *link.Link) { l.Partitioned = true }
+	f.Net.Set([]int{0, 2}, []int{1, 3}, partition)
+	f.Net.Set([]int{1, 3}, []int{0, 2}, partition)
 	f.awaitZones(t, "neither can tell of the other", "unknown", 2)
 	f.Net.Heal()
 	f.awaitZones(t, "both reach each other again", "reachable", 4)
 }
 
-// A zone that dies is one fact: its members are in nobody's view. One that stops says so.
-func TestAZoneDiesAndAnotherStops(t *testing.T) {
-	f := zoned(t, 4)
+// A zone that dies is unknown as a whole, without its members in any view. A zone that stops has left.
+func TestZoneDiesAndZoneStops(t *testing.T) {
+	f := zonedFleet(t, 4)
 	f.Procs[1].Kill()
 	f.Procs[3].Kill()
 	f.awaitZones(t, "the zone is lost", "unknown", 2)
@@ -104,7 +103,7 @@
 	f.awaitZones(t, "the zone has left", "left", 2)
 }
 
-// Without zones MEMBERS has no word of them, and there are no records.
+// Without zones MEMBERS has no zones, and there are no records.
 func TestNoZones(t *testing.T) {
 	f := fleet(t, 2)
 	text, err := f.Procs[0].Admin("MEMBERS")
