--- a/lab/proto/proto.go
+++ b/lab/proto/proto.go
@@ -1,132 +1,144 @@
-// Package proto reads and writes the protocol's lines for the laboratory's stand-ins, from the protocol's pages and
-// without the balancer's own parsers.
+// Package proto reads and writes the lines of the stream protocol for the laboratory's emulated clients and nodes. It
+// is written from docs/protocol and must not share code with the balancer, whose parsers it tests.
 package proto
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 )
 
+// openFields are the parts of a first line: the word, the id, the key and the parameters.
+const openFields = 4
+
+// askToken is the value of tok by which a client wants a resume token.
+const askToken = "ask"
+
 // Open is a first line.
 type Open struct {
-	ID         string
-	Key        uint64
-	Class      string
-	Millis     int    // d
-	Group      string // g
-	Owner      string
-	At         string
-	Again      bool
-	WantsToken bool   // tok=ask
-	Token      string // tok= anything else
-	Cursor     uint64
-	Cur        bool // the line has a cursor
+	ID             string
+	Key            uint64
+	Class          string
+	DeadlineMillis int    // d=
+	Group          string // g=
+	Owner          string // owner=
+	At             string // at=, the node at which the stream is already
+	Again          bool   // again=1, the client was connected before
+	WantsToken     bool   // tok=ask
+	Token          string // tok= with any other value
+	Cursor         uint64 // cur=, the last message that the client has
+	HasCursor      bool
 }
 
-// ErrLine says that a line is none that the protocol has.
-var ErrLine = errors.New("no first line")
+// ErrNotOpen is the error of a line that is no first line.
+var ErrNotOpen = errors.New("no first line")
 
-// Parse reads a first line, without its end.
+// Parse reads a first line, without its end. Parameters of unknown names are skipped. The error is ErrNotOpen.
 func Parse(text string) (Open, error) {
-	fields := strings.SplitN(text, " ", 4)
-	if len(fields) != 4 || fields[0] != "OPEN" || fields[1] == "" {
-		return Open{}, ErrLine
+	fields := strings.SplitN(text, " ", openFields)
+	if len(fields) != openFields || fields[0] != "OPEN" || fields[1] == "" {
+		return Open{}, ErrNotOpen
 	}
-	o := Open{ID: fields[1]}
-	var err error
-	if o.Key, err = strconv.ParseUint(fields[2], 16, 64); err != nil {
-		return Open{}, ErrLine
+	key, err := strconv.ParseUint(fields[2], 16, 64)
+	if err != nil {
+		return Open{}, ErrNotOpen
 	}
+	o := Open{ID: fields[1], Key: key}
 	for _, pair := range strings.Split(fields[3], ",") {
 		name, value, ok := strings.Cut(pair, "=")
-		if !ok {
-			return Open{}, ErrLine
-		}
-		switch name {
-		case "c":
-			o.Class = value
-		case "d":
-			if o.Millis, err = strconv.Atoi(value); err != nil {
-				return Open{}, ErrLine
-			}
-		case "g":
-			o.Group = value
-		case "owner":
-			o.Owner = value
-		case "at":
-			o.At = value
-		case "again":
-			o.Again = value == "1"
-		case "tok":
-			if o.WantsToken = value == "ask"; !o.WantsToken {
-				o.Token = value
-			}
-		case "cur":
-			if o.Cursor, err = strconv.ParseUint(value, 10, 64); err != nil {
-				return Open{}, ErrLine
-			}
-			o.Cur = true
+		if !ok || o.set(name, value) != nil {
+			return Open{}, ErrNotOpen
 		}
 	}
 	return o, nil
 }
 
-// String writes the line, with its end.
+// set sets the field of one parameter.
+func (o *Open) set(name, value string) (err error) {
+	switch name {
+	case "c":
+		o.Class = value
+	case "d":
+		o.DeadlineMillis, err = strconv.Atoi(value)
+	case "g":
+		o.Group = value
+	case "owner":
+		o.Owner = value
+	case "at":
+		o.At = value
+	case "again":
+		o.Again = value == "1"
+	case "tok":
+		o.WantsToken = value == askToken
+		if !o.WantsToken {
+			o.Token = value
+		}
+	case "cur":
+		o.Cursor, err = strconv.ParseUint(value, 10, 64)
+		o.HasCursor = true
+	}
+	return err
+}
+
+// String is the line, with its end.
 func (o *Open) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "OPEN %s %016x c=%s,d=%d", o.ID, o.Key, o.Class, o.Millis)
-	for _, pair := range []struct {
+	fmt.Fprintf(&b, "OPEN %s %016x c=%s,d=%d", o.ID, o.Key, o.Class, o.DeadlineMillis)
+	for _, parameter := range []struct {
 		name, value string
-		on          bool
+		present     bool
 	}{
 		{"g", o.Group, o.Group != ""},
 		{"owner", o.Owner, o.Owner != ""},
 		{"at", o.At, o.At != ""},
 		{"again", "1", o.Again},
-		{"cur", strconv.FormatUint(o.Cursor, 10), o.Cur},
-		{"tok", "ask", o.WantsToken},
+		{"cur", strconv.FormatUint(o.Cursor, 10), o.HasCursor},
+		{"tok", askToken, o.WantsToken},
 		{"tok", o.Token, o.Token != ""},
 	} {
-		if pair.on {
-			fmt.Fprintf(&b, ",%s=%s", pair.name, pair.value)
+		if parameter.present {
+			fmt.Fprintf(&b, ",%s=%s", parameter.name, parameter.value)
 		}
 	}
 	return b.String() + "\r\n"
 }
 
-// Answer is what a first line was answered.
+// Answer is the answer to a first line.
 type Answer struct {
-	Word   string // UP, BUSY, STALE, ERR, ...
-	Rest   string
-	From   uint64 // of an UP that says from=
-	Counts bool   // it does: messages are numbered
-	Millis int    // of a BUSY that says how long to stay away
+	Word        string // UP, BUSY, STALE, ERR, ...
+	Rest        string // what follows the word
+	From        uint64 // of an UP with from=: the message after which the stream continues
+	Numbered    bool   // it has from=, and so the messages are numbered
+	RetryMillis int    // of a BUSY: how long to wait before the next attempt; 0: not given
 }
 
 // ParseAnswer reads an answer, without its end.
 func ParseAnswer(text string) Answer {
+	const fromParameter = " from="
 	a := Answer{}
 	a.Word, a.Rest, _ = strings.Cut(text, " ")
 	switch a.Word {
 	case "UP":
-		if i := strings.LastIndex(text, " from="); i >= 0 {
-			n, err := strconv.ParseUint(text[i+6:], 10, 64)
-			a.From, a.Counts = n, err == nil
+		if i := strings.LastIndex(text, fromParameter); i >= 0 {
+			from, err := strconv.ParseUint(text[i+len(fromParameter):], 10, 64)
+			a.From = from
+			a.Numbered = err == nil
 		}
 	case "BUSY":
-		a.Millis, _ = strconv.Atoi(a.Rest) // none: 0
+		a.RetryMillis, _ = strconv.Atoi(a.Rest) // not a number: 0
 	}
 	return a
 }
 
-// Number reads the number of a message; ok tells whether the line is one at all.
-func Number(text []byte) (n uint64, ok bool) {
-	if len(text) < 3 || text[0] != '#' {
+// Number reads the number of a message, "#NUMBER TEXT"; ok is false for any other line.
+func Number(line []byte) (n uint64, ok bool) {
+	const shortest = len("#1 ")
+	if len(line) < shortest || line[0] != '#' {
 		return 0, false
 	}
-	digits, _, more := strings.Cut(string(text[1:]), " ")
-	n, err := strconv.ParseUint(digits, 10, 64)
-	return n, more && err == nil
+	digits, _, hasText := bytes.Cut(line[1:], []byte(" "))
+	n, err := strconv.ParseUint(string(digits), 10, 64)
+	return n, hasText && err == nil
 }
--- a/lab/recorder/recorder.go
+++ b/lab/recorder/recorder.go
@@ -1,6 +1,6 @@
-// Package recorder records what crosses sockets: it wraps the connections and channels of clients and nodes, and
-// hands on every line, and every end, in the order in which it was read or written. It knows lines, and not what
-// any of them means.
+// Package recorder records what crosses the sockets of emulated clients and nodes. A Recorder wraps their connections
+// and channels, and passes every line and every end to a Sink, in the order in which it was read or written. It
+// splits bytes into lines and must not know what a line means.
 package recorder
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Side is whose socket it is.
+// Side is the party whose socket it is.
 type Side uint8
 
 // The sides.
@@ -22,97 +22,111 @@
 	Node
 )
 
-// Event is one line that crossed a socket, or its end.
+// Event is a line that crossed a socket, or the socket's end.
 type Event struct {
 	At   time.Time
 	Side Side
-	Name string // of the party whose socket it is
-	Conn uint64 // tells connections and channels apart
-	Sent bool   // by that party; else it read it
-	End  bool   // the party has seen the end, or ended it
-	Line []byte // without its end; only good during the call
+	Name string // of the party
+	Conn uint64 // identifies the connection or channel among all of the Recorder
+	Sent bool   // the party wrote the line; else it read it
+	End  bool   // the party read the end, or ended it; there is no line
+	Line []byte // without its end; valid only during the call
 }
 
-// Sink takes events. It is called by many goroutines; for one connection and direction, in order.
-type Sink interface{ Take(Event) }
+// Sink receives events. It is called by many goroutines, and in order for each direction of a connection.
+type Sink interface{ Take(e Event) }
 
 // Stream is a connection or a channel.
 type Stream interface {
 	io.ReadWriteCloser
-	// Reset ends it so that the other side sees it broken off.
+	// Reset ends it so that the peer sees it broken off.
 	Reset() error
 }
 
 // Socket is a connection as a Stream.
 type Socket struct{ net.Conn }
 
-// Reset is part of Stream.
+// Reset implements Stream.
 func (s Socket) Reset() error {
-	if t, ok := s.Conn.(interface{ SetLinger(sec int) error }); ok {
-		_ = t.SetLinger(0)
+	if conn, ok := s.Conn.(interface{ SetLinger(sec int) error }); ok {
+		_ = conn.SetLinger(0)
 	}
 	return s.Close()
 }
 
-var last atomic.Uint64
+// Recorder wraps streams for one sink. It may be used from several goroutines.
+type Recorder struct {
+	sink     Sink
+	lastConn atomic.Uint64
+}
 
-// Conn is a watched stream.
-type Conn struct {
-	Stream
-	AtEnd   func() // called before the end is handed on, for what is known only then
-	sink    Sink
-	side    Side
-	name    string
-	id      uint64
-	in, out splitter
-	endOnce sync.Once
-	writeMu sync.Mutex
+// New returns a recorder that passes events to a sink.
+func New(sink Sink) *Recorder { return &Recorder{sink: sink} }
+
+// Wrap records all that crosses a stream from now on, as that of the named party.
+func (r *Recorder) Wrap(s Stream, side Side, name string) *Conn {
+	return &Conn{Stream: s, sink: r.sink, side: side, name: name, id: r.lastConn.Add(1)}
 }
 
-// Wrap has a sink see all that crosses s.
-func Wrap(s Stream, sink Sink, side Side, name string) *Conn {
-	return &Conn{Stream: s, sink: sink, side: side, name: name, id: last.Add(1)}
+// Conn is a recorded stream. One goroutine may read while others write.
+type Conn struct {
+	Stream
+	AtEnd func() // called before the end is recorded, to Note what is known only then; may be nil
+
+	sink     Sink
+	side     Side
+	name     string
+	id       uint64
+	received lineSplitter
+	sent     lineSplitter
+	endOnce  sync.Once
+	writeMu  sync.Mutex // keeps the order of lines in the sink that of the stream
 }
 
-// Read reads, and hands on the lines that have come whole.
+// Read reads from the stream, and records the lines that are complete. An error other than a timeout is the end.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Stream.Read(b)
-	c.in.feed(b[:n], func(text []byte) { c.take(text, false) })
-	var late net.Error
-	if err != nil && (!errors.As(err, &late) || !late.Timeout()) {
-		c.ended()
+	c.received.feed(b[:n], func(line []byte) { c.record(line, false) })
+	if err != nil && !isTimeout(err) {
+		c.recordEnd()
 	}
 	return n, err
 }
 
-// Write hands lines on before they are written: by the time the other side has one, the sink has seen it.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// Write records lines before it writes them: once the peer has one, the sink has seen it.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	c.out.feed(b, func(text []byte) { c.take(text, true) })
+	c.sent.feed(b, func(line []byte) { c.record(line, true) })
 	return c.Stream.Write(b)
 }
 
-// Note hands on a line that crosses in another form, as the first line in a channel's open does.
-func (c *Conn) Note(text string, sent bool) { c.take([]byte(text), sent) }
+// Note records a line that crosses in another form, such as the first line in a channel's open.
+func (c *Conn) Note(text string, sent bool) { c.record([]byte(text), sent) }
 
-// Close ends the stream.
+// Close records the end, and closes the stream.
 func (c *Conn) Close() error {
-	c.ended()
+	c.recordEnd()
 	return c.Stream.Close()
 }
 
-// Reset ends the stream so that the other side sees it broken off.
+// Reset records the end, and ends the stream so that the peer sees it broken off.
 func (c *Conn) Reset() error {
-	c.ended()
+	c.recordEnd()
 	return c.Stream.Reset()
 }
 
-func (c *Conn) take(text []byte, sent bool) {
-	c.sink.Take(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, Sent: sent, Line: text})
+func (c *Conn) record(line []byte, sent bool) {
+	c.sink.Take(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, Sent: sent, Line: line})
 }
 
-func (c *Conn) ended() {
+// recordEnd records the end once.
+func (c *Conn) recordEnd() {
 	c.endOnce.Do(func() {
 		if c.AtEnd != nil {
 			c.AtEnd()
@@ -121,22 +135,22 @@
 	})
 }
 
-// splitter finds lines in what comes in pieces. What is left at the end is no line.
-type splitter struct{ rest []byte }
+// lineSplitter finds lines in bytes that come in pieces. Bytes without a line end are no line.
+type lineSplitter struct{ rest []byte }
 
-func (s *splitter) feed(b []byte, each func([]byte)) {
+func (s *lineSplitter) feed(b []byte, handle func(line []byte)) {
 	for {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
 			s.rest = append(s.rest, b...)
 			return
 		}
-		text := b[:i]
+		line := b[:i]
 		if len(s.rest) > 0 {
-			text = append(s.rest, text...)
+			line = append(s.rest, line...)
 			s.rest = s.rest[:0]
 		}
-		each(bytes.TrimSuffix(text, []byte("\r")))
+		handle(bytes.TrimSuffix(line, []byte("\r")))
 		b = b[i+1:]
 	}
 }
--- a/lab/report/chart.go
+++ b/lab/report/chart.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart is a picture of some series.
+// Chart is a picture of some series; X and Y are the labels of its axes.
 type Chart struct {
 	Name, Title, X, Y string
 	Series            []Series
@@ -22,65 +22,94 @@
 	X, Y []float64
 }
 
-// The colours tell series apart also where colours are seen differently (Okabe and Ito).
-var colours = []color.RGBA{
-	{0, 114, 178, 255},
-	{213, 94, 0, 255},
-	{0, 158, 115, 255},
-	{204, 121, 167, 255},
-	{230, 159, 0, 255},
+const (
+	chartWidth  = 7 * vg.Inch
+	chartHeight = 4 * vg.Inch
+	lineWidth   = 1.5 // points
+	legendPad   = 2   // points
+	legendPart  = 5   // this part of the range of Y is added for the legend
+)
+
+// palette are colours that colour-blind readers can distinguish, too (Okabe and Ito).
+func palette() []color.RGBA {
+	return []color.RGBA{
+		{0, 114, 178, 255},
+		{213, 94, 0, 255},
+		{0, 158, 115, 255},
+		{204, 121, 167, 255},
+		{230, 159, 0, 255},
+	}
 }
 
 // draw writes the chart as SVG and PNG. A series without points is in the legend only; one with a single point is a
 // dot.
 func (c Chart) draw(base string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text = c.Title
+	p.X.Label.Text = c.X
+	p.Y.Label.Text = c.Y
 	p.BackgroundColor = color.White
-	p.Legend.Top, p.Legend.Left = true, true
-	p.Legend.Padding = vg.Points(2)
+	p.Legend.Top = true
+	p.Legend.Left = true
+	p.Legend.Padding = vg.Points(legendPad)
 	p.Add(plotter.NewGrid())
+	colours := palette()
 	for i, s := range c.Series {
-		pts := make(plotter.XYs, len(s.X))
-		for k := range pts {
-			pts[k].X, pts[k].Y = s.X[k], s.Y[k]
-		}
-		line, err := plotter.NewLine(pts)
-		if err != nil && len(pts) > 0 {
+		if err := s.addTo(p, colours[i%len(colours)]); err != nil {
 			return err
 		}
-		if len(pts) == 0 {
-			line = &plotter.Line{}
+	}
+	p.Y.Min = min(p.Y.Min, 0)
+	p.Y.Max += (p.Y.Max - p.Y.Min) / legendPart
+	return errors.Join(
+		p.Save(chartWidth, chartHeight, base+".svg"),
+		p.Save(chartWidth, chartHeight, base+".png"),
+	)
+}
+
+// addTo adds the series' line, or its dot, to a plot and its legend.
+func (s Series) addTo(p *plot.Plot, colour color.Color) error {
+	points := make(plotter.XYs, len(s.X))
+	for i := range points {
+		points[i].X = s.X[i]
+		points[i].Y = s.Y[i]
+	}
+	line := &plotter.Line{}
+	if len(points) > 0 {
+		var err error
+		if line, err = plotter.NewLine(points); err != nil {
+			return err
 		}
-		line.Color, line.Width = colours[i%len(colours)], vg.Points(1.5)
-		p.Legend.Add(s.Name, line)
-		if len(pts) == 1 {
-			dot, err := plotter.NewScatter(pts)
-			if err != nil {
-				return err
-			}
-			dot.Color = line.Color
-			p.Add(dot)
-		} else if len(pts) > 1 {
-			p.Add(line)
+	}
+	line.Color = colour
+	line.Width = vg.Points(lineWidth)
+	p.Legend.Add(s.Name, line)
+	switch {
+	case len(points) == 1:
+		dot, err := plotter.NewScatter(points)
+		if err != nil {
+			return err
 		}
+		dot.Color = colour
+		p.Add(dot)
+	case len(points) > 1:
+		p.Add(line)
 	}
-	p.Y.Min = min(p.Y.Min, 0)
-	p.Y.Max += (p.Y.Max - p.Y.Min) / 5 // room for the legend
-	return errors.Join(p.Save(7*vg.Inch, 4*vg.Inch, base+".svg"), p.Save(7*vg.Inch, 4*vg.Inch, base+".png"))
+	return nil
 }
 
-// Percentiles is a series of what a part of all values is at most: the part in per cent, and the value.
+// Percentiles is the distribution of values: for each, the percentage of all that do not exceed it, and the value.
 func Percentiles(name string, values []float64) Series {
 	s := Series{Name: name}
 	sorted := slices.Sorted(slices.Values(values))
 	for i, v := range sorted {
-		s.X, s.Y = append(s.X, 100*float64(i+1)/float64(len(sorted))), append(s.Y, v)
+		s.X = append(s.X, 100*float64(i+1)/float64(len(sorted)))
+		s.Y = append(s.Y, v)
 	}
 	return s
 }
 
-// Quantile is the value that a part q of all values does not exceed; 0 where there are none.
+// Quantile is the value that a part q of all values, from 0 to 1, does not exceed; 0 if there are none.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -89,19 +118,21 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Counts is a series of how many moments fall into each step of time, as a rate a second.
-func Counts(name string, moments []float64, step float64) Series {
+// Counts is a histogram of times, both in seconds: for each step of time, how many fall into it, as a rate per
+// second.
+func Counts(name string, times []float64, step float64) Series {
 	s := Series{Name: name}
-	if len(moments) == 0 {
+	if len(times) == 0 {
 		return s
 	}
-	last := slices.Max(moments)
+	last := slices.Max(times)
 	bins := make([]int, int(last/step)+1)
-	for _, m := range moments {
-		bins[max(int(m/step), 0)]++
+	for _, t := range times {
+		bins[max(int(t/step), 0)]++
 	}
 	for i, n := range bins {
-		s.X, s.Y = append(s.X, float64(i)*step), append(s.Y, float64(n)/step)
+		s.X = append(s.X, float64(i)*step)
+		s.Y = append(s.Y, float64(n)/step)
 	}
 	return s
 }
--- a/lab/report/repeats.go
+++ b/lab/report/repeats.go
@@ -13,89 +13,97 @@
 	"text/tabwriter"
 )
 
-// Repeats are runs of one experiment with different seeds.
+// Repeats are runs of one experiment with different seeds. All have the same bounds in the same order.
 type Repeats []*Report
 
-// Pass tells whether all bounds held in all of them.
+// Pass reports whether all bounds held in all runs.
 func (r Repeats) Pass() bool {
-	return !slices.ContainsFunc(r, func(one *Report) bool { return !one.Pass })
+	return !slices.ContainsFunc(r, func(run *Report) bool { return !run.Pass })
 }
 
-// of are all values of a figure.
-func (r Repeats) of(name string) []float64 {
-	var out []float64
-	for _, one := range r {
-		if v, had := one.Figures[name]; had {
-			out = append(out, v)
+// values are all values of a figure, of the runs that have it.
+func (r Repeats) values(name string) []float64 {
+	var values []float64
+	for _, run := range r {
+		if v, ok := run.Figures[name]; ok {
+			values = append(values, v)
 		}
 	}
-	return out
+	return values
 }
 
+// names are the names of all figures, sorted.
 func (r Repeats) names() []string {
 	all := map[string]bool{}
-	for _, one := range r {
-		for name := range one.Figures {
+	for _, run := range r {
+		for name := range run.Figures {
 			all[name] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Table writes each figure's least, median and greatest value, and how often a bound broke.
+// Table writes each figure's least, median and greatest value, and how often a bound was broken.
 func (r Repeats) Table(to io.Writer) error {
 	if len(r) == 0 {
 		return nil
 	}
+	first := r[0]
+	last := r[len(r)-1]
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(
-		w,
-		"%s, %d runs, seeds %d to %d, commit %s\n\nbound\tlimit\tleast\tmedian\tgreatest\tbroken\n",
-		r[0].Experiment,
-		len(r),
-		r[0].Seed,
-		r[len(r)-1].Seed,
-		r[0].Commit,
-	)
-	bounded := map[string]bool{}
+	fmt.Fprintf(w, "%s, %d runs, seeds %d to %d, commit %s\n\n",
+		first.Experiment, len(r), first.Seed, last.Seed, first.Commit)
+	bounded := r.writeBounds(w)
+	fmt.Fprint(w, "\nfigure\t\tleast\tmedian\tgreatest\n")
+	for _, name := range r.names() {
+		if !bounded[name] {
+			fmt.Fprintf(w, "%s\t\t%s\n", name, r.quantiles(name))
+		}
+	}
+	r.writeBrokenRuns(w)
+	return w.Flush()
+}
+
+// writeBounds writes a line for each bound, and returns their names.
+func (r Repeats) writeBounds(w *tabwriter.Writer) (bounded map[string]bool) {
+	bounded = map[string]bool{}
+	fmt.Fprint(w, "bound\tlimit\tleast\tmedian\tgreatest\tbroken\n")
 	for i, b := range r[0].Bounds {
 		bounded[b.Name] = true
 		broken := 0
-		for _, one := range r {
-			if !one.Bounds[i].OK {
+		for _, run := range r {
+			if !run.Bounds[i].OK {
 				broken++
 			}
 		}
-		sign := "<="
-		if b.IsMinimum {
-			sign = ">="
-		}
-		fmt.Fprintf(w, "%s\t%s %s\t%s\t%d\n", b.Name, sign, number(b.Limit), r.span(b.Name), broken)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", b.Name, b.limitText(), r.quantiles(b.Name), broken)
 	}
-	fmt.Fprint(w, "\nfigure\t\tleast\tmedian\tgreatest\n")
-	for _, name := range r.names() {
-		if !bounded[name] {
-			fmt.Fprintf(w, "%s\t\t%s\n", name, r.span(name))
-		}
-	}
-	for _, one := range r {
-		if one.Pass {
+	return bounded
+}
+
+// writeBrokenRuns writes the notes of each run that broke a bound.
+func (r Repeats) writeBrokenRuns(w *tabwriter.Writer) {
+	for _, run := range r {
+		if run.Pass {
 			continue
 		}
-		fmt.Fprintf(w, "\nseed %d broke a bound:\n", one.Seed)
-		for _, name := range slices.Sorted(maps.Keys(one.Notes)) {
-			fmt.Fprintf(w, "%s: %s\n", name, one.Notes[name])
+		fmt.Fprintf(w, "\nseed %d broke a bound:\n", run.Seed)
+		for _, name := range slices.Sorted(maps.Keys(run.Notes)) {
+			fmt.Fprintf(w, "%s: %s\n", name, run.Notes[name])
 		}
 	}
-	return w.Flush()
 }
 
-func (r Repeats) span(name string) string {
-	v := r.of(name)
-	return fmt.Sprintf("%s\t%s\t%s", number(Quantile(v, 0)), number(Quantile(v, 0.5)), number(Quantile(v, 1)))
+// quantiles are the cells with a figure's least, median and greatest value.
+func (r Repeats) quantiles(name string) string {
+	v := r.values(name)
+	least := formatNumber(Quantile(v, 0))
+	median := formatNumber(Quantile(v, 0.5))
+	greatest := formatNumber(Quantile(v, 1))
+	return least + "\t" + median + "\t" + greatest
 }
 
-// Keep writes a row for each run, and the first run's charts.
+// Keep writes a row for each run to a CSV file in a folder, and the first run as Report.Keep does.
 func (r Repeats) Keep(dir string) error {
 	if len(r) == 0 {
 		return nil
@@ -103,7 +111,7 @@
 	if len(r) == 1 {
 		return r[0].Keep(dir)
 	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
 	}
 	f, err := os.Create(filepath.Join(dir, r[0].Experiment+"-seeds.csv"))
@@ -112,10 +120,10 @@
 	}
 	names := r.names()
 	rows := [][]string{append([]string{"experiment", "commit", "seed", "pass"}, names...)}
-	for _, one := range r {
-		row := []string{one.Experiment, one.Commit, strconv.FormatUint(one.Seed, 10), strconv.FormatBool(one.Pass)}
+	for _, run := range r {
+		row := []string{run.Experiment, run.Commit, strconv.FormatUint(run.Seed, 10), strconv.FormatBool(run.Pass)}
 		for _, name := range names {
-			row = append(row, number(one.Figures[name]))
+			row = append(row, formatNumber(run.Figures[name]))
 		}
 		rows = append(rows, row)
 	}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,6 @@
-// Package report holds what an experiment measured, and writes it: as a table for people, as JSON for scripts, as
-// CSV and charts to keep. It knows figures, and not how they came about.
+// Package report has what an experiment measured, and writes it: as a table for people, as JSON for scripts, and as
+// CSV and charts for the records. It knows figures by their names and compares them with bounds; it must not know how
+// they were measured.
 package report
 
 import (
@@ -16,16 +17,21 @@
 	"text/tabwriter"
 )
 
+const (
+	dirMode  = 0o755
+	fileMode = 0o644
+)
+
 // Bound is a figure with its limit.
 type Bound struct {
 	Name      string  `json:"name"`
 	Limit     float64 `json:"limit"`
-	IsMinimum bool    `json:"at_least,omitempty"` // the limit is the least that is wanted, and not the most
+	IsMinimum bool    `json:"at_least,omitempty"` // the figure may be no less than the limit; else no more
 	Measured  float64 `json:"measured"`
 	OK        bool    `json:"ok"`
 }
 
-// Report is one run of an experiment.
+// Report is one run of an experiment. Figures must be set before it is used.
 type Report struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
@@ -38,39 +44,49 @@
 	Charts     []Chart            `json:"-"`
 }
 
-// Check holds a figure against its limit. A figure that was not measured breaks its bound.
+// Check compares a figure with its limit, adds the bound, and updates Pass. A figure that was not measured breaks its
+// bound.
 func (r *Report) Check(name string, limit float64, atLeast bool) {
-	got, had := r.Figures[name]
-	ok := had && (got <= limit && !atLeast || got >= limit && atLeast)
-	r.Bounds = append(r.Bounds, Bound{name, limit, atLeast, got, ok})
+	measured, ok := r.Figures[name]
+	if atLeast {
+		ok = ok && measured >= limit
+	} else {
+		ok = ok && measured <= limit
+	}
+	r.Bounds = append(r.Bounds, Bound{Name: name, Limit: limit, IsMinimum: atLeast, Measured: measured, OK: ok})
 	r.Pass = !slices.ContainsFunc(r.Bounds, func(b Bound) bool { return !b.OK })
 }
 
-// Ratio keeps one figure over another under a name of its own. Over nothing measured, or over 0, there is no ratio: a
-// bound on it is broken, as on any figure that was not measured.
-func (r *Report) Ratio(name, of, over string) {
-	if under := r.Figures[over]; under != 0 {
-		r.Figures[name] = r.Figures[of] / under
+// Ratio adds a figure: the quotient of two others. If the divisor was not measured or is 0 there is no such figure,
+// and a bound on it is broken.
+func (r *Report) Ratio(name, dividend, divisor string) {
+	if d := r.Figures[divisor]; d != 0 {
+		r.Figures[name] = r.Figures[dividend] / d
 	}
 }
 
+// limitText is the limit with its comparison.
+func (b *Bound) limitText() string {
+	if b.IsMinimum {
+		return ">= " + formatNumber(b.Limit)
+	}
+	return "<= " + formatNumber(b.Limit)
+}
+
 // Table writes the report for people.
 func (r *Report) Table(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s, seed %d, commit %s\n\nbound\tlimit\tmeasured\t\n", r.Experiment, r.Seed, r.Commit)
 	for _, b := range r.Bounds {
-		sign, verdict := "<=", "ok"
-		if b.IsMinimum {
-			sign = ">="
-		}
+		verdict := "ok"
 		if !b.OK {
 			verdict = "BROKEN"
 		}
-		fmt.Fprintf(w, "%s\t%s %s\t%s\t%s\n", b.Name, sign, number(b.Limit), number(b.Measured), verdict)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", b.Name, b.limitText(), formatNumber(b.Measured), verdict)
 	}
 	fmt.Fprint(w, "\nfigure\tmeasured\n")
 	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
-		fmt.Fprintf(w, "%s\t%s\n", name, number(r.Figures[name]))
+		fmt.Fprintf(w, "%s\t%s\n", name, formatNumber(r.Figures[name]))
 	}
 	for i, name := range slices.Sorted(maps.Keys(r.Notes)) {
 		if i == 0 {
@@ -81,25 +97,27 @@
 	return w.Flush()
 }
 
-func number(v float64) string {
+// formatNumber writes whole numbers without decimals, and others with three.
+func formatNumber(v float64) string {
 	if v == float64(int64(v)) {
 		return strconv.FormatInt(int64(v), 10)
 	}
 	return strconv.FormatFloat(v, 'f', 3, 64)
 }
 
-// JSON writes the report for scripts.
+// JSON writes the report to a file, for scripts.
 func (r *Report) JSON(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644)
+	return os.WriteFile(path, append(text, '\n'), fileMode)
 }
 
-// Keep writes the report and its charts into a folder, in files that begin with the experiment's name.
+// Keep writes the report and its charts into a folder, which it makes, in files that begin with the experiment's
+// name.
 func (r *Report) Keep(dir string) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
 	}
 	base := filepath.Join(dir, r.Experiment)
@@ -110,6 +128,7 @@
 	return err
 }
 
+// csv writes a row for each figure, those with bounds first.
 func (r *Report) csv(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -125,11 +144,11 @@
 	bounded := map[string]bool{}
 	for _, b := range r.Bounds {
 		bounded[b.Name] = true
-		rows = append(rows, []string{b.Name, number(b.Measured), number(b.Limit), strconv.FormatBool(b.OK)})
+		rows = append(rows, []string{b.Name, formatNumber(b.Measured), formatNumber(b.Limit), strconv.FormatBool(b.OK)})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
 		if !bounded[name] {
-			rows = append(rows, []string{name, number(r.Figures[name]), "", ""})
+			rows = append(rows, []string{name, formatNumber(r.Figures[name]), "", ""})
 		}
 	}
 	return errors.Join(w.WriteAll(rows), f.Close())
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -5,48 +5,60 @@
 	"time"
 )
 
-// Checker judges what members say of one another by what was done to them.
+const (
+	// defaultMaxPause is a pause that must not have a member declared dead.
+	defaultMaxPause = 2 * time.Second
+	// minRunBetweenPauses is how long a member must have run between two pauses for them to count separately: it
+	// needs the time to refute a suspicion, of which the others may remind it after half a second only.
+	minRunBetweenPauses = 500 * time.Millisecond
+	// Views are compared every minViewInterval, in large fleets less often: every viewIntervalPerMember for each
+	// member, since a comparison takes a step for each pair.
+	minViewInterval       = 100 * time.Millisecond
+	viewIntervalPerMember = time.Millisecond / 2
+)
+
+// Checker judges what members report of one another by what was done to them. Its methods belong to the goroutine of
+// the stage.
 type Checker struct {
-	s       Stage
-	say     func(format string, args ...any)
-	members []fate
-	last    time.Duration // the last change of faults
-
-	// What was found.
-	// held dead by somebody, though it ran, was paused for no more than Bearable and nothing was cut
-	FalseDead    int
-	HeldDead     int             // the same, however long it was paused
-	DeadReturned int             // alive again without a newer incarnation
-	Flaps        int             // most often that one observer took one member back after one fault
-	Seen         []time.Duration // from a crash until one member held the crashed one dead
-	Differ       time.Duration   // the longest that views contradicted each other after the last change of faults
-
-	Bearable time.Duration // a pause that must not cost a member its place
-	apart    bool          // something is cut, or was within the memory of a suspicion
-	flaps    map[[2]int]int
-	deadInc  map[[2]int]uint64
-}
-
-// fate is what has been done to a member.
-type fate struct {
-	up           bool
-	leaves       bool          // was told to stop
-	since        time.Duration // when it was started last
-	killed       time.Duration // 0 while it runs
-	paused       time.Duration // until
-	runningSince time.Duration // since when, the last time
-	longest      time.Duration // pause since it was started
-	excused      bool
+	stage     Stage
+	log       func(format string, args ...any)
+	members   []history
+	lastFault time.Duration // the last change of faults
+
+	// FalseDead counts reports that a running member is dead, though it was paused for no more than MaxPause and
+	// nothing was partitioned.
+	FalseDead      int
+	HeldDead       int             // the same, however long the member was paused
+	DeadReturned   int             // dead members that were alive again without a newer incarnation
+	Flaps          int             // most returns of one member to one observer after one fault
+	DetectionTimes []time.Duration // from each crash until one member reported it
+	Divergence     time.Duration   // the longest that views contradicted each other after the last change of faults
+
+	MaxPause        time.Duration // a pause that must not have a member declared dead
+	partitioned     bool          // members may be declared dead since links are, or lately were, partitioned
+	flapCounts      map[[2]int]int
+	deadIncarnation map[[2]int]uint64 // by observer and member: the incarnation that was reported dead
 }
 
-// breath is how long a member must have run between two pauses for them not to count as one: it says that it lives
-// when it is asked, and whoever it has not answered asks again after half a second.
-const breath = 500 * time.Millisecond
+// history is what has been done to a member. Times are those of the stage.
+type history struct {
+	up           bool
+	stopping     bool          // it was asked to stop
+	killedAt     time.Duration // 0 while it runs
+	pausedUntil  time.Duration
+	runningSince time.Duration // before its present pause, or since the pauses that count as one with it
+	longestPause time.Duration // since it was started
+	exempt       bool
+}
 
-func newChecker(s Stage, say func(string, ...any)) *Checker {
+func newChecker(s Stage, log func(string, ...any)) *Checker {
 	c := &Checker{
-		s: s, say: say, members: make([]fate, s.Members()), Bearable: 2 * time.Second, flaps: map[[2]int]int{},
-		deadInc: map[[2]int]uint64{},
+		stage:           s,
+		log:             log,
+		members:         make([]history, s.Members()),
+		MaxPause:        defaultMaxPause,
+		flapCounts:      map[[2]int]int{},
+		deadIncarnation: map[[2]int]uint64{},
 	}
 	for i := range c.members {
 		c.members[i].up = true
@@ -54,79 +66,102 @@
 	return c
 }
 
-func (c *Checker) fault(now time.Duration) {
-	c.last = now
-	clear(c.flaps)
+// faultsChanged notes that a fault began or ended.
+func (c *Checker) faultsChanged(now time.Duration) {
+	c.lastFault = now
+	clear(c.flapCounts)
 }
 
-// Apart says whether members may be held dead from now on that run, since they are cut off from others.
-func (c *Checker) Apart(may bool) { c.apart = may }
+// SetPartitioned sets whether running members may be declared dead from now on, since others can't reach them.
+func (c *Checker) SetPartitioned(partitioned bool) { c.partitioned = partitioned }
 
-// Excuse says that a member may be held dead from now on, since others can hardly reach it.
-func (c *Checker) Excuse(i int) { c.members[i].excused = true }
+// Exempt allows from now on that a member is declared dead, since others can hardly reach it.
+func (c *Checker) Exempt(i int) { c.members[i].exempt = true }
 
 func (c *Checker) started(i int) {
-	c.members[i] = fate{up: true, since: c.s.Now(), excused: c.members[i].excused}
-	for key := range c.deadInc {
+	c.members[i] = history{up: true, exempt: c.members[i].exempt}
+	for key := range c.deadIncarnation {
 		if key[0] == i {
-			delete(c.deadInc, key)
+			delete(c.deadIncarnation, key)
 		}
 	}
 }
 
-func (c *Checker) killed(i int) { c.members[i].up, c.members[i].killed = false, c.s.Now() }
+func (c *Checker) killed(i int) {
+	c.members[i].up = false
+	c.members[i].killedAt = c.stage.Now()
+}
 
-// stopped: from now on it need not be held to be there, and may be until it has ended.
-func (c *Checker) stopped(i int) { c.members[i].leaves = true }
+// stopped notes that a member was asked to stop: it may be reported alive until it has ended, or not.
+func (c *Checker) stopped(i int) { c.members[i].stopping = true }
 
 func (c *Checker) pausedFor(i int, d time.Duration) {
-	m, now := &c.members[i], c.s.Now()
-	if now > m.paused+breath {
+	m := &c.members[i]
+	now := c.stage.Now()
+	if now > m.pausedUntil+minRunBetweenPauses {
 		m.runningSince = now
 	}
-	m.paused = max(m.paused, now+d)
-	m.longest = max(m.longest, m.paused-m.runningSince)
+	m.pausedUntil = max(m.pausedUntil, now+d)
+	m.longestPause = max(m.longestPause, m.pausedUntil-m.runningSince)
 }
 
-// runs tells that a member's process is there and not paused.
-func (c *Checker) runs(i int) bool { return c.members[i].up && c.s.Now() >= c.members[i].paused }
+// running reports whether a member's process has neither ended nor is paused.
+func (c *Checker) running(i int) bool {
+	m := &c.members[i]
+	return m.up && c.stage.Now() >= m.pausedUntil
+}
 
-// Changed takes what an observer says that it holds another member to be now, and held it to be before.
-func (c *Checker) Changed(at time.Duration, observer, of int, from, to membership.State, inc uint64) {
-	key := [2]int{observer, of}
-	m := &c.members[of]
+// mustBeAlive reports whether a report that a member is dead is false, if its pauses are not taken into account.
+func (c *Checker) mustBeAlive(m *history) bool {
+	return m.up && !m.stopping && !m.exempt && !c.partitioned
+}
+
+// Changed judges a report: the observer sees another member in a new state, under an incarnation.
+func (c *Checker) Changed(at time.Duration, observer, of int, from, to membership.State, incarnation uint64) {
 	switch {
 	case to == membership.Dead:
-		c.deadInc[key] = inc
-		if m.up && !m.leaves && !c.apart && !m.excused {
-			c.HeldDead++
-		}
-		if m.up && !m.leaves && m.longest <= c.Bearable && !c.apart && !m.excused {
-			c.FalseDead++
-			c.say("%d holds %d dead, which runs", observer, of)
-		}
-		if m.killed > 0 {
-			c.Seen = append(c.Seen, at-m.killed)
-		}
+		c.reportedDead(at, observer, of, incarnation)
 	case from == membership.Dead && to == membership.Alive:
-		if was := c.deadInc[key]; inc <= was {
-			c.DeadReturned++
-			c.say("%d takes %d back under %d, dead under %d", observer, of, inc, was)
-		}
-		if c.flaps[key]++; !m.excused && !c.members[observer].excused {
-			c.Flaps = max(c.Flaps, c.flaps[key])
+		c.reportedBack(observer, of, incarnation)
+	}
+}
+
+func (c *Checker) reportedDead(at time.Duration, observer, of int, incarnation uint64) {
+	m := &c.members[of]
+	c.deadIncarnation[[2]int{observer, of}] = incarnation
+	if c.mustBeAlive(m) {
+		c.HeldDead++
+		if m.longestPause <= c.MaxPause {
+			c.FalseDead++
+			c.log("%d holds %d dead, which runs", observer, of)
 		}
 	}
+	if m.killedAt > 0 {
+		c.DetectionTimes = append(c.DetectionTimes, at-m.killedAt)
+	}
+}
+
+func (c *Checker) reportedBack(observer, of int, incarnation uint64) {
+	key := [2]int{observer, of}
+	if dead := c.deadIncarnation[key]; incarnation <= dead {
+		c.DeadReturned++
+		c.log("%d takes %d back under %d, dead under %d", observer, of, incarnation, dead)
+	}
+	c.flapCounts[key]++
+	if !c.members[of].exempt && !c.members[observer].exempt {
+		c.Flaps = max(c.Flaps, c.flapCounts[key])
+	}
 }
 
-// Unseen is how many live members have not seen the crash of one that stays down.
-func (c *Checker) Unseen() (n int) {
+// UndetectedCrashes counts the pairs of a running member and one that has ended, where the first still has the second
+// in the fleet.
+func (c *Checker) UndetectedCrashes() (n int) {
 	for i := range c.members {
 		if c.members[i].up {
 			continue
 		}
-		for o := range c.members {
-			if c.runs(o) && there(c.s.Holds(o, i)) {
+		for observer := range c.members {
+			if c.running(observer) && inFleet(c.stage.StateSeen(observer, i)) {
 				n++
 			}
 		}
@@ -134,87 +169,108 @@
 	return n
 }
 
-// there tells whether a member is held to be in the fleet.
-func there(s membership.State) bool { return s == membership.Alive || s == membership.Suspect }
+// inFleet reports whether a state is that of a member of the fleet.
+func inFleet(s membership.State) bool { return s == membership.Alive || s == membership.Suspect }
 
-// Watch looks again and again whether the views of those that reach each other both ways contradict, and keeps how
-// long after the last fault they did. A look takes a step for each pair of members, so that larger fleets are
-// looked at less often.
-func (c *Checker) Watch() {
-	every := max(100*time.Millisecond, time.Duration(len(c.members))*time.Millisecond/2)
-	c.s.After(every, func() {
-		if c.contradict() {
-			c.Differ = max(c.Differ, c.s.Now()-c.lastChange())
+// WatchViews compares the views of members periodically, and keeps in Divergence how long after the last fault views
+// of members that reach each other contradicted each other.
+func (c *Checker) WatchViews() {
+	interval := max(minViewInterval, time.Duration(len(c.members))*viewIntervalPerMember)
+	c.stage.After(interval, func() {
+		if c.viewsContradict() {
+			c.Divergence = max(c.Divergence, c.stage.Now()-c.lastFaultEnd())
 		}
-		c.Watch()
+		c.WatchViews()
 	})
 }
 
-// lastChange is when faults changed last: a pause changes things again when it ends, a stop when the process has gone.
-func (c *Checker) lastChange() time.Duration {
-	last := c.last
+// lastFaultEnd is when faults changed last, the ends of pauses included.
+func (c *Checker) lastFaultEnd() time.Duration {
+	last := c.lastFault
 	for i := range c.members {
-		if m := &c.members[i]; m.paused <= c.s.Now() {
-			last = max(last, m.paused)
+		if m := &c.members[i]; m.pausedUntil <= c.stage.Now() {
+			last = max(last, m.pausedUntil)
 		}
 	}
 	return last
 }
 
-// contradict tells that two members that run and reach each other both ways hold a third to be different things, or
-// one of them the other to be gone.
-func (c *Checker) contradict() bool {
-	side := c.sides()
+// viewsContradict reports whether two running members that reach each other both ways differ on whether a third is in
+// the fleet, or whether one of them has the other not in the fleet, or an ended member in it.
+func (c *Checker) viewsContradict() bool {
+	parts := c.partitions()
 	size := map[int]int{}
-	for _, s := range side {
-		size[s]++
+	for _, part := range parts {
+		size[part]++
 	}
 	for of := range c.members {
 		m := &c.members[of]
-		if m.excused || m.leaves || m.up && !c.runs(of) {
+		if m.exempt || m.stopping || m.up && !c.running(of) {
 			continue
 		}
-		first := map[int]bool{}
-		for o := range c.members {
-			// one that hears nobody says so, and judges nobody
-			if o == of || !c.runs(o) || c.members[o].leaves || c.members[o].excused || size[side[o]] == 1 {
-				continue
-			}
-			is := there(c.s.Holds(o, of))
-			if was, known := first[side[o]]; known && was != is {
-				return true
-			}
-			first[side[o]] = is
-			if side[o] == side[of] && m.up && !is || !m.up && is {
-				return true
-			}
+		if c.contradictOn(of, parts, size) {
+			return true
+		}
+	}
+	return false
+}
+
+// contradictOn compares the views of one member, by the part of the fleet in which the observers are.
+func (c *Checker) contradictOn(of int, parts []int, size map[int]int) bool {
+	m := &c.members[of]
+	seenInPart := map[int]bool{}
+	for observer := range c.members {
+		part := parts[observer]
+		// A member that is alone knows that it receives nothing, and declares nobody dead.
+		if observer == of || !c.judges(observer) || size[part] == 1 {
+			continue
+		}
+		seen := inFleet(c.stage.StateSeen(observer, of))
+		if other, known := seenInPart[part]; known && other != seen {
+			return true
+		}
+		seenInPart[part] = seen
+		if !m.up && seen {
+			return true
+		}
+		if m.up && part == parts[of] && !seen {
+			return true
 		}
 	}
 	return false
 }
 
-// sides groups the members that run by links that work both ways.
-func (c *Checker) sides() []int {
-	cuts := c.s.Cuts()
-	side := make([]int, len(c.members))
-	for i := range side {
-		side[i] = -1
+// judges reports whether a member's view counts.
+func (c *Checker) judges(observer int) bool {
+	return c.running(observer) && !c.members[observer].stopping && !c.members[observer].exempt
+}
+
+// partitions groups the running members by links that work both ways: for each member the first one of its group, -1
+// for one that does not run.
+func (c *Checker) partitions() []int {
+	lost := c.stage.Partitioned()
+	connected := func(a, b int) bool {
+		return len(lost) == 0 || !lost[[2]int{a, b}] && !lost[[2]int{b, a}]
+	}
+	group := make([]int, len(c.members))
+	for i := range group {
+		group[i] = -1
 	}
-	for i := range side {
-		if side[i] >= 0 || !c.runs(i) {
+	for first := range group {
+		if group[first] >= 0 || !c.running(first) {
 			continue
 		}
-		side[i] = i
-		for next := []int{i}; len(next) > 0; {
-			a := next[0]
-			next = next[1:]
-			for b := range side {
-				if side[b] < 0 && c.runs(b) && (len(cuts) == 0 || !cuts[[2]int{a, b}] && !cuts[[2]int{b, a}]) {
-					side[b] = i
-					next = append(next, b)
+		group[first] = first
+		for queue := []int{first}; len(queue) > 0; {
+			member := queue[0]
+			queue = queue[1:]
+			for other := range group {
+				if group[other] < 0 && c.running(other) && connected(member, other) {
+					group[other] = first
+					queue = append(queue, other)
 				}
 			}
 		}
 	}
-	return side
+	return group
 }
--- a/lab/simulation/cluster.go
+++ b/lab/simulation/cluster.go
@@ -104,8 +104,8 @@
 	c.schedule(Micros(d.Microseconds()), faultEvent, 0, 0, do)
 }
 
-// Holds is what a member considers another one to be, by what it has reported; Unknown before it was started.
-func (c *Cluster) Holds(observer, of int) membership.State {
+// StateSeen is what a member considers another one to be, by what it has reported; Unknown before it was started.
+func (c *Cluster) StateSeen(observer, of int) membership.State {
 	if reported := c.members[observer].reported; reported != nil {
 		return reported[of]
 	}
--- a/lab/simulation/links.go
+++ b/lab/simulation/links.go
@@ -75,8 +75,8 @@
 	c.downLinks = nil
 }
 
-// Cuts lists the links that carry nothing, as from and to.
-func (c *Cluster) Cuts() map[[2]int]bool {
+// Partitioned lists the links that carry nothing, as from and to.
+func (c *Cluster) Partitioned() map[[2]int]bool {
 	if c.downLinks == nil {
 		c.downLinks = map[[2]int]bool{}
 		for pair, l := range c.links {
--- a/lab/simulation/play.go
+++ b/lab/simulation/play.go
@@ -27,8 +27,8 @@
 	build Builder,
 	log func(string, ...any),
 ) (*scenario.Result, error) {
-	run := scenario.Scenarios[script]
-	if run == nil {
+	run, ok := scenario.Find(script)
+	if !ok {
 		return nil, fmt.Errorf("no scenario %q; there are %v", script, scenario.Names())
 	}
 	return PlayScript(script, run, members, seed, build, log), nil
@@ -54,9 +54,9 @@
 	c.Changed = func(observer, of int, change membership.StateChange) {
 		trial.Changed(c.Now(), observer, of, change.From, change.To, change.Incarnation)
 	}
-	trial.Watch()
+	trial.WatchViews()
 	last := run(trial)
-	c.Run(from + Micros((last + scenario.Settle).Microseconds()))
+	c.Run(from + Micros((last + scenario.SettleTime).Microseconds()))
 	result := trial.Result(name, seed)
 	result.Hash = c.Hash()
 	result.BytesPerS = c.bytesPerSecond(from)
@@ -88,7 +88,7 @@
 func (c *Cluster) allAlive() bool {
 	for i := range c.members {
 		for other := range c.members {
-			if i != other && c.Holds(i, other) != membership.Alive {
+			if i != other && c.StateSeen(i, other) != membership.Alive {
 				return false
 			}
 		}
