--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// heartbeat is how often a watch says something: an empty line, or, where weights fall with use, the list with those of now.
-const heartbeat = time.Second
+// heartbeatInterval is how often a watch without changes gets a line: an empty one, or the list if weights fall with
+// use.
+const heartbeatInterval = time.Second
 
-// discovery lists the nodes, whole, whenever one of them has changed.
+// discovery is an HTTP service that lists the nodes; watches get the whole list whenever one of them has changed.
 type discovery struct {
 	nodes  []*node
-	pushed bool
+	pushed bool // nodes are listed with weights that fall with use
 
 	mu         sync.Mutex
 	generation int
-	changed    chan struct{}
+	changed    chan struct{} // closed by the next change
 }
 
-// notifyWatches has all watches say the list.
+// notifyWatches sends the list to all watches.
 func (d *discovery) notifyWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -30,21 +31,20 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *discovery) render() (string, chan struct{}) {
+// render is the list as text, and a channel that its next change closes.
+func (d *discovery) render() (text string, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var items []string
+	var entries []string
 	for _, n := range d.nodes {
-		items = append(items, n.entry())
+		entries = append(entries, n.entry())
 	}
-	return fmt.Sprintf(
-		`{"generation":%d,"reset":true,"instances":[%s]}`,
-		d.generation,
-		strings.Join(items, ","),
-	), d.changed
+	instances := strings.Join(entries, ",")
+	text = fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, d.generation, instances)
+	return text, d.changed
 }
 
-// ServeHTTP answers with the list, or watches it.
+// ServeHTTP answers GET /api/targets with the list, or with stream set watches it until the caller has gone.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
@@ -55,16 +55,20 @@
 		_, _ = fmt.Fprintln(w, text)
 		return
 	}
-	out := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for {
-		if _, err := fmt.Fprintln(w, text); err != nil || out.Flush() != nil {
+		if _, err := fmt.Fprintln(w, text); err != nil {
+			return
+		}
+		if err := controller.Flush(); err != nil {
 			return
 		}
 		select {
 		case <-changed:
 			text, changed = d.render()
-		case <-time.After(heartbeat):
-			if text = ""; d.pushed {
+		case <-time.After(heartbeatInterval):
+			text = ""
+			if d.pushed {
 				text, changed = d.render()
 			}
 		case <-r.Context().Done():
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy is two index nodes and discovery for them, just enough to try the balancer by hand. Typing a node's
-// number (1 or 2) makes it drain. With --pushed the nodes tell the loads of connections, answer STATS with a load
-// report and are listed with weights that fall with use, by an agent that says so unasked.
+// Command toy is two index nodes and discovery for them, enough to try the balancer by hand. Typing a node's number
+// (1 or 2) makes it drain. With --pushed the nodes report the loads of connections, answer STATS with a load report,
+// and are listed with weights that fall with use, by an agent that pushes the list.
 package main
 
 import (
@@ -20,15 +20,16 @@
 	nodes := flag.String("nodes", "127.0.0.1:9001,127.0.0.1:9002", "where the nodes listen")
 	list := flag.String("discovery", "127.0.0.1:8500", "where discovery, or its agent, listens")
 	flag.Parse()
-	var at []net.Listener
+	var listeners []net.Listener
 	for _, addr := range strings.Split(*nodes, ",") {
-		at = append(at, listen(addr))
+		listeners = append(listeners, listen(addr))
 	}
-	d := startNodes(at, *pushed)
+	d := startNodes(listeners, *pushed)
 	go d.drainOnInput(os.Stdin)
 	log.Fatal(http.Serve(listen(*list), d))
 }
 
+// listen listens at an address, and ends the program if it can't.
 func listen(addr string) net.Listener {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -37,10 +38,10 @@
 	return ln
 }
 
-// startNodes has a node serve at each listener, and returns their discovery.
-func startNodes(at []net.Listener, pushed bool) *discovery {
+// startNodes starts a node at each listener, and returns their discovery.
+func startNodes(listeners []net.Listener, pushed bool) *discovery {
 	d := &discovery{pushed: pushed, generation: 1, changed: make(chan struct{})}
-	for i, ln := range at {
+	for i, ln := range listeners {
 		n := &node{
 			name:        "toy-" + strconv.Itoa(i+1),
 			addr:        ln.Addr().String(),
@@ -53,10 +54,12 @@
 	return d
 }
 
+// drainOnInput drains the node of each number that is read, until the input ends.
 func (d *discovery) drainOnInput(in io.Reader) {
-	for typed := bufio.NewScanner(in); typed.Scan(); {
-		if i, err := strconv.Atoi(strings.TrimSpace(typed.Text())); err == nil && i > 0 && i <= len(d.nodes) {
-			d.nodes[i-1].drain()
+	for lines := bufio.NewScanner(in); lines.Scan(); {
+		number, err := strconv.Atoi(strings.TrimSpace(lines.Text()))
+		if err == nil && number > 0 && number <= len(d.nodes) {
+			d.nodes[number-1].drain()
 			d.notifyWatches()
 		}
 	}
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	cores = 2.0
-	// defaultLoad is the load of a connection that brings no hint, in microseconds of work a second.
+	cores = 2.0 // of a node
+	// coreLoad is the load that one core serves, in microseconds of work in a second.
+	coreLoad = 1_000_000.0
+	// defaultLoad is the load of a connection whose OPEN has no hint, in the same unit.
 	defaultLoad = 50_000.0
-	coreLoad    = 1_000_000.0 // what one core does, the same
 )
 
 // node is one toy server.
 type node struct {
 	name, addr  string
-	reportsLoad bool // its load
+	reportsLoad bool // it sends the loads of connections, and answers STATS
 
 	mu       sync.Mutex
 	draining bool
-	loads    map[net.Conn]float64 // of the connections that it holds
+	loads    map[net.Conn]float64 // of the established connections
 }
 
+// accept serves connections until the listener is closed.
 func (n *node) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -41,48 +43,53 @@
 	}
 }
 
-// serve answers PING and STATS, takes OPEN unless it drains, and then sends every line back. A client's "work N"
-// sets the load of its connection, where loads are told.
+// serve answers PING and STATS until the first other line, and then serves the stream that an OPEN begins. Any other
+// line ends the connection.
 func (n *node) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	in := bufio.NewScanner(c)
-	for in.Scan() {
-		verb, rest, _ := strings.Cut(in.Text(), " ")
+	lines := bufio.NewScanner(c)
+	for lines.Scan() {
+		verb, rest, _ := strings.Cut(lines.Text(), " ")
 		switch {
 		case verb == "PING":
 			writeLine(c, "PONG")
-			continue
 		case verb == "STATS" && n.reportsLoad:
 			writeLine(c, n.report())
-			continue
-		case verb != "OPEN":
-			writeLine(c, "SYNTAX")
+		case verb == "OPEN":
+			n.serveStream(c, lines, expectedLoad(rest))
 			return
-		}
-		load := expectedLoad(rest)
-		if !n.admit(c, load) {
-			writeLine(c, "BUSY")
+		default:
+			writeLine(c, "SYNTAX")
 			return
 		}
-		defer n.remove(c)
-		writeLine(c, "UP "+n.name)
-		n.reportLoad(c, load)
-		for in.Scan() {
-			writeLine(c, in.Text())
-			if load, ok := strings.CutPrefix(in.Text(), "work "); ok {
-				n.reportLoad(c, parseLoad(load, defaultLoad))
-			}
-		}
+	}
+}
+
+// serveStream refuses the stream while the node drains, and else sends every line back. A client's "work N" sets the
+// load of its connection, if loads are reported.
+func (n *node) serveStream(c net.Conn, lines *bufio.Scanner, load float64) {
+	if !n.admit(c, load) {
+		writeLine(c, "BUSY")
 		return
 	}
+	defer n.remove(c)
+	writeLine(c, "UP "+n.name)
+	n.reportLoad(c, load)
+	for lines.Scan() {
+		writeLine(c, lines.Text())
+		if work, ok := strings.CutPrefix(lines.Text(), "work "); ok {
+			n.reportLoad(c, parseLoad(work, defaultLoad))
+		}
+	}
 }
 
-// writeLine writes a line; a client that has gone shows at the next read.
+// writeLine writes a line. An error shows at the next read.
 func writeLine(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%s\r\n", text) }
 
-// expectedLoad is the load that an OPEN line leads to expect.
-func expectedLoad(first string) float64 {
-	for _, pair := range strings.Split(first[strings.LastIndexByte(first, ' ')+1:], ",") {
+// expectedLoad is the load in the hint of an OPEN line, h=, in microseconds of work in a second.
+func expectedLoad(open string) float64 {
+	parameters := open[strings.LastIndexByte(open, ' ')+1:]
+	for _, pair := range strings.Split(parameters, ",") {
 		if value, ok := strings.CutPrefix(pair, "h="); ok {
 			return parseLoad(value, defaultLoad)
 		}
@@ -90,14 +97,16 @@
 	return defaultLoad
 }
 
+// parseLoad is a load of 0 or more, or the given one for any other text.
 func parseLoad(text string, otherwise float64) float64 {
-	if v, err := strconv.ParseFloat(text, 64); err == nil && v >= 0 {
-		return v
+	v, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(v >= 0) {
+		return otherwise
 	}
-	return otherwise
+	return v
 }
 
-// reportLoad notes a connection's load, and says it on the connection.
+// reportLoad sets a connection's load, and sends it on the connection.
 func (n *node) reportLoad(c net.Conn, load float64) {
 	if !n.reportsLoad {
 		return
@@ -108,7 +117,7 @@
 	writeLine(c, fmt.Sprintf("LOAD %.0f", load))
 }
 
-// report is the answer to STATS: nothing waits at a toy, and x0 is what is asked of it over what it can do.
+// report is the answer to STATS: no queue, and as x0 the load over what the cores serve.
 func (n *node) report() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,13 +128,15 @@
 	return fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f", sum/(cores*coreLoad))
 }
 
+// admit adds a connection with its load, unless the node drains.
 func (n *node) admit(c net.Conn, load float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.draining {
-		n.loads[c] = load
+	if n.draining {
+		return false
 	}
-	return !n.draining
+	n.loads[c] = load
+	return true
 }
 
 func (n *node) remove(c net.Conn) {
@@ -134,6 +145,7 @@
 	delete(n.loads, c)
 }
 
+// drain moves and closes all connections, and refuses new ones from now on.
 func (n *node) drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -148,13 +160,14 @@
 func (n *node) entry() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	state, weight := "Ready", 1.0
+	lifecycle := "Ready"
+	weight := 1.0
 	if n.draining {
-		state = "Terminating"
+		lifecycle = "Terminating"
 	}
 	if n.reportsLoad {
 		weight = cores / (1 + float64(len(n.loads))/cores)
 	}
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"here","machineType":"toy","cell":0,"lifecycle":%q,`+
-		`"weight":%.3f,"startedAtMs":0}`, n.name, n.addr, state, weight)
+		`"weight":%.3f,"startedAtMs":0}`, n.name, n.addr, lifecycle, weight)
 }
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// awaitTimeout bounds every wait; nothing is proved by its passing.
+// awaitTimeout bounds every wait; its length is no part of what is tested.
 const awaitTimeout = 15 * time.Second
 
-// installation is one of the example's, with a process of the balancer in front of it.
+// installation is one of the example's: two nodes and discovery, with a balancer's process in front of them.
 type installation struct {
 	t    *testing.T
 	d    *discovery
-	addr string // where clients connect
+	addr string // address for clients
 }
 
 // install starts the program with an example's configuration, at addresses that are free here.
@@ -43,19 +43,22 @@
 	mustSucceed(t, free.Close())
 	text, err := os.ReadFile(config)
 	mustSucceed(t, err)
-	var pairs []string
-	for i, now := range []string{
-		in.addr, list.Listener.Addr().String(), nodes[0].Addr().String(),
+	addrs := []string{
+		in.addr,
+		list.Listener.Addr().String(),
+		nodes[0].Addr().String(),
 		nodes[1].Addr().String(),
-	} {
-		if was := "127.0.0.1:" + ports[i]; strings.Contains(string(text), was) {
-			pairs = append(pairs, was, now)
-		} else {
-			t.Fatalf("%s does not have %s", config, was)
+	}
+	var replacements []string
+	for i, addr := range addrs {
+		documented := "127.0.0.1:" + ports[i]
+		if !strings.Contains(string(text), documented) {
+			t.Fatalf("%s does not have %s", config, documented)
 		}
+		replacements = append(replacements, documented, addr)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	mustSucceed(t, os.WriteFile(path, []byte(strings.NewReplacer(pairs...).Replace(string(text))), 0o600))
+	mustSucceed(t, os.WriteFile(path, []byte(strings.NewReplacer(replacements...).Replace(string(text))), 0o600))
 	cmd := exec.Command(program)
 	cmd.Env = []string{"GW_CONFIG=" + path, "TMPDIR=" + t.TempDir()}
 	mustSucceed(t, cmd.Start())
@@ -63,8 +66,8 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	})
-	for late := time.Now().Add(awaitTimeout); in.request("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(late) {
+	for end := time.Now().Add(awaitTimeout); in.request("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
 			t.Fatal("never ready")
 		}
 	}
@@ -78,7 +81,7 @@
 	}
 }
 
-// request says one line on a connection of its own, and returns the answer, "" where none came.
+// request sends one line on a connection of its own, and returns the answer, "" if none comes.
 func (in *installation) request(text string) string {
 	c, err := net.Dial("tcp", in.addr)
 	if err != nil {
@@ -91,7 +94,7 @@
 	return strings.TrimSpace(answer)
 }
 
-// client is a connection that stands.
+// client is an established connection.
 type client struct {
 	installation *installation
 	conn         net.Conn
@@ -99,6 +102,7 @@
 	node         string
 }
 
+// open establishes a connection.
 func (in *installation) open(id int, class, more string) *client {
 	in.t.Helper()
 	c, err := net.Dial("tcp", in.addr)
@@ -123,48 +127,48 @@
 	return strings.TrimSpace(text)
 }
 
-// awaitLine reads on to a line.
+// awaitLine reads until a line comes.
 func (p *client) awaitLine(want string) {
 	p.installation.t.Helper()
 	for p.readLine() != want {
 	}
 }
 
-// Both installations are served by one binary, told apart by what their settings say alone: lines pass, a node that
-// drains is left, and where loads are told a server that has much to do is left alone.
+// One binary serves both installations, by their settings alone: lines are forwarded, clients leave a node that
+// drains, and if loads are reported a server with a high load gets no new connections.
 func TestBothInstallations(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurspread")
 	if out, err := exec.Command("go", "build", "-o", program,
 		"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	asked := install(t, program, "../config.json", false, [4]string{"8081", "8500", "9001", "9002"})
+	pulled := install(t, program, "../config.json", false, [4]string{"8081", "8500", "9001", "9002"})
 	pushed := install(t, program, "../pushed.json", true, [4]string{"8082", "8501", "9101", "9102"})
 
 	heavy := pushed.open(1, "feed", ",g=1,h=1500000")
 	heavy.awaitLine("LOAD 1500000")
 	for i := range 5 {
 		if p := pushed.open(2+i, "watch", ",g=2,h=20000"); p.node == heavy.node {
-			t.Errorf("connection %d went to %s, which has all it can do", i, p.node)
+			t.Errorf("connection %d went to %s, which has no capacity left", i, p.node)
 		}
 	}
 
-	for class, in := range map[string]*installation{"index-sync": asked, "feed": pushed} {
-		stands := map[string]*client{}
-		for i := 0; len(stands) < 2 && i < 100; i++ {
+	for class, in := range map[string]*installation{"index-sync": pulled, "feed": pushed} {
+		byNode := map[string]*client{}
+		for i := 0; len(byNode) < 2 && i < 100; i++ {
 			p := in.open(1000+i, class, ",h=1000")
 			writeLine(p.conn, "hello")
 			p.awaitLine("hello")
-			stands[p.node] = p
+			byNode[p.node] = p
 		}
-		if len(stands) < 2 {
-			t.Fatalf("%s: all on one node: %v", class, stands)
+		if len(byNode) < 2 {
+			t.Fatalf("%s: all on one node: %v", class, byNode)
 		}
 		in.d.nodes[0].drain()
 		in.d.notifyWatches()
-		stands["toy-1"].awaitLine("MOVE")
-		writeLine(stands["toy-2"].conn, "still there")
-		stands["toy-2"].awaitLine("still there")
+		byNode["toy-1"].awaitLine("MOVE")
+		writeLine(byNode["toy-2"].conn, "still there")
+		byNode["toy-2"].awaitLine("still there")
 		for i := range 20 {
 			if p := in.open(2000+i, class, ",h=1000"); p.node != "toy-2" {
 				t.Fatalf("%s: connection %d went to %s, which drains", class, i, p.node)
