--- /dev/null
+++ b/cmd/spurspread-lab/run.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os/signal"
+	"slices"
+	"spurspread/lab/experiment"
+	"spurspread/lab/members"
+	"spurspread/lab/node"
+	"spurspread/lab/report"
+
+	"golang.org/x/sync/errgroup"
+	"golang.org/x/sys/unix"
+)
+
+// listCmd lists the experiments.
+type listCmd struct{}
+
+// Run prints the names of all experiments, with what each shows.
+func (listCmd) Run(s *streams) error {
+	for _, name := range slices.Concat(experiment.Names(), members.Names(), scaleNames()) {
+		_, about, err := find(name)
+		if err != nil {
+			return err
+		}
+		if _, err := fmt.Fprintf(s.out, "%-18s %s\n", name, about); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runner is an experiment of any kind.
+type runner interface {
+	Run(ctx context.Context, o experiment.Options) (*report.Report, error)
+}
+
+// find returns an experiment of any kind by its name, and what it shows.
+func find(name string) (e runner, about string, err error) {
+	if slices.Contains(members.Names(), name) {
+		t, err := members.Find(name)
+		if err != nil {
+			return nil, "", err
+		}
+		return t, string(t.About), nil
+	}
+	if s := findScale(name); s != nil {
+		return s, s.About, nil
+	}
+	x, err := experiment.Find(name)
+	if err != nil {
+		return nil, "", err
+	}
+	return x, string(x.About), nil
+}
+
+// runCmd runs one experiment.
+type runCmd struct {
+	Name       string `arg:"" help:"The experiment, see spurspread-lab list; or a file (.xml) of one's own."`
+	Seed       uint64 `default:"1" help:"Draws arrivals, ids and the times of faults."`
+	Repeat     int    `default:"1" help:"Play it so often, each time with the next seed."`
+	Jobs       int    `default:"1" help:"Play so many at once."`
+	JSON       string `name:"json" placeholder:"FILE" help:"Where to write the report for scripts."`
+	Out        string `placeholder:"DIR" help:"Where to keep the report: JSON, CSV and charts."`
+	Spurspread string `placeholder:"FILE" help:"The balancer's program; beside this one if not given."`
+	Quiet      bool   `help:"Print the table only."`
+	Plant      string `enum:",forget-claims,skip-message,repeat-message,no-delegate,every-delegate,wrong-summary" default:"" placeholder:"FAULT" help:"Plant a fault, to see that the checker finds it. In nodes: forget-claims, skip-message or repeat-message. In hollow members of scale runs: no-delegate, every-delegate or wrong-summary."`
+	scaleFlags `group:"Scale runs (scale-...)"`
+}
+
+// Help is the command's long help.
+func (runCmd) Help() string {
+	return "Plays the experiment once, on loopback, with balancers as processes of their own, and prints a " +
+		"table of its bounds\n" + `and figures. The bounds hold for any seed.
+
+Example:
+  spurspread-lab run token-drain --seed 7 --out /tmp/token-drain`
+}
+
+// Run runs the experiment with each seed, and writes the report. A broken bound is errBoundBroken.
+func (c *runCmd) Run(s *streams) error {
+	e, _, err := find(c.Name)
+	if err != nil {
+		return err
+	}
+	if err := c.apply(e, c.Name, c.Plant); err != nil {
+		return err
+	}
+	program, err := balancerProgram(c.Spurspread)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), unix.SIGINT, unix.SIGTERM)
+	defer stop()
+	o := experiment.Options{Program: program, Commit: commit(), Fault: node.Fault(c.Plant)}
+	if !c.Quiet {
+		o.Progress = s.err
+	}
+	all, err := c.runRepeats(ctx, e, o)
+	if err != nil {
+		return err
+	}
+	return c.writeReport(s, all)
+}
+
+// runRepeats runs the experiment with each seed, Jobs at the same time.
+func (c *runCmd) runRepeats(ctx context.Context, e runner, o experiment.Options) (report.Repeats, error) {
+	all := make(report.Repeats, max(c.Repeat, 1))
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(c.Jobs, 1))
+	for i := range all {
+		one := o
+		one.Seed = c.Seed + uint64(i)
+		one.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, one.Seed, c.asWritten())
+		group.Go(func() (err error) {
+			all[i], err = e.Run(ctx, one)
+			return err
+		})
+	}
+	return all, group.Wait()
+}
+
+// writeReport prints the table, and writes the files that were asked for.
+func (c *runCmd) writeReport(s *streams, all report.Repeats) error {
+	if err := writeTable(s.out, all); err != nil {
+		return err
+	}
+	if c.JSON != "" {
+		if err := all[0].JSON(c.JSON); err != nil {
+			return err
+		}
+	}
+	if c.Out != "" {
+		if err := all.Keep(c.Out); err != nil {
+			return err
+		}
+	}
+	if !all.Pass() {
+		return errBoundBroken
+	}
+	return nil
+}
+
+// writeTable prints the report of one run, or the summary of several.
+func writeTable(to io.Writer, all report.Repeats) error {
+	if len(all) == 1 {
+		return all[0].Table(to)
+	}
+	return all.Table(to)
+}
