--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.apply(e, c.Name, c.Plant); err != nil {
+	if err := c.give(e, c.Name, c.Plant); err != nil {
 		return err
 	}
 	program, err := balancerProgram(c.Spurspread)
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -34,14 +34,18 @@
 	Partition time.Duration `name:"cut" help:"How long each cut lasts; 0: as long as the bounds ask for."`
 }
 
-// asWritten are the flags as they were written, each with a blank before it.
+// asWritten are the flags that were given as on the command line, each with a blank before it.
 func (f scaleFlags) asWritten() (out string) {
-	for _, one := range []struct {
+	for _, flag := range []struct {
 		name  string
 		value int
-	}{{"members", f.Members}, {"regions", f.Regions}, {"zones", f.Zones}} {
-		if one.value != 0 {
-			out += fmt.Sprintf(" --%s %d", one.name, one.value)
+	}{
+		{"members", f.Members},
+		{"regions", f.Regions},
+		{"zones", f.Zones},
+	} {
+		if flag.value != 0 {
+			out += fmt.Sprintf(" --%s %d", flag.name, flag.value)
 		}
 	}
 	if f.Flat {
@@ -56,8 +60,8 @@
 	return out
 }
 
-// apply hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
-func (f scaleFlags) apply(e runner, name, plant string) error {
+// give hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
+func (f scaleFlags) give(e runner, name, plant string) error {
 	ofScale := slices.Contains(scale.Plants, scale.Plant(plant))
 	s, is := e.(*scaleRun)
 	switch {
@@ -99,14 +103,14 @@
 }
 
 // scaleNames are the names of the scale runs.
-func scaleNames() (out []string) {
+func scaleNames() (names []string) {
 	for i := range scaleRuns {
-		out = append(out, scaleRuns[i].Name)
+		names = append(names, scaleRuns[i].Name)
 	}
-	return out
+	return names
 }
 
-// findScale finds a scale run by its name; nil where there is none.
+// findScale returns the scale run of that name, nil if there is none.
 func findScale(name string) *scaleRun {
 	for i := range scaleRuns {
 		if scaleRuns[i].Name == name {
@@ -119,5 +123,5 @@
 // hollowCmd is the process of hollow members that a scale run starts.
 type hollowCmd struct{}
 
-// Run is told what to do on standard input.
+// Run runs hollow members as the commands on standard input have it.
 func (hollowCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -124,7 +124,7 @@
 	for _, row := range rows {
 		found := false
 		for i, line := range lines {
-			if sameForm(line, row) {
+			if sameRow(line, row) {
 				lines[i] = row
 				found = true
 			}
@@ -136,8 +136,8 @@
 	return strings.Join(lines, "\n"), nil
 }
 
-// sameForm reports whether two rows have the same first cell and as many cells.
-func sameForm(a, b string) bool {
+// sameRow reports whether two rows have the same first cell and as many cells.
+func sameRow(a, b string) bool {
 	return firstCell(a) == firstCell(b) && strings.Count(a, " | ") == strings.Count(b, " | ")
 }
 
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -176,7 +176,7 @@
 	}
 	best := <-answered
 	if answerRank(best) == rankEstablished {
-		go func() { (<-answered).close() }() // nobody waits for the other answer
+		go func() { (<-answered).close() }() // the other answer does not matter any more
 		return best
 	}
 	other := <-answered
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// closeWhenAnswered closes a channel that nobody waits for. It can't be closed before the peer has confirmed it with
-// its number.
+// closeWhenAnswered closes a channel whose open was given up. It can't be closed before the peer has confirmed it
+// with its number.
 func closeWhenAnswered(channel *sshchan.Channel) {
 	if answer, ok := <-channel.Answered(); ok && answer.Up {
 		_ = channel.Close()
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -165,7 +165,7 @@
 	close(done)
 }
 
-// freeAddr is an address that nobody listens at and that the kernel gives to nobody else before it is used: outgoing
+// freeAddr is an unused address that the kernel gives to no other socket before it is used: outgoing
 // connections come from 127.0.0.1, as most listeners do, and this is another of 127.0.0.0/8.
 func freeAddr() (string, error) {
 	ip := net.IPv4(127, byte(64+rand.IntN(128)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -12,7 +12,7 @@
 // reconnectBurst is how long after the first fault the connections that clients and nodes make are counted.
 const reconnectBurst = 2 * time.Second
 
-// millis is a duration in milliseconds, cut to whole microseconds.
+// millis is a duration in milliseconds, in whole microseconds.
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func allMillis(durations []time.Duration) []float64 {
--- a/lab/loadgen/loadgen_test.go
+++ b/lab/loadgen/loadgen_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An answer other than UP, and an end without one, are refusals; an address where nobody listens is not.
+// An answer other than UP, and an end without one, are refusals; an address without a listener is not.
 func TestOpen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.91.3.7:0") // the kernel gives ports of this address to no connection
 	if err != nil {
@@ -44,6 +44,6 @@
 	addr := ln.Addr().String()
 	_ = ln.Close()
 	if _, _, err := Open(addr, "OPEN 1 2", 0); err == nil || errors.Is(err, ErrRefused) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("no listener: %v", err)
 	}
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -40,7 +40,7 @@
 	sendBuffer  []byte    // of the stream's goroutine only
 }
 
-// read passes the peer's lines on until its end, or until nobody has taken one for firstLineTimeout.
+// read passes the peer's lines on until its end, or until one has not been taken for firstLineTimeout.
 func (c *conn) read() {
 	defer close(c.peerClosed)
 	reader := bufio.NewReaderSize(c.recorded, maxLineBytes)
@@ -82,7 +82,7 @@
 	}
 }
 
-// move asks the client to reconnect elsewhere.
+// move makes the client reconnect elsewhere.
 func (c *conn) move() {
 	if c.channel == nil {
 		c.write(wordMove + "\r\n")
--- a/lab/procs/proc.go
+++ b/lab/procs/proc.go
@@ -198,7 +198,7 @@
 	p.wait()
 }
 
-// Terminate asks the process to end with SIGTERM, and does not wait for it.
+// Terminate sends SIGTERM to the process, and does not wait for its end.
 func (p *Proc) Terminate() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
--- a/lab/procs/stage.go
+++ b/lab/procs/stage.go
@@ -230,7 +230,7 @@
 	s.views[i].Store(nil)
 }
 
-// Stop asks a process to end, and does not wait for it.
+// Stop sends SIGTERM to a process, and does not wait for its end.
 func (s *Stage) Stop(i int) { s.fleet.Procs[i].Terminate() }
 
 // Start starts a process, and does not wait until it serves. Run returns its error.
--- a/lab/proto/proto.go
+++ b/lab/proto/proto.go
@@ -13,8 +13,8 @@
 // openFields are the parts of a first line: the word, the id, the key and the parameters.
 const openFields = 4
 
-// askToken is the value of tok by which a client wants a resume token.
-const askToken = "ask"
+// wantsTokenValue is the value of tok by which a client wants a resume token.
+const wantsTokenValue = "ask"
 
 // Open is a first line.
 type Open struct {
@@ -71,7 +71,7 @@
 	case "again":
 		o.Again = value == "1"
 	case "tok":
-		o.WantsToken = value == askToken
+		o.WantsToken = value == wantsTokenValue
 		if !o.WantsToken {
 			o.Token = value
 		}
@@ -95,7 +95,7 @@
 		{"at", o.At, o.At != ""},
 		{"again", "1", o.Again},
 		{"cur", strconv.FormatUint(o.Cursor, 10), o.HasCursor},
-		{"tok", askToken, o.WantsToken},
+		{"tok", wantsTokenValue, o.WantsToken},
 		{"tok", o.Token, o.Token != ""},
 	} {
 		if parameter.present {
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -43,7 +43,7 @@
 // history is what has been done to a member. Times are those of the stage.
 type history struct {
 	up           bool
-	stopping     bool          // it was asked to stop
+	stopping     bool          // it was stopped in the planned way
 	killedAt     time.Duration // 0 while it runs
 	pausedUntil  time.Duration
 	runningSince time.Duration // before its present pause, or since the pauses that count as one with it
@@ -92,7 +92,7 @@
 	c.members[i].killedAt = c.stage.Now()
 }
 
-// stopped notes that a member was asked to stop: it may be reported alive until it has ended, or not.
+// stopped notes that a member is being stopped: it may be reported alive until it has ended, or not.
 func (c *Checker) stopped(i int) { c.members[i].stopping = true }
 
 func (c *Checker) pausedFor(i int, d time.Duration) {
@@ -221,7 +221,7 @@
 	seenInPart := map[int]bool{}
 	for observer := range c.members {
 		part := parts[observer]
-		// A member that is alone knows that it receives nothing, and declares nobody dead.
+		// A member that is alone knows that it receives nothing, and declares no member dead.
 		if observer == of || !c.judges(observer) || size[part] == 1 {
 			continue
 		}
--- a/lab/scenario/trial.go
+++ b/lab/scenario/trial.go
@@ -31,7 +31,7 @@
 
 	// Kill ends a member's process at once.
 	Kill(i int)
-	// Stop asks a member to end, and to announce that.
+	// Stop makes a member announce its end, and end.
 	Stop(i int)
 	// Start starts a process under the name of a member that has ended.
 	Start(i int)
@@ -85,7 +85,7 @@
 	t.killed(i)
 }
 
-// Stop asks a member to end. From now on it may be reported alive, or not.
+// Stop stops a member in the planned way. From now on it may be reported alive, or not.
 func (t *Trial) Stop(i int) {
 	t.Stage.Stop(i)
 	t.stopped(i)
--- a/lab/sshchan/channel.go
+++ b/lab/sshchan/channel.go
@@ -286,7 +286,7 @@
 	return errors.Join(ch.CloseWrite(), ch.Reset())
 }
 
-// Move asks the peer to open a new channel elsewhere, with a token if it is not empty, and closes this one.
+// Move makes the peer open a new channel elsewhere, with a token if it is not empty, and closes this one.
 func (ch *Channel) Move(token string) error {
 	ch.conn.mu.Lock()
 	err := ch.conn.write(ssh.Marshal(requestMsg{ID: ch.peerNumber, Type: moveRequest, Token: token}))
