--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -9,7 +9,12 @@
 )
 
 func testIndex(now time.Time) *packageindex.Index {
-	return &packageindex.Index{Epoch: now.Add(-time.Hour), Interval: 10 * time.Millisecond, RetainedMessages: 1000, MessageBytes: 20}
+	return &packageindex.Index{
+		Epoch:            now.Add(-time.Hour),
+		Interval:         10 * time.Millisecond,
+		RetainedMessages: 1000,
+		MessageBytes:     20,
+	}
 }
 
 // observe feeds a checker a script at one time: "SIDE CONN > LINE" is sent, "<" is read, and "end" is an end. #N is
