--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -55,9 +56,18 @@
 	})
 }
 
-func TestPageIsCheckedAgainstStoredResults(t *testing.T) {
-	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
-	for line, fault := range map[string]string{
+// wantProblem checks that a page has a problem with this text, or none for "".
+func wantProblem(t *testing.T, line string, p Page, want string) {
+	t.Helper()
+	got := strings.Join(p.Problems, "; ")
+	if want == "" && got != "" || !strings.Contains(got, want) {
+		t.Errorf("%s: %q, %q expected", line, got, want)
+	}
+}
+
+// Measured figures are compared with stored results, and formulas with their operands.
+func TestFiguresAndFormulas(t *testing.T) {
+	for line, want := range map[string]string{
 		"[1,240 bytes](results/a.csv#bytes)":                "",
 		"[1,240.0](results/a.csv#bytes)":                    "",
 		"[1,235](results/a.csv#bytes&members=60&least)":     "",
@@ -85,12 +95,17 @@
 		"`(1 = 2`":                                          "expected",
 	} {
 		p := checkedPage(line)
-		if got := strings.Join(p.Problems, "; "); fault == "" && got != "" || !strings.Contains(got, fault) ||
-			p.Measured+p.Formulas == 0 {
-			t.Errorf("%s: %q, %q expected", line, got, fault)
+		wantProblem(t, line, p, want)
+		if p.Measured+p.Formulas == 0 {
+			t.Errorf("%s: neither a figure nor a formula was found", line)
 		}
 	}
-	for row, fault := range map[string]string{
+}
+
+// A row's basis must be that of its cells.
+func TestBasis(t *testing.T) {
+	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
+	for row, want := range map[string]string{
 		"| a | [1,240](results/a.csv#bytes) | measured |":     "",
 		"| a | `3 * 2 = 6` | worked out |":                    "",
 		"| a | 4,096 | published (tcp(7)) |":                  "",
@@ -102,23 +117,25 @@
 		"| a | 7 | guessed |":                                 "no basis",
 		"| a | 7 |":                                           "no cell",
 	} {
-		if got := strings.Join(checkedPage(append(table, row)...).Problems, "; "); fault == "" && got != "" ||
-			!strings.Contains(got, fault) {
-			t.Errorf("%s: %q, %q expected", row, got, fault)
-		}
+		wantProblem(t, row, checkedPage(append(table, row)...), want)
 	}
-	table = []string{"| what | at the target | ratio | basis |", "| --- | --- | --- | --- |"}
-	for row, fault := range map[string]string{
+}
+
+// Plain numbers in computed columns must be ones that the row computes.
+func TestComputedColumns(t *testing.T) {
+	table := []string{"| what | at the target | ratio | basis |", "| --- | --- | --- | --- |"}
+	for row, want := range map[string]string{
 		"| `n = 12` of `3 * 2 = 6` | 6 zones | 12 | worked out |":     "",
 		"| `3 * 2 = 6` | 7 | - | worked out |":                        "not what the row computes",
 		"| `3 * 2 = 6` | - | 0.5 | worked out |":                      "not what the row computes",
 		"| `3 * 2 = 6` | `7 * 1 = 7` | `6 / 12 = 0.5` | worked out |": "",
 	} {
-		if got := strings.Join(checkedPage(append(table, row)...).Problems, "; "); fault == "" && got != "" ||
-			!strings.Contains(got, fault) {
-			t.Errorf("%s: %q, %q expected", row, got, fault)
-		}
+		wantProblem(t, row, checkedPage(append(table, row)...), want)
 	}
+}
+
+// Examples in code spans and fenced blocks are not checked.
+func TestExamplesAreNotChecked(t *testing.T) {
 	if p := checkedPage("as `[1](results/b.csv#bytes)` has it"); len(p.Problems) > 0 || p.Measured != 0 {
 		t.Errorf("an example in a code span is checked: %+v", p)
 	}
@@ -145,9 +162,11 @@
 	return files
 }
 
-func TestLinesAreStoredAndComputedAgain(t *testing.T) {
-	dir := t.TempDir()
-	f := Fits{
+// computedFits are lines through stored runs of five sizes, one of them held out, and their folder.
+func computedFits(t *testing.T) (f Fits, dir string) {
+	t.Helper()
+	dir = t.TempDir()
+	f = Fits{
 		Size:    "members",
 		Target:  1500,
 		HeldOut: 850,
@@ -157,17 +176,39 @@
 	if err := f.Compute(dir); err != nil {
 		t.Fatal(err)
 	}
+	return f, dir
+}
+
+func TestCompute(t *testing.T) {
+	f, dir := computedFits(t)
 	for name, want := range map[string]float64{
-		"bytes.slope": 1, "bytes.intercept": 900, "bytes.target": 2400, "bytes.at_target": 2400,
-		"bytes.held": 1750, "bytes.held_line": 1750, "bytes.prediction_error": 0,
+		"bytes.slope":            1,
+		"bytes.intercept":        900,
+		"bytes.target":           2400,
+		"bytes.at_target":        2400,
+		"bytes.held":             1750,
+		"bytes.held_line":        1750,
+		"bytes.prediction_error": 0,
 	} {
-		if got, is := f.Figures[name]; !is || got < want-1e-6 || got > want+1e-6 {
+		if got, ok := f.Figures[name]; !ok || got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("%s is %v, %v wanted", name, got, want)
 		}
 	}
-	if f.Refused["false_dead"] == "" || f.Commit != "c1" {
-		t.Errorf("%+v", f)
+	if f.Refused["false_dead"] == "" {
+		t.Errorf("a line through zeros: %+v", f)
+	}
+	if f.Commit != "c1" {
+		t.Errorf("commit %q", f.Commit)
+	}
+	f.ExcludedSizes = []float64{600}
+	if err := f.Compute(dir); err != nil || f.Refused["bytes"] == "" {
+		t.Errorf("a line through three sizes: %+v, %v", f.Figures, err)
 	}
+}
+
+// Stored lines are read as a run, and are rejected once a figure was changed by hand.
+func TestStoredFits(t *testing.T) {
+	f, dir := computedFits(t)
 	path := filepath.Join(dir, "scale-rest-fit.json")
 	if err := f.Write(path); err != nil {
 		t.Fatal(err)
@@ -175,44 +216,59 @@
 	if err := CheckFits(path); err != nil {
 		t.Error(err)
 	}
-	if runs, err := Read(path); err != nil || len(runs) != 1 ||
-		runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
-		t.Errorf("stored lines are read as %+v, %v", runs, err)
+	runs, err := Read(path)
+	if err != nil || len(runs) != 1 {
+		t.Fatalf("stored lines are read as %+v, %v", runs, err)
 	}
-	readBack := func(file string) ([]Run, error) { return Read(filepath.Join(dir, filepath.Base(file))) }
-	head := "| a | b | c | d | e | f | g | h | i | basis |\n| --- |\n"
-	rows := f.Rows(filepath.Base(path), map[string]float64{"bytes": 4096})
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Problems) > 0 || len(rows) != 2 ||
-		p.Measured != 7 ||
-		p.Formulas != 1 {
-		t.Errorf("rows %q: %+v", rows, p)
+	if runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
+		t.Errorf("stored lines are read as %+v", runs)
 	}
-	head = "| a | b | c | d | basis |\n| --- |\n"
-	filled, err := Replace(
-		"| `bytes` | - | - | not measured |\n| `bytes` |"+strings.Repeat(" - |", 8)+" not measured |\nelse",
-		rows[:1],
-	)
-	if err != nil || filled != "| `bytes` | - | - | not measured |\n"+rows[0]+"\nelse" {
-		t.Errorf("filled in: %q, %v", filled, err)
+	f.Figures["bytes.slope"] *= 1.001
+	if err := f.Write(path); err != nil {
+		t.Fatal(err)
 	}
-	if _, err := Replace(filled, rows); err == nil {
-		t.Error("a row is filled in that is not there")
+	if err := CheckFits(path); !errors.Is(err, ErrChanged) || !strings.Contains(err.Error(), "bytes.slope") {
+		t.Errorf("a slope that was changed by hand: %v", err)
 	}
-	rows = f.Predictions(filepath.Base(path))
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Problems) > 0 || len(rows) != 1 ||
-		p.Measured != 3 {
-		t.Errorf("predictions %q: %+v", rows, p)
+}
+
+// Rows and predictions have the form that Check accepts.
+func TestRowsAndPredictions(t *testing.T) {
+	f, dir := computedFits(t)
+	const file = "scale-rest-fit.json"
+	if err := f.Write(filepath.Join(dir, file)); err != nil {
+		t.Fatal(err)
 	}
-	less := f
-	if less.ExcludedSizes = []float64{600}; less.Compute(dir) != nil || less.Refused["bytes"] == "" {
-		t.Errorf("a line through three sizes: %+v", less.Figures)
+	read := func(file string) ([]Run, error) { return Read(filepath.Join(dir, filepath.Base(file))) }
+	check := func(head string, rows []string) Page {
+		return Check([]byte(head+"\n| --- |\n"+strings.Join(rows, "\n")), read)
 	}
-	f.Figures["bytes.slope"] *= 1.001
-	if err := f.Write(path); err != nil {
+	rows := f.Rows(file, map[string]float64{"bytes": 4096})
+	p := check("| a | b | c | d | e | f | g | h | i | basis |", rows)
+	if len(p.Problems) > 0 || len(rows) != 2 || p.Measured != 7 || p.Formulas != 1 {
+		t.Errorf("rows %q: %+v", rows, p)
+	}
+	rows = f.Predictions(file)
+	p = check("| a | b | c | d | basis |", rows)
+	if len(p.Problems) > 0 || len(rows) != 1 || p.Measured != 3 {
+		t.Errorf("predictions %q: %+v", rows, p)
+	}
+}
+
+// A row replaces those of the same first cell and as many cells, and must have one.
+func TestReplace(t *testing.T) {
+	f, _ := computedFits(t)
+	rows := f.Rows("scale-rest-fit.json", map[string]float64{"bytes": 4096})
+	page := "| `bytes` | - | - | not measured |\n| `bytes` |" + strings.Repeat(" - |", 8) + " not measured |\nelse"
+	replaced, err := Replace(page, rows[:1])
+	if err != nil {
 		t.Fatal(err)
 	}
-	if err := CheckFits(path); err == nil || !strings.Contains(err.Error(), "bytes.slope") {
-		t.Errorf("a slope that was changed by hand: %v", err)
+	if replaced != "| `bytes` | - | - | not measured |\n"+rows[0]+"\nelse" {
+		t.Errorf("replaced: %q", replaced)
+	}
+	if _, err := Replace(replaced, rows); !errors.Is(err, ErrNoRow) {
+		t.Errorf("a row that has no place: %v", err)
 	}
 }
 
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"spurspread/internal/xmlconfig"
 	"spurspread/lab/node"
 	"spurspread/lab/report"
@@ -32,15 +33,17 @@
 	}())
 }
 
-// small is a kept experiment on a fleet and a load that any machine bears. What depends on the machine's speed is not
-// looked at here.
-func small(t *testing.T, name string, streams, nodes int, fault node.Fault) *report.Report {
+// runSmall runs the first pass of an embedded experiment with a small fleet and load. Tests must not check figures that
+// depend on the machine's speed.
+func runSmall(t *testing.T, name string, streams, nodes int, fault node.Fault) *report.Report {
 	t.Helper()
 	e, err := Find(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Load.Streams, e.Load.Groups, e.Fleet.Nodes = streams, 5, nodes
+	e.Load.Streams = streams
+	e.Load.Groups = 5
+	e.Fleet.Nodes = nodes
 	e.Passes.Pass = e.Passes.Pass[:1]
 	r, err := e.Run(context.Background(), Options{Seed: 3, Program: program, Fault: fault})
 	if err != nil {
@@ -49,19 +52,21 @@
 	return r
 }
 
-// exact are the bounds that no load of the machine may break.
-var exact = map[string]bool{
-	"lost": true, "repeated": true, "corrupt": true, "told_gaps": true, "max_live_per_token": true,
-	"max_ever_live_per_token": true, "session_calls_unexplained": true,
+// isExact reports whether a bound must hold however slow the machine is.
+func isExact(bound string) bool {
+	return slices.Contains([]string{
+		"lost", "repeated", "corrupt", "told_gaps", "max_live_per_token", "max_ever_live_per_token",
+		"session_calls_unexplained",
+	}, bound)
 }
 
 func TestTokenExperiments(t *testing.T) {
 	for _, name := range []string{"token-drain", "token-crash", "token-restart", "token-twice"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := small(t, name, 40, 5, node.NoFault)
+			r := runSmall(t, name, 40, 5, node.NoFault)
 			for _, b := range r.Bounds {
-				if exact[b.Name] && !b.OK {
+				if isExact(b.Name) && !b.OK {
 					t.Errorf("%s: %v", b.Name, b.Measured)
 				}
 			}
@@ -72,8 +77,8 @@
 	}
 }
 
-// A checker that finds nothing proves nothing: each planted fault must be seen from outside.
-func TestPlantedFaults(t *testing.T) {
+// The checker must find each injected fault: else its silence would prove nothing.
+func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault      node.Fault
 		experiment string
@@ -85,7 +90,7 @@
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			t.Parallel()
-			r := small(t, c.experiment, 40, 5, c.fault)
+			r := runSmall(t, c.experiment, 40, 5, c.fault)
 			for _, b := range r.Bounds {
 				if b.Name == c.broken && b.OK {
 					t.Errorf("%s was not found: %v", c.fault, b.Measured)
@@ -95,8 +100,8 @@
 	}
 }
 
-// All kept experiments are read, and have the names of their files.
-func TestKept(t *testing.T) {
+// All embedded experiments can be read, and have the names of their files.
+func TestEmbedded(t *testing.T) {
 	for _, name := range Names() {
 		e, err := Find(name)
 		if err != nil || string(e.Name) != name {
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -3,10 +3,8 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"spurspread/decision/resume"
-	"spurspread/internal/token"
 	"spurspread/lab/proto"
 	"spurspread/lab/recorder"
 	"spurspread/lab/sshchan"
@@ -219,77 +217,6 @@
 	return c.node.session.Call(ctx)
 }
 
-// claimToken checks the token of the request, and claims it for this connection. Without a token it accepts.
-func (c *conn) claimToken() resume.Reason {
-	n := c.node
-	request := &c.request
-	if request.Token == "" || n.ring == nil {
-		return resume.Accepted
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var t token.Token
-	if err := n.ring.Open([]byte(request.Token), &t); err != nil {
-		return reasonOf(err)
-	}
-	now := time.Now()
-	grant := grantOf(&t)
-	// The node can't parse group and owner; the balancer has compared them with the token.
-	stream := resume.StreamRequest{
-		Class:  request.Class,
-		Key:    request.Key,
-		Group:  t.Group,
-		Tenant: t.Tenant,
-		Cursor: request.Cursor,
-	}
-	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(request.Key, now.Add(-n.cfg.Lag))}
-	if n.cfg.Fault == ForgetClaims {
-		n.registry = resume.NewRegistry(n.cfg.ID, n.started, clockSkew, maxClaims)
-	}
-	reason := n.registry.Claim(unixMillis(now), &grant, &stream, log, n.draining)
-	if reason == resume.Accepted {
-		c.claim = grant.ID
-	}
-	return reason
-}
-
-// reasonOf is the reason for which a token that could not be opened is refused.
-func reasonOf(err error) resume.Reason {
-	switch {
-	case errors.Is(err, token.ErrUnknownKey):
-		return resume.UnknownKey
-	case errors.Is(err, token.ErrForged):
-		return resume.Forged
-	default:
-		return resume.Malformed
-	}
-}
-
-// grantOf is the content of a token as the registry takes it.
-func grantOf(t *token.Token) resume.Grant {
-	return resume.Grant{
-		ID:              resume.ID(t.ID),
-		IssuedAt:        resume.UnixMillis(t.IssuedAt),
-		ExpiresAt:       resume.UnixMillis(t.ExpiresAt),
-		Class:           string(t.Class),
-		Key:             t.Key,
-		Group:           t.Group,
-		Tenant:          t.Tenant,
-		LastDelivered:   t.LastSequence,
-		Server:          string(t.Server),
-		ServerStartedAt: resume.UnixMillis(t.ServerStarted),
-	}
-}
-
-// releaseClaim gives the claim of a stream back that was not established: its token can be used again.
-func (c *conn) releaseClaim() {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
-	if c.claim != (resume.ID{}) {
-		c.node.registry.Release(c.claim)
-	}
-}
-
 // establish makes this the client's connection. With a token, an older connection of the same client is closed.
 func (c *conn) establish() {
 	n := c.node
@@ -418,12 +345,3 @@
 	_, err := c.recorded.Write(lines)
 	return cursor, err
 }
-
-// closeClaim notes in the registry that the connection for which a token was claimed has ended.
-func (c *conn) closeClaim() {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
-	if c.claim != (resume.ID{}) {
-		c.node.registry.Closed(c.claim)
-	}
-}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-func TestReport(t *testing.T) {
+// testReport has three figures and three bounds, of which the last is on a figure that was not measured.
+func testReport() *Report {
 	r := &Report{
 		Experiment: "x",
 		Seed:       3,
@@ -18,6 +19,14 @@
 	}
 	r.Check("lost", 0, false)
 	r.Check("honoured", 7, true)
+	r.Check("never measured", 5, false)
+	return r
+}
+
+func TestBounds(t *testing.T) {
+	r := &Report{Figures: map[string]float64{"lost": 0, "honoured": 7}}
+	r.Check("lost", 0, false)
+	r.Check("honoured", 7, true)
 	if !r.Pass {
 		t.Error("broken though all holds")
 	}
@@ -26,10 +35,15 @@
 		t.Error("a figure that was not measured passes")
 	}
 	r.Ratio("none_ratio", "honoured", "lost")
-	if r.Check("none_ratio", 1, false); r.Bounds[len(r.Bounds)-1].OK {
+	r.Check("none_ratio", 1, false)
+	if r.Bounds[len(r.Bounds)-1].OK {
 		t.Error("a ratio over 0 holds its bound")
 	}
-	// Charts of no point, of one, and with a gap are drawn, too.
+}
+
+// Charts without points, with one and with a gap are drawn, too.
+func TestKeepWritesFiles(t *testing.T) {
+	r := testReport()
 	r.Charts = []Chart{
 		{Name: "empty", Series: []Series{{Name: "none"}}},
 		{Name: "one", Series: []Series{{Name: "dot", X: []float64{1}, Y: []float64{2}}}},
@@ -42,12 +56,25 @@
 	if err := r.Keep(dir); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{"x-empty.svg", "x-one.png", "x-two.svg", "x.csv"} {
-		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
+	for _, name := range []string{"x-empty.svg", "x-one.png", "x-two.svg", "x.csv", "x.json"} {
+		info, err := os.Stat(filepath.Join(dir, name))
+		if err != nil {
 			t.Errorf("%s: %v", name, err)
+		} else if info.Size() == 0 {
+			t.Errorf("%s is empty", name)
 		}
 	}
-	text, err := os.ReadFile(filepath.Join(dir, "x.json"))
+}
+
+func TestJSON(t *testing.T) {
+	r := testReport()
+	r.Ratio("none_ratio", "honoured", "lost")
+	r.Check("none_ratio", 1, false)
+	path := filepath.Join(t.TempDir(), "x.json")
+	if err := r.JSON(path); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,15 +89,23 @@
 		}
 		Figures map[string]float64
 	}
-	if err := json.Unmarshal(text, &got); err != nil || got.Seed != 3 || got.Pass || len(got.Bounds) != 4 ||
-		got.Bounds[2].OK ||
-		got.Figures["honoured"] != 7 {
-		t.Errorf("%+v, %v", got, err)
+	if err := json.Unmarshal(text, &got); err != nil {
+		t.Fatal(err)
 	}
+	if got.Seed != 3 || got.Pass || len(got.Bounds) != 4 || got.Bounds[2].OK || got.Figures["honoured"] != 7 {
+		t.Errorf("%+v", got)
+	}
+}
+
+func TestTable(t *testing.T) {
 	var out bytes.Buffer
-	if err := r.Table(&out); err != nil || !strings.Contains(out.String(), "BROKEN") ||
-		!strings.Contains(out.String(), "12.346") {
-		t.Errorf("%s, %v", out.String(), err)
+	if err := testReport().Table(&out); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"BROKEN", "12.346"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("no %q in %s", want, out.String())
+		}
 	}
 }
 
