--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -13,7 +13,9 @@
 )
 
 // scaleRuns are the runs that take the flags of a scale run.
-var scaleRuns = []scale.Experiment{scale.Rest, scale.Region, ofConnections}
+func scaleRuns() []scale.Experiment {
+	return []scale.Experiment{scale.Rest, scale.Region, ofConnections}
+}
 
 // ofConnections is the scale run of one balancer. None of the flags of a fleet applies to it, and its package
 // imports none of package scale.
@@ -104,17 +106,17 @@
 
 // scaleNames are the names of the scale runs.
 func scaleNames() (names []string) {
-	for i := range scaleRuns {
-		names = append(names, scaleRuns[i].Name)
+	for _, e := range scaleRuns() {
+		names = append(names, e.Name)
 	}
 	return names
 }
 
 // findScale returns the scale run of that name, nil if there is none.
 func findScale(name string) *scaleRun {
-	for i := range scaleRuns {
-		if scaleRuns[i].Name == name {
-			return &scaleRun{Experiment: scaleRuns[i]}
+	for _, e := range scaleRuns() {
+		if e.Name == name {
+			return &scaleRun{Experiment: e}
 		}
 	}
 	return nil
--- a/lab/deployment/config.go
+++ b/lab/deployment/config.go
@@ -1,7 +1,6 @@
 package deployment
 
 import (
-	"cmp"
 	"crypto/rand"
 	"encoding/hex"
 	"errors"
@@ -13,8 +12,8 @@
 )
 
 const (
-	// defaultMemoryMB is a balancer's memory limit where the configuration gives none.
-	defaultMemoryMB = 192
+	// memoryMB is a balancer's memory limit.
+	memoryMB = 192
 	// Each process of each balancer has a seed of its own: the deployment's, the balancer's rank, and its starts.
 	seedsPerDeployment = 1000
 	seedsPerBalancer   = 100
@@ -61,7 +60,7 @@
 		"seed":      fmt.Sprintf("%x", seed),
 		"limits": map[string]any{
 			"cores":     1,
-			"memory_mb": cmp.Or(d.cfg.MemoryMB, defaultMemoryMB),
+			"memory_mb": memoryMB,
 			"sockets":   8192,
 		},
 		"known": d.Discovery.FullList(),
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -51,7 +51,6 @@
 	Nodes            int
 	Tokens           bool // the site file turns resume tokens on, and the nodes have the key
 	Channels         bool // the site file turns multiplexed channels on, and the nodes accept them
-	MemoryMB         int  // memory limit of a balancer; 0: defaultMemoryMB
 	Seed             uint64
 	Interval         time.Duration // between two messages of a stream
 	RetainedMessages uint64        // messages of each stream that a node's log retains
@@ -230,7 +229,7 @@
 	return nil
 }
 
-// StartClient starts a client, which runs until the clients are stopped. Without a link in its configuration it makes
+// StartClient starts a client, which runs until Stop. Without a link in its configuration it makes
 // connections of its own to the front end.
 func (d *Deployment) StartClient(cfg client.Config) *client.Client {
 	cfg.Recorder = d.recorder
@@ -260,15 +259,10 @@
 	return out
 }
 
-// StopClients ends the clients only, and waits for them.
-func (d *Deployment) StopClients() {
-	d.stop()
-	d.clients.Wait()
-}
-
 // Stop ends the clients and every process and listener that was started. It may follow a failed start.
 func (d *Deployment) Stop() {
-	d.StopClients()
+	d.stop()
+	d.clients.Wait()
 	if d.Frontend != nil {
 		_ = d.Frontend.Close()
 	}
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -25,17 +25,16 @@
 
 // conn is one connection with plain lines, or one channel. A goroutine serves it, and another reads its lines.
 type conn struct {
-	node        *Node
-	channel     *sshchan.Channel // nil for a connection of its own
-	recorded    *recorder.Conn
-	received    chan string        // lines of the peer
-	peerClosed  chan struct{}      // closed once the peer has ended its side
-	moveAfter   chan time.Duration // at most one wait after which the client is moved
-	request     proto.Open
-	client      string    // identifies the client whose stream it is
-	claim       resume.ID // of its token; zero: none
-	established bool      // guarded by the node's mutex
-	sendBuffer  []byte    // of the stream's goroutine only
+	node       *Node
+	channel    *sshchan.Channel // nil for a connection of its own
+	recorded   *recorder.Conn
+	received   chan string        // lines of the peer
+	peerClosed chan struct{}      // closed once the peer has ended its side
+	moveAfter  chan time.Duration // at most one wait after which the client is moved
+	request    proto.Open
+	client     string    // identifies the client whose stream it is
+	claim      resume.ID // of its token; zero: none
+	sendBuffer []byte    // of the stream's goroutine only
 }
 
 // read passes the peer's lines on until its end, or until one has not been taken for firstLineTimeout.
@@ -197,16 +196,12 @@
 	return true
 }
 
-// mustRefuse reports whether the node takes no new stream: it drains, unless the client was at this node before the
-// run, or it has more connections than it may.
+// mustRefuse reports whether the node takes no new stream: it drains, and the client was not at this node before the
+// run.
 func (c *conn) mustRefuse() bool {
-	n := c.node
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.draining && c.request.At == "" {
-		return true
-	}
-	return n.cfg.MaxConnections > 0 && len(n.conns) > n.cfg.MaxConnections
+	c.node.mu.Lock()
+	defer c.node.mu.Unlock()
+	return c.node.draining && c.request.At == ""
 }
 
 // callSessionStore makes the session call that a client without a token costs.
@@ -224,7 +219,6 @@
 	n.mu.Lock()
 	older := n.streams[c.client]
 	n.streams[c.client] = c
-	c.established = true
 	if c.claim != (resume.ID{}) {
 		n.registry.Established(c.claim)
 	}
@@ -279,7 +273,7 @@
 			if cursor, err = c.sendDue(cursor); err != nil {
 				return
 			}
-			next := c.node.cfg.Index.Due(c.request.Key, cursor+1).Add(c.node.cfg.Lag)
+			next := c.node.cfg.Index.Due(c.request.Key, cursor+1)
 			due.Reset(max(time.Until(next), 0))
 		}
 	}
@@ -300,7 +294,7 @@
 func (c *conn) resumeCursor() uint64 {
 	index := c.node.cfg.Index
 	key := c.request.Key
-	now := time.Now().Add(-c.node.cfg.Lag)
+	now := time.Now()
 	floor := index.Floor(key, now)
 	head := index.Head(key, now)
 	if !c.request.HasCursor || c.request.Cursor == 0 && c.request.WantsToken {
@@ -329,7 +323,7 @@
 	index := c.node.cfg.Index
 	key := c.request.Key
 	c.node.running.Pass()
-	now := time.Now().Add(-c.node.cfg.Lag)
+	now := time.Now()
 	lines := c.sendBuffer[:0]
 	for range maxBatch {
 		if index.Due(key, cursor+1).After(now) {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -28,9 +28,7 @@
 	Store          string             // address of the session store
 	Keys           []token.Key        // of resume tokens; none: it accepts no tokens
 	SetUp          time.Duration      // its own work for a new connection
-	MaxConnections int                // connections beyond it are refused with BUSY; 0: no limit
 	Patience       time.Duration      // from a drain until clients that take tokens are moved, too
-	Lag            time.Duration      // how late its copy of the index is
 	OnAccept       func()             // called for each accepted connection; may be nil
 	Channels       bool               // it accepts multiplexed channels as well as plain lines
 	Fault          Fault              // injected, to test that a checker finds it
@@ -146,19 +144,6 @@
 	return int64(n.started)
 }
 
-// Established is the number of established connections and channels.
-func (n *Node) Established() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	established := 0
-	for c := range n.conns {
-		if c.established {
-			established++
-		}
-	}
-	return established
-}
-
 // Drain makes it refuse new streams and move its clients away: plain ones at once, those that take tokens after its
 // patience.
 func (n *Node) Drain() {
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// defaultMaxPause is a pause that must not have a member declared dead.
-	defaultMaxPause = 2 * time.Second
+	// maxPause is a pause that must not have a member declared dead.
+	maxPause = 2 * time.Second
 	// minRunBetweenPauses is how long a member must have run between two pauses for them to count separately: it
 	// needs the time to refute a suspicion, of which the others may remind it after half a second only.
 	minRunBetweenPauses = 500 * time.Millisecond
@@ -25,7 +25,7 @@
 	members   []history
 	lastFault time.Duration // the last change of faults
 
-	// FalseDead counts reports that a running member is dead, though it was paused for no more than MaxPause and
+	// FalseDead counts reports that a running member is dead, though it was paused for no more than maxPause and
 	// nothing was partitioned.
 	FalseDead      int
 	HeldDead       int             // the same, however long the member was paused
@@ -34,8 +34,7 @@
 	DetectionTimes []time.Duration // from each crash until one member reported it
 	Divergence     time.Duration   // the longest that views contradicted each other after the last change of faults
 
-	MaxPause        time.Duration // a pause that must not have a member declared dead
-	partitioned     bool          // members may be declared dead since links are, or lately were, partitioned
+	partitioned     bool // members may be declared dead since links are, or lately were, partitioned
 	flapCounts      map[[2]int]int
 	deadIncarnation map[[2]int]uint64 // by observer and member: the incarnation that was reported dead
 }
@@ -56,7 +55,6 @@
 		stage:           s,
 		log:             log,
 		members:         make([]history, s.Members()),
-		MaxPause:        defaultMaxPause,
 		flapCounts:      map[[2]int]int{},
 		deadIncarnation: map[[2]int]uint64{},
 	}
@@ -131,7 +129,7 @@
 	c.deadIncarnation[[2]int{observer, of}] = incarnation
 	if c.mustBeAlive(m) {
 		c.HeldDead++
-		if m.longestPause <= c.MaxPause {
+		if m.longestPause <= maxPause {
 			c.FalseDead++
 			c.log("%d holds %d dead, which runs", observer, of)
 		}
