--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -5,15 +5,18 @@
 	"fmt"
 	"os"
 	"slices"
+	"time"
+
 	"spurspread/lab/experiment"
 	"spurspread/lab/report"
 	"spurspread/lab/scale"
 	"spurspread/lab/scale/connections"
-	"time"
 )
 
 // scaleRuns are the runs that take the flags of a scale run.
-var scaleRuns = []scale.Experiment{scale.Rest, scale.Region, ofConnections}
+func scaleRuns() []scale.Experiment {
+	return []scale.Experiment{scale.Rest, scale.Region, ofConnections}
+}
 
 // ofConnections is the scale run of one balancer. None of the flags of a fleet applies to it, and its package
 // imports none of package scale.
@@ -34,14 +37,18 @@
 	Partition time.Duration `name:"cut" help:"How long each cut lasts; 0: as long as the bounds ask for."`
 }
 
-// given are the flags as they were written, each with a blank before it.
-func (f scaleFlags) given() (out string) {
-	for _, one := range []struct {
+// asWritten are the flags that were given as on the command line, each with a blank before it.
+func (f scaleFlags) asWritten() (out string) {
+	for _, flag := range []struct {
 		name  string
 		value int
-	}{{"members", f.Members}, {"regions", f.Regions}, {"zones", f.Zones}} {
-		if one.value != 0 {
-			out += fmt.Sprintf(" --%s %d", one.name, one.value)
+	}{
+		{"members", f.Members},
+		{"regions", f.Regions},
+		{"zones", f.Zones},
+	} {
+		if flag.value != 0 {
+			out += fmt.Sprintf(" --%s %d", flag.name, flag.value)
 		}
 	}
 	if f.Flat {
@@ -99,18 +106,18 @@
 }
 
 // scaleNames are the names of the scale runs.
-func scaleNames() (out []string) {
-	for i := range scaleRuns {
-		out = append(out, scaleRuns[i].Name)
+func scaleNames() (names []string) {
+	for _, e := range scaleRuns() {
+		names = append(names, e.Name)
 	}
-	return out
+	return names
 }
 
-// findScale finds a scale run by its name; nil where there is none.
+// findScale returns the scale run of that name, nil if there is none.
 func findScale(name string) *scaleRun {
-	for i := range scaleRuns {
-		if scaleRuns[i].Name == name {
-			return &scaleRun{Experiment: scaleRuns[i]}
+	for _, e := range scaleRuns() {
+		if e.Name == name {
+			return &scaleRun{Experiment: e}
 		}
 	}
 	return nil
@@ -119,5 +126,5 @@
 // hollowCmd is the process of hollow members that a scale run starts.
 type hollowCmd struct{}
 
-// Run is told what to do on standard input.
+// Run runs hollow members as the commands on standard input have it.
 func (hollowCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -1,41 +1,40 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
 	"path/filepath"
+	"strings"
+	"testing"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer/packet"
 	"spurspread/lab/report"
-	"strings"
-	"testing"
 )
 
 const docs = "../../docs"
 
-// Each figure on the page that is marked as measured stands in a kept result, and each calculation comes out as shown.
+// Each figure that the page marks as measured is in a stored result, and each calculation gives what is shown.
 func TestCapacityPage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := Check(text, func(file string) ([]Run, error) { return Read(filepath.Join(docs, file)) })
-	for _, w := range p.Wrong {
+	for _, w := range p.Problems {
 		t.Errorf("docs/CAPACITY.md, %s", w)
 	}
 	if p.Measured == 0 || p.Formulas == 0 {
-		t.Errorf(
-			"%d measured figures and %d formulas: the page has another form than the check",
-			p.Measured,
-			p.Formulas,
-		)
+		t.Errorf("%d measured figures and %d formulas: the page has another form than the check",
+			p.Measured, p.Formulas)
 	}
 }
 
-// Each kept line is what its kept runs give.
-func TestKeptLines(t *testing.T) {
+// Each stored line is that of its stored runs.
+func TestStoredLines(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(docs, "results", "*-fit.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -47,24 +46,29 @@
 	}
 }
 
-// checked is what a page is found to hold that has these lines, beside a kept result of three runs.
-func checked(lines ...string) Page {
+// checkedPage checks a page of these lines, beside a stored result of three runs.
+func checkedPage(lines ...string) Page {
 	return Check([]byte(strings.Join(lines, "\n")), func(file string) ([]Run, error) {
 		if file != "results/a.csv" {
 			return nil, os.ErrNotExist
 		}
-		return readCSV(
-			[]byte(
-				"experiment,commit,seed,members,bytes,share\nx,c,1,60,1234.56,0.0421\n" +
-					"x,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n",
-			),
-		)
+		return readCSV([]byte("experiment,commit,seed,members,bytes,share\n" +
+			"x,c,1,60,1234.56,0.0421\nx,c,2,60,1240,0.0421\nx,c,3,125,1300,0.0421\n"))
 	})
 }
 
-func TestPageIsHeldAgainstKeptResults(t *testing.T) {
-	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
-	for line, fault := range map[string]string{
+// wantProblem checks that a page has a problem with this text, or none for "".
+func wantProblem(t *testing.T, line string, p Page, want string) {
+	t.Helper()
+	got := strings.Join(p.Problems, "; ")
+	if want == "" && got != "" || !strings.Contains(got, want) {
+		t.Errorf("%s: %q, %q expected", line, got, want)
+	}
+}
+
+// Measured figures are compared with stored results, and formulas with their operands.
+func TestFiguresAndFormulas(t *testing.T) {
+	for line, want := range map[string]string{
 		"[1,240 bytes](results/a.csv#bytes)":                "",
 		"[1,240.0](results/a.csv#bytes)":                    "",
 		"[1,235](results/a.csv#bytes&members=60&least)":     "",
@@ -91,13 +95,18 @@
 		"`f(2) = 4`":                                        "no such function",
 		"`(1 = 2`":                                          "expected",
 	} {
-		p := checked(line)
-		if got := strings.Join(p.Wrong, "; "); fault == "" && got != "" || !strings.Contains(got, fault) ||
-			p.Measured+p.Formulas == 0 {
-			t.Errorf("%s: %q, %q expected", line, got, fault)
+		p := checkedPage(line)
+		wantProblem(t, line, p, want)
+		if p.Measured+p.Formulas == 0 {
+			t.Errorf("%s: neither a figure nor a formula was found", line)
 		}
 	}
-	for row, fault := range map[string]string{
+}
+
+// A row's basis must be that of its cells.
+func TestBasis(t *testing.T) {
+	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
+	for row, want := range map[string]string{
 		"| a | [1,240](results/a.csv#bytes) | measured |":     "",
 		"| a | `3 * 2 = 6` | worked out |":                    "",
 		"| a | 4,096 | published (tcp(7)) |":                  "",
@@ -109,34 +118,37 @@
 		"| a | 7 | guessed |":                                 "no basis",
 		"| a | 7 |":                                           "no cell",
 	} {
-		if got := strings.Join(checked(append(table, row)...).Wrong, "; "); fault == "" && got != "" ||
-			!strings.Contains(got, fault) {
-			t.Errorf("%s: %q, %q expected", row, got, fault)
-		}
+		wantProblem(t, row, checkedPage(append(table, row)...), want)
 	}
-	table = []string{"| what | at the target | ratio | basis |", "| --- | --- | --- | --- |"}
-	for row, fault := range map[string]string{
+}
+
+// Plain numbers in computed columns must be ones that the row computes.
+func TestComputedColumns(t *testing.T) {
+	table := []string{"| what | at the target | ratio | basis |", "| --- | --- | --- | --- |"}
+	for row, want := range map[string]string{
 		"| `n = 12` of `3 * 2 = 6` | 6 zones | 12 | worked out |":     "",
 		"| `3 * 2 = 6` | 7 | - | worked out |":                        "not what the row computes",
 		"| `3 * 2 = 6` | - | 0.5 | worked out |":                      "not what the row computes",
 		"| `3 * 2 = 6` | `7 * 1 = 7` | `6 / 12 = 0.5` | worked out |": "",
 	} {
-		if got := strings.Join(checked(append(table, row)...).Wrong, "; "); fault == "" && got != "" ||
-			!strings.Contains(got, fault) {
-			t.Errorf("%s: %q, %q expected", row, got, fault)
-		}
+		wantProblem(t, row, checkedPage(append(table, row)...), want)
 	}
-	if p := checked("as `[1](results/b.csv#bytes)` has it"); len(p.Wrong) > 0 || p.Measured != 0 {
+}
+
+// Examples in code spans and fenced blocks are not checked.
+func TestExamplesAreNotChecked(t *testing.T) {
+	if p := checkedPage("as `[1](results/b.csv#bytes)` has it"); len(p.Problems) > 0 || p.Measured != 0 {
 		t.Errorf("an example in a code span is checked: %+v", p)
 	}
-	if p := checked("```", "[1](results/b.csv#bytes) `1 = 2`", "```", "`1 + 1 = 2`"); len(p.Wrong) > 0 ||
+	if p := checkedPage("```", "[1](results/b.csv#bytes) `1 = 2`", "```", "`1 + 1 = 2`"); len(p.Problems) > 0 ||
 		p.Formulas != 1 {
 		t.Errorf("a fenced block is checked: %+v", p)
 	}
 }
 
-// keep writes kept reports of so many sizes, three seeds each, and tells their files.
-func keep(t *testing.T, dir string, sizes ...int) (files []string) {
+// writeReports writes reports of these sizes, three seeds each, and returns their files.
+func writeReports(t *testing.T, dir string, sizes ...int) (files []string) {
+	t.Helper()
 	for _, size := range sizes {
 		for seed := range uint64(3) {
 			r := report.Report{Experiment: "scale-rest", Seed: seed, Commit: "c1", Figures: map[string]float64{
@@ -151,29 +163,53 @@
 	return files
 }
 
-func TestLinesAreKeptAndComputedAgain(t *testing.T) {
-	dir := t.TempDir()
-	f := Fits{
-		Size:   "members",
-		Target: 1500,
-		Held:   850,
-		Lines:  []string{"bytes", "false_dead"},
-		From:   keep(t, dir, 60, 300, 600, 850, 1500),
+// computedFits are lines through stored runs of five sizes, one of them held out, and their folder.
+func computedFits(t *testing.T) (f Fits, dir string) {
+	t.Helper()
+	dir = t.TempDir()
+	f = Fits{
+		Size:    "members",
+		Target:  1500,
+		HeldOut: 850,
+		Lines:   []string{"bytes", "false_dead"},
+		From:    writeReports(t, dir, 60, 300, 600, 850, 1500),
 	}
 	if err := f.Compute(dir); err != nil {
 		t.Fatal(err)
 	}
+	return f, dir
+}
+
+func TestCompute(t *testing.T) {
+	f, dir := computedFits(t)
 	for name, want := range map[string]float64{
-		"bytes.slope": 1, "bytes.intercept": 900, "bytes.target": 2400, "bytes.at_target": 2400,
-		"bytes.held": 1750, "bytes.held_line": 1750, "bytes.prediction_error": 0,
+		"bytes.slope":            1,
+		"bytes.intercept":        900,
+		"bytes.target":           2400,
+		"bytes.at_target":        2400,
+		"bytes.held":             1750,
+		"bytes.held_line":        1750,
+		"bytes.prediction_error": 0,
 	} {
-		if got, is := f.Figures[name]; !is || got < want-1e-6 || got > want+1e-6 {
+		if got, ok := f.Figures[name]; !ok || got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("%s is %v, %v wanted", name, got, want)
 		}
 	}
-	if f.Refused["false_dead"] == "" || f.Commit != "c1" {
-		t.Errorf("%+v", f)
+	if f.Refused["false_dead"] == "" {
+		t.Errorf("a line through zeros: %+v", f)
+	}
+	if f.Commit != "c1" {
+		t.Errorf("commit %q", f.Commit)
+	}
+	f.ExcludedSizes = []float64{600}
+	if err := f.Compute(dir); err != nil || f.Refused["bytes"] == "" {
+		t.Errorf("a line through three sizes: %+v, %v", f.Figures, err)
 	}
+}
+
+// Stored lines are read as a run, and are rejected once a figure was changed by hand.
+func TestStoredFits(t *testing.T) {
+	f, dir := computedFits(t)
 	path := filepath.Join(dir, "scale-rest-fit.json")
 	if err := f.Write(path); err != nil {
 		t.Fatal(err)
@@ -181,48 +217,63 @@
 	if err := CheckFits(path); err != nil {
 		t.Error(err)
 	}
-	if runs, err := Read(path); err != nil || len(runs) != 1 ||
-		runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
-		t.Errorf("kept lines are read as %+v, %v", runs, err)
+	runs, err := Read(path)
+	if err != nil || len(runs) != 1 {
+		t.Fatalf("stored lines are read as %+v, %v", runs, err)
 	}
-	readBack := func(file string) ([]Run, error) { return Read(filepath.Join(dir, filepath.Base(file))) }
-	head := "| a | b | c | d | e | f | g | h | i | basis |\n| --- |\n"
-	rows := f.Rows(filepath.Base(path), map[string]float64{"bytes": 4096})
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Wrong) > 0 || len(rows) != 2 ||
-		p.Measured != 7 ||
-		p.Formulas != 1 {
-		t.Errorf("rows %q: %+v", rows, p)
+	if runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
+		t.Errorf("stored lines are read as %+v", runs)
 	}
-	head = "| a | b | c | d | basis |\n| --- |\n"
-	filled, err := Replace(
-		"| `bytes` | - | - | not measured |\n| `bytes` |"+strings.Repeat(" - |", 8)+" not measured |\nelse",
-		rows[:1],
-	)
-	if err != nil || filled != "| `bytes` | - | - | not measured |\n"+rows[0]+"\nelse" {
-		t.Errorf("filled in: %q, %v", filled, err)
+	f.Figures["bytes.slope"] *= 1.001
+	if err := f.Write(path); err != nil {
+		t.Fatal(err)
 	}
-	if _, err := Replace(filled, rows); err == nil {
-		t.Error("a row is filled in that is not there")
+	if err := CheckFits(path); !errors.Is(err, ErrChanged) || !strings.Contains(err.Error(), "bytes.slope") {
+		t.Errorf("a slope that was changed by hand: %v", err)
 	}
-	rows = f.Predictions(filepath.Base(path))
-	if p := Check([]byte(head+strings.Join(rows, "\n")), readBack); len(p.Wrong) > 0 || len(rows) != 1 ||
-		p.Measured != 3 {
-		t.Errorf("predictions %q: %+v", rows, p)
+}
+
+// Rows and predictions have the form that Check accepts.
+func TestRowsAndPredictions(t *testing.T) {
+	f, dir := computedFits(t)
+	const file = "scale-rest-fit.json"
+	if err := f.Write(filepath.Join(dir, file)); err != nil {
+		t.Fatal(err)
 	}
-	less := f
-	if less.Without = []float64{600}; less.Compute(dir) != nil || less.Refused["bytes"] == "" {
-		t.Errorf("a line through three sizes: %+v", less.Figures)
+	read := func(file string) ([]Run, error) { return Read(filepath.Join(dir, filepath.Base(file))) }
+	check := func(head string, rows []string) Page {
+		return Check([]byte(head+"\n| --- |\n"+strings.Join(rows, "\n")), read)
 	}
-	f.Figures["bytes.slope"] *= 1.001
-	if err := f.Write(path); err != nil {
+	rows := f.Rows(file, map[string]float64{"bytes": 4096})
+	p := check("| a | b | c | d | e | f | g | h | i | basis |", rows)
+	if len(p.Problems) > 0 || len(rows) != 2 || p.Measured != 7 || p.Formulas != 1 {
+		t.Errorf("rows %q: %+v", rows, p)
+	}
+	rows = f.Predictions(file)
+	p = check("| a | b | c | d | basis |", rows)
+	if len(p.Problems) > 0 || len(rows) != 1 || p.Measured != 3 {
+		t.Errorf("predictions %q: %+v", rows, p)
+	}
+}
+
+// A row replaces those of the same first cell and as many cells, and must have one.
+func TestReplace(t *testing.T) {
+	f, _ := computedFits(t)
+	rows := f.Rows("scale-rest-fit.json", map[string]float64{"bytes": 4096})
+	page := "| `bytes` | - | - | not measured |\n| `bytes` |" + strings.Repeat(" - |", 8) + " not measured |\nelse"
+	replaced, err := Replace(page, rows[:1])
+	if err != nil {
 		t.Fatal(err)
 	}
-	if err := CheckFits(path); err == nil || !strings.Contains(err.Error(), "bytes.slope") {
-		t.Errorf("a slope that was changed by hand: %v", err)
+	if replaced != "| `bytes` | - | - | not measured |\n"+rows[0]+"\nelse" {
+		t.Errorf("replaced: %q", replaced)
+	}
+	if _, err := Replace(replaced, rows); !errors.Is(err, ErrNoRow) {
+		t.Errorf("a row that has no place: %v", err)
 	}
 }
 
-// A run that plays several sizes names its figures by size.
+// A run of several sizes names its figures by size.
 func TestRunsOfSeveralSizes(t *testing.T) {
 	dir := t.TempDir()
 	f := Fits{Size: "connections", Target: 80000, Lines: []string{"mb"}}
@@ -230,7 +281,7 @@
 		r := report.Report{Seed: seed, Figures: map[string]float64{
 			"n02000_mb": 6, "n05000_mb": 15, "mb_at_10000": 30, "mb_at_20000": 60,
 			"mb_at_500": 99, "p99_ms": 4,
-		}, Notes: map[string]string{notValid: "500: late", notValid + "_at_500": "late"}}
+		}, Notes: map[string]string{notValidNote: "500: late", notValidNote + "_at_500": "late"}}
 		f.From = append(f.From, fmt.Sprintf("%d.json", seed))
 		if err := r.JSON(filepath.Join(dir, f.From[seed])); err != nil {
 			t.Fatal(err)
@@ -244,12 +295,12 @@
 	}
 }
 
-// A run that says of itself that it is not valid counts nowhere.
+// A run with a note that it is not valid counts nowhere.
 func TestRunsThatAreNotValid(t *testing.T) {
 	dir := t.TempDir()
 	r := report.Report{
 		Figures: map[string]float64{"members": 60, "bytes": 1},
-		Notes:   map[string]string{notValid: "loops ran late"},
+		Notes:   map[string]string{notValidNote: "loops ran late"},
 	}
 	if err := r.JSON(filepath.Join(dir, "a.json")); err != nil {
 		t.Fatal(err)
@@ -266,11 +317,11 @@
 	}
 }
 
-// Runs are joined to one list, each once; what is not valid in it stays so.
+// Runs are joined to one list, each once; a run that is not valid remains so.
 func TestJoin(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
-	for i, note := range []map[string]string{nil, {notValid: "loops ran late"}} {
+	for i, note := range []map[string]string{nil, {notValidNote: "loops ran late"}} {
 		r := report.Report{
 			Command: fmt.Sprint("run ", i),
 			Seed:    uint64(i),
@@ -299,8 +350,8 @@
 	}
 }
 
-// The constants of the code that the page computes with are those of the code.
-func TestPageHasTheCodesSizes(t *testing.T) {
+// The sizes with which the page computes are those of the code.
+func TestPageHasSizesOfCode(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -328,13 +379,13 @@
 		0.0421:      "0.0421",
 		-0.00012345: "-0.000123", 999: "999", -100: "-100", -100000: "-100,000",
 	} {
-		if got := number(v); got != want || !shows(got, v) {
+		if got := formatNumber(v); got != want || !rendersAs(got, v) {
 			t.Errorf("%v is written as %q, %q wanted", v, got, want)
 		}
 	}
 }
 
-func TestReadsWhatIsKept(t *testing.T) {
+func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"one.csv":  "name,measured,limit,ok\ncommand,bin/spurlab run x,,\ncommit,abc+,,\nseed,7,,\nbytes,5.5,10,true\n",
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -1,34 +1,39 @@
 package checker
 
 import (
-	"spurspread/lab/packageindex"
-	"spurspread/lab/recorder"
 	"strings"
 	"testing"
 	"time"
-)
 
-var now = time.Now()
+	"spurspread/lab/packageindex"
+	"spurspread/lab/recorder"
+)
 
-func testIndex() *packageindex.Index {
-	return &packageindex.Index{Epoch: now.Add(-time.Hour), Interval: 10 * time.Millisecond, Keep: 1000, Length: 20}
+func testIndex(now time.Time) *packageindex.Index {
+	return &packageindex.Index{
+		Epoch:            now.Add(-time.Hour),
+		Interval:         10 * time.Millisecond,
+		RetainedMessages: 1000,
+		MessageBytes:     20,
+	}
 }
 
-// play feeds a checker a script: "SIDE CONN > LINE" is sent, "<" read, "end" an end. #N stands for the true message.
-func play(t *testing.T, script string) *Checker {
+// observe feeds a checker a script at one time: "SIDE CONN > LINE" is sent, "<" is read, and "end" is an end. #N is
+// replaced by the index's message of that number.
+func observe(t *testing.T, now time.Time, script string) *Checker {
 	t.Helper()
-	x := testIndex()
-	c := New(x)
+	index := testIndex(now)
+	c := New(index)
 	for _, step := range strings.Split(strings.TrimSpace(script), "\n") {
 		if step = strings.TrimSpace(step); step == "" {
 			continue
 		}
-		f := strings.SplitN(step, " ", 4)
-		e := recorder.Event{At: now, Side: recorder.Client, Name: f[0], Conn: uint64(f[1][0])}
-		if f[0] != "c" {
+		fields := strings.SplitN(step, " ", 4)
+		e := recorder.Event{At: now, Side: recorder.Client, Name: fields[0], Conn: uint64(fields[1][0])}
+		if fields[0] != "c" {
 			e.Side = recorder.Node
 		}
-		switch f[2] {
+		switch fields[2] {
 		case "end":
 			e.End = true
 		case ">":
@@ -38,9 +43,9 @@
 			t.Fatalf("%q", step)
 		}
 		if !e.End {
-			e.Line = []byte(f[3])
-			if n := strings.TrimPrefix(f[3], "#"); n != f[3] && len(n) == 1 {
-				e.Line = x.Line(nil, 5, uint64(n[0]-'0'))
+			e.Line = []byte(fields[3])
+			if n := strings.TrimPrefix(fields[3], "#"); n != fields[3] && len(n) == 1 {
+				e.Line = index.Line(nil, 5, uint64(n[0]-'0'))
 				e.Line = e.Line[:len(e.Line)-2]
 			}
 		}
@@ -49,7 +54,7 @@
 	return c
 }
 
-// What a checker must find, and what it must let pass.
+// What the checker must find, and what it must accept.
 func TestChecker(t *testing.T) {
 	const begin = `
 		c 1 > OPEN a 5 c=s,d=1,tok=ask
@@ -71,28 +76,28 @@
 		want   func(f *Figures) bool
 	}{
 		"all well": {moved + "\nc 2 < #5", func(f *Figures) bool {
-			return f.Lost+f.Repeated+f.Corrupt == 0 && f.MaxLive == 1 && f.Messages == 3 && len(f.Gaps) == 1
+			return f.Lost+f.Repeated+f.Corrupt == 0 && f.MaxLivePerToken == 1 && f.Messages == 3 && len(f.Gaps) == 1
 		}},
 		"lost":               {moved + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 2 }},
 		"repeated":           {moved + "\nc 2 < #4", func(f *Figures) bool { return f.Repeated == 1 }},
 		"corrupt":            {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"from the future":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
 		"answer, no message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
-		"told of a gap": {
+		"announced gap": {
 			strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7",
 			func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 },
 		},
 		"two live": {
 			moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
-			func(f *Figures) bool { return f.MaxLive == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 2 },
 		},
 		"one after another": {
 			moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
-			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxEver == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxUsesPerToken == 2 },
 		},
 		"two of a stream": {
 			strings.ReplaceAll(moved, "n 1 end", "") + "",
-			func(f *Figures) bool { return f.MaxLive == 1 && f.MaxStream == 2 },
+			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxLivePerStream == 2 },
 		},
 		"refused token": {begin +
 			"\nc 1 < MOVE T\nc 2 > OPEN b 5 c=s,d=1,cur=4,tok=T\nc 2 < STALE gone\nc 2 end\nc 3 > OPEN d 5 " +
@@ -118,23 +123,24 @@
 			func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 },
 		},
 	} {
-		f := play(t, c.script).Split()
+		f := observe(t, time.Now(), c.script).Split()
 		if !c.want(&f) {
 			t.Errorf("%s: %+v", name, f)
 		}
 	}
 }
 
-func TestStanding(t *testing.T) {
-	c := play(t, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
-	if standing, behind := c.Standing(now, 0); standing != 1 || behind != 1 {
-		t.Errorf("%d, %d", standing, behind)
+func TestEstablished(t *testing.T) {
+	now := time.Now()
+	c := observe(t, now, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
+	if established, behind := c.Established(now, 0); established != 1 || behind != 1 {
+		t.Errorf("%d, %d", established, behind)
 	}
-	if standing, behind := c.Standing(now, time.Hour); standing != 1 || behind != 0 {
-		t.Errorf("%d, %d", standing, behind)
+	if established, behind := c.Established(now, time.Hour); established != 1 || behind != 0 {
+		t.Errorf("%d, %d", established, behind)
 	}
 	c.Take(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
-	if standing, _ := c.Standing(now, 0); standing != 0 {
-		t.Error("stands though it has ended")
+	if established, _ := c.Established(now, 0); established != 0 {
+		t.Error("established though it has ended")
 	}
 }
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -3,345 +3,340 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
+	"strings"
+	"time"
+
 	"spurspread/decision/resume"
-	"spurspread/internal/token"
 	"spurspread/lab/proto"
 	"spurspread/lab/recorder"
 	"spurspread/lab/sshchan"
-	"strings"
-	"time"
 )
 
-// conn is one connection, or one channel.
+// Words of the protocol's answers.
+const (
+	wordUp   = "UP"
+	wordBusy = "BUSY"
+	wordMove = "MOVE"
+	wordErr  = "ERR"
+)
+
+// receivedLines is how many lines of the peer wait until the stream answers them.
+const receivedLines = 16
+
+// conn is one connection with plain lines, or one channel. A goroutine serves it, and another reads its lines.
 type conn struct {
-	n        *Node
-	ch       *sshchan.Channel // nil for a connection of its own
-	recorded *recorder.Conn
-	lines    chan string   // what the other side sends
-	ended    chan struct{} // closed once it has ended its side
-	away     chan time.Duration
-	open     proto.Open
-	who      string // whom it is for
-	claim    resume.ID
-	up       bool   // under the node's mutex
-	buf      []byte // of messages that are sent; flow's only
+	node       *Node
+	channel    *sshchan.Channel // nil for a connection of its own
+	recorded   *recorder.Conn
+	received   chan string        // lines of the peer
+	peerClosed chan struct{}      // closed once the peer has ended its side
+	moveAfter  chan time.Duration // at most one wait after which the client is moved
+	request    proto.Open
+	client     string    // identifies the client whose stream it is
+	claim      resume.ID // of its token; zero: none
+	sendBuffer []byte    // of the stream's goroutine only
 }
 
+// read passes the peer's lines on until its end, or until one has not been taken for firstLineTimeout.
 func (c *conn) read() {
-	defer close(c.ended)
-	rd := bufio.NewReaderSize(c.recorded, maxLine)
+	defer close(c.peerClosed)
+	reader := bufio.NewReaderSize(c.recorded, maxLineBytes)
 	for {
-		text, err := rd.ReadSlice('\n')
+		text, err := reader.ReadSlice('\n')
 		if err != nil {
 			return
 		}
 		select {
-		case c.lines <- string(text[:max(len(text)-2, 0)]):
-		case <-time.After(headTime): // it is not read any more
+		case c.received <- string(text[:max(len(text)-len("\r\n"), 0)]):
+		case <-time.After(firstLineTimeout):
 			return
 		}
 	}
 }
 
-func (c *conn) say(text string) {
-	c.n.awake.Pass()
-	_, _ = c.recorded.Write([]byte(text)) // an error shows as the end
+// write writes lines, unless the node hangs: then it waits.
+func (c *conn) write(text string) {
+	c.node.running.Pass()
+	_, _ = c.recorded.Write([]byte(text)) // the reader sees an error as the connection's end
 }
 
-// answer answers the first line, in the form that the connection has.
+// answer answers the first line: with a line, or by confirming or refusing the channel.
 func (c *conn) answer(text string) {
-	if c.ch == nil {
-		c.say(text + "\r\n")
+	if c.channel == nil {
+		c.write(text + "\r\n")
 		return
 	}
-	c.n.awake.Pass()
+	c.node.running.Pass()
 	c.recorded.Note(text, true)
 	word, _, _ := strings.Cut(text, " ")
 	switch word {
-	case "UP":
-		_ = c.ch.Confirm(text)
-	case "BUSY":
-		_ = c.ch.Refuse(sshchan.Shortage, text)
+	case wordUp:
+		_ = c.channel.Confirm(text)
+	case wordBusy:
+		_ = c.channel.Refuse(sshchan.Shortage, text)
 	default:
-		_ = c.ch.Refuse(sshchan.Failed, text)
+		_ = c.channel.Refuse(sshchan.Failed, text)
 	}
 }
 
-// move sends the client away.
+// move makes the client reconnect elsewhere.
 func (c *conn) move() {
-	if c.ch == nil {
-		c.say("MOVE\r\n")
+	if c.channel == nil {
+		c.write(wordMove + "\r\n")
 		return
 	}
-	c.n.awake.Pass()
-	c.recorded.Note("MOVE", true)
-	_ = c.ch.Move("")
+	c.node.running.Pass()
+	c.recorded.Note(wordMove, true)
+	_ = c.channel.Move("")
 }
 
-// serve lives with a connection until its end. A channel brings its first line with it.
-func (n *Node) serve(c *conn, first string) {
-	c.lines, c.ended, c.away = make(chan string, 16), make(chan struct{}), make(chan time.Duration, 1)
-	n.mu.Lock()
-	if n.closed {
-		n.mu.Unlock()
+// serve serves a connection until its end. firstLine is a channel's; a connection with plain lines sends its own.
+func (n *Node) serve(c *conn, firstLine string) {
+	c.received = make(chan string, receivedLines)
+	c.peerClosed = make(chan struct{})
+	c.moveAfter = make(chan time.Duration, 1)
+	if !n.add(c) {
 		_ = c.recorded.Reset()
 		return
 	}
-	n.conns[c] = true
-	n.mu.Unlock()
-	defer func() {
-		n.mu.Lock()
-		delete(n.conns, c)
-		if n.streams[c.who] == c {
-			delete(n.streams, c.who)
-		}
-		n.mu.Unlock()
-		_ = c.recorded.Close()
-	}()
-	if c.ch != nil {
-		c.recorded.Note(first, false)
-		c.begin(first)
+	defer n.remove(c)
+	if c.channel != nil {
+		c.recorded.Note(firstLine, false)
+		c.answerOpen(firstLine)
 		return
 	}
 	go c.read()
+	if line, ok := c.awaitFirstLine(); ok {
+		c.answerOpen(line)
+	}
+}
+
+// add notes a connection; a killed node has none.
+func (n *Node) add(c *conn) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed {
+		return false
+	}
+	n.conns[c] = true
+	return true
+}
+
+func (n *Node) remove(c *conn) {
+	n.mu.Lock()
+	delete(n.conns, c)
+	if n.streams[c.client] == c {
+		delete(n.streams, c.client)
+	}
+	n.mu.Unlock()
+	_ = c.recorded.Close()
+}
+
+// awaitFirstLine answers pings until the first other line. It gives up at the connection's end, or if nothing comes
+// within firstLineTimeout.
+func (c *conn) awaitFirstLine() (line string, ok bool) {
 	for {
 		select {
-		case text := <-c.lines:
-			if text == "PING" {
-				c.say("PONG\r\n")
-				continue
+		case text := <-c.received:
+			if text != "PING" {
+				return text, true
 			}
-			c.begin(text)
-			return
-		case <-c.ended:
-			return
-		case <-time.After(headTime):
-			return
+			c.write("PONG\r\n")
+		case <-c.peerClosed:
+			return "", false
+		case <-time.After(firstLineTimeout):
+			return "", false
 		}
 	}
 }
 
-// begin answers a first line, and lets the stream flow.
-func (c *conn) begin(text string) {
+// answerOpen answers a first line, and runs the stream if it is admitted.
+func (c *conn) answerOpen(text string) {
 	var err error
-	if c.open, err = proto.Parse(text); err != nil {
-		c.answer("ERR")
+	if c.request, err = proto.Parse(text); err != nil {
+		c.answer(wordErr)
 		return
 	}
 	if c.admit() {
-		c.flow()
+		c.stream()
 	}
 }
 
-// admit answers the first line, unless the connection stands.
+// takesTokens reports whether the client has a resume token or wants one.
+func (c *conn) takesTokens() bool { return c.request.WantsToken || c.request.Token != "" }
+
+// admit decides whether the stream is established. If it is not, the first line has been answered.
 func (c *conn) admit() bool {
-	n, o := c.n, &c.open
-	n.awake.Pass()
-	if why := c.present(); why != resume.Accepted {
-		c.answer("STALE " + why.String())
+	n := c.node
+	n.running.Pass()
+	if reason := c.claimToken(); reason != resume.Accepted {
+		c.answer("STALE " + reason.String())
 		return false
 	}
-	n.mu.Lock()
-	refuse := n.draining && o.At == "" || n.cfg.MaxConnections > 0 && len(n.conns) > n.cfg.MaxConnections
-	n.mu.Unlock()
-	if !refuse && o.Token == "" && o.At == "" {
-		ctx, stop := context.WithTimeout(
-			context.Background(),
-			min(storeTime, time.Duration(o.Millis)*time.Millisecond),
-		)
-		err := n.session.Call(ctx)
-		stop()
-		if err != nil {
-			c.answer("ERR")
+	refused := c.mustRefuse()
+	if !refused && c.request.Token == "" && c.request.At == "" {
+		if err := c.callSessionStore(); err != nil {
+			c.answer(wordErr)
 			return false
 		}
 	}
 	time.Sleep(n.cfg.SetUp)
-	n.awake.Pass()
+	n.running.Pass()
 	select {
-	case <-c.ended: // it is not wanted any more, and its token is as good as before
-		refuse = true
+	case <-c.peerClosed: // the client gave up, and its token can be used again
+		refused = true
 	default:
 	}
-	if refuse {
-		c.release()
-		c.answer("BUSY")
+	if refused {
+		c.releaseClaim()
+		c.answer(wordBusy)
 		return false
 	}
-	c.stand()
+	c.establish()
 	return true
 }
 
-// present looks at the token, if there is one.
-func (c *conn) present() resume.Reason {
-	n, o := c.n, &c.open
-	if o.Token == "" || n.ring == nil {
-		return resume.Accepted
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var t token.Token
-	switch err := n.ring.Open([]byte(o.Token), &t); {
-	case err == nil:
-	case errors.Is(err, token.ErrUnknownKey):
-		return resume.UnknownKey
-	case errors.Is(err, token.ErrForged):
-		return resume.Forged
-	default:
-		return resume.Malformed
-	}
-	now := time.Now()
-	r := resume.Grant{
-		ID: resume.ID(t.ID), IssuedAt: resume.UnixMillis(t.IssuedAt), ExpiresAt: resume.UnixMillis(t.ExpiresAt),
-		Class: string(t.Class), Key: t.Key, Group: t.Group, Tenant: t.Tenant, LastDelivered: t.LastSequence,
-		Server:          string(t.Server),
-		ServerStartedAt: resume.UnixMillis(t.ServerStarted),
-	}
-	// Group and owner are words of whatever form to this node; the balancer has compared them with the token.
-	l := resume.StreamRequest{Class: o.Class, Key: o.Key, Group: t.Group, Tenant: t.Tenant, Cursor: o.Cursor}
-	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(o.Key, now.Add(-n.cfg.Lag))}
-	if n.cfg.Fault == ForgetAll {
-		n.keeper = resume.NewRegistry(n.cfg.ID, n.started, skew, claims)
-	}
-	why := n.keeper.Claim(millis(now), &r, &l, log, n.draining)
-	if why == resume.Accepted {
-		c.claim = r.ID
-	}
-	return why
+// mustRefuse reports whether the node takes no new stream: it drains, and the client was not at this node before the
+// run.
+func (c *conn) mustRefuse() bool {
+	c.node.mu.Lock()
+	defer c.node.mu.Unlock()
+	return c.node.draining && c.request.At == ""
 }
 
-func (c *conn) release() {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	if c.claim != (resume.ID{}) {
-		c.n.keeper.Release(c.claim)
-	}
+// callSessionStore makes the session call that a client without a token costs.
+func (c *conn) callSessionStore() error {
+	timeout := min(storeTimeout, time.Duration(c.request.DeadlineMillis)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	return c.node.session.Call(ctx)
 }
 
-// stand lets the connection stand, and ends an older one that is for the same client.
-func (c *conn) stand() {
-	n := c.n
-	c.who = fmt.Sprintf("%x %s %s %s", c.open.Key, c.open.Class, c.open.Group, c.open.Owner)
+// establish makes this the client's connection. With a token, an older connection of the same client is closed.
+func (c *conn) establish() {
+	n := c.node
+	c.client = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
 	n.mu.Lock()
-	older := n.streams[c.who]
-	n.streams[c.who] = c
-	c.up = true
+	older := n.streams[c.client]
+	n.streams[c.client] = c
 	if c.claim != (resume.ID{}) {
-		n.keeper.Established(c.claim)
+		n.registry.Established(c.claim)
 	}
 	if n.draining {
-		c.sendAway()
+		c.scheduleMove()
 	}
 	n.mu.Unlock()
-	if older != nil && c.open.Token != "" && n.cfg.Fault != ForgetAll {
+	if older != nil && c.request.Token != "" && n.cfg.Fault != ForgetClaims {
 		_ = older.recorded.Close()
 	}
 }
 
-// sendAway has a connection moved, now or after the node's patience; under the node's mutex.
-func (c *conn) sendAway() {
+// scheduleMove has the client moved: now, or after the node's patience if it takes tokens. The caller holds the
+// node's mutex.
+func (c *conn) scheduleMove() {
 	wait := time.Duration(0)
-	if c.open.WantsToken || c.open.Token != "" {
-		wait = c.n.cfg.Patience
+	if c.takesTokens() {
+		wait = c.node.cfg.Patience
 	}
 	select {
-	case c.away <- wait:
+	case c.moveAfter <- wait:
 	default:
 	}
 }
 
-// flow sends messages as they fall due, answers what comes, and ends when either side wants it.
-func (c *conn) flow() {
-	cursor := c.startAt()
-	if c.open.WantsToken || c.open.Token != "" {
-		c.answer(fmt.Sprintf("UP %x from=%d", c.open.Key, cursor))
-	} else {
-		c.answer(fmt.Sprintf("UP %x", c.open.Key))
-	}
-	if c.ch != nil {
+// stream answers that the stream is established, sends messages when they are due, answers the peer's lines, and ends
+// when the peer ends it or the client is moved.
+func (c *conn) stream() {
+	cursor := c.resumeCursor()
+	c.answer(c.upLine(cursor))
+	if c.channel != nil {
 		go c.read()
 	}
-	defer c.endClaim()
-	cursor = c.plant(cursor)
-	var goes <-chan time.Time
+	defer c.closeClaim()
+	cursor = c.injectFault(cursor)
+	var move <-chan time.Time
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
 		select {
-		case <-c.ended:
+		case <-c.peerClosed:
 			return
-		case wait := <-c.away:
-			goes = time.After(wait)
-		case <-goes:
+		case wait := <-c.moveAfter:
+			move = time.After(wait)
+		case <-move:
 			c.move()
 			return
-		case text := <-c.lines:
-			c.say("OK " + text + "\r\n")
+		case text := <-c.received:
+			c.write("OK " + text + "\r\n")
 		case <-due.C:
 			var err error
-			if cursor, err = c.send(cursor); err != nil {
+			if cursor, err = c.sendDue(cursor); err != nil {
 				return
 			}
-			next := c.n.cfg.Index.Due(c.open.Key, cursor+1).Add(c.n.cfg.Lag)
+			next := c.node.cfg.Index.Due(c.request.Key, cursor+1)
 			due.Reset(max(time.Until(next), 0))
 		}
 	}
 }
 
-// startAt is the message after which the stream goes on: the client's cursor, or the head of the node's copy of the
-// index where it has none. A client whose cursor is no more kept sees where it goes on by the answer's from=.
-func (c *conn) startAt() uint64 {
-	x, key, now := c.n.cfg.Index, c.open.Key, time.Now().Add(-c.n.cfg.Lag)
-	floor, head := x.Floor(key, now), x.Head(key, now)
-	if !c.open.Cur || c.open.Cursor == 0 && c.open.WantsToken {
+// upLine is the answer to an admitted client; one that takes tokens is given the message after which the stream
+// continues.
+func (c *conn) upLine(cursor uint64) string {
+	line := fmt.Sprintf("%s %x", wordUp, c.request.Key)
+	if c.takesTokens() {
+		line += fmt.Sprintf(" from=%d", cursor)
+	}
+	return line
+}
+
+// resumeCursor is the message after which the stream continues: the client's cursor, or the head of the node's copy
+// of the index if it has none. A client whose cursor is no longer retained sees it by the answer's from=.
+func (c *conn) resumeCursor() uint64 {
+	index := c.node.cfg.Index
+	key := c.request.Key
+	now := time.Now()
+	floor := index.Floor(key, now)
+	head := index.Head(key, now)
+	if !c.request.HasCursor || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
 	}
-	return max(c.open.Cursor, floor)
+	return max(c.request.Cursor, floor)
 }
 
-// plant moves the cursor of a continued stream where the node has a fault on purpose.
-func (c *conn) plant(cursor uint64) uint64 {
-	if c.open.Token == "" {
+// injectFault changes the cursor of a continued stream where the node has an injected fault.
+func (c *conn) injectFault(cursor uint64) uint64 {
+	if c.request.Token == "" {
 		return cursor
 	}
-	switch c.n.cfg.Fault {
-	case SkipOne:
+	switch c.node.cfg.Fault {
+	case SkipMessage:
 		cursor++
-	case SendAgain:
+	case RepeatMessage:
 		cursor = max(cursor, 1) - 1
 	}
 	return cursor
 }
 
-// send sends the messages after the cursor that are due, backlogMax at most, in one go. It returns the last one's
+// sendDue sends the messages after the cursor that are due, maxBatch at most, in one write. It returns the last one's
 // number.
-func (c *conn) send(cursor uint64) (uint64, error) {
-	x, key := c.n.cfg.Index, c.open.Key
-	c.n.awake.Pass()
-	now := time.Now().Add(-c.n.cfg.Lag)
-	buf := c.buf[:0]
-	for range backlogMax {
-		if x.Due(key, cursor+1).After(now) {
+func (c *conn) sendDue(cursor uint64) (uint64, error) {
+	index := c.node.cfg.Index
+	key := c.request.Key
+	c.node.running.Pass()
+	now := time.Now()
+	lines := c.sendBuffer[:0]
+	for range maxBatch {
+		if index.Due(key, cursor+1).After(now) {
 			break
 		}
 		cursor++
-		buf = x.Line(buf, key, cursor)
+		lines = index.Line(lines, key, cursor)
 	}
-	c.buf = buf
-	if len(buf) == 0 {
+	c.sendBuffer = lines
+	if len(lines) == 0 {
 		return cursor, nil
 	}
-	_, err := c.recorded.Write(buf)
+	_, err := c.recorded.Write(lines)
 	return cursor, err
 }
-
-// endClaim notes that the connection which a token was claimed for has ended.
-func (c *conn) endClaim() {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	if c.claim != (resume.ID{}) {
-		c.n.keeper.Closed(c.claim)
-	}
-}
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"time"
+
 	"spurspread/lab/discoveryserver"
 	"spurspread/lab/procs"
-	"time"
 )
 
 // The classes of clients here: one as the platform has it, and one whose clients wait long enough to be measured
--- a/lab/scale/connections/client.go
+++ b/lab/scale/connections/client.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"spurspread/lab/netloop"
 	"strconv"
 	"sync/atomic"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/lab/netloop"
 )
 
 const (
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -13,9 +13,10 @@
 	"fmt"
 	"os"
 	"slices"
+	"time"
+
 	"spurspread/lab/experiment"
 	"spurspread/lab/report"
-	"time"
 )
 
 // Name is what the run is called.
--- a/lab/scale/connections/connections_test.go
+++ b/lab/scale/connections/connections_test.go
@@ -6,9 +6,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"spurspread/lab/experiment"
 	"testing"
 	"time"
+
+	"spurspread/lab/experiment"
 )
 
 // program builds the balancer, once for all tests here.
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -5,12 +5,13 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"spurspread/lab/deployment"
 	"strconv"
 	"strings"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"spurspread/lab/deployment"
 )
 
 // cost is what the kernel has of a process at one moment.
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math"
-	"spurspread/lab/report"
 
 	"gonum.org/v1/gonum/stat"
+
+	"spurspread/lab/report"
 )
 
 // fit is a straight line through a cost by the number of connections.
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -3,8 +3,9 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-	"spurspread/lab/netloop"
 	"time"
+
+	"spurspread/lab/netloop"
 )
 
 // load is all clients, on some loops.
--- a/lab/scale/connections/phases.go
+++ b/lab/scale/connections/phases.go
@@ -4,8 +4,9 @@
 	"context"
 	"fmt"
 	"math"
-	"spurspread/lab/report"
 	"time"
+
+	"spurspread/lab/report"
 )
 
 // point is what was measured at one number of connections.
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -4,8 +4,9 @@
 	"bytes"
 	"errors"
 	"net/netip"
-	"spurspread/lab/netloop"
 	"sync/atomic"
+
+	"spurspread/lab/netloop"
 )
 
 // servers are the stand-in servers: they answer a first line with UP and send each further line back, or keep all
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -9,10 +9,11 @@
 	"path/filepath"
 	"runtime"
 	"slices"
-	"spurspread/lab/link"
-	"spurspread/lab/procs"
 	"sync"
 	"time"
+
+	"spurspread/lab/link"
+	"spurspread/lab/procs"
 )
 
 // How members are dealt to processes.
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -4,14 +4,15 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/eventloop"
 	"spurspread/internal/peer"
 	"spurspread/internal/peer/packet"
-	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 const (
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -6,10 +6,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"spurspread/internal/eventloop"
-	"spurspread/internal/peer/packet"
 
 	"golang.org/x/sync/errgroup"
+
+	"spurspread/internal/eventloop"
+	"spurspread/internal/peer/packet"
 )
 
 // Stubs is what a hollow member is without; the report names it.
--- a/lab/scale/kernel.go
+++ b/lab/scale/kernel.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"spurspread/lab/deployment"
-	"spurspread/lab/loadgen"
 	"strconv"
 	"strings"
 	"time"
+
+	"spurspread/lab/deployment"
+	"spurspread/lab/loadgen"
 )
 
 // usage is what the kernel says of the processes of a run.
--- a/lab/scale/measured.go
+++ b/lab/scale/measured.go
@@ -5,9 +5,10 @@
 	"math"
 	"runtime"
 	"slices"
-	"spurspread/lab/report"
 	"strings"
 	"time"
+
+	"spurspread/lab/report"
 )
 
 // Where timers of hollow members come later than this, milliseconds, their loops had too little processor time:
--- a/lab/scale/parts_test.go
+++ b/lab/scale/parts_test.go
@@ -6,10 +6,11 @@
 	"os"
 	"os/exec"
 	"slices"
-	"spurspread/lab/link"
-	"spurspread/lab/report"
 	"strings"
 	"testing"
+
+	"spurspread/lab/link"
+	"spurspread/lab/report"
 )
 
 // Sums are read between the moments at which they were told, and a window takes what fell into it.
--- a/lab/scale/play.go
+++ b/lab/scale/play.go
@@ -6,9 +6,10 @@
 	"errors"
 	"fmt"
 	"os"
-	"spurspread/lab/report"
 	"strings"
 	"time"
+
+	"spurspread/lab/report"
 )
 
 const (
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -3,13 +3,14 @@
 import (
 	"encoding/json"
 	"slices"
-	"spurspread/decision/zonedirectory"
-	"spurspread/lab/deployment"
-	"spurspread/lab/loadgen"
 	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"spurspread/decision/zonedirectory"
+	"spurspread/lab/deployment"
+	"spurspread/lab/loadgen"
 )
 
 const (
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -5,8 +5,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"spurspread/lab/report"
 	"time"
+
+	"spurspread/lab/report"
 )
 
 // Region is the run in which regions lose each other.
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -4,8 +4,9 @@
 	"cmp"
 	"context"
 	"fmt"
-	"spurspread/lab/report"
 	"time"
+
+	"spurspread/lab/report"
 )
 
 // Sizes are those that scale-rest plays one after another where none is given.
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -5,9 +5,10 @@
 
 import (
 	"context"
+	"time"
+
 	"spurspread/lab/experiment"
 	"spurspread/lab/report"
-	"time"
 )
 
 // Options are what a run is played with. A number of 0 stands for the run's own default.
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -7,11 +7,12 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
+	"testing"
+	"time"
+
 	"spurspread/lab/experiment"
 	"spurspread/lab/node"
 	"spurspread/lab/report"
-	"testing"
-	"time"
 )
 
 const (
--- a/lab/scale/show.go
+++ b/lab/scale/show.go
@@ -1,12 +1,13 @@
 package scale
 
 import (
-	"spurspread/decision/membership"
-	"spurspread/internal/logging"
-	"spurspread/lab/link"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"spurspread/decision/membership"
+	"spurspread/internal/logging"
+	"spurspread/lab/link"
 )
 
 // unwritten is the format of a log that nobody reads: only its hook does.
--- a/lab/scale/socket.go
+++ b/lab/scale/socket.go
@@ -2,9 +2,10 @@
 
 import (
 	"net/netip"
+	"time"
+
 	"spurspread/internal/eventloop"
 	"spurspread/internal/peer"
-	"time"
 )
 
 // socket stands between a hollow member and its socket: it counts what crosses, and has datagrams lost and late as
--- a/lab/scale/sweep.go
+++ b/lab/scale/sweep.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"spurspread/lab/report"
 	"strings"
+
+	"spurspread/lab/report"
 )
 
 // charted are the figures that a sweep draws over the size.
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
+	"time"
+
 	"spurspread/decision/zonedirectory"
 	"spurspread/lab/link"
-	"time"
 )
 
 // The delays of links, one way. Within a zone a datagram takes what loopback takes.
--- a/lab/scale/zones.go
+++ b/lab/scale/zones.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+
 	"spurspread/decision/zonedirectory"
 	"spurspread/internal/peer"
 )
--- a/lab/simulation/detector.go
+++ b/lab/simulation/detector.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+
 	"spurspread/decision/membership"
 	"spurspread/internal/peer/packet"
 )
--- a/lab/simulation/digest_test.go
+++ b/lab/simulation/digest_test.go
@@ -1,8 +1,9 @@
 package simulation
 
 import (
-	"spurspread/lab/scenario"
 	"testing"
+
+	"spurspread/lab/scenario"
 )
 
 // playDigests are the hashes of all events of one play of each script with 8 members and seed 3. They hold the
--- a/lab/simulation/fault.go
+++ b/lab/simulation/fault.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/membership"
 )
 
--- a/lab/simulation/heartbeat.go
+++ b/lab/simulation/heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"spurspread/decision/membership"
 )
 
--- a/lab/simulation/randomswim.go
+++ b/lab/simulation/randomswim.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/rand/v2"
+
 	"spurspread/decision/membership"
 )
 
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"os"
-	"spurspread/lab/scenario"
 	"strconv"
 	"testing"
+
+	"spurspread/lab/scenario"
 )
 
 // seeds is how many seeds each scenario is played with; make soak has more.
--- a/lab/simulation/zoned/cases_test.go
+++ b/lab/simulation/zoned/cases_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"slices"
+	"time"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
-	"time"
 )
 
 // small is a fleet of 30 members: regions 0 and 1 have two zones each, region 2 one.
--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/lab/simulation"
--- a/lab/simulation/zoned/fault.go
+++ b/lab/simulation/zoned/fault.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"spurspread/decision/zonedirectory"
 )
 
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -3,11 +3,12 @@
 import (
 	"net/netip"
 	"slices"
+	"time"
+
 	"spurspread/decision/membership"
 	"spurspread/decision/zonedirectory"
 	"spurspread/lab/link"
 	"spurspread/lab/simulation"
-	"time"
 )
 
 const (
--- a/lab/simulation/zoned/shape.go
+++ b/lab/simulation/zoned/shape.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
+
 	"spurspread/decision/zonedirectory"
 	"spurspread/lab/link"
-	"time"
 )
 
 const (
--- a/lab/simulation/zoned/zoned_test.go
+++ b/lab/simulation/zoned/zoned_test.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"os"
 	"runtime/debug"
-	"spurspread/decision/membership"
-	"spurspread/decision/zonedirectory"
 	"strconv"
 	"testing"
 	"time"
+
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
 )
 
 // Bounds, as the scale runs have them.
