--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -19,7 +19,7 @@
 // imports none of package scale.
 var ofConnections = scale.Experiment{
 	Name: connections.Name, About: connections.About,
-	Play: func(ctx context.Context, o scale.Options) (*report.Report, error) {
+	Execute: func(ctx context.Context, o scale.Options) (*report.Report, error) {
 		return connections.Run(ctx, o.Options)
 	},
 }
@@ -58,7 +58,7 @@
 
 // give hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
 func (f scaleFlags) give(e runner, name, plant string) error {
-	ofScale := slices.Contains(scale.Plants, scale.Plant(plant))
+	ofScale := slices.Contains(scale.InjectedFaults, scale.InjectedFault(plant))
 	s, is := e.(*scaleRun)
 	switch {
 	case !is && f != (scaleFlags{}):
@@ -84,7 +84,7 @@
 
 // Run plays it.
 func (s *scaleRun) Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
-	return s.Play(
+	return s.Execute(
 		ctx,
 		scale.Options{
 			Options:       o,
--- a/lab/scale/conditions.go
+++ b/lab/scale/conditions.go
@@ -6,90 +6,99 @@
 	"strings"
 )
 
-// reach tells whether zones reach each other, both ways.
-func (w *watch) reach(a, b int) bool {
-	x, y := a*racksPerZone, b*racksPerZone
-	return !w.partitioned[[2]int{x, y}] && !w.partitioned[[2]int{y, x}]
+// maxMiscounts bounds how many members describeMiscounts names.
+const maxMiscounts = 5
+
+// condition returns whether something holds for all members, and since when (wall clock, microseconds). It needs
+// monitor.mu locked.
+type condition func() (since int64, holds bool)
+
+// connected returns whether datagrams pass between two zones both ways. Partitions are between whole zones, so that
+// the first rack of each stands for all.
+func (m *monitor) connected(zone, other int) bool {
+	rack := zone * racksPerZone
+	otherRack := other * racksPerZone
+	return !m.partitioned[[2]int{rack, otherRack}] && !m.partitioned[[2]int{otherRack, rack}]
 }
 
-// reachable tells whether members of one zone are to count another's: they reach it, or reach a zone that does.
-func (w *watch) reachable(a, b int) bool {
-	if a == b || w.reach(a, b) {
+// countable returns whether the members of a zone have to count those of another one: the zones are connected, or
+// both are connected to a third.
+func (m *monitor) countable(zone, other int) bool {
+	if zone == other || m.connected(zone, other) {
 		return true
 	}
-	for c := range w.t.Zones {
-		if w.reach(a, c) && w.reach(c, b) {
+	for third := range m.topology.Zones {
+		if m.connected(zone, third) && m.connected(third, other) {
 			return true
 		}
 	}
 	return false
 }
 
-// expected is how many members those of each zone are to count.
-func (w *watch) expected() []int {
-	runs := make([]int, w.t.Zones)
-	for i := range w.members {
-		if w.members[i].runs {
-			runs[w.t.Zone(i)]++
+// runningByZone returns how many members run in each zone.
+func (m *monitor) runningByZone() []int {
+	running := make([]int, m.topology.Zones)
+	for i := range m.members {
+		if m.members[i].running {
+			running[m.topology.Zone(i)]++
 		}
 	}
-	out := make([]int, w.t.Zones)
-	for a := range out {
-		for b := range runs {
-			if w.reachable(a, b) {
-				out[a] += runs[b]
+	return running
+}
+
+// expectedCounts returns, for each zone, how many live members its members have to count.
+func (m *monitor) expectedCounts() []int {
+	running := m.runningByZone()
+	expected := make([]int, m.topology.Zones)
+	for zone := range expected {
+		for other := range running {
+			if m.countable(zone, other) {
+				expected[zone] += running[other]
 			}
 		}
 	}
-	return out
+	return expected
 }
 
-// condition looks whether something holds of all members, and since when.
-type condition func() (since int64, holds bool)
-
-// counted tells whether all that run count all that they reach.
-func (w *watch) counted() (since int64, holds bool) {
-	want := w.expected()
-	for i := range w.members {
-		m := &w.members[i]
-		if !m.runs {
+// countsComplete is the condition that all members that run count as many members as expected.
+func (m *monitor) countsComplete() (since int64, holds bool) {
+	expected := m.expectedCounts()
+	for i := range m.members {
+		member := &m.members[i]
+		if !member.running {
 			continue
 		}
-		if m.all != want[w.t.Zone(i)] {
+		if member.totalCount != expected[m.topology.Zone(i)] {
 			return 0, false
 		}
-		since = max(since, m.allAt)
+		since = max(since, member.totalChangedAt)
 	}
 	return since, true
 }
 
-// found tells whether all that run know all of their own zone, and count all.
-func (w *watch) found() (since int64, holds bool) {
-	since, holds = w.counted()
-	own := make([]int, w.t.Zones)
-	for i := range w.members {
-		if w.members[i].runs {
-			own[w.t.Zone(i)]++
-		}
-	}
-	for i := range w.members {
-		m := &w.members[i]
-		if m.runs && !w.t.Flat && m.own != own[w.t.Zone(i)] {
+// joinComplete is the condition that all members that run know all of their own zone, and count all of the fleet.
+func (m *monitor) joinComplete() (since int64, holds bool) {
+	since, holds = m.countsComplete()
+	running := m.runningByZone()
+	for i := range m.members {
+		member := &m.members[i]
+		if member.running && !m.topology.Flat && member.ownZoneCount != running[m.topology.Zone(i)] {
 			return 0, false
 		}
 	}
 	return since, holds
 }
 
-// seenDead tells whether all of a member's zone that run hold it dead.
-func (w *watch) seenDead(of int) condition {
+// deathSeen is the condition that all members that run in a member's zone, or in a flat fleet all that run, have
+// declared it dead.
+func (m *monitor) deathSeen(subject int) condition {
 	return func() (since int64, holds bool) {
-		for i := range w.members {
-			m := &w.members[i]
-			if !m.runs || i == of || !w.t.Flat && w.t.Zone(i) != w.t.Zone(of) {
+		for i := range m.members {
+			member := &m.members[i]
+			if !member.running || i == subject || !m.sameMembership(i, subject) {
 				continue
 			}
-			at, seen := m.deadAt[of]
+			at, seen := member.deadAt[subject]
 			if !seen {
 				return 0, false
 			}
@@ -99,47 +108,48 @@
 	}
 }
 
-// recorded tells whether all that run in zones that one zone reaches have a record's value.
-func (w *watch) recorded(from int, name, value string) condition {
+// sameMembership returns whether two members are in the same membership: that of their zone, or of a flat fleet.
+func (m *monitor) sameMembership(member, other int) bool {
+	return m.topology.Flat || m.topology.Zone(member) == m.topology.Zone(other)
+}
+
+// recordSeen is the condition that all members that run, in zones that count the members of a zone, have a record's
+// value.
+func (m *monitor) recordSeen(fromZone int, name, value string) condition {
 	return func() (since int64, holds bool) {
-		for i := range w.members {
-			m := &w.members[i]
-			if !m.runs || !w.reachable(from, w.t.Zone(i)) {
+		for i := range m.members {
+			member := &m.members[i]
+			if !member.running || !m.countable(fromZone, m.topology.Zone(i)) {
 				continue
 			}
-			r := m.records[name]
-			if r.value != value {
+			record := member.records[name]
+			if record.value != value {
 				return 0, false
 			}
-			since = max(since, r.at)
+			since = max(since, record.seenAt)
 		}
 		return since, true
 	}
 }
 
-// wrong names some members that count something else than they reach.
-func (w *watch) wrong() string {
-	var out []string
-	want := w.expected()
-	count := 0
-	for i := range w.members {
-		m := &w.members[i]
-		if !m.runs || m.all == want[w.t.Zone(i)] {
+// describeMiscounts returns how many members count another number than expected, and names the first of them.
+func (m *monitor) describeMiscounts() string {
+	var named []string
+	expected := m.expectedCounts()
+	miscounts := 0
+	for i := range m.members {
+		member := &m.members[i]
+		zone := m.topology.Zone(i)
+		if !member.running || member.totalCount == expected[zone] {
 			continue
 		}
-		if count++; count <= 5 {
-			out = append(
-				out,
-				fmt.Sprintf(
-					"%s (zone %d) counts %d, %d are there",
-					w.t.Name(i),
-					w.t.Zone(i),
-					m.all,
-					want[w.t.Zone(i)],
-				),
-			)
+		miscounts++
+		if miscounts > maxMiscounts {
+			continue
 		}
+		named = append(named, fmt.Sprintf("%s (zone %d) counts %d, %d are there",
+			m.topology.Name(i), zone, member.totalCount, expected[zone]))
 	}
-	slices.Sort(out)
-	return fmt.Sprintf("%d count wrongly: %s", count, strings.Join(out, ", "))
+	slices.Sort(named)
+	return fmt.Sprintf("%d count wrongly: %s", miscounts, strings.Join(named, ", "))
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -15,185 +15,205 @@
 	"time"
 )
 
-// How members are dealt to processes.
+// How members are distributed over processes.
 const (
-	minRealMembers, maxRealMembers = 8, 24
-	membersPerReal                 = 60 // a real process for so many members
-	maxProcesses                   = 6  // of hollow members
-	maxLoops                       = 2  // of each
-	membersPerLoop                 = 30 // at least; fewer make fewer loops
-	// startSpan is in what time all members are started: as after a power cut, but not in one instant.
-	startSpan = 4 * time.Second
+	minRealMembers       = 8
+	maxRealMembers       = 24
+	membersPerRealMember = 60 // one real member for each so many members, within the bounds above
+	maxProcesses         = 6  // of hollow members
+	maxLoopsPerProcess   = 2
+	membersPerLoop       = 30 // fewer hollow members for each loop make fewer loops
+	minLoops             = 2  // that the number of cores may not go below
 )
 
-// The limits of a run, checked while it is played.
-const (
-	maxRunProcesses = 300
-	maxRunMegabytes = 12 << 10
-)
+// startSpread is the time over which all members are started: as after a power failure, but not in one instant.
+const startSpread = 4 * time.Second
+
+// fleetStream is the stream of random numbers that scenarios draw from the run's seed.
+const fleetStream = 0x7363616c65
 
 // fleet is the members of a run, and what is known of them.
 type fleet struct {
-	t     *Topology
-	dir   string
-	reals *procs.Fleet
-	procs []*process
-	whose map[int]*process // by hollow member
-	watch *watch
-	plant Plant
-	loss  float64 // between regions
-	rng   *rand.Rand
-	log   func(format string, args ...any)
-
-	stop  context.CancelCauseFunc
-	quit  chan struct{}
-	tasks sync.WaitGroup
-	meter meter
-	polls []poll
-}
+	topology        *Topology
+	dir             string       // for files of real members
+	realFleet       *procs.Fleet // its processes are the members with the lowest numbers
+	hollowProcesses []*process
+	processOf       map[int]*process // by hollow member
+	monitor         *monitor
+	injected        InjectedFault
+	loss            float64 // share of the datagrams between regions that is lost
+	rng             *rand.Rand
+	log             func(format string, args ...any)
 
-// realsOf is how many processes of the program a fleet of so many members has.
-func realsOf(members int) int {
-	return min(max(members/membersPerReal, minRealMembers), maxRealMembers)
+	cancel     context.CancelCauseFunc // ends the run early
+	closing    chan struct{}           // closed by close
+	tasks      sync.WaitGroup
+	usage      usageMeter
+	realStates []realState // by real member
 }
 
-// layOut places the members of a fleet.
-func layOut(members, reals, regions, zones int, flat bool, seed uint64) (*Topology, error) {
-	if reals > members || regions < 1 || zones < regions || members < zones {
-		return nil, fmt.Errorf(
-			"%d members, %d of them real, in %d zones of %d regions: each region needs a zone, each zone a member",
-			members,
-			reals,
-			zones,
-			regions,
-		)
-	}
-	t := &Topology{Members: members, Reals: reals, Regions: regions, Zones: zones, Flat: flat, Seed: seed}
-	ips, err := procs.Loopbacks(members)
-	if err != nil {
-		return nil, err
-	}
-	for _, ip := range ips {
-		t.Addrs = append(t.Addrs, netip.AddrPortFrom(ip, procs.FleetPort))
-	}
-	return t, nil
+// realMemberCount is how many members of a fleet are real.
+func realMemberCount(members int) int {
+	return min(max(members/membersPerRealMember, minRealMembers), maxRealMembers)
 }
 
-// newFleet prepares the processes of a fleet, and starts those of hollow members, which do not start yet. stop is
-// called with what ends the run before its time.
-func newFleet(o Options, t *Topology, dir string, stop context.CancelCauseFunc) (*fleet, error) {
+// newFleet prepares the processes of a fleet, and starts those of hollow members; no member starts yet. cancel is
+// called with the reason where the run has to end early. An error means that the fault is unknown or a process could
+// not be prepared.
+func newFleet(o Options, topology *Topology, dir string, cancel context.CancelCauseFunc) (*fleet, error) {
 	f := &fleet{
-		t: t, dir: dir, whose: map[int]*process{}, watch: newWatch(t), plant: Plant(o.Fault), loss: o.Loss,
-		rng: rand.New(rand.NewPCG(o.Seed, 0x7363616c65)), stop: stop, quit: make(chan struct{}), log: o.log(),
-	}
-	if f.plant != "" && !slices.Contains(Plants, f.plant) {
-		return nil, fmt.Errorf("a scale run has no fault %q to plant, only %v", f.plant, Plants)
-	}
-	if err := f.prepareReals(o.Program); err != nil {
+		topology:   topology,
+		dir:        dir,
+		processOf:  map[int]*process{},
+		monitor:    newMonitor(topology),
+		injected:   InjectedFault(o.Fault),
+		loss:       o.Loss,
+		rng:        rand.New(rand.NewPCG(o.Seed, fleetStream)),
+		log:        o.progressLogger(),
+		cancel:     cancel,
+		closing:    make(chan struct{}),
+		usage:      newUsageMeter(topology.RealMembers),
+		realStates: make([]realState, topology.RealMembers),
+	}
+	if f.injected != "" && !slices.Contains(InjectedFaults, f.injected) {
+		return nil, fmt.Errorf("a scale run has no fault %q to plant, only %v", f.injected, InjectedFaults)
+	}
+	if err := f.prepareRealMembers(o.Program); err != nil {
 		return nil, err
 	}
-	if err := f.startHollow(); err != nil {
+	command := o.hollow
+	if command == nil {
+		command = ownHollowCommand
+	}
+	if err := f.startHollowProcesses(command); err != nil {
 		f.close()
 		return nil, err
 	}
-	f.polls = make([]poll, t.Reals)
-	for i := range f.polls {
-		f.tasks.Go(func() { f.poll(i) })
+	for member := range f.realStates {
+		f.tasks.Go(func() { f.pollReal(member) })
 	}
-	f.tasks.Go(f.measure)
+	f.tasks.Go(f.sampleUsage)
 	return f, nil
 }
 
-// log tells what happens.
-func (o *Options) log() func(format string, args ...any) {
+// progressLogger returns a function that writes a line of progress, with the time since the run began.
+func (o *Options) progressLogger() func(format string, args ...any) {
 	began := time.Now()
 	return func(format string, args ...any) {
-		if o.Progress != nil {
-			_, _ = fmt.Fprintf(
-				o.Progress,
-				"%7.1f s  "+format+"\n",
-				append([]any{time.Since(began).Seconds()}, args...)...)
+		if o.Progress == nil {
+			return
 		}
+		line := fmt.Sprintf(format, args...)
+		_, _ = fmt.Fprintf(o.Progress, "%7.1f s  %s\n", time.Since(began).Seconds(), line)
 	}
 }
 
-// prepareReals writes down how processes of the program start. What goes on between two of them passes through links of
-// their own; what goes on between one of them and a hollow member passes the links of that member.
-func (f *fleet) prepareReals(program string) error {
+// prepareRealMembers writes the configuration of real members. Datagrams between two of them pass links of their
+// own; datagrams between a real and a hollow member pass the links of the hollow one.
+func (f *fleet) prepareRealMembers(program string) error {
 	var ips []netip.Addr
-	for _, at := range f.t.Addrs[:f.t.Reals] {
-		ips = append(ips, at.Addr())
+	for _, addr := range f.topology.Addrs[:f.topology.RealMembers] {
+		ips = append(ips, addr.Addr())
 	}
 	dir := filepath.Join(f.dir, "reals")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
+		return fmt.Errorf("directory of real members: %w", err)
 	}
 	var err error
-	if f.reals, err = procs.NewAt(program, dir, ips, 0, f.t.Seed); err != nil {
-		return err
-	}
-	f.reals.Change = func(_ int,
-		config map[string]any,
-	) {
-		config["settings"].(map[string]any)["balancers"] = f.t.Members
+	if f.realFleet, err = procs.NewAt(program, dir, ips, 0, f.topology.Seed); err != nil {
+		return fmt.Errorf("real members: %w", err)
 	}
-	f.reals.Place = func(i int) (region, zone string) {
-		s := f.t.Site(f.t.Zone(i))
-		return s.Region, s.Zone
+	f.realFleet.Change = func(_ int, config map[string]any) {
+		config["settings"].(map[string]any)["balancers"] = f.topology.Members
 	}
-	f.reals.Seeds = f.seedsOfReal
-	links := f.t.Links(0)
-	for a := range f.t.Reals {
-		for b := range f.t.Reals {
-			f.reals.Net.Set([]int{a}, []int{b}, func(l *link.Link) { *l = *links.Between(f.t.Rack(a), f.t.Rack(b)) })
-		}
+	f.realFleet.Place = func(member int) (region, zone string) {
+		site := f.topology.Site(f.topology.Zone(member))
+		return site.Region, site.Zone
 	}
-	for i, p := range f.reals.Procs {
-		p.OnLogLine(func(line string) { f.handleLogLine(i, line) })
+	f.realFleet.Seeds = f.realSeeds
+	f.delayRealLinks()
+	for member, proc := range f.realFleet.Procs {
+		proc.OnLogLine(func(line string) { f.handleLogLine(member, line) })
 	}
 	return nil
 }
 
-func (f *fleet) seedsOfReal(i int) (out []netip.AddrPort) {
-	for _, s := range f.t.Seeds(i) {
-		if s < f.t.Reals {
-			out = append(out, f.reals.Net.Via(i, s))
+// delayRealLinks gives links between real members the delays of the topology.
+func (f *fleet) delayRealLinks() {
+	links := f.topology.Links(0)
+	for from := range f.topology.RealMembers {
+		for to := range f.topology.RealMembers {
+			between := links.Between(f.topology.Rack(from), f.topology.Rack(to))
+			f.realFleet.Net.Set([]int{from}, []int{to}, func(l *link.Link) { *l = *between })
+		}
+	}
+}
+
+// realSeeds returns the addresses of a real member's seeds: of a real seed that of the link to it.
+func (f *fleet) realSeeds(member int) []netip.AddrPort {
+	var addrs []netip.AddrPort
+	for _, seed := range f.topology.Seeds(member) {
+		if f.topology.Real(seed) {
+			addrs = append(addrs, f.realFleet.Net.Via(member, seed))
 		} else {
-			out = append(out, f.t.Addrs[s])
+			addrs = append(addrs, f.topology.Addrs[seed])
 		}
 	}
-	return out
+	return addrs
+}
+
+// hollowProcessCount is how many processes so many hollow members get, each with maxLoopsPerProcess loops: enough
+// loops for membersPerLoop members each, but not many more than there are cores.
+func hollowProcessCount(hollowMembers int) int {
+	wanted := max(hollowMembers/membersPerLoop, 1)
+	coreBound := max(runtime.NumCPU()*3/2, minLoops)
+	loops := min(wanted, maxLoopsPerProcess*maxProcesses, coreBound)
+	return (loops + maxLoopsPerProcess - 1) / maxLoopsPerProcess
+}
+
+// assignHollow returns the members of each loop of each process. Members are assigned to loops in turn, so that each
+// loop has members of each zone; loops without members are left out.
+func (f *fleet) assignHollow() [][][]int {
+	hollowMembers := f.topology.Members - f.topology.RealMembers
+	processes := hollowProcessCount(hollowMembers)
+	loops := processes * maxLoopsPerProcess
+	assigned := make([][][]int, processes)
+	for process := range assigned {
+		assigned[process] = make([][]int, maxLoopsPerProcess)
+	}
+	for i := range hollowMembers {
+		loop := i % loops
+		members := &assigned[loop%processes][loop/processes]
+		*members = append(*members, f.topology.RealMembers+i)
+	}
+	for process := range assigned {
+		assigned[process] = slices.DeleteFunc(assigned[process], func(members []int) bool { return len(members) == 0 })
+	}
+	return assigned
 }
 
-// startHollow starts the processes of hollow members, and deals members to their loops in turn, so that each loop
-// has some of each zone.
-func (f *fleet) startHollow() error {
-	hollow := f.t.Members - f.t.Reals
-	loops := min(max(hollow/membersPerLoop, 1), maxLoops*maxProcesses, max(runtime.NumCPU()*3/2, 2))
-	processes := (loops + maxLoops - 1) / maxLoops
-	loops = processes * maxLoops
-	dealt := make([][][]int, processes)
-	for p := range dealt {
-		dealt[p] = make([][]int, maxLoops)
-	}
-	for i := range hollow {
-		l := i % loops
-		into := &dealt[l%processes][l/processes]
-		*into = append(*into, f.t.Reals+i)
-	}
-	for no, members := range dealt {
-		members = slices.DeleteFunc(members, func(m []int) bool { return len(m) == 0 })
-		for l, m := range members {
-			f.watch.addLoop(no, l, m)
+// startHollowProcesses starts the processes of hollow members.
+func (f *fleet) startHollowProcesses(command hollowCommand) error {
+	for number, loops := range f.assignHollow() {
+		for loop, members := range loops {
+			f.monitor.addLoop(number, loop, members)
 		}
-		p, err := startProcess(
-			&Setup{Topology: *f.t, Loops: members, Secret: procs.Secret(), Expected: f.t.Members, Plant: f.plant},
-			func(s *Sample) { f.watch.take(no, s) },
-		)
+		cmd, err := command()
+		if err != nil {
+			return err
+		}
+		setup := &Setup{
+			Topology:        *f.topology,
+			Loops:           loops,
+			Secret:          procs.Secret(),
+			ExpectedMembers: f.topology.Members,
+			Fault:           f.injected,
+		}
+		p, err := startProcess(cmd, setup, func(sample *Sample) { f.monitor.applySample(number, sample) })
 		if p != nil {
-			f.procs = append(f.procs, p)
-			for _, i := range slices.Concat(members...) {
-				f.whose[i] = p
+			f.hollowProcesses = append(f.hollowProcesses, p)
+			for _, member := range slices.Concat(loops...) {
+				f.processOf[member] = p
 			}
 		}
 		if err != nil {
@@ -203,88 +223,99 @@
 	return nil
 }
 
-// start starts all members within startSpan, and returns when all processes run.
-func (f *fleet) start() error {
-	if err := f.loseSome(); err != nil {
+// startMembers starts all members over startSpread. It returns when all processes run; hollow members may start
+// later.
+func (f *fleet) startMembers() error {
+	if err := f.applyLoss(); err != nil {
 		return err
 	}
-	for i := range f.t.Members {
-		f.watch.started(i)
-		if i < f.t.Reals {
+	for member := range f.topology.Members {
+		f.monitor.markStarted(member)
+		if f.topology.Real(member) {
 			continue
 		}
-		delay := startSpan * time.Duration(i) / time.Duration(f.t.Members)
-		if err := f.whose[i].send(&Command{Do: DoStart, Member: i, Delay: delay.Microseconds()}); err != nil {
+		delay := startSpread * time.Duration(member) / time.Duration(f.topology.Members)
+		start := &Command{Action: ActionStart, Member: member, DelayMicros: delay.Microseconds()}
+		if err := f.processOf[member].send(start); err != nil {
 			return err
 		}
 	}
-	return f.reals.Start()
+	return f.realFleet.Start()
 }
 
-// kill ends a member without a word.
-func (f *fleet) kill(i int) error {
-	f.watch.ended(i, false)
-	if i < f.t.Reals {
-		f.reals.Procs[i].Kill()
+// kill ends a member without notice to the others.
+func (f *fleet) kill(member int) error {
+	f.monitor.markStopped(member, false)
+	if f.topology.Real(member) {
+		f.realFleet.Procs[member].Kill()
 		return nil
 	}
-	return f.whose[i].send(&Command{Do: DoKill, Member: i})
+	return f.processOf[member].send(&Command{Action: ActionKill, Member: member})
 }
 
-// leave ends a member in the planned way; a real one has ended when it returns.
-func (f *fleet) leave(i int) error {
-	f.watch.ended(i, true)
-	if i >= f.t.Reals {
-		return f.whose[i].send(&Command{Do: DoLeave, Member: i})
+// leave ends a member in the planned way. A real one has ended when leave returns; a hollow one ends within
+// leaveMicros.
+func (f *fleet) leave(member int) error {
+	f.monitor.markStopped(member, true)
+	if !f.topology.Real(member) {
+		return f.processOf[member].send(&Command{Action: ActionLeave, Member: member})
 	}
-	if code := f.reals.Procs[i].Stop(); code != 0 {
-		return fmt.Errorf("%s stopped with %d: %q", f.t.Name(i), code, f.reals.Procs[i].Tail())
+	proc := f.realFleet.Procs[member]
+	if code := proc.Stop(); code != 0 {
+		return fmt.Errorf("%s stopped with %d: %q", f.topology.Name(member), code, proc.Tail())
 	}
 	return nil
 }
 
 // restart starts a member that has ended.
-func (f *fleet) restart(i int) error {
-	f.watch.started(i)
-	if i < f.t.Reals {
-		return f.reals.Procs[i].Start()
+func (f *fleet) restart(member int) error {
+	f.monitor.markStarted(member)
+	if f.topology.Real(member) {
+		return f.realFleet.Procs[member].Start()
 	}
-	return f.whose[i].send(&Command{Do: DoStart, Member: i})
+	return f.processOf[member].send(&Command{Action: ActionStart, Member: member})
 }
 
 // publish has a member publish a record.
-func (f *fleet) publish(i int, name, value string) error {
-	if i < f.t.Reals {
-		_, err := f.reals.Procs[i].Admin("RECORD " + name + " " + value)
+func (f *fleet) publish(member int, name, value string) error {
+	if f.topology.Real(member) {
+		_, err := f.realFleet.Procs[member].Admin("RECORD " + name + " " + value)
 		return err
 	}
-	return f.whose[i].send(&Command{Do: DoPublish, Member: i, Name: name, Value: value})
+	return f.processOf[member].send(&Command{Action: ActionPublish, Member: member, Name: name, Value: value})
 }
 
-// link cuts or heals the links from some zones to those of other regions, one way, between all members of both.
-func (f *fleet) link(from, to []int, cut bool) error {
-	c := &Command{Do: DoLink, From: f.t.RacksOf(from), To: f.t.RacksOf(to), Partitioned: cut, Loss: f.loss}
-	f.watch.linked(c.From, c.To, cut)
-	f.reals.Net.Set(f.realsIn(c.From), f.realsIn(c.To), c.change)
-	for _, p := range f.procs {
-		if err := p.send(c); err != nil {
+// setLinks partitions or heals the links from some zones to others, one way. Links that are not partitioned have the
+// run's loss.
+func (f *fleet) setLinks(fromZones, toZones []int, partitioned bool) error {
+	command := &Command{
+		Action:      ActionLink,
+		From:        f.topology.RacksOf(fromZones),
+		To:          f.topology.RacksOf(toZones),
+		Partitioned: partitioned,
+		Loss:        f.loss,
+	}
+	f.monitor.setPartitioned(command.From, command.To, partitioned)
+	f.realFleet.Net.Set(f.realMembersIn(command.From), f.realMembersIn(command.To), command.applyTo)
+	for _, p := range f.hollowProcesses {
+		if err := p.send(command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// loseSome has datagrams between regions lost from now on.
-func (f *fleet) loseSome() error {
+// applyLoss sets the run's loss on all links between regions.
+func (f *fleet) applyLoss() error {
 	if f.loss == 0 {
 		return nil
 	}
-	for a := range f.t.Regions {
-		for b := range f.t.Regions {
-			if a == b {
+	for from := range f.topology.Regions {
+		for to := range f.topology.Regions {
+			if from == to {
 				continue
 			}
-			if err := f.link(f.t.ZonesOf(a), f.t.ZonesOf(b), false); err != nil {
+			if err := f.setLinks(f.topology.ZonesOf(from), f.topology.ZonesOf(to), false); err != nil {
 				return err
 			}
 		}
@@ -292,51 +323,46 @@
 	return nil
 }
 
-func (f *fleet) realsIn(racks []int) (out []int) {
-	for i := range f.t.Reals {
-		if slices.Contains(racks, f.t.Rack(i)) {
-			out = append(out, i)
+// realMembersIn returns the real members in some racks.
+func (f *fleet) realMembersIn(racks []int) []int {
+	var members []int
+	for member := range f.topology.RealMembers {
+		if slices.Contains(racks, f.topology.Rack(member)) {
+			members = append(members, member)
 		}
 	}
-	return out
+	return members
 }
 
-// draw is a member that runs, real or hollow, in one of some zones; -1 where there is none.
-func (f *fleet) draw(real bool, zones []int) int {
-	f.watch.mu.Lock()
-	defer f.watch.mu.Unlock()
-	var all []int
-	for i := range f.watch.members {
-		if f.watch.members[i].runs && i < f.t.Reals == real && slices.Contains(zones, f.t.Zone(i)) {
-			all = append(all, i)
+// pickRunning draws a member that runs, real or hollow, in one of some zones. ok is false where there is none.
+func (f *fleet) pickRunning(realMember bool, zones []int) (member int, ok bool) {
+	f.monitor.mu.Lock()
+	defer f.monitor.mu.Unlock()
+	var eligible []int
+	for i := range f.monitor.members {
+		if f.monitor.members[i].running && f.topology.Real(i) == realMember &&
+			slices.Contains(zones, f.topology.Zone(i)) {
+			eligible = append(eligible, i)
 		}
 	}
-	if len(all) == 0 {
-		return -1
-	}
-	return all[f.rng.IntN(len(all))]
-}
-
-// allZones are all zones.
-func (f *fleet) allZones() (out []int) {
-	for z := range f.t.Zones {
-		out = append(out, z)
+	if len(eligible) == 0 {
+		return 0, false
 	}
-	return out
+	return eligible[f.rng.IntN(len(eligible))], true
 }
 
-// close ends all processes that were started, by their ids.
+// close ends all processes of the fleet.
 func (f *fleet) close() {
-	close(f.quit)
+	close(f.closing)
 	f.tasks.Wait()
-	f.reals.Close()
-	var wg sync.WaitGroup
-	for _, p := range f.procs {
-		wg.Go(func() {
-			if p.end(endTime) {
+	f.realFleet.Close()
+	var stops sync.WaitGroup
+	for _, p := range f.hollowProcesses {
+		stops.Go(func() {
+			if p.stop(processEndTime) {
 				f.log("process %d of hollow members had to be ended", p.cmd.Process.Pid)
 			}
 		})
 	}
-	wg.Wait()
+	stops.Wait()
 }
--- /dev/null
+++ b/lab/scale/hollow_group.go
@@ -0,0 +1,184 @@
+package scale
+
+import (
+	"net/netip"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
+	"spurspread/internal/eventloop"
+	"spurspread/internal/peer/packet"
+	"time"
+)
+
+const (
+	sampleMicros      = 100_000 // interval of a loop's samples, microseconds
+	samplesPerTraffic = 10      // each so many samples one has the traffic of the last second
+	lagTimerMicros    = 10_000  // interval of the timer whose lateness is measured, microseconds
+)
+
+// hollowGroup is an event loop with its hollow members. All but newHollowGroup and has run on the loop.
+type hollowGroup struct {
+	loop         *eventloop.Loop
+	number       int // within the process
+	setup        *Setup
+	links        *Links
+	keyring      *packet.Keyring
+	members      []*hollowMember
+	memberByAddr map[netip.Addr]int // all members of the fleet: each has an address of its own
+	memberByName map[string]int
+	zoneByID     map[zonedirectory.ID]int
+	samples      chan<- *Sample
+
+	pending     *Sample // what is observed until the next sample
+	traffic     Traffic // of the present second
+	sampleCount int
+	periods     int64     // number of membership.TickInterval that have passed
+	lagDue      time.Time // when the lag timer should fire next
+}
+
+func newHollowGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*hollowGroup, error) {
+	loop, err := eventloop.New()
+	if err != nil {
+		return nil, err
+	}
+	keyring, err := newKeyring(setup.Secret)
+	if err != nil {
+		return nil, err
+	}
+	topology := &setup.Topology
+	g := &hollowGroup{
+		loop:         loop,
+		number:       number,
+		setup:        setup,
+		links:        topology.Links(uint64(members[0])),
+		keyring:      keyring,
+		memberByAddr: map[netip.Addr]int{},
+		memberByName: map[string]int{},
+		zoneByID:     map[zonedirectory.ID]int{},
+		samples:      samples,
+		pending:      &Sample{},
+	}
+	for member, addr := range topology.Addrs {
+		g.memberByAddr[addr.Addr()] = member
+		g.memberByName[topology.Name(member)] = member
+	}
+	for zone := range topology.Zones {
+		g.zoneByID[topology.Site(zone).ID()] = zone
+	}
+	for _, member := range members {
+		g.members = append(g.members, &hollowMember{group: g, index: member})
+	}
+	g.resetTraffic()
+	return g, nil
+}
+
+// has returns whether a member belongs to this loop. It may be called from any goroutine.
+func (g *hollowGroup) has(member int) bool { return g.find(member) != nil }
+
+// find returns the member of this loop with an index, or nil.
+func (g *hollowGroup) find(member int) *hollowMember {
+	for _, own := range g.members {
+		if own.index == member {
+			return own
+		}
+	}
+	return nil
+}
+
+// run serves the loop until it is stopped.
+func (g *hollowGroup) run() error {
+	repeat(g.loop, sampleMicros, g.emitSample)
+	repeat(g.loop, membership.TickInterval, func() { g.periods++ })
+	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
+	g.loop.After(lagTimerMicros, g.measureLag)
+	return g.loop.Run()
+}
+
+// repeat has a loop call do at an interval. The next call is scheduled before do runs, so that its duration does not
+// add to the interval.
+func repeat(loop *eventloop.Loop, interval eventloop.Micros, do func()) {
+	loop.After(interval, func() {
+		repeat(loop, interval, do)
+		do()
+	})
+}
+
+// measureLag measures how late a timer fires, the other work of the loop included.
+func (g *hollowGroup) measureLag() {
+	late := time.Since(g.lagDue).Microseconds()
+	g.pending.LagMicros = append(g.pending.LagMicros, max(late, 0))
+	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
+	g.loop.After(lagTimerMicros, g.measureLag)
+}
+
+// execute carries out a command.
+func (g *hollowGroup) execute(command *Command) {
+	if command.Action == ActionLink {
+		g.links.Set(command.From, command.To, command.applyTo)
+		return
+	}
+	if member := g.find(command.Member); member != nil {
+		member.execute(command)
+	}
+}
+
+// emitSample sends what has changed at the members since the last sample.
+func (g *hollowGroup) emitSample() {
+	sample := g.pending
+	sample.Loop = g.number
+	sample.At = time.Now().UnixMicro()
+	sample.Periods = g.periods
+	sample.Running = 0
+	sample.ShareSum = 0
+	for _, member := range g.members {
+		if member.host == nil {
+			continue
+		}
+		sample.Running++
+		sample.ShareSum += 1 / max(member.host.RateDivisor(), 1)
+		member.sample(sample)
+	}
+	g.sampleCount++
+	if g.sampleCount%samplesPerTraffic == 0 {
+		g.addTraffic(sample)
+	}
+	g.samples <- sample
+	g.pending = &Sample{}
+}
+
+// addTraffic adds the traffic of the last second to a sample.
+func (g *hollowGroup) addTraffic(sample *Sample) {
+	for i, member := range g.members {
+		g.traffic.Sent[i] = member.sentBytes
+		g.traffic.Received[i] = member.receivedBytes
+		g.traffic.Datagrams += member.datagrams
+		member.sentBytes = 0
+		member.receivedBytes = 0
+		member.datagrams = 0
+	}
+	traffic := g.traffic
+	sample.Traffic = &traffic
+	g.resetTraffic()
+}
+
+// resetTraffic begins a second without traffic.
+func (g *hollowGroup) resetTraffic() {
+	realMembers := g.setup.Topology.RealMembers
+	g.traffic = Traffic{
+		Sent:          make([]int64, len(g.members)),
+		Received:      make([]int64, len(g.members)),
+		RealSent:      make([]int64, realMembers),
+		RealReceived:  make([]int64, realMembers),
+		RealDatagrams: make([]int64, realMembers),
+	}
+}
+
+// countRealTraffic counts a datagram that a member sent or received, if it is a real one: its own process has no
+// socket that counts.
+func (g *hollowGroup) countRealTraffic(member, sent, received int) {
+	if !g.setup.Topology.Real(member) {
+		return
+	}
+	g.traffic.RealSent[member] += int64(sent)
+	g.traffic.RealReceived[member] += int64(received)
+	g.traffic.RealDatagrams[member]++
+}
--- /dev/null
+++ b/lab/scale/hollow_process.go
@@ -0,0 +1,103 @@
+package scale
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"spurspread/internal/peer/packet"
+
+	"golang.org/x/sync/errgroup"
+)
+
+// Stubs says what a hollow member lacks; each report has it as a note.
+const Stubs = "hollow members have no clients, servers, discovery, settings, session store, admin listener and log"
+
+// sampleQueueLength is how many samples may wait for the writer: some seconds of them, so that a reader that is late
+// blocks no loop.
+const sampleQueueLength = 256
+
+// Hollow is the main function of a process of hollow members. It reads a Setup and then Commands from in, and writes
+// Samples to out, until in ends. An error means that the setup or a command was malformed, that a loop or key could
+// not be created, or that out could not be written.
+func Hollow(in io.Reader, out io.Writer) error {
+	lines := json.NewDecoder(bufio.NewReader(in))
+	var setup Setup
+	if err := lines.Decode(&setup); err != nil {
+		return fmt.Errorf("hollow members: no setup: %w", err)
+	}
+	samples := make(chan *Sample, sampleQueueLength)
+	written := make(chan error, 1)
+	go func() { written <- writeSamples(out, samples) }()
+	groups, err := newHollowGroups(&setup, samples)
+	if err != nil {
+		return err
+	}
+	var loops errgroup.Group
+	for _, group := range groups {
+		loops.Go(group.run)
+	}
+	err = serveCommands(lines, groups)
+	for _, group := range groups {
+		group.loop.Post(group.loop.Stop)
+	}
+	err = errors.Join(err, loops.Wait())
+	close(samples)
+	return errors.Join(err, <-written)
+}
+
+// newHollowGroups creates the loops of the process with their members.
+func newHollowGroups(setup *Setup, samples chan<- *Sample) ([]*hollowGroup, error) {
+	var groups []*hollowGroup
+	for number, members := range setup.Loops {
+		group, err := newHollowGroup(setup, number, members, samples)
+		if err != nil {
+			return nil, fmt.Errorf("loop %d of hollow members: %w", number, err)
+		}
+		groups = append(groups, group)
+	}
+	return groups, nil
+}
+
+// serveCommands posts each command to the loops that it concerns, until the input ends.
+func serveCommands(lines *json.Decoder, groups []*hollowGroup) error {
+	for {
+		var command Command
+		err := lines.Decode(&command)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return fmt.Errorf("hollow members: %w", err)
+		}
+		for _, group := range groups {
+			if command.Action == ActionLink || group.has(command.Member) {
+				group.loop.Post(func() { group.execute(&command) })
+			}
+		}
+	}
+}
+
+// writeSamples writes one line for each sample. After an error it goes on to receive samples, so that no loop
+// blocks, and writes nothing more.
+func writeSamples(out io.Writer, samples <-chan *Sample) error {
+	var failed error
+	encoder := json.NewEncoder(out)
+	for sample := range samples {
+		if failed == nil {
+			failed = encoder.Encode(sample)
+		}
+	}
+	return failed
+}
+
+// newKeyring returns a keyring with the fleet's key. A keyring is not safe for concurrent use.
+func newKeyring(secret []byte) (*packet.Keyring, error) {
+	key := packet.Key{Primary: true}
+	if len(secret) != len(key.Secret) {
+		return nil, fmt.Errorf("hollow members: a key has %d bytes, not %d", len(key.Secret), len(secret))
+	}
+	copy(key.Secret[:], secret)
+	return packet.NewKeyring([]packet.Key{key})
+}
--- /dev/null
+++ b/lab/scale/member_view.go
@@ -0,0 +1,81 @@
+package scale
+
+import (
+	"spurspread/decision/membership"
+	"spurspread/internal/logging"
+	"spurspread/lab/link"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// discardFormatter formats log entries as nothing: the log of a hollow member is read by its hook only.
+type discardFormatter struct{}
+
+// Format implements logrus.Formatter.
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
+
+// changeHook observes the changes of a member's view in its log, as an operator would.
+type changeHook struct{ member *hollowMember }
+
+// Levels implements logrus.Hook.
+func (*changeHook) Levels() []logrus.Level { return []logrus.Level{logrus.InfoLevel} }
+
+// Fire implements logrus.Hook.
+func (hook *changeHook) Fire(entry *logrus.Entry) error {
+	from, _ := entry.Data[logging.PreviousState].(string)
+	to, _ := entry.Data[logging.State].(string)
+	name, _ := entry.Data[logging.Member].(string)
+	subject, known := hook.member.group.memberByName[name]
+	if known && to != "" {
+		hook.member.observePeer(subject, from, to)
+	}
+	return nil
+}
+
+// parseState returns the state that has a name; Unknown for any other word.
+func parseState(name string) membership.State {
+	for state := membership.Alive; state <= membership.Left; state++ {
+		if state.String() == name {
+			return state
+		}
+	}
+	return membership.Unknown
+}
+
+// isLive returns whether a member with a state counts as live.
+func isLive(state membership.State) bool {
+	return state == membership.Alive || state == membership.Suspect
+}
+
+// observePeer records a change of the state that this member has for another one of its zone.
+func (m *hollowMember) observePeer(subject int, from, to string) {
+	state := parseState(to)
+	before := m.peerStates[subject]
+	m.peerStates[subject] = state
+	if isLive(state) && !isLive(before) {
+		m.ownZoneCount++
+	}
+	if !isLive(state) && isLive(before) {
+		m.ownZoneCount--
+	}
+	pending := m.group.pending
+	if state == membership.Suspect {
+		pending.Suspicions++
+	}
+	if state >= membership.Dead || before >= membership.Dead {
+		pending.Changes = append(pending.Changes, Change{
+			Observer: m.index,
+			Subject:  subject,
+			From:     from,
+			To:       to,
+			At:       time.Now().UnixMicro(),
+		})
+	}
+}
+
+// applyTo sets the losses of a link to those of the command. The delay stays as it is.
+func (c *Command) applyTo(l *link.Link) {
+	l.Partitioned = c.Partitioned
+	l.Loss = c.Loss
+}
--- /dev/null
+++ b/lab/scale/monitor.go
@@ -0,0 +1,326 @@
+package scale
+
+import (
+	"fmt"
+	"sync"
+	"time"
+)
+
+const (
+	// starvedLagMicros is how late a timer may fire, in microseconds, before false deaths are attributed to the
+	// machine: after a pause of that length members reconsider what they concluded during it.
+	starvedLagMicros = 300_000
+	// starvedForMicros is how long after such a timer false deaths are excused, microseconds.
+	starvedForMicros = 10_000_000
+	// maxNotes bounds the notes of a run.
+	maxNotes = 12
+)
+
+// monitor is what a run knows of its fleet: what was done to members and links, and what members were observed to
+// see. Methods that lock mu may be called from any goroutine; the others need it locked, unless they say otherwise.
+type monitor struct {
+	mu          sync.Mutex
+	topology    *Topology
+	members     []memberView
+	partitioned map[[2]int]bool // links without any datagram: rack of the sender, rack of the receiver
+	loops       map[loopID]*loopView
+
+	// judging is whether observations count: it is set once all members have joined.
+	judging      bool
+	starvedUntil int64 // wall clock, microseconds
+
+	falseDeaths int // members that ran and were declared dead
+	excused     int // false deaths and recoveries while starved
+	flaps       int // the most recoveries of one subject by one observer after one fault
+	recoveries  map[recovery]int
+	suspicions  int
+	maxShareSum float64 // the largest sum of 1/divisor of all members that run
+	lagMillis   []float64
+	errors      []string
+	notes       []string
+}
+
+// loopID identifies a loop of hollow members.
+type loopID struct {
+	process int
+	loop    int // within the process
+}
+
+// recovery is that an observer considered a subject alive or reachable that it had given up before.
+type recovery struct {
+	observer int
+	subject  int // a member, or a zone
+	isZone   bool
+}
+
+// memberView is what was done to a member, and what it sees.
+type memberView struct {
+	running        bool
+	leaving        bool // it was ended in the planned way
+	delegate       bool // of its zone, according to itself
+	ownZoneCount   int  // live members of its zone that it counts
+	totalCount     int  // live members of the fleet that it counts
+	totalChangedAt int64
+	budgetShare    float64        // 1/divisor, of a real member
+	zoneStates     map[int]string // by zone
+	records        map[string]recordView
+	deadAt         map[int]int64 // members that it declared dead last, and when
+	sentBytes      series        // of a hollow member, as is the next
+	receivedBytes  series
+}
+
+// recordView is the value that a member has for a record.
+type recordView struct {
+	value  string
+	seenAt int64
+}
+
+// loopView is what a loop of hollow members has reported.
+type loopView struct {
+	members           []int
+	periods           int64
+	shareSum          float64
+	realSentBytes     []series // by real member
+	realReceivedBytes []series // by real member
+	realDatagrams     series
+	allDatagrams      series
+}
+
+func newMonitor(topology *Topology) *monitor {
+	return &monitor{
+		topology:    topology,
+		members:     make([]memberView, topology.Members),
+		partitioned: map[[2]int]bool{},
+		loops:       map[loopID]*loopView{},
+		recoveries:  map[recovery]int{},
+	}
+}
+
+// addLoop adds a loop, before its first sample. It does not need mu: no process reports yet.
+func (m *monitor) addLoop(process, loop int, members []int) {
+	m.loops[loopID{process, loop}] = &loopView{
+		members:           members,
+		realSentBytes:     make([]series, m.topology.RealMembers),
+		realReceivedBytes: make([]series, m.topology.RealMembers),
+	}
+}
+
+// applySample applies a sample of a process. It locks mu.
+func (m *monitor) applySample(process int, sample *Sample) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	loop := m.loops[loopID{process, sample.Loop}]
+	loop.periods = sample.Periods
+	loop.shareSum = sample.ShareSum
+	m.suspicions += sample.Suspicions
+	m.errors = append(m.errors, sample.Errors...)
+	for _, lag := range sample.LagMicros {
+		m.observeLag(sample.At, lag)
+	}
+	for _, change := range sample.Changes {
+		m.observeChange(change)
+	}
+	for _, counts := range sample.Counts {
+		m.observeCounts(counts, sample.At)
+	}
+	for _, state := range sample.Zones {
+		m.observeZone(state, sample.At)
+	}
+	for _, record := range sample.Records {
+		m.observeRecord(record, sample.At)
+	}
+	if sample.Traffic != nil {
+		m.observeTraffic(loop, sample.At, sample.Traffic)
+	}
+	m.updateMaxShareSum()
+}
+
+// observeLag records how late a timer fired, in microseconds.
+func (m *monitor) observeLag(at, lagMicros int64) {
+	if lagMicros > starvedLagMicros {
+		m.starvedUntil = max(m.starvedUntil, at+starvedForMicros)
+	}
+	if m.judging {
+		m.lagMillis = append(m.lagMillis, float64(lagMicros)/1000)
+	}
+}
+
+func (m *monitor) observeTraffic(loop *loopView, at int64, traffic *Traffic) {
+	for i, member := range loop.members {
+		m.members[member].sentBytes.add(at, float64(traffic.Sent[i]))
+		m.members[member].receivedBytes.add(at, float64(traffic.Received[i]))
+	}
+	realDatagrams := int64(0)
+	for member := range m.topology.RealMembers {
+		loop.realSentBytes[member].add(at, float64(traffic.RealSent[member]))
+		loop.realReceivedBytes[member].add(at, float64(traffic.RealReceived[member]))
+		realDatagrams += traffic.RealDatagrams[member]
+	}
+	loop.realDatagrams.add(at, float64(realDatagrams))
+	loop.allDatagrams.add(at, float64(traffic.Datagrams))
+}
+
+// observeChange records a death, and counts false deaths and recoveries.
+func (m *monitor) observeChange(change Change) {
+	observer := &m.members[change.Observer]
+	subject := &m.members[change.Subject]
+	if change.To == "dead" {
+		if observer.deadAt == nil {
+			observer.deadAt = map[int]int64{}
+		}
+		observer.deadAt[change.Subject] = change.At
+		if subject.running && !subject.leaving {
+			m.countFalseDeath(change)
+		}
+	}
+	if change.From == "dead" && change.To == "alive" {
+		m.countRecovery(change.At, recovery{observer: change.Observer, subject: change.Subject})
+	}
+}
+
+// countFalseDeath counts that a member that runs was declared dead, unless the machine was starved.
+func (m *monitor) countFalseDeath(change Change) {
+	if change.At < m.starvedUntil {
+		m.excused++
+		return
+	}
+	m.falseDeaths++
+	m.addNote("%s holds %s dead, which runs", m.topology.Name(change.Observer), m.topology.Name(change.Subject))
+}
+
+// countRecovery counts a recovery, unless the machine was starved.
+func (m *monitor) countRecovery(at int64, r recovery) {
+	if at < m.starvedUntil {
+		m.excused++
+		return
+	}
+	m.recoveries[r]++
+	if m.judging {
+		m.flaps = max(m.flaps, m.recoveries[r])
+	}
+}
+
+// addNote adds a line to the report. Only the first maxNotes are kept.
+func (m *monitor) addNote(format string, args ...any) {
+	if len(m.notes) < maxNotes {
+		m.notes = append(m.notes, fmt.Sprintf(format, args...))
+	}
+}
+
+func (m *monitor) observeCounts(counts MemberCounts, at int64) {
+	member := &m.members[counts.Member]
+	member.ownZoneCount = counts.OwnZone
+	member.delegate = counts.Delegate
+	if member.totalCount != counts.Total {
+		member.totalCount = counts.Total
+		member.totalChangedAt = at
+	}
+}
+
+// observeZone records the state that a member has for a zone. A zone that becomes reachable again is a recovery.
+func (m *monitor) observeZone(state ZoneState, at int64) {
+	member := &m.members[state.Member]
+	if member.zoneStates == nil {
+		member.zoneStates = map[int]string{}
+	}
+	before := member.zoneStates[state.Zone]
+	if before != "" && before != state.State && state.State == "reachable" {
+		m.countRecovery(at, recovery{observer: state.Member, subject: state.Zone, isZone: true})
+	}
+	member.zoneStates[state.Zone] = state.State
+}
+
+func (m *monitor) observeRecord(seen RecordSeen, at int64) {
+	member := &m.members[seen.Member]
+	if member.records == nil {
+		member.records = map[string]recordView{}
+	}
+	if member.records[seen.Name].value != seen.Value {
+		member.records[seen.Name] = recordView{seen.Value, at}
+	}
+}
+
+// updateMaxShareSum updates the largest sum of the shares of a fleet-wide budget that all members that run take.
+func (m *monitor) updateMaxShareSum() {
+	sum := 0.0
+	for _, loop := range m.loops {
+		sum += loop.shareSum
+	}
+	for i := range m.members[:m.topology.RealMembers] {
+		if m.members[i].running {
+			sum += m.members[i].budgetShare
+		}
+	}
+	if m.judging {
+		m.maxShareSum = max(m.maxShareSum, sum)
+	}
+}
+
+// markStarted records that a member runs from now on, with no view of the fleet yet. It locks mu.
+func (m *monitor) markStarted(member int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	view := &m.members[member]
+	view.running = true
+	view.leaving = false
+	view.delegate = false
+	view.ownZoneCount = 0
+	view.totalCount = 0
+	view.budgetShare = 0
+	view.zoneStates = nil
+	view.records = nil
+	view.deadAt = nil
+}
+
+// markStopped records that a member runs no more, or leaves from now on. It locks mu.
+func (m *monitor) markStopped(member int, leaving bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.members[member].running = false
+	m.members[member].leaving = leaving
+}
+
+// setPartitioned records whether the links from some racks to others lose all datagrams. It locks mu.
+func (m *monitor) setPartitioned(from, to []int, partitioned bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, sender := range from {
+		for _, receiver := range to {
+			if partitioned {
+				m.partitioned[[2]int{sender, receiver}] = true
+			} else {
+				delete(m.partitioned, [2]int{sender, receiver})
+			}
+		}
+	}
+}
+
+// instant is a moment by the clock and by each loop's count of protocol periods.
+type instant struct {
+	at      int64 // wall clock, microseconds
+	periods map[loopID]int64
+}
+
+// beginFault returns the present moment, and counts recoveries anew from here. It locks mu.
+func (m *monitor) beginFault() instant {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	clear(m.recoveries)
+	now := instant{at: time.Now().UnixMicro(), periods: map[loopID]int64{}}
+	for id, loop := range m.loops {
+		now.periods[id] = loop.periods
+	}
+	return now
+}
+
+// periodsSince is how many protocol periods have passed since a moment in the loop that has run the fewest; -1
+// without loops.
+func (m *monitor) periodsSince(since instant) int64 {
+	fewest := int64(-1)
+	for id, loop := range m.loops {
+		if passed := loop.periods - since.periods[id]; fewest < 0 || passed < fewest {
+			fewest = passed
+		}
+	}
+	return fewest
+}
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -7,100 +7,113 @@
 	"io"
 	"os"
 	"os/exec"
+	"strings"
 	"sync"
 	"time"
 )
 
-// endTime is how long a process of hollow members may take to end by itself once its input has ended.
-const endTime = 5 * time.Second
+const (
+	// processEndTime is how long a process of hollow members may take to end after its input has ended; then it is
+	// killed.
+	processEndTime = 5 * time.Second
+	// maxStderrLines bounds what is stored of a process's standard error.
+	maxStderrLines = 20
+	// sampleBufferBytes is the buffer for a process's samples.
+	sampleBufferBytes = 1 << 16
+)
+
+// HollowCommand is the name of this program's command that calls Hollow with its standard input and output.
+const HollowCommand = "hollow-members"
+
+// hollowCommand returns the command of a process of hollow members, which has not been started.
+type hollowCommand func() (*exec.Cmd, error)
 
-// hollowCommand is the command of a process of hollow members: this program's own.
-var hollowCommand = func() (*exec.Cmd, error) {
-	self, err := os.Executable()
+// ownHollowCommand is the hollowCommand that starts this program as a process of hollow members.
+func ownHollowCommand() (*exec.Cmd, error) {
+	program, err := os.Executable()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("find this program: %w", err)
 	}
-	return exec.Command(self, HollowCommand), nil
+	return exec.Command(program, HollowCommand), nil
 }
 
-// HollowCommand is the name of the command that runs Hollow on its standard input and output.
-const HollowCommand = "hollow-members"
-
-// process is a process of hollow members, as the run that started it sees it.
+// process is a child process of hollow members.
 type process struct {
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	done chan struct{}
+	cmd   *exec.Cmd
+	stdin io.WriteCloser
+	done  chan struct{} // closed when the process has ended and its output was read
 
-	mu   sync.Mutex
-	to   *json.Encoder
-	tail []string // of what it wrote to its standard error
+	mu         sync.Mutex
+	encoder    *json.Encoder
+	stderrTail []string // the first lines of its standard error
 }
 
-// startProcess starts one; take is given what it tells, one sample after another.
-func startProcess(setup *Setup, take func(*Sample)) (*process, error) {
-	cmd, err := hollowCommand()
-	if err != nil {
-		return nil, err
-	}
+// startProcess starts a process and sends its setup. Each of its samples is passed to onSample, one after another.
+// Where the setup could not be sent, the process is returned together with the error, and must be stopped.
+func startProcess(cmd *exec.Cmd, setup *Setup, onSample func(*Sample)) (*process, error) {
 	p := &process{cmd: cmd, done: make(chan struct{})}
-	if p.in, err = cmd.StdinPipe(); err != nil {
+	var err error
+	if p.stdin, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	said, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start a process of hollow members: %w", err)
 	}
-	p.to = json.NewEncoder(p.in)
+	p.encoder = json.NewEncoder(p.stdin)
 	var readers sync.WaitGroup
-	readers.Go(func() { p.read(out, take) })
-	readers.Go(func() { p.keep(said) })
+	readers.Go(func() { p.readSamples(stdout, onSample) })
+	readers.Go(func() { p.keepStderr(stderr) })
 	go func() {
 		readers.Wait()
-		_ = cmd.Wait() // how it ended stands in its state
+		_ = cmd.Wait() // the exit status is in cmd.ProcessState
 		close(p.done)
 	}()
 	return p, p.send(setup)
 }
 
-func (p *process) read(out io.Reader, take func(*Sample)) {
-	for lines := json.NewDecoder(bufio.NewReaderSize(out, 1<<16)); ; {
-		var s Sample
-		if lines.Decode(&s) != nil {
+// readSamples passes on samples until the output ends or is malformed.
+func (p *process) readSamples(stdout io.Reader, onSample func(*Sample)) {
+	lines := json.NewDecoder(bufio.NewReaderSize(stdout, sampleBufferBytes))
+	for {
+		var sample Sample
+		if lines.Decode(&sample) != nil {
 			return
 		}
-		take(&s)
+		onSample(&sample)
 	}
 }
 
-func (p *process) keep(said io.Reader) {
-	for lines := bufio.NewScanner(said); lines.Scan(); {
+// keepStderr stores the first lines of the process's standard error, and discards the others.
+func (p *process) keepStderr(stderr io.Reader) {
+	lines := bufio.NewScanner(stderr)
+	for lines.Scan() {
 		p.mu.Lock()
-		if len(p.tail) < 20 {
-			p.tail = append(p.tail, lines.Text())
+		if len(p.stderrTail) < maxStderrLines {
+			p.stderrTail = append(p.stderrTail, lines.Text())
 		}
 		p.mu.Unlock()
 	}
 }
 
-// send writes a line for the process.
+// send writes a Setup or Command to the process. An error means that the process has ended.
 func (p *process) send(line any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.to.Encode(line); err != nil {
-		return fmt.Errorf("hollow members do not listen: %w; they said %q", err, p.tail)
+	if err := p.encoder.Encode(line); err != nil {
+		return fmt.Errorf("send to hollow members: %w; their standard error: %q", err, p.stderrTail)
 	}
 	return nil
 }
 
-// ended tells whether the process is there no more.
+// ended returns whether the process has ended.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -110,13 +123,21 @@
 	}
 }
 
-// end has it end by itself, and ends it by its id where it does not within this time; killed tells that it had to.
-func (p *process) end(most time.Duration) (killed bool) {
-	_ = p.in.Close()
+// endedError says that the process ended during a run.
+func (p *process) endedError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return fmt.Errorf("a process of hollow members has ended: %s", strings.Join(p.stderrTail, "; "))
+}
+
+// stop ends the input of the process and waits until it has ended. After the limit it is killed, which the result
+// says.
+func (p *process) stop(limit time.Duration) (killed bool) {
+	_ = p.stdin.Close()
 	select {
 	case <-p.done:
 		return false
-	case <-time.After(most):
+	case <-time.After(limit):
 		_ = p.cmd.Process.Kill()
 		<-p.done
 		return true
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -1,89 +1,99 @@
 package scale
 
-// What a run and its hollow processes tell each other: a line of JSON each. A process ends when its input does.
+// A run and its processes of hollow members exchange lines of JSON: Setup once and then Commands to the process's
+// standard input, Samples from its standard output. A process ends when its input ends.
 
-// Setup is the first line that a process is told.
+// Setup is the first line that a process of hollow members reads.
 type Setup struct {
-	Topology Topology
-	Loops    [][]int // the members of each loop of this process
-	Secret   []byte  // of the fleet's key, 32 bytes
-	// Expected is what the settings say that the fleet's members are.
-	Expected int
-	// Plant is a fault that the run has to find; none where it is empty.
-	Plant Plant
+	Topology        Topology
+	Loops           [][]int // members of each loop of the process
+	Secret          []byte  // the fleet's key, 32 bytes
+	ExpectedMembers int     `json:"Expected"` // fleet size according to the settings
+	// Fault is the fault that is injected into the members of the process; empty for none.
+	Fault InjectedFault `json:"Plant"`
 }
 
-// Do is what is done to a member, or to links.
-type Do string
+// Action is what a Command does.
+type Action string
 
-// What can be done.
+// The actions.
 const (
-	DoStart   Do = "start"
-	DoKill    Do = "kill"  // it ends without a word
-	DoLeave   Do = "leave" // it says so before
-	DoPublish Do = "publish"
-	DoLink    Do = "link"
+	ActionStart   Action = "start"
+	ActionKill    Action = "kill"  // the member ends without notice
+	ActionLeave   Action = "leave" // the member announces that it leaves, and ends
+	ActionPublish Action = "publish"
+	ActionLink    Action = "link" // links change
 )
 
-// Command is one thing to do.
+// Command is one action on a member or on links.
 type Command struct {
-	Do          Do
-	Member      int    `json:",omitempty"`
-	Delay       int64  `json:",omitempty"` // of a start, microseconds
-	Name, Value string `json:",omitempty"` // of a record
-	From, To    []int  `json:",omitempty"` // racks, one way
-	Partitioned bool   `json:"Cut,omitempty"`
-	Loss        float64
+	Action      Action  `json:"Do"`
+	Member      int     `json:",omitempty"`
+	DelayMicros int64   `json:"Delay,omitempty"` // ActionStart: from receipt until the start
+	Name        string  `json:",omitempty"`      // ActionPublish: of the record
+	Value       string  `json:",omitempty"`      // ActionPublish: of the record
+	From        []int   `json:",omitempty"`      // ActionLink: racks at the sending end
+	To          []int   `json:",omitempty"`      // ActionLink: racks at the receiving end
+	Partitioned bool    `json:"Cut,omitempty"`   // ActionLink: all datagrams are lost
+	Loss        float64 // ActionLink: share of the datagrams that is lost
 }
 
-// Sample is what a loop's members have shown since the one before.
+// Sample is what has changed at the members of one loop since the sample before.
 type Sample struct {
-	Process, Loop int
-	At            int64 // wall clock, microseconds
-	Periods       int64 // of membership.TickInterval that the loop has had
-	Running       int
-	Shares        float64      // sum of 1/divisor of those that run
-	Lags          []int64      // how late timers came, microseconds
-	Suspected     int          // how often a member was suspected
-	Changes       []Change     `json:",omitempty"`
-	Lives         []MemberLive `json:",omitempty"`
-	States        []ZoneState  `json:",omitempty"`
-	Records       []RecordSeen `json:",omitempty"`
-	Second        *Second      `json:",omitempty"`
-	Errors        []string     `json:",omitempty"`
+	Process    int
+	Loop       int
+	At         int64          // wall clock, microseconds
+	Periods    int64          // number of membership.TickInterval that the loop has run
+	Running    int            // members that run
+	ShareSum   float64        `json:"Shares"`    // sum of 1/divisor of the members that run
+	LagMicros  []int64        `json:"Lags"`      // how late timers fired
+	Suspicions int            `json:"Suspected"` // how often a member became suspect
+	Changes    []Change       `json:",omitempty"`
+	Counts     []MemberCounts `json:"Lives,omitempty"`
+	Zones      []ZoneState    `json:"States,omitempty"`
+	Records    []RecordSeen   `json:",omitempty"`
+	Traffic    *Traffic       `json:"Second,omitempty"`
+	Errors     []string       `json:",omitempty"`
 }
 
-// Change says that an observer holds a member to be something else. Only what ends in Dead or Left, or begins
-// there, is told.
+// Change is a change of the state that an observer has for a member. Only changes from or to Dead and Left are
+// reported.
 type Change struct {
-	Observer, Of int
-	From, To     string
-	At           int64
+	Observer int
+	Subject  int `json:"Of"`
+	From     string
+	To       string
+	At       int64 // wall clock, microseconds
 }
 
-// MemberLive is how many members an observer counts now, in its own zone and in all, and whether it speaks for its
-// zone.
-type MemberLive struct {
-	Member, Own, All int
-	Delegate         bool
+// MemberCounts are the live members that a member counts, itself included.
+type MemberCounts struct {
+	Member   int
+	OwnZone  int  `json:"Own"`
+	Total    int  `json:"All"`
+	Delegate bool // whether the member is a delegate of its zone
 }
 
-// ZoneState is what an observer holds a zone to be now.
+// ZoneState is the state that a member has for a zone.
 type ZoneState struct {
-	Member, Zone int
-	State        string
+	Member int
+	Zone   int
+	State  string
 }
 
-// RecordSeen is a record as a member has it now.
+// RecordSeen is the value that a member has for a record.
 type RecordSeen struct {
-	Member      int
-	Name, Value string
+	Member int
+	Name   string
+	Value  string
 }
 
-// Second is what crossed the sockets in the last second: by members of the loop in their order, and by real members.
-type Second struct {
-	Sent, Received         []int64 // bytes
-	Datagrams              int64   // of all of the loop's members, sent and received
-	RealSent, RealReceived []int64 // bytes
-	RealDatagrams          []int64 // sent and received
+// Traffic is what crossed the sockets of one loop's members within a second.
+type Traffic struct {
+	Sent          []int64 // bytes, by member of the loop in its order
+	Received      []int64 // bytes, by member of the loop in its order
+	Datagrams     int64   // sent and received, of all members of the loop
+	RealSent      []int64 // bytes that real members sent to members of the loop, by real member
+	RealReceived  []int64 // bytes that members of the loop sent to real members, by real member
+	RealDatagrams []int64 // both ways, by real member
 }
--- /dev/null
+++ b/lab/scale/real_member.go
@@ -0,0 +1,222 @@
+package scale
+
+import (
+	"encoding/json"
+	"slices"
+	"spurspread/decision/membership"
+	"spurspread/decision/zonedirectory"
+	"spurspread/lab/deployment"
+	"spurspread/lab/loadgen"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// fastPollInterval is how often a real member's view is read while a condition is awaited.
+	fastPollInterval = 100 * time.Millisecond
+	// slowPollInterval is how often it is read otherwise: an answer takes the member about a millisecond, which
+	// counts as cost of control.
+	slowPollInterval = time.Second
+)
+
+// realState is what is known of a real member from its admin interface and the kernel.
+type realState struct {
+	fastPolling       atomic.Bool
+	reportedSentBytes atomic.Int64 // bytes that it reports as sent since its start
+
+	// Written by sampleUsage, with monitor.mu locked.
+	cpuSeconds    series
+	maxResidentMB float64
+	lastPID       int
+	starts        int           // number of processes that were seen of it
+	lastCPU       time.Duration // of the process lastPID
+}
+
+// memberStatus is the part of the answer to MEMBERS that a run reads.
+type memberStatus struct {
+	Divisor float64        `json:"divisor"`
+	Live    int            `json:"live"`
+	Members []memberState  `json:"members"`
+	Counts  messageCounts  `json:"counts"`
+	Zones   []zoneStatus   `json:"zones"`
+	Records []recordStatus `json:"records"`
+}
+
+type memberState struct {
+	State string `json:"state"`
+}
+
+type messageCounts struct {
+	SentBytes int64
+}
+
+type zoneStatus struct {
+	Region    string   `json:"region"`
+	Zone      string   `json:"zone"`
+	State     string   `json:"state"`
+	Delegates []string `json:"delegates"` // names
+	Own       bool     `json:"own"`
+}
+
+type recordStatus struct {
+	Name  string `json:"name"`
+	Value string `json:"value"`
+}
+
+// liveMembers is the number of live members of the own zone.
+func (s *memberStatus) liveMembers() int {
+	live := 0
+	for _, member := range s.Members {
+		if isLive(parseState(member.State)) {
+			live++
+		}
+	}
+	return live
+}
+
+// hasDelegate returns whether a member is a delegate of its own zone.
+func (s *memberStatus) hasDelegate(name string) bool {
+	return slices.ContainsFunc(s.Zones, func(zone zoneStatus) bool {
+		return zone.Own && slices.Contains(zone.Delegates, name)
+	})
+}
+
+// pollReal reads a real member's view at an interval until the fleet is closed.
+func (f *fleet) pollReal(member int) {
+	var last time.Time
+	for {
+		if f.realStates[member].fastPolling.Load() || time.Since(last) >= slowPollInterval {
+			last = time.Now()
+			f.pollRealOnce(member)
+		}
+		select {
+		case <-f.closing:
+			return
+		case <-time.After(fastPollInterval):
+		}
+	}
+}
+
+// pollRealOnce reads a real member's view. An answer is dropped where the process was replaced meanwhile.
+func (f *fleet) pollRealOnce(member int) {
+	proc := f.realFleet.Procs[member]
+	if !proc.Runs() {
+		return
+	}
+	pid := proc.Pid()
+	text, err := proc.Admin("MEMBERS")
+	if err == nil && proc.Pid() == pid {
+		f.applyStatus(member, text)
+	}
+}
+
+// applyStatus applies a real member's answer to MEMBERS. A malformed one is dropped: the next poll follows soon.
+func (f *fleet) applyStatus(member int, text string) {
+	var status memberStatus
+	if json.Unmarshal([]byte(text), &status) != nil {
+		return
+	}
+	f.realStates[member].reportedSentBytes.Store(status.Counts.SentBytes)
+	counts := MemberCounts{
+		Member:   member,
+		OwnZone:  status.liveMembers(),
+		Total:    status.Live,
+		Delegate: status.hasDelegate(f.topology.Name(member)),
+	}
+	if f.topology.Flat {
+		counts.Total = counts.OwnZone
+	}
+	at := time.Now().UnixMicro()
+	m := f.monitor
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.members[member].running {
+		return // it was stopped meanwhile
+	}
+	m.observeCounts(counts, at)
+	m.members[member].budgetShare = 1 / max(status.Divisor, 1)
+	m.updateMaxShareSum()
+	for _, zone := range status.Zones {
+		site := zonedirectory.Site{Region: zone.Region, Zone: zone.Zone}
+		for number := range f.topology.Zones {
+			if f.topology.Site(number) == site {
+				m.observeZone(ZoneState{member, number, zone.State}, at)
+			}
+		}
+	}
+	for _, record := range status.Records {
+		m.observeRecord(RecordSeen{member, record.Name, record.Value}, at)
+	}
+}
+
+// memberChangedMessage is the message with which the program logs a change of a member's state.
+const memberChangedMessage = `"a member has changed"`
+
+// handleLogLine applies a line of a real member's log.
+func (f *fleet) handleLogLine(member int, line string) {
+	if !strings.Contains(line, memberChangedMessage) {
+		return
+	}
+	var entry struct {
+		Member string `json:"member"`
+		State  string `json:"state"`
+		Before string `json:"before"`
+	}
+	if json.Unmarshal([]byte(line), &entry) != nil {
+		return
+	}
+	subject, err := strconv.Atoi(strings.TrimPrefix(entry.Member, "n"))
+	if err != nil || subject < 0 || subject >= f.topology.Members {
+		return
+	}
+	f.monitor.mu.Lock()
+	defer f.monitor.mu.Unlock()
+	if entry.State == membership.Suspect.String() {
+		f.monitor.suspicions++
+	}
+	if isFinal(entry.State) || isFinal(entry.Before) {
+		f.monitor.observeChange(Change{
+			Observer: member,
+			Subject:  subject,
+			From:     entry.Before,
+			To:       entry.State,
+			At:       time.Now().UnixMicro(),
+		})
+	}
+}
+
+// isFinal returns whether a member whose state has this name has ended, as far as the observer knows.
+func isFinal(state string) bool {
+	return state == membership.Dead.String() || state == membership.Left.String()
+}
+
+// setFastPolling has all real members polled at fastPollInterval, or at slowPollInterval.
+func (f *fleet) setFastPolling(fast bool) {
+	for i := range f.realStates {
+		f.realStates[i].fastPolling.Store(fast)
+	}
+}
+
+// sampleRealUsage reads one real member's processor time and memory. The time of a new process counts from its
+// second reading.
+func (f *fleet) sampleRealUsage(member int, at int64) {
+	state := &f.realStates[member]
+	proc := f.realFleet.Procs[member]
+	if !proc.Runs() {
+		return
+	}
+	pid := proc.Pid()
+	cpu := loadgen.CPUTime(pid)
+	if pid != state.lastPID {
+		state.starts++
+	} else {
+		state.cpuSeconds.add(at, max(cpu-state.lastCPU, 0).Seconds())
+	}
+	state.lastPID = pid
+	state.lastCPU = cpu
+	if f.monitor.judging {
+		state.maxResidentMB = max(state.maxResidentMB, deployment.Resident(pid)/bytesPerMegabyte)
+	}
+}
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -9,175 +9,207 @@
 	"time"
 )
 
-// Region is the run in which regions lose each other.
+// Region is the run in which regions are partitioned from each other.
 var Region = Experiment{
-	Name: "scale-region", Play: playRegion,
-	About: "a region is cut off from all others, whole and one way, and two from each other only: nobody is held dead",
+	Name:    "scale-region",
+	Execute: runRegion,
+	About: "a region is cut off from all others, whole and one way, and two from each other only: " +
+		"nobody is held dead",
 }
 
 const (
-	// regionMembers are those of the fleet that the balancer is built for.
+	// regionMembers is the size of the fleet that the balancer is designed for.
 	regionMembers = 1500
-	// partitionTime is how long a region is cut off, as issue 31 asks for; two regions lose each other for half of
-	// that.
-	partitionTime = 120 * time.Second
-	// beforeTime is how long nothing happens before the first cut: what is spent at rest.
-	beforeTime = 15 * time.Second
-	// quietAfter is how long after a cut's beginning all is said that it brings.
-	quietAfter = 45 * time.Second
-	// calmTime is given after a healing before the next cut.
-	calmTime = 3 * time.Second
-	// leastRegions: two that are cut from each other need a third that sees both.
+	// defaultPartitionTime is how long a region is partitioned from all others, as issue 31 requires; two regions
+	// lose each other for half of it.
+	defaultPartitionTime = 120 * time.Second
+	// regionRestTime is how long nothing happens before the first partition, which is measured as rest.
+	regionRestTime = 15 * time.Second
+	// quietDelay is how long after the beginning of a partition the traffic that it causes has ended.
+	quietDelay = 45 * time.Second
+	// healPause is the time between a healing and the next partition.
+	healPause = 3 * time.Second
+	// minRegions is how many regions the run needs.
 	minRegions = 2
+	// minPairRegions is how many regions the partition of a pair needs: the two, and a third that reaches both.
+	minPairRegions = 3
 )
 
-// errFlat says that a run needs zones.
+// errFlat means that the run was given a fleet without zones.
 var errFlat = errors.New("scale-region cuts zones off from each other: a flat fleet has none")
 
-func playRegion(ctx context.Context, o Options) (*report.Report, error) {
+func runRegion(ctx context.Context, o Options) (*report.Report, error) {
 	if o.Flat {
 		return nil, errFlat
 	}
 	members := cmp.Or(o.Members, regionMembers)
-	r := newReport(fmt.Sprint("scale-region-", members), o)
-	if o.PartitionTime > 0 && o.PartitionTime < partitionTime {
-		r.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.PartitionTime, partitionTime)
-	}
-	t, err := layOut(
-		members,
-		cmp.Or(o.reals, realsOf(members)),
-		cmp.Or(o.Regions, targetRegions),
-		cmp.Or(o.Zones, targetZones),
-		false,
-		o.Seed,
-	)
+	result := newReport(fmt.Sprint("scale-region-", members), o)
+	if o.PartitionTime > 0 && o.PartitionTime < defaultPartitionTime {
+		result.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.PartitionTime, defaultPartitionTime)
+	}
+	topology, err := o.topology(members)
 	if err != nil {
 		return nil, err
 	}
-	if t.Regions < minRegions {
+	if topology.Regions < minRegions {
 		return nil, fmt.Errorf("scale-region needs %d regions", minRegions)
 	}
-	if err := playFleet(ctx, o, t, r, func(p *play) error {
-		return p.regions(cmp.Or(o.PartitionTime,
-			partitionTime))
-	}); err != nil {
+	duration := cmp.Or(o.PartitionTime, defaultPartitionTime)
+	err = execute(ctx, o, topology, result, func(ctx context.Context, r *run) error {
+		return regionScenario(ctx, r, duration)
+	})
+	if err != nil {
 		return nil, err
 	}
-	check(r)
-	return r, nil
+	checkBounds(result)
+	return result, nil
 }
 
-// regions cuts one region off from all others, whole and then one way, and then two from each other.
-func (p *play) regions(lasts time.Duration) error {
-	p.atRest(cmp.Or(p.restTime, beforeTime))
-	one := p.rng.IntN(p.t.Regions)
-	in := p.t.ZonesOf(one)
-	out := p.zonesBut(one)
-	whole := partition{"cut", fmt.Sprintf("region %d is cut off from all others", one), in, out, true, true}
-	if err := p.isolate(whole, lasts); err != nil {
+// regionScenario partitions one region from all others, both ways and then one way, and then a pair of regions.
+func regionScenario(ctx context.Context, r *run, duration time.Duration) error {
+	r.measureRest(ctx, cmp.Or(r.restTime, regionRestTime))
+	region := r.rng.IntN(r.topology.Regions)
+	if err := r.partitionZones(ctx, regionPartition(r.topology, region), duration); err != nil {
 		return err
 	}
-	oneWay := partition{"one way", fmt.Sprintf("nothing comes from region %d to others", one), in, out, true, false}
-	if p.rng.IntN(2) == 0 {
-		oneWay.from, oneWay.to, oneWay.what = out, in, fmt.Sprintf("nothing comes from others to region %d", one)
-	}
-	if err := p.isolate(oneWay, lasts); err != nil {
+	fromOthers := r.rng.IntN(2) == 0
+	if err := r.partitionZones(ctx, oneWayPartition(r.topology, region, fromOthers), duration); err != nil {
 		return err
 	}
-	if p.t.Regions < 3 {
-		return nil // nobody sees both
+	if r.topology.Regions < minPairRegions {
+		return nil
 	}
-	other := (one + 1 + p.rng.IntN(p.t.Regions-1)) % p.t.Regions
-	pair := partition{
-		"pair",
-		fmt.Sprintf("regions %d and %d are cut off from each other only", one, other),
-		in,
-		p.t.ZonesOf(other),
-		true,
-		true,
-	}
-	return p.isolate(pair, lasts/2)
+	other := (region + 1 + r.rng.IntN(r.topology.Regions-1)) % r.topology.Regions
+	return r.partitionZones(ctx, pairPartition(r.topology, region, other), duration/2)
 }
 
-// zonesBut are the zones of all regions but one.
-func (p *play) zonesBut(region int) (out []int) {
-	for z := range p.t.Zones {
-		if p.t.Region(z) != region {
-			out = append(out, z)
-		}
+// partition is a set of links that lose all datagrams, and how it is named in figures and the report.
+type partition struct {
+	name        string
+	description string
+	from        []int // zones on one side
+	to          []int // zones on the other
+	outbound    bool  // links from from to to
+	inbound     bool  // links from to to from
+}
+
+// regionPartition separates a region from all others, both ways.
+func regionPartition(topology *Topology, region int) partition {
+	return partition{
+		name:        "cut",
+		description: fmt.Sprintf("region %d is cut off from all others", region),
+		from:        topology.ZonesOf(region),
+		to:          topology.zonesExcept(region),
+		outbound:    true,
+		inbound:     true,
 	}
-	return out
 }
 
-// partition is what is done to the links between some zones and others.
-type partition struct {
-	name, what  string
-	from, to    []int
-	there, back bool // which directions are cut
+// oneWayPartition loses what a region sends to others, or what others send to it.
+func oneWayPartition(topology *Topology, region int, fromOthers bool) partition {
+	p := partition{
+		name:        "one way",
+		description: fmt.Sprintf("nothing comes from region %d to others", region),
+		from:        topology.ZonesOf(region),
+		to:          topology.zonesExcept(region),
+		outbound:    true,
+	}
+	if fromOthers {
+		p.description = fmt.Sprintf("nothing comes from others to region %d", region)
+		p.from, p.to = p.to, p.from
+	}
+	return p
 }
 
-// set cuts or heals the links.
-func (p *play) set(c partition, on bool) error {
-	var err error
-	if c.there {
-		err = p.link(c.from, c.to, on)
+// pairPartition separates two regions from each other; all others reach both.
+func pairPartition(topology *Topology, region, other int) partition {
+	return partition{
+		name:        "pair",
+		description: fmt.Sprintf("regions %d and %d are cut off from each other only", region, other),
+		from:        topology.ZonesOf(region),
+		to:          topology.ZonesOf(other),
+		outbound:    true,
+		inbound:     true,
 	}
-	if c.back {
-		err = errors.Join(err, p.link(c.to, c.from, on))
+}
+
+// setPartition partitions or heals the links.
+func (r *run) setPartition(p partition, partitioned bool) error {
+	var errs []error
+	if p.outbound {
+		errs = append(errs, r.setLinks(p.from, p.to, partitioned))
 	}
-	return err
+	if p.inbound {
+		errs = append(errs, r.setLinks(p.to, p.from, partitioned))
+	}
+	return errors.Join(errs...)
 }
 
-// isolate cuts zones off for a while, in which a member of each side crashes and a record is published on one of
-// them, and heals them: within the bounds all count as many as they reach, and have the record.
-func (p *play) isolate(c partition, lasts time.Duration) error {
-	m, err := p.fault(c.what, func() error { return p.set(c, true) })
+// partitionZones partitions zones for a duration, in which a member of each side crashes and a record is published
+// on one of them, and heals the links. Within the bounds all members count as many as they can reach, and have the
+// record.
+func (r *run) partitionZones(ctx context.Context, p partition, duration time.Duration) error {
+	begin, err := r.injectFault(ctx, p.description, func() error { return r.setPartition(p, true) })
 	if err != nil {
 		return err
 	}
-	if err := p.within(m, "count_everywhere", c.name, p.watch.counted); err != nil {
+	if err := r.awaitBound(ctx, begin, "count_everywhere", p.name, r.monitor.countsComplete); err != nil {
 		return err
 	}
-	if err := p.crash(c.name+" crash on one side", p.draw(false, c.from)); err != nil {
+	if err := r.crashOne(ctx, p.name+" crash on one side", false, p.from); err != nil {
 		return err
 	}
-	if err := p.crash(c.name+" crash on the other", p.drawAny(c.to)); err != nil {
-		return err
+	if member, ok := r.pickAny(p.to); ok {
+		if err := r.crash(ctx, p.name+" crash on the other", member); err != nil {
+			return err
+		}
+	}
+	publisher, ok := r.pickAny(p.from)
+	if !ok {
+		return fmt.Errorf("%s record: %w", p.name, errNoMember)
 	}
-	from := p.drawAny(c.from)
-	value, err := p.spread(c.name+" record", from)
+	value, err := r.publishRecord(ctx, p.name+" record", publisher)
 	if err != nil {
 		return err
 	}
-	p.attend(false)
-	p.pause(lasts - time.Since(time.UnixMicro(m.at)))
-	if quiet := (span{m.at + quietAfter.Microseconds(), time.Now().UnixMicro()}); quiet.to-quiet.from >= window {
-		p.quietCuts = append(p.quietCuts, quiet)
+	r.setFastPolling(false)
+	pause(ctx, duration-time.Since(time.UnixMicro(begin.at)))
+	r.addQuietPartition(begin.at)
+	return r.healPartition(ctx, p, r.topology.Zone(publisher), value)
+}
+
+// addQuietPartition adds the quiet part of a partition that ends now, if it is long enough to be measured.
+func (r *run) addQuietPartition(begin int64) {
+	quiet := span{begin + quietDelay.Microseconds(), time.Now().UnixMicro()}
+	if quiet.to-quiet.from >= windowMicros {
+		r.quietPartitions = append(r.quietPartitions, quiet)
 	}
-	return p.heal(c, p.t.Zone(from), value)
 }
 
-// heal ends a cut: within the bounds all count all, and have what was published meanwhile.
-func (p *play) heal(c partition, from int, value string) error {
-	m, err := p.fault(c.name+" is healed", func() error { return p.set(c, false) })
+// healPartition ends a partition: within the bounds all members count all, and have the record that was published
+// meanwhile.
+func (r *run) healPartition(ctx context.Context, p partition, publisherZone int, value string) error {
+	begin, err := r.injectFault(ctx, p.name+" is healed", func() error { return r.setPartition(p, false) })
 	if err != nil {
 		return err
 	}
-	if err := p.within(m, "count_everywhere", c.name+" healed", p.watch.counted); err != nil {
+	fault := p.name + " healed"
+	if err := r.awaitBound(ctx, begin, "count_everywhere", fault, r.monitor.countsComplete); err != nil {
 		return err
 	}
-	if err := p.within(m, "record_everywhere", c.name+" healed",
-		p.watch.recorded(from, recordName, value)); err != nil {
+	seen := r.monitor.recordSeen(publisherZone, recordName, value)
+	if err := r.awaitBound(ctx, begin, "record_everywhere", fault, seen); err != nil {
 		return err
 	}
-	p.pause(calmTime)
-	return context.Cause(p.ctx)
+	pause(ctx, healPause)
+	return context.Cause(ctx)
 }
 
-// drawAny is a member that runs in one of some zones, a real one in half of all draws where there is one.
-func (p *play) drawAny(zones []int) int {
-	if i := p.draw(p.rng.IntN(2) == 0, zones); i >= 0 {
-		return i
+// pickAny draws a member that runs in one of some zones: half of all draws are for a real one, and find a hollow one
+// where no real one runs there.
+func (r *run) pickAny(zones []int) (member int, ok bool) {
+	if member, ok := r.pickRunning(r.rng.IntN(2) == 0, zones); ok {
+		return member, true
 	}
-	return p.draw(false, zones)
+	return r.pickRunning(false, zones)
 }
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -8,36 +8,45 @@
 	"time"
 )
 
-// Sizes are those that scale-rest plays one after another where none is given.
+// Sizes are the fleet sizes that scale-rest measures one after another where no size is given.
 var Sizes = []int{60, 125, 300, 600, 1000, 1500}
 
-// The shape of the fleet that the balancer is built for.
+// The shape of the fleet that the balancer is designed for.
 const (
 	targetRegions = 5
 	targetZones   = 12
-	// restTime is how long nothing happens, settleTime how long before that members are given to tell what they
-	// have found.
-	restTime   = 30 * time.Second
+)
+
+const (
+	// defaultRestTime is how long nothing happens before the first fault.
+	defaultRestTime = 30 * time.Second
+	// settleTime is how long members have before that to finish what is under way.
 	settleTime = 3 * time.Second
+	// trafficDelay is how long after the last fault a run waits for the samples that have its traffic.
+	trafficDelay = 2 * time.Second
 )
 
-// Rest is the run in which nothing happens, and then one thing at a time.
+// restRun is the name of the run Rest.
+const restRun = "scale-rest"
+
+// Rest is the run in which nothing happens for a while, and then one thing after another.
 var Rest = Experiment{
-	Name: "scale-rest", Play: playRest,
-	About: "a fleet at rest, then one crash, one restart and one record: cost and time until all know",
+	Name:    restRun,
+	Execute: runRest,
+	About:   "a fleet at rest, then one crash, one restart and one record: cost and time until all know",
 }
 
-func playRest(ctx context.Context, o Options) (*report.Report, error) {
+func runRest(ctx context.Context, o Options) (*report.Report, error) {
 	if o.Members != 0 {
-		return playRestAt(ctx, o, o.Members)
+		return runRestAt(ctx, o, o.Members)
 	}
 	sweep := newSweep(o)
 	for _, members := range Sizes {
-		one, err := playRestAt(ctx, o, members)
+		result, err := runRestAt(ctx, o, members)
 		if err != nil {
 			return nil, fmt.Errorf("%d members: %w", members, err)
 		}
-		sweep.add(members, one)
+		sweep.add(members, result)
 	}
 	return sweep.report(), nil
 }
@@ -45,69 +54,82 @@
 func newReport(name string, o Options) *report.Report {
 	return &report.Report{
 		Experiment: name,
-		Seed:       o.Seed, Command: o.Command, Commit: o.Commit, Figures: map[string]float64{},
-		Notes: map[string]string{},
+		Seed:       o.Seed,
+		Command:    o.Command,
+		Commit:     o.Commit,
+		Figures:    map[string]float64{},
+		Notes:      map[string]string{},
 	}
 }
 
-// playRestAt plays one size.
-func playRestAt(ctx context.Context, o Options, members int) (*report.Report, error) {
-	name := fmt.Sprint("scale-rest-", members)
+// restName is the name of a report of scale-rest with a suffix, such as the size.
+func restName(o Options, suffix string) string {
+	name := restRun + suffix
 	if o.Flat {
 		name += "-flat"
 	}
-	r := newReport(name, o)
-	t, err := layOut(
+	return name
+}
+
+// runRestAt measures a fleet of one size.
+func runRestAt(ctx context.Context, o Options, members int) (*report.Report, error) {
+	topology, err := o.topology(members)
+	if err != nil {
+		return nil, err
+	}
+	result := newReport(restName(o, fmt.Sprint("-", members)), o)
+	if err := execute(ctx, o, topology, result, restScenario); err != nil {
+		return nil, err
+	}
+	checkBounds(result, unmeasuredBounds(o)...)
+	return result, nil
+}
+
+// topology is that of a fleet of a size, by the options and the shape that the balancer is designed for.
+func (o *Options) topology(members int) (*Topology, error) {
+	return newTopology(
 		members,
-		cmp.Or(o.reals, realsOf(members)),
+		cmp.Or(o.realMembers, realMemberCount(members)),
 		cmp.Or(o.Regions, targetRegions),
 		cmp.Or(o.Zones, targetZones),
 		o.Flat,
 		o.Seed,
 	)
-	if err != nil {
-		return nil, err
-	}
-	if err := playFleet(ctx, o, t, r, (*play).quiet); err != nil {
-		return nil, err
-	}
-	check(r, unmeasured(o)...)
-	return r, nil
 }
 
-// unmeasured are the bounds that a run does not measure: a fleet without zones has no records.
-func unmeasured(o Options) []string {
+// unmeasuredBounds are the bounds that a run does not measure: a fleet without zones has no records.
+func unmeasuredBounds(o Options) []string {
 	if o.Flat {
 		return []string{"record_everywhere_ms"}
 	}
 	return nil
 }
 
-// quiet lets nothing happen for a while, and then one thing after another.
-func (p *play) quiet() error {
-	p.atRest(cmp.Or(p.restTime, restTime))
-	all := p.allZones()
-	if err := p.crash("crash hollow", p.draw(false, all)); err != nil {
+// restScenario lets nothing happen for a while, and then crashes, restarts and published records one after another.
+func restScenario(ctx context.Context, r *run) error {
+	r.measureRest(ctx, cmp.Or(r.restTime, defaultRestTime))
+	zones := r.topology.allZones()
+	if err := r.crashOne(ctx, "crash hollow", false, zones); err != nil {
 		return err
 	}
-	if err := p.crash("crash real", p.draw(true, all)); err != nil {
+	if err := r.crashOne(ctx, "crash real", true, zones); err != nil {
 		return err
 	}
-	if err := p.cycle("restart real", p.draw(true, all)); err != nil {
+	if err := r.restartOne(ctx, "restart real", true, zones); err != nil {
 		return err
 	}
-	if err := p.cycle("restart hollow", p.draw(false, all)); err != nil {
+	if err := r.restartOne(ctx, "restart hollow", false, zones); err != nil {
 		return err
 	}
-	if p.t.Flat {
-		return p.ctx.Err()
+	if r.topology.Flat {
+		return ctx.Err()
 	}
-	if _, err := p.spread("record hollow", p.draw(false, all)); err != nil {
+	if err := r.publishOne(ctx, "record hollow", false, zones); err != nil {
 		return err
 	}
-	if _, err := p.spread("record real", p.draw(true, all)); err != nil {
+	if err := r.publishOne(ctx, "record real", true, zones); err != nil {
 		return err
 	}
-	p.pause(2 * time.Second) // so that the last bytes are told
+	pause(ctx, trafficDelay)
 	return nil
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -15,21 +15,23 @@
 )
 
 const (
-	// patience bounds every wait; nothing is proved by its passing.
-	patience = 2 * time.Minute
-	// asHollow in the environment makes the test's program a process of hollow members.
-	asHollow = "SPURLAB_TEST_HOLLOW"
+	// waitLimit bounds every wait. Its length is not part of what is tested.
+	waitLimit = 2 * time.Minute
+	// hollowEnv is the environment variable that makes the test's program a process of hollow members.
+	hollowEnv = "SPURLAB_TEST_HOLLOW"
 
-	// Twice the bounds of issue 31, in protocol periods of 50 ms: on a loaded machine periods take longer, and news
-	// waits in each process that it passes until that one has its turn.
-	mostSeenPeriods, mostEverywherePeriods = 2 * 80, 2 * 140
+	// Twice the bounds of issue 31, in protocol periods of 50 ms: on a loaded machine periods take longer, and an
+	// update waits in each process that it passes until that process is scheduled.
+	maxSeenPeriods       = 2 * 80
+	maxEverywherePeriods = 2 * 140
 )
 
+// program is the path of the balancer's program, which TestMain builds.
 var program string
 
-// TestMain builds the program once; started by a run it is a process of hollow members.
+// TestMain builds the program once. Where hollowEnv is set, it is the main function of a process of hollow members.
 func TestMain(m *testing.M) {
-	if os.Getenv(asHollow) != "" {
+	if os.Getenv(hollowEnv) != "" {
 		if err := Hollow(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -45,83 +47,106 @@
 		"spurspread/cmd/spurspread").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
-	hollowCommand = func() (*exec.Cmd, error) {
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), asHollow+"=1")
-		return cmd, nil
-	}
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// small is a run of 2 regions, 3 zones, 30 hollow members and 2 real ones, judged also on a machine that is busy.
-func small(t *testing.T, plant Plant, wait time.Duration) Options {
+// testHollowCommand starts the test's own program as a process of hollow members.
+func testHollowCommand() (*exec.Cmd, error) {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), hollowEnv+"=1")
+	return cmd, nil
+}
+
+// smallFleet returns the options of a run with 2 regions, 3 zones, 30 hollow members and 2 real ones, whose figures
+// are kept also on a machine that is busy.
+func smallFleet(t *testing.T, fault InjectedFault, limit time.Duration) Options {
+	t.Helper()
 	return Options{
-		Options: experiment.Options{Seed: 1, Program: program, Fault: node.Fault(plant), Progress: &lines{t}},
-		Members: 32, Regions: 2, Zones: 3,
-		reals: 2, rest: time.Second, patience: wait, starvedToo: true, hasty: true,
+		Options: experiment.Options{
+			Seed:     1,
+			Program:  program,
+			Fault:    node.Fault(fault),
+			Progress: &testLog{t},
+		},
+		Members: 32,
+		Regions: 2,
+		Zones:   3,
+		testOptions: testOptions{
+			realMembers:  2,
+			restTime:     time.Second,
+			waitLimit:    limit,
+			judgeStarved: true,
+			failFast:     true,
+			hollow:       testHollowCommand,
+		},
 	}
 }
 
-// lines writes what a run tells into a test's log.
-type lines struct{ t *testing.T }
+// testLog writes the progress of a run to a test's log.
+type testLog struct{ t *testing.T }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *testLog) Write(b []byte) (int, error) {
 	l.t.Log(string(b))
 	return len(b), nil
 }
 
-// within holds a report against the bounds that do not depend on how fast the machine is.
-func within(t *testing.T, r *report.Report) {
+// assertWithin checks a report against the bounds that do not depend on how fast the machine is.
+func assertWithin(t *testing.T, result *report.Report) {
 	t.Helper()
-	for name, most := range map[string]float64{
-		"false_dead": 0, "flaps": 1, "rate_over_budget": 2, "zone_seen_periods": mostSeenPeriods,
-		"count_everywhere_periods": mostEverywherePeriods, "record_everywhere_periods": mostEverywherePeriods,
-		"processes":         maxRunProcesses,
-		"harness_memory_mb": maxRunMegabytes,
+	for name, limit := range map[string]float64{
+		"false_dead":                0,
+		"flaps":                     1,
+		"rate_over_budget":          2,
+		"zone_seen_periods":         maxSeenPeriods,
+		"count_everywhere_periods":  maxEverywherePeriods,
+		"record_everywhere_periods": maxEverywherePeriods,
+		"processes":                 maxRunProcesses,
+		"harness_memory_mb":         maxRunMegabytes,
 	} {
-		if got, had := r.Figures[name]; !had || got > most {
-			t.Errorf("%s is %v (measured: %v), at most %v; %v", name, got, had, most, r.Notes)
+		if got, had := result.Figures[name]; !had || got > limit {
+			t.Errorf("%s is %v (measured: %v), at most %v; %v", name, got, had, limit, result.Notes)
 		}
 	}
 }
 
-// A small fleet of real and hollow members: a crash, a restart and a record become known, nobody is held dead who runs.
+// In a small fleet of real and hollow members all see crashes, restarts and records, and no member that runs is
+// declared dead.
 func TestSmallFleetAtRest(t *testing.T) {
 	t.Parallel()
-	r, err := playRest(context.Background(), small(t, "", patience))
+	result, err := runRest(context.Background(), smallFleet(t, "", waitLimit))
 	if err != nil {
 		t.Fatal(err)
 	}
-	within(t, r)
+	assertWithin(t, result)
 }
 
-// Two regions lose each other, whole and one way, and find each other again.
+// Two regions are partitioned, both ways and one way, and count each other again once the links are healed.
 func TestSmallFleetLosesARegion(t *testing.T) {
 	t.Parallel()
-	o := small(t, "", patience)
-	o.PartitionTime = time.Second
-	r, err := playRegion(context.Background(), o)
+	options := smallFleet(t, "", waitLimit)
+	options.PartitionTime = time.Second
+	result, err := runRegion(context.Background(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	within(t, r)
+	assertWithin(t, result)
 }
 
-// A run finds each fault that is planted in hollow members: they never all know of each other, or a bound is broken.
+// A run detects each fault that is injected into hollow members: they never all join, or a bound is missed.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	t.Parallel()
-	for _, plant := range []Plant{NoDelegate, WrongSummary} {
-		t.Run(string(plant), func(t *testing.T) {
+	for _, fault := range []InjectedFault{NoDelegate, WrongSummary} {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			r, err := playRest(context.Background(), small(t, plant, 15*time.Second))
+			result, err := runRest(context.Background(), smallFleet(t, fault, 15*time.Second))
 			if err != nil {
-				t.Logf("found: %v", err)
+				t.Logf("detected: %v", err)
 				return
 			}
-			if !slices.ContainsFunc(r.Bounds, func(b report.Bound) bool { return !b.OK }) {
-				t.Error("not found")
+			if !slices.ContainsFunc(result.Bounds, func(bound report.Bound) bool { return !bound.OK }) {
+				t.Error("not detected")
 			}
 		})
 	}
--- a/lab/scale/series.go
+++ b/lab/scale/series.go
@@ -2,70 +2,90 @@
 
 import "sort"
 
-// series is a sum that grows, as it was told from time to time: wall clock in microseconds, and the sum.
+const (
+	// windowMicros is the span over which costs are judged: the worst window counts.
+	windowMicros = 10_000_000
+	// windowStepMicros is the distance between the beginnings of two windows.
+	windowStepMicros = 1_000_000
+)
+
+// series is a sum that only grows, as it was reported from time to time.
 type series struct {
-	at  []int64
-	sum []float64
+	times []int64   // wall clock, microseconds, ascending
+	sums  []float64 // at these times
 }
 
-// add notes that the sum has grown by so much.
-func (s *series) add(at int64, more float64) {
-	last := 0.0
-	if n := len(s.sum); n > 0 {
-		last, at = s.sum[n-1], max(at, s.at[n-1])
+// add records that the sum has grown by an amount at a time. A time before the last one counts as the last one: the
+// clock may have been set back.
+func (s *series) add(at int64, amount float64) {
+	sum := 0.0
+	if last := len(s.sums) - 1; last >= 0 {
+		sum = s.sums[last]
+		at = max(at, s.times[last])
 	}
-	s.at, s.sum = append(s.at, at), append(s.sum, last+more)
+	s.times = append(s.times, at)
+	s.sums = append(s.sums, sum+amount)
 }
 
-// value is the sum at a time; between two notes it is taken to have grown evenly.
-func (s *series) value(at int64) float64 {
-	i := sort.Search(len(s.at), func(i int) bool { return s.at[i] >= at })
-	switch {
-	case len(s.at) == 0:
+// valueAt is the sum at a time: between two reports by linear interpolation, outside of them the nearest.
+func (s *series) valueAt(at int64) float64 {
+	if len(s.times) == 0 {
 		return 0
-	case i == len(s.at):
-		return s.sum[i-1]
-	case i == 0 || s.at[i] == at:
-		return s.sum[i]
 	}
-	part := float64(at-s.at[i-1]) / float64(s.at[i]-s.at[i-1])
-	return s.sum[i-1] + part*(s.sum[i]-s.sum[i-1])
+	after := sort.Search(len(s.times), func(i int) bool { return s.times[i] >= at })
+	switch {
+	case after == len(s.times):
+		return s.sums[after-1]
+	case after == 0 || s.times[after] == at:
+		return s.sums[after]
+	}
+	part := float64(at-s.times[after-1]) / float64(s.times[after]-s.times[after-1])
+	return s.sums[after-1] + part*(s.sums[after]-s.sums[after-1])
 }
 
-// window is the span over which costs are judged, and step that between the beginnings of two.
-const (
-	window     = 10_000_000 // microseconds
-	windowStep = 1_000_000
-)
-
 // span is a part of a run, wall clock in microseconds.
 type span struct{ from, to int64 }
 
-// rates are what the sums of some series grew by a second, in each window of a span; in the whole of it where that
-// is shorter.
-func rates(all []*series, over span) (out []float64) {
-	width := min(int64(window), over.to-over.from)
+// seconds is the length of the span.
+func (s span) seconds() float64 { return float64(s.to-s.from) / 1e6 }
+
+// growth is what the sums of some series together grew by within a span.
+func growth(all []*series, within span) float64 {
+	sum := 0.0
+	for _, one := range all {
+		sum += one.valueAt(within.to) - one.valueAt(within.from)
+	}
+	return sum
+}
+
+// windowRates returns what the sums of some series together grew by per second in each window of a span, or in the
+// span itself where that is shorter than a window.
+func windowRates(all []*series, over span) []float64 {
+	width := min(int64(windowMicros), over.to-over.from)
 	if width <= 0 {
 		return nil
 	}
-	for from := over.from; from+width <= over.to; from += windowStep {
-		sum := 0.0
-		for _, s := range all {
-			sum += s.value(from+width) - s.value(from)
-		}
-		out = append(out, sum/(float64(width)/1e6))
+	var rates []float64
+	for from := over.from; from+width <= over.to; from += windowStepMicros {
+		window := span{from, from + width}
+		rates = append(rates, growth(all, window)/window.seconds())
 	}
-	return out
+	return rates
 }
 
-// mean is what the sums of some series grew by a second on average.
-func mean(all []*series, over span) float64 {
+// maxRate is the largest of windowRates, 0 for an empty span.
+func maxRate(all []*series, over span) float64 {
+	highest := 0.0
+	for _, rate := range windowRates(all, over) {
+		highest = max(highest, rate)
+	}
+	return highest
+}
+
+// meanRate is what the sums of some series together grew by per second in a span, on average; 0 for an empty span.
+func meanRate(all []*series, over span) float64 {
 	if over.to <= over.from {
 		return 0
 	}
-	sum := 0.0
-	for _, s := range all {
-		sum += s.value(over.to) - s.value(over.from)
-	}
-	return sum / (float64(over.to-over.from) / 1e6)
+	return growth(all, over) / over.seconds()
 }
--- a/lab/scale/sweep.go
+++ b/lab/scale/sweep.go
@@ -3,101 +3,133 @@
 import (
 	"fmt"
 	"spurspread/lab/report"
-	"strings"
 )
 
-// charted are the figures that a sweep draws over the size.
-var charted = []struct {
-	name, title, unit string
-	figures           []string
+// sweepCharts are the figures that a sweep draws by the size of the fleet.
+var sweepCharts = []struct {
+	name    string
+	title   string
+	unit    string
+	figures []string
 }{
 	{
-		"bytes", "bytes sent and received by a member, in its worst 10 s", "bytes/s",
-		[]string{"control_bytes_per_s", "control_rest_bytes_per_s", "control_rest_mean_bytes_per_s"},
+		name:    "bytes",
+		title:   "bytes sent and received by a member, in its worst 10 s",
+		unit:    "bytes/s",
+		figures: []string{"control_bytes_per_s", "control_rest_bytes_per_s", "control_rest_mean_bytes_per_s"},
 	},
 	{
-		"cpu",
-		"processor time of a real member",
-		"cores",
-		[]string{"control_core_share", "control_rest_mean_core_share"},
+		name:    "cpu",
+		title:   "processor time of a real member",
+		unit:    "cores",
+		figures: []string{"control_core_share", "control_rest_mean_core_share"},
+	},
+	{
+		name:    "memory",
+		title:   "resident memory of a real member",
+		unit:    "MB",
+		figures: []string{"control_memory_mb", "control_memory_mean_mb"},
+	},
+	{
+		name:    "times",
+		title:   "time until all know",
+		unit:    "ms",
+		figures: []string{"zone_seen_ms", "count_everywhere_ms", "record_everywhere_ms"},
 	},
-	{"memory", "resident memory of a real member", "MB", []string{"control_memory_mb", "control_memory_mean_mb"}},
-	{"times", "time until all know", "ms", []string{"zone_seen_ms", "count_everywhere_ms", "record_everywhere_ms"}},
 }
 
-// sweep is one report of a run at several sizes: of each bound the worst value, and of each size all figures.
+// sweep is one report of runs at several sizes: the worst value of each bound, and all figures of each size.
 type sweep struct {
-	r       *report.Report
-	without []string // bounds that the run does not measure
-	lines   map[string]*report.Series
+	summary    *report.Report
+	unmeasured []string // bounds that the runs do not measure
+	lines      map[string]*report.Series
 }
 
 func newSweep(o Options) *sweep {
-	name := "scale-rest"
-	if o.Flat {
-		name += "-flat"
+	return &sweep{
+		summary:    newReport(restName(o, ""), o),
+		unmeasured: unmeasuredBounds(o),
+		lines:      map[string]*report.Series{},
 	}
-	return &sweep{newReport(name, o), unmeasured(o), map[string]*report.Series{}}
 }
 
-// add takes one size's report.
-func (s *sweep) add(members int, one *report.Report) {
-	at := fmt.Sprintf("_at_%d", members)
-	for name, v := range one.Figures {
-		s.r.Figures[name+at] = v
+// add adds the report of one size.
+func (s *sweep) add(members int, result *report.Report) {
+	suffix := fmt.Sprintf("_at_%d", members)
+	for name, value := range result.Figures {
+		s.summary.Figures[name+suffix] = value
 	}
-	for name, text := range one.Notes {
-		if name == "stubs" || name == "bytes" {
-			s.r.Notes[name] = text
+	for name, text := range result.Notes {
+		if name == "stubs" || name == "bytes" { // the same at each size
+			s.summary.Notes[name] = text
 		} else {
-			s.r.Notes[name+at] = text
+			s.summary.Notes[name+suffix] = text
 		}
 	}
-	for _, b := range one.Bounds {
-		if !b.OK {
-			s.r.Notes["broken"] = strings.TrimPrefix(
-				s.r.Notes["broken"]+fmt.Sprintf("; %s at %d members", b.Name, members),
-				"; ",
-			)
-		}
-		was, had := s.r.Figures[b.Name]
-		if v, measured := one.Figures[b.Name]; measured && (!had || v > was) {
-			s.r.Figures[b.Name] = v
-		}
+	for _, bound := range result.Bounds {
+		s.addBound(members, bound, result)
 	}
-	for _, c := range charted {
-		for _, name := range c.figures {
-			if v, had := one.Figures[name]; had {
-				s.point(name, float64(members), v)
+	for _, chart := range sweepCharts {
+		for _, name := range chart.figures {
+			if value, measured := result.Figures[name]; measured {
+				s.addPoint(name, float64(members), value)
 			}
 		}
 	}
-	if why, void := one.Notes["not valid"]; void {
-		s.r.Notes["not valid"] = strings.TrimPrefix(
-			s.r.Notes["not valid"]+fmt.Sprintf("; %d members: %s", members, why),
-			"; ",
-		)
+	if reason, invalid := result.Notes[invalidNote]; invalid {
+		s.appendNote(invalidNote, fmt.Sprintf("%d members: %s", members, reason))
 	}
 }
 
-func (s *sweep) point(name string, x, y float64) {
-	if s.lines[name] == nil {
-		s.lines[name] = &report.Series{Name: name}
+// addBound adds one bound of a size's report: a missed one is noted, and the worst value of all sizes is kept.
+func (s *sweep) addBound(members int, bound report.Bound, result *report.Report) {
+	if !bound.OK {
+		s.appendNote("broken", fmt.Sprintf("%s at %d members", bound.Name, members))
+	}
+	value, measured := result.Figures[bound.Name]
+	if !measured {
+		return
+	}
+	if worst, had := s.summary.Figures[bound.Name]; !had || value > worst {
+		s.summary.Figures[bound.Name] = value
 	}
-	s.lines[name].X, s.lines[name].Y = append(s.lines[name].X, x), append(s.lines[name].Y, y)
 }
 
-// report is what all sizes brought.
+// appendNote appends a text to a note of the summary.
+func (s *sweep) appendNote(name, text string) {
+	if before := s.summary.Notes[name]; before != "" {
+		text = before + "; " + text
+	}
+	s.summary.Notes[name] = text
+}
+
+// addPoint adds a point to a figure's line.
+func (s *sweep) addPoint(figure string, x, y float64) {
+	line := s.lines[figure]
+	if line == nil {
+		line = &report.Series{Name: figure}
+		s.lines[figure] = line
+	}
+	line.X = append(line.X, x)
+	line.Y = append(line.Y, y)
+}
+
+// report is the report of all sizes, with its charts and bounds.
 func (s *sweep) report() *report.Report {
-	for _, c := range charted {
-		chart := report.Chart{Name: c.name, Title: s.r.Experiment + ": " + c.title, X: "members", Y: c.unit}
-		for _, name := range c.figures {
-			if s.lines[name] != nil {
-				chart.Series = append(chart.Series, *s.lines[name])
+	for _, charted := range sweepCharts {
+		chart := report.Chart{
+			Name:  charted.name,
+			Title: s.summary.Experiment + ": " + charted.title,
+			X:     "members",
+			Y:     charted.unit,
+		}
+		for _, figure := range charted.figures {
+			if s.lines[figure] != nil {
+				chart.Series = append(chart.Series, *s.lines[figure])
 			}
 		}
-		s.r.Charts = append(s.r.Charts, chart)
+		s.summary.Charts = append(s.summary.Charts, chart)
 	}
-	check(s.r, s.without...)
-	return s.r
+	checkBounds(s.summary, s.unmeasured...)
+	return s.summary
 }
