--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -9,95 +9,131 @@
 	"time"
 )
 
-// The classes of clients here: one as the platform has it, and one whose clients wait long enough to be measured
-// while they do.
+// The request classes of clients: one as the platform has it, and one whose deadline is so long that its clients can
+// be measured while they wait.
 const (
-	ordinary     = "index-sync"
-	ordinaryTime = 1200 * time.Millisecond
-	patient      = "patient"
-	patientTime  = 20 * time.Second
+	ordinaryClass    = "index-sync"
+	ordinaryDeadline = 1200 * time.Millisecond
+	patientClass     = "patient"
+	patientDeadline  = 20 * time.Second
 )
 
-// balancer is one real balancer, with discovery.
+// Modes in which a balancer connects clients with servers, as the settings name them.
+const (
+	proxyMode = "proxy" // the balancer bounds the set-ups that are under way
+	passMode  = "pass"  // it does not
+)
+
+const (
+	balancerCores      = 1
+	balancerMemoryMB   = 192
+	classSLOMicros     = 300_000
+	messageTargetBytes = 250_000
+)
+
+// balancer is one real balancer with its discovery.
 type balancer struct {
 	fleet     *procs.Fleet
 	proc      *procs.Proc
 	discovery *discoveryserver.Server
 	entries   []discoveryserver.Entry
-	to        netip.AddrPort
+	addr      netip.AddrPort // that clients connect to
 }
 
-// startBalancer starts one that may hold so many descriptors, and is told of so many servers at the addresses, in
-// turn. Mode is the platform's word for how it sends clients on.
+// startBalancer starts a balancer that may hold so many descriptors. Discovery lists so many servers, which have the
+// addresses in turn.
 func startBalancer(
 	program, dir, mode string,
-	limit, listed int,
+	descriptors, listedServers int,
 	addrs []netip.AddrPort,
 	seed uint64,
 ) (*balancer, error) {
-	sub, err := os.MkdirTemp(dir, "balancer")
+	balancerDir, err := os.MkdirTemp(dir, "balancer")
 	if err != nil {
 		return nil, err
 	}
 	b := &balancer{}
 	if b.discovery, err = discoveryserver.Start(0); err != nil {
-		return nil, err
-	}
-	for i := range listed {
-		e := discoveryserver.Entry{
-			ID: fmt.Sprintf("s-%08x", i+1), Addr: addrs[i%len(addrs)].String(), Zone: "a", Machine: "m", Cell: i,
-			Lifecycle: discoveryserver.Ready, Weight: 1,
-		}
-		b.entries = append(b.entries, e)
-		b.discovery.Set(e)
+		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if b.fleet, err = procs.New(program, sub, 1, 1, seed); err != nil {
+	b.listServers(listedServers, addrs)
+	if b.fleet, err = procs.New(program, balancerDir, 1, 1, seed); err != nil {
 		b.close()
-		return nil, err
+		return nil, fmt.Errorf("balancer: %w", err)
 	}
 	b.fleet.Apart = true
-	b.fleet.Change = func(_ int, config map[string]any) { b.configure(config, mode, limit) }
+	b.fleet.Change = func(_ int, config map[string]any) { b.configure(config, mode, descriptors) }
 	b.proc = b.fleet.Procs[0]
-	b.to = netip.MustParseAddrPort(b.proc.Listen)
+	b.addr = netip.MustParseAddrPort(b.proc.Listen)
 	if err := b.fleet.Start(); err != nil {
 		b.close()
-		return nil, err
+		return nil, fmt.Errorf("balancer: %w", err)
 	}
 	return b, nil
 }
 
-// configure writes what the platform would tell it, where that differs from lab/procs.
-func (b *balancer) configure(config map[string]any, mode string, limit int) {
-	config["discovery"], config["known"] = b.discovery.Addr(), b.discovery.FullList()
-	config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": limit}
-	class := func(name string, deadline time.Duration) map[string]any {
-		return map[string]any{
-			"name":      name,
-			"slo":       300_000,
-			"deadline":  deadline.Microseconds(),
-			"effect":    "read_like",
-			"streaming": true,
+// listServers has discovery list so many servers, which have the addresses in turn.
+func (b *balancer) listServers(count int, addrs []netip.AddrPort) {
+	for i := range count {
+		entry := discoveryserver.Entry{
+			ID:        fmt.Sprintf("s-%08x", i+1),
+			Addr:      addrs[i%len(addrs)].String(),
+			Zone:      "a",
+			Machine:   "m",
+			Cell:      i,
+			Lifecycle: discoveryserver.Ready,
+			Weight:    1,
 		}
+		b.entries = append(b.entries, entry)
+		b.discovery.Set(entry)
+	}
+}
+
+// configure changes the configuration of lab/procs to what the platform would have for this balancer.
+func (b *balancer) configure(config map[string]any, mode string, descriptors int) {
+	config["discovery"] = b.discovery.Addr()
+	config["known"] = b.discovery.FullList()
+	config["limits"] = map[string]any{
+		"cores":     balancerCores,
+		"memory_mb": balancerMemoryMB,
+		"sockets":   descriptors,
 	}
 	settings := config["settings"].(map[string]any)
-	settings["balancers"], settings["rank"] = 1, 0
-	settings["request_classes"] = []any{class(ordinary, ordinaryTime), class(patient, patientTime)}
+	settings["balancers"] = 1
+	settings["rank"] = 0
+	settings["request_classes"] = []any{
+		classSettings(ordinaryClass, ordinaryDeadline),
+		classSettings(patientClass, patientDeadline),
+	}
 	settings["specifics"] = map[string]any{
 		"mode":        mode,
-		"message_aim": []float64{250_000, 250_000},
+		"message_aim": []float64{messageTargetBytes, messageTargetBytes},
 		"tells_delay": true,
 		"tells_load":  false,
 	}
 }
 
-// change tells a change of one server's weight, which matters to nothing that is measured here.
-func (b *balancer) change(i int) {
-	e := &b.entries[i%len(b.entries)]
-	e.Weight = 2.0001 - e.Weight
-	b.discovery.Set(*e)
+// classSettings are the settings of a request class.
+func classSettings(name string, deadline time.Duration) map[string]any {
+	return map[string]any{
+		"name":      name,
+		"slo":       classSLOMicros,
+		"deadline":  deadline.Microseconds(),
+		"effect":    "read_like",
+		"streaming": true,
+	}
+}
+
+// changeList changes the weight of one listed server a little, which affects nothing that is measured here.
+func (b *balancer) changeList(server int) {
+	const weightSum = 2.0001 // of the weight before and after
+	entry := &b.entries[server%len(b.entries)]
+	entry.Weight = weightSum - entry.Weight
+	b.discovery.Set(*entry)
 }
 
-func (b *balancer) cost() cost { return costOf(b.proc.Pid()) }
+// cost is what the balancer's process uses now.
+func (b *balancer) cost() processCost { return costOf(b.proc.Pid()) }
 
 func (b *balancer) close() {
 	if b.fleet != nil {
--- a/lab/scale/connections/connections_test.go
+++ b/lab/scale/connections/connections_test.go
@@ -22,48 +22,59 @@
 	return path
 }
 
-// small is a plan whose every connection and line is counted, and nothing timed.
-var small = Plan{
-	Sizes: []int{200}, Listed: 40, Servers: 4, Loops: 2, SetUps: 500, Rates: []float64{restRate},
-	Step: 300 * time.Millisecond, Rest: 100 * time.Millisecond, Churn: 300 * time.Millisecond, Changes: 3,
+// smallPlan returns a plan whose every connection and line is counted, and nothing timed.
+func smallPlan() *plan {
+	return &plan{
+		sizes:         []int{200},
+		listedServers: 40,
+		listeners:     4,
+		loops:         2,
+		setUpRate:     500,
+		lineRates:     []float64{restRate},
+		stepTime:      300 * time.Millisecond,
+		restTime:      100 * time.Millisecond,
+		churnTime:     300 * time.Millisecond,
+		listChanges:   3,
+	}
 }
 
-// A small run ends whole, whatever else the machine does: all clients come to stand, and come again.
+// A small run completes whatever else the machine does: all connections are established, and established again.
 func TestSmallRun(t *testing.T) {
-	o := experiment.Options{Seed: 7, Program: program(t), Progress: os.Stderr}
-	r, err := Play(context.Background(), o, &small)
+	options := experiment.Options{Seed: 7, Program: program(t), Progress: os.Stderr}
+	result, err := runPlan(context.Background(), options, smallPlan())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, want := range map[string]float64{"n00200_wave_missing": 0, "n00200_lost_at_rest": 0} {
-		if got, had := r.Figures[name]; !had || got != want {
+		if got, had := result.Figures[name]; !had || got != want {
 			t.Errorf("%s is %v, measured %v, want %v", name, got, had, want)
 		}
 	}
-	if got := r.Figures["n00200_set_ups_under_way_waiting"]; got < 1 || got > 40 { // the balancer's own limit
+	if got := result.Figures["n00200_set_ups_under_way_waiting"]; got < 1 || got > 40 { // the balancer's own limit
 		t.Errorf("%v set-ups under way", got)
 	}
-	if got := r.Figures["n00200_descriptors"]; got < 400 { // two for each, besides its own
+	if got := result.Figures["n00200_descriptors"]; got < 400 { // two for each, besides its own
 		t.Errorf("%v descriptors", got)
 	}
 	if t.Failed() || testing.Verbose() {
-		_ = r.Table(os.Stderr)
+		_ = result.Table(os.Stderr)
 	}
 }
 
-// A line through what was measured tells the slope, how far from it the points are, and how much it grows.
+// A fitted line has the slope of the points, how far they are from it, and how much it grows.
 func TestLine(t *testing.T) {
-	f, ok := line([]float64{1000, 2000, 3000, 4000}, []float64{3, 5, 7, 9})
-	if !ok || math.Abs(f.at0-1) > 1e-9 || math.Abs(f.slope-0.002) > 1e-12 || f.residual > 1e-9 ||
-		math.Abs(f.grows-3) > 1e-9 {
-		t.Errorf("%+v, %v", f, ok)
+	fitted, ok := fitLine([]float64{1000, 2000, 3000, 4000}, []float64{3, 5, 7, 9})
+	if !ok || math.Abs(fitted.intercept-1) > 1e-9 || math.Abs(fitted.slope-0.002) > 1e-12 ||
+		fitted.residual > 1e-9 || math.Abs(fitted.growth-3) > 1e-9 {
+		t.Errorf("%+v, %v", fitted, ok)
 	}
-	if f, ok = line([]float64{1, 2, 3, 4}, []float64{10, 10, 10, 14}); !ok || f.residual < 0.1 || f.residual > 0.2 {
-		t.Errorf("%+v, %v", f, ok)
+	fitted, ok = fitLine([]float64{1, 2, 3, 4}, []float64{10, 10, 10, 14})
+	if !ok || fitted.residual < 0.1 || fitted.residual > 0.2 {
+		t.Errorf("%+v, %v", fitted, ok)
 	}
 	for _, x := range [][]float64{{1, 2, 3}, {5, 5, 5, 5}, nil} {
-		if f, ok := line(x, make([]float64, len(x))); ok {
-			t.Errorf("a line through %v: %+v", x, f)
+		if fitted, ok := fitLine(x, make([]float64, len(x))); ok {
+			t.Errorf("a line through %v: %+v", x, fitted)
 		}
 	}
 }
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -13,65 +13,94 @@
 	"golang.org/x/sys/unix"
 )
 
-// cost is what the kernel has of a process at one moment.
-type cost struct {
-	at       time.Time
-	resident float64       // bytes
-	cpu      time.Duration // user and system time of all its threads
-	fds      int           // descriptors that it holds
-	slab     float64       // bytes of kernel objects of the whole machine, sockets among them
+const (
+	bytesPerMegabyte = 1 << 20
+	bytesPerKilobyte = 1 << 10
+)
+
+// processCost is what a process has used and holds at one time, according to the kernel.
+type processCost struct {
+	at          time.Time
+	resident    float64       // bytes
+	cpu         time.Duration // user and system time of all its threads
+	descriptors int           // that it holds
+	slab        float64       // bytes of kernel objects of the whole machine, sockets among them
 }
 
-// costOf reads it from outside.
-func costOf(pid int) cost {
-	// none: it has ended, which other figures tell
-	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
-	return cost{
-		at:       time.Now(),
-		resident: deployment.Resident(pid),
-		cpu:      cpuTime(pid),
-		fds:      len(entries),
-		slab:     slab(),
+// costOf reads the cost of a process. Values that cannot be read are 0: the process has ended, which other figures
+// show.
+func costOf(pid int) processCost {
+	descriptors, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
+	return processCost{
+		at:          time.Now(),
+		resident:    deployment.Resident(pid),
+		cpu:         cpuTime(pid),
+		descriptors: len(descriptors),
+		slab:        slabBytes(),
 	}
 }
 
-// cpuSched is the kernel's clock of the time that threads ran, in the lower bits of a process's clock id.
-const cpuSched = 2
+// megabytesSince is by how many megabytes the resident memory has grown.
+func (c processCost) megabytesSince(before processCost) float64 {
+	return (c.resident - before.resident) / bytesPerMegabyte
+}
+
+// coreShareSince is the share of one core that was used since.
+func (c processCost) coreShareSince(before processCost) float64 {
+	return float64(c.cpu-before.cpu) / float64(c.at.Sub(before.at))
+}
+
+// microsPerItem is processor time for each of some items, in microseconds; of no item as if of one.
+func microsPerItem(cpu time.Duration, items int) float64 {
+	return float64(cpu.Nanoseconds()) / 1000 / float64(max(items, 1))
+}
 
-// cpuTime is the processor time of a process by its own clock, see clock_getcpuclockid(3): /proc's ticks of 10 ms
-// are too coarse for single steps here.
+// A clock id for the processor time of a process, see clock_getcpuclockid(3): the complement of the process id, and
+// in the lower bits which time.
+const (
+	clockIDBits  = 3
+	cpuSchedTime = 2 // as the scheduler counts it
+)
+
+// cpuTime is the processor time of a process by its own clock: the ticks of 10 ms in /proc are too coarse for the
+// spans that are measured here.
 func cpuTime(pid int) time.Duration {
 	var t unix.Timespec
-	if err := unix.ClockGettime(int32(^pid)<<3|cpuSched, &t); err != nil {
+	if err := unix.ClockGettime(int32(^pid)<<clockIDBits|cpuSchedTime, &t); err != nil {
 		return 0
 	}
 	return time.Duration(t.Nano())
 }
 
-func slab() float64 {
-	f, err := os.Open("/proc/meminfo")
+// slabBytes is the memory of the kernel's objects, 0 where it cannot be read.
+func slabBytes() float64 {
+	file, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = f.Close() }()
-	for lines := bufio.NewScanner(f); lines.Scan(); {
+	defer func() { _ = file.Close() }()
+	lines := bufio.NewScanner(file)
+	for lines.Scan() {
 		if rest, ok := strings.CutPrefix(lines.Text(), "Slab:"); ok {
-			kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-			return kb * 1024
+			kilobytes, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+			return kilobytes * bytesPerKilobyte
 		}
 	}
 	return 0
 }
 
-// descriptors raises the soft limit to the hard one, and returns it.
-func descriptors() (int, error) {
-	var lim unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &lim); err != nil {
+// maxDescriptors bounds the descriptors that a run takes into account, also where the machine allows more.
+const maxDescriptors = 1 << 20
+
+// raiseDescriptorLimit raises the soft limit of descriptors to the hard one, and returns it, at most maxDescriptors.
+func raiseDescriptorLimit() (int, error) {
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, fmt.Errorf("limit of descriptors: %w", err)
 	}
-	lim.Cur = lim.Max
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &lim); err != nil {
+	limit.Cur = limit.Max
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, fmt.Errorf("limit of descriptors: %w", err)
 	}
-	return int(min(lim.Max, 1<<20)), nil
+	return int(min(limit.Max, maxDescriptors)), nil
 }
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -8,64 +8,71 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fit is a straight line through a cost by the number of connections.
-type fit struct {
-	at0, slope float64
-	residual   float64 // the greatest distance of a point from the line, as a part of the line's value there
-	grows      float64 // the line's value at the largest number over that at the smallest
+// line is a straight line, fitted to a cost by the number of connections.
+type line struct {
+	intercept float64
+	slope     float64
+	residual  float64 // the largest distance of a point, as a part of the line's value there
+	growth    float64 // the line's value at the largest number over that at the smallest; 0 where that is not over 0
 }
 
-// fewest points make a line that says something.
-const fewest = 4
+// minLinePoints is the number of points that a line needs at least.
+const minLinePoints = 4
 
-// line fits one; false where there are too few points, or all at one number.
-func line(x, y []float64) (f fit, ok bool) {
-	if len(x) < fewest {
-		return f, false
+// fitLine fits a line by least squares to points in ascending order. ok is false for too few points, or all at one
+// number.
+func fitLine(x, y []float64) (fitted line, ok bool) {
+	if len(x) < minLinePoints {
+		return line{}, false
 	}
-	f.at0, f.slope = stat.LinearRegression(x, y, nil, false)
-	if math.IsNaN(f.slope) || math.IsInf(f.slope, 0) {
-		return f, false
+	fitted.intercept, fitted.slope = stat.LinearRegression(x, y, nil, false)
+	if math.IsNaN(fitted.slope) || math.IsInf(fitted.slope, 0) {
+		return line{}, false
 	}
-	at := func(x float64) float64 { return f.at0 + f.slope*x }
 	for i := range x {
-		if v := at(x[i]); v != 0 {
-			f.residual = max(f.residual, math.Abs((y[i]-v)/v))
+		if value := fitted.at(x[i]); value != 0 {
+			fitted.residual = max(fitted.residual, math.Abs((y[i]-value)/value))
 		}
 	}
-	if first := at(x[0]); first > 0 {
-		f.grows = at(x[len(x)-1]) / first
+	if first := fitted.at(x[0]); first > 0 {
+		fitted.growth = fitted.at(x[len(x)-1]) / first
 	}
-	return f, true
+	return fitted, true
 }
 
-// series is a figure by the number of connections.
-func (x *run) series(name string, times float64) report.Series {
-	s := report.Series{Name: name}
-	for _, p := range x.points {
-		if v, had := p.f[name]; had {
-			s.X, s.Y = append(s.X, float64(p.n)), append(s.Y, v*times)
+// at is the line's value.
+func (l line) at(x float64) float64 { return l.intercept + l.slope*x }
+
+// series is a figure by the number of connections, scaled by a factor. Sizes without the figure are left out.
+func (r *run) series(figure string, factor float64) report.Series {
+	s := report.Series{Name: figure}
+	for i := range r.measurements {
+		m := &r.measurements[i]
+		if value, measured := m.figures[figure]; measured {
+			s.X = append(s.X, float64(m.size))
+			s.Y = append(s.Y, value*factor)
 		}
 	}
 	return s
 }
 
-// slopes are the figures whose slope says what one connection costs, with the slope's name and unit.
+// slopes are the figures whose slope is the cost of one connection.
 var slopes = []struct {
-	of, name string
-	times    float64 // from the figure's unit, for one connection
+	figure string
+	name   string  // of the slope, with its unit
+	factor float64 // from the figure's unit to the slope's, for one connection
 }{
-	{"mb_standing", "bytes_per_connection", 1 << 20},
-	{"mb_silent", "bytes_per_half_open", 1 << 19}, // there are twice as many
-	{"mb_waiting", "bytes_per_waiting", 1 << 20},
-	{"mb_attempt", "bytes_per_attempt", 1 << 20},
+	{"mb_standing", "bytes_per_connection", bytesPerMegabyte},
+	{"mb_silent", "bytes_per_half_open", bytesPerMegabyte / silentFactor},
+	{"mb_waiting", "bytes_per_waiting", bytesPerMegabyte},
+	{"mb_attempt", "bytes_per_attempt", bytesPerMegabyte},
 	{"cpu_share_idle", "idle_us_per_connection_s", 1e6},
 	{"cpu_share_waiting", "waiting_us_per_connection_s", 1e6},
 	{"us_per_list_change", "list_change_us_per_connection", 1},
 }
 
-// growing are the costs that ought to be the same for any number of connections.
-var growing = []string{
+// constantCosts are the figures that should be the same for any number of connections; their growth is reported.
+var constantCosts = []string{
 	"us_per_accept",
 	"us_per_set_up",
 	"us_per_set_up_churn",
@@ -74,77 +81,111 @@
 	"p99_ms_at_rest",
 }
 
-// reportPoints makes the report of all points.
-func (x *run) reportPoints() {
-	f := x.r.Figures
-	for _, p := range x.points {
-		for name, v := range p.f {
-			f[fmt.Sprintf("n%05d_%s", p.n, name)] = v
+// largestCounts are the figures whose largest value of all sizes is reported.
+var largestCounts = []string{
+	"p99_ms_at_rest",
+	"lost_at_rest",
+	"wave_missing",
+	"wave_90_ms",
+	"us_per_set_up",
+	"us_per_line_common",
+	"cpu_share_idle",
+}
+
+// smallestCounts are the figures whose smallest value of all sizes is reported.
+var smallestCounts = []string{"borne_lines_per_s"}
+
+// recordFigures records the figures of all sizes, their charts and bounds.
+func (r *run) recordFigures() {
+	for i := range r.measurements {
+		m := &r.measurements[i]
+		for name, value := range m.figures {
+			r.report.Figures[fmt.Sprintf("n%05d_%s", m.size, name)] = value
 		}
 	}
-	for _, one := range slopes {
-		if s := x.series(one.of, one.times); true {
-			if l, ok := line(s.X, s.Y); ok {
-				f[one.name], f[one.name+"_residual"] = l.slope, l.residual
-			}
-		}
+	r.recordLines()
+	for _, figure := range largestCounts {
+		r.recordExtreme(figure, 1)
 	}
-	for _, name := range growing {
-		if s := x.series(name, 1); len(s.X) > 0 {
-			if l, ok := line(s.X, s.Y); ok {
-				f[name+"_grows"], f[name+"_residual"] = l.grows, l.residual
-			}
-		}
+	for _, figure := range smallestCounts {
+		r.recordExtreme(figure, 0)
 	}
-	x.worst()
-	x.charts()
-	x.bounds()
+	r.report.Charts = r.charts()
+	r.checkBounds()
 }
 
-// worst takes the worst of all sizes where a bound is held by each of them. What one size lacks, the whole lacks.
-func (x *run) worst() {
-	for _, name := range []string{
-		"p99_ms_at_rest", "lost_at_rest", "wave_missing", "wave_90_ms", "us_per_set_up",
-		"us_per_line_common", "cpu_share_idle",
-	} {
-		if s := x.series(name, 1); len(s.Y) == len(x.points) {
-			x.r.Figures[name] = report.Quantile(s.Y, 1)
+// recordLines records the slopes of costs, and how much costs grow that should be constant.
+func (r *run) recordLines() {
+	figures := r.report.Figures
+	for _, slope := range slopes {
+		s := r.series(slope.figure, slope.factor)
+		if fitted, ok := fitLine(s.X, s.Y); ok {
+			figures[slope.name] = fitted.slope
+			figures[slope.name+"_residual"] = fitted.residual
 		}
 	}
-	if s := x.series("borne_lines_per_s", 1); len(s.Y) == len(x.points) {
-		x.r.Figures["borne_lines_per_s"] = report.Quantile(s.Y, 0)
+	for _, figure := range constantCosts {
+		s := r.series(figure, 1)
+		if fitted, ok := fitLine(s.X, s.Y); ok {
+			figures[figure+"_grows"] = fitted.growth
+			figures[figure+"_residual"] = fitted.residual
+		}
 	}
 }
 
-func (x *run) charts() {
-	memory := report.Chart{Name: "memory", Title: Name + ": resident memory", X: "connections", Y: "MB"}
-	for _, name := range []string{"mb_standing", "mb_silent", "mb_waiting", "mb_attempt"} {
-		memory.Series = append(memory.Series, x.series(name, 1))
+// recordExtreme records a quantile of a figure over all sizes, 0 for the smallest and 1 for the largest. A figure
+// that one size lacks is not recorded.
+func (r *run) recordExtreme(figure string, quantile float64) {
+	if s := r.series(figure, 1); len(s.Y) == len(r.measurements) {
+		r.report.Figures[figure] = report.Quantile(s.Y, quantile)
 	}
-	work := report.Chart{Name: "work", Title: Name + ": processor time of each", X: "connections", Y: "us"}
-	for _, name := range []string{"us_per_accept", "us_per_set_up", "us_per_line_common", "us_per_reconnect"} {
-		work.Series = append(work.Series, x.series(name, 1))
+}
+
+// seriesOf returns several figures by the number of connections.
+func (r *run) seriesOf(figures ...string) []report.Series {
+	var all []report.Series
+	for _, figure := range figures {
+		all = append(all, r.series(figure, 1))
 	}
-	idle := report.Chart{
-		Name:  "idle",
-		Title: Name + ": processor time at rest",
-		X:     "connections",
-		Y:     "part of a core",
+	return all
+}
+
+func (r *run) charts() []report.Chart {
+	return []report.Chart{
+		{
+			Name: "memory", Title: Name + ": resident memory", X: "connections", Y: "MB",
+			Series: r.seriesOf("mb_standing", "mb_silent", "mb_waiting", "mb_attempt"),
+		},
+		{
+			Name: "work", Title: Name + ": processor time of each", X: "connections", Y: "us",
+			Series: r.seriesOf("us_per_accept", "us_per_set_up", "us_per_line_common", "us_per_reconnect"),
+		},
+		{
+			Name: "idle", Title: Name + ": processor time at rest", X: "connections", Y: "part of a core",
+			Series: r.seriesOf("cpu_share_idle", "cpu_share_waiting"),
+		},
+		{
+			Name: "delay", Title: Name + ": p99 from when a line was due", X: "lines a second", Y: "ms",
+			Series: r.delaySeries(),
+		},
 	}
-	idle.Series = append(idle.Series, x.series("cpu_share_idle", 1), x.series("cpu_share_waiting", 1))
-	delay := report.Chart{Name: "delay", Title: Name + ": p99 from when a line was due", X: "lines a second", Y: "ms"}
-	for i, p := range x.points {
-		if i == 0 || i == len(x.points)-1 || i == len(x.points)/2 {
-			delay.Series = append(delay.Series, p.delay)
+}
+
+// delaySeries returns the delay by the line rate at the smallest, the middle and the largest size.
+func (r *run) delaySeries() []report.Series {
+	var all []report.Series
+	for i := range r.measurements {
+		if i == 0 || i == len(r.measurements)-1 || i == len(r.measurements)/2 {
+			all = append(all, r.measurements[i].delay)
 		}
 	}
-	x.r.Charts = []report.Chart{memory, work, idle, delay}
+	return all
 }
 
-// bounds hold on any seed.
-func (x *run) bounds() {
-	for _, b := range []struct {
-		name    string
+// checkBounds checks the bounds, which have to be met with any seed.
+func (r *run) checkBounds() {
+	for _, bound := range []struct {
+		figure  string
 		limit   float64
 		atLeast bool
 	}{
@@ -156,6 +197,6 @@
 		{"wave_missing", 0, false},
 		{"borne_lines_per_s", 10000, true},
 	} {
-		x.r.Check(b.name, b.limit, b.atLeast)
+		r.report.Check(bound.figure, bound.limit, bound.atLeast)
 	}
 }
--- /dev/null
+++ b/lab/scale/connections/lines.go
@@ -0,0 +1,151 @@
+package connections
+
+import (
+	"fmt"
+	"spurspread/lab/report"
+	"time"
+)
+
+const (
+	// maxDelayMillis is the 99th percentile of the delay of lines up to which a rate is sustained.
+	maxDelayMillis = 50.0
+	// maxLatenessMillis is how late the harness may be, one time in a hundred, for a delay to be valid. Its timers
+	// have whole milliseconds.
+	maxLatenessMillis = 5.0
+	// returnTime is how long after the last line of a step all must have come back.
+	returnTime = time.Second
+)
+
+// lateness is how late the harness was, one time in a hundred, in milliseconds.
+type lateness struct {
+	sends float64 // of lines and set-ups
+	loops float64
+}
+
+func (l lateness) worst() float64 { return max(l.sends, l.loops) }
+
+// exceeded returns whether the harness was too late for delays to be valid.
+func (l lateness) exceeded() bool { return l.worst() > maxLatenessMillis }
+
+// harnessLateness returns how late the harness was: its sends as counted, and its loops since the last takeLag.
+func (r *run) harnessLateness(counted counts) lateness {
+	return lateness{
+		sends: report.Quantile(counted.sendLag, 0.99),
+		loops: report.Quantile(r.takeLag(), 0.99),
+	}
+}
+
+// takeLag returns how late the loops of the harness ran since the last call, in milliseconds.
+func (r *run) takeLag() []float64 {
+	return append(r.load.workers.takeLag(), r.servers.workers.takeLag()...)
+}
+
+// measureLines sends lines at one rate after another, until one is not sustained.
+func (r *run) measureLines(b *balancer, m *measurement) error {
+	m.delay.Name = fmt.Sprint(m.size)
+	for _, rate := range r.plan.lineRates {
+		step := r.sendStep(b, rate)
+		r.logStep(m, step)
+		if rate == restRate {
+			m.figures["lost_at_rest"] = float64(step.lost + step.counted.pending)
+		}
+		if !r.judgeStep(m, step) {
+			break
+		}
+		m.addStep(step)
+	}
+	// Lines of the last step come back later; they are not counted any more.
+	r.load.awaitLines(maxWait)
+	r.load.take()
+	return nil
+}
+
+// lineStep is what was measured at one rate of lines.
+type lineStep struct {
+	rate     float64 // per second
+	counted  counts
+	p99      float64 // delay in milliseconds
+	lost     int     // lines, and connections that were moved or ended
+	returned bool    // whether all lines came back within returnTime
+	late     lateness
+	cpu      time.Duration
+}
+
+// sendStep sends lines at a rate for the plan's step time.
+func (r *run) sendStep(b *balancer, rate float64) lineStep {
+	totals := &r.load.totals
+	r.load.take()
+	r.takeLag()
+	movedBefore := totals.moved.Load()
+	endedBefore := totals.ended.Load()
+	begin := b.cost()
+	r.load.sendLines(rate, r.plan.stepTime)
+	r.load.awaitSchedule(maxWait)
+	returned := r.load.awaitLines(returnTime)
+	end := b.cost()
+	counted := r.load.take()
+	moved := totals.moved.Load() - movedBefore
+	ended := totals.ended.Load() - endedBefore
+	return lineStep{
+		rate:     rate,
+		counted:  counted,
+		p99:      report.Quantile(counted.delayMillis, 0.99),
+		lost:     counted.lost + int(moved) + int(ended),
+		returned: returned,
+		late:     r.harnessLateness(counted),
+		cpu:      end.cpu - begin.cpu,
+	}
+}
+
+func (r *run) logStep(m *measurement, step lineStep) {
+	r.logProgress(
+		"%d connections, %.0f lines a second: p99 %.2f ms, %d lost, %d open, sent late %.2f ms, loops late %.2f ms",
+		m.size,
+		step.rate,
+		step.p99,
+		step.lost,
+		step.counted.pending,
+		step.late.sends,
+		step.late.loops,
+	)
+}
+
+// sustained returns whether the balancer sustained the rate: no line was lost, all came back in time, and the delay
+// was within its bound.
+func (s *lineStep) sustained() bool {
+	return s.lost == 0 && s.returned && s.p99 <= maxDelayMillis
+}
+
+// judgeStep returns whether a step is valid and its rate was sustained; else no higher rate is tried, and a figure
+// has the reason.
+func (r *run) judgeStep(m *measurement, step lineStep) bool {
+	if step.late.exceeded() {
+		r.note(m, "lines",
+			"not valid from %.0f lines a second on: the harness sent %.1f ms late, its loops were %.1f ms late",
+			step.rate, step.late.sends, step.late.loops)
+		m.figures["harness_starved_at_lines_per_s"] = step.rate
+		return false
+	}
+	if !step.sustained() {
+		m.figures["breaks_at_lines_per_s"] = step.rate
+		return false
+	}
+	return true
+}
+
+// addStep adds a step whose rate was sustained.
+func (m *measurement) addStep(step lineStep) {
+	m.delay.X = append(m.delay.X, step.rate)
+	m.delay.Y = append(m.delay.Y, step.p99)
+	microsPerLine := microsPerItem(step.cpu, step.counted.sent)
+	m.figures["borne_lines_per_s"] = step.rate
+	m.figures["us_per_line_borne"] = microsPerLine
+	switch step.rate {
+	case restRate:
+		m.figures["p99_ms_at_rest"] = step.p99
+		m.figures["p50_ms_at_rest"] = report.Quantile(step.counted.delayMillis, 0.5)
+	case commonRate:
+		m.figures["p99_ms_common"] = step.p99
+		m.figures["us_per_line_common"] = microsPerLine
+	}
+}
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -7,138 +7,181 @@
 	"time"
 )
 
-// load is all clients, on some loops.
+const (
+	// unlimitedTime is longer than any run.
+	unlimitedTime = 3600 * second
+	// unlimitedLines is more than any run sends.
+	unlimitedLines = 1 << 40
+)
+
+// load is all clients, distributed over some loops.
 type load struct {
-	ws workers
-	gs []*generator
-	n  totals
+	workers    workers
+	generators []*generator // by worker
+	totals     totals
 }
 
+// startLoad starts the loops, without a client yet. What clients draw follows from the seed.
 func startLoad(loops int, seed uint64) (*load, error) {
-	ws, err := newWorkers(loops)
+	all, err := newWorkers(loops)
 	if err != nil {
-		ws.close()
+		all.close()
 		return nil, err
 	}
-	ld := &load{ws: ws}
-	for i, w := range ws {
-		ld.gs = append(ld.gs, &generator{worker: w, rng: rand.New(rand.NewPCG(seed, uint64(i))), index: i, n: &ld.n})
+	ld := &load{workers: all}
+	for index, w := range all {
+		ld.generators = append(ld.generators, &generator{
+			worker: w,
+			rng:    rand.New(rand.NewPCG(seed, uint64(index))),
+			index:  index,
+			totals: &ld.totals,
+			line:   newLine(),
+		})
 	}
 	return ld, nil
 }
 
-// each carries f out for the generator of each loop.
+// each calls f with each generator on its loop, and returns after all calls.
 func (ld *load) each(f func(g *generator)) {
-	ld.ws.each(func(i int, _ *worker) { f(ld.gs[i]) })
+	ld.workers.each(func(index int, _ *worker) { f(ld.generators[index]) })
 }
 
-// part is how many of n the i-th loop has.
-func (ld *load) part(n, i int) int { return (n + len(ld.gs) - 1 - i) / len(ld.gs) }
+// shareOf is how many of count belong to a loop.
+func (ld *load) shareOf(count, index int) int {
+	return (count + len(ld.generators) - 1 - index) / len(ld.generators)
+}
 
-// clear ends all clients and turns to a balancer; first lines are of the class from now on, and wait so long.
-func (ld *load) clear(to netip.AddrPort, class string, patience time.Duration) {
+// clear removes all clients. Those that are added from now on connect to a balancer, and their first lines have a
+// class and a deadline.
+func (ld *load) clear(balancer netip.AddrPort, class string, deadline time.Duration) {
 	ld.each(func(g *generator) {
-		g.again, g.churn = false, false
-		for _, c := range g.clients {
-			c.leave()
-		}
-		g.clients, g.to, g.class, g.patient = nil, to, class, int(patience.Milliseconds())
+		g.setChurning(false)
+		g.disconnectAll()
+		g.clients = nil
+		g.balancer = balancer
+		g.class = class
+		g.deadlineMillis = int(deadline.Milliseconds())
 	})
-	ld.split()
+	ld.take()
 }
 
-// add lets n further clients connect at a rate a second, and ask if they are to; it returns at once.
-func (ld *load) add(n int, rate float64, ask bool) {
-	parts := float64(len(ld.gs))
+// setRetrying has clients that were rejected, or whose connection was closed, set it up again.
+func (ld *load) setRetrying() {
+	ld.each(func(g *generator) { g.retrying = true })
+}
+
+// add has further clients connect at a rate per second, which send a first line where request is set. It returns at
+// once.
+func (ld *load) add(count int, rate float64, request bool) {
+	rateOfEach := rate / float64(len(ld.generators))
 	ld.each(func(g *generator) {
-		g.schedule(rate/parts, ld.part(n, g.index), forever, func(due netloop.Micros) {
-			c := &client{g: g}
-			g.clients = append(g.clients, c)
-			c.dial(due, ask)
+		g.schedule(rateOfEach, ld.shareOf(count, g.index), unlimitedTime, func(due netloop.Micros) {
+			g.addClient().dial(due, request)
 		})
 	})
 }
 
-// forever is longer than any run.
-const forever = 3600 * sec
-
-// wave has all clients leave at once and come again, each at a moment of its own within about the span.
-func (ld *load) wave(within time.Duration) {
+// reconnectAll has all clients disconnect at once and set up their connections again, each at a time of its own
+// within about the span. It returns at once.
+func (ld *load) reconnectAll(within time.Duration) {
 	ld.each(func(g *generator) {
-		g.again = true
+		g.retrying = true
+		g.disconnectAll()
 		all := g.clients
-		for _, c := range all {
-			c.leave()
-		}
 		if len(all) == 0 {
 			return
 		}
 		g.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		next := 0
-		g.schedule(float64(len(all))/within.Seconds(), len(all), forever, func(due netloop.Micros) {
+		g.schedule(float64(len(all))/within.Seconds(), len(all), unlimitedTime, func(due netloop.Micros) {
 			all[next].dial(due, true)
 			next++
 		})
 	})
 }
 
-// lines has clients that stand send lines at a rate a second for a span; it returns at once.
-func (ld *load) lines(rate float64, span time.Duration) {
-	parts := float64(len(ld.gs))
-	ld.each(func(g *generator) { g.schedule(rate/parts, 1<<40, span.Microseconds(), g.write) })
+// sendLines has established clients send lines at a rate per second for a span. It returns at once.
+func (ld *load) sendLines(rate float64, span time.Duration) {
+	rateOfEach := rate / float64(len(ld.generators))
+	ld.each(func(g *generator) { g.schedule(rateOfEach, unlimitedLines, span.Microseconds(), g.sendLine) })
 }
 
-// churns lets so many more clients come and leave without a pause, or ends that.
-func (ld *load) churns(n int) {
+// startChurn has further clients set up connections and close them without a pause.
+func (ld *load) startChurn(count int) {
 	ld.each(func(g *generator) {
-		g.churn, g.again = n > 0, n > 0
-		for range ld.part(n, g.index) {
-			c := &client{g: g}
-			g.clients = append(g.clients, c)
-			c.dial(g.l.Now(), true)
+		g.setChurning(true)
+		for range ld.shareOf(count, g.index) {
+			g.addClient().dial(g.loop.Now(), true)
 		}
 	})
 }
 
-// counts are what the generators have counted since the last time.
+// stopChurn has no client set up its connection again from now on.
+func (ld *load) stopChurn() {
+	ld.each(func(g *generator) { g.setChurning(false) })
+}
+
+// counts are what generators have counted since the last take; see generator.
 type counts struct {
-	took, lag        []float64 // ms
-	sent, open, lost int
-	paced            bool // moments are still to come
+	delayMillis []float64
+	sendLag     []float64
+	sent        int
+	pending     int
+	lost        int
+	scheduling  bool
 }
 
-// peek tells what is still open.
-func (ld *load) peek() (c counts) {
-	all := make([]counts, len(ld.gs))
-	ld.each(func(g *generator) { all[g.index] = counts{sent: g.sent, open: g.open, lost: g.lost, paced: g.paced} })
-	return sum(all)
+// pending returns how many lines have not come back, and whether lines or set-ups are still to be sent.
+func (ld *load) pending() (lines int, scheduling bool) {
+	all := make([]counts, len(ld.generators))
+	ld.each(func(g *generator) { all[g.index] = g.counts() })
+	for i := range all {
+		lines += all[i].pending
+		scheduling = scheduling || all[i].scheduling
+	}
+	return lines, scheduling
 }
 
-// split takes what was counted, and begins anew.
-func (ld *load) split() counts {
-	all := make([]counts, len(ld.gs))
-	ld.each(func(g *generator) {
-		all[g.index] = counts{g.took, g.lag, g.sent, g.open, g.lost, g.paced}
-		g.took, g.lag, g.sent, g.lost = nil, nil, 0, 0
+// awaitLines waits until all lines have come back, and returns whether they have.
+func (ld *load) awaitLines(limit time.Duration) bool {
+	return await(limit, func() bool {
+		lines, _ := ld.pending()
+		return lines == 0
+	})
+}
+
+// awaitSchedule waits until all lines and set-ups were sent.
+func (ld *load) awaitSchedule(limit time.Duration) {
+	await(limit, func() bool {
+		_, scheduling := ld.pending()
+		return !scheduling
 	})
+}
+
+// take returns what all generators have counted since the last take, and has them count anew.
+func (ld *load) take() counts {
+	all := make([]counts, len(ld.generators))
+	ld.each(func(g *generator) { all[g.index] = g.take() })
 	return sum(all)
 }
 
-func sum(all []counts) (c counts) {
-	for _, o := range all {
-		c.took, c.lag = append(c.took, o.took...), append(c.lag, o.lag...)
-		c.sent, c.open, c.lost = c.sent+o.sent, c.open+o.open, c.lost+o.lost
-		c.paced = c.paced || o.paced
+func sum(all []counts) counts {
+	var total counts
+	for i := range all {
+		total.delayMillis = append(total.delayMillis, all[i].delayMillis...)
+		total.sendLag = append(total.sendLag, all[i].sendLag...)
+		total.sent += all[i].sent
+		total.pending += all[i].pending
+		total.lost += all[i].lost
+		total.scheduling = total.scheduling || all[i].scheduling
 	}
-	return c
+	return total
 }
 
 func (ld *load) close() {
 	ld.each(func(g *generator) {
-		g.again = false
-		for _, c := range g.clients {
-			c.leave()
-		}
+		g.retrying = false
+		g.disconnectAll()
 	})
-	ld.ws.close()
+	ld.workers.close()
 }
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -3,147 +3,154 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"net/netip"
 	"spurspread/lab/netloop"
 	"sync/atomic"
 )
 
-// servers are the stand-in servers: they answer a first line with UP and send each further line back, or keep all
-// answers back while they hold.
+// servers are the stand-in servers. They answer a first line with UP and send each further line back. While holding
+// is set they do not answer first lines.
 type servers struct {
-	ws       workers
-	addrs    []netip.AddrPort
-	hold     atomic.Bool
-	held     atomic.Int64 // first lines that wait for their answer
-	standing atomic.Int64
-	waiting  [][]*backend // by worker: those whose answer is kept back
-	all      []map[*backend]bool
-	lns      [][]*netloop.Listener
+	workers     workers
+	addrs       []netip.AddrPort
+	holding     atomic.Bool
+	held        atomic.Int64 // first lines that were not answered
+	established atomic.Int64 // connections whose first line was answered
+
+	// By worker, each on its loop.
+	listeners   [][]*netloop.Listener
+	connections []map[*serverConn]bool
 }
 
-// startServers listens on so many loopback addresses, in turn on so many loops.
+// startServers listens on so many loopback addresses, which are assigned to so many loops in turn.
 func startServers(loops, listeners int) (*servers, error) {
-	ws, err := newWorkers(loops)
+	all, err := newWorkers(loops)
 	s := &servers{
-		ws:      ws,
-		waiting: make([][]*backend, loops),
-		all:     make([]map[*backend]bool, loops),
-		lns:     make([][]*netloop.Listener, loops),
+		workers:     all,
+		listeners:   make([][]*netloop.Listener, loops),
+		connections: make([]map[*serverConn]bool, loops),
 	}
-	for i := range s.all {
-		s.all[i] = map[*backend]bool{}
+	for worker := range s.connections {
+		s.connections[worker] = map[*serverConn]bool{}
 	}
-	for k := 0; k < listeners && err == nil; k++ {
-		i := k % loops
-		ws[i].do(func() { err = s.listen(i) })
+	for i := 0; i < listeners && err == nil; i++ {
+		worker := i % loops
+		all[worker].do(func() { err = s.listen(worker) })
 	}
 	if err != nil {
 		s.close()
-		return nil, err
+		return nil, fmt.Errorf("stand-in servers: %w", err)
 	}
 	return s, nil
 }
 
-func (s *servers) listen(i int) error {
-	ln, err := s.ws[i].l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
-		b := &backend{s: s, i: i}
-		if conn, err := s.ws[i].l.Adopt(fd, b); err == nil {
-			s.all[i][b] = true
-			b.Readable(conn)
-		}
-	})
-	if err == nil {
-		s.addrs, s.lns[i] = append(s.addrs, ln.Addr()), append(s.lns[i], ln)
+// listen opens one listener on a worker's loop.
+func (s *servers) listen(worker int) error {
+	loop := s.workers[worker].loop
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) { s.accept(worker, fd) })
+	if err != nil {
+		return err
+	}
+	s.addrs = append(s.addrs, listener.Addr())
+	s.listeners[worker] = append(s.listeners[worker], listener)
+	return nil
+}
+
+func (s *servers) accept(worker, fd int) {
+	c := &serverConn{servers: s, worker: worker}
+	conn, err := s.workers[worker].loop.Adopt(fd, c)
+	if err != nil {
+		return // Adopt has closed the descriptor
 	}
-	return err
+	s.connections[worker][c] = true
+	c.Readable(conn)
 }
 
-// reset closes all connections, of balancers that have ended.
+// reset closes all connections, which belong to a balancer that has ended, and answers first lines again.
 func (s *servers) reset() {
-	s.ws.each(func(i int, _ *worker) {
-		s.waiting[i] = nil
-		for b := range s.all[i] {
-			b.end()
-		}
-	})
-	s.hold.Store(false)
+	s.workers.each(func(index int, _ *worker) { s.closeConnections(index) })
+	s.holding.Store(false)
 	s.held.Store(0)
-	s.standing.Store(0)
+	s.established.Store(0)
+}
+
+// closeConnections closes the connections of one worker, on its loop.
+func (s *servers) closeConnections(worker int) {
+	for c := range s.connections[worker] {
+		c.close()
+	}
 }
 
 func (s *servers) close() {
-	s.ws.each(func(i int, _ *worker) {
-		for b := range s.all[i] {
-			b.end()
-		}
-		for _, ln := range s.lns[i] {
-			ln.Close()
+	s.workers.each(func(index int, _ *worker) {
+		s.closeConnections(index)
+		for _, listener := range s.listeners[index] {
+			listener.Close()
 		}
 	})
-	s.ws.close()
+	s.workers.close()
 }
 
-// backend is one connection of a balancer to a stand-in server.
-type backend struct {
-	s           *servers
-	i           int // its loop
+// serverConn is one connection of a balancer to a stand-in server.
+type serverConn struct {
+	servers     *servers
+	worker      int
 	conn        *netloop.Conn
-	head        []byte // the first line, as far as it has come
+	firstLine   []byte // what of it was received
 	established bool
 }
 
-// Readable is part of netloop.Owner.
-func (b *backend) Readable(conn *netloop.Conn) {
-	b.conn = conn
-	for scratch := b.s.ws[b.i].scratch; ; {
+// Readable implements netloop.Owner.
+func (c *serverConn) Readable(conn *netloop.Conn) {
+	c.conn = conn
+	scratch := c.servers.workers[c.worker].scratch
+	for {
 		n, err := conn.Read(scratch)
 		if errors.Is(err, netloop.ErrAgain) {
 			return
 		}
 		if err != nil {
-			b.end()
+			c.close()
 			return
 		}
-		if b.established {
+		if c.established {
 			conn.Write(scratch[:n])
 		} else {
-			b.first(scratch[:n])
+			c.handleFirstLine(scratch[:n])
 		}
 	}
 }
 
-// first takes a part of the first line. Its sender waits for the answer before it sends more.
-func (b *backend) first(part []byte) {
-	if b.head = append(b.head, part...); b.head[len(b.head)-1] != '\n' {
+// handleFirstLine handles a part of the first line. A balancer sends nothing more until it was answered.
+func (c *serverConn) handleFirstLine(part []byte) {
+	c.firstLine = append(c.firstLine, part...)
+	if c.firstLine[len(c.firstLine)-1] != '\n' {
 		return
 	}
-	if bytes.HasPrefix(b.head, []byte("PING")) {
-		b.conn.Write([]byte("PONG\r\n"))
-		b.head = nil
-		return
+	isPing := bytes.HasPrefix(c.firstLine, []byte("PING"))
+	c.firstLine = nil
+	switch {
+	case isPing:
+		c.conn.Write([]byte("PONG\r\n"))
+	case c.servers.holding.Load():
+		c.servers.held.Add(1)
+	default:
+		c.established = true
+		c.servers.established.Add(1)
+		c.conn.Write([]byte("UP 1\r\n"))
 	}
-	b.head = nil
-	if b.s.hold.Load() {
-		b.s.held.Add(1)
-		b.s.waiting[b.i] = append(b.s.waiting[b.i], b)
-		return
-	}
-	b.up(b.conn)
-}
-
-func (b *backend) up(conn *netloop.Conn) {
-	b.established = true
-	b.s.standing.Add(1)
-	conn.Write([]byte("UP 1\r\n"))
 }
 
-func (b *backend) end() {
-	if !b.s.all[b.i][b] {
+// close closes the connection. It does nothing where that was done before.
+func (c *serverConn) close() {
+	open := c.servers.connections[c.worker]
+	if !open[c] {
 		return
 	}
-	delete(b.s.all[b.i], b)
-	if b.established {
-		b.s.standing.Add(-1)
+	delete(open, c)
+	if c.established {
+		c.servers.established.Add(-1)
 	}
-	b.conn.Close()
+	c.conn.Close()
 }
--- /dev/null
+++ b/lab/scale/connections/unanswered.go
@@ -0,0 +1,102 @@
+package connections
+
+import (
+	"context"
+	"spurspread/lab/report"
+	"time"
+)
+
+// measurement is what was measured at one number of connections.
+type measurement struct {
+	size    int
+	figures map[string]float64 // by name without the size
+	delay   report.Series      // of lines, by the rate at which they were due
+}
+
+const (
+	// startRest is how long a balancer that has just started has until its memory is read.
+	startRest = 500 * time.Millisecond
+	// silentFactor is how many silent clients are measured for each connection of a size: they take one descriptor of
+	// the balancer, not two.
+	silentFactor = 2
+	// silentRate is the rate of connections of silent clients, per second: a balancer closes them after 2 s.
+	silentRate = 20000
+	// minSilentTenths is the share of silent clients that must be connected at once for their cost to be valid, in
+	// tenths.
+	minSilentTenths = 9
+	// unansweredTime is how long the processor time of clients that wait is measured.
+	unansweredTime = 500 * time.Millisecond
+)
+
+// measureSilent measures clients that have connected and sent no first line.
+func (r *run) measureSilent(_ context.Context, b *balancer, m *measurement) error {
+	count := silentFactor * m.size
+	r.logProgress("%d clients that say nothing", count)
+	r.load.clear(b.addr, ordinaryClass, ordinaryDeadline)
+	time.Sleep(startRest)
+	before := b.cost()
+	r.load.add(count, silentRate, false)
+	totals := &r.load.totals
+	connected := await(maxWait, func() bool {
+		return int(totals.connected.Load()) >= count || totals.ended.Load() > 0
+	})
+	accepted := connected && await(settleTime, func() bool {
+		return b.cost().descriptors-before.descriptors >= count
+	})
+	after := b.cost()
+	held := after.descriptors - before.descriptors
+	m.figures["silent"] = float64(held)
+	if !accepted || held < count*minSilentTenths/10 {
+		r.note(m, "silent", "not valid: %d of %d were there at once", held, count)
+		return nil
+	}
+	// As if all had been connected: the first are closed after 2 s, before a busy machine has accepted the last.
+	m.figures["mb_silent"] = after.megabytesSince(before) * float64(count) / float64(held)
+	m.figures["us_per_accept"] = microsPerItem(after.cpu-before.cpu, held)
+	return nil
+}
+
+// measureWaiting measures clients whose first line no server answers. The balancer has a bounded number of set-ups
+// under way, and the other clients wait in it without a connection to a server.
+func (r *run) measureWaiting(_ context.Context, b *balancer, m *measurement) error {
+	return r.measureUnanswered(b, m, "waiting", func() bool {
+		return int(r.load.totals.connected.Load()) >= m.size
+	})
+}
+
+// measureAttempts measures the same in passMode, which has no such bound: each client has a connection to a server
+// that is being set up.
+func (r *run) measureAttempts(_ context.Context, b *balancer, m *measurement) error {
+	return r.measureUnanswered(b, m, "attempt", func() bool {
+		return nearlyAll(int(r.servers.held.Load()), m.size)
+	})
+}
+
+// nearlyAll returns whether 99 in 100 are there, so that their memory counts as that of all: on a busy machine a few
+// connections take longer than the platform allows.
+func nearlyAll(count, all int) bool { return count >= all-all/100 }
+
+// measureUnanswered measures clients whose first line no server answers, once the condition holds.
+func (r *run) measureUnanswered(b *balancer, m *measurement, name string, holds func() bool) error {
+	r.logProgress("%d clients whose servers do not answer (%s)", m.size, name)
+	r.servers.holding.Store(true)
+	r.load.clear(b.addr, patientClass, patientDeadline)
+	time.Sleep(startRest)
+	before := b.cost()
+	r.load.add(m.size, r.plan.setUpRate, true)
+	reached := await(maxWait/2, holds)
+	time.Sleep(settleTime)
+	begin := b.cost()
+	time.Sleep(unansweredTime)
+	end := b.cost()
+	held := r.servers.held.Load()
+	connected := r.load.totals.connected.Load()
+	if !reached || !nearlyAll(int(connected), m.size) {
+		r.note(m, name, "not valid: %d of %d clients, %d set-ups at servers", connected, m.size, held)
+		return nil
+	}
+	m.figures["mb_"+name] = end.megabytesSince(before)
+	m.figures["set_ups_under_way_"+name] = float64(held)
+	m.figures["cpu_share_"+name] = end.coreShareSince(begin)
+	return nil
+}
--- a/lab/scale/connections/worker.go
+++ b/lab/scale/connections/worker.go
@@ -1,6 +1,7 @@
 package connections
 
 import (
+	"errors"
 	"fmt"
 	"runtime"
 	"slices"
@@ -11,97 +12,105 @@
 
 // Spans of a loop's clock.
 const (
-	ms  netloop.Micros = 1000
-	sec netloop.Micros = 1000 * ms
+	millisecond netloop.Micros = 1000
+	second                     = 1000 * millisecond
 )
 
-// beat is how often a harness loop looks how late it runs. The kernel's wait has whole milliseconds, so one that has
-// nothing to do is up to 1 ms late.
-const beat = 5 * ms
+const (
+	// lagInterval is how often a loop of the harness measures how late it runs. The kernel's wait has whole
+	// milliseconds, so that a loop with nothing to do is up to 1 ms late.
+	lagInterval = 5 * millisecond
+	// scratchBytes is the size of a loop's read buffer.
+	scratchBytes = 64 << 10
+	// conditionInterval is how often await evaluates its condition.
+	conditionInterval = 5 * time.Millisecond
+)
+
+// millis is a span in milliseconds.
+func millis(span netloop.Micros) float64 { return float64(span) / float64(millisecond) }
 
 // worker is one loop of the harness, on a thread of its own.
 type worker struct {
-	l       *netloop.Loop
-	scratch []byte
-	done    chan error
-	late    []float64 // of its beats, in ms
+	loop      *netloop.Loop
+	scratch   []byte // for reads on the loop
+	done      chan error
+	lagMillis []float64 // how late the loop ran at each lagInterval
 }
 
 func newWorker() (*worker, error) {
-	l, err := netloop.New()
+	loop, err := netloop.New()
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{l: l, scratch: make([]byte, 64<<10), done: make(chan error, 1)}
-	w.beat(l.Now() + beat)
+	w := &worker{loop: loop, scratch: make([]byte, scratchBytes), done: make(chan error, 1)}
+	w.measureLag(loop.Now() + lagInterval)
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with the loop
-		w.done <- l.Run()
+		w.done <- loop.Run()
 	}()
 	return w, nil
 }
 
-// beat notes how late this call is, and plans the next.
-func (w *worker) beat(due netloop.Micros) {
-	w.l.After(due-w.l.Now(), func() {
-		now := w.l.Now()
-		w.late = append(w.late, float64(now-due)/float64(ms))
-		w.beat(now + beat)
+// measureLag records at a time how late the loop runs, and goes on at lagInterval.
+func (w *worker) measureLag(due netloop.Micros) {
+	w.loop.After(due-w.loop.Now(), func() {
+		now := w.loop.Now()
+		w.lagMillis = append(w.lagMillis, millis(now-due))
+		w.measureLag(now + lagInterval)
 	})
 }
 
-// do carries f out on the loop, and returns when that is done.
+// do calls f on the loop, and returns after it.
 func (w *worker) do(f func()) {
 	done := make(chan struct{})
-	w.l.Post(func() {
+	w.loop.Post(func() {
 		f()
 		close(done)
 	})
 	<-done
 }
 
-// close ends the loop; its sockets are closed by their owners before.
+// close ends the loop. Its sockets must have been closed.
 func (w *worker) close() error {
-	w.l.Post(w.l.Stop)
-	err := <-w.done
-	if e := w.l.Close(); err == nil {
-		err = e
-	}
-	return err
+	w.loop.Post(w.loop.Stop)
+	return errors.Join(<-w.done, w.loop.Close())
 }
 
 // workers are all loops of one side.
 type workers []*worker
 
-func newWorkers(n int) (ws workers, err error) {
-	for range n {
+// newWorkers starts so many loops. On an error it returns those that were started, which have to be closed.
+func newWorkers(count int) (workers, error) {
+	var all workers
+	for range count {
 		w, err := newWorker()
 		if err != nil {
-			return ws, fmt.Errorf("harness loop: %w", err)
+			return all, fmt.Errorf("harness loop: %w", err)
 		}
-		ws = append(ws, w)
+		all = append(all, w)
 	}
-	return ws, nil
+	return all, nil
 }
 
-// each carries f out on all loops at once, and returns when all are done.
-func (ws workers) each(f func(i int, w *worker)) {
-	var wg sync.WaitGroup
-	for i, w := range ws {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			w.do(func() { f(i, w) })
-		}()
+// each calls f on all loops at once, and returns after all calls.
+func (ws workers) each(f func(index int, w *worker)) {
+	var calls sync.WaitGroup
+	for index, w := range ws {
+		calls.Go(func() {
+			w.do(func() { f(index, w) })
+		})
 	}
-	wg.Wait()
+	calls.Wait()
 }
 
-// lateness returns how late their loops' beats were since the last call, in ms.
-func (ws workers) lateness() (all []float64) {
-	got := make([][]float64, len(ws))
-	ws.each(func(i int, w *worker) { got[i], w.late = w.late, nil })
-	return slices.Concat(got...)
+// takeLag returns how late the loops ran since the last call, in milliseconds.
+func (ws workers) takeLag() []float64 {
+	byLoop := make([][]float64, len(ws))
+	ws.each(func(index int, w *worker) {
+		byLoop[index] = w.lagMillis
+		w.lagMillis = nil
+	})
+	return slices.Concat(byLoop...)
 }
 
 func (ws workers) close() {
@@ -110,14 +119,16 @@
 	}
 }
 
-// await waits until something holds, or the limit has passed; it returns whether it holds.
-func await(most time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(most); ; time.Sleep(5 * time.Millisecond) {
+// await waits until a condition holds, at most for the limit, and returns whether it holds.
+func await(limit time.Duration, holds func() bool) bool {
+	deadline := time.Now().Add(limit)
+	for {
 		if holds() {
 			return true
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false
 		}
+		time.Sleep(conditionInterval)
 	}
 }
