--- a/lab/scale/slope/slope_test.go
+++ b/lab/scale/slope/slope_test.go
@@ -7,82 +7,88 @@
 	"testing"
 )
 
-// runs are three runs at each size, a little over, on and under what of tells.
-func runs(of func(size float64) float64, spread float64, sizes ...float64) []Point {
-	var out []Point
+// runs returns three runs at each size: with the value of a function, and with a spread below and above it.
+func runs(value func(size float64) float64, spread float64, sizes ...float64) []Point {
+	var points []Point
 	for _, size := range sizes {
 		for seed := range uint64(3) {
-			out = append(out, Point{size, seed + 1, of(size) * (1 + spread*(float64(seed)-1))})
+			points = append(points, Point{
+				Size:  size,
+				Seed:  seed + 1,
+				Value: value(size) * (1 + spread*(float64(seed)-1)),
+			})
 		}
 	}
-	return out
+	return points
 }
 
+// near returns whether two numbers are equal but for rounding.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9*max(1, math.Abs(want)) }
 
 func TestFitsALineExactly(t *testing.T) {
-	l, err := Fit(runs(func(n float64) float64 { return 900 + 0.25*n }, 0, 1500, 60, 300, 125))
+	line, err := Fit(runs(func(size float64) float64 { return 900 + 0.25*size }, 0, 1500, 60, 300, 125))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !near(l.Slope, 0.25) || !near(l.Intercept, 900) || !near(l.At(850), 1112.5) || l.RMS > 1e-9 ||
-		l.MaxResidual > 1e-9 {
-		t.Errorf("%+v, %v at 850", l, l.At(850))
+	if !near(line.Slope, 0.25) || !near(line.Intercept, 900) || !near(line.At(850), 1112.5) || line.RMS > 1e-9 ||
+		line.MaxResidual > 1e-9 {
+		t.Errorf("%+v, %v at 850", line, line.At(850))
 	}
-	if !slices.Equal(l.Sizes, []float64{60, 125, 300, 1500}) || l.Runs != 12 || !near(l.Smallest, 915) ||
-		!near(l.Largest, 1275) {
-		t.Errorf("rests on %+v", l)
+	if !slices.Equal(line.Sizes, []float64{60, 125, 300, 1500}) || line.Runs != 12 || !near(line.Smallest, 915) ||
+		!near(line.Largest, 1275) {
+		t.Errorf("fitted to other points: %+v", line)
 	}
 }
 
-// Four points that can be worked out by hand: slope 1.4, intercept 3.5; residuals 1.1, -1.3, -0.7, 0.9 of 6, 5, 7, 10.
+// Four points with a line that was computed by hand: slope 1.4, intercept 3.5; residuals 1.1, -1.3, -0.7, 0.9 of 6, 5,
+// 7, 10.
 func TestResidualsByHand(t *testing.T) {
 	var points []Point
-	for i, y := range []float64{6, 5, 7, 10} {
+	for i, value := range []float64{6, 5, 7, 10} {
 		for seed := range uint64(3) {
-			points = append(points, Point{float64(i + 1), seed, y})
+			points = append(points, Point{float64(i + 1), seed, value})
 		}
 	}
-	l, err := Fit(points)
+	line, err := Fit(points)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rms := math.Sqrt((1.1/6*1.1/6 + 1.3/5*1.3/5 + 0.7/7*0.7/7 + 0.9/10*0.9/10) / 4)
-	if !near(l.Slope, 1.4) || !near(l.Intercept, 3.5) || !near(l.MaxResidual, 0.26) || !near(l.RMS, rms) {
-		t.Errorf("%+v, r.m.s. %v wanted", l, rms)
+	if !near(line.Slope, 1.4) || !near(line.Intercept, 3.5) || !near(line.MaxResidual, 0.26) || !near(line.RMS, rms) {
+		t.Errorf("%+v, want the RMS %v", line, rms)
 	}
 }
 
-// The exponent tells a list that is walked for each of its entries from one that is walked once, and both from a
-// constant.
+// The exponent distinguishes a constant, linear and quadratic growth.
 func TestExponentTellsTheOrderOfGrowth(t *testing.T) {
-	for want, of := range map[float64]func(float64) float64{
+	for want, value := range map[float64]func(float64) float64{
 		0: func(float64) float64 { return 7 },
-		1: func(n float64) float64 { return 3 * n },
-		2: func(n float64) float64 { return n * n / 100 },
+		1: func(size float64) float64 { return 3 * size },
+		2: func(size float64) float64 { return size * size / 100 },
 	} {
-		l, err := Fit(runs(of, 0.02, 10, 100, 1000, 10000))
-		if err != nil || !near(l.Exponent, want) {
-			t.Errorf("%v for %v, %v", l.Exponent, want, err)
+		line, err := Fit(runs(value, 0.02, 10, 100, 1000, 10000))
+		if err != nil || !near(line.Exponent, want) {
+			t.Errorf("%v for %v, %v", line.Exponent, want, err)
 		}
 	}
-	l, err := Fit(runs(func(n float64) float64 { return n - 50 }, 0, 10, 100, 1000, 10000))
-	if err != nil || !math.IsNaN(l.Exponent) {
-		t.Errorf("values under 0 have the exponent %v, %v", l.Exponent, err)
+	line, err := Fit(runs(func(size float64) float64 { return size - 50 }, 0, 10, 100, 1000, 10000))
+	if err != nil || !math.IsNaN(line.Exponent) {
+		t.Errorf("values under 0 have the exponent %v, %v", line.Exponent, err)
 	}
 }
 
+// Points that no line can be fitted to are rejected, with the reason.
 func TestRefuses(t *testing.T) {
-	line := func(n float64) float64 { return n }
-	whole := runs(line, 0.1, 1, 2, 3, 4)
-	with := func(p Point) []Point { return append(slices.Clone(whole), p) }
+	identity := func(size float64) float64 { return size }
+	valid := runs(identity, 0.1, 1, 2, 3, 4)
+	with := func(p Point) []Point { return append(slices.Clone(valid), p) }
 	for name, c := range map[string]struct {
 		points []Point
 		want   error
 	}{
 		"nothing":               {nil, ErrTooFew},
-		"three sizes":           {runs(line, 0.1, 1, 2, 3), ErrTooFew},
-		"two seeds at one size": {whole[:len(whole)-1], ErrTooFew},
+		"three sizes":           {runs(identity, 0.1, 1, 2, 3), ErrTooFew},
+		"two seeds at one size": {valid[:len(valid)-1], ErrTooFew},
 		"a fifth size, once":    {with(Point{5, 1, 5}), ErrTooFew},
 		"a run twice":           {with(Point{4, 1, 4}), ErrDuplicate},
 		"no number":             {with(Point{4, 9, math.NaN()}), ErrNotFinite},
@@ -91,31 +97,36 @@
 		"a size that is none":   {with(Point{math.NaN(), 9, 1}), ErrNotFinite},
 		"a value of 0":          {with(Point{4, 9, 0}), ErrZero},
 	} {
-		if l, err := Fit(c.points); !errors.Is(err, c.want) || l.Runs != 0 {
-			t.Errorf("%s: %+v, %v", name, l, err)
+		if line, err := Fit(c.points); !errors.Is(err, c.want) || line.Runs != 0 {
+			t.Errorf("%s: %+v, %v", name, line, err)
 		}
 	}
-	if _, err := Fit(whole); err != nil {
+	if _, err := Fit(valid); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestPredictionError(t *testing.T) {
-	l, err := Fit(runs(func(n float64) float64 { return 100 + n }, 0, 100, 200, 300, 400))
+	line, err := Fit(runs(func(size float64) float64 { return 100 + size }, 0, 100, 200, 300, 400))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// 350 is predicted; 250 and 500 are measured: 0.4 and 0.3 off.
-	got, err := l.PredictionError([]Point{{250, 1, 250}, {250, 2, 500}})
+	// The prediction is 350, and 250 and 500 were measured: relative errors of 0.4 and 0.3.
+	got, err := line.PredictionError([]Point{{250, 1, 250}, {250, 2, 500}})
 	if err != nil || !near(got, 0.35) {
 		t.Errorf("%v, %v", got, err)
 	}
-	for name, held := range map[string][]Point{
-		"none": nil, "a fitted size": {{200, 1, 300}}, "0": {{250, 1, 0}},
-		"no number": {{250, 1, math.NaN()}},
+	for name, c := range map[string]struct {
+		held []Point
+		want error
+	}{
+		"none":          {nil, ErrTooFew},
+		"a fitted size": {[]Point{{200, 1, 300}}, ErrFitted},
+		"0":             {[]Point{{250, 1, 0}}, ErrZero},
+		"no number":     {[]Point{{250, 1, math.NaN()}}, ErrNotFinite},
 	} {
-		if got, err := l.PredictionError(held); err == nil {
-			t.Errorf("%s: %v", name, got)
+		if got, err := line.PredictionError(c.held); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, %v, want %v", name, got, err, c.want)
 		}
 	}
 }
