--- a/lab/netloop/listener.go
+++ b/lab/netloop/listener.go
@@ -9,114 +9,119 @@
 )
 
 const (
-	// backlog is how many connections the kernel queues for a listener: a wave of clients comes faster than one
+	// backlog is how many connections the kernel queues for a listener: many clients at once connect faster than one
 	// loop accepts.
 	backlog = 4096
-	// acceptsPerRound bounds what a listener accepts at once, so that connections are served meanwhile.
+	// acceptsPerRound bounds what a listener accepts at once, so that connections are served in between.
 	acceptsPerRound = 64
-	// acceptPause is how long a listener leaves its queue alone when the process has no descriptor or memory left.
+	// acceptPause is how long a listener waits when the process has no descriptor or memory left.
 	acceptPause Micros = 20_000
 )
 
-// Listener accepts connections on one address. It is registered edge-triggered: a timer goes on with what one round
-// leaves.
+// Listener accepts connections on one address. It is registered edge-triggered: a timer has it accept the connections
+// that one round left in the queue.
 type Listener struct {
-	loop   *Loop
-	fd     int // -1 once closed
-	addr   netip.AddrPort
-	accept func(fd int)
-	more   *Timer
+	loop      *Loop
+	fd        int // closedDescriptor once closed
+	addr      netip.AddrPort
+	accept    func(fd int)
+	nextRound *Timer // nil before the first
 }
 
-// Listen binds an IPv4 address, with a free port where its port is 0. Accept is given each connection's nonblocking
-// descriptor, and adopts or closes it. An error tells that the address cannot be bound.
+// Listen listens on an IPv4 address, with a free port where its port is 0. accept is called with the nonblocking
+// descriptor of each connection, and has to adopt or close it. An error means that the address cannot be bound.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(fd int)) (*Listener, error) {
 	fd, bound, err := listen(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	ln := &Listener{loop: l, fd: fd, addr: bound, accept: accept}
-	if err := l.register(fd, ln, unix.EPOLLIN|unix.EPOLLET); err != nil {
+	listener := &Listener{loop: l, fd: fd, addr: bound, accept: accept}
+	if err := l.register(fd, listener, unix.EPOLLIN|unix.EPOLLET); err != nil {
 		return nil, errors.Join(fmt.Errorf("listen on %s: %w", addr, err), unix.Close(fd))
 	}
-	return ln, nil
+	return listener, nil
 }
 
-// listen opens a listening socket, and tells where it is bound.
+// listen opens a listening socket, and returns the address that it is bound to.
 func listen(addr netip.AddrPort) (fd int, bound netip.AddrPort, err error) {
 	if !addr.Addr().Is4() {
-		return -1, bound, errors.New("no IPv4 address")
+		return closedDescriptor, bound, errors.New("no IPv4 address")
 	}
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, bound, err
+		return closedDescriptor, bound, err
 	}
 	err = unix.Bind(fd, &unix.SockaddrInet4{Addr: addr.Addr().As4(), Port: int(addr.Port())})
 	if err == nil {
 		err = unix.Listen(fd, backlog)
 	}
 	if err == nil {
-		bound, err = boundTo(fd)
+		bound, err = boundAddr(fd)
 	}
 	if err != nil {
-		return -1, bound, errors.Join(err, unix.Close(fd))
+		return closedDescriptor, bound, errors.Join(err, unix.Close(fd))
 	}
 	return fd, bound, nil
 }
 
-func boundTo(fd int) (netip.AddrPort, error) {
+// boundAddr is the IPv4 address that a socket is bound to.
+func boundAddr(fd int) (netip.AddrPort, error) {
 	name, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	at, is := name.(*unix.SockaddrInet4)
-	if !is {
+	addr, ok := name.(*unix.SockaddrInet4)
+	if !ok {
 		return netip.AddrPort{}, fmt.Errorf("bound to %T", name)
 	}
-	return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)), nil
+	return netip.AddrPortFrom(netip.AddrFrom4(addr.Addr), uint16(addr.Port)), nil
 }
 
 // Addr is the address that was bound.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-func (ln *Listener) ready(uint32) { ln.round() }
+// ready implements handler.
+func (ln *Listener) ready(uint32) { ln.acceptRound() }
 
-// round accepts some connections, and has the next round follow unless the queue is empty.
-func (ln *Listener) round() {
+// acceptRound accepts up to acceptsPerRound connections, and schedules the next round unless the queue is empty.
+func (ln *Listener) acceptRound() {
 	for range acceptsPerRound {
 		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-			if ln.accept(fd); ln.fd < 0 {
-				return // closed by accept
+			ln.accept(fd)
+			if ln.fd == closedDescriptor {
+				return // accept has closed the listener
 			}
 		case errors.Is(err, unix.EAGAIN):
 			return
 		case exhausted(err):
-			ln.again(acceptPause)
+			ln.scheduleRound(acceptPause)
 			return
-		} // with any other error that client has gone again
+		} // any other error concerns one connection, whose client has disconnected
 	}
-	ln.again(0)
+	ln.scheduleRound(0)
 }
 
-func (ln *Listener) again(after Micros) {
-	ln.loop.Cancel(ln.more)
-	ln.more = ln.loop.After(after, ln.round)
+// scheduleRound has the next round follow after a delay, in place of one that was scheduled.
+func (ln *Listener) scheduleRound(delay Micros) {
+	ln.loop.Cancel(ln.nextRound)
+	ln.nextRound = ln.loop.After(delay, ln.acceptRound)
 }
 
-// exhausted tells that the machine or the process has too little of something, whoever the client is.
+// exhausted returns whether an error of accept means that the machine or the process has no descriptor or memory left,
+// so that the next accept would fail, too.
 func exhausted(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) ||
 		errors.Is(err, unix.ENOMEM)
 }
 
-// Close stops listening; connections that wait to be accepted are reset. It does nothing where the listener is closed.
+// Close stops listening; connections that wait to be accepted are reset. On a closed listener it does nothing.
 func (ln *Listener) Close() {
-	if ln.fd < 0 {
+	if ln.fd == closedDescriptor {
 		return
 	}
-	ln.loop.Cancel(ln.more)
-	ln.loop.drop(ln.fd)
-	ln.fd = -1
+	ln.loop.Cancel(ln.nextRound)
+	ln.loop.closeDescriptor(ln.fd)
+	ln.fd = closedDescriptor
 }
--- a/lab/netloop/loop_test.go
+++ b/lab/netloop/loop_test.go
@@ -12,153 +12,177 @@
 	"golang.org/x/sys/unix"
 )
 
-// must fails the test at an error.
-func must[T any](v T, err error) func(t *testing.T) T {
+// must returns a function that fails the test at an error, and else returns the value. A connection under way is no
+// error.
+func must[T any](value T, err error) func(t *testing.T) T {
 	return func(t *testing.T) T {
 		t.Helper()
 		if err != nil && !errors.Is(err, unix.EINPROGRESS) {
 			t.Fatal(err)
 		}
-		return v
+		return value
 	}
 }
 
-// run runs the loop until it is stopped, and frees it at the test's end.
+// run runs the loop until it is stopped, and closes it at the end of the test.
 func run(t *testing.T, l *Loop) {
+	t.Helper()
 	t.Cleanup(func() { _ = l.Close() })
 	must(0, l.Run())(t)
 }
 
-// reader keeps what comes, and hands each part on.
+// reader is an Owner that stores what it reads, and passes each part on.
 type reader struct {
-	got  []byte
-	end  error
-	part func(c *Conn, b []byte)
+	received []byte
+	end      error // of the connection
+	onPart   func(c *Conn, part []byte)
 }
 
 func (r *reader) Readable(c *Conn) {
-	var buf [8 << 10]byte
-	for c.fd >= 0 && r.end == nil {
-		n, err := c.Read(buf[:])
+	var buffer [8 << 10]byte
+	for c.fd != closedDescriptor && r.end == nil {
+		n, err := c.Read(buffer[:])
 		if errors.Is(err, ErrAgain) {
 			return
 		}
-		r.got, r.end = append(r.got, buf[:n]...), err
-		r.part(c, buf[:n])
+		r.received = append(r.received, buffer[:n]...)
+		r.end = err
+		r.onPart(c, buffer[:n])
 	}
 }
 
-// pair connects two owners, of which the first dials, over a listener that is closed at the test's end.
-func pair(t *testing.T, l *Loop, near, far Owner) (*Conn, *Listener) {
-	ln := must(l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) { _, _ = l.Adopt(fd, far) }))(t)
-	t.Cleanup(ln.Close)
-	return dial(t, l, ln, near), ln
+// connect connects two owners, of which the first dials, over a listener that is closed at the end of the test.
+func connect(t *testing.T, l *Loop, dialer, accepter Owner) (*Conn, *Listener) {
+	t.Helper()
+	listener := must(l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
+		_, _ = l.Adopt(fd, accepter)
+	}))(t)
+	t.Cleanup(listener.Close)
+	return dial(t, l, listener, dialer), listener
 }
 
-func dial(t *testing.T, l *Loop, to *Listener, owner Owner) *Conn {
+func dial(t *testing.T, l *Loop, listener *Listener, owner Owner) *Conn {
+	t.Helper()
 	fd := must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0))(t)
-	must(0, unix.Connect(fd, &unix.SockaddrInet4{Addr: to.Addr().Addr().As4(), Port: int(to.Addr().Port())}))(t)
+	to := &unix.SockaddrInet4{Addr: listener.Addr().Addr().As4(), Port: int(listener.Addr().Port())}
+	must(0, unix.Connect(fd, to))(t)
 	return must(l.Adopt(fd, owner))(t)
 }
 
-// Far more than the kernel's buffers hold comes back whole and in order, though both sides write it at once; then
-// the end of one side is told to the other.
+// Far more than the kernel's buffers hold is echoed completely and in order, though both sides write it at once; then
+// one side sees the end of the other.
 func TestEchoOfPartialWrites(t *testing.T) {
-	l, sent, client, server := must(New())(t), make([]byte, 8<<20), &reader{}, &reader{}
+	l := must(New())(t)
+	sent := make([]byte, 8<<20)
 	must(rand.NewChaCha8([32]byte{}).Read(sent))(t)
-	server.part = func(c *Conn, b []byte) {
-		c.Write(b)
+	client := &reader{}
+	server := &reader{}
+	server.onPart = func(c *Conn, part []byte) {
+		c.Write(part)
 		l.stopped = server.end != nil
 	}
-	client.part = func(c *Conn, _ []byte) {
-		if len(client.got) == len(sent) {
+	client.onPart = func(c *Conn, _ []byte) {
+		if len(client.received) == len(sent) {
 			c.Close()
 		}
 	}
-	c, _ := pair(t, l, client, server)
+	c, _ := connect(t, l, client, server)
 	c.Write(sent[:1])
-	if c.Write(sent[1:]); len(c.unsent) == 0 {
-		t.Error("the kernel took all at once: nothing was partial")
+	c.Write(sent[1:])
+	if len(c.unsent) == 0 {
+		t.Error("the kernel accepted all at once: no write was partial")
 	}
-	if run(t, l); !bytes.Equal(client.got, sent) || !errors.Is(server.end, io.EOF) {
-		t.Errorf("%d of %d bytes came back, then %v", len(client.got), len(sent), server.end)
+	run(t, l)
+	if !bytes.Equal(client.received, sent) || !errors.Is(server.end, io.EOF) {
+		t.Errorf("%d of %d bytes came back, then %v", len(client.received), len(sent), server.end)
 	}
 }
 
-// Timers are called by their time, and those of one time as they were set; what is cancelled, also by one of the
-// same round, is not. A timer of no delay waits for the next round.
+// Timers are called by their time, and those of the same time in the order in which they were set. One that was
+// cancelled, also by a call of the same round, is not called. A timer without a delay waits for the next round.
 func TestTimers(t *testing.T) {
 	l := must(New())(t)
 	var got, want []int
 	for _, i := range rand.Perm(2000) {
-		if timer := l.After(Micros(i/2), func() { got = append(got, i/2) }); i%10 < 2 {
+		timer := l.After(Micros(i/2), func() { got = append(got, i/2) })
+		if i%10 < 2 {
 			l.Cancel(timer)
 		} else {
 			want = append(want, i/2)
 		}
 	}
 	slices.Sort(want)
-	again, rounds := func() {}, 0
-	again = func() {
-		if rounds++; rounds < 3 {
-			l.After(-1, again)
+	rounds := 0
+	var repeat func()
+	repeat = func() {
+		rounds++
+		if rounds < 3 {
+			l.After(-1, repeat)
 		} else {
 			l.After(3000, func() { go l.Post(l.Stop) })
 		}
 	}
-	second := &Timer{}
-	l.After(0, func() { l.Cancel(second) })
-	second = l.After(0, func() { t.Error("cancelled, and called") })
-	l.After(0, again)
-	if l.timers.fire(0); rounds != 1 {
+	var cancelled *Timer
+	l.After(0, func() { l.Cancel(cancelled) })
+	cancelled = l.After(0, func() { t.Error("a cancelled timer was called") })
+	l.After(0, repeat)
+	l.timers.fire(0)
+	if rounds != 1 {
 		t.Errorf("%d rounds in one", rounds)
 	}
-	if run(t, l); !slices.Equal(got, want) || l.Now() < 3000 {
+	run(t, l)
+	if !slices.Equal(got, want) || l.Now() < 3000 {
 		t.Errorf("%d of %d timers in order, at %d", len(got), len(want), l.Now())
 	}
 }
 
-// Calls that other goroutines post all come, each goroutine's in their order.
+// All calls that other goroutines post are made, those of each goroutine in their order.
 func TestPost(t *testing.T) {
-	const goroutines, each = 8, 1000
-	l, next, left := must(New())(t), make([]int, goroutines), goroutines*each
-	call := func(g, i int) {
-		if next[g]++; next[g] != i+1 {
-			t.Errorf("call %d of goroutine %d came as its call %d", i, g, next[g])
+	const goroutines, callsOfEach = 8, 1000
+	l := must(New())(t)
+	made := make([]int, goroutines)
+	left := goroutines * callsOfEach
+	call := func(goroutine, number int) {
+		made[goroutine]++
+		if made[goroutine] != number+1 {
+			t.Errorf("call %d of goroutine %d was its call %d", number, goroutine, made[goroutine])
 		}
-		if left--; left == 0 {
+		left--
+		if left == 0 {
 			l.Stop()
 		}
 	}
-	for g := range goroutines {
+	for goroutine := range goroutines {
 		go func() {
-			for i := range each {
-				l.Post(func() { call(g, i) })
+			for number := range callsOfEach {
+				l.Post(func() { call(goroutine, number) })
 			}
 		}()
 	}
 	run(t, l)
 }
 
-// A listener that finds no descriptor free goes on once there is one, though no event comes again; events of a
-// descriptor that was closed with them unread are not those of the next one of the same number.
+// A listener that finds no descriptor free accepts once there is one, though no event follows. Events of a descriptor
+// that was closed with them unread do not reach the next one of the same number.
 func TestDescriptors(t *testing.T) {
-	l, events := must(New())(t), make([]unix.EpollEvent, batch)
-	c, ln := pair(t, l, nil, nil) // an event that is told to an owner fails the test
-	stale := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(c.fd), Pad: l.entries[c.fd].generation}
+	l := must(New())(t)
+	events := make([]unix.EpollEvent, eventsPerWait)
+	c, listener := connect(t, l, nil, nil) // a call of an owner fails the test
+	stale := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(c.fd), Pad: l.registrations[c.fd].generation}
 	c.Close()
-	if c = dial(t, l, ln, nil); c.fd != int(stale.Fd) {
+	c = dial(t, l, listener, nil)
+	if c.fd != int(stale.Fd) {
 		t.Errorf("descriptor %d, not %d again", c.fd, stale.Fd)
 	}
 	l.dispatch(&stale)
 	c.Close()
-	must(unix.EpollWait(l.epoll, events, -1))(t) // the listener's one event
-	var was unix.Rlimit
-	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, nil, &was))(t)
-	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: was.Max}, nil))(t)
-	ln.ready(0)
-	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, &was, nil))(t)
-	ln.accept = func(fd int) {
+	must(unix.EpollWait(l.epoll, events, -1))(t) // the listener's only event
+	var limit unix.Rlimit
+	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, nil, &limit))(t)
+	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: limit.Max}, nil))(t)
+	listener.ready(0)
+	must(0, unix.Prlimit(0, unix.RLIMIT_NOFILE, &limit, nil))(t)
+	listener.accept = func(fd int) {
 		l.Post(l.Stop)
 		_ = unix.Close(fd)
 	}
--- a/lab/netloop/timers.go
+++ b/lab/netloop/timers.go
@@ -5,36 +5,36 @@
 // Micros is a point in time on a loop's clock or a span, in microseconds.
 type Micros = int64
 
-// Timer is a call that is set for a time.
+// Timer is a call that is scheduled for a time.
 type Timer struct {
-	at    Micros
-	order uint64 // of setting: timers of the same time are called in it
-	call  func() // nil once called or cancelled
-	place int    // in the heap; notQueued once it is out
+	at       Micros
+	sequence uint64 // timers of the same time are called in the order in which they were set
+	call     func() // nil once called or cancelled
+	index    int    // in the heap; notQueued once it was removed
 }
 
-// notQueued is the place of a timer that is not in the heap.
+// notQueued is the index of a timer that is not in the heap.
 const notQueued = -1
 
-// After has f called once the delay has passed, in a later round of the loop, also where the delay is 0 or less: a
-// timer that sets itself anew never keeps sockets waiting.
+// After has f called once the delay has passed, in a later round of the loop even where the delay is 0 or less, so that
+// a timer that sets itself again does not keep the loop from its sockets.
 func (l *Loop) After(delay Micros, f func()) *Timer {
 	return l.timers.set(l.now+max(delay, 0), f)
 }
 
-// Cancel takes a timer back. It does nothing for nil and for one that has been called or cancelled.
+// Cancel cancels a timer. It does nothing for nil, and for one that was called or cancelled.
 func (l *Loop) Cancel(t *Timer) { l.timers.cancel(t) }
 
-// timers are those of one loop.
+// timers are the timers of one loop.
 type timers struct {
-	queue queue
-	order uint64
-	due   []*Timer // those of the present round
+	queue    timerQueue
+	sequence uint64   // of the last timer that was set
+	due      []*Timer // of the present round
 }
 
 func (ts *timers) set(at Micros, f func()) *Timer {
-	ts.order++
-	t := &Timer{at: at, order: ts.order, call: f}
+	ts.sequence++
+	t := &Timer{at: at, sequence: ts.sequence, call: f}
 	heap.Push(&ts.queue, t)
 	return t
 }
@@ -44,63 +44,69 @@
 		return
 	}
 	t.call = nil
-	if t.place != notQueued {
-		heap.Remove(&ts.queue, t.place)
+	if t.index != notQueued {
+		heap.Remove(&ts.queue, t.index)
 	}
 }
 
-// next is when the first timer is due, if there is any.
-func (ts *timers) next() (at Micros, any bool) {
+// next is when the first timer is due; ok is false without timers.
+func (ts *timers) next() (at Micros, ok bool) {
 	if len(ts.queue) == 0 {
 		return 0, false
 	}
 	return ts.queue[0].at, true
 }
 
-// fire calls all timers that are due. They are taken out of the heap before the first is called: what a call sets
-// is of the next round, and what it cancels is not called.
+// fire calls all timers that are due. They are removed from the heap before the first is called: a timer that a call
+// sets belongs to the next round, and one that it cancels is not called.
 func (ts *timers) fire(now Micros) {
 	for len(ts.queue) > 0 && ts.queue[0].at <= now {
 		ts.due = append(ts.due, heap.Pop(&ts.queue).(*Timer))
 	}
 	for i, t := range ts.due {
 		ts.due[i] = nil
-		if f := t.call; f != nil {
+		if call := t.call; call != nil {
 			t.call = nil
-			f()
+			call()
 		}
 	}
 	ts.due = ts.due[:0]
 }
 
-// queue is a heap of timers, the first one due on top.
-type queue []*Timer
+// timerQueue is a heap of timers, the first one due on top. It implements heap.Interface.
+type timerQueue []*Timer
 
-func (q queue) Len() int { return len(q) }
+// Len implements heap.Interface.
+func (q timerQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
+// Less implements heap.Interface.
+func (q timerQueue) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 
-func (q queue) Swap(i, j int) {
+// Swap implements heap.Interface.
+func (q timerQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].index = i
+	q[j].index = j
 }
 
-func (q *queue) Push(x any) {
+// Push implements heap.Interface.
+func (q *timerQueue) Push(x any) {
 	t := x.(*Timer)
-	t.place = len(*q)
+	t.index = len(*q)
 	*q = append(*q, t)
 }
 
-func (q *queue) Pop() any {
+// Pop implements heap.Interface.
+func (q *timerQueue) Pop() any {
 	last := len(*q) - 1
 	t := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	t.place = notQueued
+	t.index = notQueued
 	return t
 }
