--- a/lab/scale/hollow_process.go
+++ b/lab/scale/hollow_process.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Stubs says what a hollow member lacks; each report has it as a note.
+// Stubs is what a hollow member lacks, as each report notes it.
 const Stubs = "hollow members have no clients, servers, discovery, settings, session store, admin listener and log"
 
 // sampleQueueLength is how many samples may wait for the writer: some seconds of them, so that a reader that is late
--- a/lab/scale/monitor.go
+++ b/lab/scale/monitor.go
@@ -17,7 +17,7 @@
 )
 
 // monitor is what a run knows of its fleet: what was done to members and links, and what members were observed to
-// see. Methods that lock mu may be called from any goroutine; the others need it locked, unless they say otherwise.
+// see. Methods that lock mu may be called from any goroutine; the others need it locked, unless noted.
 type monitor struct {
 	mu          sync.Mutex
 	topology    *Topology
@@ -82,7 +82,6 @@
 	shareSum          float64
 	realSentBytes     []series // by real member
 	realReceivedBytes []series // by real member
-	realDatagrams     series
 	allDatagrams      series
 }
 
@@ -150,13 +149,10 @@
 		m.members[member].sentBytes.add(at, float64(traffic.Sent[i]))
 		m.members[member].receivedBytes.add(at, float64(traffic.Received[i]))
 	}
-	realDatagrams := int64(0)
 	for member := range m.topology.RealMembers {
 		loop.realSentBytes[member].add(at, float64(traffic.RealSent[member]))
 		loop.realReceivedBytes[member].add(at, float64(traffic.RealReceived[member]))
-		realDatagrams += traffic.RealDatagrams[member]
 	}
-	loop.realDatagrams.add(at, float64(realDatagrams))
 	loop.allDatagrams.add(at, float64(traffic.Datagrams))
 }
 
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -123,15 +123,15 @@
 	}
 }
 
-// endedError says that the process ended during a run.
+// endedError is the error of a run during which the process has ended.
 func (p *process) endedError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return fmt.Errorf("a process of hollow members has ended: %s", strings.Join(p.stderrTail, "; "))
 }
 
-// stop ends the input of the process and waits until it has ended. After the limit it is killed, which the result
-// says.
+// stop ends the input of the process and waits until it has ended. killed is whether it had to be killed after the
+// limit.
 func (p *process) stop(limit time.Duration) (killed bool) {
 	_ = p.stdin.Close()
 	select {
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -38,7 +38,8 @@
 	Loss        float64 // ActionLink: share of the datagrams that is lost
 }
 
-// Sample is what has changed at the members of one loop since the sample before.
+// Sample is what has changed at the members of one loop since the sample before. Process is not set: a run knows the
+// process that it reads from.
 type Sample struct {
 	Process    int
 	Loop       int
