--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -12,11 +12,12 @@
 	"io"
 	"path"
 	"slices"
+	"strings"
+
 	"spurspread/internal/xmlconfig"
 	"spurspread/lab/experiments"
 	"spurspread/lab/node"
 	"spurspread/lab/report"
-	"strings"
 )
 
 // document is the form of an experiment's file.
