--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -66,7 +66,8 @@
 			continue
 		}
 		if other, duplicate := seen[key.Secret]; duplicate {
-			file.AddError(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q", other)
+			file.AddError(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q",
+				other)
 		}
 		seen[key.Secret] = key.ID
 	}
