--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -4,9 +4,6 @@
 
 import "spurspread/decision/monotime"
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
-
 const (
 	// maxDuration bounds how long a planned stop waits for requests, whatever their deadlines.
 	maxDuration = 3 * monotime.Second
@@ -31,8 +28,8 @@
 )
 
 // Duration is how long a planned stop waits, from the deadlines of all request classes: for the longest, at most 3 s.
-func Duration(deadlines []Micros) Micros {
-	var longest Micros
+func Duration(deadlines []monotime.Micros) monotime.Micros {
+	var longest monotime.Micros
 	for _, deadline := range deadlines {
 		longest = max(longest, deadline)
 	}
@@ -42,9 +39,9 @@
 // State is how far a process is with a drain.
 type State struct {
 	Draining    bool
-	Stopping    bool   // the process ends when it has drained; else it is a lame duck
-	HandingOver bool   // a successor listens on the same port
-	Elapsed     Micros // since the drain began
+	Stopping    bool            // the process ends when it has drained; else it is a lame duck
+	HandingOver bool            // a successor listens on the same port
+	Elapsed     monotime.Micros // since the drain began
 }
 
 // RejectsNew reports whether new requests are rejected. A process that stops without a successor rejects all. A lame
@@ -60,22 +57,22 @@
 // its second half, for clients that are all moved at once come back at once. Until then each is served; and where
 // processes restart one after another, the one before this may still be away. The last move is early enough for a line
 // that is under way then to end before the process does.
-func MoveDelay(span Micros, i, n int) Micros {
+func MoveDelay(span monotime.Micros, i, n int) monotime.Micros {
 	last := max(span-(MoveLineTimeout-overtime), FirstMoveDelay)
 	first := min(max(FirstMoveDelay, span/movesFrom), last)
-	return first + (last-first)*Micros(i)/Micros(n)
+	return first + (last-first)*monotime.Micros(i)/monotime.Micros(n)
 }
 
 // Remaining is the time that is left of a drain's span.
-func Remaining(span, elapsed Micros) Micros { return max(span-elapsed, 0) }
+func Remaining(span, elapsed monotime.Micros) monotime.Micros { return max(span-elapsed, 0) }
 
 // ClosesIdle reports whether a process that stops closes idle connections by now.
-func ClosesIdle(elapsed Micros) bool { return elapsed >= MinDuration }
+func ClosesIdle(elapsed monotime.Micros) bool { return elapsed >= MinDuration }
 
 // Finished reports whether a process that stops is done: nothing remains, though no earlier than MinDuration, or the
 // time is up. Without requests and multiplexed client connections it closes its listener; once those clients have
 // closed, too, that have their final answer, it stops.
-func Finished(elapsed, duration Micros, remaining int) bool {
+func Finished(elapsed, duration monotime.Micros, remaining int) bool {
 	timeUp := elapsed >= duration+overtime
 	nothingLeft := elapsed >= MinDuration && remaining == 0
 	return timeUp || nothingLeft
--- a/decision/drainschedule/drainschedule_test.go
+++ b/decision/drainschedule/drainschedule_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestDuration(t *testing.T) {
-	for want, deadlines := range map[Micros][]Micros{
+	for want, deadlines := range map[monotime.Micros][]monotime.Micros{
 		0:               nil,
 		900 * ms:        {300 * ms, 900 * ms},
 		3000 * ms:       {300 * ms, 60_000 * ms},
@@ -59,7 +59,7 @@
 
 func TestFinished(t *testing.T) {
 	for name, c := range map[string]struct {
-		elapsed   Micros
+		elapsed   monotime.Micros
 		remaining int
 		want      bool
 	}{
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -4,9 +4,6 @@
 
 import "spurspread/decision/monotime"
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
-
 // Verdict is what is to be done with a connection now.
 type Verdict uint8
 
@@ -32,7 +29,7 @@
 
 // Upstream decides about a connection to a server that carries channels; one without may be quiet for as long as it is
 // kept. lastReceived is when anything last came, lastPing when the last ping went.
-func Upstream(now, lastReceived, lastPing Micros) Verdict {
+func Upstream(now, lastReceived, lastPing monotime.Micros) Verdict {
 	switch {
 	case now-lastReceived >= UpstreamSilence:
 		return Close
@@ -43,12 +40,12 @@
 }
 
 // DownstreamCheckInterval is how often a client's connection is looked at, from its idle time-out.
-func DownstreamCheckInterval(idle Micros) Micros { return idle / downstreamChecks }
+func DownstreamCheckInterval(idle monotime.Micros) monotime.Micros { return idle / downstreamChecks }
 
 // Downstream decides about a client's connection from how long it has been quiet, its idle time-out and how many
 // channels it has. Without channels it goes after its idle time; with channels it is pinged shortly before, and given
 // up after as long again.
-func Downstream(quiet, idle Micros, channels int) Verdict {
+func Downstream(quiet, idle monotime.Micros, channels int) Verdict {
 	switch {
 	case quiet >= downstreamSilenceFactor*idle:
 		return Close
--- a/decision/keepalive/keepalive_test.go
+++ b/decision/keepalive/keepalive_test.go
@@ -9,7 +9,7 @@
 func TestUpstream(t *testing.T) {
 	const now, ms = 100 * monotime.Second, monotime.Millisecond
 	for name, c := range map[string]struct {
-		received, ping Micros // before now
+		received, ping monotime.Micros // before now
 		want           Verdict
 	}{
 		"received lately":       {1999 * ms, 9000 * ms, Keep},
@@ -28,7 +28,7 @@
 func TestDownstream(t *testing.T) {
 	const idle = 20 * monotime.Second
 	for name, c := range map[string]struct {
-		quiet    Micros
+		quiet    monotime.Micros
 		channels int
 		want     Verdict
 	}{
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -13,9 +13,6 @@
 	"spurspread/decision/monotime"
 )
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
-
 const (
 	// window is for how long a line that was answered counts.
 	window = 1 * monotime.Second
@@ -31,8 +28,8 @@
 
 // SlowLimit is the message latency above which a server is reported as slow: a third of the shortest positive
 // objective. It is 0 where nothing is to be reported, because no class has an objective.
-func SlowLimit(objectives []Micros) Micros {
-	var shortest Micros
+func SlowLimit(objectives []monotime.Micros) monotime.Micros {
+	var shortest monotime.Micros
 	for _, objective := range objectives {
 		if objective > 0 && (shortest == 0 || objective < shortest) {
 			shortest = objective
@@ -45,28 +42,30 @@
 // settings promise reports of latency and none of load, else the connection's load.
 func LoadLineIsLatency(reportsDelay, reportsLoad bool) bool { return reportsDelay && !reportsLoad }
 
-type sample struct{ at, took Micros }
+type sample struct{ at, took monotime.Micros }
 
 // Estimator holds what is known of one server's message latency. The zero value knows nothing.
 type Estimator struct {
-	samples        []sample // lines that were answered, oldest first
-	unanswered     []Micros // ages of the oldest unanswered lines, as of the last look
-	slow           bool     // as last reported
-	reportedAt     Micros
-	selfReportedAt Micros // when the server last reported its latency itself; 0 for never
+	samples        []sample          // lines that were answered, oldest first
+	unanswered     []monotime.Micros // ages of the oldest unanswered lines, as of the last look
+	slow           bool              // as last reported
+	reportedAt     monotime.Micros
+	selfReportedAt monotime.Micros // when the server last reported its latency itself; 0 for never
 }
 
 // Record notes that a line was answered after took. Calls come with times that never go back.
-func (e *Estimator) Record(now, took Micros) { e.samples = append(e.samples, sample{now, took}) }
+func (e *Estimator) Record(now, took monotime.Micros) {
+	e.samples = append(e.samples, sample{now, took})
+}
 
 // SelfReported notes that the server reported its latency itself.
-func (e *Estimator) SelfReported(now Micros) { e.selfReportedAt = now }
+func (e *Estimator) SelfReported(now monotime.Micros) { e.selfReportedAt = now }
 
 // ResetUnanswered begins a look at the unanswered lines.
 func (e *Estimator) ResetUnanswered() { e.unanswered = e.unanswered[:0] }
 
 // AddUnanswered notes the age of a connection's oldest unanswered line.
-func (e *Estimator) AddUnanswered(age Micros) { e.unanswered = append(e.unanswered, age) }
+func (e *Estimator) AddUnanswered(age monotime.Micros) { e.unanswered = append(e.unanswered, age) }
 
 // Discard drops all samples. Where nobody wants reports they would pile up for as long as lines come.
 func (e *Estimator) Discard() { e.samples = nil }
@@ -75,18 +74,18 @@
 func (e *Estimator) Samples() int { return len(e.samples) }
 
 // dropOld drops what is older than the window.
-func (e *Estimator) dropOld(now Micros) {
+func (e *Estimator) dropOld(now monotime.Micros) {
 	old, _ := slices.BinarySearchFunc(
 		e.samples,
 		now-window,
-		func(s sample, from Micros) int { return cmp.Compare(s.at, from) },
+		func(s sample, from monotime.Micros) int { return cmp.Compare(s.at, from) },
 	)
 	e.samples = slices.Delete(e.samples, 0, old)
 }
 
 // IsSlow reports whether the median exceeds the limit, and whether anything is known. It comes to Median's verdict
 // without sorting all samples: it is called for each server several times a second.
-func (e *Estimator) IsSlow(now, limit Micros) (slow, known bool) {
+func (e *Estimator) IsSlow(now, limit monotime.Micros) (slow, known bool) {
 	e.dropOld(now)
 	over, all := 0, len(e.samples)
 	for _, s := range e.samples {
@@ -106,9 +105,9 @@
 
 // Median is the median of what lines took within the window; false where nothing is known. An unanswered line that is
 // older than the limit counts with its age: a server that stopped answering would otherwise look as it did before.
-func (e *Estimator) Median(now, limit Micros) (Micros, bool) {
+func (e *Estimator) Median(now, limit monotime.Micros) (monotime.Micros, bool) {
 	e.dropOld(now)
-	var all []Micros
+	var all []monotime.Micros
 	for _, s := range e.samples {
 		all = append(all, s.took)
 	}
@@ -128,7 +127,7 @@
 // server is slow, once a reportInterval, and once when it no longer is. A server whose lines come back fast but that
 // lately reported a latency itself is left to that. canReport tells whether there is an established connection in whose
 // name to report; without one the report is still due.
-func (e *Estimator) Report(now, limit Micros, canReport bool) (latency Micros, due bool) {
+func (e *Estimator) Report(now, limit monotime.Micros, canReport bool) (latency monotime.Micros, due bool) {
 	slow, known := e.IsSlow(now, limit)
 	if !slow && e.reportsItself(now) {
 		return 0, false
@@ -140,12 +139,12 @@
 	return latency, true
 }
 
-func (e *Estimator) reportsItself(now Micros) bool {
+func (e *Estimator) reportsItself(now monotime.Micros) bool {
 	return e.selfReportedAt != 0 && now-e.selfReportedAt < selfReportValidity
 }
 
 // reportDue decides whether a report goes out now, and then counts it as sent.
-func (e *Estimator) reportDue(now Micros, slow bool) bool {
+func (e *Estimator) reportDue(now monotime.Micros, slow bool) bool {
 	becameSlow := slow && !e.slow
 	stillSlow := slow && e.slow && now-e.reportedAt >= reportInterval
 	recovered := !slow && e.slow
--- a/decision/messagedelay/messagedelay_test.go
+++ b/decision/messagedelay/messagedelay_test.go
@@ -16,7 +16,7 @@
 	const limit = 16 * millisecond
 	e := &Estimator{}
 	steps := []struct {
-		now, took, age Micros
+		now, took, age monotime.Micros
 		known, due     bool
 	}{
 		{0, 0, 0, false, false},
@@ -77,7 +77,7 @@
 }
 
 func TestSlowLimit(t *testing.T) {
-	for want, objectives := range map[Micros][]Micros{
+	for want, objectives := range map[monotime.Micros][]monotime.Micros{
 		0:                {},
 		20 * millisecond: {0, 90 * millisecond, 60 * millisecond},
 		10 * millisecond: {30 * millisecond, 0},
@@ -97,14 +97,14 @@
 // IsSlow says of any lines what their median says.
 func TestSlowByTheMedian(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Micros(rapid.Int64Range(1, 100).Draw(t, "limit"))
-		e, now := &Estimator{}, Micros(0)
+		limit := monotime.Micros(rapid.Int64Range(1, 100).Draw(t, "limit"))
+		e, now := &Estimator{}, monotime.Micros(0)
 		for range rapid.IntRange(0, 20).Draw(t, "lines") {
-			now += Micros(rapid.Int64Range(0, 300_000).Draw(t, "pause"))
-			e.Record(now, Micros(rapid.Int64Range(0, 200).Draw(t, "took")))
+			now += monotime.Micros(rapid.Int64Range(0, 300_000).Draw(t, "pause"))
+			e.Record(now, monotime.Micros(rapid.Int64Range(0, 200).Draw(t, "took")))
 		}
 		for range rapid.IntRange(0, 10).Draw(t, "unanswered") {
-			e.AddUnanswered(Micros(rapid.Int64Range(0, 200).Draw(t, "age")))
+			e.AddUnanswered(monotime.Micros(rapid.Int64Range(0, 200).Draw(t, "age")))
 		}
 		slow, known := e.IsSlow(now, limit)
 		median, medianKnown := e.Median(now, limit)
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -4,9 +4,6 @@
 
 import "spurspread/decision/monotime"
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
-
 const (
 	// ReservedDescriptors are kept free for the runtime, on top of a part of all.
 	ReservedDescriptors = 16
@@ -112,17 +109,17 @@
 // OpenLimiter limits how fast one client may open channels, as a token bucket that holds a second's tokens.
 type OpenLimiter struct {
 	tokens float64
-	at     Micros // when they were counted
+	at     monotime.Micros // when they were counted
 }
 
 // NewOpenLimiter returns a full bucket. perSecond is both its rate and its size.
-func NewOpenLimiter(now Micros, perSecond float64) OpenLimiter {
+func NewOpenLimiter(now monotime.Micros, perSecond float64) OpenLimiter {
 	return OpenLimiter{tokens: perSecond, at: now}
 }
 
 // Admit reports whether a further channel may be opened, and takes a token for one that may. open is how many channels
 // the client has, limit how many it may have.
-func (l *OpenLimiter) Admit(now Micros, perSecond float64, open, limit int) bool {
+func (l *OpenLimiter) Admit(now monotime.Micros, perSecond float64, open, limit int) bool {
 	l.tokens = min(l.tokens+perSecond*float64(now-l.at)/float64(monotime.Second), perSecond)
 	l.at = now
 	if l.tokens < 1 || open >= limit {
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -89,10 +89,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 20).Draw(t, "per second"))
 		limit := rapid.IntRange(1, 10).Draw(t, "limit")
-		now, opened := Micros(0), 0
+		now, opened := monotime.Micros(0), 0
 		l := NewOpenLimiter(now, rate)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += Micros(rapid.Int64Range(0, 400_000).Draw(t, "pause"))
+			now += monotime.Micros(rapid.Int64Range(0, 400_000).Draw(t, "pause"))
 			open := rapid.IntRange(0, 12).Draw(t, "open")
 			if !l.Admit(now, rate, open, limit) {
 				continue
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -4,9 +4,6 @@
 
 import "spurspread/decision/monotime"
 
-// Micros is a point in time or a span, in microseconds.
-type Micros = monotime.Micros
-
 // Waiting for clients.
 const (
 	// FirstLine is how long a client may take to send its first line whole. The protocol gives it an answer or an end
@@ -50,18 +47,20 @@
 
 // Request is how long a client waits for its request, from what it announces and its class's deadline: no client waits
 // longer than its class allows, whatever it announces.
-func Request(announced, classDeadline Micros) Micros { return min(announced, classDeadline) }
+func Request(announced, classDeadline monotime.Micros) monotime.Micros {
+	return min(announced, classDeadline)
+}
 
 // Reattach is how long a client waits for the server that it names, from what it announces; at most MaxReattach.
-func Reattach(announced Micros) Micros { return min(announced, MaxReattach) }
+func Reattach(announced monotime.Micros) monotime.Micros { return min(announced, MaxReattach) }
 
 // ReattachAttempt is how long an attempt at the server that a client names may take, from the time that the client
 // still waits; at least minReattachAttempt.
-func ReattachAttempt(left Micros) Micros { return max(left, minReattachAttempt) }
+func ReattachAttempt(left monotime.Micros) monotime.Micros { return max(left, minReattachAttempt) }
 
 // Attempt is how long an attempt may take, from the placement's time-out (0: none of its own) and the time that its
 // client still waits. It is never negative.
-func Attempt(placed, left Micros) Micros {
+func Attempt(placed, left monotime.Micros) monotime.Micros {
 	if placed == 0 || placed > left {
 		placed = left
 	}
@@ -70,17 +69,21 @@
 
 // Connect is how long a connection of an attempt's own may take to be established: the settings' connect time-out, but
 // no longer than the attempt has left.
-func Connect(left, connectTimeout Micros) Micros { return min(left, connectTimeout) }
+func Connect(left, connectTimeout monotime.Micros) monotime.Micros { return min(left, connectTimeout) }
 
 // MuxSetup is how long a multiplexed connection may take from dialling until it carries channels.
-func MuxSetup(connectTimeout Micros) Micros { return muxSetupConnects * connectTimeout }
+func MuxSetup(connectTimeout monotime.Micros) monotime.Micros {
+	return muxSetupConnects * connectTimeout
+}
 
 // MuxAttempt is how long an attempt waits for a multiplexed connection to be ready.
-func MuxAttempt(left, connectTimeout Micros) Micros { return min(left, MuxSetup(connectTimeout)) }
+func MuxAttempt(left, connectTimeout monotime.Micros) monotime.Micros {
+	return min(left, MuxSetup(connectTimeout))
+}
 
 // Answer is when an attempt is given up that has no answer yet: at its deadline, but a request that is not written
 // whole by writeBy (0: no such limit) is not to be executed any more.
-func Answer(deadline, writeBy Micros, written bool) Micros {
+func Answer(deadline, writeBy monotime.Micros, written bool) monotime.Micros {
 	if !written && writeBy > 0 {
 		return min(deadline, writeBy)
 	}
@@ -89,16 +92,16 @@
 
 // WriteForbidden reports whether it is too late to write a request. writeBy is the end of the window in which the
 // server can tell a retry from a new request; 0 where that does not matter.
-func WriteForbidden(now, writeBy Micros) bool { return writeBy > 0 && now >= writeBy }
+func WriteForbidden(now, writeBy monotime.Micros) bool { return writeBy > 0 && now >= writeBy }
 
 // AnnouncedDeadline is the deadline, in whole milliseconds, that a server is sent with a request: what the attempt has
 // left, at least 1 ms.
-func AnnouncedDeadline(left Micros) int64 { return int64(max(left/monotime.Millisecond, 1)) }
+func AnnouncedDeadline(left monotime.Micros) int64 { return int64(max(left/monotime.Millisecond, 1)) }
 
 // Silent reports whether an established connection is given up because its server sends nothing back. lastReply is
 // when the last line came from the server, oldestUnanswered when the oldest line without a reply went to it. A client
 // that paused longer than between two lines does not count its pause against the server. The core moves connections
 // away from slow servers long before; this is the protocol's limit for what it leaves established.
-func Silent(now, lastReply, oldestUnanswered Micros) bool {
+func Silent(now, lastReply, oldestUnanswered monotime.Micros) bool {
 	return now-max(lastReply, oldestUnanswered-clientLineInterval) > Silence
 }
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestCombinedLimits(t *testing.T) {
-	for name, c := range map[string]struct{ got, want Micros }{
+	for name, c := range map[string]struct{ got, want monotime.Micros }{
 		"class bounds the client":          {Request(9*sec, 3*sec), 3 * sec},
 		"client waits less":                {Request(1*sec, 3*sec), 1 * sec},
 		"reattaching is bounded":           {Reattach(60 * sec), MaxReattach},
@@ -40,7 +40,7 @@
 // The protocol's limits: a client has an answer or an end within 3 s of connecting, and a silent server is given up
 // within 7 s, those 0.9 s included in which a line under way may end.
 func TestProtocolLimits(t *testing.T) {
-	for name, c := range map[string]struct{ got, want Micros }{
+	for name, c := range map[string]struct{ got, want monotime.Micros }{
 		"first line":          {FirstLine, 2 * sec},
 		"health checker":      {PingGap, 60 * sec},
 		"reading the answer":  {Linger, 800 * ms},
@@ -65,7 +65,7 @@
 }
 
 func TestAnnouncedDeadline(t *testing.T) {
-	for left, want := range map[Micros]int64{-sec: 1, 0: 1, ms: 1, 2*ms - 1: 1, 2 * ms: 2, 3 * sec: 3000} {
+	for left, want := range map[monotime.Micros]int64{-sec: 1, 0: 1, ms: 1, 2*ms - 1: 1, 2 * ms: 2, 3 * sec: 3000} {
 		if got := AnnouncedDeadline(left); got != want {
 			t.Errorf("%d µs left: %d, want %d", left, got, want)
 		}
@@ -74,7 +74,7 @@
 
 func TestSilent(t *testing.T) {
 	for name, c := range map[string]struct {
-		lastReply, oldest Micros
+		lastReply, oldest monotime.Micros
 		want              bool
 	}{
 		"answered lately":            {15 * sec, 15 * sec, false},
