--- a/cmd/spurspread-sim/main_test.go
+++ b/cmd/spurspread-sim/main_test.go
@@ -46,8 +46,8 @@
 // target selects an instance.
 func target(instance uint16) []byte { return record(1120, instance) }
 
-// startBatch starts the instances with one ready server, number 77.
-func startBatch(seq uint32, instances ...uint16) []byte {
+// startBatch is the first batch: it starts the instances with one ready server, number 77.
+func startBatch(instances ...uint16) []byte {
 	entry, _ := binary.Append(nil, le, uint32(77))
 	entry = append(entry, 0, 0, 0, 2)
 	entry = append(entry, make([]byte, 14)...)
@@ -60,7 +60,7 @@
 			record(1110, uint8(0), uint8(2), uint64(1)),
 		)
 	}
-	return batch(seq, 1000000, append([]byte(profile), entry...), recs...)
+	return batch(1, 1000000, append([]byte(profile), entry...), recs...)
 }
 
 // request is a request with 1.2 s left.
@@ -94,7 +94,7 @@
 }
 
 func TestTwoInstances(t *testing.T) {
-	in := append(startBatch(1, 4, 9), batch(2, 1001000, nil, target(4), request(1), target(9), request(2))...)
+	in := append(startBatch(4, 9), batch(2, 1001000, nil, target(4), request(1), target(9), request(2))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 }
 
 func TestStopForgets(t *testing.T) {
-	in := append(startBatch(1, 4), batch(2, 1001000, nil, target(4), request(1), record(1040))...)
+	in := append(startBatch(4), batch(2, 1001000, nil, target(4), request(1), record(1040))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 func TestMessages(t *testing.T) {
 	for want, in := range map[string][]byte{
 		"no instance was named": batch(1, 1, nil, request(1)),
-		"list 3 was never sent": append(startBatch(1, 4),
+		"list 3 was never sent": append(startBatch(4),
 			batch(2, 1000001, nil, target(4), record(1110, uint8(3), uint8(1)))...),
 		"instance 4: settings": batch(1, 1, []byte("rank=0"), target(4), record(1000, uint64(1), uint32(0), uint32(6))),
 		"no such event":        batch(1, 1, nil, target(4), record(7)),
@@ -140,7 +140,7 @@
 // An instance has the same actions alone in a host as beside another.
 func TestSplitHosts(t *testing.T) {
 	simulate := func(instances ...uint16) []byte {
-		in := startBatch(1, instances...)
+		in := startBatch(instances...)
 		for i := range uint32(50) {
 			var recs [][]byte
 			for _, instance := range instances {
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -73,25 +73,21 @@
 	})
 }
 
-// run has time pass, in which all but the silent members answer pings, and returns what changed.
-func (f *Fleet) run(now *monotime.Micros, span monotime.Micros, silent ...int) []StateChange {
+// run has time pass, in which all but the silent members answer pings.
+func (f *Fleet) run(now *monotime.Micros, span monotime.Micros, silent ...int) {
 	ignored := map[netip.AddrPort]bool{}
 	for _, i := range silent {
 		ignored[addr(i)] = true
 	}
-	var changes []StateChange
 	for end := *now + span; *now < end; {
 		*now += TickInterval
-		out, c := f.Tick(*now)
-		changes = append(changes, c...)
+		out, _ := f.Tick(*now)
 		for _, s := range out {
 			if s.Message.Kind == Ping && !ignored[s.To] {
-				_, c := f.Receive(*now, s.To, f.ackOf(s))
-				changes = append(changes, c...)
+				_, _ = f.Receive(*now, s.To, f.ackOf(s))
 			}
 		}
 	}
-	return changes
 }
 
 // ackOf is the answer of a member whose view agrees.
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -47,19 +47,19 @@
 	return l
 }
 
-// linked returns both ends of a connection for packets at path, and what comes to the listening one.
-func linked(t *testing.T, l *Loop, path string) (near *Packets, nearBox, farBox *box) {
+// linked returns the dialling end of a connection for packets at path, and what comes to the listening one.
+func linked(t *testing.T, l *Loop, path string) (near *Packets, farBox *box) {
 	t.Helper()
-	nearBox, farBox = &box{}, &box{}
+	farBox = &box{}
 	if _, err := l.ListenPackets(path, func(*Packets) PacketOwner { return farBox }); err != nil {
 		t.Fatal(err)
 	}
-	near, err := l.DialPackets(path, os.Getpid(), nearBox)
+	near, err := l.DialPackets(path, os.Getpid(), &box{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.turn(t)
-	return near, nearBox, farBox
+	return near, farBox
 }
 
 // A socket that was passed on and released is the other process's alone: this loop hears no more of it, also while the
@@ -70,7 +70,7 @@
 	if err := os.Mkdir(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	near, _, far := linked(t, l, filepath.Join(deep, "s.sock"))
+	near, far := linked(t, l, filepath.Join(deep, "s.sock"))
 	var served *Conn
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(adopt func(Owner) (*Conn, error)) {
 		served, _ = adopt(greeter{})
@@ -117,7 +117,7 @@
 // What is too long or no packet of ours ends the connection, and no descriptor beside it stays open.
 func TestPacketsAreBounded(t *testing.T) {
 	l := newLoop(t)
-	near, _, far := linked(t, l, filepath.Join(t.TempDir(), "s.sock"))
+	near, far := linked(t, l, filepath.Join(t.TempDir(), "s.sock"))
 	if err := near.Send(make([]byte, MaxPacket)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -135,7 +135,7 @@
 // A client that says nothing is asked, and ended in the end; one that answers stays.
 func TestKeepalive(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, channelsOn)
-	client, _ := g.pair(true, true, openLine)
+	client, _ := g.pair(true, true)
 	age := func(by eventloop.Micros) (over bool) {
 		g.inLoop(func() {
 			for m := range g.proxy.listener.muxed {
@@ -167,7 +167,7 @@
 // Short of descriptors, connections without channels go first.
 func TestIdleConnectionsGoFirst(t *testing.T) {
 	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { plainUpstreams(cfg); cfg.MaxDescriptors = 40 })
-	client, server := g.pair(true, false, openLine)
+	client, server := g.pair(true, false)
 	for range 60 {
 		p := g.client("SSH-2.0-x\r\n")
 		_ = p
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -166,19 +166,19 @@
 func trimmed(text string) string { return strings.TrimSuffix(text, "\r\n") }
 
 // pair brings a stream up with either kind of connection on both sides.
-func (g *harness) pair(clientMux, serverMux bool, first string) (client, server *duplex) {
+func (g *harness) pair(clientMux, serverMux bool) (client, server *duplex) {
 	g.t.Helper()
 	if clientMux {
 		c := g.connection()
-		ch, err := c.Open(trimmed(first))
+		ch, err := c.Open(trimmed(openLine))
 		g.check(err)
 		client = g.overChannel(ch)
 	} else {
-		client = &duplex{g: g, plain: g.client(first)}
+		client = &duplex{g: g, plain: g.client(openLine)}
 	}
 	if serverMux {
 		ch := g.acceptMux(0).Accept()
-		if !strings.HasPrefix(ch.Line, first[:19]) {
+		if !strings.HasPrefix(ch.Line, openLine[:19]) {
 			g.t.Fatalf("%q", ch.Line)
 		}
 		g.check(ch.Confirm("UP r1 from=0"))
@@ -240,7 +240,7 @@
 			for _, serverMux := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, client %v, server %v", name, clientMux, serverMux), func(t *testing.T) {
 					g := newHarness(t, 1, sendToFirst, channelsOn)
-					client, server := g.pair(clientMux, serverMux, openLine)
+					client, server := g.pair(clientMux, serverMux)
 					client.say("T 1\r\n")
 					server.want("T 1\r\n")
 					server.say("LOAD 3\r\nOK 1\r\n")
@@ -352,7 +352,7 @@
 		sendToFirst,
 		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * monotime.Millisecond },
 	)
-	client, server := g.pair(true, true, openLine)
+	client, server := g.pair(true, true)
 	goodbye := func(what string, c *sshchan.Conn, want string) {
 		t.Helper()
 		if ch := c.Accept(); ch != nil || !strings.Contains(c.DisconnectReason, want) {
