--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -35,7 +35,7 @@
 }
 
 // isolated decides whether this member is cut off from all others: none has sent anything for isolationTimeout. A
-// single other one may as well be dead, and is taken for that after MaxSuspicionTimeout.
+// single other one may as well be dead, and is taken for that after PairSuspicionTimeout.
 func (f *Fleet) isolated(now monotime.Micros) bool {
 	silence := now - f.lastContact
 	switch f.liveOthers() {
