--- a/decision/actions.go
+++ b/decision/actions.go
@@ -15,10 +15,10 @@
 	StartAttempt struct {
 		ID      uint32
 		Timeout Micros // from now until the attempt has to be established
-		// WriteWithin is how long the request may still be written; 0: no limit. Written later, it might be executed
+		// WriteTimeout is how long the request may still be written; 0: no limit. Written later, it might be executed
 		// a second time.
-		WriteWithin Micros
-		Server      uint32
+		WriteTimeout Micros
+		Server       uint32
 	}
 	// Reject is a final answer that allows the client to retry: the request has no effect that a retry would repeat.
 	Reject struct {
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -77,7 +77,7 @@
 	r.assign(now, s)
 	start := StartAttempt{ID: r.id, Timeout: b.attemptTimeout(now, r), Server: s.Server}
 	if writeBy, bounded := r.class.RetryPolicy().RetryDeadline(&r.attemptHistory); bounded {
-		start.WriteWithin = writeBy - now
+		start.WriteTimeout = writeBy - now
 	}
 	b.emit(start)
 }
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -257,7 +257,7 @@
 		g.handle(decision.AttemptEnded{
 			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Duration: took,
 			RequestClosed: a.established ||
-				status == outcome.OK, SharedCause: g.chance(0.1), LoadReport: g.report(),
+				status == outcome.OK, CauseAlreadyReported: g.chance(0.1), LoadReport: g.report(),
 		})
 	}
 }
@@ -298,7 +298,7 @@
 	case decision.FetchServerList:
 		g.add(actionFetch)
 	case decision.StartAttempt:
-		g.add(2, uint64(a.ID), uint64(a.Timeout), uint64(a.WriteWithin), uint64(a.Server))
+		g.add(2, uint64(a.ID), uint64(a.Timeout), uint64(a.WriteTimeout), uint64(a.Server))
 		g.attempts = append(g.attempts, attempt{id: a.ID, server: a.Server, number: g.sent[a.ID]})
 		g.sent[a.ID]++
 	case decision.Reject:
--- a/decision/events.go
+++ b/decision/events.go
@@ -104,14 +104,14 @@
 	}
 	// AttemptEnded reports the end of an attempt, or of its connection where that was established.
 	AttemptEnded struct {
-		ID            uint32
-		Attempt       int
-		Server        uint32
-		Status        outcome.Status
-		Duration      Micros
-		RequestClosed bool // the request has its answer, or its client has left: no retry
-		SharedCause   bool // the cause has been reported with another attempt: no further evidence on the server
-		LoadReport    LoadReport
+		ID                   uint32
+		Attempt              int
+		Server               uint32
+		Status               outcome.Status
+		Duration             Micros
+		RequestClosed        bool // the request has its answer, or its client has left: no retry
+		CauseAlreadyReported bool // the cause has been reported with another attempt: no further evidence on the server
+		LoadReport           LoadReport
 	}
 	// MoveRequested reports that an established connection must leave its server, which drains or has closed it. With
 	// SameServerAllowed the server is not the cause, and the client may return to it. A MoveConnection answers.
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -221,7 +221,7 @@
 	}
 	s := r.detach()
 	needsConfirmation := errorNeedsConfirmation(r, ev.Status)
-	if !needsConfirmation && !ev.SharedCause {
+	if !needsConfirmation && !ev.CauseAlreadyReported {
 		if !r.wasEstablished {
 			b.recordSetup(ev.Status, ev.Duration)
 		}
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -101,7 +101,7 @@
 	}
 	g.now += 100 * ms
 	next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.Reset))
-	if len(next) != 1 || next[0].WriteWithin <= 0 || g.now+next[0].WriteWithin > sent+300*ms {
+	if len(next) != 1 || next[0].WriteTimeout <= 0 || g.now+next[0].WriteTimeout > sent+300*ms {
 		t.Fatalf("%+v, %d after the first attempt", next, g.now-sent)
 	}
 	// A retry that was not written in time was not executed; no server may have it now, and all discard duplicates.
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -67,7 +67,7 @@
 	r.attempt = newAttempt(r, server, attemptLimits{
 		number:      number,
 		timeout:     timeouts.Attempt(decided.Timeout, r.deadline-p.loop.Now()),
-		writeWithin: decided.WriteWithin,
+		writeWithin: decided.WriteTimeout,
 	})
 }
 
@@ -343,13 +343,13 @@
 	r.releaseClaim(a, status)
 	if r.coreKnows {
 		p.core.dispatch(decision.AttemptEnded{
-			ID:            uint32(r.ref),
-			Attempt:       a.number,
-			Server:        a.server.Number,
-			Status:        status,
-			Duration:      p.loop.Now() - a.began,
-			RequestClosed: r.state != statePending,
-			SharedCause:   a.failureShared,
+			ID:                   uint32(r.ref),
+			Attempt:              a.number,
+			Server:               a.server.Number,
+			Status:               status,
+			Duration:             p.loop.Now() - a.began,
+			RequestClosed:        r.state != statePending,
+			CauseAlreadyReported: a.failureShared,
 		})
 	} else if r.state == stateReattaching {
 		r.reattachFailed(status)
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -89,7 +89,7 @@
 		if outcomes[o.ID]++; outcomes[o.ID] > 1 {
 			t.Errorf("two outcomes of %d", o.ID)
 		}
-		if !o.SharedCause {
+		if !o.CauseAlreadyReported {
 			evidence++
 		}
 	}
@@ -106,7 +106,7 @@
 	// The next comes too soon for another connection, and is told so without one more piece of evidence.
 	_, err := c.Open("OPEN b1 7 c=sync,d=60000")
 	g.check(err)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || !o.SharedCause {
+	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || !o.CauseAlreadyReported {
 		t.Errorf("%+v", o)
 	}
 }
@@ -136,7 +136,7 @@
 		if o.Status != outcome.ConnectFailed {
 			t.Errorf("%+v", o)
 		}
-		if !o.SharedCause {
+		if !o.CauseAlreadyReported {
 			evidence++
 		}
 	}
@@ -207,7 +207,7 @@
 		d.moved()
 		if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset {
 			t.Errorf("%+v", o)
-		} else if !o.SharedCause {
+		} else if !o.CauseAlreadyReported {
 			evidence++
 		}
 	}
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -193,7 +193,7 @@
 	g := newHarness(t, 1, decideNothing, nil)
 	_, s := g.pendingRequest(1)
 	g.inLoop(func() {
-		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout, WriteWithin: 1000})
+		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout, WriteTimeout: 1000})
 		waitFor(2 * time.Millisecond)
 	})
 	g.outcome(outcome.Inconclusive, false)
