--- a/decision/actions.go
+++ b/decision/actions.go
@@ -2,50 +2,53 @@
 
 import "spurspread/decision/answercause"
 
-// Action is something that the caller of Balancer.Handle has to do: one of the types below.
+// Action is an instruction to the caller of Balancer.Handle: one of the types below.
 type Action interface{ isAction() }
 
 // The actions.
 type (
-	// WatchDiscovery subscribes to discovery's updates, or polls it again on a live subscription.
+	// WatchDiscovery subscribes to discovery's updates, or polls discovery again if there is a subscription. The core
+	// emits it only with On set.
 	WatchDiscovery struct{ On bool }
-	// FetchServerList fetches the whole list once. The core never emits it; the simulator's wire has it.
+	// FetchServerList fetches the whole server list once. The core never emits it; the simulator's wire protocol
+	// includes it.
 	FetchServerList struct{}
-	// StartAttempt sends the request to a server.
+	// StartAttempt sends the request to a server. A request's attempts are numbered from 0 in the order of these
+	// actions.
 	StartAttempt struct {
 		ID      uint32
 		Timeout Micros // from now until the attempt has to be established
-		// WriteTimeout is how long the request may still be written; 0: no limit. Written later, it might be executed
-		// a second time.
+		// WriteTimeout is the time from now within which the request must be written to the server; 0 means no limit.
+		// A request that is written later might be executed a second time.
 		WriteTimeout Micros
 		Server       uint32
 	}
-	// Reject is a final answer that allows the client to retry: the request has no effect that a retry would repeat.
+	// Reject is a final answer that allows the client to retry: executing the request again does no harm.
 	Reject struct {
 		ID         uint32
-		RetryAfter Micros // 0: not stated
+		RetryAfter Micros // how long the client should wait; 0: unspecified
 		Cause      answercause.Cause
 	}
-	// Fail is a final answer that does not say whether the request was executed.
+	// Fail is a final answer that leaves open whether the request was executed: a retry might execute it again.
 	Fail struct {
 		ID    uint32
 		Cause answercause.Cause
 	}
-	// CancelAttempt cancels an attempt that is not established. Its AttemptEnded is still reported.
+	// CancelAttempt cancels an attempt whose connection is not established. The caller still reports its AttemptEnded.
 	CancelAttempt struct {
 		ID      uint32
 		Attempt int
 	}
-	// MoveConnection closes an established connection in the planned way; the client connects again. With
-	// HasNextServer, which needs Request.Resumable, it is sent to NextServer.
+	// MoveConnection closes an established connection so that the client reconnects. If HasNextServer is set, which
+	// requires Request.Resumable, the client is directed to NextServer.
 	MoveConnection struct {
 		ID            uint32
 		NextServer    uint32
 		HasNextServer bool
 	}
-	// ProbeServer probes a server's health and load.
+	// ProbeServer probes a server: it checks its health and requests a load report.
 	ProbeServer struct{ Server uint32 }
-	// SetTimer sets a timer that fires once, as TimerFired with this Token. Timers are never cancelled.
+	// SetTimer starts a timer that fires once, as a TimerFired with this Token. Timers are never cancelled.
 	SetTimer struct {
 		Delay Micros // at least 1
 		Token TimerToken
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -3,27 +3,27 @@
 import "spurspread/decision/answercause"
 
 const (
-	// answerMargin is how long before the request's time is up its final answer leaves: time to reach the client.
+	// answerMargin is the time reserved before a request's deadline for its final answer to reach the client.
 	answerMargin = 12 * ms
-	// holdInterval is how long a request is held before it is placed again.
+	// holdInterval is the mean time between two placement attempts of a held request.
 	holdInterval = 40 * ms
-	// minRetryAfter is the least time that a rejected client waits before it retries, and retryAfterSpread what is
-	// added at random, so that rejected clients do not come back together.
+	// minRetryAfter is the minimum time that a rejected client waits before it retries. A random part of
+	// retryAfterSpread is added, so that rejected clients do not return at the same moment.
 	minRetryAfter    = 200 * ms
 	retryAfterSpread = 400 * ms
 )
 
-// placeRequest decides what happens to a request that waits: it is sent to a server, held until one has capacity, or
-// given its final answer. That is given where its time is up, where no further attempt is allowed (attemptForbidden),
-// and where the set-up is rejected (rejectSetup).
+// placeRequest sends a waiting request to a server, holds it until a server has capacity, or gives it its final answer.
+// It is answered if its deadline has passed, if no further attempt is allowed (attemptForbidden), or if its set-up is
+// shed (shedSetup).
 func (b *Balancer) placeRequest(now Micros, r *request) {
 	timeLeft := r.deadline - now
 	if timeLeft <= 0 {
-		b.answerFinally(r, b.timeUpCause(now, r))
+		b.sendFinalAnswer(r, b.deadlineCause(now, r))
 		return
 	}
 	if cause, forbidden := b.attemptForbidden(now, r); forbidden {
-		b.answerFinally(r, cause)
+		b.sendFinalAnswer(r, cause)
 		return
 	}
 	var s *server
@@ -34,16 +34,16 @@
 		b.holdRequest(r, timeLeft)
 		return
 	}
-	if b.rejectSetup() {
-		b.answerFinally(r, answercause.Shed)
+	if b.shedSetup() {
+		b.sendFinalAnswer(r, answercause.Shed)
 		return
 	}
 	b.startAttempt(now, r, s)
 }
 
-// setupAllowed reports whether one more connection may be set up now. It compares the attempts under way at all
-// servers with the concurrency limit: more at once would take so long that they are retried while they are still worked
-// on. There is no limit in passthrough mode, where a set-up costs nothing.
+// setupAllowed reports whether the concurrency limit allows one more set-up, given the attempts under way at all
+// servers. Beyond the limit, set-ups would take so long that clients retry them while servers still work on them. There
+// is no limit in passthrough mode, where set-ups cost nothing.
 func (b *Balancer) setupAllowed() bool {
 	if b.settings.Passthrough {
 		return true
@@ -51,10 +51,10 @@
 	return b.setups.Allows(b.setupsUnderWay)
 }
 
-// rejectSetup decides whether a set-up is not started although a server was found, and if so counts it as shed. The
-// probability, 0 to 1, grows with the part of recent set-ups that failed: without it, retrying clients keep an
-// overload alive that they cannot get past.
-func (b *Balancer) rejectSetup() bool {
+// shedSetup reports whether a set-up is rejected although a server was found for it, and counts it as shed if so. The
+// decision is random, with a probability that grows with the fraction of recent set-ups that failed: without shedding,
+// retrying clients would keep overloaded servers from recovering.
+func (b *Balancer) shedSetup() bool {
 	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare) {
 		return false
 	}
@@ -62,13 +62,14 @@
 	return true
 }
 
-// holdRequest places the request again after about holdInterval, or when its time is up.
+// holdRequest schedules another placement of the request after about holdInterval, or at its deadline if that is
+// sooner.
 func (b *Balancer) holdRequest(r *request, timeLeft Micros) {
 	delay := min(b.jitterAround(holdInterval), timeLeft)
 	b.setTimer(delay, holdTimer.forRequest(r.id))
 }
 
-// startAttempt sends the request to s.
+// startAttempt sends the request to s and charges the attempt to the retry and connection budgets.
 func (b *Balancer) startAttempt(now Micros, r *request, s *server) {
 	if r.attempts > 0 {
 		b.retryTokens--
@@ -82,9 +83,9 @@
 	b.emit(start)
 }
 
-// timeUpCause returns why a request is not established when its time is up: what it is held for now, or an attempt
-// that took too long.
-func (b *Balancer) timeUpCause(now Micros, r *request) answercause.Cause {
+// deadlineCause returns why a request has reached its deadline without a connection: the reason for which it is held,
+// or an attempt that took too long.
+func (b *Balancer) deadlineCause(now Micros, r *request) answercause.Cause {
 	if r.state != requestWaiting || r.attempts > 0 {
 		return answercause.AttemptTimedOut
 	}
@@ -102,10 +103,10 @@
 	return answercause.NoReadyServer
 }
 
-// answerFinally gives the request its final answer, with its cause: Reject where a retry by the client repeats no
-// effect, else Fail. That depends on the class's idempotency and on whether any attempt may have executed, or is still
-// under way.
-func (b *Balancer) answerFinally(r *request, cause answercause.Cause) {
+// sendFinalAnswer ends the request with a Reject if the client may safely retry it, otherwise with a Fail. Whether a
+// retry is safe depends on the class's idempotency and on whether an attempt may have been executed or is still under
+// way.
+func (b *Balancer) sendFinalAnswer(r *request, cause answercause.Cause) {
 	uncertain := r.attemptHistory.MayHaveExecuted() || r.server != nil
 	b.recordUnconfirmedError(r)
 	b.endRequest(r)
@@ -116,7 +117,8 @@
 	}
 }
 
-// retryAfter returns how long a rejected client is to wait: see Settings.RetryAfter.
+// retryAfter returns how long a rejected client should wait, with a random part; see Settings.RetryAfter. It draws no
+// random number while AllowRetryAfter is off.
 func (b *Balancer) retryAfter() Micros {
 	if !b.settings.AllowRetryAfter {
 		return 0
@@ -124,9 +126,9 @@
 	return b.settings.RetryAfter(b.rng.Float64())
 }
 
-// RetryAfter returns how long a rejected client is to wait, in microseconds: minRetryAfter and the part variate, 0 to 1
-// at random, of retryAfterSpread, at most MaxRetryAfter; 0, which states nothing, unless AllowRetryAfter. The caller of
-// a Balancer uses it for requests that it rejects itself.
+// RetryAfter returns how long a rejected client should wait: minRetryAfter plus the given fraction of retryAfterSpread,
+// at most MaxRetryAfter. variate is a random number from 0 to 1. The result is 0, for unspecified, unless
+// AllowRetryAfter is set. The caller of a Balancer uses it for requests that it rejects itself.
 func (s *Settings) RetryAfter(variate float64) Micros {
 	if !s.AllowRetryAfter {
 		return 0
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// A request that expires early, as when the balancer shuts down, is rejected only where it is at any other time.
+// A request that expires early, for instance because the balancer shuts down, is rejected under the same conditions as
+// at its deadline: only if a retry by the client is harmless.
 func TestExpiredRequestIsRejectedOnlyIfRetryIsHarmless(t *testing.T) {
 	for _, c := range []struct {
 		idempotency Idempotency
@@ -71,7 +72,7 @@
 		}
 		established, _ := g.connect()
 		if actions := g.handle(RequestExpired{established}); len(actions) != 0 {
-			t.Errorf("%+v: an established one: %v", c, actions)
+			t.Errorf("%+v: actions for an established connection: %v", c, actions)
 		}
 	}
 }
@@ -83,8 +84,8 @@
 	}
 }
 
-// Set-ups that take long wait for something that all servers share, so fewer start at once; a few servers that hang do
-// not count.
+// Slow set-ups at all servers point to a shared bottleneck, so fewer may run at once. A few servers that hang do not
+// lower the limit.
 func TestConcurrentSetupsAreLimited(t *testing.T) {
 	concurrent := func(setupTime Micros, hanging int) int {
 		g := newHarness(t, testSettings(), serverList(10, 0))
@@ -110,14 +111,14 @@
 		return n
 	}
 	if fast, slow := concurrent(30*ms, 0), concurrent(400*ms, 0); fast != 40 || slow != 2 {
-		t.Errorf("%d at once where set-ups are fast, %d where they are slow", fast, slow)
+		t.Errorf("%d concurrent fast set-ups, want 40; %d slow ones, want 2", fast, slow)
 	}
 	if n := concurrent(30*ms, 1); n < 20 {
-		t.Errorf("%d at once where one of five hangs", n)
+		t.Errorf("%d concurrent set-ups while one in five hangs, want 20 or more", n)
 	}
 }
 
-// A request that is pinned to a server goes there or nowhere, and is rejected at once when that is impossible.
+// A request that is pinned to a server is sent to no other, and is rejected at once if that server cannot have it.
 func TestPinnedRequest(t *testing.T) {
 	pinned := func(g *harness, server uint32) []Action {
 		g.next++
--- a/decision/answercause_test.go
+++ b/decision/answercause_test.go
@@ -9,7 +9,7 @@
 	"spurspread/decision/slowstart"
 )
 
-// finalCause is the cause of the one final answer among the actions.
+// finalCause returns the cause of the final answer among the actions.
 func finalCause(t *testing.T, actions []Action) answercause.Cause {
 	t.Helper()
 	for _, a := range actionsOf[Reject](actions) {
@@ -22,7 +22,7 @@
 	return answercause.Unknown
 }
 
-// A request that is held until its time is up names what it was held for.
+// The answer to a request that reaches its deadline states the reason for which the request was held.
 func TestCauseOfTimeUp(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*harness)
@@ -47,7 +47,7 @@
 	}
 }
 
-// An attempt's end after which none follows names what forbids it.
+// If no attempt may follow a failed one, the answer states which rule forbids it.
 func TestCauseOfNoFurtherAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*harness)
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// tickInterval is the mean time between two ticks, which do the periodic work: polls, validations, moves.
+	// tickInterval is the mean time between two ticks, which do the periodic work such as polls, validations and moves.
 	tickInterval = 250 * ms
 
-	// A delay around d is drawn evenly from 3/4 to 5/4 of d: from minAround quarters on, over a range of d /
-	// aroundRange.
-	quarters    = 4
-	minAround   = 3
-	aroundRange = 2
+	// jitterAround draws a delay uniformly from 3/4 to 5/4 of d: it starts at jitterMinNumerator / jitterDenominator of
+	// d and covers a range of d / jitterRangeDivisor.
+	jitterDenominator  = 4
+	jitterMinNumerator = 3
+	jitterRangeDivisor = 2
 
-	// rngStream selects the stream of the random source, a constant of no meaning; the seed comes from the caller.
+	// rngStream selects the stream of the PCG random source. Its value is arbitrary; the seed comes from the caller.
 	rngStream = 0x726f62696e6c7567
 )
 
-// Balancer decides for one proxy. It is not safe for concurrent use; see the package comment.
+// Balancer makes the decisions of one proxy. It is not safe for concurrent use; see the package comment.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	started  bool     // the first tick is scheduled
-	actions  []Action // of the event being handled
+	started  bool     // whether the first tick is scheduled
+	actions  []Action // emitted for the event being handled
 
 	servers     []*server // in the order in which they were first listed
 	serversByID map[uint32]*server
-	meanWeight  float64 // of the Ready servers
+	meanWeight  float64 // mean weight of the Ready servers
 	polling     polling.Schedule
 	fleetSize   fleetsize.Estimate
-	fleetShare  float64 // part of the budgets of the whole fleet that each balancer may use, over 0 to 1
+	fleetShare  float64 // this balancer's fraction of budgets that the whole fleet shares, above 0 to 1
 
-	requests map[uint32]*request // that have not ended
+	requests map[uint32]*request // requests that have not ended, by ID
 	setups   concurrency.Limiter
 	// setupsUnderWay is the sum of all servers' pendingAttempts.
 	setupsUnderWay int
-	retryTokens    float64 // retries that may still be started; see earnRetryTokens
+	retryTokens    float64 // the retry budget: retries that may be started now
 
 	loadModel       serverload.LoadModel
-	meanHint        float64 // of Request.LoadHint, in microseconds of work a second
-	hintCount       float64 // hints received
-	meanChargedWork float64 // what a connection takes of a slow-start budget, in relativeWork
+	meanHint        float64 // moving average of Request.LoadHint, in microseconds of work per second
+	hintCount       float64 // load hints received
+	meanChargedWork float64 // mean of the relativeWork that connections are charged with in slow start, at least 1
 
 	probesUnderWay int
-	reportBudget   serverload.ReportBudget // pays for probes that request load reports
+	reportBudget   serverload.ReportBudget // limits the probes that request load reports
 }
 
-// New returns a balancer that has just started, at time now. Its random numbers come from seed. It emits its first
-// action with the first event.
+// New returns a balancer that starts at time now and draws its random numbers from seed. It takes the settings
+// unchecked. It emits its first action when it handles its first event.
 func New(s Settings, seed uint64, now Micros) *Balancer {
 	b := &Balancer{
 		rng:             rand.New(rand.NewPCG(seed, rngStream)),
@@ -71,9 +71,9 @@
 	return b
 }
 
-// Handle takes one event, which happened at time now, and appends to out the actions that answer it, in the order
-// in which they are to be carried out. It does not keep out. Events for requests, attempts, probes and servers that
-// are not known, or no longer, are ignored.
+// Handle processes an event that happened at time now. It appends the resulting actions to out, in the order in which
+// they must be carried out, and returns the extended slice, to which it keeps no reference. Events that refer to an
+// unknown or ended request, attempt, probe or server are ignored.
 func (b *Balancer) Handle(now Micros, ev Event, out []Action) []Action {
 	b.actions = out
 	if !b.started {
@@ -114,7 +114,7 @@
 	}
 }
 
-// onTick does the periodic work.
+// onTick does the periodic work and schedules the next tick.
 func (b *Balancer) onTick(now Micros) {
 	b.setTimer(b.jitterAround(tickInterval), tickTimer)
 	b.setups.Decay()
@@ -128,7 +128,7 @@
 	}
 }
 
-// onConnectionMetric passes a metric on by its kind; one of an unknown kind is ignored.
+// onConnectionMetric dispatches a metric by its kind and ignores unknown kinds.
 func (b *Balancer) onConnectionMetric(now Micros, ev ConnectionMetric) {
 	switch ev.Kind {
 	case LoadMetric:
@@ -140,10 +140,11 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// jitter draws a delay from 0 to d.
+// jitter returns a random delay from 0 to d.
 func (b *Balancer) jitter(d Micros) Micros { return Micros(b.rng.Float64() * float64(d)) }
 
-// jitterAround draws a delay from 3/4 d to 5/4 d, so that balancers which saw the same event do not act in step.
+// jitterAround returns a random delay from 3/4 d to 5/4 d, so that balancers that saw the same event do not act at the
+// same moment.
 func (b *Balancer) jitterAround(d Micros) Micros {
-	return d*minAround/quarters + b.jitter(d/aroundRange)
+	return d*jitterMinNumerator/jitterDenominator + b.jitter(d/jitterRangeDivisor)
 }
--- a/decision/balancer_bench_test.go
+++ b/decision/balancer_bench_test.go
@@ -7,11 +7,11 @@
 	"spurspread/decision/outcome"
 )
 
-// benchSizes are the numbers of established connections at which costs are measured.
+// benchSizes are the numbers of established connections for which costs are measured.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// balancerWithConnections returns a balancer with n established connections at that many servers, and the last
-// request's ID.
+// balancerWithConnections returns a balancer with n established connections, spread over the given number of servers,
+// and the last request's ID.
 func balancerWithConnections(servers, n int) (*Balancer, uint32) {
 	class := Class{LatencyObjective: 300 * ms, Deadline: 1200 * ms, MessageLatencyObjective: 250 * ms}
 	b := New(Settings{
@@ -35,8 +35,8 @@
 	return b, id
 }
 
-// playSetup plays one connection: request, attempt, established, cancelled. It returns the number of attempts.
-func playSetup(b *Balancer, now Micros, id uint32) (attempts int) {
+// runSetup passes the events of one connection to b, from its request to its end. It returns the number of attempts.
+func runSetup(b *Balancer, now Micros, id uint32) (attempts int) {
 	for _, a := range b.Handle(now, Request{ID: id, Key: uint64(id), TimeLeft: 1200 * ms}, nil) {
 		if s, ok := a.(StartAttempt); ok {
 			attempts++
@@ -52,7 +52,7 @@
 	return attempts
 }
 
-// BenchmarkSetup measures a set-up with n established connections, and with that many servers.
+// BenchmarkSetup measures a set-up by the number of established connections and by the number of servers.
 func BenchmarkSetup(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchSetup(b, 400, n) })
@@ -67,15 +67,16 @@
 	now, attempts := sec, 0
 	for b.Loop() {
 		id++
-		now += 100 * ms // so that no budget runs out
-		attempts += playSetup(bal, now, id)
+		now += 100 * ms // keeps the budgets from running out
+		attempts += runSetup(bal, now, id)
 	}
 	if attempts < b.N {
 		b.Fatalf("%d attempts for %d set-ups", attempts, b.N)
 	}
 }
 
-// BenchmarkTick measures a tick, four a second, with n established connections, and with that many servers.
+// BenchmarkTick measures a tick, of which there are four a second, by the number of established connections and by the
+// number of servers.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("connections-", n), func(b *testing.B) { benchTick(b, 400, n) })
@@ -94,8 +95,8 @@
 	}
 }
 
-// BenchmarkHeld measures the placement of a held request, 25 a second for each, while the concurrency limit of
-// set-ups is reached.
+// BenchmarkHeld measures the placement of a held request while the concurrency limit of set-ups is reached. Each held
+// request is placed 25 times a second.
 func BenchmarkHeld(b *testing.B) {
 	for _, servers := range []int{10, 100, 400, 1_000, 5_000} {
 		b.Run(fmt.Sprint("servers-", servers), func(b *testing.B) {
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -12,7 +12,7 @@
 	statuses := []outcome.Status{
 		outcome.OK, outcome.ErrorResponse, outcome.TimedOut, outcome.ServerFull, outcome.Reset, outcome.ConnectFailed,
 	}
-	play := func() [][]Action {
+	run := func() [][]Action {
 		g := newHarness(t, testSettings(), serverList(12, 5))
 		var log [][]Action
 		for i := range 600 {
@@ -22,30 +22,30 @@
 				Request{ID: g.next, TimeLeft: 2 * sec, LoadHint: float64(i%7 + 1), HasLoadHint: true},
 			)
 			log = append(log, actions)
-			for _, sd := range actionsOf[StartAttempt](actions) {
+			for _, attempt := range actionsOf[StartAttempt](actions) {
 				status := statuses[i%len(statuses)]
 				if status == outcome.OK {
 					log = append(
 						log,
-						g.handle(Established{ID: sd.ID, Server: sd.Server}),
+						g.handle(Established{ID: attempt.ID, Server: attempt.Server}),
 						g.handle(
 							ConnectionMetric{
-								ID:     sd.ID,
-								Server: sd.Server,
+								ID:     attempt.ID,
+								Server: attempt.Server,
 								Kind:   MessageLatencyMetric,
 								Value:  float64(i % 200),
 							},
 						),
 					)
 				} else {
-					log = append(log, g.endAttempt(sd.ID, sd.Server, 0, status))
+					log = append(log, g.endAttempt(attempt.ID, attempt.Server, 0, status))
 				}
 			}
 			log = append(log, g.handle(TimerFired{tickTimer}))
 		}
 		return log
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Fatal("two plays of the same events differ")
+	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
+		t.Fatal("two runs with the same events have different actions")
 	}
 }
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -2,8 +2,8 @@
 
 import "spurspread/decision/slowstart"
 
-// warmupFactor is the part of its capacity, over 0 to 1, that a server surely has: Settings.InitialCapacity at its
-// start, and evenly more until all after Settings.WarmupTime.
+// warmupFactor returns the fraction of its full capacity that a server is assumed to have. It rises linearly from
+// Settings.InitialCapacity at the server's start to 1 after Settings.WarmupTime.
 func (b *Balancer) warmupFactor(now Micros, s *server) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= b.settings.WarmupTime {
@@ -13,10 +13,11 @@
 	return initial + (1-initial)*float64(max(age, 0))/float64(b.settings.WarmupTime)
 }
 
-// hasSpareCapacity reports whether s may get one more connection that takes admissionCost tokens. It needs the
-// tokens, which come at a rate by the server's weight and this balancer's share of the fleet, and fewer connections
-// than the server was last seen to carry in time. Whoever finds no capacity in the home zone goes on to others. In
-// passthrough mode there is no such limit. The tokens are refilled up to now, whatever the verdict.
+// hasSpareCapacity reports whether s may get one more connection, which takes admissionCost tokens. The server's bucket
+// must hold that many, and its connections must be fewer than latency.Estimate.ConnectionCapacity. Tokens are added at
+// a rate proportional to the server's weight and to this balancer's share of the fleet. A request that finds no
+// capacity in the home zone goes to another zone. Passthrough mode has no limit. The call always refills the
+// bucket up to now.
 func (b *Balancer) hasSpareCapacity(now Micros, s *server, admissionCost float64) bool {
 	share := max(b.fleetShare, slowstart.MinFleetShare)
 	s.budget.Refill(now, s.relativeWeight*share, admissionCost)
@@ -26,10 +27,10 @@
 	return s.budget.Tokens >= admissionCost && s.connectionCount() < s.latency.ConnectionCapacity
 }
 
-// slowStartAllows reports whether a server that is warming up may get one more connection of this balancer's. In
-// Settings.OverloadWindow all balancers together may send it Settings.OverloadFactor times what it can take at its
-// weight and warm-up factor; they divide that into grants without talking to each other. One grant is for a
-// connection of mean work. The grants are counted up to now, whatever the verdict.
+// slowStartAllows reports whether this balancer has a grant to send one more connection to a server that is warming up.
+// Within Settings.OverloadWindow, all balancers together may send the server Settings.OverloadFactor times its
+// capacity at its weight and warm-up factor. They divide that quota into grants without communicating; see package
+// slowstart. One grant pays for a connection of mean work. The call always counts the grants up to now.
 func (b *Balancer) slowStartAllows(now Micros, s *server) bool {
 	window := b.settings.OverloadWindow
 	slot, slotStart := slowstart.SlotAt(now, s.StartedAt, window)
@@ -46,16 +47,16 @@
 	})
 }
 
-// spendConnectionBudget takes an attempt from the server's budget. A connection of less than mean work counts as one of
-// mean work: it costs as much to set up.
+// spendConnectionBudget charges an attempt to the server's budget. A connection of less than mean work is charged as
+// one of mean work, since the cost of its set-up is the same.
 func (b *Balancer) spendConnectionBudget(now Micros, s *server, r *request) {
 	warmingUp := b.warmupFactor(now, s) < 1
 	s.budget.Spend(warmingUp, max(r.relativeWork, 1), b.meanChargedWork, r.admissionCost)
 }
 
-// updateFleetSize measures how much of the fleet's capacity is present: the weights of the servers that are Ready
-// and have not failed, by their warm-up factors. While a part is absent, clients that reconnect are admitted more
-// slowly.
+// updateFleetSize updates the estimate of how much of the servers' capacity is present: the sum of weight times warm-up
+// factor over all servers that are Ready and not demoted for a failure. While capacity is missing, clients that
+// reconnect are admitted more slowly.
 func (b *Balancer) updateFleetSize(now Micros) {
 	present := 0.0
 	for _, s := range b.servers {
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -10,7 +10,7 @@
 	"spurspread/decision/slowstart"
 )
 
-// All balancers together do not overload a restarted server, however many requests come.
+// A restarted server gets no more than its slow-start budget, however many requests arrive.
 func TestSlowStartBudget(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(8, 0))
 	for range 400 { // 20 a second for 20 s: 2.5 a second for each server
@@ -24,7 +24,7 @@
 	for s := uint32(2); s <= 8; s++ {
 		g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: s, State: Removed}}})
 	}
-	// In 5 s with 200 requests a second the server may get OverloadFactor times its warming capacity and no more.
+	// In 5 s of 200 requests per second the server may get at most OverloadFactor times its capacity while warming up.
 	got := 0
 	for range 1000 {
 		g.now += 5 * ms
@@ -34,12 +34,12 @@
 	}
 	limit := 2.5 * 0.4 * slowstart.WarmUpRate * 5
 	if got == 0 || float64(got) > limit {
-		t.Fatalf("%d sent in 5 s, at most %.0f allowed", got, limit)
+		t.Fatalf("%d requests sent in 5 s, want 1 to %.0f", got, limit)
 	}
 }
 
-// A server of another zone that warms up gets a small part of its budget, by its weight, and only what the home
-// zone has no capacity for.
+// A server of another zone that warms up gets only requests for which the home zone has no capacity, and only a small
+// part of its slow-start budget, in proportion to its weight.
 func TestLittleSpilloverToServersInSlowStart(t *testing.T) {
 	sent := func(zone uint32, weight float64) int {
 		g := newHarness(t, testSettings(), serverList(4, 4))
@@ -65,7 +65,7 @@
 	}
 }
 
-// A light connection costs as much to set up as one of mean work.
+// A connection of little work takes the same part of the budget as one of mean work, since its set-up costs the same.
 func TestLightConnectionsChargeAFullToken(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	s := &server{}
@@ -76,8 +76,8 @@
 	}
 }
 
-// Connections are admitted at a rate by each server's weight; those beyond the home zone's go to other zones. The
-// rate is the fleet's, divided by its balancers, but for a minimum share.
+// Each server gets connections at a limited rate, in proportion to its weight. Connections beyond the capacity of the
+// home zone go to other zones. The fleet's rate is divided by the number of balancers, down to a minimum share.
 func TestServersReceiveConnectionsAtALimitedRate(t *testing.T) {
 	for balancers, part := range map[int]float64{
 		0: 1, 1: 1, 2: 1. / 2, 3: 1. / 3, 4: slowstart.MinFleetShare, 300: slowstart.MinFleetShare,
@@ -96,25 +96,25 @@
 			}
 		}
 		for _, s := range g.b.servers {
-			s.budget.Tokens = 0 // as long after the start
+			s.budget.Tokens = 0 // the startup tokens are used up
 		}
 		sendMany()
 		if got[1] != 1.5*slowstart.Burst*part || got[2] != slowstart.Burst/2*part ||
 			got[101] != slowstart.Burst*part ||
 			got[0] == 0 {
-			t.Fatalf("%d balancers, at first %v", balancers, got)
+			t.Fatalf("%d balancers, requests by server in the first burst: %v", balancers, got)
 		}
 		clear(got)
 		g.now += sec
 		sendMany()
 		if n := got[1] + got[2] + got[101]; n < 3*slowstart.Rate*part-3 || n > 3*slowstart.Rate*part {
-			t.Fatalf("%d balancers, after a second %v", balancers, got)
+			t.Fatalf("%d balancers, requests by server after a second: %v", balancers, got)
 		}
 	}
 }
 
-// A balancer that has just started gets back the connections it had before: it may send servers more than a burst,
-// until one is late.
+// The clients of the previous process reconnect to a balancer that has just started, so it may send servers more than a
+// burst, until the messages of one are late.
 func TestNewBalancerMaySendMore(t *testing.T) {
 	for late, want := range map[bool]int{
 		false: 2 * slowstart.StartupTokens,
@@ -140,12 +140,12 @@
 			}
 		}
 		if n != want {
-			t.Errorf("late %v: %d, want %d", late, n, want)
+			t.Errorf("with a late server %v: %d attempts, want %d", late, n, want)
 		}
 	}
 }
 
-// A server whose messages are late gets no more connections than it had, until they have been in time for a while.
+// A server whose messages are late gets no more connections than it had, until it has reported no latency for a while.
 func TestLateServerKeepsItsConnectionLimit(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 0))
 	byServer := g.connectMany(40)
@@ -160,18 +160,19 @@
 	}
 	g.advance(4 * sec)
 	if g.connectMany(40); len(s.connections) <= before {
-		t.Fatalf("still %d", before)
+		t.Fatalf("still %d connections after 4 s without latency reports", before)
 	}
 }
 
-// When a server is lost, its clients reconnect in addition to the usual ones, and are admitted more slowly. Those that
-// another balancer moved are not: their servers are still present.
+// When a server is lost, its clients reconnect in addition to the usual arrivals, so they are admitted more slowly, up
+// to the number of clients that were lost. While all servers are present, as for clients that were moved, reconnecting
+// clients are admitted as usual.
 func TestReconnectsAfterServerLossAreAdmittedSlowly(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	g.connectMany(100)
 	g.advance(sec)
 	if cost := g.reconnectCost(); cost != 1 {
-		t.Fatalf("%v with all servers present", cost)
+		t.Fatalf("admission cost %v with all servers present, want 1", cost)
 	}
 	lost := slices.Clone(g.b.serversByID[4].connections)
 	for _, r := range lost {
@@ -180,10 +181,10 @@
 	g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 4, State: Removed}}})
 	for i := range lost {
 		if cost := g.reconnectCost(); cost != 2.5 {
-			t.Fatalf("%v for number %d of %d that were lost", cost, i, len(lost))
+			t.Fatalf("admission cost %v for reconnect %d of %d that were lost, want 2.5", cost, i, len(lost))
 		}
 	}
 	if cost := g.reconnectCost(); cost != 1 {
-		t.Errorf("%v for one more than were lost", cost)
+		t.Errorf("admission cost %v for one reconnect more than were lost, want 1", cost)
 	}
 }
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -14,9 +14,9 @@
 	"spurspread/decision/outcome"
 )
 
-// wantDigests are digests of all actions of a Balancer on generated event sequences, one for each seed. They hold the
-// decisions bit for bit: a change of the code that is not meant to change decisions leaves them alone; one that is
-// renews them in a commit of its own (the failing test prints the new ones) and says so.
+// wantDigests are digests of all actions of a Balancer for generated event sequences, one per seed. They detect any
+// change of decisions. A commit that is not meant to change decisions must leave them as they are; one that is must
+// update them separately and say so. A failing test prints the new ones.
 var wantDigests = []string{
 	"f7b225ee8cfed51d", "90b94e5905452d5c", "ba6ab11846903e9f", "b7435edfdce1108f",
 	"ef6f6162fdc09fc2", "c3b4d212bec5cb39", "335c8bf4ad0a69f6", "c40841f5542f726e",
@@ -31,7 +31,7 @@
 func TestDecisionDigests(t *testing.T) {
 	var all [actionKinds]int
 	for seed, want := range wantDigests {
-		got, kinds := playDigest(uint64(seed))
+		got, kinds := runDigest(uint64(seed))
 		if got != want {
 			t.Errorf("seed %d: digest %s, want %s", seed, got, want)
 		}
@@ -46,13 +46,13 @@
 	}
 }
 
-// actionKinds is how many kinds of actions encode knows.
+// actionKinds is the number of kinds of actions that recordAction distinguishes.
 const actionKinds = 9
 
 // actionFetch is the kind of FetchServerList, which a Balancer never emits.
 const actionFetch = 1
 
-// digestTimer is a timer that is set.
+// digestTimer is a timer that has not fired yet.
 type digestTimer struct {
 	due   decision.Micros
 	order int
@@ -74,44 +74,44 @@
 	return last
 }
 
-// attempt is one under way, or an established connection.
+// attempt is an attempt under way or an established connection.
 type attempt struct {
 	id, server  uint32
 	number      int
 	established bool
 }
 
-// eventGenerator drives one Balancer with random events that answer its actions.
+// eventGenerator drives one Balancer with random events, most of which respond to its actions.
 type eventGenerator struct {
-	rng      *rand.Rand
-	balancer *decision.Balancer
-	settings decision.Settings
-	now      decision.Micros
-	timers   timerHeap
-	order    int
-	attempts []attempt
-	probes   []uint32
-	sent     map[uint32]int
-	nextID   uint32
-	started  map[uint32]decision.Micros
-	failing  float64 // part of the attempts that fail
-	slow     bool    // set-ups take long
-	digest   hash.Hash64
-	kinds    [actionKinds]int
-	out      []decision.Action
+	rng             *rand.Rand
+	balancer        *decision.Balancer
+	settings        decision.Settings
+	now             decision.Micros
+	timers          timerHeap
+	order           int
+	attempts        []attempt
+	probes          []uint32
+	attemptsStarted map[uint32]int
+	nextID          uint32
+	startedAt       map[uint32]decision.Micros
+	failureRate     float64 // fraction of attempts that fail
+	slowSetups      bool    // whether set-ups take 100 ms or more
+	digest          hash.Hash64
+	kinds           [actionKinds]int
+	out             []decision.Action
 }
 
-func playDigest(seed uint64) (string, [actionKinds]int) {
+func runDigest(seed uint64) (string, [actionKinds]int) {
 	g := &eventGenerator{
-		rng: rand.New(rand.NewPCG(seed, 99)), sent: map[uint32]int{},
-		started: map[uint32]decision.Micros{}, digest: fnv.New64a(), now: 3_000_000,
-		failing: []float64{0.5, 0.02, 0.15, 0.8}[seed/2%4], slow: seed%6 == 5,
+		rng: rand.New(rand.NewPCG(seed, 99)), attemptsStarted: map[uint32]int{},
+		startedAt: map[uint32]decision.Micros{}, digest: fnv.New64a(), now: 3_000_000,
+		failureRate: []float64{0.5, 0.02, 0.15, 0.8}[seed/2%4], slowSetups: seed%6 == 5,
 	}
-	g.settings = g.drawSettings(seed)
+	g.settings = g.settingsForSeed(seed)
 	g.balancer = decision.New(g.settings, seed, g.now)
 	g.handle(g.list(decision.UpdateCached, 12))
 	for range 20 {
-		g.open()
+		g.restoreConnection()
 	}
 	for range digestSteps {
 		g.now += decision.Micros(g.rng.IntN(25_000))
@@ -123,8 +123,8 @@
 	return fmt.Sprintf("%016x", g.digest.Sum64()), g.kinds
 }
 
-// drawSettings gives each seed other settings, so that each mode is covered.
-func (g *eventGenerator) drawSettings(seed uint64) decision.Settings {
+// settingsForSeed returns settings that vary with the seed, so that every mode is covered.
+func (g *eventGenerator) settingsForSeed(seed uint64) decision.Settings {
 	const second = 1_000_000
 	bit := func(n uint) bool { return seed>>n&1 == 1 }
 	s := decision.Settings{
@@ -159,7 +159,7 @@
 	for range n {
 		server := uint32(g.rng.IntN(16))
 		if g.chance(0.1) {
-			g.started[server] = g.now - decision.Micros(g.rng.IntN(10_000_000))
+			g.startedAt[server] = g.now - decision.Micros(g.rng.IntN(10_000_000))
 		}
 		state := decision.Ready
 		if g.chance(0.12) {
@@ -168,7 +168,7 @@
 		update.Entries = append(update.Entries, decision.ServerEntry{
 			Server: server, StableID: uint64(server) * 0x9e37,
 			Zone: uint32(server % 2), MachineType: uint16(server % 3), State: state, Weight: float64(1 + server%4),
-			Cell: uint64(server % 4), StartedAt: g.started[server],
+			Cell: uint64(server % 4), StartedAt: g.startedAt[server],
 		})
 	}
 	return update
@@ -193,22 +193,23 @@
 	return r
 }
 
-func (g *eventGenerator) open() {
+// restoreConnection passes in a connection that was established before the start.
+func (g *eventGenerator) restoreConnection() {
 	server, r := uint32(g.rng.IntN(16)), g.request()
 	g.attempts = append(g.attempts, attempt{id: r.ID, server: server, established: true})
-	g.sent[r.ID] = 1
+	g.attemptsStarted[r.ID] = 1
 	g.handle(decision.ExistingConnection{Request: r, Server: server})
 }
 
-// step handles one event, drawn by weight.
+// step generates and handles one random event, or lets time pass.
 func (g *eventGenerator) step() {
 	switch draw := g.rng.IntN(100); {
 	case draw < 30:
 		g.handle(g.request())
 	case draw < 75 && len(g.attempts) > 0:
-		g.advance(g.rng.IntN(len(g.attempts)))
+		g.advanceAttempt(g.rng.IntN(len(g.attempts)))
 	case draw < 80:
-		g.probed()
+		g.completeProbe()
 	case draw < 88:
 		g.handle(g.list(decision.UpdateDelta, 1+g.rng.IntN(3)))
 	case draw < 89:
@@ -227,35 +228,35 @@
 	}
 }
 
-// advance lets an attempt be established, report a metric, or end.
-func (g *eventGenerator) advance(i int) {
+// advanceAttempt reports attempt i as established or ended, or reports a metric of it.
+func (g *eventGenerator) advanceAttempt(i int) {
 	a := g.attempts[i]
-	took := decision.Micros(math.Exp(13 * g.rng.Float64()))
-	if g.slow {
-		took = decision.Micros(100_000 + g.rng.IntN(250_000))
+	duration := decision.Micros(math.Exp(13 * g.rng.Float64()))
+	if g.slowSetups {
+		duration = decision.Micros(100_000 + g.rng.IntN(250_000))
 	}
 	switch {
-	case !a.established && g.chance(1-g.failing):
+	case !a.established && g.chance(1-g.failureRate):
 		g.attempts[i].established = true
-		g.handle(decision.Established{ID: a.id, Attempt: a.number, Server: a.server, SetupTime: took})
+		g.handle(decision.Established{ID: a.id, Attempt: a.number, Server: a.server, SetupTime: duration})
 	case a.established && g.chance(0.7):
-		note := decision.ConnectionMetric{
+		metric := decision.ConnectionMetric{
 			ID: a.id, Attempt: a.number, Server: a.server, Kind: decision.LoadMetric,
 			Value: 50_000 * g.rng.Float64(),
 		}
 		if g.chance(0.6) {
-			note.Kind, note.Value = decision.MessageLatencyMetric, 400*g.rng.Float64()*g.rng.Float64()
+			metric.Kind, metric.Value = decision.MessageLatencyMetric, 400*g.rng.Float64()*g.rng.Float64()
 		}
-		g.handle(note)
+		g.handle(metric)
 	default:
 		status := outcome.Status(g.rng.IntN(8))
-		if !g.chance(g.failing) {
+		if !g.chance(g.failureRate) {
 			status = outcome.OK
 		}
 		g.attempts[i] = g.attempts[len(g.attempts)-1]
 		g.attempts = g.attempts[:len(g.attempts)-1]
 		g.handle(decision.AttemptEnded{
-			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Duration: took,
+			ID: a.id, Attempt: a.number, Server: a.server, Status: status, Duration: duration,
 			RequestClosed: a.established ||
 				status == outcome.OK, CauseAlreadyReported: g.chance(0.1), LoadReport: g.report(),
 		})
@@ -269,14 +270,15 @@
 	}
 }
 
-func (g *eventGenerator) probed() {
+// completeProbe reports the result of the oldest probe in flight, if any.
+func (g *eventGenerator) completeProbe() {
 	if len(g.probes) == 0 {
 		return
 	}
 	server := g.probes[0]
 	g.probes = g.probes[1:]
 	status := outcome.OK
-	if g.chance(g.failing / 2) {
+	if g.chance(g.failureRate / 2) {
 		status = outcome.Status(g.rng.IntN(8))
 	}
 	g.handle(decision.ProbeResult{Server: server, Status: status, Duration: 900, LoadReport: g.report()})
@@ -286,12 +288,12 @@
 func (g *eventGenerator) handle(event decision.Event) {
 	g.out = g.balancer.Handle(g.now, event, g.out[:0])
 	for _, action := range g.out {
-		g.encode(action)
+		g.recordAction(action)
 	}
 }
 
-// encode adds one action to the digest and carries it out.
-func (g *eventGenerator) encode(action decision.Action) {
+// recordAction adds one action to the digest and updates the generator's state by it.
+func (g *eventGenerator) recordAction(action decision.Action) {
 	switch a := action.(type) {
 	case decision.WatchDiscovery:
 		g.add(0, flag(a.On))
@@ -299,8 +301,8 @@
 		g.add(actionFetch)
 	case decision.StartAttempt:
 		g.add(2, uint64(a.ID), uint64(a.Timeout), uint64(a.WriteTimeout), uint64(a.Server))
-		g.attempts = append(g.attempts, attempt{id: a.ID, server: a.Server, number: g.sent[a.ID]})
-		g.sent[a.ID]++
+		g.attempts = append(g.attempts, attempt{id: a.ID, server: a.Server, number: g.attemptsStarted[a.ID]})
+		g.attemptsStarted[a.ID]++
 	case decision.Reject:
 		g.add(3, uint64(a.ID), uint64(a.RetryAfter))
 	case decision.Fail:
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -3,12 +3,14 @@
 import "spurspread/decision/slowstart"
 
 const (
-	// defaultWeight is that of a server which is listed without one.
+	// defaultWeight is the weight of a server that discovery lists without one.
 	defaultWeight = 1.0
-	// longUnhealthyAfter is how long a server has to be Unhealthy for a refresh of the server list.
+	// longUnhealthyAfter is the time for which a server must be Unhealthy before the server list is refreshed for it.
 	longUnhealthyAfter = 10 * sec
 )
 
+// onServerListUpdate applies an update to the known servers. Any kind but UpdateDelta lists all servers, so those that
+// it does not list become Removed.
 func (b *Balancer) onServerListUpdate(now Micros, ev ServerListUpdate) {
 	if ev.Kind == UpdateFailed {
 		b.polling.Failed(now)
@@ -30,8 +32,8 @@
 	}
 }
 
-// updateServer applies one entry of an update. A server whose start time has changed is Unknown again, whatever it was
-// before.
+// updateServer applies one entry of an update. A server whose start time has changed has restarted: its health is
+// Unknown again and its measurements are reset.
 func (b *Balancer) updateServer(now Micros, entry *ServerEntry) {
 	s := b.serversByID[entry.Server]
 	switch {
@@ -42,7 +44,7 @@
 		s.setHealth(now, healthUnknown)
 	case entry.StartedAt != s.StartedAt && entry.State == Ready:
 		s.setHealth(now, healthUnknown)
-		s.restarted()
+		s.resetAfterRestart()
 	}
 	s.ServerEntry = *entry
 	if s.Weight <= 0 {
@@ -53,7 +55,8 @@
 	s.Weight = size
 }
 
-// updateMeanWeight computes the mean weight of the Ready servers, without any it stays, and all weights over it.
+// updateMeanWeight computes the mean weight of the Ready servers and each server's weight relative to it. If no server
+// is Ready, the mean stays as it was.
 func (b *Balancer) updateMeanWeight() {
 	total, ready := 0.0, 0.0
 	for _, s := range b.servers {
@@ -70,23 +73,23 @@
 	}
 }
 
-// grantStartupTokens lets a balancer that has just started send each server more than a burst: clients of the process
-// before it come back at once.
+// grantStartupTokens lets a balancer that has just started send each server more than a usual burst, since the clients
+// of the previous process reconnect all at once.
 func (b *Balancer) grantStartupTokens() {
 	for _, s := range b.servers {
 		s.budget.Tokens = slowstart.StartupTokens * s.Weight / b.meanWeight
 	}
 }
 
-// pollDiscovery polls discovery if its schedule says so.
+// pollDiscovery polls discovery if a poll is due and discovery must be polled.
 func (b *Balancer) pollDiscovery(now Micros) {
 	if b.settings.PollDiscovery && b.polling.PollDue(now) {
 		b.emit(WatchDiscovery{On: true})
 	}
 }
 
-// listUsable decides whether requests may be placed by the server list that is held, and polls discovery soon where
-// a process that has just started needs its first answer for that.
+// listUsable reports whether the present server list is recent enough to place requests by; it always is if discovery
+// pushes updates. Right after a start, it brings the first poll forward, because the cached list may be outdated.
 func (b *Balancer) listUsable(now Micros) bool {
 	if !b.settings.PollDiscovery {
 		return true
@@ -97,8 +100,8 @@
 }
 
 // refreshListIfLongUnhealthy schedules a poll of discovery if a listed server has been Unhealthy for
-// longUnhealthyAfter: it may be gone, and a missed update would explain it. The polling schedule bounds how often
-// that happens.
+// longUnhealthyAfter: the server may be gone and the update that removed it lost. The polling schedule limits how often
+// this happens.
 func (b *Balancer) refreshListIfLongUnhealthy(now Micros) {
 	if !b.settings.PollDiscovery {
 		return
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -13,16 +13,17 @@
 	for range 3 {
 		g.next++
 		if n := len(actionsOf[WatchDiscovery](g.handle(Request{ID: g.next, TimeLeft: sec}))); n != 0 {
-			t.Fatalf("%d polls at once, in step with all balancers that saw the same", n)
+			t.Fatalf("%d polls at once, want none: all balancers that see the same would poll together", n)
 		}
 	}
 	if n := len(actionsOf[WatchDiscovery](g.advance(Micros(g.b.polling.SpreadTime()) + tickInterval))); n != 1 {
-		t.Fatalf("%d polls within the fleet's spread time", n)
+		t.Fatalf("%d polls within the fleet's spread time, want 1", n)
 	}
 }
 
-// A fleet that starts with a list in which a server is gone since before: whatever the time of a balancer's first
-// request, none is sent to that server once the grace of drains has passed, and discovery answers all.
+// A fleet starts with a stored list that still has a server which was removed before the start. Whenever a balancer
+// gets its first request, it sends none to that server once DrainGrace has passed, and discovery answers every
+// balancer.
 func TestRestartedFleetLeavesRemovedServer(t *testing.T) {
 	const removed = 1
 	for _, n := range []int{3, 80, 300} {
--- a/decision/events.go
+++ b/decision/events.go
@@ -5,81 +5,82 @@
 // Event is an input of Balancer.Handle: one of the types below.
 type Event interface{ isEvent() }
 
-// ServerState is a server's state as discovery lists it. The values cross the simulator's wire.
+// ServerState is a server's state as discovery lists it. The values are part of the simulator's wire protocol.
 type ServerState uint8
 
-// The listed states. Only Ready servers get new connections. Those of a Draining one leave it by rebalance, where
-// servers report loads, or by MoveRequested.
+// The states of a server. Only Ready servers get new connections. Connections leave a Draining server through
+// MoveRequested or, where servers report loads, through rebalancing.
 const (
 	Draining ServerState = iota
 	Removed
 	Ready
 )
 
-// ServerEntry is one server as discovery lists it. Entries are shared between balancers and read only.
+// ServerEntry is one server as discovery lists it. Entries are shared between balancers and must not be modified.
 type ServerEntry struct {
-	Server      uint32 // this balancer's number of the server
-	StableID    uint64 // hash of the server's id, the same at every balancer, where Server may differ
-	Zone        uint32 // its index in the settings' list; above those, one number for each other zone
+	Server      uint32 // number by which this balancer identifies the server
+	StableID    uint64 // hash of the server's id; unlike Server, the same at every balancer
+	Zone        uint32 // index in the settings' list of zones; zones not listed there have higher numbers
 	MachineType uint16
 	State       ServerState
-	Weight      float64 // relative capacity, or as Settings.DynamicWeights says; 0 or less where not listed
+	Weight      float64 // relative capacity, or see Settings.DynamicWeights; 0 or less if not listed
 	Cell        uint64
-	StartedAt   Micros // 0: in the distant past
+	StartedAt   Micros // 0: long ago, so that it is fully warmed up
 }
 
-// UpdateKind says what a ServerListUpdate carries. The values cross the simulator's wire.
+// UpdateKind is the kind of a ServerListUpdate. The values are part of the simulator's wire protocol.
 type UpdateKind uint8
 
 // The kinds of updates.
 const (
-	UpdateDelta  UpdateKind = iota // the servers that have changed
+	UpdateDelta  UpdateKind = iota // only the servers that have changed
 	UpdateFull                     // all servers; those not listed are removed
-	UpdateCached                   // all servers as last known, at start
-	UpdateFailed                   // a poll failed or the watch ended; nothing is listed
+	UpdateCached                   // all servers from a stored list, at start
+	UpdateFailed                   // a poll failed or the watch ended; there are no entries
 )
 
 // maxReportValues bounds the values of one load report.
 const maxReportValues = 4
 
-// LoadReport is a server's load report: the first Count of Values are set, in the order of Settings.LoadReportColumns.
+// LoadReport is a server's report of its load. The first Count of Values are set, in the order of
+// Settings.LoadReportColumns.
 type LoadReport struct {
 	Count  int
 	Values [maxReportValues]float32
 }
 
-// MetricKind says what a ConnectionMetric measures. The values cross the simulator's wire.
+// MetricKind is the kind of a ConnectionMetric. The values are part of the simulator's wire protocol.
 type MetricKind uint8
 
 // The kinds of metrics.
 const (
-	LoadMetric           MetricKind = 1 // the connection's present load, in microseconds of work a second
-	MessageLatencyMetric MetricKind = 2 // how long a message takes at the server at present, in milliseconds
+	LoadMetric           MetricKind = 1 // current load of the connection, in microseconds of work per second
+	MessageLatencyMetric MetricKind = 2 // current message latency at the server, in milliseconds
 )
 
 // The events.
 type (
-	// ServerListUpdate is an update from discovery.
+	// ServerListUpdate is an update of the server list from discovery, or the failure to get one.
 	ServerListUpdate struct {
 		Kind    UpdateKind
 		Entries []ServerEntry
 	}
-	// Request is a client's request for a connection. It gets its final answer within TimeLeft. A second Request with
-	// the ID of one that has not ended is ignored.
+	// Request is a client's request for a connection. It gets its final answer within TimeLeft. It is ignored if
+	// another request with the same ID has not ended.
 	Request struct {
 		ID            uint32
 		TimeLeft      Micros
-		Class         int     // index in Settings.Classes; out of range is treated as NonIdempotent
+		Class         int     // index in Settings.Classes; NonIdempotent if out of range
 		Tenant        int     // index in Settings.Tenants. Not used.
-		Key           uint64  // idempotency key; selects the server where Settings.Passthrough is set
-		Group         uint64  // connections of one group are placed together; 0: none
-		LoadHint      float64 // expected load, in microseconds of work a second; valid if HasLoadHint
+		Key           uint64  // idempotency key; selects the server if Settings.Passthrough is set
+		Group         uint64  // connections of one group are placed on the same servers; 0: none
+		LoadHint      float64 // expected load, in microseconds of work per second; valid if HasLoadHint
 		HasLoadHint   bool
 		Retry         bool // the client has tried before. Not used.
-		MidConnection bool // packets of an established connection now arrive at this balancer. Not used.
-		Reconnected   bool // the client came back after its connection was lost or moved
-		Resumable     bool // when moved, the client can be sent to a certain server; see MoveConnection
-		Pinned        bool // the client was sent to PinnedServer: no other may serve it, in one attempt
+		MidConnection bool // packets of a connection established elsewhere now arrive here. Not used.
+		Reconnected   bool // the client reconnects after its connection was lost or moved
+		Resumable     bool // a move can direct the client to a given server; see MoveConnection
+		Pinned        bool // only PinnedServer may serve it, in a single attempt
 		PinnedServer  uint32
 	}
 	// ExistingConnection is a connection that was established before this balancer started.
@@ -102,39 +103,40 @@
 		Kind    MetricKind
 		Value   float64 // unit by Kind
 	}
-	// AttemptEnded reports the end of an attempt, or of its connection where that was established.
+	// AttemptEnded reports the end of an attempt, or of its connection if that was established.
 	AttemptEnded struct {
 		ID                   uint32
 		Attempt              int
 		Server               uint32
 		Status               outcome.Status
 		Duration             Micros
-		RequestClosed        bool // the request has its answer, or its client has left: no retry
-		CauseAlreadyReported bool // the cause has been reported with another attempt: no further evidence on the server
+		RequestClosed        bool // answered, or the client has left: the request is not retried
+		CauseAlreadyReported bool // reported with another attempt: do not count it again
 		LoadReport           LoadReport
 	}
-	// MoveRequested reports that an established connection must leave its server, which drains or has closed it. With
-	// SameServerAllowed the server is not the cause, and the client may return to it. A MoveConnection answers.
+	// MoveRequested reports that an established connection must be moved because its server drains or has closed it.
+	// If SameServerAllowed is set, the server is not the reason and the client may return to it. The core responds with
+	// a MoveConnection.
 	MoveRequested struct {
 		ID                uint32
 		SameServerAllowed bool
 	}
-	// RequestCancelled reports that the client has left, or that nothing can be answered in time any more.
+	// RequestCancelled reports that the client has left, or that no answer can reach it in time. It gets no answer.
 	RequestCancelled struct{ ID uint32 }
-	// RequestExpired requests the final answer at once, if there was none: the request's time is up, or the balancer
-	// shuts down.
+	// RequestExpired makes the core send the request's final answer at once, unless it has one: its deadline has passed
+	// or the balancer shuts down.
 	RequestExpired struct{ ID uint32 }
 	// TimerFired reports that a timer has fired.
 	TimerFired struct{ Token TimerToken }
-	// ProbeResult is the result of one ProbeServer.
+	// ProbeResult reports the result of a ProbeServer.
 	ProbeResult struct {
 		Server     uint32
 		Status     outcome.Status
 		Duration   Micros
 		LoadReport LoadReport
 	}
-	// SettingsChanged brings a complete, checked set of settings. Requests that arrive later are decided by it, with
-	// the classes numbered as it numbers them; earlier ones keep the class that they arrived with.
+	// SettingsChanged replaces all settings by a validated set. Requests that arrive later refer to its classes;
+	// earlier requests keep the class that they arrived with.
 	SettingsChanged struct{ Settings Settings }
 )
 
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// balancerFleet is a fleet of balancers in virtual time, which share the servers and one discovery. Sums over all show
-// what one balancer may do and eighty may not.
+// balancerFleet is a fleet of balancers in virtual time that share the servers and one discovery. It shows the total
+// load of decisions that are harmless at one balancer but not at eighty.
 type balancerFleet struct {
 	t         *testing.T
 	balancers []*Balancer
@@ -17,7 +17,7 @@
 	onAction  func(i int, a Action) // carries out an action other than SetTimer
 }
 
-// Numbers of seeds for tests of what must hold for any seed.
+// Numbers of seeds for tests of properties that must hold for any seed.
 const fleetSeeds, manyFleetSeeds = 12, 60
 
 type timerEvent struct {
@@ -40,7 +40,7 @@
 	return last
 }
 
-// newBalancerFleet starts n balancers at the same time, spread over the zones, with the same server list.
+// newBalancerFleet starts n balancers at the same time and with the same server list, spread over the zones.
 func newBalancerFleet(t *testing.T, n int, s Settings, list []ServerEntry, seed uint64) *balancerFleet {
 	m := &balancerFleet{t: t, now: start, onAction: func(int, Action) {}}
 	s.Balancers = n
@@ -78,18 +78,18 @@
 	m.now = until
 }
 
-// discoveryQueue stands for discovery, which takes one call after another. A call that has waited for a second
-// fails and takes its time all the same.
+// discoveryQueue simulates discovery, which serves one call after another. A call fails if it is not answered within a
+// second, but still takes its call time.
 type discoveryQueue struct {
 	fleet        *balancerFleet
-	callTime     Micros // that one call takes
+	callTime     Micros // duration of one call
 	idleAt       Micros // when all queued calls are done
 	downUntil    Micros // no call is answered before
 	calls        map[Micros]int
 	firstFreshAt map[int]Micros
 }
 
-// poll queues a call of balancer i.
+// poll queues a call by balancer i.
 func (q *discoveryQueue) poll(i int) {
 	m := q.fleet
 	q.calls[m.now/sec]++
@@ -109,10 +109,10 @@
 	})
 }
 
-// Eighty balancers that start together, or get no update for a while, must not keep discovery so busy that it
-// answers none: their polls stay within bounds, and each has a fresh list soon. Whoever failed polls again within
-// 2.9 s, since an update counts as received 6 s after it was made: that is 27 calls a second of eighty, beside 10
-// of first polls.
+// Eighty balancers that start together, or get no update for a while, must not overload discovery so much that it
+// answers none of them: their polls stay within bounds, and each has a fresh list soon. A balancer polls again within
+// 2.9 s of a failure, because it must know a change within 6 s. With eighty balancers that is 27 calls a second, in
+// addition to 10 first polls.
 func TestFleetPollsNoMoreThanDiscoveryAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		balancers       int
@@ -160,21 +160,21 @@
 				if n > c.maxInSecond {
 					t.Errorf("%s, seed %d: %d calls in second %d", name, seed, n, second-start/sec)
 				}
-				lasting := 0
+				inTenSeconds := 0
 				for later := range Micros(10) {
-					lasting += q.calls[second+later]
+					inTenSeconds += q.calls[second+later]
 				}
-				if lasting > c.maxInTenSeconds {
+				if inTenSeconds > c.maxInTenSeconds {
 					t.Errorf("%s, seed %d: %d calls in ten seconds from %d on",
-						name, seed, lasting, second-start/sec)
+						name, seed, inTenSeconds, second-start/sec)
 				}
 			}
 		}
 	}
 }
 
-// Each balancer has few connections of a group, and lists the servers in its own order; still all send a group's
-// connections to the same server of a zone, and different groups to different servers.
+// Each balancer has few connections of a group and numbers the servers differently. Even so, all balancers send a
+// group's connections to the same server, and different groups to different servers.
 func TestFleetKeepsGroupsTogether(t *testing.T) {
 	s := testSettings()
 	s.Zones = 1
@@ -186,44 +186,45 @@
 		}
 		m.handle(i, ServerListUpdate{Kind: UpdateCached, Entries: list})
 	}
-	places, used := map[uint64]map[uint64]bool{}, map[uint64]bool{}
+	serversByGroup, used := map[uint64]map[uint64]bool{}, map[uint64]bool{}
 	at := 0
 	m.onAction = func(i int, a Action) {
 		if a, ok := a.(StartAttempt); ok {
 			group, where := uint64(at%12+1), m.balancers[i].serversByID[a.Server].StableID
-			if places[group] == nil {
-				places[group] = map[uint64]bool{}
+			if serversByGroup[group] == nil {
+				serversByGroup[group] = map[uint64]bool{}
 			}
-			places[group][where], used[where] = true, true
+			serversByGroup[group][where], used[where] = true, true
 		}
 	}
 	for at = range 40 * 3 {
 		m.handle(at%40, Request{ID: uint32(at), TimeLeft: sec, Group: uint64(at%12 + 1)})
 	}
 	all := 0
-	for _, in := range places {
+	for _, in := range serversByGroup {
 		all += len(in)
 	}
-	if len(places) != 12 || all > 24 || len(used) < 5 {
-		t.Errorf("%d groups in %d places at %d of 8 servers", len(places), all, len(used))
+	if len(serversByGroup) != 12 || all > 24 || len(used) < 5 {
+		t.Errorf("%d groups, %d pairs of group and server, %d of 8 servers used", len(serversByGroup), all, len(used))
 	}
 }
 
-// warmServerRate is how many connections a second a server of mean weight takes once it is warmed up; see
-// docs/design/fleet.md. A fleet's slow-start budget stays under OverloadFactor times this.
+// warmServerRate is the number of connections per second that a server of mean weight takes once it is warmed up; see
+// docs/design/fleet.md. A fleet's slow-start budget stays below OverloadFactor times this rate.
 const warmServerRate = 3.8
 
-// slowStartCase is how requests come to a fleet of which one server warms up.
+// slowStartCase describes how requests arrive at a fleet while one server warms up.
 type slowStartCase struct {
 	zones    int
 	interval Micros  // between two requests at each balancer
 	first    Micros  // time of the first request at the first balancer
-	spread   Micros  // time from that to the last balancer's first
-	minUsed  float64 // part of the budget that has to be used
+	spread   Micros  // time from that to the last balancer's first request
+	minUsed  float64 // minimum fraction of the budget that must be used
 }
 
-// playSlowStart returns how many attempts eighty balancers together start at a warming server, by second.
-func playSlowStart(t *testing.T, c slowStartCase, seed uint64) map[Micros]float64 {
+// simulateSlowStart returns the number of attempts that eighty balancers together start at a server that warms up, by
+// second.
+func simulateSlowStart(t *testing.T, c slowStartCase, seed uint64) map[Micros]float64 {
 	t.Helper()
 	const balancers, warmingServer = 80, 50
 	s := testSettings()
@@ -244,7 +245,7 @@
 		}
 		m.after(20*ms, func() { m.handle(i, Established{ID: a.ID, Server: a.Server, SetupTime: 20 * ms}) })
 	}
-	// With a part of the fleet absent, warming servers of other zones get connections, too.
+	// While a part of the fleet is missing, balancers also send connections to servers of other zones that warm up.
 	absent := []ServerEntry{{Server: 1, StableID: stableID(1), State: Removed}}
 	for i := range m.balancers {
 		m.handle(i, ServerListUpdate{Kind: UpdateDelta, Entries: absent})
@@ -263,12 +264,13 @@
 	return attempts
 }
 
-// slowStartLimit is how many connections a second all balancers may start at a server of that age.
+// slowStartLimit returns the number of connections per second that all balancers may start at a server of the given age
+// in seconds.
 func slowStartLimit(age float64) float64 { return 2.5 * warmServerRate * (0.2 + 0.8*age/20) }
 
-// Eighty balancers together stay within a warming server's slow-start budget in every second, though each one's part is
-// far less than one connection, also where all get a request at once after a quiet time. Where few have a request in a
-// second, the budget is not all wasted.
+// Eighty balancers together stay within a server's slow-start budget in every second, although each one's share is far
+// less than one connection, and even if all get a request at once after a period without any. If few of them have a
+// request in a second, part of the budget is still used.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for name, c := range map[string]slowStartCase{
 		"many requests":              {1, 500 * ms, 0, 500 * ms, 0.2},
@@ -280,11 +282,11 @@
 	} {
 		sums := map[Micros]float64{}
 		for seed := range uint64(manyFleetSeeds) {
-			for second, n := range playSlowStart(t, c, seed) {
+			for second, n := range simulateSlowStart(t, c, seed) {
 				sums[second] += n
 				mean := slowStartLimit(float64(second))
 				if limit := mean + 2*math.Sqrt(mean) + 2; n > limit {
-					t.Errorf("%s: seed %d: %.0f attempts in second %d, at most %.1f are expected by chance",
+					t.Errorf("%s: seed %d: %.0f attempts in second %d, want at most %.1f including random variation",
 						name, seed, n, second, limit)
 				}
 			}
@@ -305,8 +307,8 @@
 	}
 }
 
-// A server that reports its own latency is not probed by balancers that have connections there; they make it Connected
-// again once the reports have ceased.
+// A server that reports high message latency is not probed by balancers that have connections there; it is Connected
+// again once the reports have stopped.
 func TestFleetDoesNotProbeServersThatReportLatency(t *testing.T) {
 	m := newBalancerFleet(t, 80, testSettings(), serverList(4, 4), 5)
 	probes := 0
@@ -327,12 +329,12 @@
 		m.run(m.now + sec)
 	}
 	if probes > 0 {
-		t.Errorf("%d probes", probes)
+		t.Errorf("%d probes, want none", probes)
 	}
 	m.run(m.now + 10*sec)
 	for i, b := range m.balancers {
 		if s := b.serversByID[1]; s.health != healthConnected {
-			t.Fatalf("balancer %d still has it as %v", i, s.health)
+			t.Fatalf("balancer %d: health %v after the reports have stopped, want Connected", i, s.health)
 		}
 	}
 }
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -8,9 +8,9 @@
 	"spurspread/decision/slowstart"
 )
 
-const start = 1000 * sec // an arbitrary time of the clock
+const start = 1000 * sec // arbitrary start time
 
-// harness drives one balancer through time.
+// harness drives one balancer in virtual time.
 type harness struct {
 	t    *testing.T
 	b    *Balancer
@@ -42,7 +42,7 @@
 	return out
 }
 
-// stableID stands for the hash of a server's id.
+// stableID returns a number in place of the hash of a server's id.
 func stableID(i int) uint64 { return uint64(i) * 0xd1342543de82ef95 }
 
 func newHarness(t *testing.T, s Settings, entries []ServerEntry) *harness {
@@ -54,7 +54,7 @@
 
 func (g *harness) handle(ev Event) []Action { return g.b.Handle(g.now, ev, nil) }
 
-// advance lets time pass, tick by tick, and returns the actions of the ticks.
+// advance advances the time by d in ticks and returns the actions of the ticks.
 func (g *harness) advance(d Micros) []Action {
 	var out []Action
 	for end := g.now + d; g.now < end; {
@@ -64,7 +64,7 @@
 	return out
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](all []Action) []A {
 	var out []A
 	for _, a := range all {
@@ -75,7 +75,8 @@
 	return out
 }
 
-// request attempts one request while set-ups and tokens are unlimited, and returns its server, or 0.
+// request passes one request to the balancer, with set-ups and tokens unlimited, and returns the server that its
+// attempt is sent to, or 0 without an attempt.
 func (g *harness) request() (id, server uint32) {
 	g.b.setups.Limit = math.Inf(1)
 	for _, s := range g.b.servers {
@@ -84,7 +85,8 @@
 	return g.requestNow()
 }
 
-// requestNow attempts one request and returns its server, or 0.
+// requestNow passes one request to the balancer and returns the server that its attempt is sent to, or 0 without an
+// attempt.
 func (g *harness) requestNow() (id, server uint32) {
 	g.next++
 	actions := g.handle(Request{ID: g.next, TimeLeft: 2 * sec})
@@ -94,7 +96,7 @@
 	return g.next, 0
 }
 
-// connect attempts a request and establishes its connection.
+// connect establishes the connection of a new request.
 func (g *harness) connect() (id, server uint32) {
 	g.t.Helper()
 	id, server = g.request()
@@ -105,7 +107,7 @@
 	return id, server
 }
 
-// connectMany establishes n connections and returns one for each server.
+// connectMany establishes n connections and returns the ID of one connection for each server.
 func (g *harness) connectMany(n int) map[uint32]uint32 {
 	g.t.Helper()
 	byServer := map[uint32]uint32{}
@@ -123,21 +125,21 @@
 	return g.handle(AttemptEnded{ID: id, Attempt: attempt, Server: server, Status: status})
 }
 
-// reportLatency reports how long a message takes at a server, in milliseconds, and returns the moves that follow.
+// reportLatency reports a server's message latency in milliseconds and returns the resulting moves.
 func (g *harness) reportLatency(id, server uint32, milliseconds float64) []MoveConnection {
 	return actionsOf[MoveConnection](
 		g.handle(ConnectionMetric{ID: id, Server: server, Kind: MessageLatencyMetric, Value: milliseconds}),
 	)
 }
 
-// reconnectCost returns the admission cost of a client that has reconnected.
+// reconnectCost returns the admission cost of a client that reconnects now.
 func (g *harness) reconnectCost() float64 {
 	g.next++
 	return g.b.addRequest(g.now, &Request{ID: g.next, TimeLeft: sec, Reconnected: true}).admissionCost
 }
 
-// loadReportingSettings is a deployment whose servers report the loads of connections, whose weights fall with use, and
-// whose probes report utilization.
+// loadReportingSettings returns the settings of a deployment whose servers report the loads of connections, whose
+// weights fall with use, and whose probes report utilization.
 func loadReportingSettings() Settings {
 	s := testSettings()
 	s.ReportsConnectionLoad, s.DynamicWeights, s.Zones, s.Balancers = true, true, 1, 1
@@ -155,7 +157,8 @@
 	return list
 }
 
-// connectWithLoad establishes a connection of this load and group, and returns its server.
+// connectWithLoad establishes a connection of the given load, in microseconds of work per second, and group. It returns
+// the connection's server.
 func (g *harness) connectWithLoad(load float64, group uint64) uint32 {
 	g.t.Helper()
 	g.now += 100 * ms
--- a/decision/health.go
+++ b/decision/health.go
@@ -8,19 +8,19 @@
 	"spurspread/decision/slowstart"
 )
 
-// healthState is what a balancer knows of a server's health, from its own attempts, probes and metrics.
+// healthState is a server's health as this balancer sees it, from its own attempts, probes and metrics.
 //
 //	Unknown    newly listed or restarted; selected like Connected
-//	Connected  an attempt or a probe has succeeded, or a slow server reports no latency any more
+//	Connected  an attempt or a probe has succeeded, or a slow server has stopped reporting its latency
 //	Pending    being validated (recoverServer); selected after the first two for pendingTimeout, then like them
 //	Unhealthy  demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
 //
-// Any established attempt, and any latency report that is in time, makes a state Connected. Which outcomes make it
-// Unhealthy, and which do not (a full server, a first reset, failures that all servers share), is updateHealth's rule.
-// Where nothing validates a Pending server, it ranks with the healthy ones after pendingTimeout all the same.
+// Any established attempt, and any latency report below latency.SlowThreshold, makes a server Connected. Which outcomes
+// make it Unhealthy, and which do not (a full server, a single reset, failures shared by all servers), is decided by
+// updateHealth. A Pending server that nothing validates ranks with the healthy ones after pendingTimeout.
 type healthState uint8
 
-// The four states.
+// The health states.
 const (
 	healthConnected healthState = iota
 	healthUnknown
@@ -31,32 +31,33 @@
 )
 
 const (
-	// pendingTimeout is how long a server that is being validated ranks after the healthy ones.
+	// pendingTimeout is the time for which a Pending server ranks after the healthy ones.
 	pendingTimeout = 10 * sec
-	// minValidationDelay is the mean time from a server's first demotion to its validation. It doubles with each
-	// consecutive demotion, maxValidationDoublings times at most, up to maxValidationDelay.
+	// minValidationDelay is the mean delay from a server's first demotion to its validation. The delay doubles with
+	// each consecutive demotion, at most maxValidationDoublings times and up to maxValidationDelay.
 	minValidationDelay     = 1 * sec
 	maxValidationDelay     = 6 * sec
 	maxValidationDoublings = 8
-	// demotionResetAfter is how long a server has to be Connected for its next demotion to count as the first.
+	// demotionResetAfter is the time for which a server must be Connected for its next demotion to count as the first
+	// again.
 	demotionResetAfter = 10 * sec
-	// maxConcurrentProbes bounds the probes under way at all servers.
+	// maxConcurrentProbes limits the probes in flight to all servers together.
 	maxConcurrentProbes = 4
-	// maxSlowUnhealthyShare is the part of a zone's Ready servers that may be Unhealthy after one is demoted for
+	// maxSlowUnhealthyShare is the fraction of a zone's Ready servers that may be Unhealthy after one is demoted for
 	// slowness.
 	maxSlowUnhealthyShare = 0.5
 	// maxValidationUtilization is the reported utilization above which a probe does not validate a server.
 	maxValidationUtilization = 0.85
 
-	// serverFullPause is how long a server that rejected an attempt as full gets nothing new, resetPause the same
-	// for one that reset connections.
+	// serverFullPause and resetPause are the mean times for which a server gets no new attempt after it rejected one as
+	// full or reset connections.
 	serverFullPause = 300 * ms
 	resetPause      = 2 * sec
-	// resetPairWindow is the time within which two resets count as the server's fault rather than the network's.
+	// resetPairWindow is the time within which two resets are attributed to the server rather than to the network.
 	resetPairWindow = 1 * sec
 )
 
-// Ranks of servers in a selection, best first.
+// Health ranks of servers in a selection, best first.
 const (
 	rankHealthy = iota
 	rankPending
@@ -64,8 +65,8 @@
 	healthRankCount
 )
 
-// healthRank returns a server's rank by its state: one of lower rank is selected only if none of a better rank may
-// have the request.
+// healthRank returns the rank of a server's health state. A server is selected only if no server of a better rank can
+// receive the request.
 func healthRank(now Micros, s *server) int {
 	switch s.health {
 	case healthUnhealthy:
@@ -78,12 +79,13 @@
 	return rankHealthy
 }
 
+// setHealth enters state h, also if the server is in it already.
 func (s *server) setHealth(now Micros, h healthState) {
 	s.health = h
 	s.enteredAt[h] = now
 }
 
-// markConnected records that an attempt, a message or a validation succeeded.
+// markConnected makes the server Connected, because an attempt or a validation succeeded or its latency is in order.
 func (b *Balancer) markConnected(now Micros, s *server) {
 	s.demotedForFailure = false
 	if s.health != healthConnected {
@@ -91,10 +93,14 @@
 	}
 }
 
-// updateHealth draws the server's health from how an attempt or a connection ended. A failed connect demotes; an error
-// response and a time-out do unless failures are shared by all servers, the time-out as slowness. A second reset within
-// resetPairWindow demotes and pauses the server: one that is overloaded drops connections, one that died resets all. A
-// server that is full is paused only.
+// updateHealth updates a server's health by the outcome of an attempt or a connection:
+//
+//   - A failed connect demotes the server.
+//   - An error response demotes it, unless failures are shared by all servers.
+//   - A time-out demotes it for slowness, unless failures are shared by all servers.
+//   - A second reset within resetPairWindow demotes and pauses it: an overloaded server drops connections, and one that
+//     has died resets all of them.
+//   - A rejection because the server is full only pauses it.
 func (b *Balancer) updateHealth(now Micros, s *server, status outcome.Status, wasEstablished bool) {
 	switch status {
 	case outcome.OK:
@@ -122,12 +128,13 @@
 	}
 }
 
-// recordSetup counts the end of a set-up, which took that long, in what is known of set-ups at all servers.
+// recordSetup reports the outcome and duration of a set-up to the concurrency limiter.
 func (b *Balancer) recordSetup(status outcome.Status, duration Micros) {
 	b.setups.Record(setupOutcome(status), float64(duration))
 }
 
-// setupOutcome returns what an attempt's status says of set-ups in general: nothing, unless the server had it.
+// setupOutcome converts an attempt's status for the concurrency limiter. A status that does not show how the server
+// handled the set-up is Inconclusive.
 func setupOutcome(status outcome.Status) concurrency.Outcome {
 	switch status {
 	case outcome.OK:
@@ -141,23 +148,24 @@
 	}
 }
 
-// demoteForFailure makes a server Unhealthy that is not.
+// demoteForFailure makes a server Unhealthy because of a failure, unless it is Unhealthy already.
 func (b *Balancer) demoteForFailure(now Micros, s *server) {
 	if s.health != healthUnhealthy {
 		b.demote(now, s, true)
 	}
 }
 
-// demoteForSlowness makes a server Unhealthy that is not, unless slowness seems to be shared in its zone.
+// demoteForSlowness makes a server Unhealthy because it is slow, unless it is Unhealthy already or slowness is shared
+// in its zone.
 func (b *Balancer) demoteForSlowness(now Micros, s *server) {
 	if s.health != healthUnhealthy && !b.slownessShared(s) {
 		b.demote(now, s, false)
 	}
 }
 
-// slownessShared reports whether the demotion of s would leave over maxSlowUnhealthyShare of the Ready servers of
-// its zone Unhealthy. The cause is then one that they share (a store, a link, overload), and demoting all only
-// moves the load.
+// slownessShared reports whether the demotion of s would leave more than maxSlowUnhealthyShare of its zone's Ready
+// servers Unhealthy. The servers then probably have a common cause, such as a store, a link or overload, and demoting
+// all of them would only shift the load.
 func (b *Balancer) slownessShared(s *server) bool {
 	ready, unhealthy := 0, 0
 	for _, other := range b.servers {
@@ -184,14 +192,15 @@
 	s.consecutiveDemotions++
 }
 
-// validationDelay is the mean time from a demotion to the validation, by the number of demotions before it.
+// validationDelay returns the mean delay from a demotion to the validation, given the number of consecutive demotions
+// before it.
 func validationDelay(consecutiveDemotions int) Micros {
 	return backoff.Exponential(minValidationDelay, maxValidationDelay, consecutiveDemotions, maxValidationDoublings)
 }
 
-// recoverServer decides how an Unhealthy server whose delay is over comes back. One that failed, or has no
-// connections, has to be validated. One that was slow and has connections is Connected again once these report no
-// latency any more: they would, if it still was slow.
+// recoverServer starts the return of an Unhealthy server whose validation delay is over. A server that was demoted for
+// a failure, or that has no connections, must be validated. A slow one with connections is Connected again once its
+// last latency report has expired: if it were still slow, the connections would report it.
 func (b *Balancer) recoverServer(now Micros, s *server) {
 	if s.State != Ready || s.health != healthUnhealthy || now < s.validateAt {
 		return
@@ -203,9 +212,8 @@
 	}
 }
 
-// validateServer makes an Unhealthy server Pending and probes it. Where Settings.AllowProbes is not set,
-// the next request that it gets validates it. With maxConcurrentProbes under way it stays Unhealthy until a later
-// tick.
+// validateServer makes an Unhealthy server Pending and probes it. If Settings.AllowProbes is not set, the next request
+// that it gets validates it instead. If maxConcurrentProbes are in flight, it stays Unhealthy until a later tick.
 func (b *Balancer) validateServer(now Micros, s *server) {
 	if b.settings.AllowProbes {
 		if b.probesUnderWay >= maxConcurrentProbes || s.probing {
@@ -222,6 +230,7 @@
 	b.emit(ProbeServer{Server: s.Server})
 }
 
+// onProbeResult applies the load report of a probe and, for a Pending server, ends its validation.
 func (b *Balancer) onProbeResult(now Micros, ev ProbeResult) {
 	s := b.serversByID[ev.Server]
 	if s == nil || !s.probing {
@@ -238,9 +247,9 @@
 	}
 }
 
-// endValidation decides whether a validated server is Connected: if the probe succeeded and it reports a
-// utilization of no more than maxValidationUtilization. A probe that was never sent says nothing: it is repeated
-// after minValidationDelay.
+// endValidation makes a Pending server Connected if its probe succeeded and reported a utilization of at most
+// maxValidationUtilization; otherwise it demotes the server. A probe that was never sent is inconclusive: it is
+// repeated after about minValidationDelay and does not count as a demotion.
 func (b *Balancer) endValidation(now Micros, s *server, status outcome.Status, utilization float64) {
 	switch {
 	case status == outcome.Inconclusive:
@@ -253,9 +262,9 @@
 	}
 }
 
-// onMessageLatencyMetric updates what is known of a server's latency. A slow server is demoted, and all servers
-// lose the tokens beyond a burst, since others are about to get its load. One that misses the shortest message
-// objective is paused too, and some of its connections move. One that is in time again is Connected.
+// onMessageLatencyMetric updates the latency estimate of a server. A server that is slow is demoted, and the tokens of
+// all servers are capped at a burst, since the others are about to get its load. If it misses the shortest message
+// latency objective, it is also paused and some of its connections move. A server that is no longer slow is Connected.
 func (b *Balancer) onMessageLatencyMetric(now Micros, ev ConnectionMetric) {
 	s := b.serversByID[ev.Server]
 	if s == nil {
@@ -278,6 +287,6 @@
 	b.demoteForSlowness(now, s)
 	if s.latency.MissesObjective(now) {
 		s.pauseUntil(now + latency.ReportLifetime)
-		b.moveFromLateServer(now, s)
+		b.moveFromSlowServer(now, s)
 	}
 }
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -15,7 +15,7 @@
 	g.connect()
 	if s := g.b.serversByID[1]; s.health != healthConnected || s.enteredAt[healthConnected] != g.now ||
 		s.enteredAt[healthUnknown] != start {
-		t.Fatalf("health %v, entered at %v", s.health, s.enteredAt)
+		t.Fatalf("health %v, states entered at %v", s.health, s.enteredAt)
 	}
 }
 
@@ -25,7 +25,7 @@
 		id, s := g.request()
 		g.endAttempt(id, s, 0, status)
 		if g.health(s) != healthUnhealthy {
-			t.Errorf("status %v leaves the server %v", status, g.health(s))
+			t.Errorf("after status %v: health %v, want Unhealthy", status, g.health(s))
 		}
 	}
 	for _, status := range []outcome.Status{
@@ -35,41 +35,41 @@
 		id, s := g.request()
 		g.endAttempt(id, s, 0, status)
 		if g.health(s) == healthUnhealthy {
-			t.Errorf("status %v demotes", status)
+			t.Errorf("after status %v: health Unhealthy, want no demotion", status)
 		}
 	}
 }
 
-// An error response demotes once another server has accepted the same request. A request that gets errors from two
-// servers is at fault itself: it is not retried again, and demotes no server.
+// An error response demotes a server only once another server has accepted the same request. If two servers answer with
+// errors, the request itself is at fault: it is not retried again, and no server is demoted.
 func TestErrorNeedsASecondServersConfirmation(t *testing.T) {
 	for _, second := range []outcome.Status{outcome.OK, outcome.ErrorResponse} {
 		g := newHarness(t, testSettings(), serverList(4, 0))
 		id, s := g.request()
 		attempts := actionsOf[StartAttempt](g.endAttempt(id, s, 0, outcome.ErrorResponse))
 		if len(attempts) != 1 || attempts[0].Server == s || g.health(s) == healthUnhealthy {
-			t.Fatalf("attempts %v, server %v", attempts, g.health(s))
+			t.Fatalf("after the first error: attempts %v, health %v", attempts, g.health(s))
 		}
 		other := attempts[0].Server
 		if second == outcome.OK {
 			g.handle(Established{ID: id, Attempt: 1, Server: other, SetupTime: 10 * ms})
 			if g.health(s) != healthUnhealthy || g.health(other) != healthConnected {
-				t.Errorf("first %v, second %v", g.health(s), g.health(other))
+				t.Errorf("health of the first server %v, of the second %v", g.health(s), g.health(other))
 			}
 			continue
 		}
 		if actions := g.endAttempt(id, other, 1, outcome.ErrorResponse); len(actionsOf[Reject](actions)) != 1 ||
 			len(actionsOf[StartAttempt](actions)) != 0 {
-			t.Errorf("not rejected: %v", actions)
+			t.Errorf("after the second error: %v, want a Reject", actions)
 		}
 		if g.health(s) == healthUnhealthy || g.health(other) == healthUnhealthy || g.b.setups.FailuresShared() {
-			t.Errorf("first %v, second %v, failures shared %v",
+			t.Errorf("health of the first server %v, of the second %v, failures shared %v",
 				g.health(s), g.health(other), g.b.setups.FailuresShared())
 		}
 	}
 }
 
-// A probe that was never sent neither validates a server nor counts as a demotion.
+// The result of a probe that was never sent neither validates a server nor counts as a demotion.
 func TestInconclusiveProbeChangesNothing(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	id, s := g.request()
@@ -78,7 +78,8 @@
 	g.handle(ProbeResult{Server: s, Status: outcome.Inconclusive})
 	if sv := g.b.serversByID[s]; sv.health != healthUnhealthy || sv.consecutiveDemotions != 1 ||
 		len(actionsOf[ProbeServer](g.advance(3*sec))) != 1 {
-		t.Errorf("%v, %d consecutive demotions", sv.health, sv.consecutiveDemotions)
+		t.Errorf("health %v, %d consecutive demotions, want Unhealthy after 1 and another probe",
+			sv.health, sv.consecutiveDemotions)
 	}
 }
 
@@ -88,16 +89,16 @@
 	g.endAttempt(id, s, 0, outcome.ConnectFailed)
 	probes := actionsOf[ProbeServer](g.advance(3 * sec))
 	if len(probes) != 1 || probes[0].Server != s || g.health(s) != healthPending {
-		t.Fatalf("probes %v, health %v", probes, g.health(s))
+		t.Fatalf("probes %v, health %v, want one probe and Pending", probes, g.health(s))
 	}
 	g.handle(ProbeResult{Server: s, Status: outcome.ConnectFailed})
 	if g.health(s) != healthUnhealthy {
-		t.Fatalf("a failed probe leaves %v", g.health(s))
+		t.Fatalf("after a failed probe: health %v, want Unhealthy", g.health(s))
 	}
 	g.advance(6 * sec)
 	g.handle(ProbeResult{Server: s, Status: outcome.OK})
 	if g.health(s) != healthConnected {
-		t.Fatalf("a successful probe leaves %v", g.health(s))
+		t.Fatalf("after a successful probe: health %v, want Connected", g.health(s))
 	}
 }
 
@@ -122,7 +123,7 @@
 	}
 }
 
-// A server that fails again after its validation is validated later each time.
+// The validation delay grows with each demotion that follows soon after a validation.
 func TestRepeatedDemotionDelaysValidation(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	s := g.b.serversByID[1]
@@ -131,7 +132,7 @@
 		g.b.demoteForFailure(g.now, s)
 		wait := s.validateAt - g.now
 		if i > 0 && wait <= last {
-			t.Fatalf("demotion %d is validated after %d, the one before after %d", i, wait, last)
+			t.Fatalf("validation delay %d after demotion %d, not above the previous %d", wait, i, last)
 		}
 		last = wait
 		g.b.markConnected(g.now, s)
@@ -140,22 +141,22 @@
 	g.now += demotionResetAfter
 	g.b.demoteForFailure(g.now, s)
 	if wait := s.validateAt - g.now; wait > 2*minValidationDelay {
-		t.Fatalf("after long good service validation still takes %d", wait)
+		t.Fatalf("validation delay %d after a long time as Connected, want a short one", wait)
 	}
 }
 
-func TestRestartIsUnknownAgain(t *testing.T) {
+func TestRestartedServerIsUnknown(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 0))
 	g.b.demoteForFailure(g.now, g.b.serversByID[1])
 	g.handle(
 		ServerListUpdate{Kind: UpdateDelta, Entries: []ServerEntry{{Server: 1, State: Ready, StartedAt: g.now}}},
 	)
 	if g.health(1) != healthUnknown {
-		t.Fatalf("a restarted server is %v", g.health(1))
+		t.Fatalf("a restarted server is %v, want Unknown", g.health(1))
 	}
 }
 
-// Slowness of most servers of a zone is shared: demoting all for it would only move the load.
+// If most servers of a zone are slow, they have a common cause: demoting all of them would only shift the load.
 func TestSharedSlownessDemotesUpToHalf(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(10, 0))
 	byServer := g.connectMany(300)
@@ -169,11 +170,11 @@
 		}
 	}
 	if demoted == 0 || demoted > 5 {
-		t.Fatalf("%d of 10 demoted", demoted)
+		t.Fatalf("%d of 10 slow servers demoted, want 1 to 5", demoted)
 	}
 }
 
-// A slow or failing store makes set-ups fail at all servers: none is at fault, and retries add load to the store.
+// A slow or failing store makes set-ups fail at all servers: no server is at fault, and retries add load to the store.
 func TestSharedFailuresDemoteNobodyAndAreNotRetried(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(20, 0))
 	for range 30 {
@@ -183,11 +184,11 @@
 	actions := g.endAttempt(id, s, 0, outcome.ErrorResponse)
 	if g.health(s) == healthUnhealthy || len(actionsOf[StartAttempt](actions)) != 0 ||
 		len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("health %v, %v", g.health(s), actions)
+		t.Fatalf("health %v, actions %v, want no demotion and a Reject", g.health(s), actions)
 	}
 }
 
-// A server that resets connections or is full gets no new ones for a while.
+// A server that resets connections or is full gets no new ones until its pause is over.
 func TestResetAndServerFullPause(t *testing.T) {
 	for status, pause := range map[outcome.Status]Micros{
 		outcome.Reset:      resetPause,
@@ -209,7 +210,7 @@
 	}
 }
 
-// A single reset may be the network's fault; a second one soon after is the server's.
+// A single reset may be caused by the network; a second one soon after is attributed to the server.
 func TestSecondResetDemotes(t *testing.T) {
 	for gap, want := range map[Micros]healthState{
 		resetPairWindow / 2: healthUnhealthy,
@@ -224,7 +225,7 @@
 			g.handle(AttemptEnded{ID: r.id, Server: 1, Status: outcome.Reset, RequestClosed: true})
 		}
 		if s.health != want {
-			t.Errorf("two resets %d apart: %v", gap, s.health)
+			t.Errorf("two resets %d apart: health %v", gap, s.health)
 		}
 	}
 }
--- a/decision/load.go
+++ b/decision/load.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// utilizationColumnName is the column of load reports that holds a server's load over what it can take.
+	// utilizationColumnName is the load report column that holds a server's utilization: its load over its capacity.
 	utilizationColumnName = "x0"
-	// hintMemory is how many load hints their mean goes by.
-	hintMemory = 500
+	// hintWindow is the number of load hints over which their moving average is taken.
+	hintWindow = 500
 )
 
-// estimateLoad sets what a new request's connection is expected to take of a server: its hint, or the mean load of a
-// connection.
+// estimateLoad sets the expected load of a new request's connection: its load hint, or the mean load of a connection if
+// there is none.
 func (b *Balancer) estimateLoad(r *request, ev *Request) {
 	if !ev.HasLoadHint || ev.LoadHint <= 0 {
 		r.load = b.loadModel.MeanLoad()
 		return
 	}
 	b.hintCount++
-	memory := min(b.hintCount, hintMemory)
-	b.meanHint += (ev.LoadHint - b.meanHint) / memory
+	window := min(b.hintCount, hintWindow)
+	b.meanHint += (ev.LoadHint - b.meanHint) / window
 	r.relativeWork = ev.LoadHint / b.meanHint
-	b.meanChargedWork += (max(r.relativeWork, 1) - b.meanChargedWork) / memory
+	b.meanChargedWork += (max(r.relativeWork, 1) - b.meanChargedWork) / window
 	r.load = ev.LoadHint / microCoresPerCore
 	b.loadModel.ObserveHint(r.load)
 }
 
-// onLoadMetric replaces the load that a connection is charged with by the measured one.
+// onLoadMetric replaces the load that a connection is charged with by the measured load.
 func (b *Balancer) onLoadMetric(ev ConnectionMetric) {
 	r := b.requests[ev.ID]
 	if r == nil || r.chargedTo == nil {
@@ -40,8 +40,9 @@
 	b.loadModel.Observe(r.load)
 }
 
-// requestLoadReports probes servers for load reports, as far as the report budget and maxConcurrentProbes allow, those
-// first whose last report was requested longest ago. Reports are worth their cost only where they bring a utilization.
+// requestLoadReports probes servers for load reports as far as the report budget and maxConcurrentProbes allow,
+// starting with the server whose report was requested least recently. It requests none if load reports have no
+// utilization column.
 func (b *Balancer) requestLoadReports(now Micros) {
 	for _, s := range b.servers {
 		s.load.SampleUtilization(now, &b.loadModel, b.warmupFactor(now, s))
@@ -50,7 +51,7 @@
 		return
 	}
 	for b.probesUnderWay < maxConcurrentProbes {
-		s := b.longestWithoutReport()
+		s := b.serverWithOldestReport()
 		if s == nil || !b.reportBudget.RequestDue(now, &s.load) {
 			return
 		}
@@ -58,32 +59,32 @@
 	}
 }
 
-// longestWithoutReport returns the server of which a report is useful and was requested longest ago; nil if there
-// is none.
-func (b *Balancer) longestWithoutReport() *server {
-	var longest *server
+// serverWithOldestReport returns the server whose report was requested least recently, of those whose report is useful.
+// It returns nil if there is none.
+func (b *Balancer) serverWithOldestReport() *server {
+	var oldest *server
 	for _, s := range b.servers {
-		if b.reportUseful(s) && (longest == nil || s.load.ReportRequestedAt < longest.load.ReportRequestedAt) {
-			longest = s
+		if b.reportUseful(s) && (oldest == nil || s.load.ReportRequestedAt < oldest.load.ReportRequestedAt) {
+			oldest = s
 		}
 	}
-	return longest
+	return oldest
 }
 
-// reportUseful reports whether a server's load matters to this balancer: it may get connections, and is in the home
-// zone, has connections of this balancer, or was never asked.
+// reportUseful reports whether a server's load matters to this balancer. The server must be Ready and not being probed,
+// and must either have connections of this balancer, be in the home zone, or never have been asked for a report.
 func (b *Balancer) reportUseful(s *server) bool {
 	return s.State == Ready && !s.probing &&
 		(s.load.OwnConnections > 0 || b.inHomeZone(s) || s.load.ReportRequestedAt == 0)
 }
 
-// utilizationColumn returns the place of the utilization in load reports, -1 where they have none.
+// utilizationColumn returns the index of the utilization in load reports, or -1 if they have none.
 func (b *Balancer) utilizationColumn() int {
 	return slices.Index(b.settings.LoadReportColumns, utilizationColumnName)
 }
 
-// reportedUtilization reads a server's load over what it can take from a load report; reported is false where that is
-// absent, negative or not a finite number.
+// reportedUtilization returns the utilization from a load report. The result reported is false if it is absent,
+// negative or not a finite number.
 func (b *Balancer) reportedUtilization(report LoadReport) (utilization float64, reported bool) {
 	column := b.utilizationColumn()
 	if column < 0 || column >= report.Count {
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,9 +7,10 @@
 	"spurspread/decision/outcome"
 )
 
-// A group stays on one server as far as that can take it, by the reported loads, and no further.
+// A group stays on one server while the reported loads show spare capacity there. It is spread before the server is
+// overloaded.
 func TestAGroupIsSpreadBeforeItsServerIsFull(t *testing.T) {
-	for _, load := range []float64{100_000, 10_000} { // a tenth of a core each, and a hundredth
+	for _, load := range []float64{100_000, 10_000} { // 0.1 core and 0.01 core
 		g := newHarness(t, loadReportingSettings(), twoCoreServers(4))
 		loads := map[uint32]float64{}
 		for range 30 {
@@ -17,16 +18,16 @@
 		}
 		for s, carried := range loads {
 			if utilization := carried / 2; utilization > 0.75 {
-				t.Errorf("loads of %v: server %d has a utilization of %.2f: %v", load, s, utilization, loads)
+				t.Errorf("load %v: server %d has a utilization of %.2f; by server: %v", load, s, utilization, loads)
 			}
 		}
 		if load < 50_000 && len(loads) != 1 {
-			t.Errorf("light connections of one group on %d servers", len(loads))
+			t.Errorf("light connections of one group on %d servers, want 1", len(loads))
 		}
 	}
 }
 
-// A heavy connection counts by its load: the next connections go to another server.
+// A connection counts by its load: after a heavy one, the next connections go to another server.
 func TestHeavyConnectionCountsByItsLoad(t *testing.T) {
 	g := newHarness(t, loadReportingSettings(), twoCoreServers(2))
 	for i := range uint64(8) {
@@ -37,11 +38,11 @@
 		next[g.connectWithLoad(5_000, 0)]++
 	}
 	if next[heavy] > 2 {
-		t.Fatalf("%d of 20 went to the server with the heavy one", next[heavy])
+		t.Fatalf("%d of 20 connections went to the server with the heavy one, want at most 2", next[heavy])
 	}
 }
 
-// A weight that falls with use shows other balancers' connections; the server's size stays.
+// A weight that falls with use shows the connections of other balancers; the server's size stays the same.
 func TestDynamicWeights(t *testing.T) {
 	g := newHarness(t, loadReportingSettings(), twoCoreServers(3))
 	for i := range uint64(10) {
@@ -68,15 +69,16 @@
 		got[g.connectWithLoad(60_000, 50)]++
 	}
 	if got[1] > 1 {
-		t.Fatalf("the server with connections of others got %d of 6", got[1])
+		t.Fatalf("the server with connections of other balancers got %d of 6, want at most 1", got[1])
 	}
 }
 
-// Load reports are requested as far as their cost allows, and show load that no connection reports.
+// Load reports are requested as far as the report budget allows. They show load that no connection reports, such as
+// that of another program on the machine.
 func TestLoadReportsKeepWithinProbeBudget(t *testing.T) {
 	g := newHarness(t, loadReportingSettings(), twoCoreServers(4))
 	if n := len(actionsOf[ProbeServer](g.advance(20 * sec))); n != 0 {
-		t.Fatalf("%d probes without any request to earn their cost", n)
+		t.Fatalf("%d probes without any request that adds to the budget, want none", n)
 	}
 	probes, requests := 0, 0
 	for i := range 100 {
@@ -99,7 +101,7 @@
 		got[g.connectWithLoad(20_000, 100+i)]++
 	}
 	if got[2] > 2 {
-		t.Errorf("the server that reports a utilization of 0.95 got %d of 40", got[2])
+		t.Errorf("the server that reports a utilization of 0.95 got %d of 40 connections, want at most 2", got[2])
 	}
 	none := loadReportingSettings()
 	none.LoadReportColumns = nil
@@ -107,12 +109,12 @@
 	for range 20 {
 		g.connectWithLoad(1000, 1)
 		if n := len(actionsOf[ProbeServer](g.advance(sec))); n != 0 {
-			t.Fatalf("%d probes where no report has a utilization", n)
+			t.Fatalf("%d probes although reports have no utilization, want none", n)
 		}
 	}
 }
 
-// While servers are short of capacity, requests of the highest priority still get in; others get no attempt.
+// While servers are short of capacity, only requests of the highest priority get an attempt.
 func TestHighestPriorityGetsTheLastCapacity(t *testing.T) {
 	s := loadReportingSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
@@ -127,13 +129,13 @@
 			Request{ID: g.next, TimeLeft: 2 * sec, Class: class, Group: 1, LoadHint: 100_000, HasLoadHint: true},
 		)
 		if n := len(actionsOf[StartAttempt](actions)); n != want {
-			t.Errorf("class %d: %d sent", class, n)
+			t.Errorf("class %d: %d attempts", class, n)
 		}
 	}
 }
 
-// A balancer that has just started requests reports of all servers at once, as far as its budget allows: its first
-// clients come sooner than reports would one at a time.
+// A balancer that has just started requests load reports of several servers at once, as far as its budget allows: one
+// at a time, they would arrive later than its first clients.
 func TestFirstLoadReportsAreRequestedAtOnce(t *testing.T) {
 	g := newHarness(t, loadReportingSettings(), twoCoreServers(4))
 	for range 4 {
@@ -141,20 +143,20 @@
 		g.handle(Request{ID: g.next, TimeLeft: 2 * sec, LoadHint: 1000, HasLoadHint: true})
 	}
 	if n := len(actionsOf[ProbeServer](g.advance(tickInterval))); n < 3 {
-		t.Fatalf("reports of %d of 4 servers requested", n)
+		t.Fatalf("reports of %d of 4 servers requested, want at least 3", n)
 	}
 }
 
-// A connection without a group adds no group cost, and one that is too heavy for any server is accepted by an idle
-// one.
+// A connection without a group adds no group cost. A connection with more load than any server's capacity is placed on
+// an idle server.
 func TestUngroupedAndHeavyConnections(t *testing.T) {
 	g := newHarness(t, loadReportingSettings(), twoCoreServers(1))
 	for range 13 {
-		g.connectWithLoad(100_000, 0) // with groups, the last would not fit
+		g.connectWithLoad(100_000, 0) // with groups, there would be no capacity for the last
 	}
 	g = newHarness(t, loadReportingSettings(), twoCoreServers(1))
 	if g.connectWithLoad(3_000_000, 1) != 1 {
-		t.Error("not accepted by an idle server")
+		t.Error("a connection of 3 cores was not placed on an idle server")
 	}
 }
 
@@ -171,11 +173,11 @@
 		{Count: 2, Values: [4]float32{0, inf}},
 	} {
 		if v, reported := g.b.reportedUtilization(r); reported {
-			t.Errorf("%v has a utilization of %v", r, v)
+			t.Errorf("load report %v: utilization %v, want none", r, v)
 		}
 	}
 	report := LoadReport{Count: 2, Values: [4]float32{0, 1.25}}
 	if v, reported := g.b.reportedUtilization(report); !reported || v != 1.25 {
-		t.Errorf("%v, reported %v", v, reported)
+		t.Errorf("utilization %v, reported %v, want 1.25", v, reported)
 	}
 }
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// groupAffinity is how many times as likely a server is selected that has connections of the request's group: their
-	// shared work is done once.
+	// groupAffinity is the factor on the selection weight of a server that already has connections of the request's
+	// group, so that the server does the work they share only once.
 	groupAffinity = 50
-	// connectionsPerGroup is how many connections a group counts as, beside its own.
-	connectionsPerGroup = 0.5
-	// loadExponent is how strongly a server's connections lower its selection weight.
+	// groupOverhead is the number of connections that each group counts for in addition to its own, for its shared
+	// work.
+	groupOverhead = 0.5
+	// loadExponent determines how fast a server's selection weight falls with its connections; see selectionWeight.
 	loadExponent = 2.0
-	// loadOffset is the number of connections up to which they hardly lower it: fewer should not pull a group apart.
+	// loadOffset is the number of connections, at weight 1, up to which the selection weight hardly falls. With fewer
+	// connections, load should not spread a group over several servers.
 	loadOffset = 10.0
 )
 
@@ -26,10 +28,11 @@
 	zonePreferenceCount
 )
 
+// inHomeZone reports whether the server is in this balancer's zone.
 func (b *Balancer) inHomeZone(s *server) bool { return int(s.Zone) == b.settings.Zone }
 
-// pickServer selects the server for r: of those that may have it now, one of the best health rank, of the home zone
-// before others, at random by selection weight. It returns nil where no server may have the request now.
+// pickServer selects a server for r among those that can receive it now: it prefers the best health rank, then the home
+// zone, and within these draws at random by selection weight. It returns nil if no server can receive the request now.
 func (b *Balancer) pickServer(now Micros, r *request) *server {
 	policy := r.class.RetryPolicy()
 	if policy.RetryForbidden(&r.attemptHistory, now) {
@@ -46,20 +49,20 @@
 		}
 		draw := b.selectionDraw(now, r, s)
 		if warmup < 1 {
-			draw = 0 // first of all: a warming server's grants are few, and lapse unused
+			draw = 0 // preferred: slow-start grants are few and expire unused
 		}
 		best.add(s, b.zonePreference(s, warmup), healthRank(now, s), draw)
 	}
 	return best.server()
 }
 
-// selection holds the servers of least draw by health rank and zone preference.
+// selection holds the server with the lowest draw for each health rank and zone preference.
 type selection [healthRankCount][zonePreferenceCount]struct {
 	server *server
 	draw   float64
 }
 
-// add considers one more server; of equal draws the first wins.
+// add considers one more server. Of servers with equal draws, the one added first is kept.
 func (sel *selection) add(s *server, zone, rank int, draw float64) {
 	best := &sel[rank][zone]
 	if best.server == nil || draw < best.draw {
@@ -67,7 +70,7 @@
 	}
 }
 
-// server returns the server selected: health goes before zone. It is nil if none was added.
+// server returns the selected server, or nil if none was added. Health rank takes precedence over zone.
 func (sel *selection) server() *server {
 	for rank := range sel {
 		for zone := range sel[rank] {
@@ -79,9 +82,9 @@
 	return nil
 }
 
-// zonePreference decides whether a server counts as one of the home zone. All do where servers report loads, since
-// their selection weight contains the cost of crossing; so do those that warm up while a part of the fleet is
-// absent.
+// zonePreference returns preferHome for servers of the home zone. It also does for all servers where servers report
+// loads, since the selection weight then includes the cost of crossing zones, and for servers that warm up while a part
+// of the fleet is missing.
 func (b *Balancer) zonePreference(s *server, warmup float64) int {
 	if b.inHomeZone(s) || b.loadsReported() || (warmup < 1 && b.fleetSize.Reduced()) {
 		return preferHome
@@ -89,8 +92,9 @@
 	return otherZone
 }
 
-// mayBeServedBy reports whether r may go to s at all, while its class's retry policy allows any further attempt: s is
-// Ready, r is not pinned to another, and the policy allows the server's location after earlier attempts.
+// mayBeServedBy reports whether s is eligible for r: it is Ready, r is not pinned to another server, and after an
+// attempt that may have been executed, the retry policy allows a retry at the location of s. It does not check
+// retry.Policy.RetryForbidden, which applies to all servers alike.
 func (r *request) mayBeServedBy(s *server, policy retry.Policy) bool {
 	if s.State != Ready || (r.pinnedTo != nil && r.pinnedTo != s) {
 		return false
@@ -98,10 +102,13 @@
 	return !r.attemptHistory.MayHaveExecuted() || policy.SharesKeys(&r.attemptHistory, s.location())
 }
 
-// mayReceive reports whether s, which is not paused, can take r now: it is not the server that was tried last, has
-// spare capacity, a slow-start grant if it is warming up (warmup below 1; a request without admission cost, see
-// moveTarget, never gets one), and where servers report loads, utilization left for the request's load at its
-// class's priority.
+// mayReceive reports whether s, which must not be paused, can receive r now:
+//
+//   - r was not the last request that was sent to s;
+//   - s has spare capacity;
+//   - if s is warming up (warmup below 1), there is a slow-start grant for it and r has an admission cost, which the
+//     requests of moveTarget have not;
+//   - where servers report loads, s has utilization left for the load of r at the priority of its class.
 func (b *Balancer) mayReceive(now Micros, r *request, s *server, warmup float64) bool {
 	if s.wasLastTriedBy(r) || !b.hasSpareCapacity(now, s, r.admissionCost) {
 		return false
@@ -113,9 +120,9 @@
 		s.load.HasCapacityFor(&b.loadModel, warmup, r.load, s.addsNoGroup(r), r.class.RelativePriority)
 }
 
-// selectionWeight is how likely s is selected for r, relative to other servers. It grows with the server's weight,
-// falls with its connections or load, and is much higher for one that has connections of the request's group. In
-// passthrough mode it is the weight alone, so that all balancers weigh alike.
+// selectionWeight returns the relative probability that s is selected for r. It grows with the server's weight, falls
+// with its connections or load, and is much higher if the server has connections of the request's group. In passthrough
+// mode it is the server's weight alone, so that all balancers select alike.
 func (b *Balancer) selectionWeight(now Micros, r *request, s *server) float64 {
 	weight := s.relativeWeight
 	if b.settings.Passthrough {
@@ -125,7 +132,7 @@
 		warmup := b.warmupFactor(now, s)
 		return s.load.SelectionWeight(&b.loadModel, warmup, r.load, s.addsNoGroup(r), !b.inHomeZone(s))
 	}
-	connections := s.connectionCount() + connectionsPerGroup*float64(len(s.groupSizes))
+	connections := s.connectionCount() + groupOverhead*float64(len(s.groupSizes))
 	selection := weight * math.Pow(1+connections/(loadOffset*weight), -loadExponent)
 	if s.groupSizes[r.group] > 0 {
 		selection *= groupAffinity
@@ -133,15 +140,16 @@
 	return selection
 }
 
-// selectionDraw is the draw of s for r: an exponential variate whose rate is the selection weight. The least of
-// such draws falls on each server with a probability in proportion to its weight.
+// selectionDraw returns an exponentially distributed variate whose rate is the selection weight of s for r. The server
+// with the lowest draw is selected, so each server is selected with a probability proportional to its selection weight.
 func (b *Balancer) selectionDraw(now Micros, r *request, s *server) float64 {
 	return -math.Log(1-b.selectionVariate(r, s)) / b.selectionWeight(now, r, s)
 }
 
-// selectionVariate is a number from 0 to 1, random for a request without a group. For others it is a hash of group and
-// server that is the same at every balancer, so that a group's connections come together; in passthrough mode a hash of
-// the request's key and the server, so that a connection finds its server again through another balancer.
+// selectionVariate returns a number from 0 up to but not including 1. It is random for a request without a group. For a
+// group it is a hash of group and server, which is the same at every balancer, so that the group's connections meet at
+// the same server. In passthrough mode it is a hash of key and server, so that another balancer forwards a connection
+// to the same server; it is random if the key is 0.
 func (b *Balancer) selectionVariate(r *request, s *server) float64 {
 	hashed := r.group
 	if b.settings.Passthrough {
@@ -153,7 +161,7 @@
 	return unitInterval(splitmix.Mix64(hashed ^ s.StableID*splitmix.Gamma))
 }
 
-// unitInterval maps the upper 53 bits of h, as many as a float64 holds, to 0 up to but not including 1.
+// unitInterval maps the upper 53 bits of h, the precision of a float64, to the interval [0, 1).
 func unitInterval(h uint64) float64 {
 	const mantissaBits, wordBits = 53, 64
 	return float64(h>>(wordBits-mantissaBits)) / (1 << mantissaBits)
--- a/decision/placement_bench_test.go
+++ b/decision/placement_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkHeldRequest is what one more look at a request costs that is held, by what it is held for and how many
-// servers there are.
+// BenchmarkHeldRequest measures the placement of a held request, by the reason for which it is held and the number of
+// servers.
 func BenchmarkHeldRequest(b *testing.B) {
 	for _, c := range []struct {
 		name string
--- a/decision/placement_test.go
+++ b/decision/placement_test.go
@@ -19,7 +19,7 @@
 	}
 	for s := uint32(1); s <= 4; s++ {
 		if got[s] < 850 || got[s] > 1150 {
-			t.Errorf("server %d got %d of 4000, a quarter is wanted", s, got[s])
+			t.Errorf("server %d got %d of 4000 requests, want about 1000", s, got[s])
 		}
 	}
 }
@@ -30,24 +30,24 @@
 	g.b.serversByID[1].setHealth(g.now, healthUnhealthy)
 	g.b.serversByID[2].setHealth(g.now, healthPending)
 	if s := g.b.pickServer(g.now, r); s.Server != 101 {
-		t.Errorf("the home zone has only lower ranks, yet %d was picked", s.Server)
+		t.Errorf("picked %d while the home zone has only worse ranks, want 101", s.Server)
 	}
 	g.b.serversByID[101].setHealth(g.now, healthUnhealthy)
 	for _, id := range []uint32{1, 2} {
 		budget := &g.b.serversByID[id].budget
 		budget.GrantsLeft = 1
-		budget.NextSlot = math.MaxInt64 // no slot adds any
+		budget.NextSlot = math.MaxInt64 // no slot adds grants
 	}
 	if s := g.b.pickServer(g.now, r); s.Server != 2 {
-		t.Errorf("%d was picked before the pending one", s.Server)
+		t.Errorf("picked %d, want the Pending server 2", s.Server)
 	}
 	g.b.serversByID[2].setHealth(g.now, healthUnhealthy)
 	if s := g.b.pickServer(g.now, r); s == nil {
-		t.Error("with all demoted nothing was picked")
+		t.Error("no server picked while all are Unhealthy")
 	}
 }
 
-func TestNothingToDrainingOrRemoved(t *testing.T) {
+func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	g.handle(
 		ServerListUpdate{
@@ -57,16 +57,17 @@
 	)
 	for range 50 {
 		if id, s := g.request(); s != 3 {
-			t.Fatalf("request %d went to %d", id, s)
+			t.Fatalf("request %d went to server %d, want 3", id, s)
 		}
 	}
 	g.handle(ServerListUpdate{Kind: UpdateFull, Entries: nil})
 	if _, s := g.request(); s != 0 {
-		t.Fatalf("sent to %d, which a full list no longer has", s)
+		t.Fatalf("request sent to server %d, which the full list does not contain", s)
 	}
 }
 
-// A server does a group's shared work once: one that has connections of a group gets the others while it has capacity.
+// The shared work of a group is done once per server, so a server with connections of a group gets the group's other
+// connections while it has capacity.
 func TestGroupsAreKeptTogether(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	held := map[uint64]map[uint32]int{}
@@ -88,11 +89,11 @@
 		places += len(at)
 	}
 	if places > 50 {
-		t.Errorf("20 groups at %d places", places)
+		t.Errorf("20 groups on %d pairs of group and server, want at most 50", places)
 	}
 	for _, s := range g.b.servers {
 		if n := len(s.connections); n < 50 || n > 150 {
-			t.Errorf("server %d has %d of 400", s.Server, n)
+			t.Errorf("server %d has %d of 400 connections, want 50 to 150", s.Server, n)
 		}
 	}
 }
@@ -110,7 +111,7 @@
 		g.endAttempt(id, s, 0, outcome.Cancelled)
 	}
 	if got[1] < 2850 || got[1] > 3150 {
-		t.Errorf("of 4000 the server of weight 3 got %d, that of weight 1 %d", got[1], got[2])
+		t.Errorf("of 4000 requests the server of weight 3 got %d, that of weight 1 got %d", got[1], got[2])
 	}
 }
 
@@ -128,11 +129,11 @@
 			b.Handle(start, Request{ID: k, TimeLeft: sec, Key: uint64(k) * 7919, MidConnection: true}, nil),
 		)
 		if sa[0].Server != sb[0].Server {
-			t.Fatalf("key %d: %d and %d", k, sa[0].Server, sb[0].Server)
+			t.Fatalf("key %d: one balancer selects server %d, the other %d", k, sa[0].Server, sb[0].Server)
 		}
 		seen[sa[0].Server] = true
 	}
 	if len(seen) < 6 {
-		t.Fatalf("only %d servers selected", len(seen))
+		t.Fatalf("59 keys select %d servers, want at least 6", len(seen))
 	}
 }
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// maxMoveSetupShare is the part of a class's latency objective that set-ups may take at most for connections of the
-	// class to be moved: they have to be set up again elsewhere.
+	// maxMoveSetupShare is the fraction of a class's latency objective up to which the present set-up latency allows
+	// connections of the class to be moved, since each has to be set up again elsewhere.
 	maxMoveSetupShare = 0.4
-	// forcedMoveLatencyRatio is the latency, over the class's message objective, above which connections leave a server
-	// although no other has spare capacity.
+	// forcedMoveLatencyRatio is the message latency, as a multiple of the class's objective, above which connections
+	// are moved even if no other server has spare capacity.
 	forcedMoveLatencyRatio = 1.5
-	// maxMovedShare is the part of a server's connections that moves after one metric, at most.
+	// maxMovedShare is the maximum fraction of a server's connections that one latency metric may move.
 	maxMovedShare = 0.7
-	// drainSharePerTick is the part of a draining server's connections that moves at each tick: half in 1.5 s.
+	// drainSharePerTick is the fraction of a draining server's connections that is moved at each tick: half in 1.5 s.
 	drainSharePerTick = 1. / 8
 )
 
-// moveFromLateServer moves connections off a server that misses its message objective: the part, drawn by
-// connection, that its latency shows to be too much. All balancers see one metric and move the same part of their
-// connections, so no more than maxMovedShare, less while a part of the fleet is absent. A connection moves only if
-// its own class's objective is missed, set-ups are fast, and another server has spare capacity or staying is
-// hopeless (forcedMoveLatencyRatio).
-func (b *Balancer) moveFromLateServer(now Micros, s *server) {
+// moveFromSlowServer moves connections off a server that misses the shortest message latency objective. Each connection
+// is drawn with a probability equal to the fraction that latency.Estimate.ExcessPart finds to be too much. All
+// balancers see the same latency and move the same fraction of their connections, so it is at most maxMovedShare, and
+// less while a part of the fleet is missing.
+//
+// A connection moves only if its own class's objective is missed, set-ups are fast, and either another server has spare
+// capacity or the latency is above forcedMoveLatencyRatio. Where servers report loads, moveLoad selects the connections
+// instead, provided that another server has spare capacity.
+func (b *Balancer) moveFromSlowServer(now Micros, s *server) {
 	spare := b.spareConnections(now)
 	objective := float64(b.shortestMessageObjective())
 	present := b.fleetSize.PresentPart()
@@ -50,19 +53,19 @@
 	}
 }
 
-// setupsFastEnoughToMove reports whether r could be set up again in time: the present set-up latency is under
+// setupsFastEnoughToMove reports whether r could be set up again in time: the present set-up latency is below
 // maxMoveSetupShare of its class's latency objective.
 func (b *Balancer) setupsFastEnoughToMove(r *request) bool {
 	return b.setups.SetupLatency() < maxMoveSetupShare*float64(r.class.LatencyObjective)
 }
 
-// acceptsMoves reports whether connections may be moved to s.
+// acceptsMoves reports whether connections may be moved to s: it is Ready, healthy and not paused.
 func (b *Balancer) acceptsMoves(now Micros, s *server) bool {
 	return s.State == Ready && now >= s.pausedUntil && healthRank(now, s) == rankHealthy
 }
 
-// spareConnections estimates how many connections the other servers can take now, by their tokens and by how many they
-// were seen to carry in time.
+// spareConnections estimates how many more connections the servers that meet their message latency objective can take
+// now, limited by their tokens and by their latency.Estimate.ConnectionCapacity.
 func (b *Balancer) spareConnections(now Micros) float64 {
 	spare := 0.0
 	for _, s := range b.servers {
@@ -73,8 +76,8 @@
 	return spare
 }
 
-// rebalance moves load, at each tick, off servers that are overloaded and off draining ones, as far as others can
-// take it. It needs servers that report loads.
+// rebalance moves load off overloaded and draining servers, as far as other servers have spare capacity. It runs at
+// each tick and does nothing unless servers report loads.
 func (b *Balancer) rebalance(now Micros) {
 	if !b.loadsReported() {
 		return
@@ -96,9 +99,10 @@
 	}
 }
 
-// moveFromDrainingServer moves drainSharePerTick of its connections, drawn one by one, while other servers have
-// spare capacity (in cores), and returns what is left of that. What is still established when the server stops is
-// cut off, and all comes back at once. Resumable connections are left to the caller's drain plan.
+// moveFromDrainingServer moves each connection of a draining server with probability drainSharePerTick, while other
+// servers have spare capacity. spare is that capacity, in cores; the result is the capacity that remains. Moving
+// gradually keeps clients from reconnecting all at once when the server stops. Resumable connections are left to the
+// caller's drain plan.
 func (b *Balancer) moveFromDrainingServer(now Micros, s *server, spare float64) float64 {
 	for i := len(s.connections) - 1; i >= 0; i-- {
 		r := s.connections[i]
@@ -110,8 +114,8 @@
 	return spare
 }
 
-// moveLoad moves connections off s that load it with about want cores, and returns the load of those selected.
-// Those whose class needs faster set-ups than there are at present stay.
+// moveLoad selects connections of s with a load of about want cores and moves them, except those of a class for which
+// set-ups are too slow at present. It returns the load of all selected connections, moved or not.
 func (b *Balancer) moveLoad(now Micros, s *server, want float64) float64 {
 	if want <= 0 {
 		return 0
@@ -131,6 +135,8 @@
 	return moved
 }
 
+// onMoveRequested moves an established connection. Unless the same server is allowed, the client counts as one that
+// will reconnect after its server was lost.
 func (b *Balancer) onMoveRequested(now Micros, ev MoveRequested) {
 	r := b.requests[ev.ID]
 	if r == nil || r.state != requestEstablished {
@@ -142,7 +148,8 @@
 	b.moveConnection(now, r, ev.SameServerAllowed)
 }
 
-// moveConnection closes an established connection in the planned way; its client connects again.
+// moveConnection emits the MoveConnection for an established connection and ends its request. The client's new
+// connection arrives as a new request.
 func (b *Balancer) moveConnection(now Micros, r *request, sameServerAllowed bool) {
 	move := MoveConnection{ID: r.id}
 	if target := b.moveTarget(now, r, sameServerAllowed); target != nil {
@@ -153,9 +160,10 @@
 	b.endRequest(r)
 }
 
-// moveTarget selects the server that a resumable client is sent to: the same, if that is allowed, Ready and in
-// time, else one that is selected as for a new request, but at no admission cost: tokens do not matter, and servers
-// that are warming up are left out. It is nil where there is none, or where the client cannot be sent to one.
+// moveTarget selects the server to which a resumable client is directed: the same server if that is allowed, Ready and
+// meets its message latency objective, otherwise a server selected as for a new request without admission cost. Such a
+// request needs no tokens and cannot go to a server that is warming up. The result is nil if no server can receive it
+// or the client is not resumable.
 func (b *Balancer) moveTarget(now Micros, r *request, sameServerAllowed bool) *server {
 	if !r.resumable {
 		return nil
--- a/decision/rebalance_test.go
+++ b/decision/rebalance_test.go
@@ -8,7 +8,7 @@
 	"spurspread/decision/outcome"
 )
 
-// A server whose messages are late is demoted and loses connections, also if its set-ups are in time.
+// A server whose messages are late is demoted and loses connections, even if its set-ups are fast.
 func TestMessageLatencyDemotesAndMoves(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(8, 0))
 	byServer := map[uint32][]uint32{}
@@ -27,17 +27,17 @@
 	}
 	for range 50 {
 		if _, s := g.request(); s == slow {
-			t.Fatal("a slow server got a new connection")
+			t.Fatal("a slow server got a new request")
 		}
 	}
 	g.reportLatency(byServer[slow][0], slow, 10)
 	if g.health(slow) != healthConnected {
-		t.Fatalf("in time again, yet %v", g.health(slow))
+		t.Fatalf("health %v after a report of low latency, want Connected", g.health(slow))
 	}
 }
 
-// The faster a server's latency grows, the more connections move, up to a part; none move while it falls. The same
-// latency reported on another connection at the same time counts once.
+// The faster a server's latency grows, the more of its connections move, up to maxMovedShare. None move while it falls.
+// A latency that is reported for several connections at the same time counts once.
 func TestMovesByLatencyTrend(t *testing.T) {
 	for secondLatency, part := range map[float64]float64{200: 0, 400: 0.2, 470: 0.2, 900: maxMovedShare} {
 		g := newHarness(t, testSettings(), serverList(4, 0))
@@ -50,12 +50,12 @@
 			moved += float64(len(g.reportLatency(byServer[2], 2, secondLatency)))
 		}
 		if moved > 1.5*part*before || moved < 0.4*part*before {
-			t.Errorf("%.0f of %.0f moved at %v after 400", moved, before, secondLatency)
+			t.Errorf("%.0f of %.0f connections moved at a latency of %v ms after 400 ms", moved, before, secondLatency)
 		}
 	}
 }
 
-// Only connections of a class whose objective is missed move.
+// Connections move only if the objective of their own class is missed.
 func TestMovesByClass(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(
@@ -70,15 +70,15 @@
 	moved := g.reportLatency(byServer[1], 1, 200)
 	for _, m := range moved {
 		if m.ID%2 == 1 {
-			t.Errorf("%d is within its objective", m.ID)
+			t.Errorf("connection %d moved although its class's objective is met", m.ID)
 		}
 	}
 	if len(moved) == 0 {
-		t.Error("nothing moved")
+		t.Error("no connection moved although one class's objective is missed")
 	}
 }
 
-// While set-ups are slow, a moved client could not reconnect in time.
+// While set-ups are slow, no connections move, since their clients could not reconnect in time.
 func TestNoMovesWhileSetupsAreSlow(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	byServer := g.connectMany(200)
@@ -86,11 +86,12 @@
 		g.b.recordSetup(outcome.OK, g.b.settings.Classes[0].LatencyObjective)
 	}
 	if n := len(g.reportLatency(byServer[2], 2, 400)); n != 0 {
-		t.Fatalf("%d moved", n)
+		t.Fatalf("%d connections moved, want none", n)
 	}
 }
 
-// Without spare capacity connections stay on a late server, unless it is very late.
+// Without spare capacity elsewhere, connections stay on a server whose messages are late, unless its latency is above
+// forcedMoveLatencyRatio.
 func TestNothingMovedWithoutSpareCapacity(t *testing.T) {
 	for ratio, wantMoves := range map[float64]bool{
 		latency.MoveThreshold * 1.1:  false,
@@ -100,13 +101,13 @@
 		byServer := g.connectMany(100)
 		g.b.serversByID[2].latency.ConnectionCapacity = 0
 		if n := len(g.reportLatency(byServer[1], 1, ratio*100)); (n > 0) != wantMoves {
-			t.Errorf("%d moved at %.1f of the objective", n, ratio)
+			t.Errorf("%d connections moved at %.1f times the objective", n, ratio)
 		}
 	}
 }
 
-// An overloaded server loses connections to servers with spare capacity and keeps the rest; where no server has any, or
-// set-ups are slow, it keeps all.
+// An overloaded server loses some connections to servers with spare capacity. It keeps all if no server has any or
+// set-ups are slow.
 func TestOverloadedServersAreRebalanced(t *testing.T) {
 	for name, c := range map[string]struct {
 		otherUtilization float64
@@ -147,14 +148,14 @@
 		n := len(actionsOf[MoveConnection](g.advance(tickInterval)))
 		if more := len(actionsOf[MoveConnection](g.advance(tickInterval * 4))); (n > 0) != c.wantMoves || n == 6 ||
 			more != 0 {
-			t.Errorf("%s: %d moved, then %d", name, n, more)
+			t.Errorf("%s: %d of 6 connections moved at the first tick, %d later", name, n, more)
 		}
 	}
 }
 
-// Where servers report loads, connections leave a draining server bit by bit while others have spare capacity, and none
-// leave a ready one. Resumable connections are left to the caller's drain plan. Without spare capacity, or where it is
-// not known, all stay until the server stops.
+// Where servers report loads, connections leave a draining server gradually while other servers have spare capacity,
+// and none leave a Ready server. Resumable connections are left to the caller's drain plan. If the spare
+// capacity is used up or unknown, all connections stay until the server stops.
 func TestDrainingServersAreDrainedGradually(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings  Settings
@@ -191,13 +192,14 @@
 			asWanted = first <= before/2 && left == 1 && draining.connections[0].resumable
 		}
 		if !asWanted || len(ready.connections) != 20 {
-			t.Errorf("%s: %d moved at once, %d later, %d of %d left", name, first, later, left, before)
+			t.Errorf("%s: %d moved at the first tick, %d later, %d of %d left", name, first, later, left, before)
 		}
 	}
 }
 
-// The client of a connection that must leave its server is sent to the server that a new request would get, if it is
-// resumable.
+// If a connection must leave its server and is resumable, its client is directed to a server that a new request could
+// get: not the old one, nor one that is warming up, paused or in another zone. A healthy server may keep a connection
+// that is allowed to stay.
 func TestMoveRequested(t *testing.T) {
 	moves := func(g *harness, id uint32, sameServerAllowed bool) []MoveConnection {
 		return actionsOf[MoveConnection](g.handle(MoveRequested{ID: id, SameServerAllowed: sameServerAllowed}))
@@ -222,42 +224,42 @@
 		g.b.serversByID[paused].pausedUntil = g.now + sec
 		all := moves(g, id, false)
 		if len(all) != 1 || !all[0].HasNextServer {
-			t.Fatalf("%+v", all)
+			t.Fatalf("moves %+v, want one with a next server", all)
 		}
 		next := all[0].NextServer
 		if next == at || next == warmingUp || next == paused || next > 100 {
-			t.Fatalf("from %d to %d, with %d warming up and %d paused", at, next, warmingUp, paused)
+			t.Fatalf("moved from server %d to %d, with %d warming up and %d paused", at, next, warmingUp, paused)
 		}
 		targets[next]++
 		if actions := g.handle(MoveRequested{ID: id}); len(actions) != 0 {
-			t.Fatalf("twice: %+v", actions)
+			t.Fatalf("actions for a second MoveRequested: %+v", actions)
 		}
 		if actions := g.endAttempt(id, at, 0, outcome.Cancelled); len(actions) != 0 || len(g.b.requests) != 0 ||
 			g.b.serversByID[at].pendingAttempts+g.b.serversByID[at].closingConnections != 0 {
-			t.Fatalf("after its end: %+v", actions)
+			t.Fatalf("after the end of the connection: actions %+v, or counts that remain", actions)
 		}
 	}
 	if len(targets) < 5 {
-		t.Errorf("always the same servers: %v", targets)
+		t.Errorf("moves by target: %v, want all 5 servers of the home zone", targets)
 	}
 
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	id, at := connect(g, true)
 	if all := moves(g, id, true); len(all) != 1 || all[0].NextServer != at || !all[0].HasNextServer {
-		t.Errorf("a healthy server loses a connection that may stay: %+v", all)
+		t.Errorf("moves %+v, want one to the same server, which is healthy", all)
 	}
 	id, at = connect(g, true)
 	g.b.serversByID[at].State = Draining
 	if all := moves(g, id, true); len(all) != 1 || all[0].NextServer == at {
-		t.Errorf("stays on a draining server: %+v", all)
+		t.Errorf("moves %+v, want one away from the draining server", all)
 	}
 	id, _ = connect(g, false)
 	if all := moves(g, id, false); len(all) != 1 || all[0].HasNextServer {
-		t.Errorf("a client that is not resumable: %+v", all)
+		t.Errorf("moves of a client that is not resumable: %+v, want no next server", all)
 	}
 	g = newHarness(t, testSettings(), serverList(1, 0))
 	id, _ = connect(g, true)
 	if all := moves(g, id, false); len(all) != 1 || all[0].HasNextServer {
-		t.Errorf("no other server: %+v", all)
+		t.Errorf("moves with no other server: %+v, want no next server", all)
 	}
 }
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -6,22 +6,23 @@
 	"spurspread/decision/retry"
 )
 
-// requestState is where a request is in its life. Only this file changes it:
+// requestState is the state of a request's life cycle. Only the functions of this file change it:
 //
 //	from         to           by          when
 //	-            Waiting      addRequest  the request arrives
 //	Waiting      Connecting   assign      an attempt starts
 //	Waiting      Established  restore     the connection was established before the balancer started
 //	Waiting      Ended        endRequest  answered or cancelled
-//	Connecting   Established  establish   the server has accepted
+//	Connecting   Established  establish   the connection is established
 //	Connecting   Waiting      detach      the attempt has ended without a connection; the request may be retried
 //	Connecting   Closing      endRequest  answered or cancelled while the attempt is under way
 //	Established  Closing      endRequest  moved or cancelled
 //	Established  Ended        detach      the connection has ended
 //	Closing      Ended        detach      the attempt or connection has ended
 //
-// A request has a server in Connecting, Established and Closing. In Closing it gets no further action: it is kept for
-// its server's counts. In Ended it is forgotten.
+// A request has a server in Connecting, Established and Closing. In Closing it causes no further action and is kept
+// only for its server's counts, until its attempt or connection has ended. In Ended it is removed from
+// Balancer.requests.
 type requestState uint8
 
 const (
@@ -29,7 +30,7 @@
 	requestConnecting                      // an attempt is under way
 	requestEstablished                     // the connection is established
 	requestClosing                         // answered, moved or cancelled; its attempt or connection has not ended yet
-	requestEnded                           // nothing is under way; to be forgotten
+	requestEnded                           // nothing is under way; to be removed
 )
 
 // request is one client request, from its arrival until its last attempt has ended.
@@ -38,32 +39,32 @@
 	state      requestState
 	class      Class
 	key, group uint64 // see Request
-	deadline   Micros // when the final answer leaves
+	deadline   Micros // when the final answer is sent; answerMargin before the client's deadline
 	resumable  bool   // see Request.Resumable
 
 	load          float64 // cores: measured, hinted or estimated
 	relativeWork  float64 // the hinted load over the mean hint; 1 without a hint
-	admissionCost float64 // tokens of a server's connection budget that its connection takes
+	admissionCost float64 // tokens that its connection takes from a server's connection budget
 
-	attempts        int     // started so far
-	server          *server // of the attempt under way or of the connection
-	connectionIndex int     // in server.connections, if established
-	wasEstablished  bool    // the attempt under way became a connection, which may be closing now
-	chargedTo       *server // whose load it is counted to
+	attempts        int     // attempts started so far
+	server          *server // server of the attempt under way or of the connection; nil: neither
+	connectionIndex int     // index in server.connections, if established
+	wasEstablished  bool    // the last attempt became a connection, which may be closing now
+	chargedTo       *server // server whose load includes this request's; nil: none
 	pinnedTo        *server // the only server that may serve it; nil: any
 
 	lastAttemptAt  Micros
-	lastLocation   retry.Location       // of the last attempt's server at that time
-	attemptHistory retry.AttemptHistory // of attempts that may have executed
-	erroredServer  *server              // answered an error that no other server has confirmed yet
+	lastLocation   retry.Location       // location of the last attempt's server when it started
+	attemptHistory retry.AttemptHistory // attempts that may have been executed
+	erroredServer  *server              // gave an error that is not confirmed; see errorNeedsConfirmation
 }
 
-// isCurrentAttempt reports whether that attempt at that server is the request's last one, and has not ended.
+// isCurrentAttempt reports whether the given attempt at the given server is the request's last one and has not ended.
 func (r *request) isCurrentAttempt(attempt int, serverID uint32) bool {
 	return r.server != nil && attempt == r.attempts-1 && r.server.Server == serverID
 }
 
-// assign starts the next attempt, at server s.
+// assign records the start of the next attempt, at server s.
 func (r *request) assign(now Micros, s *server) {
 	s.charge(r)
 	s.addPending()
@@ -93,7 +94,7 @@
 	r.state = requestEstablished
 }
 
-// detach takes the attempt or the connection, which has ended, off its server, and returns that server.
+// detach removes the attempt or connection, which has ended, from its server's counts and returns the server.
 func (r *request) detach() *server {
 	s := r.server
 	switch {
@@ -114,8 +115,8 @@
 	return s
 }
 
-// endRequest gives up what the request has under way: no further action follows for it. It is forgotten at once, or
-// when its last attempt is reported to have ended.
+// endRequest ends the request, cancels its attempt if it has one under way, and releases its connection. No further
+// action follows for it. It is removed at once, or when its attempt or connection is reported to have ended.
 func (b *Balancer) endRequest(r *request) {
 	switch r.state {
 	case requestWaiting, requestEnded:
@@ -131,11 +132,11 @@
 		r.release()
 		r.server.closingConnections++
 		r.state = requestClosing
-	case requestClosing: // until detach
+	case requestClosing: // removed after detach
 	}
 }
 
-// addRequest takes a new request; it returns nil where one of that ID has not ended yet.
+// addRequest records a new request. It returns nil if a request with the same ID has not ended yet.
 func (b *Balancer) addRequest(now Micros, ev *Request) *request {
 	if b.requests[ev.ID] != nil {
 		return nil
@@ -157,7 +158,8 @@
 	return r
 }
 
-// requestClass returns a class by its number; one out of range is treated as the most restricted.
+// requestClass returns the class with this number. For a number out of range it returns a NonIdempotent class, the most
+// restricted kind.
 func (b *Balancer) requestClass(number int) Class {
 	if number < len(b.settings.Classes) {
 		return b.settings.Classes[number]
@@ -165,7 +167,8 @@
 	return Class{Idempotency: NonIdempotent}
 }
 
-// pinnedServer returns a server by its number; for one that was never listed, a server that is never Ready.
+// pinnedServer returns the server with this number. For one that was never listed it returns a server that is not Ready
+// and never will be.
 func (b *Balancer) pinnedServer(id uint32) *server {
 	if s := b.serversByID[id]; s != nil {
 		return s
@@ -173,18 +176,20 @@
 	return &server{}
 }
 
+// onRequest records a new request, adds its share to the retry and report budgets, and places it.
 func (b *Balancer) onRequest(now Micros, ev *Request) {
 	r := b.addRequest(now, ev)
 	if r == nil {
 		return
 	}
-	b.earnRetryTokens()
+	b.addRetryTokens()
 	b.setTimer(r.deadline-now, deadlineTimer.forRequest(r.id))
 	b.reportBudget.Earn(b.settings.ProbeCost)
 	b.refreshListIfLongUnhealthy(now)
 	b.placeRequest(now, r)
 }
 
+// onExistingConnection records a connection that was established before this balancer started.
 func (b *Balancer) onExistingConnection(now Micros, ev *ExistingConnection) {
 	s := b.serversByID[ev.Server]
 	if s == nil {
@@ -198,6 +203,8 @@
 	b.markConnected(now, s)
 }
 
+// onEstablished marks the server Connected and records the set-up. A request that was cancelled or answered in the
+// meantime stays in Closing.
 func (b *Balancer) onEstablished(now Micros, ev Established) {
 	r := b.requests[ev.ID]
 	if r == nil || r.state == requestEstablished || !r.isCurrentAttempt(ev.Attempt, ev.Server) {
@@ -211,6 +218,8 @@
 	}
 }
 
+// onAttemptEnded counts the end of an attempt or connection against its server, then ends the request, answers it or
+// places it again.
 func (b *Balancer) onAttemptEnded(now Micros, ev *AttemptEnded) {
 	r := b.requests[ev.ID]
 	if r == nil || !r.isCurrentAttempt(ev.Attempt, ev.Server) {
@@ -232,7 +241,7 @@
 		return
 	}
 	if needsConfirmation && r.erroredServer != nil {
-		b.answerFinally(r, answercause.ErrorConfirmed)
+		b.sendFinalAnswer(r, answercause.ErrorConfirmed)
 		return
 	}
 	if needsConfirmation {
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Events for requests, attempts, timers, probes and servers that are unknown or have ended are ignored.
+// Events that refer to unknown or ended requests, attempts, timers, probes and servers are ignored.
 func TestStrayEvents(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	for _, ev := range []Event{
@@ -34,12 +34,12 @@
 		ExistingConnection{Request: Request{ID: 3}, Server: 77},
 	} {
 		if actions := g.handle(ev); len(actions) != 0 {
-			t.Errorf("%#v: %v", ev, actions)
+			t.Errorf("%#v: actions %v, want none", ev, actions)
 		}
 	}
 	id, s := g.request()
 	if actions := g.endAttempt(id, s, 3, outcome.Reset); len(actions) != 0 || g.health(s) == healthUnhealthy {
-		t.Errorf("the end of an attempt that was never started: %v", actions)
+		t.Errorf("end of an attempt that was never started: %v, or a demotion", actions)
 	}
 }
 
@@ -47,25 +47,26 @@
 	g := newHarness(t, testSettings(), serverList(2, 0))
 	g.handle(ExistingConnection{Request: Request{ID: 5}, Server: 2})
 	if n := len(g.b.serversByID[2].connections); n != 1 || g.health(2) != healthConnected {
-		t.Fatalf("%d connections, %v", n, g.health(2))
+		t.Fatalf("%d connections, health %v, want 1 and Connected", n, g.health(2))
 	}
 	g.handle(AttemptEnded{ID: 5, Server: 2, Status: outcome.OK, RequestClosed: true})
 	if n := len(g.b.serversByID[2].connections); n != 0 || len(g.b.requests) != 0 {
-		t.Fatalf("%d connections, %d requests left", n, len(g.b.requests))
+		t.Fatalf("%d connections, %d requests left, want none", n, len(g.b.requests))
 	}
 }
 
-// requestPlay plays random events for requests against one balancer and checks its state after each.
-type requestPlay struct {
+// requestSimulator passes random events for requests to one balancer and checks its state after each.
+type requestSimulator struct {
 	*harness
-	rng      *rand.Rand
-	attempts []StartAttempt
-	numbers  map[uint32]int // attempts started, by request
-	answered map[uint32]bool
+	rng           *rand.Rand
+	attempts      []StartAttempt
+	attemptCounts map[uint32]int // attempts started, by request
+	answered      map[uint32]bool
 }
 
-// do handles one event, and checks that no request gets a second answer or an attempt after its answer.
-func (p *requestPlay) do(ev Event) {
+// do handles one event. It checks that no request gets a second answer or an attempt after its answer, and the state of
+// all servers.
+func (p *requestSimulator) do(ev Event) {
 	p.t.Helper()
 	for _, action := range p.handle(ev) {
 		switch a := action.(type) {
@@ -74,7 +75,7 @@
 				p.t.Fatalf("an attempt for request %d after its answer", a.ID)
 			}
 			p.attempts = append(p.attempts, a)
-			p.numbers[a.ID]++
+			p.attemptCounts[a.ID]++
 		case Reject:
 			p.answer(a.ID)
 		case Fail:
@@ -84,7 +85,8 @@
 	p.checkState()
 }
 
-func (p *requestPlay) answer(id uint32) {
+// answer records the answer to a request, and fails if it is the second.
+func (p *requestSimulator) answer(id uint32) {
 	p.t.Helper()
 	if p.answered[id] {
 		p.t.Fatalf("a second answer to request %d", id)
@@ -92,8 +94,8 @@
 	p.answered[id] = true
 }
 
-// step handles one random event.
-func (p *requestPlay) step() {
+// step advances the time and handles one random event.
+func (p *requestSimulator) step() {
 	p.t.Helper()
 	p.now += Micros(p.rng.IntN(int(30 * ms)))
 	id := 1 + p.rng.Uint32N(p.next+1)
@@ -120,9 +122,9 @@
 }
 
 // advanceAttempt reports an attempt, which may have ended already, as established or ended.
-func (p *requestPlay) advanceAttempt(a StartAttempt) {
+func (p *requestSimulator) advanceAttempt(a StartAttempt) {
 	p.t.Helper()
-	number := p.numbers[a.ID] - 1
+	number := p.attemptCounts[a.ID] - 1
 	if p.rng.IntN(2) == 0 {
 		p.do(Established{ID: a.ID, Attempt: number, Server: a.Server, SetupTime: 10 * ms})
 		return
@@ -133,8 +135,8 @@
 	})
 }
 
-// checkState compares what each server holds with the states of all requests.
-func (p *requestPlay) checkState() {
+// checkState compares the counts of each server with the states of all requests.
+func (p *requestSimulator) checkState() {
 	p.t.Helper()
 	pending, established, charged := map[*server]int{}, map[*server]int{}, map[*server]int{}
 	closing := map[*server]int{}
@@ -163,18 +165,20 @@
 		got := [...]int{s.pendingAttempts, len(s.connections), s.closingConnections, s.load.OwnConnections}
 		want := [...]int{pending[s], established[s], closing[s], charged[s]}
 		if got != want {
-			p.t.Fatalf("server %d has %v pending attempts, connections, closing ones and charged, requests say %v",
+			p.t.Fatalf("server %d counts %v attempts, connections, closing connections and charged requests, want %v",
 				s.Server, got, want)
 		}
 	}
 }
 
-// Whatever events come, what servers hold agrees with the states of requests, and each request is answered once.
+// For any sequence of events, the counts of servers agree with the states of requests, and each request gets at most
+// one answer.
 func TestRequestStates(t *testing.T) {
 	for seed := range uint64(12) {
 		g := newHarness(t, testSettings(), serverList(5, 0))
-		p := &requestPlay{
-			harness: g, rng: rand.New(rand.NewPCG(seed, 1)), numbers: map[uint32]int{}, answered: map[uint32]bool{},
+		p := &requestSimulator{
+			harness: g, rng: rand.New(rand.NewPCG(seed, 1)),
+			attemptCounts: map[uint32]int{}, answered: map[uint32]bool{},
 		}
 		for range 4000 {
 			p.step()
@@ -185,8 +189,9 @@
 	}
 }
 
-// Clients that end their side leave connections that close later: how long those stood is not how long a set-up took.
-func TestEndedClientsAreNoSlowSetups(t *testing.T) {
+// A connection that closes after its client has left is not a set-up: its duration does not count as set-up latency,
+// nor lower the limit of concurrent set-ups.
+func TestClosedConnectionsAreNotSlowSetups(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	limit := g.b.setups.Limit
 	for range 1000 {
@@ -200,13 +205,13 @@
 		g.handle(AttemptEnded{ID: id, Server: server, Status: outcome.OK, Duration: 60 * sec, RequestClosed: true})
 	}
 	if g.b.setups.Limit < limit || g.b.setups.SetupLatency() > float64(20*ms) {
-		t.Errorf("the limit of set-ups went from %.0f to %.0f, their latency is %.0f us",
+		t.Errorf("the concurrency limit went from %.0f to %.0f, the set-up latency is %.0f us",
 			limit, g.b.setups.Limit, g.b.setups.SetupLatency())
 	}
 }
 
-// Connections that close are no set-ups in flight: new requests are not held for them.
-func TestClosingConnectionsLeaveSetupsAlone(t *testing.T) {
+// Closing connections do not count as set-ups under way, so no new request is held for them.
+func TestClosingConnectionsDoNotLimitSetups(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	for range 100 {
 		id, _ := g.connect()
@@ -219,7 +224,8 @@
 	}
 	for _, s := range g.b.servers {
 		if int(s.connectionCount()) < 20 {
-			t.Errorf("server %d counts %.0f connections while its share of 100 closes", s.Server, s.connectionCount())
+			t.Errorf("server %d counts %.0f connections while 100 close at 4 servers, want at least 20",
+				s.Server, s.connectionCount())
 		}
 	}
 }
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// retryTokensPerRequest is what each request adds to the retry budget, in retries.
+	// retryTokensPerRequest is the number of retries that each request adds to the retry budget.
 	retryTokensPerRequest = 0.5
-	// fleetRetryTokens bounds the retry budgets of all balancers together, in retries. Each has at least
-	// minRetryTokens.
+	// fleetRetryTokens is the maximum of the retry budgets of all balancers together, in retries. Each balancer's
+	// maximum is at least minRetryTokens.
 	fleetRetryTokens = 60.0
 	minRetryTokens   = 2.0
 
-	// attemptTimeoutShare is the part of the time left that one attempt gets while another may follow.
+	// attemptTimeoutShare is the fraction of the remaining time that an attempt gets if another attempt may follow.
 	attemptTimeoutShare = 0.45
-	// minAttemptTimeout is the least time-out of an attempt after which another may follow.
+	// minAttemptTimeout is the minimum time-out of an attempt after which another may follow.
 	minAttemptTimeout = 80 * ms
-	// setupTimeoutFactor is how many times the present set-up latency an attempt gets at least.
+	// setupTimeoutFactor is the minimum time-out of such an attempt as a multiple of the present set-up latency.
 	setupTimeoutFactor = 4.0
-	// minSplitAttempts is how many attempts of minAttemptTimeout must fit into the time left for it to be split.
+	// minSplitAttempts is the number of attempts of minAttemptTimeout that must fit into the remaining time for an
+	// attempt to get only a part of it.
 	minSplitAttempts = 2
 )
 
-// attemptForbidden reports whether no further attempt may be started for r, at any server, and why. An attempt needs
-// one left under Settings.MaxAttempts and the consent of the class's retry policy; a pinned request gets one attempt
-// only, and any but the first needs what retryForbidden says.
+// attemptForbidden reports whether no further attempt may be started for r at any server, and the cause if so. Attempts
+// are limited by Settings.MaxAttempts and by the class's retry policy. A pinned request gets a single attempt; see
+// pinnedAttemptAllowed. Any attempt after the first is subject to retryForbidden.
 func (b *Balancer) attemptForbidden(now Micros, r *request) (cause answercause.Cause, forbidden bool) {
 	switch {
 	case r.attempts >= b.settings.MaxAttempts:
@@ -40,15 +41,15 @@
 	return answercause.Unknown, false
 }
 
-// pinnedAttemptAllowed reports whether a pinned request may be sent to its server: once, if that is Ready and at
-// least minAttemptTimeout is left. An attempt that ends early would use up the client's resume token; a client that
-// is rejected can come again with it.
+// pinnedAttemptAllowed reports whether a pinned request may be sent to its server. It gets one attempt, while the
+// server is Ready and at least minAttemptTimeout remains: an attempt that times out early would use up the client's
+// resume token, while a client that is rejected can return with it.
 func pinnedAttemptAllowed(now Micros, r *request) bool {
 	return r.attempts == 0 && r.pinnedTo.State == Ready && r.deadline-now >= minAttemptTimeout
 }
 
-// retryForbidden reports whether the fleet's condition forbids a retry, and why. A retry needs one token of the retry
-// budget, and failures that are not shared by all servers: retrying those only adds load.
+// retryForbidden reports whether the present state of budget and servers forbids any retry, and the cause if so. A
+// retry needs a token of the retry budget. While failures are shared by all servers, retries would only add load.
 func (b *Balancer) retryForbidden() (cause answercause.Cause, forbidden bool) {
 	switch {
 	case b.retryTokens < 1:
@@ -59,19 +60,20 @@
 	return answercause.Unknown, false
 }
 
-// maxRetryTokens is the bound of this balancer's retry budget, in retries: its share of the fleet's.
+// maxRetryTokens returns the maximum of this balancer's retry budget, in retries: its share of fleetRetryTokens, but at
+// least minRetryTokens.
 func (b *Balancer) maxRetryTokens() float64 {
 	return max(fleetRetryTokens*b.fleetShare, minRetryTokens)
 }
 
-// earnRetryTokens adds to the retry budget what one request earns.
-func (b *Balancer) earnRetryTokens() {
+// addRetryTokens adds one request's retryTokensPerRequest to the retry budget.
+func (b *Balancer) addRetryTokens() {
 	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, b.maxRetryTokens())
 }
 
-// attemptTimeout returns the time-out of the attempt that r has just started. It is the time left, or where another
-// attempt may follow attemptTimeoutShare of it, but at least minAttemptTimeout and setupTimeoutFactor times the
-// present set-up latency: no attempt is given up that would succeed.
+// attemptTimeout returns the time-out of the attempt that r has just started. It is all of the remaining time if no
+// other attempt can follow. Otherwise it is attemptTimeoutShare of that time, but at least minAttemptTimeout and
+// setupTimeoutFactor times the present set-up latency, so that slow set-ups are not abandoned just before they succeed.
 func (b *Balancer) attemptTimeout(now Micros, r *request) Micros {
 	timeLeft := r.deadline - now
 	if !b.anotherAttemptPossible(r, timeLeft) {
@@ -82,14 +84,15 @@
 	return min(max(part, minAttemptTimeout, slowSetup), timeLeft)
 }
 
-// anotherAttemptPossible reports whether r could be retried after its present attempt timed out.
+// anotherAttemptPossible reports whether r could be retried if its present attempt timed out, with timeLeft until its
+// deadline.
 func (b *Balancer) anotherAttemptPossible(r *request, timeLeft Micros) bool {
 	return r.attempts < b.settings.MaxAttempts &&
 		timeLeft >= minSplitAttempts*minAttemptTimeout &&
 		r.pinnedTo == nil && r.class.Idempotency != NonIdempotent
 }
 
-// mayHaveExecuted reports whether an attempt that ended like this may have had its effect at the server.
+// mayHaveExecuted reports whether a server may have executed a request whose attempt ended with this status.
 func mayHaveExecuted(status outcome.Status) bool {
 	switch status {
 	case outcome.ServerFull, outcome.ConnectFailed, outcome.Inconclusive:
@@ -99,16 +102,16 @@
 	}
 }
 
-// errorNeedsConfirmation reports whether an attempt's end says nothing of its server until another server has had the
-// request: an error response to an idempotent request may be the request's own fault, and one faulty client would
-// otherwise demote all servers.
+// errorNeedsConfirmation reports whether an attempt ended with an error that counts against its server only once
+// another server has accepted the request. An error response to an idempotent request may be caused by the request
+// itself; without confirmation, one faulty client would get all servers demoted.
 func errorNeedsConfirmation(r *request, status outcome.Status) bool {
 	return status == outcome.ErrorResponse && !r.wasEstablished && r.class.Idempotency == Idempotent
 }
 
-// recordUnconfirmedError counts one failed set-up for a request that a server answered with an error and that ends
-// without another server having accepted it. It counts against no server, as it may be the request's own fault, but
-// where most requests end like this the fault is shared, and further attempts would only add load.
+// recordUnconfirmedError records a failed set-up for a request that ends with an unconfirmed error response. No server
+// is demoted for it, since the request itself may be the cause. But if most requests end like this, the servers share a
+// failure, and further attempts would only add load.
 func (b *Balancer) recordUnconfirmedError(r *request) {
 	if r.erroredServer != nil {
 		b.recordSetup(outcome.ErrorResponse, 0)
@@ -116,8 +119,8 @@
 	}
 }
 
-// confirmError counts an earlier error response against the server that gave it, now that another has accepted the
-// request.
+// confirmError counts an earlier error response against the server that gave it, because another server has accepted
+// the request.
 func (b *Balancer) confirmError(now Micros, r *request) {
 	if r.erroredServer != nil && r.erroredServer != r.server {
 		b.recordSetup(outcome.ErrorResponse, 0)
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -18,18 +18,18 @@
 	}
 }
 
-// With a slow store a set-up takes long at every server: timing it out early only pays for a second one.
+// With a slow store set-ups are slow at every server: timing one out early only leads to a second, equally slow one.
 func TestSlowSetupsAreNotTimedOutEarly(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	for range 40 {
 		g.b.recordSetup(outcome.OK, 600*ms)
 	}
 	if s := actionsOf[StartAttempt](g.handle(Request{ID: 1, TimeLeft: 2 * sec})); s[0].Timeout < 1900*ms {
-		t.Fatalf("times out after %d", s[0].Timeout)
+		t.Fatalf("the attempt times out after %d, want nearly all of 2 s", s[0].Timeout)
 	}
 }
 
-// A few servers that hang are no shared slowness: attempts keep their short time-outs, and moves go on.
+// A few servers that hang do not raise the set-up latency, which would lengthen time-outs and stop moves.
 func TestHangingServersDoNotCountAsSharedSlowness(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	for i := range 200 {
@@ -40,7 +40,7 @@
 		}
 	}
 	if g.b.setups.SetupLatency() > float64(100*ms) {
-		t.Fatalf("set-up latency %.0f us", g.b.setups.SetupLatency())
+		t.Fatalf("set-up latency %.0f us, want at most 100 ms", g.b.setups.SetupLatency())
 	}
 }
 
@@ -73,23 +73,24 @@
 	id, sv := g.request()
 	next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.ServerFull))
 	if len(next) != 1 {
-		t.Fatal("an attempt that cannot have executed was not retried")
+		t.Fatal("an attempt that cannot have been executed was not retried")
 	}
 	if left := g.b.requests[id].deadline - g.now; next[0].Timeout != left {
 		t.Errorf("an attempt that can't be retried times out after %d of %d", next[0].Timeout, left)
 	}
-	// A request that no server may have any more is answered at once, not at its deadline.
+	// A request that may not be sent to any server again is answered at once, not at its deadline.
 	actions := g.endAttempt(id, next[0].Server, 1, outcome.TimedOut)
 	if len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 ||
 		len(actionsOf[StartAttempt](actions)) != 0 {
-		t.Fatalf("after an attempt that may have executed: %v", actions)
+		t.Fatalf("after an attempt that may have been executed: %v", actions)
 	}
 	if actions := g.handle(TimerFired{deadlineTimer.forRequest(id)}); len(actions) != 0 {
 		t.Fatalf("a second answer: %v", actions)
 	}
 }
 
-// A retry that reaches its server after the window would be executed again, so the time to write it is bounded.
+// A retry that reaches a server after the deduplication window would be executed again, so the time to write it is
+// limited.
 func TestKeyedRetryIsWrittenWithinItsDedupWindow(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = IdempotentWithKey, 300*ms
@@ -97,14 +98,15 @@
 	id, sv := g.request()
 	sent := g.now
 	if first := g.b.requests[id]; first.attemptHistory.MayHaveExecuted() {
-		t.Fatal("counts as executed before its end")
+		t.Fatal("the attempt counts as executed before its end")
 	}
 	g.now += 100 * ms
 	next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.Reset))
 	if len(next) != 1 || next[0].WriteTimeout <= 0 || g.now+next[0].WriteTimeout > sent+300*ms {
-		t.Fatalf("%+v, %d after the first attempt", next, g.now-sent)
+		t.Fatalf("retries %+v, %d after the first attempt, want one within the window", next, g.now-sent)
 	}
-	// A retry that was not written in time was not executed; no server may have it now, and all discard duplicates.
+	// The retry was not written in time, so it was not executed. No server may get the request now, but the client may
+	// retry, since all servers discard duplicates.
 	g.now = sent + 300*ms
 	actions := g.endAttempt(id, next[0].Server, 1, outcome.Inconclusive)
 	if len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
@@ -135,9 +137,9 @@
 	}
 }
 
-// playErrors sends n requests one after another, all of whose attempts end like this, and returns how many attempts
-// were made.
-func playErrors(g *harness, n int, status outcome.Status) (attempts int) {
+// sendRequests sends n requests one after another, all of whose attempts end with the given status, and returns the
+// number of attempts.
+func sendRequests(g *harness, n int, status outcome.Status) (attempts int) {
 	for range n {
 		g.now += 5 * ms
 		id, server := g.request()
@@ -158,33 +160,33 @@
 	return attempts
 }
 
-// Where all servers answer errors to idempotent requests the throttle hears of it: a crowd is not sent twice each, and
-// no server is demoted for it. Once they accept again, so do all requests get through.
-func TestErrorsOfAllServersReachTheThrottle(t *testing.T) {
+// If all servers answer idempotent requests with errors, set-ups are throttled: most requests are not even sent once,
+// and no server is demoted. Once the servers accept requests again, all of them get through.
+func TestErrorsOfAllServersThrottleRetries(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
-	if n := playErrors(g, 1000, outcome.ErrorResponse); n > 500 {
-		t.Errorf("1000 requests that fail everywhere cost %d attempts", n)
+	if n := sendRequests(g, 1000, outcome.ErrorResponse); n > 500 {
+		t.Errorf("1000 requests that fail at all servers lead to %d attempts, want at most 500", n)
 	}
 	for _, s := range g.b.servers {
 		if s.health == healthUnhealthy {
-			t.Errorf("server %d is demoted for an error that no other server contradicts", s.Server)
+			t.Errorf("server %d is Unhealthy after errors that all servers answer", s.Server)
 		}
 	}
 	for range 60 * 4 {
 		g.advance(tickInterval)
 	}
-	if n := playErrors(g, 100, outcome.OK); n != 100 {
-		t.Errorf("%d of 100 requests are sent once the servers accept again", n)
+	if n := sendRequests(g, 100, outcome.OK); n != 100 {
+		t.Errorf("%d attempts for 100 requests once the servers accept them again", n)
 	}
 }
 
-// One client whose requests fail everywhere costs the others nothing.
-func TestFaultyClientIsNotTheFleet(t *testing.T) {
+// A client whose requests fail at all servers does not affect other clients.
+func TestFaultyClientDoesNotAffectOthers(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	for range 300 {
-		playErrors(g, 1, outcome.ErrorResponse)
-		if n := playErrors(g, 2, outcome.OK); n != 2 {
-			t.Fatalf("%d of 2 sound requests are sent", n)
+		sendRequests(g, 1, outcome.ErrorResponse)
+		if n := sendRequests(g, 2, outcome.OK); n != 2 {
+			t.Fatalf("%d attempts for 2 valid requests of another client", n)
 		}
 	}
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -3,9 +3,9 @@
 import "spurspread/decision/retry"
 
 type (
-	// Idempotency says whether a request of a class may be executed twice; see package retry.
+	// Idempotency tells whether a request of a class may be executed more than once; see package retry.
 	Idempotency = retry.Idempotency
-	// DedupScope names the servers that discard duplicates of a request; see package retry.
+	// DedupScope is the group of servers that discard each other's duplicates; see package retry.
 	DedupScope = retry.DedupScope
 )
 
@@ -19,108 +19,111 @@
 	ScopeCell         = retry.ScopeCell
 )
 
-// Class is one class of requests.
+// Class is a class of requests, with its latency objectives and the rules for its retries.
 type Class struct {
-	// LatencyObjective is for the set-up of a connection. While set-ups take long against it, nothing of the class
-	// moves.
+	// LatencyObjective is the objective for the set-up of a connection. While set-ups take longer than a fraction of it
+	// (maxMoveSetupShare), no connections of the class are moved to relieve servers.
 	LatencyObjective Micros
-	Deadline         Micros // from a request's arrival to its final answer
+	Deadline         Micros // time from a request's arrival to its final answer; the caller derives Request.TimeLeft
 	Idempotency      Idempotency
-	DedupScope       DedupScope // servers that discard duplicates, for IdempotentWithKey
-	DedupWindow      Micros     // how long they do so after the first attempt, for IdempotentWithKey
-	Priority         float64    // weight among the classes, above or equal to 0; decides by RelativePriority
+	DedupScope       DedupScope // servers that discard each other's duplicates, for IdempotentWithKey
+	DedupWindow      Micros     // time after the first attempt for which they do, for IdempotentWithKey
+	Priority         float64    // weight among the classes, at least 0; takes effect through RelativePriority
 	RelativePriority float64    // Priority over the highest Priority of all classes, 0 to 1
-	Streaming        bool       // the connections carry streams. Not used.
+	Streaming        bool       // connections carry streams. Not used.
 
-	// MessageLatencyObjective is for one message on an established connection; 0 where the class states none. A server
-	// that exceeds it gets fewer connections and loses some of those it has.
+	// MessageLatencyObjective is the objective for one message on an established connection; 0 means none. A server
+	// that misses it gets fewer connections and loses some of those that it has.
 	MessageLatencyObjective Micros
 }
 
-// RetryPolicy returns what the class allows after an attempt that may have executed.
+// RetryPolicy returns the policy for retries after an attempt that may have been executed.
 func (c *Class) RetryPolicy() retry.Policy {
 	return retry.Policy{Idempotency: c.Idempotency, DedupScope: c.DedupScope, DedupWindow: c.DedupWindow}
 }
 
 // Tenant is one customer with a share of the service. No decision depends on tenants yet.
 type Tenant struct {
-	Share           float64 // of the service, 0 to 1
-	RequestQuota    float64 // requests a second within its share, over all balancers
-	ConnectionQuota float64 // established connections within its share, over all balancers; 0 where not stated
+	Share           float64 // fraction of the service, 0 to 1
+	RequestQuota    float64 // requests per second within its share, over all balancers
+	ConnectionQuota float64 // established connections within its share, over all balancers; 0: unspecified
 }
 
-// Settings is the configuration of one Balancer. It is checked by whoever reads it; New and SettingsChanged take it as
-// it is. Defaults are those of the settings file. Fields marked "not used" are accepted and decide nothing.
+// Settings is the configuration of one Balancer. New and SettingsChanged do not validate it; the caller must. The
+// stated defaults are those of the settings file. Fields marked "Not used" are accepted but have no effect on
+// decisions.
 type Settings struct {
-	// Rank is this balancer's number among Balancers, from 0. Equal ranks poll discovery at the same moments and
-	// use the same slow-start grants twice.
+	// Rank is this balancer's index among Balancers, from 0. Balancers of equal rank poll discovery at the same moments
+	// and use the same slow-start grants twice.
 	Rank int
-	// Balancers is the size of the fleet, at least 1. Budgets that the fleet shares are divided by it: too low a value
-	// overloads servers, too high a value delays clients.
+	// Balancers is the number of balancers in the fleet, at least 1. Budgets that the fleet shares are divided by it: a
+	// value that is too low overloads servers, one that is too high delays clients.
 	Balancers int
 	// Zone is the home zone, whose servers are preferred.
 	Zone int
 	// Zones is the number of zones.
 	Zones int
 
-	// PollDiscovery is true where discovery answers only when polled, false (default) where it pushes updates.
+	// PollDiscovery is set if discovery must be polled; by default it pushes updates.
 	PollDiscovery bool
-	// Passthrough is true where packets pass through and connections outlive the balancer; default false. Servers are
-	// then selected by the request's key, alike at every balancer, and no limit on set-ups applies.
+	// Passthrough is set if the proxy only forwards packets, so that connections outlive it; default false. Every
+	// balancer then selects the same server for a request's key, and set-ups are not limited.
 	Passthrough bool
-	// ReportsConnectionLoad is true where servers report the load of each connection; default false. Placement then
-	// goes by load instead of by number of connections, and overloaded servers are rebalanced.
+	// ReportsConnectionLoad is set if servers report the load of each connection; default false. Requests are then
+	// placed by load instead of by number of connections, and overloaded servers are rebalanced.
 	ReportsConnectionLoad bool
-	// DynamicWeights is true where a listed weight is the server's cores over 1 + connections for each core; default
-	// false, a weight that does not change with use.
+	// DynamicWeights is set if a listed weight is the server's cores divided by 1 + its connections per core. By
+	// default a weight does not depend on use.
 	DynamicWeights bool
-	// ClockResolution is that of the caller's clock; default 1 ms. Not used.
+	// ClockResolution is the resolution of the caller's clock; default 1 ms. Not used.
 	ClockResolution Micros
 
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaPriority float64 // priority of requests beyond a tenant's quota, default 1. Not used.
+	OverQuotaPriority float64 // priority of requests over a tenant's quota; default 1. Not used.
 
-	// MaxAttempts bounds the attempts of one request, at least 1. More attempts mask more failures and add more load
-	// while servers fail.
+	// MaxAttempts is the maximum number of attempts for one request, at least 1. More attempts mask more failures, but
+	// add more load while servers fail.
 	MaxAttempts int
-	// MaxHeldRequests bounds the requests that have not ended, whether they wait, connect or are established; default
-	// unlimited. The caller enforces it.
+	// MaxHeldRequests is the maximum number of requests that have not ended, whether they wait, connect or are
+	// established; default unlimited. The caller enforces it.
 	MaxHeldRequests int
-	AllowProbes     bool // ProbeServer may be emitted; without it Unhealthy servers are validated by requests
+	AllowProbes     bool // ProbeServer may be emitted; otherwise requests validate Unhealthy servers
 	AllowCancel     bool // CancelAttempt may be emitted
 	AllowRetryAfter bool // Reject.RetryAfter may be set
-	// MaxRetryAfter bounds Reject.RetryAfter; default 0.
+	// MaxRetryAfter is the maximum of Reject.RetryAfter; default 0.
 	MaxRetryAfter Micros
-	// AnswerTolerance is how late an answer may be; default 0. Not used.
+	// AnswerTolerance is the time by which an answer may be late; default 0. Not used.
 	AnswerTolerance Micros
-	// PollInterval is the longest time between two polls of discovery; default 10 s. A shorter one loads discovery.
+	// PollInterval is the maximum time between two polls of discovery; default 10 s. A shorter one adds load to
+	// discovery.
 	PollInterval Micros
 
-	// InitialCapacity is the part of its capacity, 0 to 1, that a server surely has when it starts. A value too high
-	// overloads starting servers, one too low leaves them idle.
+	// InitialCapacity is the fraction of its full capacity, 0 to 1, that a server is assumed to have when it starts. A
+	// value that is too high overloads starting servers, one that is too low leaves them idle.
 	InitialCapacity float64
-	// WarmupTime is how long after its start a server has its full capacity.
+	// WarmupTime is the time after its start at which a server has its full capacity.
 	WarmupTime Micros
-	// DrainGrace is how long after the update a draining server may still get attempts. None is sent then; the polling
-	// schedule uses the grace as time for a poll.
+	// DrainGrace is the time after discovery's update for which a draining server may still get attempts. A balancer
+	// that has the update sends it none; the polling schedule uses the grace as time for the poll that brings the
+	// update.
 	DrainGrace Micros
-	// OverloadWindow is how long a starting server may be sent OverloadFactor times what it can take before it fails.
-	// Both set the slow-start budget: smaller values protect servers, larger ones use them sooner.
+	// OverloadWindow is the time for which a starting server withstands OverloadFactor times its capacity.
+	// Both determine the slow-start budget: smaller values protect servers, larger ones use them sooner.
 	OverloadWindow Micros
 	OverloadFactor float64
 	ParkTime       Micros // default 0. Not used.
 
 	// Costs, in the unit of Class.Priority.
-	CrossZoneCost float64 // of a connection to another zone, default 0. Not used.
-	MoveCost      float64 // of a move, default 0. Not used.
-	ProbeCost     float64 // of a probe, default 0: probes for load reports are then never paid for
+	CrossZoneCost float64 // cost of a connection to another zone; default 0. Not used.
+	MoveCost      float64 // cost of a move; default 0. Not used.
+	ProbeCost     float64 // cost of a probe; default 0, which allows no probes for load reports
 
-	// LoadReportColumns are the names of LoadReport.Values, in their order.
+	// LoadReportColumns are the names of LoadReport.Values, in the same order.
 	LoadReportColumns []string
 }
 
-// applySettings makes s hold for all decisions from now on. Requests keep the class that they arrived with.
+// applySettings makes s apply to all further decisions. Requests keep the class that they arrived with.
 func (b *Balancer) applySettings(s Settings) {
 	b.settings = s
 	b.fleetShare = 1 / float64(max(s.Balancers, 1))
@@ -132,8 +135,8 @@
 	b.polling.Grace = s.DrainGrace
 }
 
-// shortestMessageObjective returns the shortest MessageLatencyObjective of the classes, 0 where none states one.
-// Latency of a server is measured against it, since metrics don't tell the class.
+// shortestMessageObjective returns the shortest MessageLatencyObjective of all classes, or 0 if none has one. A
+// server's latency is compared with it, since metrics are not kept by class.
 func (b *Balancer) shortestMessageObjective() Micros {
 	shortest := Micros(0)
 	for i := range b.settings.Classes {
@@ -145,5 +148,5 @@
 	return shortest
 }
 
-// loadsReported reports whether servers report the load of their connections.
+// loadsReported reports whether servers report the load of each connection.
 func (b *Balancer) loadsReported() bool { return b.settings.ReportsConnectionLoad }
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -6,7 +6,7 @@
 	"spurspread/decision/outcome"
 )
 
-// Changed settings decide requests that arrive later; earlier ones keep the class that they arrived with.
+// Changed settings apply to requests that arrive later; earlier ones keep the class that they arrived with.
 func TestChangedSettingsApplyToLaterRequests(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -30,7 +30,7 @@
 				t.Fatal("no attempt was started")
 			}
 			retried := func(id, server uint32) bool {
-				// After a time-out the attempt may have executed: only an idempotent class is retried.
+				// After a time-out the attempt may have been executed, so only an idempotent class is retried.
 				actions := append(
 					g.endAttempt(id, server, 0, outcome.TimedOut),
 					g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Changed settings also change what budgets and polls are computed from: the fleet's size, whether loads are reported,
-// and the meaning of weights.
+// Changed settings also apply to the parameters of budgets and polls: the fleet's size, whether loads are reported, and
+// the meaning of weights.
 func TestChangedSettingsUpdateBudgets(t *testing.T) {
 	before := testSettings()
 	before.PollDiscovery = true
