--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -16,8 +16,8 @@
 // hasSpareCapacity reports whether s may get one more connection, which takes admissionCost tokens. The server's bucket
 // must hold that many, and its connections must be fewer than latency.Estimate.ConnectionCapacity. Tokens are added at
 // a rate proportional to the server's weight and to this balancer's share of the fleet. A request that finds no
-// capacity in the home zone goes to another zone. Passthrough mode has no limit. The call always refills the
-// bucket up to now.
+// capacity in the home zone goes to another zone. Passthrough mode has no limit. The call always refills the bucket up
+// to now.
 func (b *Balancer) hasSpareCapacity(now Micros, s *server, admissionCost float64) bool {
 	share := max(b.fleetShare, slowstart.MinFleetShare)
 	s.budget.Refill(now, s.relativeWeight*share, admissionCost)
--- a/decision/digest_test.go
+++ b/decision/digest_test.go
@@ -15,8 +15,8 @@
 )
 
 // wantDigests are digests of all actions of a Balancer for generated event sequences, one per seed. They detect any
-// change of decisions. A commit that is not meant to change decisions must leave them as they are; one that is must
-// update them separately and say so. A failing test prints the new ones.
+// change of decisions, bit for bit. A change that is not meant to affect decisions must leave them as they are. Any
+// other change updates them in a commit of its own that says so; the failing test prints the new digests.
 var wantDigests = []string{
 	"f7b225ee8cfed51d", "90b94e5905452d5c", "ba6ab11846903e9f", "b7435edfdce1108f",
 	"ef6f6162fdc09fc2", "c3b4d212bec5cb39", "335c8bf4ad0a69f6", "c40841f5542f726e",
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateServer applies one entry of an update. A server whose start time has changed has restarted: its health is
+// updateServer applies one entry of an update. A Ready server whose start time has changed has restarted: its health is
 // Unknown again and its measurements are reset.
 func (b *Balancer) updateServer(now Micros, entry *ServerEntry) {
 	s := b.serversByID[entry.Server]
--- a/decision/events.go
+++ b/decision/events.go
@@ -111,12 +111,12 @@
 		Status               outcome.Status
 		Duration             Micros
 		RequestClosed        bool // answered, or the client has left: the request is not retried
-		CauseAlreadyReported bool // reported with another attempt: do not count it again
+		CauseAlreadyReported bool // with another attempt, so it does not count against the server again
 		LoadReport           LoadReport
 	}
-	// MoveRequested reports that an established connection must be moved because its server drains or has closed it.
-	// If SameServerAllowed is set, the server is not the reason and the client may return to it. The core responds with
-	// a MoveConnection.
+	// MoveRequested reports that an established connection must be moved, usually because its server drains or has
+	// closed it. SameServerAllowed means that the reason is not the server and the client may return to it. The core
+	// responds with a MoveConnection.
 	MoveRequested struct {
 		ID                uint32
 		SameServerAllowed bool
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -187,25 +187,25 @@
 		m.handle(i, ServerListUpdate{Kind: UpdateCached, Entries: list})
 	}
 	serversByGroup, used := map[uint64]map[uint64]bool{}, map[uint64]bool{}
-	at := 0
+	request := 0
 	m.onAction = func(i int, a Action) {
 		if a, ok := a.(StartAttempt); ok {
-			group, where := uint64(at%12+1), m.balancers[i].serversByID[a.Server].StableID
+			group, server := uint64(request%12+1), m.balancers[i].serversByID[a.Server].StableID
 			if serversByGroup[group] == nil {
 				serversByGroup[group] = map[uint64]bool{}
 			}
-			serversByGroup[group][where], used[where] = true, true
+			serversByGroup[group][server], used[server] = true, true
 		}
 	}
-	for at = range 40 * 3 {
-		m.handle(at%40, Request{ID: uint32(at), TimeLeft: sec, Group: uint64(at%12 + 1)})
+	for request = range 40 * 3 {
+		m.handle(request%40, Request{ID: uint32(request), TimeLeft: sec, Group: uint64(request%12 + 1)})
 	}
-	all := 0
-	for _, in := range serversByGroup {
-		all += len(in)
+	pairs := 0
+	for _, servers := range serversByGroup {
+		pairs += len(servers)
 	}
-	if len(serversByGroup) != 12 || all > 24 || len(used) < 5 {
-		t.Errorf("%d groups, %d pairs of group and server, %d of 8 servers used", len(serversByGroup), all, len(used))
+	if len(serversByGroup) != 12 || pairs > 24 || len(used) < 5 {
+		t.Errorf("%d groups, %d pairs of group and server, %d of 8 servers used", len(serversByGroup), pairs, len(used))
 	}
 }
 
--- a/decision/health.go
+++ b/decision/health.go
@@ -15,9 +15,10 @@
 //	Pending    being validated (recoverServer); selected after the first two for pendingTimeout, then like them
 //	Unhealthy  demoted for failures (updateHealth) or slowness (demoteForSlowness); selected last
 //
-// Any established attempt, and any latency report below latency.SlowThreshold, makes a server Connected. Which outcomes
-// make it Unhealthy, and which do not (a full server, a single reset, failures shared by all servers), is decided by
-// updateHealth. A Pending server that nothing validates ranks with the healthy ones after pendingTimeout.
+// An established attempt, or a latency report that is not above latency.SlowThreshold, makes a server Connected. The
+// function updateHealth decides which outcomes make it Unhealthy, and which do not: a full server, a single reset, and
+// failures shared by all servers. A Pending server that nothing validates ranks with the healthy ones after
+// pendingTimeout.
 type healthState uint8
 
 // The health states.
@@ -49,8 +50,8 @@
 	// maxValidationUtilization is the reported utilization above which a probe does not validate a server.
 	maxValidationUtilization = 0.85
 
-	// serverFullPause and resetPause are the mean times for which a server gets no new attempt after it rejected one as
-	// full or reset connections.
+	// serverFullPause is the mean time for which a server gets no new attempt after it rejected one because it was
+	// full, resetPause the same after it reset two connections within resetPairWindow.
 	serverFullPause = 300 * ms
 	resetPause      = 2 * sec
 	// resetPairWindow is the time within which two resets are attributed to the server rather than to the network.
@@ -85,7 +86,7 @@
 	s.enteredAt[h] = now
 }
 
-// markConnected makes the server Connected, because an attempt or a validation succeeded or its latency is in order.
+// markConnected makes the server Connected, because an attempt or a validation succeeded or it is no longer slow.
 func (b *Balancer) markConnected(now Micros, s *server) {
 	s.demotedForFailure = false
 	if s.health != healthConnected {
@@ -95,7 +96,8 @@
 
 // updateHealth updates a server's health by the outcome of an attempt or a connection:
 //
-//   - A failed connect demotes the server.
+//   - An attempt that ends with OK, without having been established, makes the server Connected.
+//   - A failed connect demotes it.
 //   - An error response demotes it, unless failures are shared by all servers.
 //   - A time-out demotes it for slowness, unless failures are shared by all servers.
 //   - A second reset within resetPairWindow demotes and pauses it: an overloaded server drops connections, and one that
@@ -213,7 +215,8 @@
 }
 
 // validateServer makes an Unhealthy server Pending and probes it. If Settings.AllowProbes is not set, the next request
-// that it gets validates it instead. If maxConcurrentProbes are in flight, it stays Unhealthy until a later tick.
+// that it gets validates it instead. While maxConcurrentProbes or a probe of this server are in flight, it stays
+// Unhealthy; a later tick tries again.
 func (b *Balancer) validateServer(now Micros, s *server) {
 	if b.settings.AllowProbes {
 		if b.probesUnderWay >= maxConcurrentProbes || s.probing {
@@ -224,6 +227,7 @@
 	s.setHealth(now, healthPending)
 }
 
+// probeServer emits a probe and counts it as in flight until its ProbeResult.
 func (b *Balancer) probeServer(s *server) {
 	s.probing = true
 	b.probesUnderWay++
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -104,7 +104,7 @@
 
 // mayReceive reports whether s, which must not be paused, can receive r now:
 //
-//   - r was not the last request that was sent to s;
+//   - r was not the last request that was sent to s, so that a retry goes to another server;
 //   - s has spare capacity;
 //   - if s is warming up (warmup below 1), there is a slow-start grant for it and r has an admission cost, which the
 //     requests of moveTarget have not;
--- a/decision/placement_test.go
+++ b/decision/placement_test.go
@@ -70,7 +70,7 @@
 // connections while it has capacity.
 func TestGroupsAreKeptTogether(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
-	held := map[uint64]map[uint32]int{}
+	byGroup := map[uint64]map[uint32]int{}
 	for i := range 400 {
 		group := uint64(1 + i%20)
 		g.next++
@@ -79,17 +79,17 @@
 		}
 		attempts := actionsOf[StartAttempt](g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Group: group}))
 		g.handle(Established{ID: g.next, Server: attempts[0].Server, SetupTime: 10 * ms})
-		if held[group] == nil {
-			held[group] = map[uint32]int{}
+		if byGroup[group] == nil {
+			byGroup[group] = map[uint32]int{}
 		}
-		held[group][attempts[0].Server]++
+		byGroup[group][attempts[0].Server]++
 	}
-	places := 0
-	for _, at := range held {
-		places += len(at)
+	pairs := 0
+	for _, servers := range byGroup {
+		pairs += len(servers)
 	}
-	if places > 50 {
-		t.Errorf("20 groups on %d pairs of group and server, want at most 50", places)
+	if pairs > 50 {
+		t.Errorf("20 groups on %d pairs of group and server, want at most 50", pairs)
 	}
 	for _, s := range g.b.servers {
 		if n := len(s.connections); n < 50 || n > 150 {
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -21,13 +21,13 @@
 )
 
 // moveFromSlowServer moves connections off a server that misses the shortest message latency objective. Each connection
-// is drawn with a probability equal to the fraction that latency.Estimate.ExcessPart finds to be too much. All
-// balancers see the same latency and move the same fraction of their connections, so it is at most maxMovedShare, and
-// less while a part of the fleet is missing.
+// moves with a probability equal to the fraction that latency.Estimate.ExcessPart finds to be too much. All balancers
+// see the same latency and move the same fraction of their connections, so it is at most maxMovedShare, and less while
+// a part of the fleet is missing.
 //
-// A connection moves only if its own class's objective is missed, set-ups are fast, and either another server has spare
-// capacity or the latency is above forcedMoveLatencyRatio. Where servers report loads, moveLoad selects the connections
-// instead, provided that another server has spare capacity.
+// A connection moves only if the latency is above latency.MoveThreshold times its own class's objective, if set-ups are
+// fast, and if either another server has spare capacity or the latency is above forcedMoveLatencyRatio. Where servers
+// report loads, moveLoad selects the connections instead, provided that another server has spare capacity.
 func (b *Balancer) moveFromSlowServer(now Micros, s *server) {
 	spare := b.spareConnections(now)
 	objective := float64(b.shortestMessageObjective())
--- a/decision/rebalance_test.go
+++ b/decision/rebalance_test.go
@@ -154,8 +154,8 @@
 }
 
 // Where servers report loads, connections leave a draining server gradually while other servers have spare capacity,
-// and none leave a Ready server. Resumable connections are left to the caller's drain plan. If the spare
-// capacity is used up or unknown, all connections stay until the server stops.
+// and none leave a Ready server. Resumable connections are left to the caller's drain plan. If the spare capacity is
+// used up or unknown, all connections stay until the server stops.
 func TestDrainingServersAreDrainedGradually(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings  Settings
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -115,8 +115,9 @@
 	return s
 }
 
-// endRequest ends the request, cancels its attempt if it has one under way, and releases its connection. No further
-// action follows for it. It is removed at once, or when its attempt or connection is reported to have ended.
+// endRequest ends the request. It cancels an attempt under way if Settings.AllowCancel is set, and releases an
+// established connection. No further action follows for the request. It is removed at once, or when its attempt or
+// connection is reported to have ended.
 func (b *Balancer) endRequest(r *request) {
 	switch r.state {
 	case requestWaiting, requestEnded:
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -160,8 +160,8 @@
 	return attempts
 }
 
-// If all servers answer idempotent requests with errors, set-ups are throttled: most requests are not even sent once,
-// and no server is demoted. Once the servers accept requests again, all of them get through.
+// If all servers answer idempotent requests with errors, set-ups are throttled: at most half of the requests are sent,
+// and no server is demoted. Once the servers accept requests again, all requests get through.
 func TestErrorsOfAllServersThrottleRetries(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	if n := sendRequests(g, 1000, outcome.ErrorResponse); n > 500 {
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -24,7 +24,7 @@
 	// LatencyObjective is the objective for the set-up of a connection. While set-ups take longer than a fraction of it
 	// (maxMoveSetupShare), no connections of the class are moved to relieve servers.
 	LatencyObjective Micros
-	Deadline         Micros // time from a request's arrival to its final answer; the caller derives Request.TimeLeft
+	Deadline         Micros // time from arrival to final answer; the caller derives Request.TimeLeft from it
 	Idempotency      Idempotency
 	DedupScope       DedupScope // servers that discard each other's duplicates, for IdempotentWithKey
 	DedupWindow      Micros     // time after the first attempt for which they do, for IdempotentWithKey
@@ -108,8 +108,8 @@
 	// that has the update sends it none; the polling schedule uses the grace as time for the poll that brings the
 	// update.
 	DrainGrace Micros
-	// OverloadWindow is the time for which a starting server withstands OverloadFactor times its capacity.
-	// Both determine the slow-start budget: smaller values protect servers, larger ones use them sooner.
+	// OverloadWindow is the time for which a starting server withstands OverloadFactor times its capacity. Both
+	// determine the slow-start budget: smaller values protect servers, larger ones use them sooner.
 	OverloadWindow Micros
 	OverloadFactor float64
 	ParkTime       Micros // default 0. Not used.
