--- a/decision/admission.go
+++ b/decision/admission.go
@@ -48,17 +48,17 @@
 	if b.settings.Passthrough {
 		return true
 	}
-	return b.setups.Allows(b.setupsUnderWay)
+	return b.setupLimiter.Allows(b.setupsUnderWay)
 }
 
 // shedSetup reports whether a set-up is rejected although a server was found for it, and counts it as shed if so. The
 // decision is random, with a probability that grows with the fraction of recent set-ups that failed: without shedding,
 // retrying clients would keep overloaded servers from recovering.
 func (b *Balancer) shedSetup() bool {
-	if b.rng.Float64() >= b.setups.ShedProbability(b.fleetShare) {
+	if b.rng.Float64() >= b.setupLimiter.ShedProbability(b.fleetShare) {
 		return false
 	}
-	b.setups.RecordShed()
+	b.setupLimiter.RecordShed()
 	return true
 }
 
--- a/decision/answercause_test.go
+++ b/decision/answercause_test.go
@@ -30,7 +30,7 @@
 	}{
 		"no server":    {func(g *harness) { g.b.servers[0].State = Draining }, answercause.NoReadyServer},
 		"paused":       {func(g *harness) { g.b.servers[0].pausedUntil = math.MaxInt64 }, answercause.NoCapacity},
-		"set-up limit": {func(g *harness) { g.b.setups.Limit = 0 }, answercause.SetupLimit},
+		"set-up limit": {func(g *harness) { g.b.setupLimiter.Limit = 0 }, answercause.SetupLimit},
 		"old list":     {func(g *harness) { g.b.settings.PollDiscovery = true }, answercause.ListUnconfirmed},
 		"connecting":   {func(*harness) {}, answercause.AttemptTimedOut},
 	} {
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -37,8 +37,8 @@
 	fleetSize   fleetsize.Estimate
 	fleetShare  float64 // this balancer's fraction of budgets that the whole fleet shares, above 0 to 1
 
-	requests map[uint32]*request // requests that have not ended, by ID
-	setups   concurrency.Limiter
+	requests     map[uint32]*request // requests that have not ended, by ID
+	setupLimiter concurrency.Limiter
 	// setupsUnderWay is the sum of all servers' pendingAttempts.
 	setupsUnderWay int
 	retryTokens    float64 // the retry budget: retries that may be started now
@@ -62,7 +62,7 @@
 		meanWeight:      1,
 		meanChargedWork: 1,
 		fleetSize:       fleetsize.New(now),
-		setups:          concurrency.NewLimiter(),
+		setupLimiter:    concurrency.NewLimiter(),
 	}
 	b.polling.Jitter = b.jitter
 	b.applySettings(s)
@@ -117,7 +117,7 @@
 // onTick does the periodic work and schedules the next tick.
 func (b *Balancer) onTick(now Micros) {
 	b.setTimer(b.jitterAround(tickInterval), tickTimer)
-	b.setups.Decay()
+	b.setupLimiter.Decay()
 	b.updateFleetSize(now)
 	b.pollDiscovery(now)
 	b.requestLoadReports(now)
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -87,7 +87,7 @@
 		settings := testSettings()
 		settings.Balancers = balancers
 		g := newHarness(t, settings, list)
-		g.b.setups.Limit = math.Inf(1)
+		g.b.setupLimiter.Limit = math.Inf(1)
 		got := map[uint32]float64{}
 		sendMany := func() {
 			for range 100 {
@@ -121,7 +121,7 @@
 		true:  2 * slowstart.Burst * slowstart.MinFleetShare,
 	} {
 		g := newHarness(t, testSettings(), serverList(2, 0))
-		g.b.setups.Limit = math.Inf(1)
+		g.b.setupLimiter.Limit = math.Inf(1)
 		if late {
 			g.handle(
 				ConnectionMetric{
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -78,7 +78,7 @@
 // request passes one request to the balancer, with set-ups and tokens unlimited, and returns the server that its
 // attempt is sent to, or 0 without an attempt.
 func (g *harness) request() (id, server uint32) {
-	g.b.setups.Limit = math.Inf(1)
+	g.b.setupLimiter.Limit = math.Inf(1)
 	for _, s := range g.b.servers {
 		s.budget.Tokens, s.budget.RefilledAt = slowstart.Burst, g.now
 	}
@@ -162,7 +162,7 @@
 func (g *harness) connectWithLoad(load float64, group uint64) uint32 {
 	g.t.Helper()
 	g.now += 100 * ms
-	g.b.setups.Limit = 100
+	g.b.setupLimiter.Limit = 100
 	g.next++
 	actions := g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Group: group, LoadHint: load, HasLoadHint: true})
 	attempts := actionsOf[StartAttempt](actions)
--- a/decision/health.go
+++ b/decision/health.go
@@ -120,11 +120,11 @@
 	case outcome.ConnectFailed:
 		b.demoteForFailure(now, s)
 	case outcome.ErrorResponse:
-		if !b.setups.FailuresShared() {
+		if !b.setupLimiter.FailuresShared() {
 			b.demoteForFailure(now, s)
 		}
 	case outcome.TimedOut:
-		if !b.setups.FailuresShared() {
+		if !b.setupLimiter.FailuresShared() {
 			b.demoteForSlowness(now, s)
 		}
 	}
@@ -132,7 +132,7 @@
 
 // recordSetup reports the outcome and duration of a set-up to the concurrency limiter.
 func (b *Balancer) recordSetup(status outcome.Status, duration Micros) {
-	b.setups.Record(setupOutcome(status), float64(duration))
+	b.setupLimiter.Record(setupOutcome(status), float64(duration))
 }
 
 // setupOutcome converts an attempt's status for the concurrency limiter. A status that does not show how the server
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -62,9 +62,9 @@
 			len(actionsOf[StartAttempt](actions)) != 0 {
 			t.Errorf("after the second error: %v, want a Reject", actions)
 		}
-		if g.health(s) == healthUnhealthy || g.health(other) == healthUnhealthy || g.b.setups.FailuresShared() {
+		if g.health(s) == healthUnhealthy || g.health(other) == healthUnhealthy || g.b.setupLimiter.FailuresShared() {
 			t.Errorf("health of the first server %v, of the second %v, failures shared %v",
-				g.health(s), g.health(other), g.b.setups.FailuresShared())
+				g.health(s), g.health(other), g.b.setupLimiter.FailuresShared())
 		}
 	}
 }
--- a/decision/placement_bench_test.go
+++ b/decision/placement_bench_test.go
@@ -13,7 +13,7 @@
 		name string
 		hold func(*Balancer)
 	}{
-		{"setup-limit", func(bal *Balancer) { bal.setups.Limit = 0 }},
+		{"setup-limit", func(bal *Balancer) { bal.setupLimiter.Limit = 0 }},
 		{"no-tokens", func(bal *Balancer) {
 			for _, s := range bal.servers {
 				s.budget.Tokens, s.budget.RefilledAt = 0, start+sec
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -56,7 +56,7 @@
 // setupsFastEnoughToMove reports whether r could be set up again in time: the present set-up latency is below
 // maxMoveSetupShare of its class's latency objective.
 func (b *Balancer) setupsFastEnoughToMove(r *request) bool {
-	return b.setups.SetupLatency() < maxMoveSetupShare*float64(r.class.LatencyObjective)
+	return b.setupLimiter.SetupLatency() < maxMoveSetupShare*float64(r.class.LatencyObjective)
 }
 
 // acceptsMoves reports whether connections may be moved to s: it is Ready, healthy and not paused.
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -193,7 +193,7 @@
 // nor lower the limit of concurrent set-ups.
 func TestClosedConnectionsAreNotSlowSetups(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
-	limit := g.b.setups.Limit
+	limit := g.b.setupLimiter.Limit
 	for range 1000 {
 		g.now += sec
 		id, server := g.requestNow()
@@ -204,9 +204,9 @@
 		g.handle(RequestCancelled{ID: id})
 		g.handle(AttemptEnded{ID: id, Server: server, Status: outcome.OK, Duration: 60 * sec, RequestClosed: true})
 	}
-	if g.b.setups.Limit < limit || g.b.setups.SetupLatency() > float64(20*ms) {
+	if g.b.setupLimiter.Limit < limit || g.b.setupLimiter.SetupLatency() > float64(20*ms) {
 		t.Errorf("the concurrency limit went from %.0f to %.0f, the set-up latency is %.0f us",
-			limit, g.b.setups.Limit, g.b.setups.SetupLatency())
+			limit, g.b.setupLimiter.Limit, g.b.setupLimiter.SetupLatency())
 	}
 }
 
@@ -217,7 +217,7 @@
 		id, _ := g.connect()
 		g.handle(RequestCancelled{ID: id})
 	}
-	g.b.setups.Limit = 2
+	g.b.setupLimiter.Limit = 2
 	g.now += sec
 	if id, server := g.requestNow(); server == 0 {
 		t.Errorf("request %d is held while nothing is being set up", id)
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -54,7 +54,7 @@
 	switch {
 	case b.retryTokens < 1:
 		return answercause.RetryBudget, true
-	case b.setups.FailuresShared():
+	case b.setupLimiter.FailuresShared():
 		return answercause.FailuresShared, true
 	}
 	return answercause.Unknown, false
@@ -80,7 +80,7 @@
 		return timeLeft
 	}
 	part := Micros(float64(timeLeft) * attemptTimeoutShare)
-	slowSetup := Micros(setupTimeoutFactor * b.setups.SetupLatency())
+	slowSetup := Micros(setupTimeoutFactor * b.setupLimiter.SetupLatency())
 	return min(max(part, minAttemptTimeout, slowSetup), timeLeft)
 }
 
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -39,8 +39,8 @@
 			g.b.recordSetup(outcome.OK, 20*ms)
 		}
 	}
-	if g.b.setups.SetupLatency() > float64(100*ms) {
-		t.Fatalf("set-up latency %.0f us, want at most 100 ms", g.b.setups.SetupLatency())
+	if g.b.setupLimiter.SetupLatency() > float64(100*ms) {
+		t.Fatalf("set-up latency %.0f us, want at most 100 ms", g.b.setupLimiter.SetupLatency())
 	}
 }
 
