--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -64,9 +64,9 @@
 	introducedAt       map[netip.AddrPort]monotime.Micros
 	nextIntroductionAt monotime.Micros
 
-	// Issued counts the summaries of the own zone that this member issued, Yielded how often it let another issuer's
-	// stay.
-	Issued, Yielded int
+	// Issued counts the summaries of the own zone that this member issued; IssuerBackoffs counts how often it backed
+	// off because another issuer kept issuing a preferred summary.
+	Issued, IssuerBackoffs int
 	// Suppressed counts the messages that were not sent for want of budget.
 	Suppressed int
 }
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -152,7 +152,7 @@
 		conflict.backoffUntil = now + conflict.backoff
 		conflict.conflictSince = 0
 		conflict.contradicted = false
-		d.Yielded++
+		d.IssuerBackoffs++
 		return false
 	}
 	if conflict.conflictSince == 0 {
--- a/lab/simulation/zoned/cases_test.go
+++ b/lab/simulation/zoned/cases_test.go
@@ -241,7 +241,7 @@
 	p.For(60 * time.Second)
 	yielded := 0
 	for _, i := range p.Zones[0] {
-		yielded += p.members[i].directory.Yielded
+		yielded += p.members[i].directory.IssuerBackoffs
 	}
 	if p.Issuers > maxIssuersInMinute || yielded == 0 {
 		p.errorf("the issuer has changed %d times in a minute, %d times one has yielded", p.Issuers, yielded)
