--- a/decision/membership/antientropy.go
+++ b/decision/membership/antientropy.go
@@ -7,26 +7,28 @@
 	"spurspread/decision/splitmix"
 )
 
-// Anti-entropy: each message carries a digest of its sender's view. Views that differ for longer than updates take
-// are compared bucket by bucket, and the entries of buckets that differ are exchanged.
+// Anti-entropy: each message carries a digest of its sender's view. Views that differ for longer than updates take to
+// spread are compared by bucket sums, and the entries of differing buckets are exchanged.
 
 const (
-	// syncInterval is the least time between two comparisons that this member begins, syncJitter what is added at
-	// random.
+	// syncInterval is the minimum time between two comparisons started by this member; syncJitter is the maximum random
+	// addition.
 	syncInterval = 1 * monotime.Second
 	syncJitter   = syncInterval / 2
-	// unknownSenderSyncInterval is the same for those begun since an unknown member sent a ping.
+	// unknownSenderSyncInterval replaces it after a comparison that was started by a ping from an unknown member.
 	unknownSenderSyncInterval = syncInterval / 2
-	// divergenceTolerance is how long a view may differ before it is compared: updates mostly arrive by themselves.
+	// divergenceTolerance is the time for which a view may differ before it is compared: most updates arrive by gossip
+	// in the meantime.
 	divergenceTolerance = 1 * monotime.Second
-	// maxSyncReplies bounds the messages of entries in answer to one comparison.
+	// maxSyncReplies bounds the SyncEntries messages in reply to one comparison.
 	maxSyncReplies = 4
 
-	stateShift = 56 // of the state within an entry's hash
-	foldShift  = 32 // to fold a sum to half its width
+	stateShift = 56 // position of the state in the input of an entry's hash
+	foldShift  = 32 // folds a sum to half its width
 )
 
-// toggleDigest adds an entry to the digest and its bucket's sum, or removes it again. Suspects count as alive.
+// toggleDigest adds an entry to the digest and to its bucket's sum, or removes it if it is included. Suspects count as
+// alive.
 func (f *Fleet) toggleDigest(id ID, incarnation uint64, s State) {
 	content := splitmix.Mix64(incarnation ^ uint64(s.withoutSuspicion())<<stateShift)
 	hash := splitmix.Mix64(uint64(id) ^ content)
@@ -36,7 +38,7 @@
 
 func bucketOf(id ID) uint64 { return uint64(id) % SyncBuckets }
 
-// foldedSums returns the sums of all buckets, as messages carry them.
+// foldedSums returns the bucket sums in the form in which messages carry them.
 func (f *Fleet) foldedSums() []uint32 {
 	folded := make([]uint32, SyncBuckets)
 	for i, sum := range f.bucketSums {
@@ -45,8 +47,8 @@
 	return folded
 }
 
-// syncIfDiverged decides whether the view of p is compared with this one: it has differed for divergenceTolerance,
-// and the last comparison was syncInterval ago.
+// syncIfDiverged starts a comparison with the view of p if the digests have differed for divergenceTolerance and the
+// last comparison started by this member was at least syncInterval ago.
 func (f *Fleet) syncIfDiverged(now monotime.Micros, p *peer, digest uint64) {
 	if digest == f.digest {
 		p.divergedSince = 0
@@ -65,7 +67,8 @@
 	f.send(p.Addr, p, Message{Kind: SyncSums, BucketSums: f.foldedSums()})
 }
 
-// handleSyncSums answers a comparison with the entries of buckets that differ, and with this view's sums.
+// handleSyncSums answers a comparison with the entries of differing buckets and, unless it is a reply, with this
+// member's sums.
 func (f *Fleet) handleSyncSums(from netip.AddrPort, sender *peer, m *Message) {
 	f.sendEntries(from, sender, m)
 	if !m.IsReply {
@@ -73,8 +76,8 @@
 	}
 }
 
-// sendEntries sends entries of buckets that differ, as far as maxSyncReplies messages and the budget hold. Their
-// order is random, so that all arrive after some comparisons.
+// sendEntries sends the entries of differing buckets in up to maxSyncReplies messages, within the control budget. The
+// order is random, so that repeated comparisons transfer all entries.
 func (f *Fleet) sendEntries(from netip.AddrPort, sender *peer, m *Message) {
 	if len(m.BucketSums) != SyncBuckets {
 		return
@@ -91,7 +94,7 @@
 	}
 }
 
-// entriesDiffering lists the entries of this view in buckets whose sums differ from these.
+// entriesDiffering lists the entries of buckets whose sums differ from the given ones.
 func (f *Fleet) entriesDiffering(sums []uint32) []Update {
 	own := f.foldedSums()
 	differs := func(id ID) bool { return own[bucketOf(id)] != sums[bucketOf(id)] }
@@ -101,14 +104,14 @@
 	}
 	for _, p := range f.peerList {
 		if differs(p.ID) {
-			entries = append(entries, p.entry())
+			entries = append(entries, p.syncEntry())
 		}
 	}
 	return entries
 }
 
-// entry is what this view has of a peer, as anti-entropy exchanges it.
-func (p *peer) entry() Update {
+// syncEntry returns the entry of a peer that anti-entropy exchanges.
+func (p *peer) syncEntry() Update {
 	return Update{
 		ID:          p.ID,
 		State:       p.state.withoutSuspicion(),
--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -2,40 +2,42 @@
 
 import "spurspread/decision/monotime"
 
-// Local health: whether this member has reason to doubt its own observations rather than other members.
+// Local health: detects when this member should doubt its own observations rather than other members.
 
 const (
-	// pauseThreshold is the time between two Ticks from which on this process counts as having been paused.
+	// pauseThreshold is the time between two Ticks above which this process counts as having been paused.
 	pauseThreshold = 300 * monotime.Millisecond
-	// unhealthyAfterPause is how long a member reports no failure after a pause: answers may wait unread.
+	// unhealthyAfterPause is the time after a pause in which a member reports no failures: acks may still be waiting in
+	// the socket buffer.
 	unhealthyAfterPause = 1 * monotime.Second
-	// isolationTimeout is how long a member receives nothing before it takes itself for isolated.
+	// isolationTimeout is the time without any received message after which a member considers itself isolated.
 	isolationTimeout = 1 * monotime.Second
 
-	// contactTimeout is how long after its last message a member can be expected to report what it fails to reach.
+	// contactTimeout is the time since its last message within which a member is expected to report its failed probes.
 	contactTimeout = 1200 * monotime.Millisecond
-	// confirmerCountInterval is the time between two counts of confirmers.
+	// confirmerCountInterval is the time between two runs of countConfirmers.
 	confirmerCountInterval = 150 * monotime.Millisecond
 
-	// failureRatioWeight is the weight of the earlier probes in the ratio of failures: each new probe counts for one
-	// in failureRatioWeight.
+	// failureRatioWeight is the weight of earlier probes in the moving average of failures: a new probe contributes
+	// 1/failureRatioWeight.
 	failureRatioWeight = 4
 
-	// Weights of the earlier round trips in the smoothed ones: one new sample counts for one in so many. That of the
-	// fleet rises fast and falls slowly, so that most answers stay under it.
+	// Weights of earlier samples in the smoothed round-trip times: a new sample contributes 1/weight. The fleet-wide
+	// estimate rises fast and falls slowly, so that most round trips stay below it.
 	peerRTTWeight         = 8
 	fleetRTTRisingWeight  = 8
 	fleetRTTFallingWeight = 32
 )
 
-// Unhealthy decides whether this member's failed probes count for nothing: it was paused within unhealthyAfterPause,
-// or is isolated.
+// Unhealthy reports whether this member's failed probes are to be ignored: it was paused within unhealthyAfterPause, or
+// is isolated.
 func (f *Fleet) Unhealthy(now monotime.Micros) bool {
 	return now < f.unhealthyUntil || f.isolated(now)
 }
 
-// isolated decides whether this member is cut off from all others: none has sent anything for isolationTimeout. A
-// single other one may as well be dead, and is taken for that after PairSuspicionTimeout.
+// isolated reports whether this member appears cut off from all others: it has received nothing for isolationTimeout.
+// If there is only one other member, that one may just as well be dead, and is considered dead after
+// PairSuspicionTimeout.
 func (f *Fleet) isolated(now monotime.Micros) bool {
 	silence := now - f.lastContact
 	switch f.liveOthers() {
@@ -47,7 +49,7 @@
 	return silence > isolationTimeout
 }
 
-// checkPause starts over what was under way where this process was paused.
+// checkPause restarts all suspicions and drops failed probes if this process was paused.
 func (f *Fleet) checkPause(now monotime.Micros) {
 	if now-f.lastTick <= pauseThreshold {
 		return
@@ -58,7 +60,7 @@
 	f.restartSuspicions(now)
 }
 
-// checkIsolation starts over what was under way where this member is no longer isolated.
+// checkIsolation does the same when this member ceases to be isolated.
 func (f *Fleet) checkIsolation(now monotime.Micros) {
 	before := f.wasIsolated
 	f.wasIsolated = f.isolated(now)
@@ -67,8 +69,8 @@
 	}
 }
 
-// restartSuspicions gives all suspected members their whole time again and drops this member's own failed probes:
-// they may have been its own fault.
+// restartSuspicions restarts the suspicion timeout of all suspected members and drops this member's probes and their
+// failures, which may have been its own fault.
 func (f *Fleet) restartSuspicions(now monotime.Micros) {
 	for _, p := range f.peerList {
 		p.probe = nil
@@ -80,9 +82,9 @@
 	}
 }
 
-// countConfirmers counts the members that can be expected to confirm a failure: alive, in contact within
-// contactTimeout, and not considering this member dead. Whether this member's pings reach them does not matter: the
-// fault may be its own.
+// countConfirmers counts the members that are able to confirm a failure: those that are alive, in contact within
+// contactTimeout, and do not consider this member dead. It ignores whether this member's own pings reach them, since a
+// failed ping may be this member's fault.
 func (f *Fleet) countConfirmers(now monotime.Micros) {
 	if now < f.nextConfirmerCountAt {
 		return
@@ -102,11 +104,11 @@
 	}
 }
 
-// expectedRTT is how long an answer of p may take without being a sign of failure: as long as those of p, or as most
-// of all members, take.
+// expectedRTT returns the round-trip time up to which a missing ack of p is no sign of failure: the greater of p's
+// smoothed round-trip time and the fleet-wide estimate.
 func (f *Fleet) expectedRTT(p *peer) monotime.Micros { return monotime.Micros(max(p.rtt, f.fleetRTT)) }
 
-// recordRTT takes the round trip of an answered ping, in microseconds.
+// recordRTT adds the round-trip time of an answered ping, in microseconds, to the averages.
 func (f *Fleet) recordRTT(p *peer, rtt float64) {
 	if p.rtt == 0 {
 		p.rtt = rtt
--- a/decision/membership/config.go
+++ b/decision/membership/config.go
@@ -6,53 +6,56 @@
 	"spurspread/decision/monotime"
 )
 
-// What callers and the codec need to know of the protocol's settings. All members of a fleet use the same ones.
+// Protocol parameters used by callers and the codec. All members of a fleet use the same values.
 const (
-	// WatchersPerMember is how many members probe each member regularly. More find a crash sooner and need more
-	// datagrams a second. With 4, three are left while one of them is paused or one link is down.
+	// WatchersPerMember is the number of members that regularly probe each member. More watchers detect a crash sooner
+	// and cost more datagrams per second. With 4, three remain while one of them is paused or one link is down.
 	WatchersPerMember = 4
-	// ProbeInterval is the time between two regular pings of one member: each of those that it watches is pinged once
-	// in WatchersPerMember intervals. A shorter one finds a crash sooner and needs more datagrams a second.
+	// ProbeInterval is the interval between two regular pings by one member. It pings each of its watch targets once in
+	// WatchersPerMember intervals. A shorter interval detects a crash sooner and costs more datagrams per second.
 	ProbeInterval = 250 * monotime.Millisecond
-	// TickInterval is how often Tick is to be called: the resolution of all timeouts here.
+	// TickInterval is the interval at which the owner calls Tick, and so the resolution of all timeouts in this
+	// package.
 	TickInterval = 50 * monotime.Millisecond
-	// MinSuspicionTimeout is how long a suspicion lasts before a member is declared dead, counted from suspicionStart,
-	// which may lie up to maxSuspicionBackdate before the observer's change to Suspect: from that change on it takes 1
-	// to 2 s. A longer one tolerates longer pauses and finds a crash later. With probeTimeout before it, a member that
-	// was paused for 2 s has half a second left to refute the suspicion, and a crash is known to all within some 3 s.
+	// MinSuspicionTimeout is the time from suspicionStart until a suspected member is declared dead. suspicionStart may
+	// precede the observer's transition to Suspect by up to maxSuspicionBackdate, so the member has 1 to 2 s left after
+	// that transition. A longer timeout tolerates longer pauses and detects a crash later. Including the preceding
+	// probeTimeout, a member that was paused for 2 s has half a second left to refute the suspicion, and all members
+	// know of a crash within about 3 s.
 	MinSuspicionTimeout = 2 * monotime.Second
-	// PairSuspicionTimeout is how long one of only two members waits for the other before it takes the other for dead
-	// rather than itself for isolated. It is no upper bound of the suspicion timer, as Lifeguard has one.
+	// PairSuspicionTimeout applies while there are only two members: after this time without any message from the other
+	// one, a member considers the other one dead instead of itself isolated. Unlike Lifeguard's maximum, it does not
+	// limit the suspicion timer.
 	PairSuspicionTimeout = 6 * monotime.Second
-	// MaxUpdates bounds the updates in one message, of some 30 bytes each: a datagram stays within 1,200 bytes.
+	// MaxUpdates bounds the updates in one message. At about 30 bytes per update, a datagram stays within 1,200 bytes.
 	MaxUpdates = 32
-	// SyncBuckets is how many parts of a view are compared by their sums. More of them need a longer SyncSums and
-	// fewer entries in answer to it.
+	// SyncBuckets is the number of buckets into which a view is divided for comparison by sums. More buckets make
+	// SyncSums messages longer and the SyncEntries replies shorter.
 	SyncBuckets = 64
-	// MaxMembers bounds a view: it is more than a zone has, and less than what one that has a key could fill memory
-	// with.
+	// MaxMembers bounds the members of a view. It exceeds the size of any zone, and keeps a sender that has a valid key
+	// from exhausting memory.
 	MaxMembers = 4096
 )
 
-// Config is what a member is started with.
+// Config holds the settings of a member.
 type Config struct {
-	// Self is who this member is. It is needed.
+	// Self identifies this member. Required.
 	Self Self
-	// Incarnation is the first one of this process, 1 where it is 0. It is to be later than any that a process of the
-	// same name has had, such as the time of start in milliseconds: an older one costs one round of refutation.
+	// Incarnation is this process's first incarnation; 0 means 1. It should exceed every incarnation used by earlier
+	// processes of the same name, e.g. the start time in milliseconds: an older value costs one round of refutation.
 	Incarnation uint64
-	// Seeds are the addresses from which a member requests views until one has answered. None are needed in the
-	// first member. More of them find the fleet although some are gone, and cost one message each per attempt.
+	// Seeds are the addresses from which this member requests views until one of them has answered. The first member
+	// needs none. More seeds tolerate more failed ones, and cost one message each per attempt.
 	Seeds []netip.AddrPort
-	// RandomSeed determines all random choices together with Self.ID; any value will do. The same one, with the same
-	// input, brings the same output.
+	// RandomSeed, together with Self.ID, determines all random choices; any value is valid. The same seed and the same
+	// input produce the same output.
 	RandomSeed uint64
-	// MaxMembers bounds the other members that are known. The default, and the upper bound, is the constant
-	// MaxMembers; less saves memory, and members beyond it are ignored.
+	// MaxMembers bounds the other members that are known. Zero, negative and larger values mean the constant
+	// MaxMembers. A smaller bound saves memory; members beyond it are ignored.
 	MaxMembers int
 }
 
-// maxMembers returns the bound in effect.
+// maxMembers returns the effective bound of other members.
 func (c *Config) maxMembers() int {
 	if c.MaxMembers <= 0 || c.MaxMembers > MaxMembers {
 		return MaxMembers
--- a/decision/membership/deadprobe.go
+++ b/decision/membership/deadprobe.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// deadProbeInterval is the time between two pings of members that are considered dead, one at a time: so both
-	// sides of a partition find each other after it. deadProbeJitter is by how much it varies.
+	// deadProbeInterval is the mean time between two pings of dead members, one member at a time. They make the two
+	// sides of a healed partition find each other. deadProbeJitter is the range of variation.
 	deadProbeInterval = 500 * monotime.Millisecond
 	deadProbeJitter   = deadProbeInterval / 2
 )
 
-// probeDead pings one of the dead members. It learns from the message that it is considered dead, and refutes.
+// probeDead pings one dead member, chosen at random. If it is running, it learns from the ping that it is considered
+// dead, and refutes that.
 func (f *Fleet) probeDead(now monotime.Micros) {
 	f.probeQueuedDead(now)
 	if now < f.nextDeadProbeAt {
@@ -25,7 +26,7 @@
 	}
 }
 
-// pingDead pings a member that is considered dead, at an address that it may have now.
+// pingDead pings a dead member at the given address, or at its known address if the given one is invalid.
 func (f *Fleet) pingDead(now monotime.Micros, p *peer, addr netip.AddrPort) {
 	if now-p.lastProbe < ackTimeout {
 		return
@@ -41,8 +42,8 @@
 	f.send(addr, p, Message{Kind: Ping, Seq: f.lastSeq})
 }
 
-// recoverFromDeath is for a member that learns that it was considered dead: what it found out about others meanwhile
-// is as likely its own fault. It stops spreading that, and pings all whom it considers dead, some at each Tick.
+// recoverFromDeath runs when this member learns that it was considered dead: the failures that it detected meanwhile
+// are just as likely its own fault. It stops disseminating them and queues pings of all members that it considers dead.
 func (f *Fleet) recoverFromDeath() {
 	f.dissemination.remove(func(u *Update) bool { return u.State == Suspect || u.State == Dead })
 	f.deadToProbe = f.deadToProbe[:0]
@@ -53,6 +54,7 @@
 	}
 }
 
+// probeQueuedDead pings some of the members that recoverFromDeath has queued.
 func (f *Fleet) probeQueuedDead(now monotime.Micros) {
 	n := min(len(f.deadToProbe), maxSweepPingsPerTick)
 	for _, p := range f.deadToProbe[:n] {
--- a/decision/membership/dissemination.go
+++ b/decision/membership/dissemination.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// gossipInterval is the time between two rounds of messages that carry new updates only, gossipJitter by how much
-	// it varies.
+	// gossipInterval is the mean time between two rounds of gossip; gossipJitter is its range of variation.
 	gossipInterval = 100 * monotime.Millisecond
 	gossipJitter   = gossipInterval / 2
-	// gossipFanout is how many members get one in each round.
+	// gossipFanout is the number of members that receive gossip in each round.
 	gossipFanout = 3
-	// spareTransmits is how often an update is sent beyond the rounds that reach all members, for those lost.
+	// spareTransmits is the number of transmissions of an update beyond those needed to reach all members, to
+	// compensate for message loss.
 	spareTransmits = 3
 )
 
-// disseminate begins to spread an update.
+// disseminate queues an update for dissemination.
 func (f *Fleet) disseminate(u Update) { f.dissemination.enqueue(u) }
 
-// transmitLimit decides how often an update is sent by each member that has it, received copies included: the rounds
-// that reach all members, and spareTransmits. A member that misses it all the same learns it by anti-entropy.
+// transmitLimit returns the number of transmissions of an update by each member that has it, including copies received
+// from others: the rounds needed to reach all members plus spareTransmits. A member that still misses the update gets
+// it by anti-entropy.
 func (f *Fleet) transmitLimit() int { return spareTransmits + bits.Len(uint(f.liveOthers()+1)) }
 
-// gossip sends new updates in messages of their own.
+// gossip sends new updates in dedicated messages.
 func (f *Fleet) gossip(now monotime.Micros) {
 	if now < f.nextGossipAt {
 		return
@@ -44,10 +45,11 @@
 	}
 }
 
-// gossipEligible decides who may get the messages of one round of gossip: the first goes to any reachable member, so
-// that those in close contact form no closed circle; the second also needs contact, since after a crash of many most
-// others are gone; the third an answer within piggybackTimeout, since in a partition of one direction those that are
-// received may receive nothing. Suspects are pinged, and get updates with that.
+// gossipEligible reports whether p may receive the given message of a gossip round. The first message goes to any
+// reachable member, so that members in close contact do not form a closed group. The second also requires contact,
+// since after a crash of many members most of the others are gone. The third requires an ack within piggybackTimeout,
+// since in a one-way partition members whose messages arrive here may receive nothing. Suspects are excluded: they are
+// pinged, and each ping carries the state that this member attributes to them.
 func gossipEligible(now monotime.Micros, p *peer, round int) bool {
 	if !p.isReachable() {
 		return false
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// cleanupInterval is the time between two searches for state that has expired.
+	// cleanupInterval is the time between two removals of expired state.
 	cleanupInterval = 500 * monotime.Millisecond
-	// deadRetention is how long a member that is dead or has left is remembered: so long it counts in the rate
-	// divisor, and an old update can't bring it back.
+	// deadRetention is the time for which a member that is dead or has left is remembered. Until then it counts in the
+	// rate divisor, and an old update cannot bring it back.
 	deadRetention = 600 * monotime.Second
 
-	// joinInterval is the time between two attempts to join, joinJitter what is added at random.
+	// joinInterval is the time between two attempts to join; joinJitter is the maximum random addition.
 	joinInterval = 2 * ProbeInterval
 	joinJitter   = ProbeInterval
-	// leaveFanout is how many members learn of a planned departure at once.
+	// leaveFanout is the number of members notified immediately of a planned departure.
 	leaveFanout = 2 * WatchersPerMember
 )
 
-// Fleet is one member's view of the fleet and its part in the protocol.
+// Fleet is one member's view of its zone and its part in the protocol.
 type Fleet struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -34,61 +34,61 @@
 
 	// The view.
 	peers    map[ID]*peer
-	peerList []*peer // in the order in which they became known
+	peerList []*peer // in the order in which they were added
 	rings    [WatchersPerMember][]*peer
-	ringHash [WatchersPerMember]uint64 // this member's, see watchTargets
+	ringHash [WatchersPerMember]uint64 // this member's positions, see watchTargets
 	revision uint64
 	divisor  rateDivisor
 
-	// Life of this process as a member.
+	// Lifecycle of this process as a member.
 	joined             bool
 	nextJoinAt         monotime.Micros
 	leaving            bool
 	superseded         bool
-	duplicateInstance  uint64 // of a later process of this name that was refuted
-	refutedIncarnation uint64 // the incarnation by which it was
+	duplicateInstance  uint64 // of a later process of this name, after it was refuted
+	refutedIncarnation uint64 // the incarnation that refuted it
 	nextCleanupAt      monotime.Micros
 
 	// Failure detection.
-	probeQueue      []*peer // still to be pinged in this round
+	probeQueue      []*peer // still to ping in this round
 	nextProbeAt     monotime.Micros
 	lastSeq         uint32
-	trackedPeers    []*peer // looked at at each Tick, see track
+	trackedPeers    []*peer // checked at each Tick, see track
 	expiredProbes   map[uint32]expiredProbe
 	indirectPings   []indirectPing
-	pendingReports  []Update // failed probes still to be reported
+	pendingReports  []Update // failure reports still to send
 	suspectCount    int
 	nextDeadProbeAt monotime.Micros
-	deadToProbe     []*peer // to be pinged since this member learned that it was considered dead itself
+	deadToProbe     []*peer // still to ping, see recoverFromDeath
 
 	// Local health.
-	lastContact          monotime.Micros // with any member
-	unhealthyUntil       monotime.Micros // after a pause
-	wasIsolated          bool            // at the last Tick
+	lastContact          monotime.Micros // last message from any member
+	unhealthyUntil       monotime.Micros // set after a pause
+	wasIsolated          bool            // isolated at the last Tick
 	confirmers           int             // other members that can confirm a failure
 	nextConfirmerCountAt monotime.Micros
-	fleetRTT             float64 // what most answers take at most, microseconds
-	failureRatio         float64 // part of the latest probes that failed
+	fleetRTT             float64 // upper estimate of most round-trip times, microseconds
+	failureRatio         float64 // moving average over the latest probes
 	pendingSweepPings    int
 
 	// Dissemination.
 	dissemination disseminationQueue
 	nextGossipAt  monotime.Micros
 	updateBudget  float64 // bytes of updates that may be sent now
-	controlBudget float64 // the same of all else but pings and acks
+	controlBudget float64 // the same for everything except pings and acks
 
 	// Anti-entropy.
 	digest     uint64
 	bucketSums [SyncBuckets]uint64
 	nextSyncAt monotime.Micros
 
-	// Pauses counts the pauses of this process so far, FailureReports the failed probes that it has reported.
+	// Pauses counts the detected pauses of this process; FailureReports counts the failed probes that it has reported.
 	Pauses, FailureReports int
-	// Suppressed counts the messages that were not sent for want of budget.
+	// Suppressed counts the messages that were dropped because the budget was exhausted.
 	Suppressed int
 }
 
-// New returns a member that knows no other member yet. It joins by cfg.Seeds from the first Tick on.
+// New returns a Fleet that knows no other member yet. It joins through cfg.Seeds from the first Tick on.
 func New(cfg Config, now monotime.Micros) *Fleet {
 	cfg.MaxMembers = cfg.maxMembers()
 	f := &Fleet{
@@ -111,8 +111,8 @@
 	return f
 }
 
-// Tick does what is due. It is to be called every TickInterval; a call that comes much later shows that this process
-// was paused.
+// Tick runs all actions that are due and returns the messages to send and the state changes. The owner calls it every
+// TickInterval; a call that comes much later indicates that this process was paused.
 func (f *Fleet) Tick(now monotime.Micros) ([]Outgoing, []StateChange) {
 	if f.superseded {
 		return nil, nil
@@ -134,14 +134,14 @@
 	return f.takeOutput()
 }
 
-// takeOutput returns what is to be sent and what has changed since the last call.
+// takeOutput returns the messages and state changes accumulated since the last call.
 func (f *Fleet) takeOutput() ([]Outgoing, []StateChange) {
 	out, changes := f.outbox, f.changes
 	f.outbox, f.changes = nil, nil
 	return out, changes
 }
 
-// join requests the views of the seeds until one has answered, and again while no other member is alive.
+// join requests views from the seeds until one of them has answered, and again whenever no other member is live.
 func (f *Fleet) join(now monotime.Micros) {
 	if f.joined && f.liveOthers() > 0 || now < f.nextJoinAt {
 		return
@@ -150,7 +150,7 @@
 	f.requestViews(f.cfg.Seeds)
 }
 
-// SyncWith requests the views of the members at addresses that were learned elsewhere.
+// SyncWith requests views from members whose addresses were learned outside this package.
 func (f *Fleet) SyncWith(addrs []netip.AddrPort) ([]Outgoing, []StateChange) {
 	if !f.leaving && !f.superseded {
 		f.requestViews(addrs)
@@ -166,11 +166,11 @@
 	}
 }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the seed addresses.
 func (f *Fleet) SetSeeds(addrs []netip.AddrPort) { f.cfg.Seeds = addrs }
 
-// Leave announces the departure of this member. What it returns is to be sent at once; further calls of Tick
-// disseminate it.
+// Leave announces the departure of this member. The returned messages are to be sent at once; later calls of Tick
+// continue the dissemination.
 func (f *Fleet) Leave(monotime.Micros) ([]Outgoing, []StateChange) {
 	if f.leaving || f.superseded {
 		return f.takeOutput()
@@ -186,7 +186,7 @@
 	return f.takeOutput()
 }
 
-// cleanup drops state that has expired.
+// cleanup removes expired state.
 func (f *Fleet) cleanup(now monotime.Micros) {
 	if now < f.nextCleanupAt {
 		return
@@ -205,12 +205,12 @@
 	})
 }
 
-// jitter draws a span under d, in microseconds.
+// jitter returns a random duration in [0, d).
 func (f *Fleet) jitter(d monotime.Micros) monotime.Micros {
 	return monotime.Micros(f.rng.Int64N(int64(max(d, 1))))
 }
 
-// spreadAround draws a span of interval on average that varies by spread.
+// spreadAround returns a random duration with mean interval and a total range of spread.
 func (f *Fleet) spreadAround(interval, spread monotime.Micros) monotime.Micros {
 	return interval - spread/2 + f.jitter(spread)
 }
--- a/decision/membership/identity.go
+++ b/decision/membership/identity.go
@@ -1,6 +1,6 @@
 package membership
 
-// ownUpdate is a statement of this member about itself.
+// ownUpdate returns an update by this member about itself.
 func (f *Fleet) ownUpdate(s State) Update {
 	return Update{
 		ID:          f.self.ID,
@@ -14,7 +14,8 @@
 
 func (f *Fleet) announceSelf() { f.disseminate(f.ownUpdate(Alive)) }
 
-// refute announces this member as alive under an incarnation that overrides a statement of others.
+// refute disseminates this member as alive under the incarnation after the given one, which overrides statements by
+// others under that incarnation.
 func (f *Fleet) refute(incarnation uint64) {
 	f.toggleDigest(f.self.ID, f.incarnation, Alive)
 	f.incarnation = incarnation + 1
@@ -22,7 +23,7 @@
 	f.announceSelf()
 }
 
-// refuteFailure refutes the statement that this member is suspected, dead or gone.
+// refuteFailure refutes a statement that this member is suspected, dead or departed.
 func (f *Fleet) refuteFailure(state State, incarnation uint64) {
 	f.refute(incarnation)
 	if state == Dead {
@@ -30,18 +31,18 @@
 	}
 }
 
-// refuteReportedState answers what the sender of a message considers this member to be.
+// refuteReportedState refutes the state that the sender of a message attributes to this member, if that state is wrong.
 func (f *Fleet) refuteReportedState(state State, incarnation uint64) {
 	switch {
 	case f.leaving:
 	case state > Alive && incarnation >= f.incarnation:
 		f.refuteFailure(state, incarnation)
 	case state == Alive && incarnation > f.incarnation:
-		f.refute(incarnation) // of an earlier process, whose clock was ahead
+		f.refute(incarnation) // used by an earlier process whose clock was ahead
 	}
 }
 
-// applyOwnUpdate takes an update about this member.
+// applyOwnUpdate processes an update by another member about this one.
 func (f *Fleet) applyOwnUpdate(u Update) {
 	otherInstance := u.Instance != f.self.Instance && u.Instance != 0
 	switch {
@@ -55,14 +56,15 @@
 			f.handleDuplicate(u.Instance, u.Incarnation)
 		}
 	case u.Incarnation > f.incarnation:
-		f.refute(u.Incarnation) // of an earlier process, whose clock was ahead
+		f.refute(u.Incarnation) // used by an earlier process whose clock was ahead
 	}
 }
 
-// handleDuplicate decides which of two processes with this name is the member: the one with the greater instance. So
-// in an upgrade the new version is, and of two that have a name by mistake one stays. A later process that has gone
-// since, as after this machine's clock was set back, can still be in updates of others: it is refuted once, and only
-// one that answers is there and supersedes this one.
+// handleDuplicate resolves a conflict between two processes with this member's name: the one with the greater instance
+// keeps the name. During an upgrade that is the new version; if a name is used twice by mistake, one process remains. A
+// later process that has already stopped, e.g. because this machine's clock was set back, may still occur in updates by
+// others. Therefore a later process is refuted once, and supersedes this one only if it answers under a still newer
+// incarnation.
 func (f *Fleet) handleDuplicate(instance, incarnation uint64) {
 	if instance > f.self.Instance && instance == f.duplicateInstance {
 		if incarnation > f.refutedIncarnation {
--- a/decision/membership/identity_test.go
+++ b/decision/membership/identity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What others say about a member, its death included, it refutes under a newer incarnation.
+// A member refutes what others say about it, including its death, under a newer incarnation.
 func TestRefutes(t *testing.T) {
 	f, now := fleetOf(4)
 	f.receiveUpdates(now, 2, updateOf(1, Suspect, 1, 2))
@@ -20,8 +20,8 @@
 	}
 }
 
-// A later process of the same name takes over once it has answered. An earlier one is refuted, and so is what is left
-// of a later one that has gone, as after a clock was set back.
+// A later process of the same name takes over once it has answered a refutation. An earlier process is refuted, and so
+// are leftover updates about a later process that has stopped, e.g. after a clock was set back.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	f, now := fleetOf(3)
 	earlier := updateOf(1, Alive, 5, 0)
@@ -39,6 +39,6 @@
 	later.Incarnation = 11
 	f.receiveUpdates(now, 3, later)
 	if out, _ := f.Tick(now + TickInterval); !f.Superseded() || len(out) > 0 {
-		t.Fatalf("superseded %v, and sends %v", f.Superseded(), out)
+		t.Fatalf("superseded %v, sends %v", f.Superseded(), out)
 	}
 }
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -16,12 +16,12 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 7000)
 }
 
-// selfOf identifies member i.
+// selfOf returns the identity of member i.
 func selfOf(i int) Self {
 	return Self{ID: ID(i * 1_000_003), Name: fmt.Sprint("n", i), Addr: addr(i), Instance: uint64(100 + i)}
 }
 
-// updateOf is a statement about member i, reported by member by where it is not 0.
+// updateOf returns an update about member i, reported by member by unless that is 0.
 func updateOf(i int, s State, incarnation uint64, by int) Update {
 	self := selfOf(i)
 	return Update{
@@ -35,13 +35,13 @@
 	}
 }
 
-// messageOf is a message of member i under its first incarnation.
+// messageOf returns a message from member i under its first incarnation.
 func messageOf(i int, kind Kind) Message {
 	self := selfOf(i)
 	return Message{Kind: kind, From: self.ID, Incarnation: 1, Instance: self.Instance}
 }
 
-// fleetOf is member 1's view of n members, all alive under incarnation 1.
+// fleetOf returns member 1's view of n members, all alive under incarnation 1.
 func fleetOf(n int) (*Fleet, monotime.Micros) {
 	f := New(Config{Self: selfOf(1), Incarnation: 1, RandomSeed: 5}, start)
 	join := messageOf(2, Gossip)
@@ -52,7 +52,7 @@
 	return f, start
 }
 
-// receiveUpdates has member i, which considers this one alive, send updates.
+// receiveUpdates delivers updates from member i, which considers this member alive.
 func (f *Fleet) receiveUpdates(now monotime.Micros, i int, updates ...Update) ([]Outgoing, []StateChange) {
 	m := messageOf(i, Gossip)
 	m.ReceiverState = Alive
@@ -61,8 +61,8 @@
 	return f.Receive(now, addr(i), m)
 }
 
-// receiveDead has a member that considers this one dead send a message.
-func (f *Fleet) receiveDead(now monotime.Micros, from Self) {
+// receiveDeadReport delivers a message from a member that considers this one dead.
+func (f *Fleet) receiveDeadReport(now monotime.Micros, from Self) {
 	f.Receive(now, from.Addr, Message{
 		Kind:                Gossip,
 		From:                from.ID,
@@ -73,7 +73,7 @@
 	})
 }
 
-// run has time pass, in which all but the silent members answer pings.
+// run advances the time. All members except the silent ones answer pings.
 func (f *Fleet) run(now *monotime.Micros, span monotime.Micros, silent ...int) {
 	ignored := map[netip.AddrPort]bool{}
 	for _, i := range silent {
@@ -90,7 +90,7 @@
 	}
 }
 
-// ackOf is the answer of a member whose view agrees.
+// ackOf returns the answer of a member whose view agrees.
 func (f *Fleet) ackOf(ping Outgoing) Message {
 	return Message{
 		Kind:                Ack,
@@ -104,10 +104,10 @@
 	}
 }
 
-// model is the last state of each member, by incarnation.
+// model holds the last state change of each member.
 type model map[ID]StateChange
 
-// check fails where a change goes back to an older incarnation, or brings a dead member back under the same one.
+// check fails if a change goes back to an older incarnation or makes a dead member alive under the same one.
 func (m model) check(r *rapid.T, changes []StateChange) {
 	for _, c := range changes {
 		last := m[c.ID]
@@ -145,8 +145,8 @@
 	return m, from
 }
 
-// Whatever is received, in whatever order: incarnations never fall, a dead member comes back only under a newer one,
-// and all that is held or sent is bounded.
+// For any sequence of messages: incarnations never decrease, a dead member returns only under a newer one, and all
+// state and all messages are bounded.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
@@ -179,7 +179,8 @@
 	})
 }
 
-// Beyond its budgets a member sends nothing but pings and acks, and it saves up no more than the bursts.
+// With its budgets exhausted a member sends nothing but pings and acks, and unused budget accumulates only up to the
+// bursts.
 func TestBudget(t *testing.T) {
 	f, now := fleetOf(6)
 	f.run(&now, 60*monotime.Second)
@@ -209,8 +210,8 @@
 	}
 }
 
-// Each change of the view changes its revision: a suspected member is not alive, and is live; one that has left is
-// neither, and is known.
+// Each change of the view changes its revision. A suspected member is live but not alive; a member that has left is
+// neither, but is known.
 func TestRevision(t *testing.T) {
 	f, now := fleetOf(4)
 	for _, c := range []struct {
@@ -234,7 +235,7 @@
 	}
 }
 
-// A member asks others for their views though it has joined long ago; not at its own address.
+// A member requests views from given addresses even though it joined long ago, but not from its own address.
 func TestSyncWith(t *testing.T) {
 	f, _ := fleetOf(4)
 	out, _ := f.SyncWith([]netip.AddrPort{addr(1), addr(9)})
@@ -243,7 +244,7 @@
 	}
 }
 
-// A member that is pinged by one that it doesn't know asks it for its view: that one may have been here before.
+// A member that is pinged by an unknown one requests the view of that member, which may have been here before.
 func TestSyncsWithUnknownSender(t *testing.T) {
 	f, now := fleetOf(3)
 	now += 2 * monotime.Second
--- a/decision/membership/message.go
+++ b/decision/membership/message.go
@@ -5,11 +5,11 @@
 // ID identifies a member: a hash of its name, never 0.
 type ID uint64
 
-// State is what a member is considered to be. Under the same incarnation a greater one overrides a smaller one. The
-// values are on the wire.
+// State is the state of a member in a view. Under the same incarnation, a greater state overrides a smaller one. The
+// values are part of the wire format.
 type State uint8
 
-// The states. Unknown is that of a member that is not in the view.
+// The states of a member. Unknown applies to a member that is not in the view.
 const (
 	Unknown State = iota
 	Alive
@@ -18,12 +18,13 @@
 	Left
 )
 
-// String returns the state in lower case, as logs and the admin listener show it.
+// String returns the state in lower case, as it appears in logs and on the admin listener.
 func (s State) String() string {
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// withoutSuspicion is the state as digests and anti-entropy have it: suspicions end by themselves.
+// withoutSuspicion returns the state used in digests and anti-entropy. Suspect counts as Alive, since a suspicion ends
+// without anti-entropy.
 func (s State) withoutSuspicion() State {
 	if s == Suspect {
 		return Alive
@@ -36,41 +37,40 @@
 	ID   ID
 	Name string
 	Addr netip.AddrPort
-	// Instance is this process's: different from that of any other process of the name, and greater than those of
-	// earlier ones.
+	// Instance differs for every process of this name and is greater for later ones.
 	Instance uint64
 }
 
-// Update is a statement about one member: the unit of dissemination. Instance, Name and Addr are those that the
-// member has under this incarnation; they are zero where they are not needed.
+// Update is a statement about one member, and the unit of dissemination. Instance, Name and Addr are the member's
+// values under this incarnation, or zero if they are not needed.
 type Update struct {
 	ID          ID
 	State       State
 	Incarnation uint64
-	// ReportedBy is the member whose probe failed, where State is Suspect. 0 says that enough members have confirmed
-	// the suspicion.
+	// ReportedBy is the member whose probe failed, if State is Suspect. 0 means that enough members have confirmed the
+	// suspicion.
 	ReportedBy ID
 	Instance   uint64
 	Name       string
 	Addr       netip.AddrPort
 }
 
-// Kind is what a message is for. The values are on the wire.
+// Kind is the type of a message. The values are part of the wire format.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	// Ping requests an Ack with the same Seq.
 	Ping Kind = iota + 1
-	// Ack answers a Ping, or passes on that Target has answered one that was sent for the receiver.
+	// Ack answers a Ping. With Target set, it tells the requester of an IndirectPing that Target has answered.
 	Ack
-	// IndirectPing requests a ping of Target, whose Ack is to be passed on.
+	// IndirectPing asks the receiver to ping Target and to forward its Ack.
 	IndirectPing
-	// Gossip carries updates only.
+	// Gossip carries only updates.
 	Gossip
-	// SyncSums carries the sums of the buckets of the sender's view.
+	// SyncSums carries the bucket sums of the sender's view.
 	SyncSums
-	// SyncEntries carries updates of all members in buckets whose sums differ.
+	// SyncEntries carries updates about the members in buckets whose sums differ.
 	SyncEntries
 	maxKind = SyncEntries
 )
@@ -78,31 +78,32 @@
 // Message is the content of one datagram between members.
 type Message struct {
 	Kind Kind
-	// Seq is a ping's number at its sender; that of the first ping of a probe in IndirectPing and in the answer to
-	// it.
+	// Seq is the sender's sequence number of a ping. In an IndirectPing, and in the Ack that is forwarded for it, it is
+	// the number of the first ping of the requester's probe.
 	Seq uint32
-	// From is the sender, Incarnation and Instance are its own.
+	// From is the sender; Incarnation and Instance are those of the sender.
 	From        ID
 	Incarnation uint64
 	Instance    uint64
-	// ReceiverState is what the sender considers the receiver to be, under ReceiverIncarnation.
+	// ReceiverState is the receiver's state in the sender's view, under ReceiverIncarnation.
 	ReceiverState       State
 	ReceiverIncarnation uint64
-	// Target is the member to be pinged, of IndirectPing, and the one that has answered, of its Ack; otherwise 0.
+	// Target is the member to ping in an IndirectPing, and the member that answered in the forwarded Ack; otherwise 0.
 	Target ID
-	// PingsReceived is how many pings of the receiver the sender has received so far, of Ack.
+	// PingsReceived, in an Ack, is the number of pings that the sender of the Ack has received from the receiver so
+	// far.
 	PingsReceived uint32
-	// IsReply says of SyncSums that it answers one, and is to be answered by SyncEntries only.
+	// IsReply marks a SyncSums message that replies to another one: it is answered with SyncEntries only.
 	IsReply bool
-	// Digest is that of the sender's view.
+	// Digest is the digest of the sender's view.
 	Digest uint64
-	// BucketSums has SyncBuckets sums, of SyncSums; otherwise it is empty.
+	// BucketSums holds SyncBuckets sums in a SyncSums message; otherwise it is empty.
 	BucketSums []uint32
-	// Updates are at most MaxUpdates.
+	// Updates holds at most MaxUpdates updates.
 	Updates []Update
 }
 
-// valid reports whether the message is within its bounds.
+// valid reports whether the kind is known and the number of updates within its bound.
 func (m *Message) valid() bool {
 	return m.Kind > 0 && m.Kind <= maxKind && len(m.Updates) <= MaxUpdates
 }
@@ -110,16 +111,16 @@
 // isSync reports whether the message is part of anti-entropy.
 func (m *Message) isSync() bool { return m.Kind == SyncSums || m.Kind == SyncEntries }
 
-// Outgoing is a message to be sent.
+// Outgoing is a message to send.
 type Outgoing struct {
 	// To is the address that the member advertises.
 	To netip.AddrPort
-	// Receiver is 0 where it is not known who is at that address.
+	// Receiver is the member at that address, or 0 if it is not known.
 	Receiver ID
 	Message  Message
 }
 
-// StateChange says that a member is now considered to be something else.
+// StateChange records the transition of a member from one state to another.
 type StateChange struct {
 	ID          ID
 	Name        string
--- a/decision/membership/peer.go
+++ b/decision/membership/peer.go
@@ -2,7 +2,7 @@
 
 import "spurspread/decision/monotime"
 
-// peer is another member.
+// peer is this member's state about another member.
 type peer struct {
 	Self
 	ringHash    [WatchersPerMember]uint64
@@ -10,36 +10,36 @@
 	incarnation uint64
 	stateSince  monotime.Micros
 
-	// What it has sent.
-	lastContact   monotime.Micros // any message
-	lastAck       monotime.Micros // an answer to a ping of this member
-	reportsUsDead bool            // in its last message
-	partitioned   bool            // it reported this member dead within contactTimeout
+	// Messages received from it.
+	lastContact   monotime.Micros // last message of any kind
+	lastAck       monotime.Micros // last answer to one of this member's pings
+	reportsUsDead bool            // its last message considered this member dead or departed
+	partitioned   bool            // reportsUsDead, received within contactTimeout
 	canConfirm    bool            // see countConfirmers
 
 	// Probes of it.
-	probe     *probe // under way, nil where none is
+	probe     *probe // in progress, nil if there is none
 	lastProbe monotime.Micros
-	tracked   bool    // it is in trackedPeers
-	rtt       float64 // of answered pings, smoothed, microseconds; 0 where none is known
+	tracked   bool    // in trackedPeers
+	rtt       float64 // smoothed round-trip time, microseconds; 0 if unknown
 
 	// Evidence that it has failed.
-	ownProbeFailed bool            // the last probe by this member, under this incarnation
-	failureReports []failureReport // before it is suspected
-	reportAgainAt  monotime.Micros // when this member repeats its report; 0 where it does not
-	suspicionStart monotime.Micros // from when on its suspicion counts
-	deadByOwnProbe bool            // declared dead by this member itself
-	firstDeadPing  uint32          // the first ping since then, 0 where there was none
+	ownProbeFailed bool            // this member's last probe of it, under this incarnation
+	failureReports []failureReport // received before it is suspected
+	reportAgainAt  monotime.Micros // when this member repeats its report, 0 if it does not
+	suspicionStart monotime.Micros // start of the suspicion timeout
+	deadByOwnProbe bool            // declared dead by this member
+	firstDeadPing  uint32          // sequence number of the first ping since then, 0 if none
 
-	// Its view.
-	restoredAt    monotime.Micros // when it was last considered alive again, 0 where never or since its view agreed
-	divergedSince monotime.Micros // since when its digest has differed, 0 while it does not
+	// View synchronization.
+	restoredAt    monotime.Micros // last return from Dead or Left, 0 if never or once its digest has matched
+	divergedSince monotime.Micros // start of the current digest mismatch, 0 if the digests match
 
 	// Message loss in each direction.
 	pingsSent           float64 // to it
 	acksReceived        float64 // from it
-	pingsDelivered      float64 // of pingsSent, by its acks
-	pingsDeliveredTotal uint32  // as its last ack has it
+	pingsDelivered      float64 // of pingsSent, as counted by its acks
+	pingsDeliveredTotal uint32  // PingsReceived of its last ack
 	pingsReceivedTotal  uint32  // from it
 }
 
@@ -54,8 +54,8 @@
 	p.firstDeadPing = 0
 }
 
-// addPeer adds a member that was not known. An update that declares an unknown member dead or gone is ignored, and so
-// is a member beyond Config.MaxMembers.
+// addPeer adds an unknown member. It ignores an update that declares an unknown member dead or departed, and members
+// beyond Config.MaxMembers.
 func (f *Fleet) addPeer(now monotime.Micros, u Update) {
 	known := u.State == Alive || u.State == Suspect
 	if !known || !u.Addr.IsValid() || len(f.peers) >= f.cfg.MaxMembers {
@@ -79,7 +79,7 @@
 	f.disseminate(u)
 }
 
-// setState puts an update of a known member into effect that overrides what was known, and disseminates it.
+// setState applies an overriding update to a known member and disseminates it.
 func (f *Fleet) setState(now monotime.Micros, p *peer, u Update) {
 	before := p.state
 	f.revision++
@@ -113,7 +113,7 @@
 	f.changes = append(f.changes, change)
 }
 
-// randomPeers draws up to n different members that are eligible.
+// randomPeers returns up to n distinct random members that are eligible.
 func (f *Fleet) randomPeers(n int, eligible func(*peer) bool) []*peer {
 	var candidates []*peer
 	for _, p := range f.peerList {
@@ -129,6 +129,7 @@
 	return candidates[:n]
 }
 
+// countState returns the number of other members in a state.
 func (f *Fleet) countState(s State) int {
 	count := 0
 	for _, p := range f.peerList {
@@ -139,5 +140,5 @@
 	return count
 }
 
-// liveOthers is how many other members are alive or suspected.
+// liveOthers returns the number of other members that are alive or suspected.
 func (f *Fleet) liveOthers() int { return len(f.rings[0]) }
--- a/decision/membership/probe.go
+++ b/decision/membership/probe.go
@@ -7,77 +7,79 @@
 )
 
 const (
-	// probeJitter is by how much the interval between two regular pings varies.
+	// probeJitter is the range of variation of the interval between two regular pings.
 	probeJitter = ProbeInterval / 5
-	// ackTimeout is the time from a ping to the next one of the same probe, where answers take less; indirect pings
-	// follow after two of them.
+	// ackTimeout is the time from a ping to the next one of the same probe if round-trip times are shorter. Indirect
+	// pings are requested after twice this time.
 	ackTimeout = 150 * monotime.Millisecond
-	// probeTimeout is the time from the first ping of a probe to its failure, where answers take less than
+	// probeTimeout is the time from the first ping of a probe to its failure if round-trip times are shorter than
 	// ackTimeout.
 	probeTimeout = 500 * monotime.Millisecond
-	// maxProbeTimeout bounds it where answers take longer.
+	// maxProbeTimeout bounds that time if round-trip times are longer.
 	maxProbeTimeout = 2 * monotime.Second
-	// maxRetransmitAfter bounds the time between two pings, so that the last one has time for an answer.
+	// maxRetransmitAfter bounds the time between two pings of a probe, so that there is time left for an ack of the
+	// last one.
 	maxRetransmitAfter = maxProbeTimeout / 3
-	// maxPingAttempts bounds the pings of one probe. It is a power of two: the lowest bits of a ping's number count
-	// the attempts, and the numbers wrap around.
+	// maxPingAttempts bounds the pings of one probe. It is a power of two: the lowest bits of a sequence number are the
+	// index of the attempt, and sequence numbers wrap around.
 	maxPingAttempts = 4
 
-	// indirectPingHelpers is how many members are requested to ping one that does not answer.
+	// indirectPingHelpers is the number of members that are asked to ping an unresponsive one.
 	indirectPingHelpers = 3
-	// maxIndirectPings bounds the requests of others that are under way here.
+	// maxIndirectPings bounds the pending indirect pings that other members have requested.
 	maxIndirectPings = 128
-	// indirectPingRetention is how long such a request waits for an answer.
+	// indirectPingRetention is the time after which a requested indirect ping is dropped.
 	indirectPingRetention = 2 * maxProbeTimeout
-	// expiredProbeRetention is how long a late answer to a failed probe still clears its target.
+	// expiredProbeRetention is the time after the failure of a probe in which a late ack still clears its target.
 	expiredProbeRetention = 4 * maxProbeTimeout
 
-	// suspectsPerSlowdown is by how many more suspects the interval between two probes of each grows by probeTimeout.
+	// suspectsPerSlowdown is the number of additional suspects for which the interval between two probes of each
+	// suspect grows by probeTimeout.
 	suspectsPerSlowdown = 8
-	// ownProbeDelay is how long a member considers another suspected before it probes that one itself.
+	// ownProbeDelay is the time after which a member probes a suspect that it has not probed itself.
 	ownProbeDelay = 4 * monotime.Second
 
-	// A sweep probes members that this one does not watch. It begins while more than sweepFailureRatio of the latest
-	// probes have failed, two of three, adds sweepPingsPerFailure pings for each, at most maxPendingSweepPings, and
-	// sends maxSweepPingsPerTick at a time.
+	// A sweep probes members that this one does not watch. It is active while the moving average of failed probes
+	// exceeds sweepFailureRatio, e.g. after two of the last three failed. Each failed probe then adds
+	// sweepPingsPerFailure pings, up to maxPendingSweepPings, of which maxSweepPingsPerTick are sent per Tick.
 	sweepFailureRatio    = 0.3
 	sweepPingsPerFailure = 6
 	maxPendingSweepPings = 48
 	maxSweepPingsPerTick = 4
-	// minSweepInterval is the time between two probes of one member below which a sweep passes over it.
+	// minSweepInterval is the time since the last probe of a member within which a sweep skips it.
 	minSweepInterval = ProbeInterval * WatchersPerMember
 )
 
-// probe is a sequence of pings to one member that waits for an answer.
+// probe is a sequence of pings to one member, pending until the first ack.
 type probe struct {
-	firstSeq     uint32 // of the first ping; the following ones count on
+	firstSeq     uint32 // of the first ping; later pings use the numbers that follow
 	startedAt    monotime.Micros
 	sentAt       [maxPingAttempts]monotime.Micros
 	attempts     int  // pings sent so far
-	indirectSent bool // or not needed, as the probe is an indirect one itself
+	indirectSent bool // requested, or not needed because this probe is itself indirect
 }
 
-// expiredProbe is a probe that failed not long ago.
+// expiredProbe is a probe that has failed recently.
 type expiredProbe struct {
 	target    ID
 	expiredAt monotime.Micros
 }
 
-// indirectPing is a probe of target at the request of another member.
+// indirectPing is a probe of target on behalf of another member.
 type indirectPing struct {
-	firstSeq     uint32 // of the probe here
+	firstSeq     uint32 // of this member's probe
 	requester    ID
-	requesterSeq uint32 // of the requester's own probe
+	requesterSeq uint32 // of the requester's probe
 	target       ID
 	expiresAt    monotime.Micros
 }
 
-// probeOf returns the number of the first ping of the probe to which a ping belongs.
+// probeOf returns the sequence number of the first ping of the probe that a ping belongs to.
 func probeOf(seq uint32) uint32 { return seq - seq%maxPingAttempts }
 
-// runProbes carries on the probes under way and begins those that are due.
+// runProbes advances the probes in progress and starts those that are due.
 func (f *Fleet) runProbes(now monotime.Micros) {
-	f.followTracked(now)
+	f.checkTrackedPeers(now)
 	f.sendFailureReports()
 	f.sweep(now)
 	if now < f.nextProbeAt {
@@ -85,7 +87,7 @@
 	}
 	f.nextProbeAt = now + f.spreadAround(ProbeInterval, probeJitter)
 	if len(f.probeQueue) == 0 {
-		// The order stays the same, so that each member is pinged once a round at about the same time in it.
+		// The order is the same in every round, so that each member is pinged at regular intervals.
 		f.probeQueue = f.watchTargets()
 	}
 	for range (len(f.probeQueue) + WatchersPerMember - 1) / WatchersPerMember {
@@ -95,7 +97,7 @@
 	}
 }
 
-// track has a peer looked at at each Tick while there is a probe, a suspicion or a report about it.
+// track includes p in the checks of every Tick while there is a probe, a suspicion or a failure report about it.
 func (f *Fleet) track(p *peer) {
 	if !p.tracked {
 		p.tracked = true
@@ -103,28 +105,30 @@
 	}
 }
 
-func (f *Fleet) followTracked(now monotime.Micros) {
+// checkTrackedPeers checks all tracked members, and stops tracking those that no longer need it.
+func (f *Fleet) checkTrackedPeers(now monotime.Micros) {
 	tracked := f.trackedPeers
 	f.trackedPeers = nil
 	for _, p := range tracked {
 		p.tracked = false
-		f.follow(now, p)
+		f.checkPeer(now, p)
 		if p.probe != nil || p.state == Suspect || p.reportAgainAt > 0 || len(p.failureReports) > 0 {
 			f.track(p)
 		}
 	}
 }
 
-func (f *Fleet) follow(now monotime.Micros, p *peer) {
+// checkPeer runs the actions on p that are due.
+func (f *Fleet) checkPeer(now monotime.Micros, p *peer) {
 	f.probeSuspect(now, p)
-	f.suspectIfConfirmed(now, p) // fewer reports may be required than at the last Tick
+	f.suspectIfConfirmed(now, p) // the number of required reports may have dropped since the last Tick
 	f.repeatReport(now, p)
 	if p.probe != nil {
 		f.advanceProbe(now, p)
 	}
 }
 
-// startProbe begins a probe of p, unless one is under way or p is dead or gone.
+// startProbe starts a probe of p, unless one is in progress or p is dead or has left.
 func (f *Fleet) startProbe(now monotime.Micros, p *peer) {
 	if p.probe != nil || p.state != Alive && p.state != Suspect {
 		return
@@ -136,7 +140,8 @@
 	f.sendPing(now, p)
 }
 
-// sendPing sends the next ping of a probe. Each has a number of its own, so that its answer shows the round trip.
+// sendPing sends the next ping of a probe. Each ping has its own sequence number, so that the ack yields a round-trip
+// time.
 func (f *Fleet) sendPing(now monotime.Micros, p *peer) {
 	probe := p.probe
 	p.pingsSent++
@@ -145,38 +150,38 @@
 	probe.attempts++
 }
 
-// retransmitAfter decides how long after a ping the next one of a probe is sent, by the round trip that is expected:
-// ackTimeout to maxRetransmitAfter.
+// retransmitAfter returns the time from a ping to the next one of the same probe: the expected round-trip time, limited
+// to the range from ackTimeout to maxRetransmitAfter.
 func retransmitAfter(expectedRTT monotime.Micros) monotime.Micros {
 	return min(max(ackTimeout, expectedRTT), maxRetransmitAfter)
 }
 
-// indirectAfter decides how long after the start of a probe indirect pings are requested.
+// indirectAfter returns the time from the start of a probe to the requests for indirect pings.
 func indirectAfter(expectedRTT monotime.Micros) monotime.Micros {
 	wait := retransmitAfter(expectedRTT)
 	return wait + wait
 }
 
-// probeFailsAfter decides how long after its start a probe has failed: probeTimeout to maxProbeTimeout.
+// probeFailsAfter returns the time from the start of a probe to its failure, between probeTimeout and maxProbeTimeout.
 func probeFailsAfter(expectedRTT monotime.Micros) monotime.Micros {
 	const indirectTime = probeTimeout - 2*ackTimeout
 	return min(indirectAfter(expectedRTT)+max(indirectTime, expectedRTT), maxProbeTimeout)
 }
 
-// advanceProbe takes the next step of a probe that is due: one more ping, indirect pings, failure.
+// advanceProbe performs the steps of a probe that are due: another ping, indirect pings, failure.
 func (f *Fleet) advanceProbe(now monotime.Micros, p *peer) {
 	probe := p.probe
 	elapsed := now - probe.startedAt
 	expectedRTT := f.expectedRTT(p)
 	nextPingAfter := monotime.Micros(probe.attempts) * retransmitAfter(expectedRTT)
-	// A suspect gets one ping a probe: all whose probes of it failed go on probing it.
+	// A suspect gets only one ping per probe, since every member whose probe of it failed keeps probing it.
 	if p.state == Alive && probe.attempts < maxPingAttempts && elapsed >= nextPingAfter {
 		f.sendPing(now, p)
 	}
 	if !probe.indirectSent && elapsed >= indirectAfter(expectedRTT) {
 		probe.indirectSent = true
 		if f.sweeping() {
-			return // as many helpers would be gone, and all find out by their own probes
+			return // most helpers would have failed too, and all members are probing for themselves
 		}
 		f.sendIndirectPings(p)
 	}
@@ -187,7 +192,7 @@
 	}
 }
 
-// sendIndirectPings requests indirect pings of p from some members.
+// sendIndirectPings asks some reachable members to ping p.
 func (f *Fleet) sendIndirectPings(p *peer) {
 	helpers := f.randomPeers(indirectPingHelpers, func(o *peer) bool { return o != p && o.isReachable() })
 	for _, helper := range helpers {
@@ -195,14 +200,14 @@
 	}
 }
 
-// startIndirectProbe probes target for another member. If that fails, the requester learns it, too.
+// startIndirectProbe probes target on behalf of another member, which is notified of an ack as well as of a failure.
 func (f *Fleet) startIndirectProbe(now monotime.Micros, target *peer, requester ID, requesterSeq uint32) {
 	if target.probe == nil {
 		f.startProbe(now, target)
 		if target.probe == nil {
 			return
 		}
-		target.probe.indirectSent = true // helpers need no helpers
+		target.probe.indirectSent = true // a helper requests no indirect pings itself
 	}
 	f.indirectPings = append(f.indirectPings, indirectPing{
 		firstSeq:     target.probe.firstSeq,
@@ -213,7 +218,7 @@
 	})
 }
 
-// forwardAcks passes an answer on to those that asked for the ping.
+// forwardAcks forwards an ack to the members that requested the ping.
 func (f *Fleet) forwardAcks(m *Message) {
 	f.indirectPings = slices.DeleteFunc(f.indirectPings, func(request indirectPing) bool {
 		if request.firstSeq != probeOf(m.Seq) || request.target != m.From {
@@ -227,8 +232,8 @@
 	})
 }
 
-// handleAck takes an answer to a ping: p's own, or that of a helper which m.Target has answered. p is nil where the
-// sender is not known.
+// handleAck processes an ack: either of p itself, or of a helper that reports an answer of m.Target. p is nil if the
+// sender is unknown.
 func (f *Fleet) handleAck(now monotime.Micros, p *peer, m *Message) {
 	if m.Target != 0 {
 		f.recordAck(now, m.Target, m.Seq, false)
@@ -242,7 +247,8 @@
 	f.recordAck(now, m.From, m.Seq, true)
 }
 
-// recordAck ends the probe that an answer belongs to: id is there. A late answer to a failed probe clears id, too.
+// recordAck ends the probe that an ack from the member id belongs to. A late ack of a failed probe clears the member,
+// too. direct is false for an ack that a helper forwarded.
 func (f *Fleet) recordAck(now monotime.Micros, id ID, seq uint32, direct bool) {
 	p := f.peers[id]
 	if p == nil {
@@ -264,12 +270,13 @@
 	if late, found := f.expiredProbes[firstSeq]; found && late.target == id {
 		delete(f.expiredProbes, firstSeq)
 		p.clearOwnFailure()
-		p.rtt = max(p.rtt, float64(now-late.expiredAt)+float64(probeTimeout)) // it is slow, not gone
+		p.rtt = max(p.rtt, float64(now-late.expiredAt)+float64(probeTimeout)) // slow, not failed
 	}
 }
 
-// probeSuspect probes a suspected member again, so that it can refute: those whose probe failed after probeTimeout,
-// longer with many suspects, and others after ownProbeDelay.
+// probeSuspect probes a suspect again, so that it learns of the suspicion and can refute it. If this member's own probe
+// has failed, the interval is probeTimeout, and longer if there are many suspects; otherwise the first probe follows
+// after ownProbeDelay.
 func (f *Fleet) probeSuspect(now monotime.Micros, p *peer) {
 	if p.state != Suspect || p.probe != nil {
 		return
@@ -287,11 +294,11 @@
 	}
 }
 
-// sweeping decides whether members are probed beyond those that this one watches: in a crash of many, or a partition,
-// most watchers are gone themselves, and waiting for one after the other to find out would take too long.
+// sweeping reports whether members other than the watch targets are to be probed. After a crash of many members or in a
+// partition, most watchers have failed themselves, and it would take too long to detect that one after the other.
 func (f *Fleet) sweeping() bool { return f.failureRatio > sweepFailureRatio }
 
-// sweep probes those members that were not probed for longest.
+// sweep probes the members whose last probe is the longest ago.
 func (f *Fleet) sweep(now monotime.Micros) {
 	for range min(maxSweepPingsPerTick, f.pendingSweepPings) {
 		target := f.longestUnprobed(now)
@@ -303,7 +310,7 @@
 	}
 }
 
-// longestUnprobed returns the member alive that was not probed for longest, nil where all were within
+// longestUnprobed returns the alive member whose last probe is the longest ago, or nil if all have been probed within
 // minSweepInterval.
 func (f *Fleet) longestUnprobed(now monotime.Micros) *peer {
 	var oldest *peer
@@ -318,6 +325,7 @@
 	return oldest
 }
 
+// dropExpiredProbes removes expired indirect pings and failed probes that are too old to be cleared by a late ack.
 func (f *Fleet) dropExpiredProbes(now monotime.Micros) {
 	f.indirectPings = slices.DeleteFunc(f.indirectPings, func(r indirectPing) bool { return now >= r.expiresAt })
 	for seq, expired := range f.expiredProbes {
--- a/decision/membership/queue.go
+++ b/decision/membership/queue.go
@@ -3,30 +3,31 @@
 import "slices"
 
 const (
-	// standaloneTransmits is how often an update is sent in messages of its own; then it goes along with others only.
+	// standaloneTransmits is the number of times that an update is sent in dedicated gossip messages. After that it is
+	// only piggybacked on other messages.
 	standaloneTransmits = 4
-	// maxTransmits bounds how often an update is sent: more than transmitLimit in the largest fleet.
+	// maxTransmits bounds the transmissions of an update. It exceeds transmitLimit in the largest fleet.
 	maxTransmits = 16
-	// maxQueuedUpdates bounds the queue. Members beyond it learn of an update by anti-entropy.
+	// maxQueuedUpdates bounds the queue. Updates beyond it are not queued, and reach others by anti-entropy.
 	maxQueuedUpdates = 1024
 )
 
-// queuedUpdate is an update that is being disseminated.
+// queuedUpdate is an update in dissemination.
 type queuedUpdate struct {
 	Update
-	transmits int // how often it was sent or came back
+	transmits int // times sent by this member or received back from others
 }
 
-// disseminationQueue has the updates that are being disseminated, the newest one of each member. They are listed by
-// how often they were sent. A list may have members whose update is now in another one, or in none: these are passed
-// over.
+// disseminationQueue holds the newest update in dissemination for each member, grouped by number of transmissions. A
+// group may contain stale IDs, whose update has moved to another group or has been removed; these are skipped.
 type disseminationQueue struct {
 	items       map[ID]*queuedUpdate
 	byTransmits [maxTransmits][]ID
-	freshCount  int // updates with less than standaloneTransmits
+	freshCount  int // updates with fewer than standaloneTransmits transmissions
 }
 
-// enqueue begins to disseminate an update in place of an older one of the same member.
+// enqueue adds an update, replacing an older one about the same member. It ignores an update that is older than the
+// queued one, and updates beyond maxQueuedUpdates.
 func (q *disseminationQueue) enqueue(u Update) {
 	if q.items == nil {
 		q.items = map[ID]*queuedUpdate{}
@@ -51,7 +52,7 @@
 	}
 }
 
-// countTransmit counts an update as sent once more. After limit times it is dropped.
+// countTransmit counts one more transmission of an update, and removes the update after limit transmissions.
 func (q *disseminationQueue) countTransmit(queued *queuedUpdate, limit int) {
 	q.adjustFresh(queued, -1)
 	queued.transmits++
@@ -63,7 +64,7 @@
 	q.byTransmits[queued.transmits] = append(q.byTransmits[queued.transmits], queued.ID)
 }
 
-// remove drops all updates that match.
+// remove removes all matching updates.
 func (q *disseminationQueue) remove(matches func(*Update) bool) {
 	for id, queued := range q.items {
 		if matches(&queued.Update) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// countReceived counts an update that came back from another member as sent: fewer need it.
+// countReceived counts an update received from another member as a transmission: that member disseminates it as well.
 func (q *disseminationQueue) countReceived(u Update, limit int) {
 	queued := q.items[u.ID]
 	if queued != nil && queued.Incarnation == u.Incarnation && queued.State == u.State {
@@ -81,13 +82,13 @@
 	}
 }
 
-// batch is what goes into one message.
+// batch collects the updates for one message.
 type batch struct {
 	bytesLeft, countLeft int
 	items                []*queuedUpdate
 }
 
-// add reports whether an update still went into the batch.
+// add adds an update and reports whether it fit.
 func (b *batch) add(queued *queuedUpdate) bool {
 	b.bytesLeft -= updateBytes(&queued.Update)
 	if b.bytesLeft < 0 {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// takeBatch takes the updates that were sent least often, up to count of them and within bytes, and counts them as
-// sent.
+// takeBatch returns the updates with the fewest transmissions, at most count updates and the given number of bytes, and
+// counts one transmission of each.
 func (q *disseminationQueue) takeBatch(bytes, count, limit int) []Update {
 	b := batch{bytesLeft: bytes, countLeft: count}
 	for transmits := range q.byTransmits {
@@ -115,7 +116,7 @@
 	return updates
 }
 
-// fill moves updates that were sent so often into a batch. It reports whether the batch is full.
+// fill adds updates with the given number of transmissions to a batch. It reports whether the batch is full.
 func (q *disseminationQueue) fill(b *batch, transmits int) bool {
 	ids := q.byTransmits[transmits]
 	full := false
--- a/decision/membership/queue_test.go
+++ b/decision/membership/queue_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Updates that were sent least often go first, each once in a message, and as often as the limit says. Those that
-// come back count as sent.
+// Updates with the fewest transmissions are sent first, each once per message and up to the limit. Updates that come
+// back count as transmitted.
 func TestDisseminationQueue(t *testing.T) {
 	const limit = 4
 	var q disseminationQueue
@@ -12,7 +12,7 @@
 	}
 	first := q.takeBatch(2*updateBytes(&Update{Name: "n1"}), MaxUpdates, limit)
 	if len(first) != 2 {
-		t.Fatalf("%d of three where two fit", len(first))
+		t.Fatalf("%d of three updates, two fit", len(first))
 	}
 	if next := q.takeBatch(maxUpdateBytes, 1, limit); len(next) != 1 || next[0].ID == first[0].ID ||
 		next[0].ID == first[1].ID {
@@ -20,7 +20,7 @@
 	}
 	q.enqueue(updateOf(1, Dead, 1, 0))
 	if again := q.takeBatch(maxUpdateBytes, 1, limit); again[0].ID != selfOf(1).ID || again[0].State != Dead {
-		t.Fatalf("%+v before the newest", again[0])
+		t.Fatalf("%+v was sent before the newest update", again[0])
 	}
 	total := 0
 	for {
@@ -29,7 +29,7 @@
 			break
 		}
 		if q.countReceived(batch[0], limit); total > 12 {
-			t.Fatal("dissemination has no end")
+			t.Fatal("dissemination does not end")
 		}
 	}
 	if len(q.items) != 0 || q.freshCount != 0 {
@@ -42,6 +42,6 @@
 	}
 	once, again := q.takeBatch(maxUpdateBytes, 1, limit), q.takeBatch(maxUpdateBytes, 1, limit)
 	if len(once) != 1 || len(again) != 0 {
-		t.Fatalf("sent %d and %d times after it came back three times of four", len(once), len(again))
+		t.Fatalf("sent %d and %d updates after three of four transmissions, want 1 and 0", len(once), len(again))
 	}
 }
--- a/decision/membership/receive.go
+++ b/decision/membership/receive.go
@@ -6,12 +6,13 @@
 	"spurspread/decision/monotime"
 )
 
-// restoredDistrustTime is how long the updates of a member that was dead and is back are not taken, unless its view
-// agrees before: they would turn one side of a healed partition against the other.
+// restoredDistrustTime is the time for which a restored member, one that was considered dead or left and is alive
+// again, remains untrusted, unless its view matches earlier. Its updates about others would turn one side of a healed
+// partition against the other.
 const restoredDistrustTime = 10 * monotime.Second
 
-// Receive takes a message from the address that its sender has. The sender is authenticated. A message that is out of
-// bounds is ignored.
+// Receive processes a message from an authenticated sender at the given address. Messages that are out of bounds are
+// ignored.
 func (f *Fleet) Receive(now monotime.Micros, from netip.AddrPort, m Message) ([]Outgoing, []StateChange) {
 	if f.superseded || !m.valid() {
 		return nil, nil
@@ -38,8 +39,8 @@
 	return f.takeOutput()
 }
 
-// applySender takes the statement that each message is about its sender: under its incarnation it is alive. One that
-// was declared dead by this member's own probes has to answer a ping that was sent since.
+// applySender applies the statement about its sender that every message makes: the sender is alive under its
+// incarnation. A sender that was declared dead by this member's own probes must first answer a ping sent since then.
 func (f *Fleet) applySender(now monotime.Micros, sender *peer, from netip.AddrPort, m *Message) {
 	if m.Incarnation <= sender.incarnation {
 		return
@@ -58,8 +59,8 @@
 	})
 }
 
-// applyUpdates takes the updates of a message. Of a sender that is not trusted only those count that are about itself
-// or this member, or say that one is alive.
+// applyUpdates applies the updates of a message. From an untrusted sender it applies only updates about the sender or
+// this member, and updates with state Alive.
 func (f *Fleet) applyUpdates(now monotime.Micros, sender *peer, m *Message) {
 	trusted := sender == nil || sender.trusted(now)
 	for _, u := range m.Updates {
@@ -69,13 +70,13 @@
 	}
 }
 
-// trusted decides whether all updates of a member are taken: it is not considered dead, and if it was, that is over
-// for restoredDistrustTime, or its view has agreed since.
+// trusted reports whether all updates from a member are applied: it is not considered dead or left, and if it was, it
+// was restored at least restoredDistrustTime ago or its view has matched since.
 func (p *peer) trusted(now monotime.Micros) bool {
 	return p.state < Dead && (p.restoredAt == 0 || now-p.restoredAt >= restoredDistrustTime)
 }
 
-// handleMessage does what a message asks for. sender is nil where it is not known.
+// handleMessage processes a message by its kind. sender is nil if the sender is unknown.
 func (f *Fleet) handleMessage(now monotime.Micros, from netip.AddrPort, sender *peer, m *Message) {
 	switch m.Kind {
 	case Ping:
@@ -102,7 +103,7 @@
 		ack.PingsReceived = sender.pingsReceivedTotal
 	}
 	f.sendTo(from, m.From, sender, ack)
-	// A sender that is not known here knows this member, and may know more of the fleet.
+	// A sender that is unknown here knows this member, and may know more of the fleet.
 	if sender == nil && now >= f.nextSyncAt {
 		f.nextSyncAt = now + unknownSenderSyncInterval
 		f.sendTo(from, m.From, sender, Message{Kind: SyncSums, BucketSums: f.foldedSums()})
--- a/decision/membership/rings.go
+++ b/decision/membership/rings.go
@@ -6,8 +6,8 @@
 	"spurspread/decision/splitmix"
 )
 
-// The rings decide who probes whom. Each of WatchersPerMember rings orders the members that are there by another hash
-// of their ids, the same in all views, and each member watches its successor on each ring.
+// The rings determine who probes whom. Each of the WatchersPerMember rings orders the live members by a different hash
+// of their IDs, which is the same in all views. Each member watches its successor on each ring.
 
 // ringHashes returns a member's position on each ring.
 func ringHashes(id ID) (hashes [WatchersPerMember]uint64) {
@@ -17,7 +17,7 @@
 	return hashes
 }
 
-// ringPosition returns where a member is on a ring, or would be inserted, and whether it is there.
+// ringPosition returns the index of a member on a ring, or its insertion index, and whether it is on the ring.
 func ringPosition(members []*peer, ring int, hash uint64, id ID) (int, bool) {
 	return slices.BinarySearchFunc(members, hash, func(p *peer, hash uint64) int {
 		switch {
@@ -46,12 +46,12 @@
 	}
 }
 
-// maxSuccessors bounds how many successors on one ring a member watches.
+// maxSuccessors bounds the successors on one ring that a member watches.
 const maxSuccessors = 2 * WatchersPerMember
 
-// watchTargets decides whom this member probes regularly: its successor on each ring, and while that one is suspected
-// or late with its answer, the next one, too, at most maxSuccessors. So a member whose watcher may have failed has
-// another one at once.
+// watchTargets returns the members that this one probes regularly: its successor on each ring and, as long as the last
+// of them is suspected or late with its ack, the next successor too, up to maxSuccessors. A member whose watcher may
+// have failed is thereby watched by another one at once.
 func (f *Fleet) watchTargets() []*peer {
 	var targets []*peer
 	for ring, members := range f.rings {
--- a/decision/membership/send.go
+++ b/decision/membership/send.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// Bytes a second that a member sends on average, and how many it may save up: of updates, and of all else but
-	// pings and acks, which are some 900 a second and are never held back. The burst of updates is enough to
-	// disseminate the death of most members of a large fleet at once; failure reports have a budget of their own,
-	// since updates would leave nothing for them then.
+	// Byte budgets: average rate per second and burst. One budget is for updates, the other for everything else except
+	// pings and acks, which amount to about 900 bytes per second and are never suppressed. The burst of updates
+	// suffices to disseminate the death of most members of a large fleet at once. Failure reports use the control
+	// budget, since updates would leave nothing for them at such a time.
 	updateBytesPerSecond, updateBytesBurst   = 1536, 20 << 10
 	controlBytesPerSecond, controlBytesBurst = 1024, 12 << 10
 
-	// About how many bytes a datagram has, sealed: an update without and with a description, apart from the name, a
-	// message without updates, and each bucket's sum.
+	// Approximate sizes within a sealed datagram, in bytes: an update without description, an update with description
+	// (plus its name), a message without updates, and one bucket sum.
 	bareUpdateBytes      = 16
 	describedUpdateBytes = 34
 	messageOverheadBytes = 125
 	bucketSumBytes       = 4
-	// maxUpdateBytes bounds the updates of one message, in bytes.
+	// maxUpdateBytes bounds the size of the updates in one message, in bytes.
 	maxUpdateBytes = 1000
 
-	// piggybackTimeout is how long after its last message a member still gets updates along with others' messages.
+	// piggybackTimeout is the time since a member's last message, or since its last ack for gossip, within which
+	// updates are sent to it.
 	piggybackTimeout = 2500 * monotime.Millisecond
 )
 
-// updateBytes is about how long an update is in a datagram.
+// updateBytes returns the approximate size of an update in a datagram.
 func updateBytes(u *Update) int {
 	if u.Name == "" && !u.Addr.IsValid() {
 		return bareUpdateBytes
@@ -35,7 +36,7 @@
 	return describedUpdateBytes + len(u.Name)
 }
 
-// countFitting decides how many of the first updates go into one message and so many bytes.
+// countFitting returns the number of leading updates that fit into one message and into the given number of bytes.
 func countFitting(updates []Update, bytes int) int {
 	bytes = min(bytes, maxUpdateBytes)
 	limit := min(len(updates), MaxUpdates)
@@ -48,7 +49,7 @@
 	return limit
 }
 
-// send sends a message to a peer, or to whoever is at the address where p is nil.
+// send sends a message to p, or, if p is nil, to an unknown member at the address.
 func (f *Fleet) send(addr netip.AddrPort, p *peer, m Message) {
 	receiver := ID(0)
 	if p != nil {
@@ -57,7 +58,8 @@
 	f.sendTo(addr, receiver, p, m)
 }
 
-// sendTo sends a message to a receiver, which is p if it is known. Updates go along as far as there are any.
+// sendTo sends a message to a receiver, with piggybacked updates as far as allowed. p is nil if the receiver is
+// unknown. The message is dropped if its budget is exhausted.
 func (f *Fleet) sendTo(addr netip.AddrPort, receiver ID, p *peer, m Message) {
 	if !f.chargeBudget(&m) {
 		f.Suppressed++
@@ -77,8 +79,9 @@
 	f.outbox = append(f.outbox, Outgoing{To: addr, Receiver: receiver, Message: m})
 }
 
-// chargeBudget decides whether a message may be sent, and takes its bytes from the budget that it belongs to: pings
-// and acks are always sent, gossip is checked before, and all else needs something left of the control budget.
+// chargeBudget charges a message to its budget and reports whether it may be sent. Pings and acks are always sent;
+// Gossip without own updates is charged to the update budget, which was checked before; everything else needs a
+// positive control budget.
 func (f *Fleet) chargeBudget(m *Message) bool {
 	cost := messageOverheadBytes + bucketSumBytes*float64(len(m.BucketSums))
 	switch {
@@ -97,13 +100,13 @@
 	return true
 }
 
-// piggybackAllowed decides whether updates go along with a message to p. They would count as sent and be lost where p
-// may be gone. Of an unknown receiver nothing is known.
+// piggybackAllowed reports whether updates are piggybacked on a message to p. They would count as transmitted and get
+// lost if p has failed. For an unknown receiver (p is nil) they are always allowed.
 func (f *Fleet) piggybackAllowed(p *peer) bool {
 	return p == nil || p.isReachable() && f.lastTick-p.lastContact < piggybackTimeout
 }
 
-// takeUpdates takes up to n updates that are to be disseminated, within the budget.
+// takeUpdates takes up to n updates from the dissemination queue, within the update budget.
 func (f *Fleet) takeUpdates(n int) []Update {
 	if n <= 0 {
 		return nil
@@ -115,10 +118,10 @@
 	return updates
 }
 
-// updateBytesAvailable is how many bytes of updates may be sent now.
+// updateBytesAvailable returns the number of bytes of updates that may be sent now.
 func (f *Fleet) updateBytesAvailable() int { return max(int(f.updateBudget), 0) }
 
-// refillBudgets adds to the budgets for the time since the last Tick.
+// refillBudgets refills the budgets for the time since the last Tick.
 func (f *Fleet) refillBudgets(now monotime.Micros) {
 	seconds := (now - f.lastTick).Seconds()
 	f.updateBudget = min(f.updateBudget+updateBytesPerSecond*seconds, updateBytesBurst)
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -7,41 +7,42 @@
 	"spurspread/decision/monotime"
 )
 
-// How a member comes to be dead: a probe of it fails (see probeFailsAfter), and the observer reports that, unless
-// it is Unhealthy. Once the observer has requiredReports, its own among them, it suspects the member and
-// disseminates that. The member can refute it until MinSuspicionTimeout after suspicionStart. Then each observer
-// whose own probes have failed declares it dead and disseminates that; all others take it from these.
+// How a member is declared dead: when an observer's probe of it fails (see probeFailsAfter), the observer reports that
+// to other members, unless it is Unhealthy. Once the observer has requiredReports, including its own, it suspects the
+// member and disseminates the suspicion. The member can refute it until MinSuspicionTimeout after suspicionStart. After
+// that, each observer whose own probes have failed declares the member dead and disseminates that; all other members
+// adopt it from these updates.
 
 const (
-	// maxRequiredReports is how many members must have failed to reach one before it is suspected, where that many
-	// can report. Of ten that probe with one message in five lost, two fail by chance a hundred times as often as
-	// three.
+	// maxRequiredReports is the number of members whose probes must have failed before a member is suspected, if that
+	// many are able to report. With ten observers and one message in five lost, two observers fail by chance a hundred
+	// times as often as three.
 	maxRequiredReports = 3
-	// minRequiredOfSeveral is the same while there is a third member, though it is not in contact.
-	minRequiredOfSeveral = 2
-	// failureReportTimeout is how long a report that is not confirmed counts.
+	// minRequiredReports is the lower bound while there is a third live member, even if that one is not in contact.
+	minRequiredReports = 2
+	// failureReportTimeout is the time after which an unconfirmed failure report expires.
 	failureReportTimeout = 2 * monotime.Second
-	// indirectEvidenceDelay is how long others have known, at least, what this member learns from them: about the
-	// time that an update takes through the fleet.
+	// indirectEvidenceDelay is the minimum age of a suspicion learned from others: about the time that an update takes
+	// to reach all members.
 	indirectEvidenceDelay = 300 * monotime.Millisecond
-	// maxSuspicionBackdate bounds how far before its confirmation a suspicion begins.
+	// maxSuspicionBackdate bounds the time by which the start of a suspicion precedes its confirmation.
 	maxSuspicionBackdate = 1 * monotime.Second
-	// reportFanout is how many members receive a failure report.
+	// reportFanout is the number of members that receive a failure report.
 	reportFanout = WatchersPerMember
 )
 
-// failureReport says that a member could not reach a peer, and since when.
+// failureReport records that a member has failed to reach a peer, and since when.
 type failureReport struct {
 	by    ID
 	since monotime.Micros
 }
 
-// suspectUpdate is this member's own report that it could not reach p.
+// suspectUpdate returns this member's failure report about p.
 func (f *Fleet) suspectUpdate(p *peer) Update {
 	return Update{ID: p.ID, State: Suspect, Incarnation: p.incarnation, ReportedBy: f.self.ID}
 }
 
-// reportFailure takes a failed probe of this member. It counts for nothing while this member is Unhealthy.
+// reportFailure processes a failed probe by this member. It is ignored while this member is Unhealthy.
 func (f *Fleet) reportFailure(now monotime.Micros, p *peer, failed *probe) {
 	if f.Unhealthy(now) || p.state != Alive && p.state != Suspect {
 		return
@@ -59,15 +60,16 @@
 	if p.state != Alive {
 		return
 	}
-	// Not enough reports yet: those that requested this probe get its result. Where it was this member's own, some
-	// members get a report, so that they probe, and once more a little later, since either message may be lost.
+	// There are not enough reports yet. If other members requested this probe, they get the report. Otherwise the
+	// report goes to some members, so that these probe p as well, and is repeated a little later, since either message
+	// may get lost.
 	if !f.reportToRequesters(failed, report) {
 		f.pendingReports = append(f.pendingReports, report)
 		p.reportAgainAt = now + ackTimeout + f.expectedRTT(p)
 	}
 }
 
-// reportToRequesters sends a report to those that requested the probe. It returns whether there are any.
+// reportToRequesters sends a report to the members that requested the probe. It reports whether there are any.
 func (f *Fleet) reportToRequesters(failed *probe, report Update) bool {
 	found := false
 	for _, request := range f.indirectPings {
@@ -80,7 +82,7 @@
 	return found
 }
 
-// repeatReport queues this member's report once more where that is due.
+// repeatReport queues this member's report about p once more when that is due.
 func (f *Fleet) repeatReport(now monotime.Micros, p *peer) {
 	if p.reportAgainAt == 0 || now < p.reportAgainAt {
 		return
@@ -91,8 +93,8 @@
 	}
 }
 
-// sendFailureReports sends the pending reports in one message to some members, so that they probe for themselves.
-// Those in contact come first.
+// sendFailureReports sends the pending reports in one message to some members, so that these probe for themselves.
+// Members that can confirm a failure are preferred.
 func (f *Fleet) sendFailureReports() {
 	f.pendingReports = slices.DeleteFunc(f.pendingReports, func(report Update) bool {
 		p := f.peers[report.ID]
@@ -113,9 +115,9 @@
 	}
 }
 
-// recordFailureReport takes a report that u.ReportedBy could not reach p since a time, or, without ReportedBy, that
-// enough members could not. A single report makes p suspected by nobody: the reporter's own link may have failed.
-// Some of those that receive it probe p themselves.
+// recordFailureReport records the report that u.ReportedBy has failed to reach p since the given time, or, if
+// ReportedBy is 0, that enough members have. One report never makes p suspected, since the reporter's own link may have
+// failed; some of the members that receive it probe p themselves.
 func (f *Fleet) recordFailureReport(now, since monotime.Micros, p *peer, u Update) {
 	if u.ReportedBy == p.ID || p.state != Alive {
 		return
@@ -132,13 +134,14 @@
 	}
 }
 
+// reportedBy reports whether there is a failure report by the member id.
 func (p *peer) reportedBy(id ID) bool {
 	return slices.ContainsFunc(p.failureReports, func(report failureReport) bool { return report.by == id })
 }
 
-// corroborate decides whether this member probes p because another one reported it: its watchers always do, and of
-// the others WatchersPerMember on average in a fleet of any size, all in a small one, since its watchers may be gone,
-// too.
+// corroborate decides whether this member probes p because another one has reported it, and if so starts the probe. The
+// watchers of p always do. Since they may have failed too, so do WatchersPerMember of the other members on average,
+// which are all in a small fleet.
 func (f *Fleet) corroborate(now monotime.Micros, p *peer) {
 	drawn := f.rng.IntN(max(f.countState(Alive), 1)) < WatchersPerMember
 	if drawn || slices.Contains(f.watchTargets(), p) {
@@ -146,8 +149,9 @@
 	}
 }
 
-// requiredReports decides how many members must have failed to reach p before it is suspected, this one among them:
-// as many as can report, up to maxRequiredReports; only this one where p sends messages and reports it dead.
+// requiredReports returns the number of reports, including this member's own, that make p suspected: the number of
+// members able to report, up to maxRequiredReports. This member's own report suffices if p still sends messages and
+// considers this member dead.
 func (f *Fleet) requiredReports(p *peer) int {
 	if p.partitioned {
 		return 1
@@ -157,19 +161,20 @@
 		reporters--
 	}
 	if f.liveOthers() > 1 {
-		reporters = max(reporters, minRequiredOfSeveral)
+		reporters = max(reporters, minRequiredReports)
 	}
 	return min(maxRequiredReports, reporters)
 }
 
-// suspectIfConfirmed makes p suspected once this member's own probe has failed and requiredReports are there.
+// suspectIfConfirmed makes p suspected if this member's own probe has failed and there are requiredReports.
 func (f *Fleet) suspectIfConfirmed(now monotime.Micros, p *peer) {
 	if p.state == Alive && p.ownProbeFailed && len(p.failureReports) >= f.requiredReports(p) {
 		f.suspect(now, f.suspicionStart(now, p), p)
 	}
 }
 
-// suspect makes p suspected, counted from a time on, and disseminates that without naming the reporters.
+// suspect makes p suspected, with a timeout that starts at since, and disseminates the suspicion without naming the
+// reporters.
 func (f *Fleet) suspect(now, since monotime.Micros, p *peer) {
 	p.state = Suspect
 	p.stateSince = now
@@ -184,9 +189,9 @@
 	f.disseminate(confirmed)
 }
 
-// suspicionStart decides from when on a confirmed suspicion counts: from the second report on, but not before this
-// member's own by more than an update takes, since earlier ones may be by chance, and at most maxSuspicionBackdate
-// ago.
+// suspicionStart returns the start of a confirmed suspicion: the time of the second report, since the first may be due
+// to chance. It is at most indirectEvidenceDelay plus one round trip before this member's own report, and at most
+// maxSuspicionBackdate ago.
 func (f *Fleet) suspicionStart(now monotime.Micros, p *peer) monotime.Micros {
 	slices.SortFunc(p.failureReports, func(a, b failureReport) int { return cmp.Compare(a.since, b.since) })
 	second := min(1, len(p.failureReports)-1)
@@ -199,9 +204,9 @@
 	return max(start, now-maxSuspicionBackdate)
 }
 
-// declareDead declares those members dead whose suspicion has lasted for MinSuspicionTimeout and which this member
-// could not reach itself, unless inContactWithOnlyPeer. One that still sends messages and reports this member dead is
-// not paused: it is declared dead at once.
+// declareDead declares dead the suspects that this member's own probes failed to reach and whose suspicion has lasted
+// for MinSuspicionTimeout, except as stated by inContactWithOnlyPeer. A suspect that still sends messages and reports
+// this member dead cannot be paused, and is declared dead at once.
 func (f *Fleet) declareDead(now monotime.Micros) {
 	if f.suspectCount == 0 || f.Unhealthy(now) {
 		return
@@ -217,15 +222,15 @@
 	}
 }
 
-// inContactWithOnlyPeer reports whether this member, of two, received something of the other within contactTimeout.
-// Nobody else can confirm that the other is gone, and it runs: what is lost is this member's way to it. Where that is
-// cut for good the other one misses its answers, and reports this member dead.
+// inContactWithOnlyPeer reports whether p is the only other live member and has sent a message within contactTimeout.
+// In that case nobody else can confirm a failure, and p is running: only the path from this member to p loses messages.
+// If that path stays cut, p misses this member's acks and reports it dead.
 func (f *Fleet) inContactWithOnlyPeer(now monotime.Micros, p *peer) bool {
 	return f.liveOthers() <= 1 && now-p.lastContact < contactTimeout
 }
 
-// clearOwnFailure drops the evidence against a member that this one has just reached. A suspicion that others have
-// confirmed stays until the member refutes it.
+// clearOwnFailure drops the evidence against a member that this one has just reached. A confirmed suspicion remains
+// until the member refutes it.
 func (p *peer) clearOwnFailure() {
 	p.ownProbeFailed = false
 	if p.state == Alive {
@@ -233,7 +238,7 @@
 	}
 }
 
-// dropExpiredReports drops the reports that were not confirmed within failureReportTimeout.
+// dropExpiredReports removes the reports that were not confirmed within failureReportTimeout.
 func (f *Fleet) dropExpiredReports(now monotime.Micros) {
 	for _, p := range f.peerList {
 		if p.state != Alive || len(p.failureReports) == 0 {
--- a/decision/membership/suspicion_test.go
+++ b/decision/membership/suspicion_test.go
@@ -7,31 +7,31 @@
 	"spurspread/decision/monotime"
 )
 
-// A member that doesn't answer is suspected only after two others report the same, and dead only after a suspicion
+// A member that does not answer is suspected only after two others report the same, and is dead only after a suspicion
 // of MinSuspicionTimeout.
 func TestOneObserverSuspectsNobody(t *testing.T) {
 	f, now := fleetOf(6)
 	f.run(&now, 10*monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("%v by one report", s)
+		t.Fatalf("%v after one report", s)
 	}
 	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 4))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("%v by two reports of six members", s)
+		t.Fatalf("%v after two reports in a fleet of six", s)
 	}
 	f.receiveUpdates(now, 5, updateOf(3, Suspect, 1, 5))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Suspect {
-		t.Fatalf("%v after three could not reach it", s)
+		t.Fatalf("%v after three reports", s)
 	}
 	f.run(&now, MinSuspicionTimeout, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Dead {
-		t.Fatalf("%v after %d ms more", s, MinSuspicionTimeout/monotime.Millisecond)
+		t.Fatalf("%v %d ms later", s, MinSuspicionTimeout/monotime.Millisecond)
 	}
 }
 
-// A member that reaches the suspect itself doesn't declare it dead, however many report it.
+// A member whose own probes of a suspect succeed does not declare it dead, however many others report it.
 func TestOnlyFailedProbesDeclareDead(t *testing.T) {
 	f, now := fleetOf(6)
 	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 0), updateOf(3, Suspect, 1, 5))
@@ -40,18 +40,19 @@
 	}
 }
 
-// suspectThird makes member 3, which answers no pings, suspected by three reports.
-func suspectThird(f *Fleet, now *monotime.Micros, after monotime.Micros) {
+// suspectMember3 makes member 3, which answers no pings, suspected through three reports.
+func suspectMember3(f *Fleet, now *monotime.Micros, after monotime.Micros) {
 	f.run(now, 3*monotime.Second, 3)
 	f.receiveUpdates(*now, 4, updateOf(3, Suspect, 1, 4))
 	f.receiveUpdates(*now, 5, updateOf(3, Suspect, 1, 5))
 	f.run(now, after, 3)
 }
 
-// After a pause a suspicion has its whole time again, and pings that were unanswered meanwhile are not reported.
+// After a pause of this member the suspicion timeout starts again, and pings that were unanswered during the pause are
+// not reported.
 func TestPausedMemberIsUnhealthy(t *testing.T) {
 	f, now := fleetOf(6)
-	suspectThird(f, &now, monotime.Second)
+	suspectMember3(f, &now, monotime.Second)
 	reports := f.FailureReports
 	now += 10 * monotime.Second
 	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Unhealthy(now) {
@@ -63,10 +64,10 @@
 	}
 }
 
-// A suspicion from before this member was isolated declares nobody dead after it.
+// A suspicion from before this member was isolated does not make a member dead afterwards.
 func TestIsolationRestartsSuspicions(t *testing.T) {
 	f, now := fleetOf(6)
-	suspectThird(f, &now, monotime.Second/2)
+	suspectMember3(f, &now, monotime.Second/2)
 	if s := f.StateOf(selfOf(3).ID); s != Suspect {
 		t.Fatalf("%v", s)
 	}
@@ -74,12 +75,12 @@
 	f.receiveUpdates(now, 2)
 	now += TickInterval
 	if f.Tick(now); f.StateOf(selfOf(3).ID) == Dead {
-		t.Fatal("dead by a suspicion from before")
+		t.Fatal("dead by a suspicion from before the isolation")
 	}
 }
 
-// A peer that sends messages and reports this member dead is dead as soon as this one fails to reach it, whatever
-// others report.
+// A peer that sends messages and reports this member dead is declared dead as soon as this member fails to reach it,
+// regardless of reports by others.
 func TestPartitionedPeerIsDeadAtOnce(t *testing.T) {
 	f, now := fleetOf(6)
 	watched := f.watchTargets()[0]
@@ -87,14 +88,14 @@
 	_, _ = fmt.Sscanf(watched.Name, "n%d", &i)
 	for watched.state != Dead && now-start < 10*monotime.Second {
 		f.run(&now, monotime.Second/2, i)
-		f.receiveDead(now, watched.Self)
+		f.receiveDeadReport(now, watched.Self)
 	}
 	if watched.state != Dead || now-start >= MinSuspicionTimeout {
 		t.Fatalf("%v after %d ms", watched.state, (now-start)/monotime.Millisecond)
 	}
 }
 
-// declareDead has this member declare another one dead by its own probes.
+// declareDead makes this member declare member i dead by its own probes.
 func declareDead(t *testing.T, f *Fleet, now *monotime.Micros, i int) {
 	t.Helper()
 	f.run(now, 3*monotime.Second, i)
@@ -106,8 +107,8 @@
 	}
 }
 
-// A member that is dead by this one's own probes comes back by an answer, and not by updates of others; one that is
-// dead by updates comes back by them.
+// A member that was declared dead by this member's own probes is restored by an ack and not by updates from others; one
+// that is dead by updates is restored by updates.
 func TestDeadMustAnswer(t *testing.T) {
 	f, now := fleetOf(6)
 	declareDead(t, f, &now, 3)
@@ -121,24 +122,24 @@
 	ack.Seq = out[0].Message.Seq
 	ack.Incarnation = 2
 	if f.Receive(now+monotime.Millisecond, addr(3), ack); f.StateOf(selfOf(3).ID) != Alive {
-		t.Fatal("it has answered")
+		t.Fatal("not alive after an ack")
 	}
 	f.receiveUpdates(now, 2, updateOf(6, Dead, 1, 0))
 	if f.receiveUpdates(now, 2, updateOf(6, Alive, 2, 0)); f.StateOf(selfOf(6).ID) != Alive {
-		t.Fatal("dead by an update, and not alive by one")
+		t.Fatal("dead by an update, but not restored by one")
 	}
 }
 
-// A member that was considered dead itself stops spreading the deaths that it declared meanwhile, and pings those
-// members.
+// A member that was considered dead itself stops disseminating the deaths of others that it knows of, and pings the
+// dead members.
 func TestRecoversFromDeath(t *testing.T) {
 	f, now := fleetOf(6)
 	declareDead(t, f, &now, 3)
 	f.receiveUpdates(now, 4, updateOf(6, Dead, 1, 0))
 	if f.dissemination.items[selfOf(6).ID] == nil {
-		t.Fatal("a death is not disseminated")
+		t.Fatal("the death of member 6 is not disseminated")
 	}
-	f.receiveDead(now, selfOf(2))
+	f.receiveDeadReport(now, selfOf(2))
 	if queued := f.dissemination.items[selfOf(6).ID]; queued != nil {
 		t.Fatalf("still disseminated: %+v", queued)
 	}
@@ -149,18 +150,18 @@
 			return
 		}
 	}
-	t.Fatal("a member that it considers dead is not pinged")
+	t.Fatal("the dead member 3 is not pinged")
 }
 
-// Of two members, one whose answers are all lost, but whose other messages come, is not declared dead: nobody else can
-// tell. It is once it falls silent, and at once where it reports this member dead.
+// Of two members, one whose acks all get lost while its other messages arrive is not declared dead, since nobody else
+// can confirm the failure. It is declared dead once it falls silent, and at once if it reports this member dead.
 func TestOneOfTwoInContactIsNotDead(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(f *Fleet, now *monotime.Micros)
 		span monotime.Micros
 	}{
 		"silent":      {func(*Fleet, *monotime.Micros) {}, 2 * PairSuspicionTimeout},
-		"partitioned": {func(f *Fleet, now *monotime.Micros) { f.receiveDead(*now, selfOf(2)) }, contactTimeout},
+		"partitioned": {func(f *Fleet, now *monotime.Micros) { f.receiveDeadReport(*now, selfOf(2)) }, contactTimeout},
 	} {
 		f, now := fleetOf(2)
 		for range 20 {
@@ -168,12 +169,12 @@
 			f.receiveUpdates(now, 2)
 		}
 		if s := f.StateOf(selfOf(2).ID); s == Dead {
-			t.Fatalf("%s: dead, though it sends", name)
+			t.Fatalf("%s: dead, though it sends messages", name)
 		}
 		c.end(f, &now)
 		f.run(&now, c.span, 2)
 		if s := f.StateOf(selfOf(2).ID); s != Dead {
-			t.Errorf("%s: %v in the end", name, s)
+			t.Errorf("%s: %v in the end, want dead", name, s)
 		}
 	}
 }
--- a/decision/membership/update.go
+++ b/decision/membership/update.go
@@ -2,8 +2,8 @@
 
 import "spurspread/decision/monotime"
 
-// applyUpdate decides whether an update overrides what is known of its member, and puts it into effect: a newer
-// incarnation overrides an older one, and under the same one a greater state a smaller one.
+// applyUpdate applies an update if it overrides the known state of its member: a newer incarnation overrides an older
+// one; under the same incarnation, a greater state overrides a smaller one.
 func (f *Fleet) applyUpdate(now monotime.Micros, u Update) {
 	if u.ID == f.self.ID {
 		f.applyOwnUpdate(u)
@@ -38,13 +38,14 @@
 
 func (f *Fleet) applyNewerIncarnation(now monotime.Micros, p *peer, u Update) {
 	switch {
-	case u.State == Suspect: // whoever reported it has known it alive under this incarnation
+	case u.State == Suspect: // the reporter knew it as alive under this incarnation
 		alive := u
 		alive.State, alive.ReportedBy = Alive, 0
 		f.setState(now, p, alive)
 		f.recordFailureReport(now, now, p, u)
 	case p.deadByOwnProbe && u.State == Alive:
-		// Updates take ways that answers do not: a member that this one could not reach has to answer it first.
+		// Updates may arrive over paths on which acks get lost, so a member that did not answer this one's probes must
+		// answer a ping before it counts as alive again.
 		f.pingDead(now, p, u.Addr)
 	default:
 		f.setState(now, p, u)
--- a/decision/membership/view.go
+++ b/decision/membership/view.go
@@ -7,20 +7,20 @@
 	"spurspread/decision/monotime"
 )
 
-// Member is one member of the fleet, as this one sees it.
+// Member is one member of the fleet in this member's view.
 type Member struct {
 	Self
 	State       State
 	Incarnation uint64
-	Since       monotime.Micros // in this state since then
-	LastContact monotime.Micros // when it sent a message last
-	RTT         monotime.Micros // smoothed round trip, 0 where none is known
-	// OutboundLoss is the part of pings that are lost on the way to it, InboundLoss that of acks on the way back, 0
-	// to 1.
+	Since       monotime.Micros // time of the last state change
+	LastContact monotime.Micros // time of its last message
+	RTT         monotime.Micros // smoothed round-trip time, 0 if unknown
+	// OutboundLoss is the ratio of pings to the member that are lost; InboundLoss is the ratio of its acks that are
+	// lost. Both range from 0 to 1.
 	OutboundLoss, InboundLoss float64
 }
 
-// View lists all members that are known, this one first, the others by their names.
+// View lists all known members: this one first, the others by name.
 func (f *Fleet) View(now monotime.Micros) []Member {
 	own := Member{Self: f.self, State: Alive, Incarnation: f.incarnation, LastContact: now}
 	if f.leaving {
@@ -47,7 +47,7 @@
 	}
 }
 
-// lossRatio is the part of messages that did not arrive, 0 to 1, 0 where none was sent.
+// lossRatio returns the ratio of messages that were lost, 0 to 1; 0 if none was sent.
 func lossRatio(sent, arrived float64) float64 {
 	if sent < 1 {
 		return 0
@@ -55,16 +55,16 @@
 	return min(max(1-arrived/sent, 0), 1)
 }
 
-// Live is how many members are alive or suspected, this one included.
+// Live returns the number of members that are alive or suspected, including this one.
 func (f *Fleet) Live() int { return f.liveOthers() + 1 }
 
-// Known is how many members are known, this one and those that have died or left within deadRetention included.
+// Known returns the number of known members, including this one and those that have died or left within deadRetention.
 func (f *Fleet) Known() int { return len(f.peerList) + 1 }
 
-// Dead is how many members are considered dead; those that have left don't count.
+// Dead returns the number of members that are considered dead, without those that have left.
 func (f *Fleet) Dead() int { return f.countState(Dead) }
 
-// Alive lists this member and those that are alive and not suspected.
+// Alive lists this member and all that are alive and not suspected.
 func (f *Fleet) Alive() []Self {
 	alive := make([]Self, 1, f.Live())
 	alive[0] = f.self
@@ -76,26 +76,26 @@
 	return alive
 }
 
-// Revision changes whenever Live, Known, Alive, Position or Leaving may have changed.
+// Revision returns a number that changes whenever Live, Known, Alive, Position or Leaving may have changed.
 func (f *Fleet) Revision() uint64 { return f.revision }
 
 // Leaving reports whether this member has announced its departure.
 func (f *Fleet) Leaving() bool { return f.leaving }
 
-// Incarnation is this member's current one.
+// Incarnation returns this member's current incarnation.
 func (f *Fleet) Incarnation() uint64 { return f.incarnation }
 
-// Supersede records that a later process of this name has taken over: this one is silent from now on.
+// Supersede records that a later process of this name has taken over. This member sends nothing from then on.
 func (f *Fleet) Supersede() { f.superseded = true }
 
 // Superseded reports whether a later process of this name has taken over.
 func (f *Fleet) Superseded() bool { return f.superseded }
 
-// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part, 1 at least; see
-// RateDivisor, the type.
+// RateDivisor returns the number by which a fleet-wide budget is divided to get this member's share, at least 1; see
+// the type RateDivisor.
 func (f *Fleet) RateDivisor() float64 { return f.divisor.current() }
 
-// StateOf is what a member is considered to be; this one is Alive to itself.
+// StateOf returns the state of a member: Alive for this one, Unknown for one that is not in the view.
 func (f *Fleet) StateOf(id ID) State {
 	if id == f.self.ID {
 		return Alive
@@ -106,8 +106,8 @@
 	return Unknown
 }
 
-// Position is this member's position among the live ones in the order of their ids, 0 to Live()-1: the same in all
-// views that agree.
+// Position returns this member's index among the live members in order of their IDs, from 0 to Live()-1. It is
+// consistent across members whose views agree.
 func (f *Fleet) Position() int {
 	position := 0
 	for _, p := range f.rings[0] {
