--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -9,28 +9,29 @@
 	"spurspread/decision/monotime"
 )
 
-// Anti-entropy: datagrams carry a digest of their sender's items. Directories that differ for longer than items take
-// are compared by the versions of all items in a range of keys, and what is newer is sent.
+// Anti-entropy: datagrams carry a digest of their sender's items. Directories that differ for longer than items take to
+// spread are compared by the versions of all items in a range of keys, and newer items are sent.
 
 const (
-	// syncInterval is the least time between two comparisons that a member begins in its own zone, syncJitter what is
-	// added at random; unsyncedSyncInterval the same while it is new.
+	// syncInterval is the minimum time between two comparisons that a member starts within its own zone; syncJitter is
+	// the maximum random addition. unsyncedSyncInterval replaces both until the member has synchronized for the first
+	// time.
 	syncInterval         = 1 * monotime.Second
 	syncJitter           = syncInterval / 2
 	unsyncedSyncInterval = syncInterval / 2
-	// divergenceTolerance is how long directories may differ before they are compared: items mostly arrive by
-	// themselves.
+	// divergenceTolerance is the time for which directories may differ before they are compared: most items arrive by
+	// gossip before that.
 	divergenceTolerance = 700 * monotime.Millisecond
-	// versionsPerRange is how many versions one SyncVersions has, besides its two ends.
+	// versionsPerRange is the maximum number of versions in one SyncVersions, without the two ends of the range.
 	versionsPerRange = MaxVersions - 2
-	// maxSyncReplies bounds the messages of items in answer to one comparison.
+	// maxSyncReplies bounds the messages with items in reply to one comparison.
 	maxSyncReplies = 4
-	// maxDivergedPeers bounds the members of the own zone that are remembered to differ.
+	// maxDivergedPeers bounds the members of the own zone in divergedSince.
 	maxDivergedPeers = 256
 )
 
-// observeZonePeer decides whether the directory of a member of the own zone is compared with this one: it has
-// differed for divergenceTolerance, or this member is new.
+// observeZonePeer compares the directory of a member of the own zone with this one if it has differed for
+// divergenceTolerance, or if this member has not synchronized yet.
 func (d *Directory) observeZonePeer(now monotime.Micros, from netip.AddrPort, id MemberID, digest uint64) {
 	if digest == d.digest {
 		delete(d.divergedSince, id)
@@ -52,9 +53,9 @@
 	d.requestSync(now, from, id, d.ownZone)
 }
 
-// syncIfDiverged decides whether the directory of another zone's member, which has answered a probe, is compared with
-// this one: at once after the zone was not reached, otherwise once it has differed for divergenceTolerance. Until
-// then the zone is probed more often.
+// syncIfDiverged compares the directory of another zone's member, which has answered a probe, with this one:
+// immediately if atOnce is set or this directory has not changed lately, otherwise once the digests have differed for
+// divergenceTolerance. Until then the zone is probed more often.
 func (d *Directory) syncIfDiverged(now monotime.Micros, from netip.AddrPort, m *Message, l *link, atOnce bool) {
 	if m.Digest == d.globalDigest {
 		l.divergedSince = 0
@@ -71,7 +72,7 @@
 	l.nextProbeAt = min(l.nextProbeAt, now+divergenceTolerance)
 }
 
-// requestSync has another directory compared with this one.
+// requestSync starts a comparison with the directory of another member.
 func (d *Directory) requestSync(now monotime.Micros, to netip.AddrPort, id MemberID, zone ID) {
 	ownZone := zone == d.ownZone
 	if !d.synced {
@@ -82,10 +83,11 @@
 	d.sendRepair(to, id, Message{Kind: SyncVersions, Versions: d.versionRange(ownZone)})
 }
 
-// versionRange names the items that this member has or has dropped, from the cursor on, between the ends of their
-// range. It moves the cursor behind them. Observations are for the own zone only.
+// versionRange returns the versions of the items that this member has or has dropped, in the range of keys that begins
+// at syncCursor, and moves the cursor behind that range. The first and the last version mark its ends. Observations are
+// included only if requested, since they stay within the own zone.
 func (d *Directory) versionRange(observations bool) []ItemVersion {
-	versions := d.heldVersions(observations)
+	versions := d.listVersions(observations)
 	from, to := d.syncCursor, uint64(math.MaxUint64)
 	at, _ := slices.BinarySearchFunc(versions, ItemVersion{Key: from}, compareKeys)
 	versions = versions[at:]
@@ -104,8 +106,8 @@
 	return versions
 }
 
-// heldVersions names all items that this member has or has dropped, ascending by key.
-func (d *Directory) heldVersions(observations bool) []ItemVersion {
+// listVersions returns the versions of all items that this member has or has dropped, in ascending order of keys.
+func (d *Directory) listVersions(observations bool) []ItemVersion {
 	var versions []ItemVersion
 	for _, key := range d.keys {
 		if e := d.items[key]; observations || e.isGlobal() {
@@ -121,39 +123,41 @@
 
 func compareKeys(a, b ItemVersion) int { return cmp.Compare(a.Key, b.Key) }
 
-// handleSync answers the versions of another directory with what is newer here, and requests what is newer there.
-func (d *Directory) handleSync(from netip.AddrPort, m *Message) {
+// handleSyncVersions answers another directory's versions with the items that are newer here, and requests those that
+// are newer there.
+func (d *Directory) handleSyncVersions(from netip.AddrPort, m *Message) {
 	if len(m.Versions) == 0 || !slices.IsSortedFunc(m.Versions, compareKeys) {
 		return
 	}
 	if m.Zone == d.ownZone && !m.IsReply {
 		d.adoptTombstones(m.Versions)
 	}
-	d.sendNewer(from, m.From, d.entriesNewerThan(m))
+	d.sendEntries(from, m.From, d.entriesNewerThan(m))
 	if m.IsReply {
 		return
 	}
-	if wanted := d.wantedVersions(m); len(wanted) > 0 {
+	if wanted := d.versionsToRequest(m); len(wanted) > 0 {
 		d.sendRepair(from, m.From, Message{Kind: SyncVersions, IsReply: true, Versions: wanted})
 	}
 }
 
-// adoptTombstones forgets zones that are gone here and that another member of the own zone, which knew them longer,
-// has forgotten.
+// adoptTombstones forgets the Unknown or Left zones that another member of the own zone, which has known them for
+// longer, has already forgotten.
 func (d *Directory) adoptTombstones(versions []ItemVersion) {
 	for _, v := range versions {
 		e := d.items[v.Key]
 		if v.Checksum != 0 || e == nil || e.Summary == nil || e.version > v.Version {
 			continue
 		}
-		if z := d.zoneByID(e.Summary.Site.ID()); z.id != d.ownZone && z.isGone() {
+		if z := d.zoneByID(e.Summary.Site.ID()); z.id != d.ownZone && z.unknownOrLeft() {
 			d.forgetZone(d.now, z)
 		}
 	}
 }
 
-// entriesNewerThan lists the entries in the range of keys that the sender of m is sent: newer ones than it has, in a
-// request those that it doesn't have, and the own zone's summary where the sender has dropped it.
+// entriesNewerThan lists the entries to send in reply to m, within its range of keys: those newer than the listed
+// version and, unless m is itself a reply, those that m does not list. It includes the own zone's summary if the sender
+// has dropped it.
 func (d *Directory) entriesNewerThan(m *Message) []*entry {
 	lowest, highest := m.Versions[0].Key, m.Versions[len(m.Versions)-1].Key
 	var newer []*entry
@@ -178,8 +182,8 @@
 	return newer
 }
 
-// wantedVersions lists the versions here of items that may be newer at the sender of m.
-func (d *Directory) wantedVersions(m *Message) []ItemVersion {
+// versionsToRequest returns the versions held here of the items that may be newer at the sender of m.
+func (d *Directory) versionsToRequest(m *Message) []ItemVersion {
 	var wanted []ItemVersion
 	for _, remote := range m.Versions {
 		if remote.Version == 0 || remote.Checksum == 0 {
@@ -187,7 +191,7 @@
 		}
 		own := d.versionOf(remote.Key)
 		if own.Checksum == 0 && remote.Key == summaryKey(m.Zone) {
-			own = ItemVersion{Key: remote.Key} // dropped here, and a member of the zone itself has it
+			own = ItemVersion{Key: remote.Key} // dropped here, but a member of that zone still has it
 		}
 		otherContent := own.Checksum != 0 && remote.Checksum != own.Checksum
 		if remote.Version > own.Version || remote.Version == own.Version && otherContent {
@@ -197,7 +201,8 @@
 	return wanted
 }
 
-// versionOf names what this member has, or has dropped, under a key.
+// versionOf returns the version of the item that this member has or has dropped under a key; Version is 0 if there is
+// none.
 func (d *Directory) versionOf(key uint64) ItemVersion {
 	if e := d.items[key]; e != nil {
 		return e.itemVersion()
@@ -208,9 +213,9 @@
 	return ItemVersion{Key: key}
 }
 
-// sendNewer sends entries, as many as maxSyncReplies messages hold, in random order, so that all arrive after some
-// comparisons.
-func (d *Directory) sendNewer(to netip.AddrPort, id MemberID, newer []*entry) {
+// sendEntries sends entries in up to maxSyncReplies messages. The order is random, so that repeated comparisons
+// transfer all of them.
+func (d *Directory) sendEntries(to netip.AddrPort, id MemberID, newer []*entry) {
 	d.rng.Shuffle(len(newer), func(i, j int) { newer[i], newer[j] = newer[j], newer[i] })
 	for range maxSyncReplies {
 		if len(newer) == 0 {
@@ -222,7 +227,7 @@
 	}
 }
 
-// sendRepair sends a message of anti-entropy, as far as its budget goes.
+// sendRepair sends an anti-entropy message, or drops it if the budget is exhausted.
 func (d *Directory) sendRepair(to netip.AddrPort, id MemberID, m Message) {
 	if !d.repairBudget.refill(d.now) {
 		d.Suppressed++
@@ -232,10 +237,10 @@
 	d.send(to, id, m)
 }
 
-// handleUpdate takes what an Update says of its sender. A new process that learns of another zone from one of its
-// members requests all other items there.
+// handleUpdate processes what an Update implies about its sender; merge has already processed its items. A new process
+// that receives an Update from another zone requests all other items from the sender.
 func (d *Directory) handleUpdate(now monotime.Micros, from netip.AddrPort, m *Message) {
-	d.noteSeed(from, m.Zone)
+	d.recordSeedZone(from, m.Zone)
 	switch {
 	case m.Zone == d.ownZone:
 		d.synced = d.synced || m.IsReply
--- a/decision/zonedirectory/delegate.go
+++ b/decision/zonedirectory/delegate.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// unsyncedSettleTime is how long a new process that has met no member of its zone waits before it represents the
-	// zone. settleStagger is added by its id: of several that start at once, one is received by the others before
-	// they do the same.
+	// unsyncedSettleTime is the time before a new process that has not synchronized with any member of its zone may act
+	// for the zone. A share of settleStagger, which depends on its ID, is added: of several members that start at once,
+	// one is known to the others before they act.
 	unsyncedSettleTime = 2 * monotime.Second
 	settleStagger      = 4 * monotime.Second
-	// syncedSettleTime is the same for one that has met its zone: its view is mostly complete by then.
+	// syncedSettleTime is the same for a process that has synchronized with its zone. Its view is mostly complete by
+	// then.
 	syncedSettleTime = 1 * monotime.Second
-	// unlistedTimeout is how long a member that was received counts as there. Half of it is longer than it takes
-	// until such a member is in the view.
+	// unlistedTimeout is the time after its last message for which a member that is not in the view counts as running.
+	// Half of it is longer than the time until such a member normally is in the view.
 	unlistedTimeout = 2 * monotime.Second
-	// minUnlistedTime is how long unlisted members are received before this one takes itself for not receiving.
+	// minUnlistedTime is the time for which messages from unlisted members must arrive before this member considers its
+	// own view unreliable.
 	minUnlistedTime = unlistedTimeout / 2
 )
 
@@ -34,23 +36,24 @@
 type LocalZone struct {
 	// Revision changes whenever Members may have changed.
 	Revision uint64
-	// Members are those that are alive and not suspected, this one included.
+	// Members are those that are alive and not suspected, including this one.
 	Members []Member
-	// Live counts those that are suspected, too, Known those that died or left lately as well; Position is that of
-	// this member among the live ones.
+	// Live also counts suspected members; Known also counts those that died or left recently. Position is this member's
+	// index among the live ones.
 	Live, Known, Position int
-	// Dead are those of Known that are considered dead.
+	// Dead is the number of known members that are considered dead.
 	Dead int
-	// Unhealthy says that this member has reason to doubt its own observations, Leaving that it leaves.
+	// Unhealthy means that this member should doubt its own observations; Leaving means that it has announced its
+	// departure.
 	Unhealthy, Leaving bool
 }
 
-// rankHash orders the members of a zone, the same in all members and at all times.
+// rankHash is the default order of the members of a zone, the same in all members and at all times.
 func rankHash(zone ID, id MemberID) uint64 {
 	return splitmix.Mix64(uint64(zone) ^ splitmix.Mix64(uint64(id)))
 }
 
-// applyLocalZone takes a new view of the own zone, and with it who represents the zone.
+// applyLocalZone applies a new view of the own zone and determines the candidates for delegate.
 func (d *Directory) applyLocalZone(local LocalZone) {
 	sameMembers := local.Revision == d.local.Revision && local.Leaving == d.local.Leaving && len(d.local.Members) > 0
 	if local.Known != d.local.Known || local.Live != d.local.Live {
@@ -76,9 +79,9 @@
 
 func (d *Directory) isSelf(m Member) bool { return m.ID == d.cfg.Self.ID }
 
-// rankCandidates decides who represents the own zone: its first members by rank, MaxContacts at most. That follows
-// from the view alone, so that all members whose views agree choose the same. A member that leaves is none, unless it
-// is the last one.
+// rankCandidates determines the candidates for delegate: the first members of the own zone by rank, at most
+// MaxContacts. They depend only on the view, so all members whose views agree choose the same ones. A leaving member is
+// not a candidate unless it is the last one.
 func (d *Directory) rankCandidates() {
 	d.zonePeers = d.zonePeers[:0]
 	for _, m := range d.local.Members {
@@ -98,21 +101,21 @@
 	d.candidates = d.candidates[:min(len(d.candidates), MaxContacts)]
 }
 
-// isCandidate reports whether a member is a delegate of the own zone, or would replace one.
+// isCandidate reports whether a member is a delegate of the own zone, or one of the possible replacements.
 func (d *Directory) isCandidate(id MemberID) bool {
 	return slices.ContainsFunc(d.candidates, func(m Member) bool { return m.ID == id })
 }
 
-// isZonePeer reports whether a member is another one of the own zone's view.
+// isZonePeer reports whether a member is another one in the view of the own zone.
 func (d *Directory) isZonePeer(id MemberID) bool {
 	return slices.ContainsFunc(d.zonePeers, func(m Member) bool { return m.ID == id })
 }
 
-// delegates are the members that represent the own zone.
+// delegates returns the members that act for the own zone.
 func (d *Directory) delegates() []Member { return d.candidates[:min(len(d.candidates), Delegates)] }
 
-// updateSettled decides when a new process may represent its zone: syncedSettleTime after its start if it has met the
-// zone, otherwise unsyncedSettleTime and a part of settleStagger.
+// updateSettled decides whether a new process may act for its zone: after syncedSettleTime if it has synchronized with
+// the zone, otherwise after unsyncedSettleTime plus its share of settleStagger.
 func (d *Directory) updateSettled(now monotime.Micros) {
 	if d.settled {
 		return
@@ -122,7 +125,7 @@
 	d.settled = met && age >= syncedSettleTime || age >= unsyncedSettleTime+d.stagger()
 }
 
-// stagger is this member's part of settleStagger, by its rank among all possible ones.
+// stagger returns this member's share of settleStagger, in proportion to its rank hash.
 func (d *Directory) stagger() monotime.Micros {
 	const (
 		hashBits     = 64
@@ -132,17 +135,17 @@
 	return monotime.Micros(float64(settleStagger) * fraction)
 }
 
-// isActiveDelegate decides whether this member exchanges messages with other zones now: it is a delegate, has
-// settled, and has no reason to doubt its own observations.
+// isActiveDelegate reports whether this member currently exchanges messages with other zones: it is a delegate, has
+// settled and is not unhealthy.
 func (d *Directory) isActiveDelegate() bool {
-	return d.settled && d.ownRank < Delegates && !d.doubtful()
+	return d.settled && d.ownRank < Delegates && !d.unhealthy()
 }
 
-// doubtful decides whether this member's own observations count for nothing.
-func (d *Directory) doubtful() bool { return d.local.Unhealthy || d.notReceiving() }
+// unhealthy reports whether this member's own observations are to be ignored.
+func (d *Directory) unhealthy() bool { return d.local.Unhealthy || d.viewUnreliable() }
 
-// noteUnlisted remembers that a member of the own zone is received that is not in the view.
-func (d *Directory) noteUnlisted(now monotime.Micros, id MemberID) {
+// recordUnlisted records a message from a member of the own zone if that member is not in the view.
+func (d *Directory) recordUnlisted(now monotime.Micros, id MemberID) {
 	if d.isZonePeer(id) {
 		return
 	}
@@ -152,9 +155,10 @@
 	d.unlistedAt = now
 }
 
-// notReceiving decides whether this member is the one that is cut off: it considers at least half of its zone dead,
-// and goes on receiving members that are not in its view. They are there, and consider it dead as rightly.
-func (d *Directory) notReceiving() bool {
+// viewUnreliable reports whether this member is probably the one that is cut off: it considers at least half of its
+// zone dead, and yet keeps receiving messages from members that are not in its view. These are running, and probably
+// consider this member dead as well.
+func (d *Directory) viewUnreliable() bool {
 	receivesUnlisted := d.now-d.unlistedAt < unlistedTimeout && d.now-d.unlistedSince >= minUnlistedTime
 	return d.local.Live <= d.local.Dead && receivesUnlisted
 }
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -7,7 +7,7 @@
 	"spurspread/decision/monotime"
 )
 
-// Directory is what one member knows of its fleet's zones, and its part in the protocol.
+// Directory is one member's knowledge of the zones of its fleet, and its part in the protocol.
 type Directory struct {
 	cfg       Config
 	ownZone   ID
@@ -22,42 +22,42 @@
 	itemCounts   [itemKinds]int
 	tombstones   map[uint64]tombstone
 	digest       uint64          // of all items
-	globalDigest uint64          // of those that go to all zones
-	changedAt    monotime.Micros // when globalDigest did
+	globalDigest uint64          // of the items that go to all zones
+	changedAt    monotime.Micros // time of the last change of globalDigest
 
 	// The own zone.
 	local              LocalZone
-	zonePeers          []Member // of local, without this one
+	zonePeers          []Member // members of local without this one
 	candidates         []Member // the first MaxContacts of local by rank
-	ownRank            int      // of this member among them, MaxContacts where it is not
+	ownRank            int      // index of this member in candidates, MaxContacts if absent
 	settled            bool     // see updateSettled
-	synced             bool     // compared with a member of the zone, or agreeing with one
-	lastToLeave        bool     // the last member of the zone, and leaving
-	leaveAnnouncements int      // how often other zones were notified of that
+	synced             bool     // has synchronized with a member of the zone
+	lastToLeave        bool     // this member is the last one of its zone, and is leaving
+	leaveAnnouncements int      // times that other zones were notified of that
 	unlistedSince      monotime.Micros
-	unlistedAt         monotime.Micros // when a member of the zone that is not in local sent something last
+	unlistedAt         monotime.Micros // last message from a member of the own zone that is not in local
 	observing          observationState
 	conflict           issuerConflict
 
 	// The zones.
-	zones            []*zoneState // ascending by id, the own one among them
+	zones            []*zoneState // ascending by ID, including the own zone
 	unreachableZones []ID         // see unreachableFromZone
 	nextEvaluationAt monotime.Micros
 	remoteLive       int // members of other zones, see evaluateZones
 	remoteKnown      int
-	membersBefore    int // live members of the zones before the own one
+	membersBefore    int // live members of the zones whose IDs precede the own one
 
 	// Dissemination and anti-entropy.
 	dissemination disseminationState
 	repairBudget  tokenBucket
 	nextSyncAt    monotime.Micros
 	syncCursor    uint64                       // the key at which the next SyncVersions begins
-	divergedSince map[MemberID]monotime.Micros // members of the own zone whose digests differ
+	divergedSince map[MemberID]monotime.Micros // start of the digest mismatch with members of the own zone
 
 	// Probes, seeds and introductions.
 	nextSeq            uint32
 	nextSeedProbeAt    monotime.Micros
-	seedIndex          int                   // of the seed that was looked at last
+	seedIndex          int                   // of the last seed considered
 	seedZones          map[netip.AddrPort]ID // of seeds that have answered
 	nextJoinAt         monotime.Micros
 	joinSeeds          []netip.AddrPort // see JoinSeeds
@@ -67,7 +67,7 @@
 	// Issued counts the summaries of the own zone that this member issued; IssuerBackoffs counts how often it backed
 	// off because another issuer kept issuing a preferred summary.
 	Issued, IssuerBackoffs int
-	// Suppressed counts the messages that were not sent for want of budget.
+	// Suppressed counts the messages that were dropped because the budget was exhausted.
 	Suppressed int
 }
 
@@ -96,8 +96,8 @@
 	return d
 }
 
-// Tick does what is due. It is to be called every TickInterval, with the view of the own zone, or with nil where that
-// has not changed.
+// Tick runs all actions that are due and returns the messages to send. The owner calls it every TickInterval with the
+// view of the own zone, or with nil if that has not changed.
 func (d *Directory) Tick(now monotime.Micros, local *LocalZone) []Outgoing {
 	d.now = now
 	if local != nil {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// send sends a message from this member.
+// send queues a message from this member.
 func (d *Directory) send(to netip.AddrPort, receiver MemberID, m Message) {
 	m.From = d.cfg.Self.ID
 	m.Instance = d.cfg.Self.Instance
@@ -129,8 +129,8 @@
 	d.outbox = append(d.outbox, Outgoing{To: to, Receiver: receiver, Message: m})
 }
 
-// Receive takes a message from the address that its sender has. The sender is authenticated. A message that is out of
-// bounds is ignored. ObserveDatagram need not be called for it.
+// Receive processes a message from an authenticated sender at the given address. Messages that are out of bounds are
+// ignored. ObserveDatagram need not be called for the same datagram.
 func (d *Directory) Receive(now monotime.Micros, from netip.AddrPort, m Message) []Outgoing {
 	if !m.valid() || m.From == d.cfg.Self.ID {
 		return nil
@@ -147,14 +147,14 @@
 	case Update:
 		d.handleUpdate(now, from, &m)
 	case SyncVersions:
-		d.handleSync(from, &m)
+		d.handleSyncVersions(from, &m)
 	}
 	return d.takeOutput()
 }
 
-// ObserveDatagram takes what any datagram of package membership says of its sender: its zone, and the Digest of its
-// directory. The message of a sender in another zone is not to be given to membership.Fleet; here it is answered with
-// the own zone's summary.
+// ObserveDatagram processes the sender's zone and directory digest from a datagram of package membership. A message
+// from a sender in another zone must not be passed to membership.Fleet; ObserveDatagram answers it with the summary of
+// the own zone.
 func (d *Directory) ObserveDatagram(
 	now monotime.Micros,
 	from netip.AddrPort,
@@ -169,24 +169,24 @@
 	if zone != d.ownZone {
 		d.introduceZone(now, from, id, zone)
 	} else {
-		d.noteUnlisted(now, id)
+		d.recordUnlisted(now, id)
 		d.observeZonePeer(now, from, id, digest)
 	}
 	return d.takeOutput()
 }
 
-// Digest is that of all items, those of the own zone included: what datagrams of membership carry.
+// Digest returns the digest of all items, including those of the own zone. Datagrams of membership carry it.
 func (d *Directory) Digest() uint64 { return d.digest }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the seed addresses.
 func (d *Directory) SetSeeds(addrs []netip.AddrPort) { d.cfg.Seeds = addrs }
 
-// jitter draws a span under limit, in microseconds; limit is over 0.
+// jitter returns a random duration in [0, limit); limit must be positive.
 func (d *Directory) jitter(limit monotime.Micros) monotime.Micros {
 	return monotime.Micros(d.rng.Int64N(int64(limit)))
 }
 
-// spreadAround draws a span of interval on average that varies by spread.
+// spreadAround returns a random duration with mean interval and a total range of spread.
 func (d *Directory) spreadAround(interval, spread monotime.Micros) monotime.Micros {
 	return interval - spread/2 + d.jitter(spread)
 }
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -8,9 +8,9 @@
 	"spurspread/decision/monotime"
 )
 
-// Bytes a second that a member sends on average, and how many it may save up: of new items within its zone, of new
-// items to other zones, and of answers where directories differ. With what membership sends and what is received, a
-// member stays under 28,000 bytes a second in any ten seconds.
+// Byte budgets, as average rate per second and burst: for new items within the zone, for new items to other zones, and
+// for anti-entropy. Including membership messages and received ones, a member stays under 28,000 bytes per second over
+// any ten seconds.
 const (
 	gossipBytesPerSecond, gossipBytesBurst = 4096, 16 << 10
 	pushBytesPerSecond, pushBytesBurst     = 4096, 16 << 10
@@ -18,16 +18,17 @@
 )
 
 const (
-	// gossipInterval is the time between two rounds of gossip, gossipJitter by how much it varies, gossipFanout the
-	// members that each reaches.
+	// gossipInterval is the mean time between two rounds of gossip, gossipJitter its range of variation, and
+	// gossipFanout the number of members that each round reaches.
 	gossipInterval = 100 * monotime.Millisecond
 	gossipJitter   = gossipInterval / 5
 	gossipFanout   = 3
-	// spareTransmits is to how many members an item is sent beyond those that reach all, for messages that are lost.
+	// spareTransmits is the number of transmissions of an item beyond those needed to reach all members, to compensate
+	// for message loss.
 	spareTransmits = 3
 )
 
-// tokenBucket is a budget of bytes.
+// tokenBucket is a byte budget.
 type tokenBucket struct {
 	available, bytesPerSecond, burst float64
 	refilledAt                       monotime.Micros
@@ -37,7 +38,7 @@
 	return tokenBucket{available: burst, bytesPerSecond: bytesPerSecond, burst: burst, refilledAt: now}
 }
 
-// refill adds what is due, and reports whether something may be sent.
+// refill adds the bytes due since the last call, and reports whether the budget is positive.
 func (b *tokenBucket) refill(now monotime.Micros) bool {
 	due := b.bytesPerSecond * float64(now-b.refilledAt) / float64(monotime.Second)
 	b.available = min(b.available+due, b.burst)
@@ -45,12 +46,12 @@
 	return b.available > 0
 }
 
-// disseminationState is how new items are sent on.
+// disseminationState is the state of the dissemination of new items.
 type disseminationState struct {
 	gossipBudget  tokenBucket
 	pushBudget    tokenBucket
-	gossipPending bool // some entries are to be sent to members of the own zone
-	pushPending   bool // some are to be sent to other zones
+	gossipPending bool // some entries have gossipPending
+	pushPending   bool // some entries have pushPending
 	nextGossipAt  monotime.Micros
 }
 
@@ -61,11 +62,11 @@
 	}
 }
 
-// transmitLimit decides to how many members of its zone each member sends an item that is new to it: as many as reach
-// all, and spareTransmits. A member that misses it all the same learns it by anti-entropy.
+// transmitLimit returns the number of transmissions of a new item by each member to others of its zone: those needed to
+// reach all members plus spareTransmits. A member that still misses the item gets it by anti-entropy.
 func (d *Directory) transmitLimit() int { return spareTransmits + bits.Len(uint(len(d.zonePeers)+1)) }
 
-// gossip sends new items to some members of the own zone, those first that were sent least often.
+// gossip sends new items to some members of the own zone. The items with the fewest transmissions go first.
 func (d *Directory) gossip(now monotime.Micros) {
 	state := &d.dissemination
 	if !state.gossipPending || now < state.nextGossipAt || !state.gossipBudget.refill(now) {
@@ -92,8 +93,9 @@
 	}
 }
 
-// endCompletedGossip ends the dissemination of items that were sent to enough members, or that nobody is there to
-// receive. An item can be past transmitLimit without a further send, since the limit falls with the zone's size.
+// endCompletedGossip ends the gossip of items that have reached transmitLimit, and of all items if this member is alone
+// in its zone. An item can exceed the limit without another transmission, since the limit decreases with the size of
+// the zone.
 func (d *Directory) endCompletedGossip() {
 	limit := d.transmitLimit()
 	for _, e := range d.items {
@@ -101,6 +103,7 @@
 	}
 }
 
+// pendingEntries lists the entries that match, in order of their keys.
 func (d *Directory) pendingEntries(pending func(*entry) bool) []*entry {
 	var entries []*entry
 	for _, key := range d.keys {
@@ -111,7 +114,7 @@
 	return entries
 }
 
-// randomPeers draws up to n different members of the own zone.
+// randomPeers returns up to n distinct random members of the own zone.
 func (d *Directory) randomPeers(n int) []Member {
 	n = min(n, len(d.zonePeers))
 	for i := range n {
@@ -121,7 +124,7 @@
 	return d.zonePeers[:n]
 }
 
-// pushItems sends new items to one contact of each other zone, where this member is a delegate.
+// pushItems sends new items to one contact of each other zone if this member is an active delegate.
 func (d *Directory) pushItems(now monotime.Micros) {
 	state := &d.dissemination
 	if !state.pushPending || d.isActiveDelegate() && !state.pushBudget.refill(now) {
@@ -135,7 +138,7 @@
 	if !d.isActiveDelegate() {
 		return
 	}
-	if d.lastToLeave && d.leaveAnnouncements < Delegates { // nobody else will announce it
+	if d.lastToLeave && d.leaveAnnouncements < Delegates { // no other member is left to announce it
 		d.leaveAnnouncements++
 		state.pushPending = true
 		for _, e := range entries {
@@ -150,7 +153,7 @@
 	}
 }
 
-// pushTo sends those entries to a zone that it is to have from this one.
+// pushTo sends to a zone those of the entries that the own zone is responsible for sending there.
 func (d *Directory) pushTo(z *zoneState, entries []*entry) {
 	entries = slices.DeleteFunc(slices.Clone(entries), func(e *entry) bool { return !d.shouldPush(e, z) })
 	for len(entries) > 0 {
@@ -167,8 +170,8 @@
 	d.send(to.Addr, to.ID, update)
 }
 
-// shouldPush decides whether the own zone sends an item to another one: its own summary, records, and the summaries
-// of zones that have no connection to it.
+// shouldPush reports whether the own zone sends an item to another zone: its own summary, all records, and the
+// summaries of zones that are not connected to that zone.
 func (d *Directory) shouldPush(e *entry, to *zoneState) bool {
 	if e.Summary == nil {
 		return true
@@ -181,8 +184,8 @@
 	return of != nil && of.reportsUnreachable(to.id) || to.reportsUnreachable(id)
 }
 
-// notifyReplacedIssuers sends a zone's summary to the issuer of the one that it has replaced: in a zone that is
-// partitioned itself, that one learns it from other zones only.
+// notifyReplacedIssuers sends the new summary of a zone to the issuer of the summary that it has replaced. If that zone
+// is partitioned internally, the replaced issuer can learn of the new summary only from other zones.
 func (d *Directory) notifyReplacedIssuers(entries []*entry) {
 	for _, e := range entries {
 		if e.replacedIssuer == nil {
--- a/decision/zonedirectory/doc.go
+++ b/decision/zonedirectory/doc.go
@@ -1,18 +1,18 @@
-// Package zonedirectory decides what one balancer knows of the other zones of its fleet: how many members are there,
-// whether the zone can be reached, and through which members. Within its own zone a balancer has the full view of
+// Package zonedirectory maintains one balancer's knowledge of the other zones of its fleet: the number of their
+// members, whether they are reachable, and through which members. Within its own zone a balancer has the full view of
 // package membership; of each other zone it holds one summary, which members of that zone issue.
 //
-// A Directory is one member's state machine. Its owner hands it the time and the view of the own zone (Tick), decoded
-// messages whose sender is authenticated (Receive), and what other datagrams say of their sender's zone
-// (ObserveDatagram), and sends the messages that it returns. It has no sockets, no clock and no randomness but its
-// seed, it must not know how messages are encoded or how membership works, and all that it holds is bounded. It is
-// for one goroutine.
+// A Directory is one member's state machine. Its owner passes in the time and the view of its own zone (Tick), decoded
+// messages from authenticated senders (Receive), and the zone and digest that other datagrams carry (ObserveDatagram),
+// and sends the messages that these calls return. A Directory uses no sockets, no clock and no randomness other than
+// its seed, does not depend on how messages are encoded or on how membership works, and bounds all its state. It is not
+// safe for concurrent use.
 //
-// In each zone the first Delegates members, in an order that all members compute alike, exchange messages with the
-// other zones: they probe them, push new items to them, and publish in their own zone, by an Observation, what they
-// do not reach. The first of them issues the zone's Summary.
+// In each zone, the first Delegates members in an order that all members compute identically exchange messages with the
+// other zones: they probe other zones, push new items to them, and publish in their own zone, as an Observation, which
+// zones they cannot reach. The first delegate issues the zone's Summary.
 //
-// The invariant: of each zone, delegate and record the newest item is kept, in whatever order items arrive; and a
-// zone that cannot be reached is one fact, its Reachability, and never a death of its members: their part in the rate
-// divisor ends slowly, and zoneRetention later at the earliest.
+// Invariant: of each summary, observation and record, the newest version is kept regardless of the order of arrival. An
+// unreachable zone is a single fact, its Reachability, and never makes its members dead: their share of the rate
+// divisor decreases slowly, and ends no earlier than zoneRetention later.
 package zonedirectory
--- a/decision/zonedirectory/entry.go
+++ b/decision/zonedirectory/entry.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxVersion leaves versions above any that is accepted.
+	// maxVersion is the greatest version that is accepted, so that there is always a greater one.
 	maxVersion = 1 << 62
-	// maxSummaryMembers bounds the members of a zone in its summary.
+	// maxSummaryMembers bounds the number of members that a summary states.
 	maxSummaryMembers = 1 << 20
-	// maxObservations is more than a zone has delegates while its views differ.
+	// maxObservations bounds the observations. It exceeds the number of delegates that a zone has while views differ.
 	maxObservations = 4 * Delegates
 )
 
-// itemKind says which of the three an item is.
+// itemKind is the type of an item: summary, observation or record.
 type itemKind int
 
 const (
@@ -29,7 +29,7 @@
 	itemKinds
 )
 
-// limit is how many items of this kind a directory holds.
+// limit returns the maximum number of items of this kind in a directory.
 func (k itemKind) limit() int {
 	switch k {
 	case summaryItem:
@@ -40,19 +40,19 @@
 	return MaxRecords
 }
 
-// entry is an item that is held.
+// entry is an item in the directory with its derived values and dissemination state.
 type entry struct {
 	Item
 	key            uint64
 	version        uint64
-	contentHash    uint64 // of all that the item says
-	transmits      int    // to members of the own zone
-	gossipPending  bool   // to be sent to further members of the own zone
-	pushPending    bool   // to be sent to other zones
-	replacedIssuer *Contact
+	contentHash    uint64   // hash of canonicalBytes
+	transmits      int      // number of members of the own zone it was sent to
+	gossipPending  bool     // still to send to members of the own zone
+	pushPending    bool     // still to send to other zones
+	replacedIssuer *Contact // still to notify that its summary was replaced, nil if there is none
 }
 
-// newEntry returns an item as it is held, nil where it is not exactly one of the three or out of bounds.
+// newEntry returns the entry for an item, or nil if the item is not exactly one of the three kinds or is out of bounds.
 func newEntry(item Item) *entry {
 	s, o, r := item.Summary, item.Observation, item.Record
 	e := &entry{Item: item}
@@ -85,23 +85,23 @@
 // isGlobal reports whether the item goes to all zones.
 func (e *entry) isGlobal() bool { return e.Observation == nil }
 
-// digest is the entry's part of the directory's digest.
+// digest returns the entry's contribution to the directory's digest.
 func (e *entry) digest() uint64 { return splitmix.Mix64(e.key ^ splitmix.Mix64(e.contentHash)) }
 
-// checksum is never 0: that is the checksum of an item that was dropped.
+// checksum returns a non-zero checksum of the content. 0 is reserved for items that were dropped.
 func (e *entry) checksum() uint32 {
 	const half = 32
 	return max(uint32(e.contentHash^e.contentHash>>half), 1)
 }
 
-// itemVersion names the entry where directories are compared.
+// itemVersion returns the version that represents the entry when directories are compared.
 func (e *entry) itemVersion() ItemVersion {
 	return ItemVersion{Key: e.key, Version: e.version, Checksum: e.checksum()}
 }
 
-// newer decides which of two items with one key is kept: the one with the greater version, then the summary with the
-// greater issuer or the record with the greater value, then the greater hash of the content. The order is total, so
-// that it does not matter in which order items arrive.
+// newer reports whether e replaces old, an entry with the same key. The greater version wins, then the greater issuer
+// of a summary or the greater value of a record, then the greater content hash. This order is total, so the result does
+// not depend on the order of arrival.
 func (e *entry) newer(old *entry) bool {
 	order := cmp.Compare(e.version, old.version)
 	switch {
@@ -114,13 +114,13 @@
 	return cmp.Or(order, cmp.Compare(e.contentHash, old.contentHash)) > 0
 }
 
-// mayBeNewer decides whether another directory, which has v, is sent the entry. Under one version it can't be said
-// without the content.
+// mayBeNewer reports whether to send the entry to a directory that has v. If the versions are equal and the checksums
+// differ, only the content shows which one is newer.
 func (e *entry) mayBeNewer(v ItemVersion) bool {
 	return e.version > v.Version || e.version == v.Version && e.checksum() != v.Checksum && v.Checksum != 0
 }
 
-// What is added to a zone's id to tell the keys of its summary and of its observations apart.
+// Salts added to a zone's ID, so that the keys of its summary and of its observations differ.
 const (
 	summaryKeySalt     = 1
 	observationKeySalt = 2
@@ -140,7 +140,7 @@
 	return h.Sum64()
 }
 
-// canonicalBytes is all that a summary says, but for its site.
+// canonicalBytes encodes the content of a summary, without its site.
 func (s *Summary) canonicalBytes() []byte {
 	const typicalBytes = 256
 	b := make([]byte, 0, typicalBytes)
@@ -175,7 +175,8 @@
 
 func validVersion(version uint64) bool { return version > 0 && version <= maxVersion }
 
-// validZones accepts zones in ascending order, none twice, so that a list has one form.
+// validZones reports whether zones are strictly ascending, which gives each set of zones a single representation, and
+// at most MaxZones.
 func validZones(zones []ID) bool {
 	for i := 1; i < len(zones); i++ {
 		if zones[i-1] >= zones[i] {
--- a/decision/zonedirectory/gossip_test.go
+++ b/decision/zonedirectory/gossip_test.go
@@ -4,7 +4,7 @@
 
 // A zone that shrinks while an item is being disseminated stops sending it.
 func TestGossipInShrinkingZone(t *testing.T) {
-	const before, after, sentTo = 9, 3, 6 // members, members, members that the item was sent to
+	const before, after, sentTo = 9, 3, 6 // members before and after, transmissions of the item
 	d := newDirectory(before, before)
 	now := start
 	if _, err := d.Publish(now, "a", "v"); err != nil {
@@ -23,9 +23,9 @@
 	}
 }
 
-// An item past the transmit limit of a shrunken zone is not sent again, and does not hold back one that is due.
+// An item past the transmit limit of a shrunken zone is not sent again, and does not hold back an item that is due.
 func TestGossipOfNewItemInShrunkenZone(t *testing.T) {
-	const before, after, sentTo = 9, 3, 6 // members, members, members that the older item was sent to
+	const before, after, sentTo = 9, 3, 6 // members before and after, transmissions of the older item
 	d := newDirectory(before, before)
 	for _, name := range []string{"older", "newer"} {
 		if _, err := d.Publish(start, name, "v"); err != nil {
--- a/decision/zonedirectory/message.go
+++ b/decision/zonedirectory/message.go
@@ -5,13 +5,13 @@
 	"net/netip"
 )
 
-// ID identifies a zone: a hash of its names. 0 is none.
+// ID identifies a zone: a hash of its region and name. 0 means no zone.
 type ID uint64
 
-// Site is where a member is: a zone within a region. The zero Site is that of a fleet without zones.
+// Site is the location of a member: a zone within a region. The zero Site is used in a fleet without zones.
 type Site struct{ Region, Zone string }
 
-// ID is a hash of both names; 0 for the zero Site only.
+// ID returns a hash of both names, which is 0 only for the zero Site.
 func (s Site) ID() ID {
 	if s == (Site{}) {
 		return 0
@@ -21,40 +21,40 @@
 	return ID(max(h.Sum64(), 1))
 }
 
-// MemberID identifies a member, as membership.ID does.
+// MemberID identifies a member, with the same value as membership.ID.
 type MemberID uint64
 
 // Self identifies one process of a member.
 type Self struct {
 	ID   MemberID
 	Addr netip.AddrPort
-	// Instance is this process's; later ones of the name have greater ones.
+	// Instance is greater for later processes of the same name.
 	Instance uint64
 }
 
-// Contact is a member through which its zone is reached.
+// Contact is a member through which its zone can be reached.
 type Contact struct {
 	ID   MemberID
 	Addr netip.AddrPort
 }
 
-// Summary is what a zone publishes about itself. The greatest Version overrides others; under the same one the
+// Summary is the information that a zone publishes about itself. The greatest Version wins; among equal versions, the
 // greatest Issuer.
 type Summary struct {
 	Site    Site
 	Version uint64
 	Issuer  MemberID
-	// Live is how many members are alive or suspected, Known how many have been, those that died or left lately
-	// included. Live 0 says that the last member of the zone has left.
+	// Live is the number of members that are alive or suspected. Known also includes those that died or left recently.
+	// Live 0 means that the last member of the zone has left.
 	Live, Known int
-	// Contacts are at most MaxContacts, the delegates first.
+	// Contacts holds at most MaxContacts members, the delegates first.
 	Contacts []Contact
-	// Unreachable are the zones to which no delegate has a connection that works in both directions, ascending.
+	// Unreachable lists the zones to which no delegate has a working two-way connection, in ascending order.
 	Unreachable []ID
 }
 
-// Observation is what one delegate publishes in its own zone: the zones that it doesn't reach, ascending. One that
-// names its own zone is withdrawn. It doesn't leave the zone.
+// Observation lists the zones that one delegate cannot reach, in ascending order. It is published only within the
+// delegate's own zone. An observation that lists the own zone is withdrawn.
 type Observation struct {
 	Zone        ID
 	Delegate    MemberID
@@ -62,41 +62,42 @@
 	Unreachable []ID
 }
 
-// Record is a small named value that spreads to all members. The greatest Version overrides others; under the same
-// one the greatest Value.
+// Record is a small named value that is disseminated to all members. The greatest Version wins; among equal versions,
+// the greatest Value.
 type Record struct {
 	Name    string
 	Version uint64
 	Value   string
 }
 
-// Item is one of the three that directories exchange; the others are nil.
+// Item is the unit that directories exchange. Exactly one field is set.
 type Item struct {
 	Summary     *Summary
 	Observation *Observation
 	Record      *Record
 }
 
-// ItemVersion names an item and its version where directories are compared. Version 0 says that there is none.
-// Checksum tells two contents of one version apart; 0 says that the item was dropped when it expired.
+// ItemVersion identifies an item and its version when directories are compared. Version 0 means that the item is
+// missing. Checksum distinguishes different contents of one version; 0 means that the item was dropped after it
+// expired.
 type ItemVersion struct {
 	Key      uint64
 	Version  uint64
 	Checksum uint32
 }
 
-// Kind is what a message is for. The values are on the wire.
+// Kind is the type of a message. The values are part of the wire format.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// Probe, to a contact of another zone, requests a ProbeAck with the same Seq.
+	// Probe is sent to a contact of another zone or to a seed, and requests a ProbeAck with the same Seq.
 	Probe Kind = iota + 1
 	// ProbeAck answers a Probe.
 	ProbeAck
 	// Update carries items.
 	Update
-	// SyncVersions carries the versions of all items that the sender has, from the first key in it to the last.
+	// SyncVersions carries the versions of all items of the sender between the first and the last key in it.
 	SyncVersions
 	maxKind = SyncVersions
 )
@@ -104,32 +105,32 @@
 // Message is the content of one datagram between directories.
 type Message struct {
 	Kind Kind
-	// From is the sender, Instance its process, Zone its zone.
+	// From is the sender; Instance and Zone are those of the sender.
 	From     MemberID
 	Instance uint64
 	Zone     ID
-	// Seq numbers probes at their sender.
+	// Seq is the sequence number of a probe at its sender.
 	Seq uint32
-	// IsReply says of Update that it answers a SyncVersions; of SyncVersions that it answers one, and requests items
-	// newer than just these versions.
+	// IsReply marks an Update or a SyncVersions that replies to a SyncVersions. Such a SyncVersions requests only newer
+	// versions of the items that it lists.
 	IsReply bool
-	// Digest is that of the sender's items that go to all zones.
+	// Digest is the digest of the sender's items that go to all zones.
 	Digest uint64
-	// Versions are at most MaxVersions, ascending by key; Items at most MaxItems.
+	// Versions holds at most MaxVersions versions in ascending order of keys; Items holds at most MaxItems items.
 	Versions []ItemVersion
 	Items    []Item
 }
 
-// valid reports whether the message is within its bounds.
+// valid reports whether the kind is known, the zone is set, and the counts are within their bounds.
 func (m *Message) valid() bool {
 	return m.Kind > 0 && m.Kind <= maxKind && m.Zone != 0 &&
 		len(m.Items) <= MaxItems && len(m.Versions) <= MaxVersions
 }
 
-// Outgoing is a message to be sent.
+// Outgoing is a message to send.
 type Outgoing struct {
 	To netip.AddrPort
-	// Receiver is 0 where it is not known who is at that address.
+	// Receiver is the member at that address, or 0 if it is not known.
 	Receiver MemberID
 	Message  Message
 }
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -6,22 +6,22 @@
 	"spurspread/decision/monotime"
 )
 
-// observationInterval is the least time between two observations of one delegate.
+// observationInterval is the minimum time between two observations by one delegate.
 const observationInterval = 500 * monotime.Millisecond
 
-// observationState is how far this member is with its observations as a delegate.
+// observationState is the state of this member's observations as a delegate.
 type observationState struct {
-	complete    bool // all zones were probed since it became one
+	complete    bool // all zones have been probed since this member became a delegate
 	publishedAt monotime.Micros
 }
 
 // withdrawn reports whether the observation no longer counts.
 func (o *Observation) withdrawn() bool { return slices.Contains(o.Unreachable, o.Zone) }
 
-// publishObservation publishes within the own zone what this member, as a delegate, doesn't reach, where that has
+// publishObservation publishes in the own zone which zones this member, as a delegate, cannot reach, if that has
 // changed.
 func (d *Directory) publishObservation(now monotime.Micros) {
-	if !d.settled || d.doubtful() || now-d.observing.publishedAt < observationInterval {
+	if !d.settled || d.unhealthy() || now-d.observing.publishedAt < observationInterval {
 		return
 	}
 	key := observationKey(d.ownZone, d.cfg.Self.ID)
@@ -39,8 +39,8 @@
 	}}))
 }
 
-// currentObservation decides what this member's observation is to say, and whether there is to be one: a delegate has
-// one once it has probed all zones; one that is no delegate any more withdraws it.
+// currentObservation returns the zones to list in this member's observation, and whether it should have one. A delegate
+// publishes one as soon as it has probed all zones; a former delegate withdraws its observation.
 func (d *Directory) currentObservation(held *entry) (unreachable []ID, due bool) {
 	if d.ownRank >= Delegates {
 		return []ID{d.ownZone}, held != nil && !held.Observation.withdrawn()
@@ -51,7 +51,7 @@
 	return d.unreachableFromHere(), true
 }
 
-// allZonesProbed reports whether a probe of each other zone has ended since this member became a delegate.
+// allZonesProbed reports whether a probe of each other zone has been completed since this member became a delegate.
 func (d *Directory) allZonesProbed() bool {
 	for _, z := range d.zones {
 		if z.id != d.ownZone && len(z.Contacts) > 0 && !z.link.probed {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// unreachableFromHere lists the zones that this member doesn't reach. Those that it has forgotten are among them:
-// others that have not yet would take them for reached.
+// unreachableFromHere lists the zones that this member cannot reach. It includes the zones that it has forgotten, which
+// would otherwise count as reached for members that still know them.
 func (d *Directory) unreachableFromHere() []ID {
 	var zones []ID
 	for _, z := range d.zones {
@@ -81,8 +81,8 @@
 	return zones[:min(len(zones), MaxZones)]
 }
 
-// unreachableFromZone decides which zones the own one doesn't reach: those that none of its delegates does, of those
-// that have an observation; where none has, those of the last summary.
+// unreachableFromZone lists the zones that the own one cannot reach: those listed by the observations of all delegates
+// that have one, or, without any observation, those of the last summary. Zones whose last member has left are omitted.
 func (d *Directory) unreachableFromZone() []ID {
 	var zones []ID
 	observed := false
@@ -107,7 +107,7 @@
 	})
 }
 
-// dropStaleObservations drops those of members that are no delegates and would not replace one.
+// dropStaleObservations drops the observations of members that are no longer candidates for delegate.
 func (d *Directory) dropStaleObservations() {
 	for _, key := range slices.Clone(d.keys) {
 		e := d.items[key]
--- a/decision/zonedirectory/probe.go
+++ b/decision/zonedirectory/probe.go
@@ -8,56 +8,61 @@
 )
 
 const (
-	// probeInterval is how often a delegate probes each other zone. The first of three delegates finds a failure in a
-	// third of it and the time of the rounds, and has the others look. A shorter one finds it sooner and costs
-	// messages between zones: with 11 other zones a delegate sends and receives 1,200 bytes a second of probes and
-	// acks, unevenly, which with those of membership stays under 4,096 in any 10 s.
+	// probeInterval is the interval at which a delegate probes each other zone. The probes of the three delegates are
+	// staggered: the first of them detects a failure within a third of the interval plus the time of the probe rounds,
+	// and triggers probes by the others. A shorter interval detects a failure sooner and costs messages between zones:
+	// with 11 other zones, a delegate sends and receives 1,200 bytes per second of probes and acks, unevenly
+	// distributed. Together with membership messages that stays under 4,096 bytes per second over any 10 s.
 	probeInterval = 4250 * monotime.Millisecond
-	// minProbeInterval is the least time after a probe until the next one, probeJitter what is added at random.
+	// minProbeInterval is the minimum time between two probes of a zone; probeJitter is the maximum random addition.
 	minProbeInterval = probeInterval / 2
 	probeJitter      = probeInterval / 20
-	// downProbeInterval is how often, at most, a delegate probes a zone that it doesn't reach; up to downProbeJitter
-	// less.
+	// downProbeInterval is the maximum time between two probes of a zone that a delegate cannot reach. A random time up
+	// to downProbeJitter is subtracted.
 	downProbeInterval = 1250 * monotime.Millisecond
 	downProbeJitter   = downProbeInterval / 4
-	// minAckTimeout is how long an answer may take, or twice the usual round trip, up to maxAckTimeout.
+	// The ack timeout is ackTimeoutPerRTT times the smoothed round-trip time, at least minAckTimeout and at most
+	// maxAckTimeout.
 	minAckTimeout    = 400 * monotime.Millisecond
 	maxAckTimeout    = 2 * monotime.Second
 	ackTimeoutPerRTT = 2
-	rttWeight        = 4 // one new round trip counts for one in so many in the smoothed one
-	// maxProbeRounds is how often a zone is probed before it counts as not reached, with one probe more each time:
-	// the first contact, two others, and three more. So all MaxContacts are probed, and one message in twenty may be
-	// lost.
+	rttWeight        = 4 // a new sample contributes 1/rttWeight to the smoothed round-trip time
+	// maxProbeRounds is the number of unanswered rounds after which a zone counts as down. Each round sends one probe
+	// more than the previous one: to the first contact, to two others, and to three more. All MaxContacts are thereby
+	// probed, and one message in twenty may be lost without a false result.
 	maxProbeRounds   = 3
 	maxProbeAttempts = maxProbeRounds * (maxProbeRounds + 1) / 2
-	// expediteWindow is the time within which all zones are probed where one is no longer reached, or is again.
+	// expediteWindow is the time within which all zones are probed after one of them became unreachable or reachable
+	// again.
 	expediteWindow = 300 * monotime.Millisecond
-	// lateAckWindow is how many of its own probes back an answer still shows that a zone is reached.
+	// lateAckWindow is the age of a probe, in sequence numbers of this member, up to which its ack still shows that a
+	// zone is reachable.
 	lateAckWindow = 4096
 )
 
 // link is a delegate's connection to one other zone.
 type link struct {
 	contacts     []Contact
-	contactIndex int // of the contact that is probed first
+	contactIndex int // of the contact to probe first
 	nextProbeAt  monotime.Micros
-	expedited    bool // the next probe begins with its second round
+	expedited    bool // the next probe starts with its second round
 
-	probed bool // a probe has ended
-	down   bool // the last one without an answer
+	probed bool // a probe has been completed
+	down   bool // the last completed probe got no ack
 	rtt    float64
-	// divergedSince is since when the digest of the other zone's directories has differed, 0 while it does not.
+	// divergedSince is the start of the current mismatch with the other zone's digest, 0 if the digests match.
 	divergedSince monotime.Micros
 
-	// The probe under way.
-	round          int // 0 where none is
+	// The probe in progress.
+	round          int // 0 if there is none
 	roundStartedAt monotime.Micros
 	firstSeq       uint32
 	attempts       int // probes sent, numbered from firstSeq on
 	sentAt         [maxProbeAttempts]monotime.Micros
 }
 
-// becomeDelegate has this member, which is a delegate now, find out for itself which zones it reaches.
+// becomeDelegate resets the links of this member, which has just become a delegate, so that it determines for itself
+// which zones it can reach.
 func (d *Directory) becomeDelegate() {
 	d.observing.complete = false
 	for _, z := range d.zones {
@@ -67,9 +72,9 @@
 	}
 }
 
-// nextProbeSlot decides when a zone is probed next, minProbeInterval after a time at the earliest. Each zone and each
-// delegate has a slot of its own in probeInterval, so that the first probe that fails follows soon on any failure of
-// a zone, a region or all.
+// nextProbeSlot returns the time of a zone's next probe, at least minProbeInterval after the given time. Each zone and
+// each delegate has its own slot within probeInterval, so that any failure of a zone, a region or all zones is soon
+// followed by a probe that detects it.
 func (d *Directory) nextProbeSlot(after monotime.Micros, z *zoneState) monotime.Micros {
 	at, _ := d.zoneIndex(z.id)
 	zoneSlot := monotime.Micros(at) * probeInterval / monotime.Micros(len(d.zones))
@@ -80,7 +85,7 @@
 	return earliest + wait + d.jitter(probeJitter)
 }
 
-// resetContacts has this member, whose rank has changed, probe the contacts that are its own by that rank.
+// resetContacts makes this member, whose rank has changed, start with the contacts that its new rank assigns to it.
 func (d *Directory) resetContacts() {
 	for _, z := range d.zones {
 		z.link.contacts = nil
@@ -88,8 +93,8 @@
 	}
 }
 
-// refreshContacts takes a zone's new contacts. Each delegate begins with another one, and keeps to one that answers
-// as long as the contacts are the same.
+// refreshContacts applies a zone's new contacts. Each delegate starts with a different contact, and keeps using one
+// that answers until the contacts change.
 func (d *Directory) refreshContacts(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	if n := min(len(z.Contacts), Delegates); n > 0 && !slices.Equal(l.contacts, z.Contacts) {
@@ -101,7 +106,7 @@
 	}
 }
 
-// runProbes carries on the probes under way, and begins those that are due.
+// runProbes advances the probes in progress and starts those that are due.
 func (d *Directory) runProbes(now monotime.Micros) {
 	if !d.isActiveDelegate() {
 		for _, z := range d.zones {
@@ -117,17 +122,18 @@
 		case l.round == 0 && now >= l.nextProbeAt:
 			d.startProbe(now, z)
 		case l.round > 0 && now-l.roundStartedAt >= l.ackTimeout():
-			d.probeRoundTimedOut(now, z)
+			d.handleProbeTimeout(now, z)
 		}
 	}
 	d.probeSeeds(now)
 }
 
-// ackTimeout decides how long an answer may take: minAckTimeout to maxAckTimeout.
+// ackTimeout returns the time to wait for an ack, from minAckTimeout to maxAckTimeout.
 func (l *link) ackTimeout() monotime.Micros {
 	return min(max(minAckTimeout, monotime.Micros(ackTimeoutPerRTT*l.rtt)), maxAckTimeout)
 }
 
+// startProbe starts a probe of a zone with its first round, or with the second one if it is expedited.
 func (d *Directory) startProbe(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	l.firstSeq = d.nextSeq
@@ -140,7 +146,8 @@
 	d.startProbeRound(now, z)
 }
 
-// startProbeRound sends as many probes as the round's number, one to a zone that is not reached.
+// startProbeRound starts the next round of a probe. It sends as many probe messages as the round's number, or only one
+// to a zone that is down.
 func (d *Directory) startProbeRound(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	l.round++
@@ -157,9 +164,9 @@
 	}
 }
 
-// probeRoundTimedOut decides what follows a round without an answer: another round, or the zone is not reached. From
-// then on its contacts are probed in turn.
-func (d *Directory) probeRoundTimedOut(now monotime.Micros, z *zoneState) {
+// handleProbeTimeout handles a round without an ack: it starts another round, or marks the zone as down. From then on
+// the contacts of the zone are probed in turn.
+func (d *Directory) handleProbeTimeout(now monotime.Micros, z *zoneState) {
 	l := &z.link
 	if !l.down && l.round < maxProbeRounds {
 		d.startProbeRound(now, z)
@@ -176,7 +183,8 @@
 	l.nextProbeAt = now + downProbeInterval - downProbeJitter + d.jitter(downProbeJitter)
 }
 
-// expediteProbes has all zones probed within expediteWindow: what breaks one connection mostly breaks others.
+// expediteProbes schedules probes of all zones within expediteWindow, since a fault that breaks one connection usually
+// breaks others as well.
 func (d *Directory) expediteProbes(now monotime.Micros) {
 	for _, z := range d.zones {
 		if l := &z.link; l.round == 0 {
@@ -186,8 +194,8 @@
 	}
 }
 
-// verifyUnreachable has zones probed at once that others don't reach and this member does, as far as it knows, and
-// all others within expediteWindow.
+// verifyUnreachable is called with zones that others cannot reach. Those that this member considers reachable are
+// probed at once, and then also all other zones within expediteWindow.
 func (d *Directory) verifyUnreachable(now monotime.Micros, unreachable []ID) {
 	for _, id := range unreachable {
 		z := d.zoneByID(id)
@@ -198,12 +206,12 @@
 	}
 }
 
-// handleProbeAck takes the answer to a probe: its zone is reached.
+// handleProbeAck processes the ack of a probe, which shows that its zone is reachable.
 func (d *Directory) handleProbeAck(now monotime.Micros, from netip.AddrPort, m *Message) {
-	d.noteSeed(from, m.Zone)
+	d.recordSeedZone(from, m.Zone)
 	z := d.zoneByID(m.Zone)
 	if z == nil || z.id == d.ownZone || d.nextSeq-m.Seq > lateAckWindow {
-		// A seed in a zone that is not known, or in the own one.
+		// The ack of a seed in an unknown zone or in the own one, or a very late ack.
 		if m.Digest != d.globalDigest && now >= d.nextSyncAt {
 			d.requestSync(now, from, m.From, m.Zone)
 		}
@@ -222,7 +230,7 @@
 	d.syncIfDiverged(now, from, m, l, newlyReached)
 }
 
-// endProbe ends the probe under way with an answer of a contact, which is probed first from now on.
+// endProbe ends the probe in progress with an ack from a contact, which is probed first from now on.
 func (d *Directory) endProbe(now monotime.Micros, z *zoneState, contact MemberID, rtt monotime.Micros) {
 	l := &z.link
 	l.round = 0
@@ -236,7 +244,7 @@
 	}
 }
 
-// reachesZone reports whether this member has a connection to another zone.
+// reachesZone reports whether this member has a working connection to another zone.
 func (d *Directory) reachesZone(id ID) bool {
 	z := d.zoneByID(id)
 	return id != 0 && z != nil && id != d.ownZone && z.link.probed && !z.link.down
--- a/decision/zonedirectory/reachability.go
+++ b/decision/zonedirectory/reachability.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// zoneRetention is how long a zone that is Unknown or has Left counts as known.
+	// zoneRetention is the time for which the members of a zone count as known after it became Unknown or Left.
 	zoneRetention = 600 * monotime.Second
-	// partitionConfirmTime is how long a zone is reached by others only before it is Partitioned: where one dies, or
-	// a region is cut off, some zones find out a little later than others.
+	// partitionConfirmTime is the time for which only other zones must reach a zone before it becomes Partitioned. When
+	// a zone fails or a region is cut off, some zones detect that a little later than others.
 	partitionConfirmTime = 2500 * monotime.Millisecond
-	// evaluationInterval is how often states are evaluated where no item is new.
+	// evaluationInterval is the time between two evaluations of the states if no new item arrives.
 	evaluationInterval = 500 * monotime.Millisecond
 )
 
-// Reachability is what a zone is considered to be. 0 is that of a zone that is not known.
+// Reachability is the state of a zone as seen by the own one. 0 means that the zone is not known.
 type Reachability uint8
 
 // The states of a zone.
 const (
-	// Reachable says that a delegate of the own zone reaches it.
+	// Reachable means that a delegate of the own zone can reach the zone.
 	Reachable Reachability = iota + 1
-	// Partitioned says that only other zones reach it that can be reached themselves.
+	// Partitioned means that the zone can be reached only by other zones that the own one can reach.
 	Partitioned
-	// Unknown says that nobody reaches it who can be reached: it may have died, or be cut off from all of them.
+	// Unknown means that no reachable zone can reach it: the zone may have failed, or be cut off from all of them.
 	Unknown
-	// Left says that its last member has announced its departure.
+	// Left means that the last member of the zone has announced its departure.
 	Left
 )
 
-// String returns the state in lower case, as logs, the admin listener and scripts have it.
+// String returns the state in lower case, as it appears in logs, on the admin listener and in scripts.
 func (r Reachability) String() string {
 	return [...]string{"", "reachable", "cut", "unknown", "left"}[min(r, Left)]
 }
 
-// View is one zone as a member sees it.
+// View is one zone as this member sees it.
 type View struct {
 	Summary
-	// Own says that it is this member's zone.
+	// Own marks this member's own zone.
 	Own   bool
 	State Reachability
-	Since monotime.Micros // in this state since then
+	Since monotime.Micros // time of the last state change
 }
 
-// evaluateZones updates what each zone is considered to be, forgets those that are gone for zoneRetention, and counts
-// the fleet.
+// evaluateZones updates the states of all zones, forgets those that have been Unknown or Left for zoneRetention, and
+// counts the members of the fleet.
 func (d *Directory) evaluateZones(now monotime.Micros) {
 	if now < d.nextEvaluationAt {
 		return
@@ -56,17 +56,17 @@
 	d.unreachableZones = d.unreachableFromZone()
 	for _, z := range slices.Clone(d.zones) {
 		d.setReachability(now, z, d.reachability(z))
-		if z.isGone() && z.id != d.ownZone && now-z.stateSince > zoneRetention {
+		if z.unknownOrLeft() && z.id != d.ownZone && now-z.stateSince > zoneRetention {
 			d.forgetZone(now, z)
 		}
 	}
 	d.countMembers()
 }
 
-// isGone reports whether nobody is known to be in the zone.
-func (z *zoneState) isGone() bool { return z.state == Unknown || z.state == Left }
+// unknownOrLeft reports whether the zone is not known to have any running member.
+func (z *zoneState) unknownOrLeft() bool { return z.state == Unknown || z.state == Left }
 
-// countMembers counts the members of other zones: as live where the zone is reached by somebody.
+// countMembers counts the members of other zones. They count as live if the zone is Reachable or Partitioned.
 func (d *Directory) countMembers() {
 	d.remoteLive, d.remoteKnown, d.membersBefore = 0, 0, 0
 	for _, z := range d.zones {
@@ -84,7 +84,8 @@
 	}
 }
 
-// reachability decides what a zone is at this moment, by what the own zone doesn't reach and the others' summaries.
+// reachability returns the current state of a zone, from the unreachable zones of the own one and the summaries of the
+// others.
 func (d *Directory) reachability(z *zoneState) Reachability {
 	switch {
 	case z.id == d.ownZone:
@@ -100,13 +101,13 @@
 	return Unknown
 }
 
-// reachedThrough reports whether another zone, which the own one reaches, reaches z.
+// reachedThrough reports whether other, a zone that the own one can reach, reaches z.
 func (d *Directory) reachedThrough(z, other *zoneState) bool {
 	return other != z && other.id != d.ownZone && other.Live > 0 &&
 		!slices.Contains(d.unreachableZones, other.id) && !other.reportsUnreachable(z.id)
 }
 
-// setReachability decides whether a zone's state changes: not while this member doubts its own observations, and to
+// setReachability updates the state of a zone. It keeps the old state while this member is unhealthy, and changes it to
 // Partitioned only after partitionConfirmTime.
 func (d *Directory) setReachability(now monotime.Micros, z *zoneState, state Reachability) {
 	if state != Partitioned {
@@ -115,14 +116,14 @@
 		z.partitionedSince = now
 	}
 	unconfirmed := state == Partitioned && now-z.partitionedSince < partitionConfirmTime
-	if state == z.state || unconfirmed || d.doubtful() {
+	if state == z.state || unconfirmed || d.unhealthy() {
 		return
 	}
 	z.state = state
 	z.stateSince = now
 }
 
-// State is what a zone is considered to be, 0 where it is not known.
+// State returns the state of a zone, or 0 if the zone is not known.
 func (d *Directory) State(id ID) Reachability {
 	if z := d.zoneByID(id); z != nil {
 		return z.state
@@ -130,7 +131,7 @@
 	return 0
 }
 
-// Views lists all zones that are known, the own one first, the others by region and name.
+// Views lists all known zones: the own one first, the others by region and name.
 func (d *Directory) Views() []View {
 	views := make([]View, 0, len(d.zones))
 	for _, z := range d.zones {
@@ -150,15 +151,15 @@
 	return cmp.Or(cmp.Compare(a.Site.Region, b.Site.Region), cmp.Compare(a.Site.Zone, b.Site.Zone))
 }
 
-// Live is how many members there are in all zones but those that have left or are Unknown.
+// Live returns the number of live members in all zones that are Reachable or Partitioned.
 func (d *Directory) Live() int { return d.local.Live + d.remoteLive }
 
-// Known is how many members there are or were in all zones that are not forgotten.
+// Known returns the number of known members in all zones that are not forgotten.
 func (d *Directory) Known() int { return d.local.Known + d.remoteKnown }
 
-// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part.
+// RateDivisor returns the number by which a fleet-wide budget is divided to get this member's share.
 func (d *Directory) RateDivisor() float64 { return d.cfg.RateDivisor.Value() }
 
-// Position is this member's position in the fleet, by zones, and in its zone by ids: 0 to Live()-1, the same in all
-// views that agree.
+// Position returns this member's index among the live members of the fleet, ordered by zone ID and within a zone by
+// member ID, from 0 to Live()-1. It is consistent across members whose views agree.
 func (d *Directory) Position() int { return d.membersBefore + d.local.Position }
--- a/decision/zonedirectory/record.go
+++ b/decision/zonedirectory/record.go
@@ -8,15 +8,15 @@
 	"spurspread/decision/monotime"
 )
 
-// Why a record can't be published. Operators and scripts read these texts.
+// Errors returned by Publish. Operators and scripts read these texts.
 var (
-	// ErrInvalidRecord is returned for a record whose name or value has another length than it may have.
+	// ErrInvalidRecord is returned for a record whose name or value has an invalid length.
 	ErrInvalidRecord = errors.New("zone: a record's name has 1 to 32 bytes, its value at most 64")
-	// ErrTooManyRecords is returned for a new record where there are MaxRecords.
+	// ErrTooManyRecords is returned for a new record if there already are MaxRecords.
 	ErrTooManyRecords = errors.New("zone: there are as many records as there may be")
 )
 
-// Records lists all records by their names.
+// Records lists all records by name.
 func (d *Directory) Records() []Record {
 	var records []Record
 	for _, key := range d.keys {
@@ -28,7 +28,8 @@
 	return records
 }
 
-// Publish begins to spread a new value of a record. Errors are ErrInvalidRecord and ErrTooManyRecords.
+// Publish creates a record or updates its value, and starts its dissemination. It returns ErrInvalidRecord or
+// ErrTooManyRecords if the record is not accepted.
 func (d *Directory) Publish(now monotime.Micros, name, value string) (Record, error) {
 	key := recordKey(name)
 	record := Record{Name: name, Value: value, Version: d.nextVersion(now, key)}
@@ -42,8 +43,8 @@
 	return record, nil
 }
 
-// nextVersion decides the version of an item's next content: the time in milliseconds, or more where the item is held
-// or was dropped under a greater version.
+// nextVersion returns the version for an item's next content: the time in milliseconds, or more if the directory holds
+// the item, or has dropped it, with that version or a greater one.
 func (d *Directory) nextVersion(now monotime.Micros, key uint64) uint64 {
 	version := uint64(max(now/monotime.Millisecond, 1))
 	if e := d.items[key]; e != nil {
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// seedProbeInterval is how often seeds are probed that have not answered or whose zone is not reached,
-	// maxSeedProbes at once; seedProbeJitter is by how much it varies.
+	// seedProbeInterval is the mean time between two rounds of probes of seeds that have not answered or whose zone
+	// this member cannot reach; seedProbeJitter is its range of variation. Each round probes at most maxSeedProbes
+	// seeds.
 	seedProbeInterval = 5 * monotime.Second
 	seedProbeJitter   = seedProbeInterval / 5
 	maxSeedProbes     = 4
 
-	// joinInterval is how often a new process joins by other seeds: maxLocalJoinSeeds that may be in its zone, and
-	// maxRemoteJoinSeeds of other zones.
+	// joinInterval is the time after which a new process joins through other seeds: maxLocalJoinSeeds that may be in
+	// its own zone, and maxRemoteJoinSeeds in other zones.
 	joinInterval       = 500 * monotime.Millisecond
 	maxLocalJoinSeeds  = 3
 	maxRemoteJoinSeeds = 1
 
-	// introductionInterval is how often the view of the own zone is compared with its summary's contacts.
+	// introductionInterval is the time between two comparisons of the own zone's view with the contacts in its summary.
 	introductionInterval = 1 * monotime.Second
-	// introductionReplyInterval is how often, at most, one address of another zone is introduced to this one;
+	// introductionReplyInterval is the minimum time between two introductions of the same address in another zone.
 	// maxIntroduced bounds the addresses that are remembered for that.
 	introductionReplyInterval = 500 * monotime.Millisecond
 	maxIntroduced             = 1024
 )
 
-// noteSeed remembers in which zone a seed is.
-func (d *Directory) noteSeed(from netip.AddrPort, zone ID) {
+// recordSeedZone remembers the zone of a seed; other addresses are ignored.
+func (d *Directory) recordSeedZone(from netip.AddrPort, zone ID) {
 	if !slices.Contains(d.cfg.Seeds, from) {
 		return
 	}
-	if len(d.seedZones) > 2*len(d.cfg.Seeds) { // the seeds were others before
+	if len(d.seedZones) > 2*len(d.cfg.Seeds) { // the seeds have changed
 		clear(d.seedZones)
 	}
 	d.seedZones[from] = zone
 }
 
-// probeSeeds probes seeds of zones that this one may not know of.
+// probeSeeds probes seeds in zones that this member may not know.
 func (d *Directory) probeSeeds(now monotime.Micros) {
 	if now < d.nextSeedProbeAt || len(d.cfg.Seeds) == 0 {
 		return
@@ -61,8 +62,8 @@
 	}
 }
 
-// seedProbeNeeded decides whether a seed is probed: it is no member of the own zone, and not in a zone that is
-// reached.
+// seedProbeNeeded reports whether to probe a seed: it is not a member of the own zone, and its zone is unknown or
+// cannot be reached.
 func (d *Directory) seedProbeNeeded(seed netip.AddrPort) bool {
 	if seed == d.cfg.Self.Addr || slices.ContainsFunc(d.zonePeers, func(m Member) bool { return m.Addr == seed }) {
 		return false
@@ -70,9 +71,9 @@
 	return !d.reachesZone(d.seedZones[seed])
 }
 
-// JoinSeeds are the seeds by which membership.Fleet is to join: some that may be in this zone, and one of another,
-// which answers with this zone's contacts. They are to be given to membership.Fleet.SetSeeds before each of its
-// Ticks.
+// JoinSeeds returns the seeds through which membership.Fleet should join: some that may be in the own zone, and one in
+// another zone, which answers with the contacts of the own zone. The owner passes them to membership.Fleet.SetSeeds
+// before each of its Ticks.
 func (d *Directory) JoinSeeds(now monotime.Micros) []netip.AddrPort {
 	joined := len(d.zonePeers) > 0 && len(d.joinSeeds) > 0
 	if joined || now < d.nextJoinAt {
@@ -99,8 +100,8 @@
 	d.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 }
 
-// Introductions are addresses of members that the own zone's summary names and the view doesn't have. They are to be
-// given to membership.Fleet.SyncWith after each Tick; mostly there are none.
+// Introductions returns addresses of members that the own zone's summary names and the view lacks; usually there are
+// none. The owner passes them to membership.Fleet.SyncWith after each Tick.
 func (d *Directory) Introductions(now monotime.Micros) []netip.AddrPort {
 	held := d.zoneByID(d.ownZone)
 	if now < d.nextIntroductionAt || held == nil || d.ownRank >= Delegates || d.local.Leaving {
@@ -120,8 +121,8 @@
 	return unlisted[drawn : drawn+1]
 }
 
-// introduceZone answers a member of another zone, which has this one's address as a seed, with the summaries of this
-// zone and of its own.
+// introduceZone answers a member of another zone, which uses this member's address as a seed, with the summaries of
+// this zone and of the sender's zone.
 func (d *Directory) introduceZone(now monotime.Micros, from netip.AddrPort, id MemberID, zone ID) {
 	if len(d.introducedAt) > maxIntroduced {
 		clear(d.introducedAt)
--- a/decision/zonedirectory/size.go
+++ b/decision/zonedirectory/size.go
@@ -1,21 +1,21 @@
 package zonedirectory
 
-// About how many bytes messages and their parts have in a sealed datagram.
+// Approximate sizes of messages and their parts in a sealed datagram, in bytes.
 const (
 	messageOverheadBytes = 116
 	versionBytes         = 19
-	summaryBytes         = 32 // without names, zones and contacts
-	observationBytes     = 26 // without zones
-	recordBytes          = 12 // without name and value
+	summaryBytes         = 32 // plus names, zones and contacts
+	observationBytes     = 26 // plus zones
+	recordBytes          = 12 // plus name and value
 	zoneIDBytes          = 8
-	contactBytes         = 11 // without the address
+	contactBytes         = 11 // plus the address
 	bitsPerByte          = 8
 
-	// maxItemBytes bounds the items of one message.
+	// maxItemBytes bounds the size of the items in one message.
 	maxItemBytes = 1000
 )
 
-// size is about how long an item is.
+// size returns the approximate size of an item in bytes.
 func (item *Item) size() int {
 	switch {
 	case item.Summary != nil:
@@ -36,7 +36,7 @@
 	return bytes
 }
 
-// ApproximateSize is about how long a message's datagram is, sealed, in bytes.
+// ApproximateSize returns the approximate size of a message's sealed datagram in bytes.
 func ApproximateSize(m *Message) int {
 	bytes := messageOverheadBytes + versionBytes*len(m.Versions)
 	for i := range m.Items {
@@ -45,7 +45,7 @@
 	return bytes
 }
 
-// countFitting decides how many of the first entries go into one message: one at least, where there is any.
+// countFitting returns the number of leading entries that fit into one message, at least one if there is any.
 func countFitting(entries []*entry) int {
 	bytes := maxItemBytes
 	limit := min(len(entries), MaxItems)
--- a/decision/zonedirectory/store.go
+++ b/decision/zonedirectory/store.go
@@ -6,21 +6,21 @@
 	"spurspread/decision/monotime"
 )
 
-// tombstoneRetention is how long a zone that was forgotten is remembered as that: others may forget it a little
+// tombstoneRetention is the lifetime of the tombstone of a forgotten zone: other members may forget the zone a little
 // later.
 const tombstoneRetention = 2 * zoneRetention
 
-// tombstone is a zone's summary that was dropped when it expired.
+// tombstone represents a zone's summary that was dropped after it expired.
 type tombstone struct {
 	zone      ID
 	version   ItemVersion
 	expiresAt monotime.Micros
 }
 
-// merge takes an item that came with a message.
+// merge adds an item from a message if it is valid and newer than the entry in the directory.
 func (d *Directory) merge(now monotime.Micros, item Item, m *Message) {
 	e := newEntry(item)
-	if e == nil || e.Observation != nil && !d.acceptsObservation(e.Observation, m) || d.expired(e, m) {
+	if e == nil || e.Observation != nil && !d.acceptsObservation(e.Observation, m) || d.isTombstoned(e, m) {
 		return
 	}
 	if !d.store(now, e) {
@@ -29,21 +29,22 @@
 	if e.Observation != nil {
 		d.verifyUnreachable(now, e.Observation.Unreachable)
 	}
-	// What a new process learns from its own zone is known there.
+	// Items that a new process learns from its own zone are known there already, and need not be disseminated.
 	if m.IsReply && m.Zone == d.ownZone && !d.synced {
 		e.gossipPending = false
 		e.pushPending = false
 	}
 }
 
-// acceptsObservation decides whether an observation is taken: it came from the own zone, and is by one that is or may
-// become a delegate there.
+// acceptsObservation reports whether an observation is accepted: it was sent from the own zone and made by one of the
+// own zone's candidates for delegate.
 func (d *Directory) acceptsObservation(o *Observation, m *Message) bool {
 	return o.Zone == d.ownZone && m.Zone == d.ownZone && d.isCandidate(o.Delegate)
 }
 
-// expired decides whether an item is ignored because it was dropped here. A zone's own members override that.
-func (d *Directory) expired(e *entry, m *Message) bool {
+// isTombstoned reports whether an item is ignored because it was dropped here. Messages from members of the item's zone
+// override a tombstone.
+func (d *Directory) isTombstoned(e *entry, m *Message) bool {
 	dropped, found := d.tombstones[e.key]
 	if !found || e.version > dropped.version.Version {
 		return false
@@ -51,8 +52,8 @@
 	return e.Summary == nil || m.Zone != e.Summary.Site.ID()
 }
 
-// store holds an item in place of an older one, and has it sent to others. It reports whether the item is newer than
-// what was held, and there is space for it.
+// store adds an entry or replaces an older one, and marks it for dissemination. It reports whether the entry was added:
+// it is newer than the existing one, and there is space for it.
 func (d *Directory) store(now monotime.Micros, e *entry) bool {
 	old := d.items[e.key]
 	switch {
@@ -67,7 +68,7 @@
 		return false
 	default:
 		d.toggleDigest(old)
-		e.noteReplacedIssuer(old)
+		e.recordReplacedIssuer(old)
 	}
 	delete(d.tombstones, e.key)
 	d.items[e.key] = e
@@ -86,9 +87,9 @@
 	return true
 }
 
-// noteReplacedIssuer remembers the issuer of a summary that another one's has replaced, where the new one doesn't
-// name it: it is notified.
-func (e *entry) noteReplacedIssuer(old *entry) {
+// recordReplacedIssuer remembers the issuer of the replaced summary, in order to notify it, if another member issued
+// the new one and the new one does not name it as a contact.
+func (e *entry) recordReplacedIssuer(old *entry) {
 	if e.Summary == nil || e.Summary.Issuer == old.Summary.Issuer {
 		return
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// toggleDigest adds an entry to the digests, or removes it again.
+// toggleDigest adds an entry to the digests, or removes it if it is included.
 func (d *Directory) toggleDigest(e *entry) {
 	digest := e.digest()
 	d.digest ^= digest
@@ -109,9 +110,9 @@
 	}
 }
 
-// ensureCapacity decides whether one more item is held, and drops another one for it where there are as many of its
-// kind as there may be: those with the smallest keys stay, whatever order they come in, and the own zone's summary in
-// any case.
+// ensureCapacity reports whether there is space for e. If the limit of its kind is reached, it drops the entry with the
+// greatest key, unless e has the greatest one itself. The smallest keys therefore remain in any order of arrival, and
+// the own zone's summary always remains.
 func (d *Directory) ensureCapacity(e *entry) bool {
 	if d.itemCounts[e.kind()] < e.kind().limit() {
 		return true
@@ -131,6 +132,7 @@
 	return false
 }
 
+// remove removes an entry and, if it is a summary, the state of its zone.
 func (d *Directory) remove(e *entry) {
 	d.toggleDigest(e)
 	delete(d.items, e.key)
@@ -144,8 +146,8 @@
 	}
 }
 
-// forgetZone drops the summary of a zone that is gone, and leaves a tombstone: others may have it a little longer,
-// and send it.
+// forgetZone drops the summary of a zone and leaves a tombstone, since other members may keep and send the summary a
+// little longer. It also removes expired tombstones.
 func (d *Directory) forgetZone(now monotime.Micros, z *zoneState) {
 	e := d.items[summaryKey(z.id)]
 	d.remove(e)
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// issueInterval is the least time between two summaries of one issuer.
+	// issueInterval is the minimum time between two summaries by one issuer.
 	issueInterval = 1 * monotime.Second
-	// unreachableStableTime is how long the zones that are not reached stay the same before they are issued, within
-	// issueInterval.
+	// unreachableStableTime is the time for which the set of unreachable zones must be stable before it is issued,
+	// within issueInterval.
 	unreachableStableTime = 300 * monotime.Millisecond
 
-	// How long another issuer's summary that is preferred stays before it is contradicted: it may be of one that is
-	// gone. conflictWait is the usual time; majorityConflictWait that of a member that sees more than half of the
-	// zone, which may have lost its delegates; aloneConflictWait that of one that sees no other, and may just have
-	// started.
-	conflictWait         = 1 * monotime.Second
-	majorityConflictWait = 300 * monotime.Millisecond
-	aloneConflictWait    = 3 * monotime.Second
-	// An issuer that was contradicted in turn issues nothing for minIssuerBackoff, and each further time for twice as
-	// long, up to maxIssuerBackoff.
+	// Delays before this member overrides another issuer's summary that is preferred but whose issuer may have stopped.
+	// overrideDelay is the normal one. majorityOverrideDelay applies to a member that sees more than half of the zone,
+	// which may have lost its delegates. aloneOverrideDelay applies to a member that sees no other one, and may just
+	// have started.
+	overrideDelay         = 1 * monotime.Second
+	majorityOverrideDelay = 300 * monotime.Millisecond
+	aloneOverrideDelay    = 3 * monotime.Second
+	// An issuer whose summary was overridden in turn issues nothing for minIssuerBackoff. Each further time the backoff
+	// doubles, up to maxIssuerBackoff.
 	minIssuerBackoff = 5 * monotime.Second
 	maxIssuerBackoff = 60 * monotime.Second
 	backoffFactor    = 2
 )
 
-// issuerConflict is how this member deals with another issuer of its own zone's summary.
+// issuerConflict is the state of a conflict with another issuer of the own zone's summary.
 type issuerConflict struct {
 	issuedAt      monotime.Micros
-	conflictSince monotime.Micros // another's summary contradicts this member's view, 0 where none does
-	contradicted  bool            // and this member has contradicted it
+	conflictSince monotime.Micros // start of the current conflict, 0 if there is none
+	overridden    bool            // this member has overridden that summary
 	backoffUntil  monotime.Micros
-	backoff       monotime.Micros // the last one
+	backoff       monotime.Micros // current length, 0 if there was none lately
 
-	pendingUnreachable []ID            // as the next summary would have them
-	pendingChangedAt   monotime.Micros // when they changed
-	pendingSince       monotime.Micros // since when they differ from those issued, 0 where they don't
+	pendingUnreachable []ID            // Unreachable of the next summary
+	pendingChangedAt   monotime.Micros // time of its last change
+	pendingSince       monotime.Micros // start of its difference from the issued summary, 0 if there is none
 }
 
-// ownSummary is what this member would issue now, without a version.
+// ownSummary returns the summary that this member would issue now, without a version.
 func (d *Directory) ownSummary() Summary {
 	s := Summary{
 		Site:        d.cfg.Site,
@@ -63,14 +63,14 @@
 	return s
 }
 
-// sameContent reports whether two summaries of a zone say the same, whoever issued them.
+// sameContent reports whether two summaries of a zone have the same content, regardless of issuer and version.
 func (s *Summary) sameContent(other *Summary) bool {
 	return s.Live == other.Live && s.Known == other.Known && slices.Equal(s.Contacts, other.Contacts) &&
 		slices.Equal(s.Unreachable, other.Unreachable)
 }
 
-// issueSummary decides whether this member issues a summary of its zone: it is the first by rank and active, the
-// summary has changed, neither issueInterval nor a backoff holds it, and no other issuer's is to stay.
+// issueSummary issues a summary of the own zone if this member is the first delegate and active, the summary has
+// changed, neither issueInterval nor a backoff delays it, and no other issuer's summary is to be kept.
 func (d *Directory) issueSummary(now monotime.Micros) {
 	if d.ownRank != 0 || !d.isActiveDelegate() {
 		return
@@ -86,7 +86,7 @@
 	if tooEarly || now < conflict.backoffUntil || d.unreachableChanging(now, held, &next) {
 		return
 	}
-	if held != nil && d.yieldsTo(now, held, &next) {
+	if held != nil && d.acceptsCompetingSummary(now, held, &next) {
 		return
 	}
 	conflict.issuedAt = now
@@ -96,19 +96,19 @@
 	d.store(now, newEntry(Item{Summary: &next}))
 }
 
-// endConflict notes that the summary that is held is right. The backoff begins again at its minimum once this
-// member's own has stayed for long.
+// endConflict records that the current summary is correct. It resets the backoff if this member issued that summary
+// more than maxIssuerBackoff ago.
 func (d *Directory) endConflict(now monotime.Micros, issuer MemberID) {
 	conflict := &d.conflict
 	conflict.conflictSince = 0
 	if issuer == d.cfg.Self.ID && now-conflict.issuedAt > maxIssuerBackoff {
 		conflict.backoff = 0
-		conflict.contradicted = false
+		conflict.overridden = false
 	}
 }
 
-// unreachableChanging decides whether a summary waits because the zones that the own one doesn't reach are changing:
-// more of them follow in a moment, and a summary of a part would put off the next one.
+// unreachableChanging reports whether to delay the next summary because the set of unreachable zones is still changing:
+// more changes usually follow at once, and issuing an incomplete set would delay the complete one by issueInterval.
 func (d *Directory) unreachableChanging(now monotime.Micros, held *zoneState, next *Summary) bool {
 	conflict := &d.conflict
 	if held == nil || d.lastToLeave || slices.Equal(held.Unreachable, next.Unreachable) {
@@ -125,8 +125,8 @@
 	return now-conflict.pendingChangedAt < unreachableStableTime && now-conflict.pendingSince < issueInterval
 }
 
-// preferredOver decides which of two summaries of one zone is preferred: the one with more members, or with as many
-// and the issuer that ranks first.
+// preferredOver reports whether the current summary of a zone is preferred to another one: the one with more live
+// members is preferred, and among equals the one whose issuer ranks first.
 func (z *zoneState) preferredOver(other *Summary) bool {
 	if z.Live != other.Live {
 		return z.Live > other.Live
@@ -134,44 +134,45 @@
 	return rankHash(z.id, z.Issuer) < rankHash(z.id, other.Issuer)
 }
 
-// yieldsTo decides whether another issuer's summary stays for now though this member would issue a different one.
-func (d *Directory) yieldsTo(now monotime.Micros, held *zoneState, next *Summary) bool {
+// acceptsCompetingSummary reports whether to keep another issuer's summary for now, though this member would issue a
+// different one.
+func (d *Directory) acceptsCompetingSummary(now monotime.Micros, held *zoneState, next *Summary) bool {
 	if held.Issuer == next.Issuer || d.lastToLeave || !held.preferredOver(next) {
 		return false
 	}
-	return !d.mayContradict(now, next)
+	return !d.mayOverride(now, next)
 }
 
-// mayContradict decides whether another issuer's summary that is preferred is contradicted now: once it has stayed
-// for the time that conflictWaitFor says. One that was issued again after that is of an issuer that is there: it
-// stays for the backoff.
-func (d *Directory) mayContradict(now monotime.Micros, next *Summary) bool {
+// mayOverride reports whether to override another issuer's preferred summary now, which is after overrideDelayFor. If
+// the other issuer issues again after that, it is still running, and its summary is kept for the duration of the
+// backoff.
+func (d *Directory) mayOverride(now monotime.Micros, next *Summary) bool {
 	conflict := &d.conflict
-	if conflict.contradicted {
+	if conflict.overridden {
 		conflict.backoff = min(max(backoffFactor*conflict.backoff, minIssuerBackoff), maxIssuerBackoff)
 		conflict.backoffUntil = now + conflict.backoff
 		conflict.conflictSince = 0
-		conflict.contradicted = false
+		conflict.overridden = false
 		d.IssuerBackoffs++
 		return false
 	}
 	if conflict.conflictSince == 0 {
 		conflict.conflictSince = now
 	}
-	if now-conflict.conflictSince < d.conflictWaitFor(next) {
+	if now-conflict.conflictSince < d.overrideDelayFor(next) {
 		return false
 	}
-	conflict.contradicted = true
+	conflict.overridden = true
 	return true
 }
 
-// conflictWaitFor decides how long another issuer's summary stays before this member contradicts it with next.
-func (d *Directory) conflictWaitFor(next *Summary) monotime.Micros {
+// overrideDelayFor returns the time for which to keep another issuer's summary before overriding it with next.
+func (d *Directory) overrideDelayFor(next *Summary) monotime.Micros {
 	switch majority := next.Live+next.Live > next.Known; {
 	case len(d.zonePeers) == 0:
-		return aloneConflictWait
+		return aloneOverrideDelay
 	case majority:
-		return majorityConflictWait
+		return majorityOverrideDelay
 	}
-	return conflictWait
+	return overrideDelay
 }
--- a/decision/zonedirectory/zone.go
+++ b/decision/zonedirectory/zone.go
@@ -6,23 +6,23 @@
 	"spurspread/decision/monotime"
 )
 
-// zoneState is one zone, the own one included.
+// zoneState is this member's state about one zone, possibly its own.
 type zoneState struct {
 	*Summary
 	id               ID
 	state            Reachability
 	stateSince       monotime.Micros
-	partitionedSince monotime.Micros // from when on it would be Partitioned, 0 where it would not
+	partitionedSince monotime.Micros // start of the unconfirmed state Partitioned, 0 if not in it
 	link             link
 }
 
-// reportsUnreachable reports whether the zone's summary says that it doesn't reach another one.
+// reportsUnreachable reports whether the zone's summary lists another zone as unreachable.
 func (z *zoneState) reportsUnreachable(id ID) bool {
 	_, found := slices.BinarySearch(z.Unreachable, id)
 	return found
 }
 
-// zoneByID returns what is held of a zone, nil where it is not known.
+// zoneByID returns the state of a zone, or nil if the zone is not known.
 func (d *Directory) zoneByID(id ID) *zoneState {
 	if at, found := d.zoneIndex(id); found {
 		return d.zones[at]
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// zoneIndex returns where a zone is in d.zones, or would be inserted, and whether it is there.
+// zoneIndex returns the index of a zone in d.zones, or its insertion index, and whether it was found.
 func (d *Directory) zoneIndex(id ID) (int, bool) {
 	return slices.BinarySearchFunc(d.zones, id, func(z *zoneState, id ID) int {
 		switch {
@@ -43,7 +43,7 @@
 	})
 }
 
-// applySummary takes a zone's new summary.
+// applySummary updates the state of a zone from its new summary.
 func (d *Directory) applySummary(now monotime.Micros, s *Summary) {
 	id := s.Site.ID()
 	at, known := d.zoneIndex(id)
@@ -64,7 +64,7 @@
 	}
 }
 
-// addedZones lists the zones of a list that the one before doesn't have.
+// addedZones lists the zones in now that are not in before.
 func addedZones(before, now []ID) []ID {
 	return slices.DeleteFunc(slices.Clone(now), func(id ID) bool { return slices.Contains(before, id) })
 }
--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -24,7 +24,7 @@
 
 func site(i int) Site { return Site{Region: "r", Zone: fmt.Sprint("z", i)} }
 
-// newDirectory is that of the first of so many members of zone 0.
+// newDirectory returns the directory of the first member of zone 0, which has the given number of members.
 func newDirectory(members int, expected int) *Directory {
 	d := New(Config{
 		Self:            Self{ID: 1, Addr: addr(1), Instance: 1},
@@ -91,12 +91,12 @@
 	return rapid.SliceOfN(rapid.Custom(drawItem), 0, 250).Draw(r, label)
 }
 
-// updateFrom carries items from a member.
+// updateFrom returns an Update with items from a member.
 func updateFrom(id MemberID, zone int, items ...Item) Message {
 	return Message{Kind: Update, From: id, Zone: site(zone).ID(), Items: items}
 }
 
-// receiveItems has another member of the zone send items one by one.
+// receiveItems delivers items one by one, from another member of the zone.
 func receiveItems(d *Directory, items []Item) {
 	for _, item := range items {
 		d.Receive(start, addr(2), updateFrom(2, 0, item))
@@ -111,8 +111,8 @@
 	return items
 }
 
-// Whatever order items arrive in, and however often, the directory is the same in the end, and so is its digest; of
-// each key it holds none that is older than another.
+// The final content and digest of a directory do not depend on the order or the repetition of received items, and it
+// holds the newest item of each key.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		items := drawItems(r, "items")
@@ -129,13 +129,13 @@
 		}
 		for _, item := range items {
 			if e := newEntry(item); a.items[e.key] != nil && e.newer(a.items[e.key]) {
-				r.Fatalf("%+v is newer than what is held", item)
+				r.Fatalf("%+v is newer than the entry in the directory", item)
 			}
 		}
 	})
 }
 
-// Two directories that are compared become the same, in messages of bounded size.
+// Two directories become identical through comparisons, with messages of bounded size.
 func TestSync(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, b := newDirectory(3, 3), newDirectory(3, 3)
@@ -145,12 +145,12 @@
 		receiveItems(b, drawItems(r, "items of the other"))
 		for now := start; a.Digest() != b.Digest(); now += monotime.Second {
 			if now > 120*monotime.Second {
-				r.Fatal("they differ for two minutes")
+				r.Fatal("the directories still differ after two minutes")
 			}
 			exchange(r, now, a, b, a.ObserveDatagram(now, addr(2), 2, b.ownZone, b.Digest()))
 		}
 		if !reflect.DeepEqual(heldItems(a), heldItems(b)) {
-			r.Fatal("one digest, two contents")
+			r.Fatal("equal digests, different contents")
 		}
 	})
 }
@@ -171,12 +171,12 @@
 			}
 		}
 		if out = answers; round > 8 {
-			r.Fatal("answers without an end")
+			r.Fatal("the exchange does not end")
 		}
 	}
 }
 
-// An item that is out of bounds is rejected as a whole.
+// An item that is out of bounds is rejected.
 func TestInvalidItems(t *testing.T) {
 	d := newDirectory(3, 3)
 	long := strings.Repeat("x", MaxName+1)
@@ -226,7 +226,7 @@
 	}
 }
 
-// A record that is invalid, or one too many, is not published.
+// An invalid record is not published, nor is a record beyond MaxRecords.
 func TestPublishErrors(t *testing.T) {
 	d := newDirectory(3, 3)
 	if _, err := d.Publish(start, strings.Repeat("x", MaxName+1), ""); !errors.Is(err, ErrInvalidRecord) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// However much is received, what a member sends is within its budgets.
+// A member stays within its budgets regardless of the number of received messages.
 func TestBudgets(t *testing.T) {
 	d := newDirectory(125, 125)
 	bytes := 0
@@ -271,14 +271,14 @@
 		limit     = 20*perSecond + bursts + 8*1250
 	)
 	if bytes > limit {
-		t.Errorf("%d bytes in 20 s, %d at most", bytes, limit)
+		t.Errorf("%d bytes in 20 s, want at most %d", bytes, limit)
 	}
 	if len(d.introducedAt) > maxIntroduced+1 || len(d.divergedSince) > maxDivergedPeers {
-		t.Error("more addresses are remembered than there may be")
+		t.Error("introducedAt or divergedSince exceeds its bound")
 	}
 }
 
-// remoteSummary is that of zone 1 with five members.
+// remoteSummary returns a summary of zone 1 with five members.
 func remoteSummary(version uint64) Item {
 	return Item{Summary: &Summary{
 		Site:     site(1),
@@ -297,8 +297,8 @@
 	}
 }
 
-// A zone that is not reached is Unknown, and its members count as known for zoneRetention. What others send of it
-// after that is old; what it sends itself is not.
+// A zone that cannot be reached is Unknown, and its members count as known for zoneRetention. After that, a summary
+// that another zone sends is ignored, while the same summary from the zone itself is accepted.
 func TestForgetsZone(t *testing.T) {
 	const sec = monotime.Second
 	d := newDirectory(1, 1)
@@ -319,7 +319,8 @@
 	}
 }
 
-// A process that has just started divides by what its settings expect, and by about half of it half a minute later.
+// A new process divides budgets by the expected size of the fleet, and by about half of that half a minute later. The
+// divisor rises at once.
 func TestDivisorStartsAtExpectedMembers(t *testing.T) {
 	const sec = monotime.Second
 	d := newDirectory(1, 1500)
@@ -328,16 +329,17 @@
 	}
 	run(d, sec, 31*sec)
 	if v := d.RateDivisor(); v < 600 || v > 1000 {
-		t.Fatalf("%.0f after half a minute", v)
+		t.Fatalf("divisor %.0f after half a minute", v)
 	}
 	large := Summary{Site: site(1), Version: 1, Issuer: 9, Live: 2000, Known: 2000}
 	d.Receive(31*sec, addr(9), updateFrom(9, 1, Item{Summary: &large}))
 	if run(d, 31*sec, 32*sec); d.RateDivisor() != 2001 {
-		t.Fatalf("%.0f: it rises at once", d.RateDivisor())
+		t.Fatalf("divisor %.0f, want 2001 at once", d.RateDivisor())
 	}
 }
 
-// candidatesOf are those that a member of a zone of 20 chooses, which knows the members in any order.
+// candidatesOf returns the candidates for delegate chosen by a member of a zone of 20, which knows the members in
+// random order.
 func candidatesOf(self int, leaving bool, rng *rand.Rand) []Member {
 	d := New(Config{
 		Self:        Self{ID: MemberID(self), Addr: addr(self)},
@@ -352,8 +354,8 @@
 	return slices.Clone(d.candidates)
 }
 
-// All members of a zone whose views agree choose the same delegates, whatever order they know them in, and one that
-// leaves is none.
+// All members of a zone whose views agree choose the same delegates, in whatever order they know the members, and a
+// leaving member is not among them.
 func TestDelegatesAreTheSameForAll(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	first := candidatesOf(1, false, rng)
