--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -7,8 +7,8 @@
 const (
 	// pauseThreshold is the time between two Ticks above which this process counts as having been paused.
 	pauseThreshold = 300 * monotime.Millisecond
-	// unhealthyAfterPause is the time after a pause in which a member reports no failures: acks may still be waiting in
-	// the socket buffer.
+	// unhealthyAfterPause is the time after a pause in which a member reports no failures: acks may still be waiting
+	// unread.
 	unhealthyAfterPause = 1 * monotime.Second
 	// isolationTimeout is the time without any received message after which a member considers itself isolated.
 	isolationTimeout = 1 * monotime.Second
@@ -60,7 +60,7 @@
 	f.restartSuspicions(now)
 }
 
-// checkIsolation does the same when this member ceases to be isolated.
+// checkIsolation restarts all suspicions and drops failed probes when this member ceases to be isolated.
 func (f *Fleet) checkIsolation(now monotime.Micros) {
 	before := f.wasIsolated
 	f.wasIsolated = f.isolated(now)
--- a/decision/membership/peer.go
+++ b/decision/membership/peer.go
@@ -24,7 +24,7 @@
 	rtt       float64 // smoothed round-trip time, microseconds; 0 if unknown
 
 	// Evidence that it has failed.
-	ownProbeFailed bool            // this member's last probe of it, under this incarnation
+	ownProbeFailed bool            // this member's last probe of it failed, under this incarnation
 	failureReports []failureReport // received before it is suspected
 	reportAgainAt  monotime.Micros // when this member repeats its report, 0 if it does not
 	suspicionStart monotime.Micros // start of the suspicion timeout
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -140,8 +140,8 @@
 }
 
 // corroborate decides whether this member probes p because another one has reported it, and if so starts the probe. The
-// watchers of p always do. Since they may have failed too, so do WatchersPerMember of the other members on average,
-// which are all in a small fleet.
+// watchers of p always do. Since these may have failed too, WatchersPerMember of all members also do on average,
+// regardless of the fleet's size; in a small fleet, all do.
 func (f *Fleet) corroborate(now monotime.Micros, p *peer) {
 	drawn := f.rng.IntN(max(f.countState(Alive), 1)) < WatchersPerMember
 	if drawn || slices.Contains(f.watchTargets(), p) {
@@ -205,8 +205,8 @@
 }
 
 // declareDead declares dead the suspects that this member's own probes failed to reach and whose suspicion has lasted
-// for MinSuspicionTimeout, except as stated by inContactWithOnlyPeer. A suspect that still sends messages and reports
-// this member dead cannot be paused, and is declared dead at once.
+// for MinSuspicionTimeout, unless inContactWithOnlyPeer. A suspect that still sends messages and reports this member
+// dead cannot be paused, and is declared dead at once.
 func (f *Fleet) declareDead(now monotime.Micros) {
 	if f.suspectCount == 0 || f.Unhealthy(now) {
 		return
--- a/decision/membership/view.go
+++ b/decision/membership/view.go
@@ -15,8 +15,8 @@
 	Since       monotime.Micros // time of the last state change
 	LastContact monotime.Micros // time of its last message
 	RTT         monotime.Micros // smoothed round-trip time, 0 if unknown
-	// OutboundLoss is the ratio of pings to the member that are lost; InboundLoss is the ratio of its acks that are
-	// lost. Both range from 0 to 1.
+	// OutboundLoss is the fraction of pings to the member that are lost; InboundLoss is the fraction of its acks that
+	// are lost. Both range from 0 to 1.
 	OutboundLoss, InboundLoss float64
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// lossRatio returns the ratio of messages that were lost, 0 to 1; 0 if none was sent.
+// lossRatio returns the fraction of messages that were lost, 0 to 1; 0 if none was sent.
 func lossRatio(sent, arrived float64) float64 {
 	if sent < 1 {
 		return 0
--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -26,11 +26,11 @@
 	versionsPerRange = MaxVersions - 2
 	// maxSyncReplies bounds the messages with items in reply to one comparison.
 	maxSyncReplies = 4
-	// maxDivergedPeers bounds the members of the own zone in divergedSince.
+	// maxDivergedPeers bounds the members of the local zone in divergedSince.
 	maxDivergedPeers = 256
 )
 
-// observeZonePeer compares the directory of a member of the own zone with this one if it has differed for
+// observeZonePeer compares the directory of a member of the local zone with this one if it has differed for
 // divergenceTolerance, or if this member has not synchronized yet.
 func (d *Directory) observeZonePeer(now monotime.Micros, from netip.AddrPort, id MemberID, digest uint64) {
 	if digest == d.digest {
@@ -85,7 +85,7 @@
 
 // versionRange returns the versions of the items that this member has or has dropped, in the range of keys that begins
 // at syncCursor, and moves the cursor behind that range. The first and the last version mark its ends. Observations are
-// included only if requested, since they stay within the own zone.
+// included only if requested, since they stay within the local zone.
 func (d *Directory) versionRange(observations bool) []ItemVersion {
 	versions := d.listVersions(observations)
 	from, to := d.syncCursor, uint64(math.MaxUint64)
@@ -141,7 +141,7 @@
 	}
 }
 
-// adoptTombstones forgets the Unknown or Left zones that another member of the own zone, which has known them for
+// adoptTombstones forgets the Unknown or Left zones that another member of the local zone, which has known them for
 // longer, has already forgotten.
 func (d *Directory) adoptTombstones(versions []ItemVersion) {
 	for _, v := range versions {
@@ -156,8 +156,8 @@
 }
 
 // entriesNewerThan lists the entries to send in reply to m, within its range of keys: those newer than the listed
-// version and, unless m is itself a reply, those that m does not list. It includes the own zone's summary if the sender
-// has dropped it.
+// version and, unless m is itself a reply, those that m does not list. It includes the local zone's summary if the
+// sender has dropped it.
 func (d *Directory) entriesNewerThan(m *Message) []*entry {
 	lowest, highest := m.Versions[0].Key, m.Versions[len(m.Versions)-1].Key
 	var newer []*entry
--- a/decision/zonedirectory/delegate.go
+++ b/decision/zonedirectory/delegate.go
@@ -26,7 +26,7 @@
 	minUnlistedTime = unlistedTimeout / 2
 )
 
-// Member is a member of the own zone.
+// Member is a member of the local zone.
 type Member struct {
 	ID   MemberID
 	Addr netip.AddrPort
@@ -53,7 +53,7 @@
 	return splitmix.Mix64(uint64(zone) ^ splitmix.Mix64(uint64(id)))
 }
 
-// applyLocalZone applies a new view of the own zone and determines the candidates for delegate.
+// applyLocalZone applies a new view of the local zone and determines the candidates for delegate.
 func (d *Directory) applyLocalZone(local LocalZone) {
 	sameMembers := local.Revision == d.local.Revision && local.Leaving == d.local.Leaving && len(d.local.Members) > 0
 	if local.Known != d.local.Known || local.Live != d.local.Live {
@@ -79,7 +79,7 @@
 
 func (d *Directory) isSelf(m Member) bool { return m.ID == d.cfg.Self.ID }
 
-// rankCandidates determines the candidates for delegate: the first members of the own zone by rank, at most
+// rankCandidates determines the candidates for delegate: the first members of the local zone by rank, at most
 // MaxContacts. They depend only on the view, so all members whose views agree choose the same ones. A leaving member is
 // not a candidate unless it is the last one.
 func (d *Directory) rankCandidates() {
@@ -101,17 +101,17 @@
 	d.candidates = d.candidates[:min(len(d.candidates), MaxContacts)]
 }
 
-// isCandidate reports whether a member is a delegate of the own zone, or one of the possible replacements.
+// isCandidate reports whether a member is a delegate of the local zone, or one of the possible replacements.
 func (d *Directory) isCandidate(id MemberID) bool {
 	return slices.ContainsFunc(d.candidates, func(m Member) bool { return m.ID == id })
 }
 
-// isZonePeer reports whether a member is another one in the view of the own zone.
+// isZonePeer reports whether a member is another one in the view of the local zone.
 func (d *Directory) isZonePeer(id MemberID) bool {
 	return slices.ContainsFunc(d.zonePeers, func(m Member) bool { return m.ID == id })
 }
 
-// delegates returns the members that act for the own zone.
+// delegates returns the members that act for the local zone.
 func (d *Directory) delegates() []Member { return d.candidates[:min(len(d.candidates), Delegates)] }
 
 // updateSettled decides whether a new process may act for its zone: after syncedSettleTime if it has synchronized with
@@ -144,7 +144,7 @@
 // unhealthy reports whether this member's own observations are to be ignored.
 func (d *Directory) unhealthy() bool { return d.local.Unhealthy || d.viewUnreliable() }
 
-// recordUnlisted records a message from a member of the own zone if that member is not in the view.
+// recordUnlisted records a message from a member of the local zone if that member is not in the view.
 func (d *Directory) recordUnlisted(now monotime.Micros, id MemberID) {
 	if d.isZonePeer(id) {
 		return
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -25,7 +25,7 @@
 	globalDigest uint64          // of the items that go to all zones
 	changedAt    monotime.Micros // time of the last change of globalDigest
 
-	// The own zone.
+	// The local zone.
 	local              LocalZone
 	zonePeers          []Member // members of local without this one
 	candidates         []Member // the first MaxContacts of local by rank
@@ -35,36 +35,36 @@
 	lastToLeave        bool     // this member is the last one of its zone, and is leaving
 	leaveAnnouncements int      // times that other zones were notified of that
 	unlistedSince      monotime.Micros
-	unlistedAt         monotime.Micros // last message from a member of the own zone that is not in local
+	unlistedAt         monotime.Micros // last message from a member of the local zone that is not in local
 	observing          observationState
 	conflict           issuerConflict
 
 	// The zones.
-	zones            []*zoneState // ascending by ID, including the own zone
+	zones            []*zoneState // ascending by ID, including the local zone
 	unreachableZones []ID         // see unreachableFromZone
 	nextEvaluationAt monotime.Micros
 	remoteLive       int // members of other zones, see evaluateZones
 	remoteKnown      int
-	membersBefore    int // live members of the zones whose IDs precede the own one
+	membersBefore    int // live members of the zones whose IDs precede ownZone
 
 	// Dissemination and anti-entropy.
 	dissemination disseminationState
 	repairBudget  tokenBucket
 	nextSyncAt    monotime.Micros
-	syncCursor    uint64                       // the key at which the next SyncVersions begins
-	divergedSince map[MemberID]monotime.Micros // start of the digest mismatch with members of the own zone
+	syncCursor    uint64                       // first key of the next SyncVersions
+	divergedSince map[MemberID]monotime.Micros // start of the digest mismatch with members of the local zone
 
 	// Probes, seeds and introductions.
 	nextSeq            uint32
 	nextSeedProbeAt    monotime.Micros
 	seedIndex          int                   // of the last seed considered
-	seedZones          map[netip.AddrPort]ID // of seeds that have answered
+	seedZones          map[netip.AddrPort]ID // zones of the seeds that have answered
 	nextJoinAt         monotime.Micros
 	joinSeeds          []netip.AddrPort // see JoinSeeds
 	introducedAt       map[netip.AddrPort]monotime.Micros
 	nextIntroductionAt monotime.Micros
 
-	// Issued counts the summaries of the own zone that this member issued; IssuerBackoffs counts how often it backed
+	// Issued counts the summaries of the local zone that this member issued; IssuerBackoffs counts how often it backed
 	// off because another issuer kept issuing a preferred summary.
 	Issued, IssuerBackoffs int
 	// Suppressed counts the messages that were dropped because the budget was exhausted.
@@ -97,7 +97,7 @@
 }
 
 // Tick runs all actions that are due and returns the messages to send. The owner calls it every TickInterval with the
-// view of the own zone, or with nil if that has not changed.
+// view of the local zone, or with nil if that has not changed.
 func (d *Directory) Tick(now monotime.Micros, local *LocalZone) []Outgoing {
 	d.now = now
 	if local != nil {
@@ -154,7 +154,7 @@
 
 // ObserveDatagram processes the sender's zone and directory digest from a datagram of package membership. A message
 // from a sender in another zone must not be passed to membership.Fleet; ObserveDatagram answers it with the summary of
-// the own zone.
+// the local zone.
 func (d *Directory) ObserveDatagram(
 	now monotime.Micros,
 	from netip.AddrPort,
@@ -175,7 +175,7 @@
 	return d.takeOutput()
 }
 
-// Digest returns the digest of all items, including those of the own zone. Datagrams of membership carry it.
+// Digest returns the digest of all items, including those of the local zone. Datagrams of membership carry it.
 func (d *Directory) Digest() uint64 { return d.digest }
 
 // SetSeeds replaces the seed addresses.
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -66,7 +66,7 @@
 // reach all members plus spareTransmits. A member that still misses the item gets it by anti-entropy.
 func (d *Directory) transmitLimit() int { return spareTransmits + bits.Len(uint(len(d.zonePeers)+1)) }
 
-// gossip sends new items to some members of the own zone. The items with the fewest transmissions go first.
+// gossip sends new items to some members of the local zone. The items with the fewest transmissions go first.
 func (d *Directory) gossip(now monotime.Micros) {
 	state := &d.dissemination
 	if !state.gossipPending || now < state.nextGossipAt || !state.gossipBudget.refill(now) {
@@ -114,7 +114,7 @@
 	return entries
 }
 
-// randomPeers returns up to n distinct random members of the own zone.
+// randomPeers returns up to n distinct random members of the local zone.
 func (d *Directory) randomPeers(n int) []Member {
 	n = min(n, len(d.zonePeers))
 	for i := range n {
@@ -153,7 +153,7 @@
 	}
 }
 
-// pushTo sends to a zone those of the entries that the own zone is responsible for sending there.
+// pushTo sends those of the entries to a zone that the local zone is responsible for sending there.
 func (d *Directory) pushTo(z *zoneState, entries []*entry) {
 	entries = slices.DeleteFunc(slices.Clone(entries), func(e *entry) bool { return !d.shouldPush(e, z) })
 	for len(entries) > 0 {
@@ -170,7 +170,7 @@
 	d.send(to.Addr, to.ID, update)
 }
 
-// shouldPush reports whether the own zone sends an item to another zone: its own summary, all records, and the
+// shouldPush reports whether the local zone sends an item to another zone: its own summary, all records, and the
 // summaries of zones that are not connected to that zone.
 func (d *Directory) shouldPush(e *entry, to *zoneState) bool {
 	if e.Summary == nil {
--- a/decision/zonedirectory/entry.go
+++ b/decision/zonedirectory/entry.go
@@ -46,8 +46,8 @@
 	key            uint64
 	version        uint64
 	contentHash    uint64   // hash of canonicalBytes
-	transmits      int      // number of members of the own zone it was sent to
-	gossipPending  bool     // still to send to members of the own zone
+	transmits      int      // number of members of the local zone it was sent to
+	gossipPending  bool     // still to send to members of the local zone
 	pushPending    bool     // still to send to other zones
 	replacedIssuer *Contact // still to notify that its summary was replaced, nil if there is none
 }
--- a/decision/zonedirectory/message.go
+++ b/decision/zonedirectory/message.go
@@ -21,7 +21,7 @@
 	return ID(max(h.Sum64(), 1))
 }
 
-// MemberID identifies a member, with the same value as membership.ID.
+// MemberID identifies a member by the same value as membership.ID.
 type MemberID uint64
 
 // Self identifies one process of a member.
@@ -54,7 +54,7 @@
 }
 
 // Observation lists the zones that one delegate cannot reach, in ascending order. It is published only within the
-// delegate's own zone. An observation that lists the own zone is withdrawn.
+// delegate's own zone. An observation that lists this zone itself is withdrawn.
 type Observation struct {
 	Zone        ID
 	Delegate    MemberID
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -18,8 +18,8 @@
 // withdrawn reports whether the observation no longer counts.
 func (o *Observation) withdrawn() bool { return slices.Contains(o.Unreachable, o.Zone) }
 
-// publishObservation publishes in the own zone which zones this member, as a delegate, cannot reach, if that has
-// changed.
+// publishObservation publishes an observation in the local zone if this member is a delegate and the zones that it
+// cannot reach have changed, or if it is no longer a delegate.
 func (d *Directory) publishObservation(now monotime.Micros) {
 	if !d.settled || d.unhealthy() || now-d.observing.publishedAt < observationInterval {
 		return
@@ -81,8 +81,9 @@
 	return zones[:min(len(zones), MaxZones)]
 }
 
-// unreachableFromZone lists the zones that the own one cannot reach: those listed by the observations of all delegates
-// that have one, or, without any observation, those of the last summary. Zones whose last member has left are omitted.
+// unreachableFromZone lists the zones that the local one cannot reach: those listed by the observations of all
+// delegates that have one, or, without any observation, those of the last summary. Zones whose last member has left are
+// omitted.
 func (d *Directory) unreachableFromZone() []ID {
 	var zones []ID
 	observed := false
--- a/decision/zonedirectory/probe.go
+++ b/decision/zonedirectory/probe.go
@@ -211,7 +211,7 @@
 	d.recordSeedZone(from, m.Zone)
 	z := d.zoneByID(m.Zone)
 	if z == nil || z.id == d.ownZone || d.nextSeq-m.Seq > lateAckWindow {
-		// The ack of a seed in an unknown zone or in the own one, or a very late ack.
+		// The ack of a seed in an unknown zone or in the local one, or a very late ack.
 		if m.Digest != d.globalDigest && now >= d.nextSyncAt {
 			d.requestSync(now, from, m.From, m.Zone)
 		}
--- a/decision/zonedirectory/reachability.go
+++ b/decision/zonedirectory/reachability.go
@@ -17,14 +17,14 @@
 	evaluationInterval = 500 * monotime.Millisecond
 )
 
-// Reachability is the state of a zone as seen by the own one. 0 means that the zone is not known.
+// Reachability is the state of a zone as seen from the local zone. 0 means that the zone is not known.
 type Reachability uint8
 
 // The states of a zone.
 const (
-	// Reachable means that a delegate of the own zone can reach the zone.
+	// Reachable means that a delegate of the local zone can reach the zone.
 	Reachable Reachability = iota + 1
-	// Partitioned means that the zone can be reached only by other zones that the own one can reach.
+	// Partitioned means that only other zones can reach the zone, at least one of which the local zone can reach.
 	Partitioned
 	// Unknown means that no reachable zone can reach it: the zone may have failed, or be cut off from all of them.
 	Unknown
@@ -84,8 +84,8 @@
 	}
 }
 
-// reachability returns the current state of a zone, from the unreachable zones of the own one and the summaries of the
-// others.
+// reachability returns the current state of a zone, from the unreachable zones of the local zone and the summaries of
+// the others.
 func (d *Directory) reachability(z *zoneState) Reachability {
 	switch {
 	case z.id == d.ownZone:
@@ -101,7 +101,7 @@
 	return Unknown
 }
 
-// reachedThrough reports whether other, a zone that the own one can reach, reaches z.
+// reachedThrough reports whether other, a zone that the local one can reach, reaches z.
 func (d *Directory) reachedThrough(z, other *zoneState) bool {
 	return other != z && other.id != d.ownZone && other.Live > 0 &&
 		!slices.Contains(d.unreachableZones, other.id) && !other.reportsUnreachable(z.id)
@@ -131,7 +131,7 @@
 	return 0
 }
 
-// Views lists all known zones: the own one first, the others by region and name.
+// Views lists all known zones: the local one first, the others by region and name.
 func (d *Directory) Views() []View {
 	views := make([]View, 0, len(d.zones))
 	for _, z := range d.zones {
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -21,7 +21,8 @@
 	maxLocalJoinSeeds  = 3
 	maxRemoteJoinSeeds = 1
 
-	// introductionInterval is the time between two comparisons of the own zone's view with the contacts in its summary.
+	// introductionInterval is the time between two comparisons of the local zone's view with the contacts in its
+	// summary.
 	introductionInterval = 1 * monotime.Second
 	// introductionReplyInterval is the minimum time between two introductions of the same address in another zone.
 	// maxIntroduced bounds the addresses that are remembered for that.
@@ -62,7 +63,7 @@
 	}
 }
 
-// seedProbeNeeded reports whether to probe a seed: it is not a member of the own zone, and its zone is unknown or
+// seedProbeNeeded reports whether to probe a seed: it is not a member of the local zone, and its zone is unknown or
 // cannot be reached.
 func (d *Directory) seedProbeNeeded(seed netip.AddrPort) bool {
 	if seed == d.cfg.Self.Addr || slices.ContainsFunc(d.zonePeers, func(m Member) bool { return m.Addr == seed }) {
@@ -71,9 +72,9 @@
 	return !d.reachesZone(d.seedZones[seed])
 }
 
-// JoinSeeds returns the seeds through which membership.Fleet should join: some that may be in the own zone, and one in
-// another zone, which answers with the contacts of the own zone. The owner passes them to membership.Fleet.SetSeeds
-// before each of its Ticks.
+// JoinSeeds returns the seeds through which membership.Fleet should join: some that may be in the local zone, and one
+// in another zone, which answers with the contacts of the local zone. The owner passes them to
+// membership.Fleet.SetSeeds before each of its Ticks.
 func (d *Directory) JoinSeeds(now monotime.Micros) []netip.AddrPort {
 	joined := len(d.zonePeers) > 0 && len(d.joinSeeds) > 0
 	if joined || now < d.nextJoinAt {
@@ -100,7 +101,7 @@
 	d.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 }
 
-// Introductions returns addresses of members that the own zone's summary names and the view lacks; usually there are
+// Introductions returns addresses of members that the local zone's summary names and the view lacks; usually there are
 // none. The owner passes them to membership.Fleet.SyncWith after each Tick.
 func (d *Directory) Introductions(now monotime.Micros) []netip.AddrPort {
 	held := d.zoneByID(d.ownZone)
--- a/decision/zonedirectory/store.go
+++ b/decision/zonedirectory/store.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// acceptsObservation reports whether an observation is accepted: it was sent from the own zone and made by one of the
-// own zone's candidates for delegate.
+// acceptsObservation reports whether an observation is accepted: it was sent from the local zone and made by one of
+// this zone's candidates for delegate.
 func (d *Directory) acceptsObservation(o *Observation, m *Message) bool {
 	return o.Zone == d.ownZone && m.Zone == d.ownZone && d.isCandidate(o.Delegate)
 }
@@ -112,7 +112,7 @@
 
 // ensureCapacity reports whether there is space for e. If the limit of its kind is reached, it drops the entry with the
 // greatest key, unless e has the greatest one itself. The smallest keys therefore remain in any order of arrival, and
-// the own zone's summary always remains.
+// the local zone's summary always remains.
 func (d *Directory) ensureCapacity(e *entry) bool {
 	if d.itemCounts[e.kind()] < e.kind().limit() {
 		return true
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -27,11 +27,11 @@
 	backoffFactor    = 2
 )
 
-// issuerConflict is the state of a conflict with another issuer of the own zone's summary.
+// issuerConflict is the state of a conflict with another issuer of the local zone's summary.
 type issuerConflict struct {
 	issuedAt      monotime.Micros
 	conflictSince monotime.Micros // start of the current conflict, 0 if there is none
-	overridden    bool            // this member has overridden that summary
+	overridden    bool            // this member has overridden the other issuer's summary
 	backoffUntil  monotime.Micros
 	backoff       monotime.Micros // current length, 0 if there was none lately
 
@@ -69,7 +69,7 @@
 		slices.Equal(s.Unreachable, other.Unreachable)
 }
 
-// issueSummary issues a summary of the own zone if this member is the first delegate and active, the summary has
+// issueSummary issues a summary of the local zone if this member is the first delegate and active, the summary has
 // changed, neither issueInterval nor a backoff delays it, and no other issuer's summary is to be kept.
 func (d *Directory) issueSummary(now monotime.Micros) {
 	if d.ownRank != 0 || !d.isActiveDelegate() {
--- a/decision/zonedirectory/zone.go
+++ b/decision/zonedirectory/zone.go
@@ -12,7 +12,7 @@
 	id               ID
 	state            Reachability
 	stateSince       monotime.Micros
-	partitionedSince monotime.Micros // start of the unconfirmed state Partitioned, 0 if not in it
+	partitionedSince monotime.Micros // since when the condition for Partitioned holds, 0 if it does not
 	link             link
 }
 
