--- a/decision/membership/identity_test.go
+++ b/decision/membership/identity_test.go
@@ -16,7 +16,7 @@
 	ping.ReceiverIncarnation = 8
 	out, _ := f.Receive(now, addr(2), ping)
 	if len(out) != 1 || out[0].Message.Kind != Ack || out[0].Message.Incarnation != 9 {
-		t.Fatalf("%+v", out)
+		t.Fatalf("sent %+v", out)
 	}
 }
 
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -185,7 +185,7 @@
 	f, now := fleetOf(6)
 	f.run(&now, 60*monotime.Second)
 	if f.updateBudget != updateBytesBurst || f.controlBudget != controlBytesBurst {
-		t.Fatalf("%v and %v bytes saved up", f.updateBudget, f.controlBudget)
+		t.Fatalf("budgets of %v and %v bytes, want the bursts", f.updateBudget, f.controlBudget)
 	}
 	f.updateBudget, f.controlBudget = -10*updateBytesPerSecond, -10*controlBytesPerSecond
 	suppressed := f.Suppressed
@@ -240,7 +240,7 @@
 	f, _ := fleetOf(4)
 	out, _ := f.SyncWith([]netip.AddrPort{addr(1), addr(9)})
 	if len(out) != 1 || out[0].To != addr(9) || out[0].Message.Kind != SyncSums {
-		t.Fatalf("%+v", out)
+		t.Fatalf("sent %+v", out)
 	}
 }
 
@@ -253,6 +253,6 @@
 	out, _ := f.Receive(now, addr(9), ping)
 	if len(out) != 2 || out[0].Message.Kind != Ack || out[1].Message.Kind != SyncSums ||
 		out[1].Receiver != selfOf(9).ID {
-		t.Fatalf("%+v", out)
+		t.Fatalf("sent %+v", out)
 	}
 }
--- a/decision/membership/message.go
+++ b/decision/membership/message.go
@@ -113,7 +113,7 @@
 
 // Outgoing is a message to send.
 type Outgoing struct {
-	// To is the address that the member advertises.
+	// To is the address of the receiver, either advertised by it or configured as a seed.
 	To netip.AddrPort
 	// Receiver is the member at that address, or 0 if it is not known.
 	Receiver ID
--- a/decision/membership/receive.go
+++ b/decision/membership/receive.go
@@ -11,8 +11,8 @@
 // partition against the other.
 const restoredDistrustTime = 10 * monotime.Second
 
-// Receive processes a message from an authenticated sender at the given address. Messages that are out of bounds are
-// ignored.
+// Receive processes a message from an authenticated sender, which can be reached at the address from. Messages that are
+// out of bounds are ignored.
 func (f *Fleet) Receive(now monotime.Micros, from netip.AddrPort, m Message) ([]Outgoing, []StateChange) {
 	if f.superseded || !m.valid() {
 		return nil, nil
--- a/decision/membership/suspicion_test.go
+++ b/decision/membership/suspicion_test.go
@@ -13,21 +13,21 @@
 	f, now := fleetOf(6)
 	f.run(&now, 10*monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("%v after one report", s)
+		t.Fatalf("member is %v after one report", s)
 	}
 	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 4))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("%v after two reports in a fleet of six", s)
+		t.Fatalf("member is %v after two reports in a fleet of six", s)
 	}
 	f.receiveUpdates(now, 5, updateOf(3, Suspect, 1, 5))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Suspect {
-		t.Fatalf("%v after three reports", s)
+		t.Fatalf("member is %v after three reports", s)
 	}
 	f.run(&now, MinSuspicionTimeout, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Dead {
-		t.Fatalf("%v %d ms later", s, MinSuspicionTimeout/monotime.Millisecond)
+		t.Fatalf("member is %v %d ms later", s, MinSuspicionTimeout/monotime.Millisecond)
 	}
 }
 
@@ -56,11 +56,11 @@
 	reports := f.FailureReports
 	now += 10 * monotime.Second
 	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Unhealthy(now) {
-		t.Fatalf("%v, %d pauses", changes, f.Pauses)
+		t.Fatalf("changes %v, %d pauses", changes, f.Pauses)
 	}
 	f.run(&now, unhealthyAfterPause-TickInterval, 3)
 	if s := f.StateOf(selfOf(3).ID); f.FailureReports != reports || s != Suspect {
-		t.Fatalf("%d reports after a pause, %v", f.FailureReports-reports, s)
+		t.Fatalf("%d reports after a pause, member is %v", f.FailureReports-reports, s)
 	}
 }
 
@@ -69,7 +69,7 @@
 	f, now := fleetOf(6)
 	suspectMember3(f, &now, monotime.Second/2)
 	if s := f.StateOf(selfOf(3).ID); s != Suspect {
-		t.Fatalf("%v", s)
+		t.Fatalf("member is %v, want suspect", s)
 	}
 	f.run(&now, 5*monotime.Second, 2, 3, 4, 5, 6)
 	f.receiveUpdates(now, 2)
@@ -91,7 +91,7 @@
 		f.receiveDeadReport(now, watched.Self)
 	}
 	if watched.state != Dead || now-start >= MinSuspicionTimeout {
-		t.Fatalf("%v after %d ms", watched.state, (now-start)/monotime.Millisecond)
+		t.Fatalf("peer is %v after %d ms", watched.state, (now-start)/monotime.Millisecond)
 	}
 }
 
@@ -103,7 +103,7 @@
 	f.receiveUpdates(*now, 5, updateOf(i, Suspect, 1, 5))
 	f.run(now, 2*MinSuspicionTimeout, i)
 	if s := f.StateOf(selfOf(i).ID); s != Dead {
-		t.Fatalf("%v", s)
+		t.Fatalf("member is %v, want dead", s)
 	}
 }
 
@@ -116,7 +116,7 @@
 	out, _ := f.receiveUpdates(now, 2, updateOf(3, Alive, 2, 0))
 	if s := f.StateOf(selfOf(3).ID); s != Dead || len(out) != 1 || out[0].Message.Kind != Ping ||
 		out[0].Receiver != selfOf(3).ID {
-		t.Fatalf("%v, sent %+v", s, out)
+		t.Fatalf("member is %v, sent %+v", s, out)
 	}
 	ack := messageOf(3, Ack)
 	ack.Seq = out[0].Message.Seq
@@ -174,7 +174,7 @@
 		c.end(f, &now)
 		f.run(&now, c.span, 2)
 		if s := f.StateOf(selfOf(2).ID); s != Dead {
-			t.Errorf("%s: %v in the end, want dead", name, s)
+			t.Errorf("%s: member is %v in the end, want dead", name, s)
 		}
 	}
 }
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -19,7 +19,7 @@
 	// Items.
 	items        map[uint64]*entry
 	keys         []uint64 // of items, ascending
-	itemCounts   [itemKinds]int
+	itemCounts   [itemKindCount]int
 	tombstones   map[uint64]tombstone
 	digest       uint64          // of all items
 	globalDigest uint64          // of the items that go to all zones
@@ -36,7 +36,7 @@
 	leaveAnnouncements int      // times that other zones were notified of that
 	unlistedSince      monotime.Micros
 	unlistedAt         monotime.Micros // last message from a member of the local zone that is not in local
-	observing          observationState
+	observation        observationState
 	conflict           issuerConflict
 
 	// The zones.
@@ -129,8 +129,8 @@
 	d.outbox = append(d.outbox, Outgoing{To: to, Receiver: receiver, Message: m})
 }
 
-// Receive processes a message from an authenticated sender at the given address. Messages that are out of bounds are
-// ignored. ObserveDatagram need not be called for the same datagram.
+// Receive processes a message from an authenticated sender, which can be reached at the address from. Messages that are
+// out of bounds are ignored. ObserveDatagram need not be called for the same datagram.
 func (d *Directory) Receive(now monotime.Micros, from netip.AddrPort, m Message) []Outgoing {
 	if !m.valid() || m.From == d.cfg.Self.ID {
 		return nil
--- a/decision/zonedirectory/entry.go
+++ b/decision/zonedirectory/entry.go
@@ -26,7 +26,7 @@
 	summaryItem itemKind = iota
 	observationItem
 	recordItem
-	itemKinds
+	itemKindCount
 )
 
 // limit returns the maximum number of items of this kind in a directory.
--- a/decision/zonedirectory/gossip_test.go
+++ b/decision/zonedirectory/gossip_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A zone that shrinks while an item is being disseminated stops sending it.
+// A zone that shrinks while an item is being disseminated stops sending it. The item is then past the transmit limit,
+// and gossip must not draw a negative number of receivers.
 func TestGossipInShrinkingZone(t *testing.T) {
 	const before, after, sentTo = 9, 3, 6 // members before and after, transmissions of the item
 	d := newDirectory(before, before)
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -21,7 +21,7 @@
 // publishObservation publishes an observation in the local zone if this member is a delegate and the zones that it
 // cannot reach have changed, or if it is no longer a delegate.
 func (d *Directory) publishObservation(now monotime.Micros) {
-	if !d.settled || d.unhealthy() || now-d.observing.publishedAt < observationInterval {
+	if !d.settled || d.unhealthy() || now-d.observation.publishedAt < observationInterval {
 		return
 	}
 	key := observationKey(d.ownZone, d.cfg.Self.ID)
@@ -30,7 +30,7 @@
 	if !due || held != nil && slices.Equal(held.Observation.Unreachable, unreachable) {
 		return
 	}
-	d.observing.publishedAt = now
+	d.observation.publishedAt = now
 	d.store(now, newEntry(Item{Observation: &Observation{
 		Zone:        d.ownZone,
 		Delegate:    d.cfg.Self.ID,
@@ -45,7 +45,7 @@
 	if d.ownRank >= Delegates {
 		return []ID{d.ownZone}, held != nil && !held.Observation.withdrawn()
 	}
-	if !d.observing.complete && !d.allZonesProbed() {
+	if !d.observation.complete && !d.allZonesProbed() {
 		return nil, false
 	}
 	return d.unreachableFromHere(), true
@@ -58,7 +58,7 @@
 			return false
 		}
 	}
-	d.observing.complete = true
+	d.observation.complete = true
 	return true
 }
 
--- a/decision/zonedirectory/probe.go
+++ b/decision/zonedirectory/probe.go
@@ -64,7 +64,7 @@
 // becomeDelegate resets the links of this member, which has just become a delegate, so that it determines for itself
 // which zones it can reach.
 func (d *Directory) becomeDelegate() {
-	d.observing.complete = false
+	d.observation.complete = false
 	for _, z := range d.zones {
 		z.link = link{}
 		d.refreshContacts(d.now, z)
--- a/decision/zonedirectory/zone.go
+++ b/decision/zonedirectory/zone.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// addedZones lists the zones in now that are not in before.
-func addedZones(before, now []ID) []ID {
-	return slices.DeleteFunc(slices.Clone(now), func(id ID) bool { return slices.Contains(before, id) })
+// addedZones lists the zones in current that are not in previous.
+func addedZones(previous, current []ID) []ID {
+	return slices.DeleteFunc(slices.Clone(current), func(id ID) bool { return slices.Contains(previous, id) })
 }
--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -122,7 +122,7 @@
 		receiveItems(b, again)
 		if a.Digest() != b.Digest() || a.globalDigest != b.globalDigest ||
 			!reflect.DeepEqual(heldItems(a), heldItems(b)) {
-			r.Fatalf("%x %x\n%v\n%v", a.Digest(), b.Digest(), heldItems(a), heldItems(b))
+			r.Fatalf("digests %x and %x, items\n%v\n%v", a.Digest(), b.Digest(), heldItems(a), heldItems(b))
 		}
 		if len(a.zones) > MaxZones || len(a.Records()) > MaxRecords {
 			r.Fatalf("%d zones, %d records", len(a.zones), len(a.Records()))
@@ -202,7 +202,7 @@
 		{Record: &Record{Name: "a", Version: 1}, Summary: &Summary{Site: site(1), Version: 1}},
 	} {
 		if receiveItems(d, []Item{item}); len(d.keys) > 0 {
-			t.Errorf("item %d is accepted", i)
+			t.Errorf("invalid item %d is accepted", i)
 			d = newDirectory(3, 3)
 		}
 	}
@@ -221,7 +221,7 @@
 		{Kind: SyncVersions, Zone: 1, From: 2, Versions: make([]ItemVersion, MaxVersions+1)},
 	} {
 		if out := d.Receive(start, addr(2), m); len(out) > 0 {
-			t.Errorf("%+v is answered", m)
+			t.Errorf("invalid message %+v is answered", m)
 		}
 	}
 }
@@ -306,16 +306,16 @@
 	d.Receive(sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
 	run(d, sec, 30*sec)
 	if d.State(zone) != Unknown || d.Live() != 1 || d.Known() != 6 {
-		t.Fatalf("%v, %d live, %d known", d.State(zone), d.Live(), d.Known())
+		t.Fatalf("zone is %v, %d live, %d known", d.State(zone), d.Live(), d.Known())
 	}
 	run(d, 30*sec, 650*sec)
 	d.Receive(650*sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
 	if run(d, 650*sec, 651*sec); d.State(zone) != 0 || d.Known() != 1 {
-		t.Fatalf("%v, %d known", d.State(zone), d.Known())
+		t.Fatalf("zone is %v, %d known", d.State(zone), d.Known())
 	}
 	d.Receive(651*sec, addr(9), updateFrom(9, 1, remoteSummary(7)))
 	if run(d, 651*sec, 651*sec); d.State(zone) != Reachable || d.Live() != 6 {
-		t.Fatalf("%v, %d live", d.State(zone), d.Live())
+		t.Fatalf("zone is %v, %d live", d.State(zone), d.Live())
 	}
 }
 
@@ -361,11 +361,11 @@
 	first := candidatesOf(1, false, rng)
 	for self := 2; self <= 20; self++ {
 		if got := candidatesOf(self, false, rng); !slices.Equal(got, first) {
-			t.Fatalf("%v %v", got, first)
+			t.Fatalf("candidates %v, want %v", got, first)
 		}
 	}
 	leaving := int(first[0].ID)
 	if got := candidatesOf(leaving, true, rng); !slices.Equal(got[:MaxContacts-1], first[1:]) {
-		t.Fatalf("%v %v", got, first)
+		t.Fatalf("candidates %v, want %v", got, first)
 	}
 }
