--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -13,8 +13,9 @@
 	FirstMoveDelay = 50 * monotime.Millisecond
 	// FinalAnswerDelay is how long after the last move all that is left is answered or moved.
 	FinalAnswerDelay = 200 * monotime.Millisecond
-	// overtime is how long the process may go on beyond the drain's duration; the platform kills it 0.7 s beyond it.
-	overtime = 450 * monotime.Millisecond
+	// shutdownGrace is how long the process may go on beyond the drain's duration; the platform kills it 0.7 s beyond
+	// it.
+	shutdownGrace = 450 * monotime.Millisecond
 	// MoveLineTimeout is how long a move may wait for a line that is under way to end. After that the connection is
 	// aborted: MOVE can't be sent in the middle of a line.
 	MoveLineTimeout = 900 * monotime.Millisecond
@@ -26,8 +27,8 @@
 	// firstLineTime is how long a connection that comes while the process stops has for its first line: its client may
 	// have sent it already.
 	firstLineTime = 300 * monotime.Millisecond
-	// movesFrom is the part of the duration, as a divisor, that passes before the first move.
-	movesFrom = 2
+	// firstMoveDivisor is the part of the duration, as a divisor, that passes before the first move.
+	firstMoveDivisor = 2
 )
 
 // Duration is how long a planned stop waits, from the deadlines of all request classes: for the longest, at most 3 s.
@@ -61,8 +62,8 @@
 // processes restart one after another, the one before this may still be away. The last move is early enough for a line
 // that is under way then to end before the process does.
 func MoveDelay(span monotime.Micros, i, n int) monotime.Micros {
-	last := max(span-(MoveLineTimeout-overtime), FirstMoveDelay)
-	first := min(max(FirstMoveDelay, span/movesFrom), last)
+	last := max(span-(MoveLineTimeout-shutdownGrace), FirstMoveDelay)
+	first := min(max(FirstMoveDelay, span/firstMoveDivisor), last)
 	return first + (last-first)*monotime.Micros(i)/monotime.Micros(n)
 }
 
@@ -85,7 +86,7 @@
 // time is up. Without requests and multiplexed client connections it closes its listener; once new connections have had
 // their time for a first line and those clients have closed that have their final answer, it stops.
 func Finished(elapsed, duration monotime.Micros, remaining int) bool {
-	timeUp := elapsed >= duration+overtime
+	timeUp := elapsed >= duration+shutdownGrace
 	nothingLeft := elapsed >= MinDuration && remaining == 0
 	return timeUp || nothingLeft
 }
--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -13,19 +13,19 @@
 func TestTakeReturn(t *testing.T) {
 	e := New(start)
 	e.Update(start, 10)
-	e.ExpectReturn()
-	if p := e.TakeReturn(); p != 1 {
+	e.ExpectReconnect()
+	if p := e.ChargeReconnect(); p != 1 {
 		t.Fatalf("price %v while the fleet is complete", p)
 	}
 	e.Update(start+monotime.Second, 5)
-	e.ExpectReturn()
-	e.ExpectReturn()
-	prices := [3]float64{e.TakeReturn(), e.TakeReturn(), e.TakeReturn()}
-	if !e.Reduced() || prices != [3]float64{returnPrice, returnPrice, 1} {
+	e.ExpectReconnect()
+	e.ExpectReconnect()
+	prices := [3]float64{e.ChargeReconnect(), e.ChargeReconnect(), e.ChargeReconnect()}
+	if !e.Reduced() || prices != [3]float64{reconnectPrice, reconnectPrice, 1} {
 		t.Fatalf("reduced %v, prices %v", e.Reduced(), prices)
 	}
-	e.ExpectReturn()
-	if e.Update(start+12*monotime.Second, 5); e.TakeReturn() != 1 {
+	e.ExpectReconnect()
+	if e.Update(start+12*monotime.Second, 5); e.ChargeReconnect() != 1 {
 		t.Fatal("still expected after the expected returns have decayed")
 	}
 }
@@ -38,7 +38,7 @@
 		now += 500 * monotime.Millisecond
 		e.Update(now, 6)
 	}
-	if e.Reduced() || math.Abs(e.PresentPart()-1) > 1e-9 {
-		t.Fatalf("%v of the peak present", e.PresentPart())
+	if e.Reduced() || math.Abs(e.PresentFraction()-1) > 1e-9 {
+		t.Fatalf("%v of the peak present", e.PresentFraction())
 	}
 }
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -106,7 +106,7 @@
 }
 
 func (m *transferModel) drainRest(t *rapid.T) {
-	drain, closeLink := m.transfer.DrainRest(m.now)
+	drain, closeLink := m.transfer.DrainRemaining(m.now)
 	want := !m.draining && (!m.linked || m.now >= m.deadline)
 	if drain != want || closeLink != (want && len(m.pending) > 0) {
 		t.Fatalf("at %d: drain %v, close the link %v", m.now, drain, closeLink)
--- a/decision/hotrestart/predecessor.go
+++ b/decision/hotrestart/predecessor.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Deadline returns until when connections are offered, and so the latest time to call DrainRest.
+// Deadline returns until when connections are offered, and so the latest time to call DrainRemaining.
 func (t *Transfer) Deadline() monotime.Micros { return t.deadline }
 
 // CanOffer decides whether any connection can be offered now: the link is up, and fewer than MaxPendingOffers
@@ -93,9 +93,10 @@
 	return returned
 }
 
-// DrainRest decides whether to start draining the connections that are left: once, when Deadline has passed or the link
-// has closed. closeLink says that offers are still pending: the link must be closed, so that those connections return.
-func (t *Transfer) DrainRest(now monotime.Micros) (drain, closeLink bool) {
+// DrainRemaining decides whether to start draining the connections that are left: once, when Deadline has passed or the
+// link has closed. closeLink says that offers are still pending: the link must be closed, so that those connections
+// return.
+func (t *Transfer) DrainRemaining(now monotime.Micros) (drain, closeLink bool) {
 	offering := t.linked && now < t.deadline
 	if t.draining || offering {
 		return false, false
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -19,10 +19,10 @@
 	UpstreamCheckInterval = 500 * monotime.Millisecond
 	// upstreamPingInterval is how long an upstream connection with channels is quiet between two pings.
 	upstreamPingInterval = 2 * monotime.Second
-	// UpstreamSilence is after how long a quiet server is given up, with all channels.
-	UpstreamSilence = 5 * monotime.Second
-	// downstreamChecks is how often a client is looked at in its idle time.
-	downstreamChecks = 4
+	// UpstreamTimeout is after how long a quiet server is given up, with all channels.
+	UpstreamTimeout = 5 * monotime.Second
+	// downstreamCheckDivisor is how often a client is looked at in its idle time.
+	downstreamCheckDivisor = 4
 	// downstreamSilenceFactor is after how many idle times a client with channels is given up.
 	downstreamSilenceFactor = 2
 )
@@ -31,7 +31,7 @@
 // kept. lastReceived is when anything last came, lastPing when the last ping went.
 func Upstream(now, lastReceived, lastPing monotime.Micros) Verdict {
 	switch {
-	case now-lastReceived >= UpstreamSilence:
+	case now-lastReceived >= UpstreamTimeout:
 		return Close
 	case now-max(lastReceived, lastPing) >= upstreamPingInterval:
 		return Ping
@@ -40,7 +40,9 @@
 }
 
 // DownstreamCheckInterval is how often a client's connection is looked at, from its idle time-out.
-func DownstreamCheckInterval(idle monotime.Micros) monotime.Micros { return idle / downstreamChecks }
+func DownstreamCheckInterval(idle monotime.Micros) monotime.Micros {
+	return idle / downstreamCheckDivisor
+}
 
 // Downstream decides about a client's connection from how long it has been quiet, its idle time-out and how many
 // channels it has. Without channels it goes after its idle time; with channels it is pinged shortly before, and given
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -97,11 +97,11 @@
 	return e.delay * shortest / objective
 }
 
-// ExcessPart decides which part of all connections at the server, of whichever balancer, is too much: what it is
+// ExcessFraction decides which part of all connections at the server, of whichever balancer, is too much: what it is
 // sent beyond what it can do, which shows in the growth of its delay, and of the rest so much that the backlog is
 // worked off within backlogDrainTime. Below 0 where the backlog shrinks quickly enough. shortest is the shortest
 // objective, in microseconds. Each balancer moves this part of its own connections.
-func (e *Estimate) ExcessPart(shortest float64) float64 {
+func (e *Estimate) ExcessFraction(shortest float64) float64 {
 	return (e.growth + e.delay*shortest/backlogDrainTime) / (1 + max(e.growth, 0))
 }
 
--- a/decision/latency/latency_test.go
+++ b/decision/latency/latency_test.go
@@ -49,7 +49,7 @@
 	steady.ObserveDelay(start+second, objective, objective, 10)
 	growing.ObserveDelay(start+second, objective*6, objective, 10) // 0.5 s more in 1 s: 1.5 times what it can do
 	shrinking.ObserveDelay(start+second, objective/2, objective, 10)
-	s, g, n := steady.ExcessPart(objective), growing.ExcessPart(objective), shrinking.ExcessPart(objective)
+	s, g, n := steady.ExcessFraction(objective), growing.ExcessFraction(objective), shrinking.ExcessFraction(objective)
 	if math.Abs(s-0.05) > 1e-9 || math.Abs(g-(0.5+0.3)/1.5) > 1e-9 || n >= 0 {
 		t.Fatalf("steady %v, growing %v, shrinking %v", s, g, n)
 	}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -47,18 +47,18 @@
 	for i := range uint64(10) {
 		g.connectWithLoad(60_000, i%3+1)
 	}
-	before := g.b.fleetSize.PresentPart()
+	before := g.b.fleetSize.PresentFraction()
 	list := twoCoreServers(3)
 	list[0].Weight = 2 / (1 + 8.) // eight connections for each of its two cores
 	g.handle(ServerListUpdate{Kind: UpdateDelta, Entries: list[:1]})
 	g.advance(tickInterval)
 	s := g.b.serversByID[1]
-	if s.Weight != 2 || g.b.fleetSize.PresentPart() != before ||
+	if s.Weight != 2 || g.b.fleetSize.PresentFraction() != before ||
 		s.load.OtherConnections+float64(s.load.OwnConnections) != 16 {
 		t.Fatalf(
 			"size %v, present %v, %v connections of others and %d own",
 			s.Weight,
-			g.b.fleetSize.PresentPart(),
+			g.b.fleetSize.PresentFraction(),
 			s.load.OtherConnections,
 			s.load.OwnConnections,
 		)
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -73,8 +73,8 @@
 // Samples is how many answered lines are held.
 func (e *Estimator) Samples() int { return len(e.samples) }
 
-// dropOld drops what is older than the window.
-func (e *Estimator) dropOld(now monotime.Micros) {
+// dropExpired drops what is older than the window.
+func (e *Estimator) dropExpired(now monotime.Micros) {
 	old, _ := slices.BinarySearchFunc(
 		e.samples,
 		now-window,
@@ -86,7 +86,7 @@
 // IsSlow reports whether the median exceeds the limit, and whether anything is known. It comes to Median's verdict
 // without sorting all samples: it is called for each server several times a second.
 func (e *Estimator) IsSlow(now, limit monotime.Micros) (slow, known bool) {
-	e.dropOld(now)
+	e.dropExpired(now)
 	over, all := 0, len(e.samples)
 	for _, s := range e.samples {
 		if s.took > limit {
@@ -106,7 +106,7 @@
 // Median is the median of what lines took within the window; false where nothing is known. An unanswered line that is
 // older than the limit counts with its age: a server that stopped answering would otherwise look as it did before.
 func (e *Estimator) Median(now, limit monotime.Micros) (monotime.Micros, bool) {
-	e.dropOld(now)
+	e.dropExpired(now)
 	var all []monotime.Micros
 	for _, s := range e.samples {
 		all = append(all, s.took)
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -75,16 +75,16 @@
 
 // Arrival is a request that has just been read.
 type Arrival struct {
-	AcceptedShort bool // its connection was accepted, or is being closed, for want of descriptors
-	ShuttingDown  bool // the process takes no new requests
-	Held          int  // requests that the proxy has, established ones and this one included
-	MaxHeld       int  // how many it may have
+	DescriptorsShort bool // its connection was accepted, or is being closed, for want of descriptors
+	ShuttingDown     bool // the process takes no new requests
+	Held             int  // requests that the proxy has, established ones and this one included
+	MaxHeld          int  // how many it may have
 }
 
 // RejectsRequest reports whether a request is rejected before the core hears of it, and why.
 func RejectsRequest(a Arrival) (cause answercause.Cause, rejected bool) {
 	switch {
-	case a.AcceptedShort:
+	case a.DescriptorsShort:
 		return answercause.DescriptorsShort, true
 	case a.ShuttingDown:
 		return answercause.ShuttingDown, true
@@ -100,7 +100,7 @@
 // The classes, first to go first.
 const (
 	Answered     EvictionClass = iota // has its final answer
-	Silent                            // has sent nothing, or one ping
+	NoRequest                         // has sent nothing, or one ping
 	HealthChecks                      // pings again and again, as a health checker does
 	EvictionClasses
 )
@@ -114,7 +114,7 @@
 	case pings > 1:
 		return HealthChecks
 	}
-	return Silent
+	return NoRequest
 }
 
 // OpenLimiter limits how fast one client may open channels, as a token bucket that holds a second's tokens.
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -52,7 +52,7 @@
 	}{
 		"as usual":          {Arrival{Held: 5, MaxHeld: 5}, false, answercause.Unknown},
 		"one too many":      {Arrival{Held: 6, MaxHeld: 5}, true, answercause.TooManyHeld},
-		"descriptors short": {Arrival{AcceptedShort: true, Held: 1, MaxHeld: 5}, true, answercause.DescriptorsShort},
+		"descriptors short": {Arrival{DescriptorsShort: true, Held: 1, MaxHeld: 5}, true, answercause.DescriptorsShort},
 		"shutting down":     {Arrival{ShuttingDown: true, Held: 1, MaxHeld: 5}, true, answercause.ShuttingDown},
 	} {
 		if cause, got := RejectsRequest(c.arrival); got != c.want || cause != c.cause {
@@ -76,8 +76,8 @@
 func TestEvictionClasses(t *testing.T) {
 	for name, c := range map[string]struct{ got, want EvictionClass }{
 		"answered":       {ClassOf(true, 5), Answered},
-		"silent":         {ClassOf(false, 0), Silent},
-		"one ping":       {ClassOf(false, 1), Silent},
+		"silent":         {ClassOf(false, 0), NoRequest},
+		"one ping":       {ClassOf(false, 1), NoRequest},
 		"health checker": {ClassOf(false, 2), HealthChecks},
 	} {
 		if c.got != c.want {
--- a/decision/polling/confirmation.go
+++ b/decision/polling/confirmation.go
@@ -5,9 +5,9 @@
 const (
 	// minConfirmationTime is the least time over which the fleet's first polls are spread where requests need them.
 	minConfirmationTime = 1 * monotime.Second
-	// confirmationPatience is how long a poll under way may keep requests waiting: discovery answers far sooner unless
+	// confirmationTimeout is how long a poll under way may keep requests waiting: discovery answers far sooner unless
 	// it is crowded or away.
-	confirmationPatience = 600 * monotime.Millisecond
+	confirmationTimeout = 600 * monotime.Millisecond
 )
 
 // confirmationTime is for how long after its start a process may place requests by the list that it started with. A
@@ -29,10 +29,10 @@
 
 // ListUsable decides whether requests may be placed by the list that is held. The list that a process started with is
 // usable for confirmationTime, then not until discovery has answered or a poll has failed; a poll in flight is waited
-// for at most confirmationPatience.
+// for at most confirmationTimeout.
 func (s *Schedule) ListUsable(now monotime.Micros) bool {
 	if s.confirmed || s.failures > 0 || now-s.startedAt < s.confirmationTime() {
 		return true
 	}
-	return s.pollInFlight && now-s.lastPoll >= confirmationPatience
+	return s.pollInFlight && now-s.lastPoll >= confirmationTimeout
 }
--- a/decision/polling/confirmation_test.go
+++ b/decision/polling/confirmation_test.go
@@ -6,8 +6,8 @@
 	"spurspread/decision/monotime"
 )
 
-// playFirstRequest has a process get its first request after a time, and returns how long after its start it polls.
-func playFirstRequest(t *testing.T, s *Schedule, firstRequest monotime.Micros) (pollAfter monotime.Micros) {
+// simulateFirstRequest has a process get its first request after a time, and returns how long after its start it polls.
+func simulateFirstRequest(t *testing.T, s *Schedule, firstRequest monotime.Micros) (pollAfter monotime.Micros) {
 	t.Helper()
 	for now := monotime.Micros(start); now < start+60*second; now += maxCheckInterval {
 		if requestNow := max(now, start+firstRequest); requestNow < now+maxCheckInterval {
@@ -31,7 +31,7 @@
 			for _, first := range []monotime.Micros{0, second, 5 * second} {
 				s := startedSchedule(rank, n)
 				most := max(s.Grace-latenessMargin, first)
-				if after := playFirstRequest(t, s, first); after > most {
+				if after := simulateFirstRequest(t, s, first); after > most {
 					t.Fatalf("%d of %d, first request after %d ms: polls after %d", rank, n, first/ms, after/ms)
 				}
 			}
@@ -67,7 +67,7 @@
 		"polled":       {func(s *Schedule) { s.PollDue(late) }, false},
 		"polled long ago": {func(s *Schedule) {
 			s.RequestConfirmation(start)
-			s.PollDue(late - confirmationPatience)
+			s.PollDue(late - confirmationTimeout)
 		}, true},
 		"answered": {func(s *Schedule) { s.Answered(late) }, true},
 		"failed":   {func(s *Schedule) { s.Failed(late) }, true},
--- a/decision/polling/cycle.go
+++ b/decision/polling/cycle.go
@@ -38,7 +38,7 @@
 		return cycle
 	}
 	maxCycle := s.balancers() * cyclePerBalancer * maxCycleFactor
-	for i := 0; i < s.lateFailures && cycle < maxCycle; i++ {
+	for i := 0; i < s.overloadFailures && cycle < maxCycle; i++ {
 		cycle = max(cycle*cycleGrowth, s.SpreadTime())
 	}
 	return cycle
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -11,7 +11,7 @@
 	tick    = 250 * ms // a balancer calls PollDue so often, a quarter more or less
 	maxWait = second   // discovery answers 503 to a call that has waited for so long
 	// Discovery does not work any more on a call that has waited for longer; until then a rejected call is work, too.
-	lostWork = 3 * second
+	abandonTimeout = 3 * second
 )
 
 // discoveryService serves one call after another, and rejects a call after maxWait.
@@ -23,7 +23,7 @@
 // call returns when the answer arrives, and whether it is the list.
 func (s *discoveryService) call(now monotime.Micros) (at monotime.Micros, listed bool) {
 	begin := max(now, s.freeAt)
-	if begin-now < lostWork {
+	if begin-now < abandonTimeout {
 		s.freeAt = begin + s.callTime
 	}
 	if done := begin + s.callTime; done-now <= maxWait {
@@ -46,7 +46,7 @@
 	checksAt  monotime.Micros // when it calls PollDue next
 	answerAt  monotime.Micros // when the call in flight ends; 0: there is none
 	listed    bool            // that call ends with the list
-	informed  bool            // it has the list again
+	hasList   bool            // it has the list again
 }
 
 // result is what a fleet does from an outage's end on.
@@ -70,8 +70,8 @@
 	grace    monotime.Micros
 }
 
-// play has all of a fleet lose their watches at once, and plays until all have the list again, or for a limit.
-func (f fleet) play(o outage, limit monotime.Micros, seed uint64) result {
+// simulate has all of a fleet lose their watches at once, and runs until all have the list again, or for a limit.
+func (f fleet) simulate(o outage, limit monotime.Micros, seed uint64) result {
 	begin := monotime.Micros(start)
 	run := &outageRun{
 		outage:  o,
@@ -95,7 +95,7 @@
 	return run.result
 }
 
-// outageRun is one play of a fleet's outage.
+// outageRun is one simulation of a fleet's outage.
 type outageRun struct {
 	outage  outage
 	end     monotime.Micros
@@ -137,13 +137,13 @@
 		gotList = b.listed
 		if gotList {
 			b.Answered(now)
-			b.informed = true
+			b.hasList = true
 			run.result.last = now - run.end
 		} else {
 			b.Failed(now)
 		}
 	}
-	if b.informed || now < b.checksAt {
+	if b.hasList || now < b.checksAt {
 		return gotList
 	}
 	b.checksAt = now + tick*3/4 + run.jitter(tick/2)
@@ -175,11 +175,11 @@
 		for _, grace := range graces() {
 			for _, o := range []outage{{8 * second, false}, {8 * second, true}, {100 * second, true}} {
 				f := fleet{n, min(2500*ms/monotime.Micros(n), 200*ms), grace}
-				r := f.play(o, 60*second, uint64(n))
-				t.Logf("%d balancers, grace %d ms, %+v: the last is informed after %d ms, at most %d calls a second",
+				r := f.simulate(o, 60*second, uint64(n))
+				t.Logf("%d balancers, grace %d ms, %+v: the last has the list after %d ms, at most %d calls a second",
 					n, grace/ms, o, r.last/ms, r.largest())
 				if most := listDeadline + grace - latenessMargin; r.last < 0 || r.last > most {
-					t.Errorf("%d balancers, grace %d ms, %+v: informed after %d ms, not within %d",
+					t.Errorf("%d balancers, grace %d ms, %+v: has the list after %d ms, not within %d",
 						n, grace/ms, o, r.last/ms, most/ms)
 				}
 			}
@@ -192,31 +192,31 @@
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
 			f := fleet{n, min(1500*ms/monotime.Micros(n), 200*ms), grace}
-			r := f.play(outage{}, 60*second, uint64(n))
-			t.Logf("%d balancers, grace %d ms: the last is informed after %d ms, at most %d calls a second",
+			r := f.simulate(outage{}, 60*second, uint64(n))
+			t.Logf("%d balancers, grace %d ms: the last has the list after %d ms, at most %d calls a second",
 				n, grace/ms, r.last/ms, r.largest())
 			if most := listDeadline + grace; r.last < 0 || r.last > most {
-				t.Errorf("%d balancers, grace %d ms: informed after %d ms, not within %d",
+				t.Errorf("%d balancers, grace %d ms: has the list after %d ms, not within %d",
 					n, grace/ms, r.last/ms, most/ms)
 			}
 		}
 	}
 }
 
-// Where discovery can't answer all in time, the fleet spreads its calls further, so that all are informed in the end:
+// Where discovery can't answer all in time, the fleet spreads its calls further, so that all have the list in the end:
 // within a small multiple of what the answers take one after another.
 func TestLargeFleetBacksOff(t *testing.T) {
 	for _, c := range []struct{ n, rate int }{{30, 3}, {80, 5}, {300, 10}, {300, 35}, {1500, 100}, {1500, 300}} {
 		for _, grace := range graces() {
 			f := fleet{c.n, second / monotime.Micros(c.rate), grace}
 			shortest := f.callTime * monotime.Micros(c.n)
-			r := f.play(outage{8 * second, true}, 400*second, uint64(c.n))
+			r := f.simulate(outage{8 * second, true}, 400*second, uint64(c.n))
 			t.Logf("%d balancers, %d answers a second, grace %d ms: "+
-				"the last is informed after %d ms, %d at best; calls by second %d %d %d %d %d %d",
+				"the last has the list after %d ms, %d at best; calls by second %d %d %d %d %d %d",
 				c.n, c.rate, grace/ms, r.last/ms, shortest/ms,
 				r.calls[0], r.calls[1], r.calls[2], r.calls[3], r.calls[4], r.calls[5])
 			if r.last < 0 || r.last > 8*shortest {
-				t.Errorf("%d balancers, %d answers a second: informed after %d ms, %d at best",
+				t.Errorf("%d balancers, %d answers a second: has the list after %d ms, %d at best",
 					c.n, c.rate, r.last/ms, shortest/ms)
 			}
 		}
--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -41,11 +41,11 @@
 	// times.
 	minBackoff          = 500 * monotime.Millisecond
 	maxBackoffDoublings = 2
-	// backoffPatience is for how long failures must follow each other before a cycle grows beyond what leaves time for
-	// an answer, and firstAnswerPatience the same for a process that discovery has never answered: many may start at
-	// once.
-	backoffPatience     = 10 * monotime.Second
-	firstAnswerPatience = 4 * monotime.Second
+	// overloadAssumedAfter is for how long failures must follow each other before a cycle grows beyond what leaves time
+	// for an answer, and firstOverloadAssumedAfter the same for a process that discovery has never answered: many may
+	// start at once.
+	overloadAssumedAfter      = 10 * monotime.Second
+	firstOverloadAssumedAfter = 4 * monotime.Second
 	// maxCycleFactor bounds a cycle that has grown, as a multiple of cyclePerBalancer for each balancer.
 	maxCycleFactor = 4
 	// cycleGrowth is the factor by which a cycle grows with each late failure.
@@ -71,16 +71,16 @@
 	confirmed             bool // discovery has answered since the start
 	confirmationRequested bool // a request needs the first answer
 
-	watching       bool            // discovery has answered, and the watch has not failed since
-	pollInFlight   bool            // a poll has neither been answered nor failed
-	refreshPending bool            // poll at nextPoll although watching
-	nextPoll       monotime.Micros // when to poll next, unless watching
-	lastPoll       monotime.Micros
-	lastAnswer     monotime.Micros
-	fastestAnswer  monotime.Micros // the shortest time that an answer took; 0: there was none
-	failures       int             // in a row
-	lateFailures   int             // those of them that came after patience had ended
-	failingSince   monotime.Micros // the first of them
+	watching         bool            // discovery has answered, and the watch has not failed since
+	pollInFlight     bool            // a poll has neither been answered nor failed
+	refreshPending   bool            // poll at nextPoll although watching
+	nextPoll         monotime.Micros // when to poll next, unless watching
+	lastPoll         monotime.Micros
+	lastAnswer       monotime.Micros
+	fastestAnswer    monotime.Micros // the shortest time that an answer took; 0: there was none
+	failures         int             // in a row
+	overloadFailures int             // those of them that came after patience had ended
+	failingSince     monotime.Micros // the first of them
 }
 
 // Start schedules the first poll, in this balancer's turn.
@@ -114,7 +114,7 @@
 	s.confirmed = true
 	s.watching = true
 	s.failures = 0
-	s.lateFailures = 0
+	s.overloadFailures = 0
 	s.lastAnswer = now
 }
 
@@ -134,8 +134,8 @@
 	if s.failures == 0 {
 		s.failingSince = now
 	}
-	if s.patienceEnded(now) {
-		s.lateFailures++
+	if s.discoveryMayBeOverloaded(now) {
+		s.overloadFailures++
 	}
 	s.pollInFlight = false
 	s.watching = false
@@ -144,11 +144,11 @@
 	s.failures++
 }
 
-// patienceEnded decides whether failures have lasted so long that discovery may have too many callers.
-func (s *Schedule) patienceEnded(now monotime.Micros) bool {
+// discoveryMayBeOverloaded decides whether failures have lasted so long that discovery may have too many callers.
+func (s *Schedule) discoveryMayBeOverloaded(now monotime.Micros) bool {
 	failingFor := now - s.failingSince
 	neverAnswered := s.fastestAnswer == 0
-	return failingFor >= backoffPatience || neverAnswered && failingFor >= firstAnswerPatience
+	return failingFor >= overloadAssumedAfter || neverAnswered && failingFor >= firstOverloadAssumedAfter
 }
 
 // RefreshAllowed decides whether a further poll on a live watch is allowed: none is in flight or pending, and
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -28,8 +28,8 @@
 func (b *Balancer) moveFromLateServer(now Micros, s *server) {
 	spare := b.spareConnections(now)
 	objective := float64(b.shortestMessageObjective())
-	present := b.fleetSize.PresentPart()
-	part := min(s.latency.ExcessPart(objective), maxMovedShare*present*present)
+	present := b.fleetSize.PresentFraction()
+	part := min(s.latency.ExcessFraction(objective), maxMovedShare*present*present)
 	if b.loadsReported() {
 		if spare >= 1 {
 			b.moveLoad(now, s, part*s.load.OwnLoad)
@@ -137,7 +137,7 @@
 		return
 	}
 	if !ev.SameServerAllowed {
-		b.fleetSize.ExpectReturn()
+		b.fleetSize.ExpectReconnect()
 	}
 	b.moveConnection(now, r, ev.SameServerAllowed)
 }
--- a/decision/requestids/requestids_test.go
+++ b/decision/requestids/requestids_test.go
@@ -15,7 +15,7 @@
 		var finished []uint64
 		next := uint64(0)
 		lifetime := rapid.Uint64Range(1, 5).Draw(t, "lifetime")
-		for range rapid.IntRange(1, 3*Remembered).Draw(t, "steps") {
+		for range rapid.IntRange(1, 3*MaxFinished).Draw(t, "steps") {
 			if id := next - lifetime; next >= lifetime {
 				delete(active, id)
 				s.Finish(id)
@@ -27,7 +27,7 @@
 			active[next] = true
 			next++
 		}
-		known := finished[max(0, len(finished)-Remembered):]
+		known := finished[max(0, len(finished)-MaxFinished):]
 		for id := range next {
 			want := active[id] || slices.Contains(known, id)
 			if s.Known(id) != want {
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -150,7 +150,7 @@
 		r.pinnedTo = b.pinnedServer(ev.PinnedServer)
 	}
 	if ev.Reconnected {
-		r.admissionCost = b.fleetSize.TakeReturn()
+		r.admissionCost = b.fleetSize.ChargeReconnect()
 	}
 	b.estimateLoad(r, ev)
 	b.requests[ev.ID] = r
@@ -217,7 +217,7 @@
 		return
 	}
 	if r.state == requestEstablished && ev.Status != outcome.OK {
-		b.fleetSize.ExpectReturn()
+		b.fleetSize.ExpectReconnect()
 	}
 	s := r.detach()
 	needsConfirmation := errorNeedsConfirmation(r, ev.Status)
--- a/decision/resume/registry.go
+++ b/decision/resume/registry.go
@@ -27,7 +27,7 @@
 	if grant.Server != r.serverID {
 		return WrongServer
 	}
-	if !r.namesThisRun(now, grant) {
+	if !r.isForThisRun(now, grant) {
 		return ServerGone
 	}
 	if grant.ExpiresAt-grant.IssuedAt > MaxLifetime {
@@ -45,9 +45,9 @@
 	return r.claims.claim(now, grant)
 }
 
-// namesThisRun decides whether a grant is for the present run of this server: it has its start time, or none while the
+// isForThisRun decides whether a grant is for the present run of this server: it has its start time, or none while the
 // server has run for minAgeForZeroStart, longer than any token is valid.
-func (r *Registry) namesThisRun(now UnixMillis, grant *Grant) bool {
+func (r *Registry) isForThisRun(now UnixMillis, grant *Grant) bool {
 	if grant.ServerStartedAt == r.startedAt {
 		return true
 	}
--- a/decision/resume/validator.go
+++ b/decision/resume/validator.go
@@ -39,7 +39,7 @@
 // server is ready and has not restarted since, and no other attempt has used the token. The verdict is counted.
 func (v *Validator) Claim(now UnixMillis, grant *Grant, request *StreamRequest, server ListedServer) Reason {
 	verdict := grant.checkRequest(now, v.skew, request)
-	if verdict == Accepted && !server.isRunOf(grant) {
+	if verdict == Accepted && !server.isCurrentRunOf(grant) {
 		verdict = ServerGone
 	}
 	if verdict == Accepted {
@@ -49,8 +49,8 @@
 	return verdict
 }
 
-// isRunOf reports whether a server is ready, in the run that a grant names.
-func (s ListedServer) isRunOf(grant *Grant) bool {
+// isCurrentRunOf reports whether a server is ready, in the run that a grant names.
+func (s ListedServer) isCurrentRunOf(grant *Grant) bool {
 	return s.Ready && s.StartedAt == grant.ServerStartedAt
 }
 
--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -109,11 +109,11 @@
 	if !history.mayHaveExecuted || p.Idempotency != IdempotentWithKey {
 		return true
 	}
-	return p.sharesKeys(history.location, server)
+	return p.sameDedupScope(history.location, server)
 }
 
-// sharesKeys reports whether servers at both locations discard each other's duplicates.
-func (p Policy) sharesKeys(a, b Location) bool {
+// sameDedupScope reports whether servers at both locations discard each other's duplicates.
+func (p Policy) sameDedupScope(a, b Location) bool {
 	switch p.DedupScope {
 	case ScopeAll:
 		return true
--- a/decision/serverload/model.go
+++ b/decision/serverload/model.go
@@ -5,13 +5,13 @@
 	// load. No setting states it.
 	GroupCost = 3.0
 
-	// meanLoadMemory is how many connections the mean load follows.
-	meanLoadMemory = 300
+	// meanLoadWindow is how many connections the mean load follows.
+	meanLoadWindow = 300
 	// meanLoadPrior is how many connections without load the mean starts with: one heavy connection says little about
 	// the others.
 	meanLoadPrior = 5
-	// enoughLoads is how many loads must be known for hints to add nothing.
-	enoughLoads = 100
+	// hintCutoff is how many loads must be known for hints to add nothing.
+	hintCutoff = 100
 )
 
 // LoadModel is what all servers have in common.
@@ -24,18 +24,18 @@
 
 	sizeByKind map[uint16]float64 // the largest weight that any server of a kind was listed with
 	meanLoad   float64            // of a connection, in cores
-	observed   float64            // connections that meanLoad follows, at most meanLoadMemory
+	observed   float64            // connections that meanLoad follows, at most meanLoadWindow
 }
 
 // Observe takes the load of one connection, in cores.
 func (m *LoadModel) Observe(load float64) {
-	m.observed = min(m.observed+1, meanLoadMemory)
+	m.observed = min(m.observed+1, meanLoadWindow)
 	m.meanLoad += (load - m.meanLoad) / (m.observed + meanLoadPrior)
 }
 
-// ObserveHint takes an estimate of a connection's load, in cores. It counts until enoughLoads are known.
+// ObserveHint takes an estimate of a connection's load, in cores. It counts until hintCutoff are known.
 func (m *LoadModel) ObserveHint(load float64) {
-	if m.observed < enoughLoads {
+	if m.observed < hintCutoff {
 		m.Observe(load)
 	}
 }
--- a/decision/serverload/reports.go
+++ b/decision/serverload/reports.go
@@ -3,8 +3,8 @@
 import "spurspread/decision/monotime"
 
 const (
-	// reportCostPart is the part of the value of requests that load reports may cost.
-	reportCostPart = 0.012
+	// reportCostFraction is the part of the value of requests that load reports may cost.
+	reportCostFraction = 0.012
 	// maxReportCredits is how many reports can be saved up.
 	maxReportCredits = 40.0
 	// minReportInterval is the time between two reports of one server.
@@ -19,7 +19,7 @@
 // less, which is not stated, nothing is earned.
 func (b *ReportBudget) Earn(cost float64) {
 	if cost > 0 {
-		b.credits += reportCostPart / cost
+		b.credits += reportCostFraction / cost
 	}
 	b.credits = min(b.credits, maxReportCredits)
 }
--- a/decision/serverload/selection.go
+++ b/decision/serverload/selection.go
@@ -24,8 +24,8 @@
 	// maxUtilizationLimit is the same for the class with the highest priority: between the two, connections of
 	// that class are admitted while others are rejected.
 	maxUtilizationLimit = 0.8
-	// maxAddedPart is the part of its limit that one connection counts at most.
-	maxAddedPart = 0.5
+	// maxAddedFraction is the part of its limit that one connection counts at most.
+	maxAddedFraction = 0.5
 )
 
 // addedUtilization returns what one more connection of this load, in cores, adds to the utilization. It pays for its
@@ -40,13 +40,13 @@
 
 // HasCapacityFor decides whether the server can take one more connection of this load, in cores. priority is the
 // priority weight of the connection's class over that of the highest class, 0 to 1: the limit on utilization lies
-// between minUtilizationLimit and maxUtilizationLimit by it. A connection counts at most maxAddedPart of the limit,
+// between minUtilizationLimit and maxUtilizationLimit by it. A connection counts at most maxAddedFraction of the limit,
 // so that a server below half of it takes any: one that would fill a server by itself finds no better place by
 // being rejected.
 func (g *Gauge) HasCapacityFor(model *LoadModel, warmUp, load float64, hasGroup bool, priority float64) bool {
 	limit := minUtilizationLimit + (maxUtilizationLimit-minUtilizationLimit)*priority
 	added := g.addedUtilization(model, warmUp, load, hasGroup)
-	return g.Utilization(model, warmUp)+min(added, limit*maxAddedPart) <= limit
+	return g.Utilization(model, warmUp)+min(added, limit*maxAddedFraction) <= limit
 }
 
 // SelectionWeight decides how likely the server is chosen for a connection of this load, in cores, relative to others.
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -200,7 +200,7 @@
 				sums[balancers]++
 			}
 		}
-		want := requests * reportCostPart / cost
+		want := requests * reportCostFraction / cost
 		if math.Abs(float64(sums[balancers])-want) > 0.1*want+float64(balancers) {
 			t.Errorf("%d reports requested by %d balancers, want about %.0f", sums[balancers], balancers, want)
 		}
--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -39,8 +39,8 @@
 	rank             func(int) (rank, counted int) // as a balancer sees the fleet; nil: as it is
 }
 
-// play returns what the server got in each step of its warm-up: by grants, and by random budgets.
-func (w reconnectWave) play(seed uint64) (byGrants, byChance []float64) {
+// simulate returns what the server got in each step of its warm-up: by grants, and by random budgets.
+func (w reconnectWave) simulate(seed uint64) (byGrants, byChance []float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	server := rng.Uint64()
 	budgets, randomBudgets := make([]Budget, w.balancers), make([]randomBudget, w.balancers)
@@ -130,14 +130,14 @@
 			"twelve zones":       {zones: 12, hasRequest: always, work: meanWork, perGrant: 1},
 			"some have requests": {zones: 3, hasRequest: twiceASecond, work: meanWork, perGrant: 1},
 			"ranks disagree": {
-				zones: 3, hasRequest: always, work: meanWork, perGrant: 1, rank: disagreeing(balancers),
+				zones: 3, hasRequest: always, work: meanWork, perGrant: 1, rank: disagreeingRanks(balancers),
 			},
 			unevenCase: {zones: 3, hasRequest: always, work: unevenWork, perGrant: 1.31},
 		} {
 			w.balancers, w.allowed = balancers, 6
 			var grants, random windowStats
 			for seed := range uint64(seeds) {
-				byGrants, byChance := w.play(seed)
+				byGrants, byChance := w.simulate(seed)
 				grants.add(w.windowStats(byGrants))
 				random.add(w.windowStats(byChance))
 			}
@@ -170,8 +170,8 @@
 	s.largest = max(s.largest, wave.largest)
 }
 
-// disagreeing has one in ten balancers count a tenth fewer, as while a membership settles.
-func disagreeing(balancers int) func(int) (int, int) {
+// disagreeingRanks has one in ten balancers count a tenth fewer, as while a membership settles.
+func disagreeingRanks(balancers int) func(int) (int, int) {
 	return func(i int) (int, int) {
 		if i%10 == 0 {
 			return i, balancers * 9 / 10
@@ -192,7 +192,7 @@
 		return sum
 	}
 	even, uneven := float64(granted(false)), float64(granted(true))
-	if part := uneven / even; part < unevenLoadPart-0.02 || part > unevenLoadPart+0.02 {
-		t.Fatalf("%.0f grants of %.0f where loads differ: %.3f, not %v", uneven, even, part, unevenLoadPart)
+	if part := uneven / even; part < unevenLoadFraction-0.02 || part > unevenLoadFraction+0.02 {
+		t.Fatalf("%.0f grants of %.0f where loads differ: %.3f, not %v", uneven, even, part, unevenLoadFraction)
 	}
 }
--- a/decision/slowstart/grants.go
+++ b/decision/slowstart/grants.go
@@ -19,14 +19,14 @@
 	// maxGrantsPerSlot bounds the grants of one slot, over the whole fleet.
 	maxGrantsPerSlot = 4096
 
-	// sameZonePart is the part of a warming server's budget that balancers in its zone use.
-	sameZonePart = 0.6
-	// crossZonePart is what a balancer of another zone uses, as a part of what one in the server's zone does:
+	// sameZoneFraction is the part of a warming server's budget that balancers in its zone use.
+	sameZoneFraction = 0.6
+	// crossZoneFraction is what a balancer of another zone uses, as a part of what one in the server's zone does:
 	// crossing zones costs.
-	crossZonePart = 1 / 3.
-	// unevenLoadPart is the part of the budget that is granted where the loads of connections differ, so that the few
-	// heavy ones still fit: a grant is for the mean load.
-	unevenLoadPart = 0.63
+	crossZoneFraction = 1 / 3.
+	// unevenLoadFraction is the part of the budget that is granted where the loads of connections differ, so that the
+	// few heavy ones still fit: a grant is for the mean load.
+	unevenLoadFraction = 0.63
 )
 
 // The sequences by which grants are dealt.
@@ -112,7 +112,7 @@
 // grantsInSlot decides how many of a slot's grants are this balancer's. quota is how many grants all balancers together
 // have in a slot, at most maxGrantsPerSlot: its whole part is granted in each slot, its fraction as one more grant in
 // that fraction of the slots. The owner of each grant is drawn by a sequence that depends on server and slot only, so
-// all balancers agree on it; a balancer in another zone keeps only crossZonePart of what it is dealt.
+// all balancers agree on it; a balancer in another zone keeps only crossZoneFraction of what it is dealt.
 func (f Fleet) grantsInSlot(slot int64, quota float64) (own int) {
 	balancers := uint64(max(f.Balancers, 1))
 	rank := uint64(max(f.Rank, 0)) % balancers
@@ -130,24 +130,24 @@
 // totalGrants returns how many grants all balancers together are dealt in a slot.
 func (f Fleet) totalGrants(slot int64, quota float64) int {
 	carry := float64((f.ServerID+uint64(slot)*goldenRatioStep)>>droppedBits) / mantissaRange
-	return int(math.Floor(min(quota*f.grantedPart(), maxGrantsPerSlot) + carry))
+	return int(math.Floor(min(quota*f.grantedFraction(), maxGrantsPerSlot) + carry))
 }
 
-// keepsGrant decides whether this balancer uses a grant that it is dealt: each in the server's zone, else crossZonePart
-// of them.
+// keepsGrant decides whether this balancer uses a grant that it is dealt: each in the server's zone, else
+// crossZoneFraction of them.
 func (f Fleet) keepsGrant(term uint64) bool {
-	return f.SameZone || float64(f.ServerID+term*crossZoneStep) < crossZonePart*circle
+	return f.SameZone || float64(f.ServerID+term*crossZoneStep) < crossZoneFraction*circle
 }
 
-// grantedPart is the factor between the grants that are dealt and the budget. Balancers of other zones keep
-// crossZonePart of theirs, so more are dealt, such that all together keep the budget where each zone has as many
-// balancers; but never so many that those of the server's zone use more than sameZonePart.
-func (f Fleet) grantedPart() float64 {
+// grantedFraction is the factor between the grants that are dealt and the budget. Balancers of other zones keep
+// crossZoneFraction of theirs, so more are dealt, such that all together keep the budget where each zone has as many
+// balancers; but never so many that those of the server's zone use more than sameZoneFraction.
+func (f Fleet) grantedFraction() float64 {
 	zones := float64(min(max(f.Zones, 1), max(f.Balancers, 1)))
-	kept := (1 + (zones-1)*crossZonePart) / zones
-	part := min(sameZonePart*zones, 1/kept)
+	kept := (1 + (zones-1)*crossZoneFraction) / zones
+	part := min(sameZoneFraction*zones, 1/kept)
 	if f.UnevenLoads {
-		part *= unevenLoadPart
+		part *= unevenLoadFraction
 	}
 	return part
 }
--- a/decision/slowstart/slowstart_test.go
+++ b/decision/slowstart/slowstart_test.go
@@ -10,7 +10,7 @@
 // was sent too much is repaid from the next ones.
 func TestGrantAvailable(t *testing.T) {
 	single := Fleet{Balancers: 1, Zones: 1, SameZone: true}
-	const quota = SlotsPerWindow / sameZonePart // one grant a slot
+	const quota = SlotsPerWindow / sameZoneFraction // one grant a slot
 	var b Budget
 	for slot := range int64(40) {
 		if !b.GrantAvailable(slot, quota, single) || b.GrantsLeft > grantLifetime {
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -12,8 +12,8 @@
 	// FirstLine is how long a client may take to send its first line whole. The protocol gives it an answer or an end
 	// within 3 s of connecting.
 	FirstLine = 2 * monotime.Second
-	// PingGap is how long a health checker's connection may stay without a further ping.
-	PingGap = 60 * monotime.Second
+	// HealthCheckIdleTimeout is how long a health checker's connection may stay without a further ping.
+	HealthCheckIdleTimeout = 60 * monotime.Second
 	// Linger is how long a client may take to read its final answer and close before the connection is closed on it.
 	Linger = 800 * monotime.Millisecond
 	// MaxReattach is the longest that a client waits for the server that it names to be listed and to answer.
@@ -24,9 +24,10 @@
 const (
 	// HalfClose is how long a server may take to end a connection whose client has ended its side.
 	HalfClose = 5 * monotime.Second
-	// Silence is after how long without a reply an established connection with unanswered lines is given up. With
-	// the time that a line under way may take and the interval between two looks it stays within the protocol's 7 s.
-	Silence = 5500 * monotime.Millisecond
+	// UnresponsiveTimeout is after how long without a reply an established connection with unanswered lines is given
+	// up. With the time that a line under way may take and the interval between two looks it stays within the
+	// protocol's 7 s.
+	UnresponsiveTimeout = 5500 * monotime.Millisecond
 	// minReattachAttempt is the least that such an attempt may take.
 	minReattachAttempt = 1 * monotime.Millisecond
 	// minReattachRetry and maxReattachRetry bound the pause before a further attempt at a server that the client names,
@@ -35,9 +36,9 @@
 	maxReattachRetry = 4 * monotime.Second
 	// ProbeReply is how long a server may take to answer a probe beyond the time that a connection may take.
 	ProbeReply = 150 * monotime.Millisecond
-	// Rewatch is the pause before a failed watch of pushed server lists is started again. A pushed change has to be
-	// applied within some seconds, received or not.
-	Rewatch = 500 * monotime.Millisecond
+	// WatchRestartDelay is the pause before a failed watch of pushed server lists is started again. A pushed change has
+	// to be applied within some seconds, received or not.
+	WatchRestartDelay = 500 * monotime.Millisecond
 )
 
 const (
@@ -93,9 +94,9 @@
 	return min(left, MuxSetup(connectTimeout))
 }
 
-// Answer is when an attempt is given up that has no answer yet: at its deadline, but a request that is not written
-// whole by writeBy (0: no such limit) is not to be executed any more.
-func Answer(deadline, writeBy monotime.Micros, written bool) monotime.Micros {
+// AnswerDeadline is when an attempt is given up that has no answer yet: at its deadline, but a request that is not
+// written whole by writeBy (0: no such limit) is not to be executed any more.
+func AnswerDeadline(deadline, writeBy monotime.Micros, written bool) monotime.Micros {
 	if !written && writeBy > 0 {
 		return min(deadline, writeBy)
 	}
@@ -110,10 +111,10 @@
 // left, at least 1 ms.
 func AnnouncedDeadline(left monotime.Micros) int64 { return int64(max(left/monotime.Millisecond, 1)) }
 
-// Silent reports whether an established connection is given up because its server sends nothing back. lastReply is
-// when the last line came from the server, oldestUnanswered when the oldest line without a reply went to it. A client
-// that paused longer than between two lines does not count its pause against the server. The core moves connections
-// away from slow servers long before; this is the protocol's limit for what it leaves established.
-func Silent(now, lastReply, oldestUnanswered monotime.Micros) bool {
-	return now-max(lastReply, oldestUnanswered-clientLineInterval) > Silence
+// Unresponsive reports whether an established connection is given up because its server sends nothing back. lastReply
+// is when the last line came from the server, oldestUnanswered when the oldest line without a reply went to it. A
+// client that paused longer than between two lines does not count its pause against the server. The core moves
+// connections away from slow servers long before; this is the protocol's limit for what it leaves established.
+func Unresponsive(now, lastReply, oldestUnanswered monotime.Micros) bool {
+	return now-max(lastReply, oldestUnanswered-clientLineInterval) > UnresponsiveTimeout
 }
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -27,9 +27,9 @@
 		"connecting with little left":      {Connect(50*ms, 100*ms), 50 * ms},
 		"multiplexed set-up":               {MuxSetup(100 * ms), 300 * ms},
 		"waiting for a multiplexed one":    {MuxAttempt(200*ms, 100*ms), 200 * ms},
-		"written request":                  {Answer(5*sec, 2*sec, true), 5 * sec},
-		"unwritten request":                {Answer(5*sec, 2*sec, false), 2 * sec},
-		"unwritten without a window":       {Answer(5*sec, 0, false), 5 * sec},
+		"written request":                  {AnswerDeadline(5*sec, 2*sec, true), 5 * sec},
+		"unwritten request":                {AnswerDeadline(5*sec, 2*sec, false), 2 * sec},
+		"unwritten without a window":       {AnswerDeadline(5*sec, 0, false), 5 * sec},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", name, c.got, c.want)
@@ -42,18 +42,18 @@
 func TestProtocolLimits(t *testing.T) {
 	for name, c := range map[string]struct{ got, want monotime.Micros }{
 		"first line":          {FirstLine, 2 * sec},
-		"health checker":      {PingGap, 60 * sec},
+		"health checker":      {HealthCheckIdleTimeout, 60 * sec},
 		"reading the answer":  {Linger, 800 * ms},
 		"reattaching":         {MaxReattach, 40 * sec},
 		"half-closed":         {HalfClose, 5 * sec},
-		"silent":              {Silence, 5500 * ms},
+		"silent":              {UnresponsiveTimeout, 5500 * ms},
 		"reattaching again":   {ReattachRetry(1, 0.5), 250 * ms},
 		"the third time":      {ReattachRetry(3, 0.5), sec},
 		"the last times":      {ReattachRetry(1000, 0.5), 4 * sec},
 		"at the soonest":      {ReattachRetry(1, 0), 187500},
 		"at the latest":       {ReattachRetry(1000, 1), 5 * sec},
 		"answer to a probe":   {ProbeReply, 150 * ms},
-		"watching lists anew": {Rewatch, 500 * ms},
+		"watching lists anew": {WatchRestartDelay, 500 * ms},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", name, c.got, c.want)
@@ -90,7 +90,7 @@
 		"reply to a line before":     {19 * sec, 10 * sec, false},
 		"pause counts until a point": {0, 16*sec + 500*ms - 1, true},
 	} {
-		if got := Silent(20*sec, c.lastReply, c.oldest); got != c.want {
+		if got := Unresponsive(20*sec, c.lastReply, c.oldest); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/decision/upstreampool/choice.go
+++ b/decision/upstreampool/choice.go
@@ -6,9 +6,9 @@
 	"spurspread/decision/monotime"
 )
 
-// openAheadPart is the part of a server's channels in use from which one more connection is opened ahead of need.
+// openAheadFraction is the part of a server's channels in use from which one more connection is opened ahead of need.
 // Opening takes a round trip or two, in which more channels arrive.
-const openAheadPart = 0.75
+const openAheadFraction = 0.75
 
 // Kind is what is decided about a channel.
 type Kind uint8
@@ -100,14 +100,14 @@
 }
 
 // OpenAhead decides whether a server should get one more connection before channels need it: it has connections, and
-// openAheadPart of their channels are in use. The Choice has Open set if so.
+// openAheadFraction of their channels are in use. The Choice has Open set if so.
 func (p *Pool) OpenAhead(now monotime.Micros, serverID uint32) Choice {
 	s := p.serverState(serverID)
 	if now < s.plainUntil || len(s.connections) == 0 {
 		return Choice{}
 	}
 	capacity := len(s.connections) * p.limits.ChannelsPerConnection
-	if float64(s.channels()) < openAheadPart*float64(capacity) {
+	if float64(s.channels()) < openAheadFraction*float64(capacity) {
 		return Choice{}
 	}
 	c, _ := p.openConnection(now, s)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -175,7 +175,7 @@
 // awaitAnswer has the attempt end if its server does not answer in time, or the request can't be written in time.
 func (a *attempt) awaitAnswer() {
 	p := a.proxy
-	until := timeouts.Answer(a.deadline, a.writeBy, a.written)
+	until := timeouts.AnswerDeadline(a.deadline, a.writeBy, a.written)
 	p.loop.Cancel(&a.timer)
 	a.timer = p.loop.After(until-p.loop.Now(), func() {
 		a.readServer() // an answer that arrived in this very turn still counts
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -198,7 +198,7 @@
 	}
 	g.inLoop(func() {
 		for _, t := range g.proxy.upstreams.conns {
-			t.lastReceived -= keepalive.UpstreamSilence
+			t.lastReceived -= keepalive.UpstreamTimeout
 			t.checkAlive()
 		}
 	})
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -201,7 +201,7 @@
 		return
 	}
 	c.firstLine = nil // it may stay for long, and holds no memory meanwhile
-	c.expireAfter(timeouts.PingGap)
+	c.expireAfter(timeouts.HealthCheckIdleTimeout)
 }
 
 // expireAfter ends the connection after a span, unless it has sent a first line by then.
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -46,13 +46,13 @@
 	client.ended(true)
 	g.client(openLine).want("ERR\r\n")
 	known := requestids.New()
-	for id := range uint64(3 * requestids.Remembered) {
+	for id := range uint64(3 * requestids.MaxFinished) {
 		if !known.Add(id) || known.Add(id) {
 			t.Fatalf("id %d", id)
 		}
 		known.Finish(id)
 	}
-	if known.Len() != requestids.Remembered || known.Add(3*requestids.Remembered-1) || !known.Add(0) {
+	if known.Len() != requestids.MaxFinished || known.Add(3*requestids.MaxFinished-1) || !known.Add(0) {
 		t.Errorf("%d ids", known.Len())
 	}
 }
@@ -167,12 +167,14 @@
 }
 
 // firstIdle is the oldest connection that has sent no request, read on the loop.
-func (g *harness) firstIdle() *downstreamConn { return g.proxy.listener.idle.oldest(overload.Silent) }
+func (g *harness) firstIdle() *downstreamConn {
+	return g.proxy.listener.idle.oldest(overload.NoRequest)
+}
 
 // waitRead waits until the proxy has one connection that has said nothing.
 func (g *harness) waitRead() {
 	g.t.Helper()
-	g.until(func() bool { return g.idle(overload.Silent) == 1 })
+	g.until(func() bool { return g.idle(overload.NoRequest) == 1 })
 }
 
 // A client that goes on sending reads its answer all the same: nothing is closed over what it sent, until its time
@@ -206,12 +208,12 @@
 func TestRequestReadOnEviction(t *testing.T) {
 	g := newHarness(t, 0, nil, nil)
 	asks, silent := g.client(""), g.client("")
-	g.until(func() bool { return g.idle(overload.Silent) == 2 })
+	g.until(func() bool { return g.idle(overload.NoRequest) == 2 })
 	g.inLoop(func() {
 		asks.say(openLine)
 		g.proxy.cfg.MaxDescriptors = 1
 		g.proxy.listener.evictIdle()
-		if n := g.idle(overload.Silent) + g.idle(overload.Answered); n != 0 {
+		if n := g.idle(overload.NoRequest) + g.idle(overload.Answered); n != 0 {
 			t.Errorf("%d connections stay", n)
 		}
 	})
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -240,5 +240,5 @@
 
 // isSilent reports whether the server sends nothing back any more.
 func (r *request) isSilent(now monotime.Micros) bool {
-	return r.state == stateEstablished && len(r.sentAt) > 0 && timeouts.Silent(now, r.lastReply, r.sentAt[0])
+	return r.state == stateEstablished && len(r.sentAt) > 0 && timeouts.Unresponsive(now, r.lastReply, r.sentAt[0])
 }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -36,7 +36,7 @@
 
 // unanswered is how many have no final answer.
 func (i *idleConns) unanswered() (n int) {
-	for class := overload.Silent; class < overload.EvictionClasses; class++ {
+	for class := overload.NoRequest; class < overload.EvictionClasses; class++ {
 		n += i.classes[class].Len()
 	}
 	return n
@@ -44,7 +44,7 @@
 
 // accepted are those without a final answer that were accepted at a time or before.
 func (i *idleConns) accepted(until monotime.Micros) (all []*downstreamConn) {
-	for class := overload.Silent; class < overload.EvictionClasses; class++ {
+	for class := overload.NoRequest; class < overload.EvictionClasses; class++ {
 		for entry := i.classes[class].Front(); entry != nil; entry = entry.Next() {
 			if c := entry.Value.(*downstreamConn); c.acceptedAt <= until {
 				all = append(all, c)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -91,10 +91,10 @@
 	p := r.proxy
 	p.stats.accepted++
 	cause, rejected := overload.RejectsRequest(overload.Arrival{
-		AcceptedShort: rejectOnly,
-		ShuttingDown:  p.drain.rejectsNew(),
-		Held:          p.requests.len(),
-		MaxHeld:       p.cfg.Settings.Decision.MaxHeldRequests,
+		DescriptorsShort: rejectOnly,
+		ShuttingDown:     p.drain.rejectsNew(),
+		Held:             p.requests.len(),
+		MaxHeld:          p.cfg.Settings.Decision.MaxHeldRequests,
 	})
 	if rejected {
 		r.rejectHere(cause)
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -103,7 +103,7 @@
 	p.log.WithFields(d.statusFields(d.client.Status())).WithError(err).Warn("discovery failed")
 	p.core.dispatch(decision.ServerListUpdate{Kind: decision.UpdateFailed})
 	if !p.cfg.Settings.Decision.PollDiscovery {
-		p.loop.After(timeouts.Rewatch, d.watchIfPushed)
+		p.loop.After(timeouts.WatchRestartDelay, d.watchIfPushed)
 	}
 }
 
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -120,7 +120,7 @@
 		"in pieces": func(g *harness) []*peer {
 			p := g.client(openLine[:20])
 			g.until(func() bool {
-				return g.idle(overload.Silent) == 1 && len(g.firstIdle().firstLine) == 20
+				return g.idle(overload.NoRequest) == 1 && len(g.firstIdle().firstLine) == 20
 			})
 			g.inLoop(g.proxy.Drain)
 			p.say(openLine[20:30])
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -180,7 +180,7 @@
 
 // moveRest moves what was not transferred, once the plan says so.
 func (t *transferSender) moveRest() {
-	move, offersPending := t.plan.DrainRest(t.proxy.loop.Now())
+	move, offersPending := t.plan.DrainRemaining(t.proxy.loop.Now())
 	if !move {
 		return
 	}
