--- a/decision/answercause/answercause.go
+++ b/decision/answercause/answercause.go
@@ -1,48 +1,48 @@
-// Package answercause names why a balancer itself gave a request its final answer, in place of a server. Operators read
-// the names in the statistics. It decides nothing and has no state.
+// Package answercause names the causes for which a balancer itself, in place of a server, gives a request its final
+// answer. Operators read the names in the statistics. It decides nothing and has no state.
 package answercause
 
-// Cause is why a request got its final answer from the balancer.
+// Cause is the reason for which a request got its final answer from the balancer.
 type Cause uint8
 
-// What no server could take in the request's time. The request was held until then.
+// The request was held until its time was up, and no server could take it.
 const (
-	Unknown         Cause = iota // a caller that names none
-	NoReadyServer                // no listed server was Ready that the class's retry policy allowed
-	NoCapacity                   // servers were Ready, and all were at their limits, paused or warming up
+	Unknown         Cause = iota // the caller named no cause
+	NoReadyServer                // no listed server was Ready and allowed by the class's retry policy
+	NoCapacity                   // all Ready servers were at their limits, paused or warming up
 	SetupLimit                   // the concurrency limit of set-ups was reached
 	ListUnconfirmed              // discovery had not answered since the start
 )
 
-// Why no further attempt was started.
+// No further attempt was started.
 const (
-	Shed              Cause = iota + ListUnconfirmed + 1 // recent set-ups failed: a part of new ones is shed
-	AttemptTimedOut                                      // its time was up with an attempt under way, or just after one
+	Shed              Cause = iota + ListUnconfirmed + 1 // recent set-ups failed, so a part of the new ones is shed
+	AttemptTimedOut                                      // its time was up during an attempt, or just after one
 	AttemptsUsed                                         // Settings.MaxAttempts were made
-	RetryForbidden                                       // it may have been executed, and its class allows no repeat
+	RetryForbidden                                       // it may have been executed, and its class forbids a retry
 	RetryBudget                                          // the retry budget was used up
-	FailuresShared                                       // all servers fail alike: a retry would only add load
-	PinnedUnavailable                                    // the one server that may serve it could not
-	ErrorConfirmed                                       // two servers answered an error
+	FailuresShared                                       // all servers fail alike, so a retry would only add load
+	PinnedUnavailable                                    // the only server that may serve it was unavailable
+	ErrorConfirmed                                       // two servers answered with an error
 )
 
-// Why the balancer did not place it at all.
+// The balancer did not place the request at all.
 const (
 	DescriptorsShort Cause = iota + ErrorConfirmed + 1 // the process is near its limit of descriptors
 	ShuttingDown                                       // the process drains
 	TooManyHeld                                        // limits.held requests are held already
 	SlotsUsed                                          // no slot for a request is free
-	Malformed                                          // the first line can't be read, or came in no time
+	Malformed                                          // the first line can't be parsed, or did not come in time
 	UnknownClass                                       // the settings have no such class
-	DuplicateID                                        // a request of this id was seen
-	ClientTooEarly                                     // the client sent more before its answer
-	ReattachFailed                                     // the server that it names was not listed in time, or refused
-	ChannelLimit                                       // its connection opens more channels than allowed
-	Overdue                                            // no decision was made in time: a defect
+	DuplicateID                                        // a request with this id was seen before
+	ClientTooEarly                                     // the client sent more data before it was answered
+	ReattachFailed                                     // the server that it names was not listed in time or rejected it
+	ChannelLimit                                       // its connection opened more channels than allowed
+	Overdue                                            // no decision was made in time; this is a defect
 	causeCount
 )
 
-// Count is the number of causes: each is less.
+// Count is the number of causes. All causes are less than it.
 const Count = int(causeCount)
 
 var names = [Count]string{
@@ -72,12 +72,12 @@
 	Overdue:           "overdue",
 }
 
-// ClientFault reports whether the client did not keep to the protocol.
+// ClientFault reports whether the cause is a violation of the protocol by the client.
 func (c Cause) ClientFault() bool {
 	return c == Malformed || c == UnknownClass || c == DuplicateID || c == ClientTooEarly
 }
 
-// String is the cause's name in the statistics.
+// String returns the cause's name in the statistics; the name of Unknown for values beyond the causes.
 func (c Cause) String() string {
 	if int(c) >= Count {
 		c = Unknown
--- a/decision/attemptoutcome/attemptoutcome.go
+++ b/decision/attemptoutcome/attemptoutcome.go
@@ -1,11 +1,12 @@
-// Package attemptoutcome decides what an attempt's end says: which outcome it has, whether it counts as evidence of the
-// server's health, and whether its connection can go on elsewhere. It has no sockets; the caller says what it saw.
+// Package attemptoutcome interprets the end of an attempt: which outcome it has, whether it counts as evidence of the
+// server's health, and whether the stream of its connection can continue on another server. It has no sockets; the
+// caller passes its observations.
 package attemptoutcome
 
 import "spurspread/decision/outcome"
 
-// OfFailedDial is the outcome of a dial that failed at once. A shortage of this machine, such as of descriptors, says
-// nothing of the server: counted as a failure, a crowd of clients would have all servers demoted.
+// OfFailedDial returns the outcome of a dial that failed at once. A local shortage, such as of descriptors, says
+// nothing about the server. Counted as a failure, it would have all servers demoted when many clients come at once.
 func OfFailedDial(localShortage bool) outcome.Status {
 	if localShortage {
 		return outcome.Inconclusive
@@ -13,12 +14,12 @@
 	return outcome.ConnectFailed
 }
 
-// IsLocalShortage reports whether an attempt or a connection ended for want of something on this machine, and so does
+// IsLocalShortage reports whether an attempt or a connection ended because of a shortage on this machine, and so does
 // not count against its server.
 func IsLocalShortage(status outcome.Status) bool { return status == outcome.Inconclusive }
 
-// OfUnanswered is the outcome of an attempt that ended with status before its server answered. A request that was not
-// written to its last byte can't have been executed, and may be retried like one that never connected.
+// OfUnanswered returns the outcome of an attempt that ended with status before its server answered. A request that was
+// not written to its last byte can't have been executed, and may be retried like one that never connected.
 func OfUnanswered(status outcome.Status, written bool) outcome.Status {
 	if !written {
 		return outcome.ConnectFailed
@@ -26,8 +27,8 @@
 	return status
 }
 
-// OfWaiting is the outcome of an attempt that still waited for a multiplexed connection when that ended with status: it
-// was never written.
+// OfWaiting returns the outcome of an attempt that was still waiting for a multiplexed connection when that ended with
+// status. The request was never written.
 func OfWaiting(status outcome.Status) outcome.Status {
 	if status == outcome.Reset {
 		return outcome.ConnectFailed
@@ -35,8 +36,8 @@
 	return status
 }
 
-// OfEstablished is the outcome of an established connection that its server ended. lastReported is what the server's
-// last lines make of the end, Reset where they say nothing of it. A server that ends a connection whose client has
+// OfEstablished returns the outcome of an established connection that its server ended. lastReported is the outcome
+// implied by the server's last lines, Reset if they imply none. A server that ends a connection after its client has
 // ended its side does so because of the client.
 func OfEstablished(lastReported outcome.Status, clientHalfClosed bool) outcome.Status {
 	if clientHalfClosed && lastReported == outcome.Reset {
@@ -45,34 +46,35 @@
 	return lastReported
 }
 
-// RetriesReattach reports whether a further attempt is made at the server that a client names, after one that ended
-// with status. Only a server that was never reached is tried again: any other may have executed the request.
+// RetriesReattach reports whether another attempt is made at the server that a client names, after one that ended with
+// status. Only a server that was never reached is tried again: any other may have executed the request.
 func RetriesReattach(status outcome.Status) bool { return status == outcome.ConnectFailed }
 
-// Stream is what is known of an established connection whose server's side ended.
+// Stream describes an established connection whose server has ended its side.
 type Stream struct {
-	Numbered       bool           // its server numbers the messages, so that another can continue after the last
-	AtLineBoundary bool           // the client has whole lines only
+	Numbered       bool           // the server numbers the messages, so that another can continue after the last one
+	AtLineBoundary bool           // the client has received whole lines only
 	LastReported   outcome.Status // as for OfEstablished
 }
 
-// ContinuesOnAnotherServer reports whether a client is sent on to another server with a token rather than told of the
-// end: its stream can be continued, and is not finished.
+// ContinuesOnAnotherServer reports whether a client is moved to another server with a token, rather than told that its
+// connection ended: its stream can be continued, and is not finished.
 func ContinuesOnAnotherServer(s Stream) bool {
 	return s.Numbered && s.LastReported != outcome.OK && s.AtLineBoundary
 }
 
-// ContinuesAfterCursor reports whether a server that accepts a request with a token continues the stream where the
-// client left it. numbered tells whether it numbers the messages, from is the message that it continues after, cursor
-// the last one that the client has. If not, the client would miss messages or have some twice.
+// ContinuesAfterCursor reports whether a server that accepts a request with a token continues the stream at the
+// client's position. numbered says whether the server numbers the messages, from is the message after which it
+// continues, and cursor is the last message that the client has. If false, the client would miss messages or receive
+// some twice.
 func ContinuesAfterCursor(numbered bool, from, cursor uint64) bool { return numbered && from == cursor }
 
-// SharedFailure tells the first of several attempts that end because one connection failed from the others: the
-// failure is one piece of evidence of the server's health, however many attempts it ended.
+// SharedFailure distinguishes the first of several attempts that end because one shared connection failed from the
+// others. The failure is a single piece of evidence of the server's health, however many attempts it ended.
 type SharedFailure struct{ reported bool }
 
-// IsEvidence reports whether the end of an attempt counts as evidence. failed tells whether the shared connection has
-// failed; until it has, each attempt ends by itself.
+// IsEvidence reports whether the end of an attempt counts as evidence. failed says whether the shared connection has
+// failed; until it has, attempts end independently and each counts.
 func (f *SharedFailure) IsEvidence(failed bool) bool {
 	if !failed {
 		return true
--- a/decision/attemptoutcome/attemptoutcome_test.go
+++ b/decision/attemptoutcome/attemptoutcome_test.go
@@ -26,13 +26,13 @@
 
 func TestLocalShortage(t *testing.T) {
 	if !IsLocalShortage(OfFailedDial(true)) || IsLocalShortage(OfFailedDial(false)) {
-		t.Error("only what this machine lacks is a local shortage")
+		t.Error("only a shortage on this machine must be a local shortage")
 	}
 }
 
 func TestRetriesReattach(t *testing.T) {
 	if !RetriesReattach(outcome.ConnectFailed) || RetriesReattach(outcome.Reset) || RetriesReattach(outcome.TimedOut) {
-		t.Error("a server that was reached is tried again")
+		t.Error("only a server that was not reached must be tried again")
 	}
 }
 
@@ -43,9 +43,9 @@
 	}{
 		"numbered":    {Stream{true, true, outcome.Reset}, true},
 		"plain":       {Stream{false, true, outcome.Reset}, false},
-		"inside line": {Stream{true, false, outcome.Reset}, false},
+		"in mid-line": {Stream{true, false, outcome.Reset}, false},
 		"finished":    {Stream{true, true, outcome.OK}, false},
-		"sent away":   {Stream{true, true, outcome.Cancelled}, true},
+		"moved away":  {Stream{true, true, outcome.Cancelled}, true},
 	} {
 		if got := ContinuesOnAnotherServer(c.stream); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -1,49 +1,49 @@
-// Package concurrency limits the set-ups of connections that one balancer has in flight, to all servers together. It
-// observes how set-ups end and from that decides how many may be in flight, how likely a new one is shed,
+// Package concurrency limits the set-ups of connections that one balancer has in flight, to all servers together. From
+// the outcomes and latencies of set-ups it decides how many may be in flight, with which probability a new one is shed,
 // and whether failures have a cause that all servers share. It also estimates how long a set-up takes.
 //
-// It does not know servers, requests or clocks. The owner reports the outcome of each set-up to Record, each shed one
-// to RecordShed, and calls Decay once a tick. Latencies are microseconds, as float64.
+// It does not know servers, requests or clocks. The owner reports the outcome of each set-up with Record and each shed
+// one with RecordShed, and calls Decay once a tick. Latencies are microseconds, as float64.
 package concurrency
 
-// millisecond in the unit of latencies.
+// millisecond is a millisecond in the unit of latencies.
 const millisecond = 1000.0
 
-// The failure rate, an exponential average over the outcomes of set-ups.
+// Constants of the failure rate, an exponential average over the outcomes of set-ups.
 const (
 	// failureWeight is the weight of one outcome.
 	failureWeight = 0.1
-	// sharedFailureRate is the failure rate above which failures are taken to have a cause that all servers share.
+	// sharedFailureRate is the failure rate above which failures are assumed to have a cause that all servers share.
 	sharedFailureRate = 0.5
 )
 
-// The set-up latency, an estimate of a quantile: it rises by quantileUp with each slower set-up and falls by
-// quantileDown with each quicker one, so that it settles where about two thirds are quicker.
+// Constants of the set-up latency, an estimate of a quantile: each slower set-up multiplies it by quantileUp and each
+// quicker one divides it by quantileDown, so that it settles where about two thirds of set-ups are quicker.
 const (
 	quantileUp   = 1.6
 	quantileDown = 1.25
 	minLatency   = 1 * millisecond
 )
 
-// Load shedding, see ShedProbability.
+// Constants of load shedding; see ShedProbability.
 const (
-	// throttleRatio is how many attempts are allowed for each that is established.
+	// throttleRatio is the number of attempts allowed per established set-up.
 	throttleRatio = 2.0
-	// throttleFreeAttempts is how many attempts more all balancers together may make, within the memory that
-	// throttleDecay gives them, so that they find out when set-ups succeed again.
+	// throttleFreeAttempts is the number of additional attempts that all balancers together may make within the memory
+	// given by throttleDecay, so that they find out when set-ups succeed again.
 	throttleFreeAttempts = 160.0
-	// throttleDecay is the factor by which counts decay per tick: at four ticks a second, a memory of 10 s.
+	// throttleDecay is the factor by which the counts decay per tick: at four ticks a second, a memory of 10 s.
 	throttleDecay = 0.975
 )
 
-// The limit, in set-ups in flight: additive increase, multiplicative decrease.
+// Constants of the limit on set-ups in flight: additive increase, multiplicative decrease.
 const (
-	// slowSetupLatency is the set-up latency above which set-ups are taken to wait for a resource that all servers
-	// share. The limit decreases while latency is above, and increases while it is below.
+	// slowSetupLatency is the set-up latency above which set-ups are assumed to wait for a resource that all servers
+	// share. The limit decreases while the latency is above this value, and increases while it is below.
 	slowSetupLatency = 200 * millisecond
-	// limitDecrease is the factor for each set-up that ends while latency is above.
+	// limitDecrease is the factor applied for each set-up that ends while the latency is above.
 	limitDecrease = 0.8
-	// limitIncrease is the increment for each set-up that ends while latency is below.
+	// limitIncrease is the increment for each set-up that ends while the latency is below.
 	limitIncrease = 1.0
 
 	minLimit     = 2.0
@@ -53,7 +53,7 @@
 
 // Limiter holds the estimates and the limit. Its zero value is not usable; see NewLimiter.
 type Limiter struct {
-	// Limit is how many set-ups may be in flight, minLimit to maxLimit.
+	// Limit is the number of set-ups that may be in flight, minLimit to maxLimit.
 	Limit float64
 
 	failureRate  float64 // 0 to 1
@@ -62,21 +62,21 @@
 	established  float64 // set-ups that were established; decays
 }
 
-// NewLimiter returns the limiter of a balancer that has not seen a set-up yet.
+// NewLimiter returns the limiter of a balancer that has not made any set-up yet.
 func NewLimiter() Limiter { return Limiter{Limit: initialLimit} }
 
-// Outcome is how a set-up ended.
+// Outcome is the outcome of a set-up.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Inconclusive Outcome = iota // it implies nothing about how set-ups go, and is not counted
+	Inconclusive Outcome = iota // says nothing about whether set-ups succeed, and is not counted
 	Established
-	Failed   // by an error inside a server, which implies nothing about latency
+	Failed   // by an error inside a server, which says nothing about latency
 	TimedOut // without an answer
 )
 
-// Record takes the outcome of a set-up that took so many microseconds.
+// Record records the outcome of a set-up that took the given number of microseconds.
 func (l *Limiter) Record(outcome Outcome, took float64) {
 	switch outcome {
 	case Established:
@@ -93,10 +93,11 @@
 	}
 }
 
-// RecordShed counts a set-up that ShedProbability kept from being started: it shows the demand.
+// RecordShed counts a set-up that was shed according to ShedProbability, as it is part of the demand.
 func (l *Limiter) RecordShed() { l.attempts++ }
 
-// observeLatency moves the estimate of the quantile. A mean would take a few servers that hang for slow set-ups.
+// observeLatency moves the estimate of the quantile. A mean would let a few hanging servers look like slow set-ups in
+// general.
 func (l *Limiter) observeLatency(took float64) {
 	if took > l.setupLatency {
 		l.setupLatency *= quantileUp
@@ -106,9 +107,9 @@
 	l.setupLatency = max(l.setupLatency, minLatency)
 }
 
-// adjustLimit decides how many set-ups may be in flight, from the set-up latency. Clients that reconnect all at once
-// outrun what set-ups wait for: with all of them in flight each would time out and be retried, so that the shared
-// resource would only serve set-ups that nobody waits for any more.
+// adjustLimit adjusts the limit on set-ups in flight to the set-up latency. Clients that reconnect all at once arrive
+// faster than the shared resource that set-ups wait for can serve them. With all of them in flight, each would time out
+// and be retried, and the resource would only serve set-ups that nobody waits for any more.
 func (l *Limiter) adjustLimit() {
 	if l.setupLatency > slowSetupLatency {
 		l.Limit = max(l.Limit*limitDecrease, minLimit)
@@ -117,7 +118,7 @@
 	}
 }
 
-// Decay lets the counts of attempts and established set-ups decay by one tick, a quarter of a second.
+// Decay applies one tick, a quarter of a second, of decay to the counts of attempts and established set-ups.
 func (l *Limiter) Decay() {
 	l.attempts *= throttleDecay
 	l.established *= throttleDecay
@@ -126,18 +127,18 @@
 // SetupLatency returns the time, in microseconds, within which about two thirds of recent set-ups ended.
 func (l *Limiter) SetupLatency() float64 { return l.setupLatency }
 
-// FailuresShared decides that set-ups fail for a reason that all servers share: their failure rate is above
-// sharedFailureRate. The core demotes no server for error responses and time-outs then (failed connects and repeated
-// resets still demote), and retries no set-up, as retries would prolong the failures.
+// FailuresShared reports whether set-ups fail for a reason that all servers share: their failure rate is above
+// sharedFailureRate. While it is true the core demotes no server for error responses and time-outs (failed connects and
+// repeated resets still demote), and retries no set-up, as retries would prolong the failures.
 func (l *Limiter) FailuresShared() bool { return l.failureRate > sharedFailureRate }
 
-// Allows decides whether one more set-up may be started while so many are in flight.
+// Allows reports whether one more set-up may be started while inFlight are in flight.
 func (l *Limiter) Allows(inFlight int) bool { return float64(inFlight) < l.Limit }
 
-// ShedProbability decides how likely a set-up is rejected rather than started, 0 to 1, at a balancer that is this part
-// of the fleet (0 to 1): adaptive throttling at the client. Attempts beyond throttleRatio times those established, and
-// beyond this balancer's part of the fleet's throttleFreeAttempts, are shed. While hardly any set-up succeeds, further
-// ones would only keep the servers from recovering.
+// ShedProbability returns the probability, 0 to 1, with which a set-up is to be rejected rather than started
+// (client-side adaptive throttling). fleetShare is this balancer's part of the fleet, 0 to 1. Attempts beyond
+// throttleRatio times the established ones, plus this balancer's part of the fleet's throttleFreeAttempts, are shed.
+// While hardly any set-up succeeds, further ones would only keep the servers from recovering.
 func (l *Limiter) ShedProbability(fleetShare float64) float64 {
 	excess := l.attempts - throttleRatio*l.established - throttleFreeAttempts*fleetShare
 	return max(excess, 0) / (l.attempts + 1)
--- a/decision/concurrency/concurrency_test.go
+++ b/decision/concurrency/concurrency_test.go
@@ -18,7 +18,7 @@
 	return outcomes
 }
 
-// A cause is shared if most set-ups fail; not if a few do, or if outcomes are inconclusive.
+// Failures are shared if most set-ups fail, but not if only a few do or if outcomes are inconclusive.
 func TestFailuresShared(t *testing.T) {
 	for _, c := range []struct {
 		outcomes []Outcome
@@ -32,13 +32,13 @@
 		{append(repeat(20, Established), Failed, TimedOut), false},
 	} {
 		if l := limiterAfter(c.outcomes...); l.FailuresShared() != c.want {
-			t.Errorf("%v: shared %v", c.outcomes, !c.want)
+			t.Errorf("%v: failures shared: %v", c.outcomes, !c.want)
 		}
 	}
 }
 
-// While nothing is established, hardly more is started, and the fleet's free attempts are divided; what is established
-// opens it again.
+// While no set-up is established, almost all are shed, except for this balancer's part of the fleet's free attempts.
+// Established set-ups and time end the shedding.
 func TestShedProbability(t *testing.T) {
 	l := limiterAfter(repeat(300, Failed)...)
 	if p := l.ShedProbability(1); p < 0.4 || p >= 0.5 { // 300 attempts, 160 free
@@ -51,18 +51,18 @@
 		l.Record(Established, 20*millisecond)
 	}
 	if p := l.ShedProbability(0.01); p != 0 {
-		t.Errorf("half are established, and it still sheds with probability %v", p)
+		t.Errorf("sheds with probability %v though half of the set-ups were established", p)
 	}
 	l = limiterAfter(repeat(300, Failed)...)
 	for range 400 {
 		l.Decay()
 	}
 	if p := l.ShedProbability(0); p > 0.02 {
-		t.Errorf("sheds with probability %v long after", p)
+		t.Errorf("sheds with probability %v long after the failures", p)
 	}
 }
 
-// Slow set-ups lower the limit, timed-out ones as well; quick ones raise it, within bounds.
+// Slow set-ups, established or timed out, lower the limit, and quick ones raise it, within its bounds.
 func TestLimit(t *testing.T) {
 	for took, want := range map[float64]int{20 * millisecond: maxLimit, 900 * millisecond: minLimit} {
 		for _, o := range []Outcome{Established, TimedOut} {
--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -1,12 +1,12 @@
-// Package drainorder decides in which order and when the connections on draining servers are moved away, so that all
-// have moved in time and the moves are spread evenly.
+// Package drainorder decides in which order and when the connections on draining servers are moved, so that all are
+// moved in time and the moves are spread evenly.
 //
-// It does not know sockets, clocks or where connections go, and knows connections by their ids only. The socket side
-// starts a drain, adds connections that are established later, and moves what Due returns, at the time for which it
-// asked. Times are monotime.Micros.
+// It does not know sockets, clocks or the destinations of connections, and knows connections by their ids only. The
+// proxy starts a drain, adds connections that are established later, and moves the connections that Due returns,
+// calling it again at the time that it returns. Times are monotime.Micros.
 //
-// Invariant: each connection of a drain falls due once, within the drain's duration; a drain that is cancelled
-// yields no more. State is bounded by the connections on draining servers.
+// Invariant: each connection of a drain falls due once, within the drain's duration; a cancelled drain yields no more.
+// State is bounded by the connections on draining servers.
 package drainorder
 
 import (
@@ -17,18 +17,18 @@
 	"spurspread/decision/monotime"
 )
 
-// noneDue is what Due returns as the next time where nothing is left.
+// noneDue is the next time that Due returns if no move is left.
 const noneDue monotime.Micros = -1
 
-// seedStream is the second half of the random source's seed, which keeps its draws apart from those of others that
-// have the same first half.
+// seedStream is the second half of the random source's seed. It makes the draws differ from those of other sources with
+// the same first half.
 const seedStream = 0x65766163
 
-// Connection is a connection that is established on a draining server.
+// Connection is an established connection on a draining server.
 type Connection struct {
 	ID uint32
-	// Group is 0 for none. Members of a group are moved one after another: the server that is best for one is likely to
-	// be best for the next.
+	// Group is 0 for none. Members of a group are moved one after another, because the server that is best for one is
+	// likely to be best for the next.
 	Group uint64
 }
 
@@ -38,25 +38,27 @@
 	drains map[uint32]*drain // by server
 }
 
+// drain is the schedule of one draining server.
 type drain struct {
 	startedAt monotime.Micros
 	duration  monotime.Micros
-	queue     []move // by time
+	queue     []move // in order of due time
 }
 
+// move is the planned move of one connection.
 type move struct {
 	id  uint32
 	due monotime.Micros
 }
 
-// New returns a plan without drains. Balancers that drain one server at the same time need different seeds, so that
-// their moves interleave.
+// New returns a plan without drains. Balancers that drain the same server need different seeds, so that their moves
+// interleave.
 func New(seed uint64) *Plan {
 	return &Plan{rng: rand.New(rand.NewPCG(seed, seedStream)), drains: map[uint32]*drain{}}
 }
 
-// StartDrain decides when each connection on a server is moved: evenly spread over duration, group by group, from a
-// random phase of the first interval on. For a server that is being drained already it changes nothing.
+// StartDrain schedules the moves of the connections on a server: evenly spread over duration, group by group, beginning
+// at a random phase of the first interval. It does nothing if the server is being drained already.
 func (p *Plan) StartDrain(now monotime.Micros, server uint32, connections []Connection, duration monotime.Micros) {
 	if p.drains[server] != nil {
 		return
@@ -72,8 +74,8 @@
 	}
 }
 
-// AddConnection decides when a connection is moved that was established on a server only after its drain started: at a
-// random time of what is left of the drain, or now if that is over. It returns false if the server has no drain.
+// AddConnection schedules the move of a connection that was established on a server after its drain started: at a
+// random time in the rest of the drain, or now if the drain is over. It returns false if the server has no drain.
 func (p *Plan) AddConnection(now monotime.Micros, server, id uint32) bool {
 	d := p.drains[server]
 	if d == nil {
@@ -94,11 +96,11 @@
 	d.queue = slices.Insert(d.queue, i, m)
 }
 
-// CancelDrain ends a server's drain: it is listed as ready again, or gone with all its connections.
+// CancelDrain ends a server's drain, because the server is listed as ready again or is gone with all its connections.
 func (p *Plan) CancelDrain(server uint32) { delete(p.drains, server) }
 
-// Due appends to out the ids of the connections that are to be moved by now, and returns when the next falls due, below
-// 0 where none is left. Some of them may have ended meanwhile.
+// Due appends to out the ids of the connections that are to be moved by now, and returns when the next one falls due,
+// below 0 if none is left. Some of the connections may have ended meanwhile.
 func (p *Plan) Due(now monotime.Micros, out []uint32) (due []uint32, next monotime.Micros) {
 	next = noneDue
 	for _, server := range p.drainingServers() {
@@ -111,7 +113,7 @@
 	return out, next
 }
 
-// drainingServers returns the servers in order, so that the same events lead to the same moves.
+// drainingServers returns the servers in ascending order, so that the same events lead to the same moves.
 func (p *Plan) drainingServers() []uint32 {
 	servers := make([]uint32, 0, len(p.drains))
 	for server := range p.drains {
@@ -121,7 +123,7 @@
 	return servers
 }
 
-// takeDue removes from the queue what is due by now, and appends it to out.
+// takeDue removes the moves that are due by now from the queue, and appends their ids to out.
 func (d *drain) takeDue(now monotime.Micros, out []uint32) []uint32 {
 	n := 0
 	for n < len(d.queue) && d.queue[n].due <= now {
--- a/decision/drainorder/drainorder_test.go
+++ b/decision/drainorder/drainorder_test.go
@@ -11,7 +11,7 @@
 
 const ms = monotime.Millisecond
 
-// moves plays a plan until nothing is left, as a socket side would, and returns what fell due when.
+// moves calls Due as the proxy would until nothing is left, and returns the ids with the times at which they fell due.
 func moves(p *Plan, now monotime.Micros) (ids []uint32, at []monotime.Micros) {
 	for range 1_000_000 {
 		due, next := p.Due(now, nil)
@@ -24,10 +24,10 @@
 		}
 		now = next
 	}
-	panic("never ends")
+	panic("the plan never ends")
 }
 
-// Every connection falls due once, in time, and evenly; members of a group go one after another.
+// Every connection falls due once, in time, and evenly spread; members of a group fall due one after another.
 func TestStartDrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 300).Draw(t, "n")
@@ -39,16 +39,16 @@
 		}
 		p := New(rapid.Uint64().Draw(t, "seed"))
 		p.StartDrain(0, 1, connections, duration)
-		p.StartDrain(0, 1, connections, duration) // again: changes nothing
+		p.StartDrain(0, 1, connections, duration) // has no effect
 		ids, at := moves(p, 0)
 		if len(ids) != n {
-			t.Fatalf("%d of %d", len(ids), n)
+			t.Fatalf("%d of %d connections fell due", len(ids), n)
 		}
 		seen := map[uint32]bool{}
 		parts := map[uint64]int{}
 		for i, id := range ids {
 			if seen[id] || at[i] > duration {
-				t.Fatalf("%d at %d", id, at[i])
+				t.Fatalf("connection %d fell due twice or too late, at %d", id, at[i])
 			}
 			seen[id] = true
 			if g := connections[id].Group; i == 0 || g != connections[ids[i-1]].Group {
@@ -61,7 +61,7 @@
 		}
 		for group, n := range parts {
 			if n > 1 {
-				t.Fatalf("group %d in %d parts", group, n)
+				t.Fatalf("group %d is split into %d parts", group, n)
 			}
 		}
 	})
@@ -70,21 +70,21 @@
 func TestAddAndCancel(t *testing.T) {
 	p := New(1)
 	if p.AddConnection(0, 1, 5) {
-		t.Error("added without a drain")
+		t.Error("connection added without a drain")
 	}
 	p.StartDrain(0, 1, []Connection{{1, 0}, {2, 0}}, 100*ms)
 	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
 	if !p.AddConnection(50*ms, 1, 4) || !p.AddConnection(500*ms, 1, 9) {
-		t.Error("not added")
+		t.Error("connection not added to a drain")
 	}
 	p.CancelDrain(2)
 	ids, at := moves(p, 0)
 	slices.Sort(ids)
 	if !slices.Equal(ids, []uint32{1, 2, 4, 9}) {
-		t.Errorf("%v at %v", ids, at)
+		t.Errorf("moved %v at %v, want 1, 2, 4 and 9", ids, at)
 	}
 	p.StartDrain(0, 2, []Connection{{3, 0}}, 100*ms)
 	if ids, _ = moves(p, 0); len(ids) != 1 {
-		t.Errorf("after a drain was cancelled: %v", ids)
+		t.Errorf("drain after a cancelled one: moved %v, want one connection", ids)
 	}
 }
--- a/decision/drainschedule/drainschedule_test.go
+++ b/decision/drainschedule/drainschedule_test.go
@@ -8,8 +8,7 @@
 
 const ms = monotime.Millisecond
 
-// Moves before a stop are spread, so that clients don't come back in one moment, over the second half of the time
-// there is.
+// Moves before a stop are spread over the second half of the time available, so that clients don't all return at once.
 func TestMovesAreLateAndSpread(t *testing.T) {
 	const span, n = 3 * monotime.Second, 50
 	last := span / 2
@@ -21,7 +20,7 @@
 		last = at
 	}
 	if at := MoveDelay(0, 0, 1); at != FirstMoveDelay {
-		t.Errorf("with no time left at %d", at)
+		t.Errorf("with no time left: moved at %d", at)
 	}
 }
 
@@ -74,9 +73,9 @@
 		}
 	}
 	if ClosesIdle(600*ms-1) || !ClosesIdle(600*ms) {
-		t.Error("idle connections are closed after 600 ms")
+		t.Error("idle connections must be closed from 600 ms on")
 	}
 	if Remaining(1000, 400) != 600 || Remaining(1000, 2000) != 0 {
-		t.Error("what remains of a span is never negative")
+		t.Error("the remaining time of a span must never be negative")
 	}
 }
--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -1,39 +1,40 @@
-// Package fleetsize estimates which part of the servers' capacity is present, compared with the largest that was
-// present lately, and how many clients have yet to reconnect after their server ended the connection. While a part of
-// the fleet is missing, those clients are admitted more slowly.
+// Package fleetsize estimates the fraction of the servers' recent peak capacity that is present, and the number of
+// clients that have yet to reconnect after their server ended the connection. While a part of the fleet is missing,
+// those clients are admitted more slowly.
 //
 // It does not know servers, requests or clocks. The core passes the present capacity to Update several times a second,
-// and charges each client that connects with ChargeReconnect's price. Times are monotime.Micros.
+// and charges each client that connects the price that ChargeReconnect returns. Times are monotime.Micros.
 //
-// Invariant: at most as many connections cost more than usual as were expected to return.
+// Invariant: the number of connections with the higher price is at most the number of expected reconnects.
 package fleetsize
 
 import "spurspread/decision/monotime"
 
 const (
-	// reducedFraction is the part of the capacity that must be missing for the fleet to count as reduced. What returns
-	// is more than the rest had connections then.
+	// reducedFraction is the fraction of the capacity that must be missing for the fleet to count as reduced. More
+	// clients return in that case than the remaining servers had connections.
 	reducedFraction = 0.07
-	// reconnectPrice is how many tokens a returning client's connection costs in a reduced fleet, where others cost 1.
+	// reconnectPrice is the number of tokens that the connection of a returning client costs in a reduced fleet, where
+	// others cost 1.
 	reconnectPrice = 2.5
-	// reconnectDecay is the part of the expected returns that is given up per second.
+	// reconnectDecay is the fraction of the expected reconnects that is dropped per second.
 	reconnectDecay = 0.1
-	// peakMemory is the time, in seconds, in which a peak that is not reached again is forgotten.
+	// peakMemory is the time, in seconds, after which a peak that is not reached again is forgotten.
 	peakMemory = 60
 )
 
 // Estimate is the state of the fleet as this balancer sees it. Its zero value is not usable; see New.
 type Estimate struct {
-	peakSize           float64 // the largest capacity lately, in the caller's unit
-	presentFraction    float64 // of peakSize
-	expectedReconnects float64 // clients that may reconnect
+	peakSize           float64 // recent peak of the capacity, in the caller's unit
+	presentFraction    float64 // present fraction of peakSize
+	expectedReconnects float64 // number of clients that may reconnect
 	updatedAt          monotime.Micros
 }
 
-// New returns the estimate for a fleet that is complete.
+// New returns the estimate for a complete fleet.
 func New(now monotime.Micros) Estimate { return Estimate{presentFraction: 1, updatedAt: now} }
 
-// Update takes the capacity of all servers that are present now, in any unit that stays the same.
+// Update records the capacity of all servers that are present now, in any unit that stays the same.
 func (e *Estimate) Update(now monotime.Micros, size float64) {
 	elapsed := float64(now-e.updatedAt) / float64(monotime.Second)
 	e.expectedReconnects *= max(1-reconnectDecay*elapsed, 0)
@@ -42,18 +43,19 @@
 	e.updatedAt = now
 }
 
-// PresentFraction returns the part of the recent peak that is present, 0 to 1.
+// PresentFraction returns the fraction of the recent peak capacity that is present, 0 to 1.
 func (e *Estimate) PresentFraction() float64 { return e.presentFraction }
 
-// Reduced decides whether a part of the fleet is missing: more than reducedFraction of the recent peak.
+// Reduced reports whether a part of the fleet is missing: more than reducedFraction of the recent peak.
 func (e *Estimate) Reduced() bool { return e.presentFraction < 1-reducedFraction }
 
-// ExpectReconnect counts a client that may reconnect, as a server ended its connection.
+// ExpectReconnect counts a client that may reconnect because a server ended its connection.
 func (e *Estimate) ExpectReconnect() { e.expectedReconnects++ }
 
-// ChargeReconnect decides what the connection of a client that connects now costs, in tokens of a warm server's bucket:
-// reconnectPrice while the fleet is reduced and returns are expected, of which it takes one, else 1. Servers that are
-// left in a reduced fleet are loaded more than usual, and so take what returns more slowly.
+// ChargeReconnect returns the price of the connection of a client that connects now, in tokens of a warm server's
+// bucket. It is 1 unless the fleet is reduced and reconnects are expected; then it is reconnectPrice, and one reconnect
+// fewer is expected. The remaining servers of a reduced fleet have a higher load than usual, and so accept returning
+// clients more slowly.
 func (e *Estimate) ChargeReconnect() float64 {
 	if !e.Reduced() || e.expectedReconnects < 1 {
 		return 1
--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -9,8 +9,8 @@
 
 const start = 1000 * monotime.Second
 
-// Returning clients cost more while a part of the fleet is missing, each once, and as long as they are expected.
-func TestTakeReturn(t *testing.T) {
+// Returning clients cost more while a part of the fleet is missing, each once, and only while they are expected.
+func TestChargeReconnect(t *testing.T) {
 	e := New(start)
 	e.Update(start, 10)
 	e.ExpectReconnect()
@@ -26,11 +26,11 @@
 	}
 	e.ExpectReconnect()
 	if e.Update(start+12*monotime.Second, 5); e.ChargeReconnect() != 1 {
-		t.Fatal("still expected after the expected returns have decayed")
+		t.Fatal("reconnect charged after the expected reconnects have decayed")
 	}
 }
 
-// A part that is missing for good is forgotten within a minute: the rest is the fleet then.
+// A part of the fleet that stays missing is forgotten within a minute: the rest counts as complete then.
 func TestMissingPartIsForgotten(t *testing.T) {
 	e, now := New(start), monotime.Micros(start)
 	e.Update(now, 10)
@@ -39,6 +39,6 @@
 		e.Update(now, 6)
 	}
 	if e.Reduced() || math.Abs(e.PresentFraction()-1) > 1e-9 {
-		t.Fatalf("%v of the peak present", e.PresentFraction())
+		t.Fatalf("present fraction %v, want 1 and not reduced", e.PresentFraction())
 	}
 }
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -13,13 +13,13 @@
 	return ConnectionState{AtLineBoundary: true, NothingBuffered: true, OwnsSockets: true}
 }
 
-// transferModel is what a transfer must agree with.
+// transferModel is the expected state of a transfer.
 type transferModel struct {
 	transfer *Transfer
 	now      monotime.Micros
 	deadline monotime.Micros
 	pending  map[uint32]bool
-	given    map[uint32]bool // the successor's
+	given    map[uint32]bool // connections that the successor owns
 	declined map[uint32]bool
 	linked   bool
 	draining bool
@@ -36,17 +36,17 @@
 	}
 }
 
-// drawID draws one of a few connections, so that several things happen to each.
+// drawID draws one of a few connections, so that several events happen to each.
 func drawID(t *rapid.T) uint32 { return uint32(rapid.IntRange(0, 5).Draw(t, "id")) }
 
 func (m *transferModel) offer(t *rapid.T, id uint32, state ConnectionState) {
 	if m.given[id] {
-		return // it is the successor's
+		return // the successor owns it
 	}
 	free := !m.pending[id] && !m.declined[id]
 	want := m.linked && state == transferableState() && free && len(m.pending) < MaxPendingOffers
 	if got := m.transfer.Offer(id, state); got != want {
-		t.Fatalf("%d offered: %v, want %v", id, got, want)
+		t.Fatalf("connection %d offered: %v, want %v", id, got, want)
 	}
 	if want {
 		m.pending[id] = true
@@ -77,7 +77,7 @@
 func (m *transferModel) answer(t *rapid.T) {
 	id, accepted := drawID(t), rapid.Bool().Draw(t, "accepted")
 	if got := m.transfer.Answered(id, accepted); got != m.pending[id] {
-		t.Fatalf("an answer for %d is expected: %v", id, got)
+		t.Fatalf("answer for connection %d was accepted: %v", id, got)
 	}
 	if m.pending[id] {
 		delete(m.pending, id)
@@ -90,11 +90,11 @@
 	returned := m.transfer.LinkClosed()
 	m.linked = false
 	if len(returned) != len(m.pending) || !slices.IsSorted(returned) {
-		t.Fatalf("%v returned of %v", returned, m.pending)
+		t.Fatalf("connections %v returned, pending %v", returned, m.pending)
 	}
 	for _, id := range returned {
 		if !m.pending[id] || m.given[id] {
-			t.Fatalf("%d returned", id)
+			t.Fatalf("connection %d returned, but was not pending", id)
 		}
 		m.declined[id] = true
 	}
@@ -113,12 +113,12 @@
 	}
 	m.draining = m.draining || drain
 	if m.transfer.Draining() != m.draining {
-		t.Fatal("draining")
+		t.Fatal("Draining differs from the model")
 	}
 }
 
-// Whatever comes in whatever order, each connection has one owner, few offers are pending at once, and what is left is
-// drained once.
+// Whatever events come in whatever order, each connection has one owner, few offers are pending at once, and draining
+// starts once.
 func TestOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTransferModel(monotime.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "longest deadline")))
@@ -134,13 +134,13 @@
 	})
 }
 
-// Each reason alone keeps a connection from being offered.
+// Each of these reasons alone prevents a connection from being offered.
 func TestNotTransferable(t *testing.T) {
 	for name, change := range map[string]func(*ConnectionState){
-		"in a line": func(s *ConnectionState) { s.AtLineBoundary = false },
-		"buffered":  func(s *ConnectionState) { s.NothingBuffered = false },
-		"a channel": func(s *ConnectionState) { s.OwnsSockets = false },
-		"pinned":    func(s *ConnectionState) { s.PinnedToProcess = true },
+		"in the middle of a line": func(s *ConnectionState) { s.AtLineBoundary = false },
+		"buffered":                func(s *ConnectionState) { s.NothingBuffered = false },
+		"uses a channel":          func(s *ConnectionState) { s.OwnsSockets = false },
+		"pinned":                  func(s *ConnectionState) { s.PinnedToProcess = true },
 	} {
 		s := transferableState()
 		if change(&s); New(0, OfferPeriod).Offer(1, s) {
@@ -149,19 +149,19 @@
 	}
 }
 
-// Each reason alone keeps an offer from being accepted.
+// Each of these reasons alone prevents an offer from being accepted.
 func TestNotAccepted(t *testing.T) {
 	good := OfferedConnection{Sockets: 2, ServerListed: true, IDUnused: true}
 	if !AcceptTransfer(good) {
-		t.Error("not accepted without a reason")
+		t.Error("good offer not accepted")
 	}
 	for name, change := range map[string]func(*OfferedConnection){
-		"one socket":        func(c *OfferedConnection) { c.Sockets = 1 },
-		"three sockets":     func(c *OfferedConnection) { c.Sockets = 3 },
-		"unknown server":    func(c *OfferedConnection) { c.ServerListed = false },
-		"an id seen before": func(c *OfferedConnection) { c.IDUnused = false },
-		"draining":          func(c *OfferedConnection) { c.Draining = true },
-		"few descriptors":   func(c *OfferedConnection) { c.DescriptorsShort = true },
+		"one socket":      func(c *OfferedConnection) { c.Sockets = 1 },
+		"three sockets":   func(c *OfferedConnection) { c.Sockets = 3 },
+		"unknown server":  func(c *OfferedConnection) { c.ServerListed = false },
+		"id seen before":  func(c *OfferedConnection) { c.IDUnused = false },
+		"draining":        func(c *OfferedConnection) { c.Draining = true },
+		"few descriptors": func(c *OfferedConnection) { c.DescriptorsShort = true },
 	} {
 		c := good
 		if change(&c); AcceptTransfer(c) {
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -1,34 +1,37 @@
-// Package keepalive decides when a multiplexed connection is pinged and when it is given up because its peer shows no
-// sign of life. It has no clock and no timers; the caller looks at the intervals that it names.
+// Package keepalive decides when a multiplexed connection is pinged, and when it is closed because its peer sends
+// nothing. It has no clock and no timers; the caller checks each connection at the intervals given here.
 package keepalive
 
 import "spurspread/decision/monotime"
 
-// Verdict is what is to be done with a connection now.
+// Verdict is the action to take on a connection now.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Keep  Verdict = iota // nothing
-	Ping                 // ask for a sign of life
-	Close                // give it up
+	Keep  Verdict = iota // no action
+	Ping                 // send a ping
+	Close                // close the connection
 )
 
 const (
-	// UpstreamCheckInterval is how often an upstream connection is looked at.
+	// UpstreamCheckInterval is the interval at which an upstream connection is checked.
 	UpstreamCheckInterval = 500 * monotime.Millisecond
-	// upstreamPingInterval is how long an upstream connection with channels is quiet between two pings.
+	// upstreamPingInterval is the time without data and without a ping after which an upstream connection with channels
+	// is pinged.
 	upstreamPingInterval = 2 * monotime.Second
-	// UpstreamTimeout is after how long a quiet server is given up, with all channels.
+	// UpstreamTimeout is the time without data after which an upstream connection is closed, with all its channels.
 	UpstreamTimeout = 5 * monotime.Second
-	// downstreamCheckDivisor is how often a client is looked at in its idle time.
+	// downstreamCheckDivisor is the number of checks of a client within its idle time-out.
 	downstreamCheckDivisor = 4
-	// downstreamSilenceFactor is after how many idle times a client with channels is given up.
-	downstreamSilenceFactor = 2
+	// downstreamTimeoutFactor is the time without data after which a client with channels is disconnected, as a
+	// multiple of its idle time-out.
+	downstreamTimeoutFactor = 2
 )
 
-// Upstream decides about a connection to a server that carries channels; one without may be quiet for as long as it is
-// kept. lastReceived is when anything last came, lastPing when the last ping went.
+// Upstream returns the verdict on a connection to a server that carries channels; one without channels need not be
+// checked, and may be quiet for as long as it is kept. lastReceived is when any data last arrived, lastPing when the
+// last ping was sent.
 func Upstream(now, lastReceived, lastPing monotime.Micros) Verdict {
 	switch {
 	case now-lastReceived >= UpstreamTimeout:
@@ -39,17 +42,17 @@
 	return Keep
 }
 
-// DownstreamCheckInterval is how often a client's connection is looked at, from its idle time-out.
+// DownstreamCheckInterval returns the interval at which a client's connection is checked, given its idle time-out.
 func DownstreamCheckInterval(idle monotime.Micros) monotime.Micros {
 	return idle / downstreamCheckDivisor
 }
 
-// Downstream decides about a client's connection from how long it has been quiet, its idle time-out and how many
-// channels it has. Without channels it goes after its idle time; with channels it is pinged shortly before, and given
-// up after as long again.
+// Downstream returns the verdict on a client's connection. quiet is the time since data last arrived, idle its idle
+// time-out, channels the number of its channels. Without channels it is closed after the idle time-out. With channels
+// it is pinged shortly before that, and closed after twice the idle time-out.
 func Downstream(quiet, idle monotime.Micros, channels int) Verdict {
 	switch {
-	case quiet >= downstreamSilenceFactor*idle:
+	case quiet >= downstreamTimeoutFactor*idle:
 		return Close
 	case quiet >= idle && channels == 0:
 		return Close
--- a/decision/keepalive/keepalive_test.go
+++ b/decision/keepalive/keepalive_test.go
@@ -12,12 +12,12 @@
 		received, ping monotime.Micros // before now
 		want           Verdict
 	}{
-		"received lately":       {1999 * ms, 9000 * ms, Keep},
-		"quiet":                 {2000 * ms, 9000 * ms, Ping},
-		"quiet, pinged lately":  {3000 * ms, 1999 * ms, Keep},
-		"quiet, pinged before":  {3000 * ms, 2000 * ms, Ping},
-		"quiet for nearly long": {4999 * ms, 1000 * ms, Keep},
-		"quiet for long":        {5000 * ms, 1000 * ms, Close},
+		"received recently":      {1999 * ms, 9000 * ms, Keep},
+		"quiet":                  {2000 * ms, 9000 * ms, Ping},
+		"quiet, pinged recently": {3000 * ms, 1999 * ms, Keep},
+		"quiet, pinged earlier":  {3000 * ms, 2000 * ms, Ping},
+		"just before time-out":   {4999 * ms, 1000 * ms, Keep},
+		"timed out":              {5000 * ms, 1000 * ms, Close},
 	} {
 		if got := Upstream(now, now-c.received, now-c.ping); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
@@ -32,18 +32,18 @@
 		channels int
 		want     Verdict
 	}{
-		"fresh":                       {0, 0, Keep},
-		"one interval before":         {15*monotime.Second - 1, 3, Keep},
-		"nearly idle":                 {15 * monotime.Second, 0, Ping},
-		"idle without channels":       {idle, 0, Close},
-		"idle with channels":          {idle, 1, Ping},
-		"twice as long with channels": {2 * idle, 1, Close},
+		"data has just arrived":    {0, 0, Keep},
+		"before the last interval": {15*monotime.Second - 1, 3, Keep},
+		"nearly idle":              {15 * monotime.Second, 0, Ping},
+		"idle without channels":    {idle, 0, Close},
+		"idle with channels":       {idle, 1, Ping},
+		"twice idle with channels": {2 * idle, 1, Close},
 	} {
 		if got := Downstream(c.quiet, idle, c.channels); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
 	if got := DownstreamCheckInterval(idle); got != 5*monotime.Second {
-		t.Errorf("looked at every %d", got)
+		t.Errorf("checked every %d, want a quarter of the idle time-out", got)
 	}
 }
--- a/decision/lifecycle/command.go
+++ b/decision/lifecycle/command.go
@@ -6,37 +6,38 @@
 	"strings"
 )
 
-// CommandKind is one of the admin commands.
+// CommandKind identifies an admin command.
 type CommandKind uint8
 
 const (
-	// CommandPing asks whether the balancer serves.
+	// CommandPing asks for the state of the balancer.
 	CommandPing CommandKind = iota
-	// CommandLameDuck has the balancer move its clients away and stay.
+	// CommandLameDuck makes the balancer move its clients away and stay.
 	CommandLameDuck
-	// CommandRejoin has a lame duck serve again.
+	// CommandRejoin makes a lame duck serve again.
 	CommandRejoin
-	// CommandMembers lists the fleet as this member sees it. It does not change the state.
+	// CommandMembers lists the members of the fleet as this member sees them. It does not change the state.
 	CommandMembers
-	// CommandRecord publishes a small named value to the whole fleet. It does not change the state.
+	// CommandRecord publishes a short named value to the whole fleet. It does not change the state.
 	CommandRecord
 	// CommandUnserved counts the final answers that the balancer itself gave, by class and cause. It does not change
 	// the state.
 	CommandUnserved
 )
 
-// Command is a command with its arguments, which only CommandRecord has.
+// Command is an admin command with its arguments, which only CommandRecord has.
 type Command struct {
 	Kind        CommandKind
 	RecordName  string
 	RecordValue string
 }
 
-// Bounds of a line without its end, in bytes. A longer line is rejected before it is read to its end.
+// Limits on the length of a line in bytes, without its terminator. A longer line is rejected before it is read to its
+// end.
 const (
-	// MaxLine bounds any command but RECORD.
+	// MaxLine is the limit for any command but RECORD.
 	MaxLine = 64
-	// MaxRecordLine bounds RECORD: a name of 32 bytes, a value of 64, and blanks.
+	// MaxRecordLine is the limit for RECORD: a name of 32 bytes, a value of 64, and blanks.
 	MaxRecordLine = 128
 )
 
@@ -47,7 +48,7 @@
 	lastPrintable  = '~'
 )
 
-// LineLimit returns how long a line with this beginning may be, in bytes, without its end.
+// LineLimit returns the maximum length of a line with this beginning, in bytes, without its terminator.
 func LineLimit(beginning []byte) int {
 	if bytes.HasPrefix(bytes.TrimLeft(beginning, " \t"), []byte(recordPrefix)) {
 		return MaxRecordLine
@@ -55,7 +56,7 @@
 	return MaxLine
 }
 
-// Errors of Parse. Their texts are answered to the caller after -ERR.
+// Errors of Parse. Their texts are sent to the caller after -ERR.
 var (
 	ErrEmptyCommand   = errors.New("empty call")
 	ErrNotText        = errors.New("not text")
@@ -63,9 +64,9 @@
 	ErrLineTooLong    = errors.New("line too long")
 )
 
-// Parse reads one command from a line without its end ("\n" or "\r\n"). Commands are upper case; only RECORD takes
-// arguments, and blanks around a command are ignored. It returns ErrLineTooLong beyond LineLimit, ErrNotText for bytes
-// that are neither printable ASCII nor tabs, ErrEmptyCommand or ErrUnknownCommand.
+// Parse parses one command from a line without its terminator ("\n" or "\r\n"). Commands are upper case; only RECORD
+// takes arguments, and blanks around a command are ignored. It returns ErrLineTooLong for a line longer than LineLimit,
+// ErrNotText for bytes that are neither printable ASCII nor tabs, ErrEmptyCommand or ErrUnknownCommand.
 func Parse(line []byte) (Command, error) {
 	if len(line) > LineLimit(line) {
 		return Command{}, ErrLineTooLong
@@ -87,7 +88,8 @@
 	return r != '\t' && (r < firstPrintable || r > lastPrintable)
 }
 
-// parseRecord reads a name up to the first blank and a value after it. Whoever publishes them checks them.
+// parseRecord parses a name up to the first blank and the value after it. It does not validate them; the code that
+// publishes the record does.
 func parseRecord(arguments string) Command {
 	name, value, _ := strings.Cut(strings.TrimSpace(arguments), " ")
 	return Command{Kind: CommandRecord, RecordName: name, RecordValue: strings.TrimSpace(value)}
--- a/decision/lifecycle/doc.go
+++ b/decision/lifecycle/doc.go
@@ -1,8 +1,8 @@
-// Package lifecycle decides what an admin command does to a balancer's lifecycle, whether it accepts clients (Serving),
-// moves them away but stays (LameDuck) or is shutting down (Stopping), and what the caller is answered.
+// Package lifecycle decides how an admin command changes a balancer's lifecycle state and what the caller is answered.
+// A balancer accepts clients (Serving), moves them away but stays (LameDuck), or is shutting down (Stopping).
 //
-// It knows commands and states, and no sockets, clocks or connections. The admin listener reads lines up to LineLimit
-// and passes them to Parse; the proxy holds the State and passes commands to Apply.
+// It knows commands and states, and has no sockets, clocks or connections. The admin listener reads lines up to
+// LineLimit and passes them to Parse; the proxy holds the State and passes commands to Apply.
 //
-// Invariant: nothing leaves Stopping, and a command that changes nothing reports no change.
+// Invariant: no command leaves Stopping, and a command that changes nothing reports no change.
 package lifecycle
--- a/decision/lifecycle/lifecycle_test.go
+++ b/decision/lifecycle/lifecycle_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// RECORD alone has arguments, and a longer line.
+// Only RECORD takes arguments and allows a longer line.
 func TestParseRecord(t *testing.T) {
 	long := "RECORD " + strings.Repeat("n", 32) + " " + strings.Repeat("v", 64)
 	for _, c := range []struct {
@@ -69,8 +69,8 @@
 		{LameDuck, CommandPing, LameDuck, false, "+OK lameduck"},
 		{Stopping, CommandPing, Stopping, false, "-ERR stopping"},
 		{Serving, CommandLameDuck, LameDuck, true, "+OK lameduck"},
-		{LameDuck, CommandLameDuck, LameDuck, false, "+OK lameduck"}, // a second one changes nothing
-		{Serving, CommandRejoin, Serving, false, "+OK serving"},      // nothing to end
+		{LameDuck, CommandLameDuck, LameDuck, false, "+OK lameduck"}, // already a lame duck
+		{Serving, CommandRejoin, Serving, false, "+OK serving"},      // already serving
 		{LameDuck, CommandRejoin, Serving, true, "+OK serving"},
 		{Stopping, CommandRejoin, Stopping, false, "-ERR stopping"},
 		{Serving, CommandRecord, Serving, false, "-ERR unknown call"}, // not a member of a fleet
--- a/decision/lifecycle/state.go
+++ b/decision/lifecycle/state.go
@@ -1,18 +1,18 @@
 package lifecycle
 
-// State is what a balancer does with clients.
+// State is the lifecycle state of a balancer, which determines how it treats clients.
 type State uint8
 
 const (
-	// Serving accepts clients, and answers their PING with +OK.
+	// Serving accepts clients and answers their PING with +OK.
 	Serving State = iota
 	// LameDuck moves its clients away and answers their PING with an error, but stays, and can return to Serving.
 	LameDuck
-	// Stopping is shutting down after SIGTERM. It is final.
+	// Stopping is the final state: shutting down after SIGTERM.
 	Stopping
 )
 
-// String returns the state's word in answers to commands.
+// String returns the state's word in replies to commands.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -23,16 +23,16 @@
 	return "stopping"
 }
 
-// Transition is what a command brings about.
+// Transition is the effect of a command.
 type Transition struct {
-	Next    State  // the state after it
-	Changed bool   // Next differs from the state before
-	Reply   string // the line to answer, without its end
+	Next    State  // state after the command
+	Changed bool   // whether Next differs from the state before
+	Reply   string // line to send to the caller, without its terminator
 }
 
-// Apply decides the transition of a command in a state. PING changes nothing and succeeds until the balancer stops.
-// LAMEDUCK while draining and REJOIN while serving succeed and change nothing; after SIGTERM both fail. MEMBERS,
-// RECORD and UNSERVED are unknown here: whoever can answer them handles them before.
+// Apply returns the transition of a command in a state. PING changes nothing and succeeds until the balancer stops.
+// LAMEDUCK in a lame duck and REJOIN while serving succeed and change nothing; after SIGTERM both fail. MEMBERS, RECORD
+// and UNSERVED are unknown here: a caller that can answer them must handle them before.
 func Apply(s State, kind CommandKind) Transition {
 	switch {
 	case kind == CommandMembers || kind == CommandRecord || kind == CommandUnserved:
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -1,9 +1,9 @@
 // Package messagedelay measures how long one server takes to answer the lines of established connections, and decides
-// when the core is to be notified of it. It is for servers that don't report their message latency themselves. It has
+// when to report that latency to the core. It is for servers that don't report their message latency themselves. It has
 // no clock and knows no connections.
 //
-// The invariant: samples are not older than window once they count, and the state of one server is bounded by the lines
-// that it answers within that.
+// Invariant: only samples that are not older than window are used, and the state of one server is bounded by the number
+// of lines that it answers within that time.
 package messagedelay
 
 import (
@@ -14,20 +14,20 @@
 )
 
 const (
-	// window is for how long a line that was answered counts.
+	// window is the time for which the sample of an answered line is used.
 	window = 1 * monotime.Second
 	// reportInterval is the time between two reports while a server is slow.
 	reportInterval = 1 * monotime.Second
-	// selfReportValidity is for how long a server's own report of its latency counts.
+	// selfReportValidity is the time for which a server's own report of its latency is valid.
 	selfReportValidity = 2 * monotime.Second
-	// objectiveDivisor gives the part of the shortest latency objective above which a server's messages are slow.
+	// objectiveDivisor sets the fraction of the shortest latency objective above which a server's messages are slow.
 	objectiveDivisor = 3
-	// MaxTimedLines is how many unanswered lines of one client are timed at once.
+	// MaxTimedLines is the largest number of unanswered lines of one client that are timed at once.
 	MaxTimedLines = 64
 )
 
-// SlowLimit is the message latency above which a server is reported as slow: a third of the shortest positive
-// objective. It is 0 where nothing is to be reported, because no class has an objective.
+// SlowLimit returns the message latency above which a server is slow: a third of the shortest positive objective. It
+// returns 0 if no class has an objective, so that nothing is to be reported.
 func SlowLimit(objectives []monotime.Micros) monotime.Micros {
 	var shortest monotime.Micros
 	for _, objective := range objectives {
@@ -38,42 +38,44 @@
 	return shortest / objectiveDivisor
 }
 
-// LoadLineIsLatency reports what the number of a server's LOAD line is: its message latency in milliseconds where the
-// settings promise reports of latency and none of load, else the connection's load.
+// LoadLineIsLatency reports whether the number in a server's LOAD line is its message latency in milliseconds: the
+// settings say that servers report latency and not load. Otherwise it is the connection's load.
 func LoadLineIsLatency(reportsDelay, reportsLoad bool) bool { return reportsDelay && !reportsLoad }
 
+// sample is the time that the server took to answer one line.
 type sample struct{ at, took monotime.Micros }
 
-// Estimator holds what is known of one server's message latency. The zero value knows nothing.
+// Estimator estimates one server's message latency. The zero value has no samples.
 type Estimator struct {
-	samples        []sample          // lines that were answered, oldest first
-	unanswered     []monotime.Micros // ages of the oldest unanswered lines, as of the last look
-	slow           bool              // as last reported
+	samples        []sample          // answered lines, oldest first
+	unanswered     []monotime.Micros // ages of the oldest unanswered lines, at the last check
+	slow           bool              // whether the last report was of a slow server
 	reportedAt     monotime.Micros
-	selfReportedAt monotime.Micros // when the server last reported its latency itself; 0 for never
+	selfReportedAt monotime.Micros // when the server last reported its own latency; 0 for never
 }
 
-// Record notes that a line was answered after took. Calls come with times that never go back.
+// Record records that a line was answered after took. Successive calls must have times that don't decrease.
 func (e *Estimator) Record(now, took monotime.Micros) {
 	e.samples = append(e.samples, sample{now, took})
 }
 
-// SelfReported notes that the server reported its latency itself.
+// SelfReported records that the server reported its own latency.
 func (e *Estimator) SelfReported(now monotime.Micros) { e.selfReportedAt = now }
 
-// ResetUnanswered begins a look at the unanswered lines.
+// ResetUnanswered discards the ages of unanswered lines, before a new check adds them again.
 func (e *Estimator) ResetUnanswered() { e.unanswered = e.unanswered[:0] }
 
-// AddUnanswered notes the age of a connection's oldest unanswered line.
+// AddUnanswered adds the age of a connection's oldest unanswered line.
 func (e *Estimator) AddUnanswered(age monotime.Micros) { e.unanswered = append(e.unanswered, age) }
 
-// Discard drops all samples. Where nobody wants reports they would pile up for as long as lines come.
+// Discard drops all samples. It is for servers without reports, whose samples would otherwise accumulate with every
+// line.
 func (e *Estimator) Discard() { e.samples = nil }
 
-// Samples is how many answered lines are held.
+// Samples returns the number of samples.
 func (e *Estimator) Samples() int { return len(e.samples) }
 
-// dropExpired drops what is older than the window.
+// dropExpired drops the samples that are older than window.
 func (e *Estimator) dropExpired(now monotime.Micros) {
 	old, _ := slices.BinarySearchFunc(
 		e.samples,
@@ -83,8 +85,8 @@
 	e.samples = slices.Delete(e.samples, 0, old)
 }
 
-// IsSlow reports whether the median exceeds the limit, and whether anything is known. It comes to Median's verdict
-// without sorting all samples: it is called for each server several times a second.
+// IsSlow reports whether the median latency exceeds the limit, and whether anything is known. It agrees with Median
+// without sorting all samples, because it is called for each server several times a second.
 func (e *Estimator) IsSlow(now, limit monotime.Micros) (slow, known bool) {
 	e.dropExpired(now)
 	over, all := 0, len(e.samples)
@@ -103,8 +105,9 @@
 	return known && all-over <= all/2, known
 }
 
-// Median is the median of what lines took within the window; false where nothing is known. An unanswered line that is
-// older than the limit counts with its age: a server that stopped answering would otherwise look as it did before.
+// Median returns the median latency of the lines within window, and false if nothing is known. An unanswered line that
+// is older than the limit counts with its age, because a server that stopped answering would otherwise keep its former
+// latency.
 func (e *Estimator) Median(now, limit monotime.Micros) (monotime.Micros, bool) {
 	e.dropExpired(now)
 	var all []monotime.Micros
@@ -123,10 +126,10 @@
 	return all[len(all)/2], true
 }
 
-// Report decides whether the core is notified of the server's latency now, and gives the latency. That is so while the
-// server is slow, once a reportInterval, and once when it no longer is. A server whose lines come back fast but that
-// lately reported a latency itself is left to that. canReport tells whether there is an established connection in whose
-// name to report; without one the report is still due.
+// Report decides whether to report the server's latency to the core now, and returns the latency. A report is due once
+// every reportInterval while the server is slow, and once when it no longer is. Nothing is due for a server that is not
+// slow and recently reported its own latency. canReport says whether there is an established connection on which to
+// report; without one the report stays due.
 func (e *Estimator) Report(now, limit monotime.Micros, canReport bool) (latency monotime.Micros, due bool) {
 	slow, known := e.IsSlow(now, limit)
 	if !slow && e.reportsItself(now) {
@@ -139,11 +142,12 @@
 	return latency, true
 }
 
+// reportsItself reports whether the server's last report of its own latency is still valid.
 func (e *Estimator) reportsItself(now monotime.Micros) bool {
 	return e.selfReportedAt != 0 && now-e.selfReportedAt < selfReportValidity
 }
 
-// reportDue decides whether a report goes out now, and then counts it as sent.
+// reportDue reports whether a report is due now, and if so records it as sent.
 func (e *Estimator) reportDue(now monotime.Micros, slow bool) bool {
 	becameSlow := slow && !e.slow
 	stillSlow := slow && e.slow && now-e.reportedAt >= reportInterval
--- a/decision/messagedelay/messagedelay_test.go
+++ b/decision/messagedelay/messagedelay_test.go
@@ -10,8 +10,8 @@
 
 const millisecond = monotime.Millisecond
 
-// Lines that were answered count by what they took, those without an answer by their age; one report a second while
-// slow, and one when it is over.
+// Answered lines count with the time that they took, unanswered ones with their age. There is one report a second while
+// the server is slow, and one when it no longer is.
 func TestServerLatency(t *testing.T) {
 	const limit = 16 * millisecond
 	e := &Estimator{}
@@ -21,7 +21,7 @@
 	}{
 		{0, 0, 0, false, false},
 		{100 * millisecond, 2 * millisecond, 0, true, false},
-		{200 * millisecond, 0, 300 * millisecond, true, true}, // unanswered
+		{200 * millisecond, 0, 300 * millisecond, true, true}, // an unanswered line
 		{400 * millisecond, 0, 500 * millisecond, true, false},
 		{1300 * millisecond, 40 * millisecond, 0, true, true},
 		{2400 * millisecond, 3 * millisecond, 0, true, true}, // fast again
@@ -38,15 +38,16 @@
 		slow, _ := e.IsSlow(c.now, limit)
 		took, known := e.Median(c.now, limit)
 		if slow != (took > limit) {
-			t.Errorf("step %d: %d, slow %v", i, took, slow)
+			t.Errorf("step %d: median %d, slow %v", i, took, slow)
 		}
 		if known != c.known || known && e.reportDue(c.now, took > limit) != c.due {
-			t.Errorf("step %d: %d, %v", i, took, known)
+			t.Errorf("step %d: median %d, known %v", i, took, known)
 		}
 	}
 }
 
-// What a server reports itself counts while its lines come back fast, and without a connection nothing is reported.
+// Nothing is reported for a server that reports its own latency while its lines are answered quickly, nor without a
+// connection.
 func TestReportIsSuppressed(t *testing.T) {
 	const limit = 16 * millisecond
 	slowNow := func() *Estimator {
@@ -59,20 +60,20 @@
 		t.Error("reported without a connection")
 	}
 	if latency, due := e.Report(0, limit, true); !due || latency != 2*limit {
-		t.Errorf("slow: %d, %v", latency, due)
+		t.Errorf("slow server: latency %d, due %v", latency, due)
 	}
 	e.SelfReported(1500 * millisecond)
 	e.Record(1500*millisecond, 1)
 	if _, due := e.Report(1500*millisecond, limit, true); due {
-		t.Error("fast lines hide what the server reports itself")
+		t.Error("fast lines override the latency that the server reports")
 	}
 	if latency, due := e.Report(1500*millisecond+selfReportValidity, limit, true); due {
-		t.Errorf("%d reported without a sample", latency)
+		t.Errorf("latency %d reported without a sample", latency)
 	}
 	e = slowNow()
 	e.SelfReported(0)
 	if _, due := e.Report(1, limit, true); !due {
-		t.Error("slow lines are not reported")
+		t.Error("slow lines of a server with its own reports are not reported")
 	}
 }
 
@@ -90,11 +91,11 @@
 
 func TestLoadLineIsLatency(t *testing.T) {
 	if !LoadLineIsLatency(true, false) || LoadLineIsLatency(true, true) || LoadLineIsLatency(false, false) {
-		t.Error("it is a latency only where latencies and no loads are promised")
+		t.Error("the number must be a latency only if servers report latency and no load")
 	}
 }
 
-// IsSlow says of any lines what their median says.
+// IsSlow agrees with Median for any lines.
 func TestSlowByTheMedian(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := monotime.Micros(rapid.Int64Range(1, 100).Draw(t, "limit"))
--- a/decision/monotime/monotime.go
+++ b/decision/monotime/monotime.go
@@ -1,5 +1,5 @@
-// Package monotime has the one type for time that all decisions share. It is a leaf: it imports nothing of this module
-// and reads no clock. Whoever calls a decision passes the time of its own monotonic clock.
+// Package monotime defines the type for times and spans of time that all decisions share. It imports nothing of this
+// module and reads no clock: the caller of a decision passes the time of its own monotonic clock.
 package monotime
 
 // Micros is a point in time on the caller's monotonic clock, or a span of time, in microseconds.
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -31,7 +31,7 @@
 		"readers by descriptors":    {int64(SlowReaders(1000, 100)), 1000},
 		"readers by requests":       {int64(SlowReaders(0, 100)), 200},
 		"no memory limit":           {int64(PendingLimit(0, 1000)), MaxPendingBytes},
-		"nobody to keep for":        {int64(PendingLimit(1<<30, 0)), MaxPendingBytes},
+		"no slow readers":           {int64(PendingLimit(1<<30, 0)), MaxPendingBytes},
 		"plenty of memory":          {int64(PendingLimit(1<<30, 1000)), MaxPendingBytes},
 		"shared":                    {int64(PendingLimit(64<<20, 1024)), 8 << 10},
 		"little memory":             {int64(PendingLimit(1<<20, 1000)), minPendingBytes},
@@ -63,13 +63,13 @@
 
 func TestIsStalled(t *testing.T) {
 	if IsStalled(4096, 4096) || !IsStalled(4097, 4096) {
-		t.Error("a reader is stalled beyond the limit, and not at it")
+		t.Error("a reader must be stalled beyond the limit, but not at it")
 	}
 }
 
 func TestStopsReading(t *testing.T) {
 	if StopsReading(256<<10) || !StopsReading(256<<10+1) {
-		t.Error("256 KiB are discarded")
+		t.Error("reading must stop after 256 KiB are discarded, and not before")
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// In any span no more channels are opened than the bucket holds and the rate brings in it.
+// In any span of time, no more channels are opened than the bucket holds plus the refill of that span.
 func TestOpenLimiterBoundsTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 20).Draw(t, "per second"))
@@ -101,10 +101,10 @@
 			}
 			opened++
 			if open >= limit {
-				t.Fatalf("opened beyond %d channels", limit)
+				t.Fatalf("channel opened beyond the limit of %d", limit)
 			}
 			if most := rate + rate*float64(now)/float64(monotime.Second); float64(opened) > most+1e-6 {
-				t.Fatalf("%d opened within %d µs at %v a second", opened, now, rate)
+				t.Fatalf("%d channels opened within %d µs at a rate of %v a second", opened, now, rate)
 			}
 		}
 	})
--- a/decision/polling/confirmation.go
+++ b/decision/polling/confirmation.go
@@ -3,21 +3,22 @@
 import "spurspread/decision/monotime"
 
 const (
-	// minConfirmationTime is the least time over which the fleet's first polls are spread where requests need them.
+	// minConfirmationTime is the shortest time over which the fleet's first polls are spread if requests need them.
 	minConfirmationTime = 1 * monotime.Second
-	// confirmationTimeout is how long a poll under way may keep requests waiting: discovery answers far sooner unless
-	// it is crowded or away.
+	// confirmationTimeout is the longest time for which a poll in flight keeps requests waiting. Discovery answers much
+	// sooner unless it is overloaded or unavailable.
 	confirmationTimeout = 600 * monotime.Millisecond
 )
 
-// confirmationTime is for how long after its start a process may place requests by the list that it started with. A
-// server of that list may have been removed before the start, so it may be used no longer than Grace.
+// confirmationTime returns the time after its start in which a process may place requests by the list that it started
+// with. A server of that list may have been removed before the start, so the list may be used for no longer than Grace.
 func (s *Schedule) confirmationTime() monotime.Micros {
 	return max(s.Grace-maxCheckInterval-latenessMargin, minConfirmationTime)
 }
 
-// RequestConfirmation brings the first poll forward because a request is to be placed: to this balancer's turn within
-// confirmationTime of the start, or to now if that is over. Idle balancers keep their turn in the longer first cycle.
+// RequestConfirmation schedules the first poll earlier because a request is to be placed: in this balancer's turn
+// within confirmationTime of the start, or now if that has passed. Idle balancers keep their turn in the longer first
+// cycle.
 func (s *Schedule) RequestConfirmation(now monotime.Micros) {
 	if s.confirmed || s.failures > 0 || s.pollInFlight || s.confirmationRequested {
 		return
@@ -27,9 +28,9 @@
 	s.nextPoll = min(s.nextPoll, max(turn, now))
 }
 
-// ListUsable decides whether requests may be placed by the list that is held. The list that a process started with is
-// usable for confirmationTime, then not until discovery has answered or a poll has failed; a poll in flight is waited
-// for at most confirmationTimeout.
+// ListUsable reports whether requests may be placed by the present list. The list that a process started with is usable
+// for confirmationTime, and after that not until discovery has answered or a poll has failed. A poll in flight is
+// waited for no longer than confirmationTimeout.
 func (s *Schedule) ListUsable(now monotime.Micros) bool {
 	if s.confirmed || s.failures > 0 || now-s.startedAt < s.confirmationTime() {
 		return true
--- a/decision/polling/confirmation_test.go
+++ b/decision/polling/confirmation_test.go
@@ -6,7 +6,7 @@
 	"spurspread/decision/monotime"
 )
 
-// simulateFirstRequest has a process get its first request after a time, and returns how long after its start it polls.
+// simulateFirstRequest has the first request arrive at some time after the start, and returns when the process polls.
 func simulateFirstRequest(t *testing.T, s *Schedule, firstRequest monotime.Micros) (pollAfter monotime.Micros) {
 	t.Helper()
 	for now := monotime.Micros(start); now < start+60*second; now += maxCheckInterval {
@@ -24,7 +24,8 @@
 	return 0
 }
 
-// A process that has requests polls before its list may have been outdated for Grace, or with its first request.
+// A process with requests polls before its list may have been outdated for Grace, or at its first request if that is
+// later.
 func TestFirstRequestBringsFirstPollForward(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 300, 1500} {
 		for rank := range n {
@@ -32,15 +33,15 @@
 				s := startedSchedule(rank, n)
 				most := max(s.Grace-latenessMargin, first)
 				if after := simulateFirstRequest(t, s, first); after > most {
-					t.Fatalf("%d of %d, first request after %d ms: polls after %d", rank, n, first/ms, after/ms)
+					t.Fatalf("rank %d of %d, first request after %d ms: polls after %d ms", rank, n, first/ms, after/ms)
 				}
 			}
 		}
 	}
 }
 
-// Balancers that all have requests from their start on spread their first polls, but for those whose turn in the longer
-// cycle of idle ones comes first.
+// Balancers that all have requests from their start on spread their first polls evenly, except for those whose turn in
+// the longer cycle of idle balancers comes sooner.
 func TestFirstPollsAreSpread(t *testing.T) {
 	const n, parts = 300, 4
 	var polls [parts]int
@@ -51,12 +52,13 @@
 	}
 	for part, got := range polls {
 		if got > n/parts*5/4 {
-			t.Errorf("%d of %d polls in quarter %d", got, n, part)
+			t.Errorf("%d of %d first polls in quarter %d", got, n, part)
 		}
 	}
 }
 
-// The list of the start is usable for confirmationTime, then after an answer, a failure, or a poll that takes long.
+// The list of the start is usable for confirmationTime, and then only after an answer, a failure, or while a poll takes
+// long.
 func TestListUsable(t *testing.T) {
 	late := start + startedSchedule(0, 3).confirmationTime()
 	for name, c := range map[string]struct {
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	tick    = 250 * ms // a balancer calls PollDue so often, a quarter more or less
-	maxWait = second   // discovery answers 503 to a call that has waited for so long
-	// Discovery does not work any more on a call that has waited for longer; until then a rejected call is work, too.
+	tick    = 250 * ms // interval between calls of PollDue, varied by a quarter
+	maxWait = second   // discovery answers 503 to a call that has waited this long
+	// Discovery drops a call that has waited this long. Until then, a rejected call costs it work, too.
 	abandonTimeout = 3 * second
 )
 
 // discoveryService serves one call after another, and rejects a call after maxWait.
 type discoveryService struct {
 	callTime monotime.Micros
-	freeAt   monotime.Micros // when it is done with the calls that wait
+	freeAt   monotime.Micros // when it has finished the waiting calls
 }
 
-// call returns when the answer arrives, and whether it is the list.
+// call returns when the answer arrives, and whether the answer is the list.
 func (s *discoveryService) call(now monotime.Micros) (at monotime.Micros, listed bool) {
 	begin := max(now, s.freeAt)
 	if begin-now < abandonTimeout {
@@ -32,27 +32,28 @@
 	return now + maxWait, false
 }
 
-// outage is a time in which balancers lose their watches and may not reach discovery.
+// outage is a time in which balancers lose their watches and may be unable to reach discovery.
 type outage struct {
-	// Discovery is away for so long; 0: all watches fall silent as it begins, and nothing else is wrong.
+	// span is the time for which discovery is unavailable. With 0, all watches stop receiving data as the outage
+	// begins, and discovery stays available.
 	span   monotime.Micros
-	silent bool // calls meanwhile time out, else they are rejected at once
+	silent bool // calls during the outage time out, otherwise they are rejected at once
 }
 
 // balancer is one balancer of a fleet in virtual time.
 type balancer struct {
 	Schedule
-	noticesAt monotime.Micros // when it notices that its watch is broken; 0: it has
+	noticesAt monotime.Micros // when it notices that its watch is broken; 0: already noticed
 	checksAt  monotime.Micros // when it calls PollDue next
-	answerAt  monotime.Micros // when the call in flight ends; 0: there is none
-	listed    bool            // that call ends with the list
+	answerAt  monotime.Micros // when the call in flight ends; 0: no call in flight
+	listed    bool            // the call in flight ends with the list
 	hasList   bool            // it has the list again
 }
 
-// result is what a fleet does from an outage's end on.
+// result is the behaviour of a fleet from the end of an outage on.
 type result struct {
-	last  monotime.Micros         // until the last balancer has the list; -1 where some never had it
-	calls map[monotime.Micros]int // that reached discovery, by second
+	last  monotime.Micros         // time until the last balancer has the list; -1 if some never get it
+	calls map[monotime.Micros]int // calls that reached discovery, by second
 }
 
 // largest returns the largest number of calls in a second.
@@ -63,14 +64,16 @@
 	return most
 }
 
-// fleet is a fleet's size, what a call costs discovery, and for how long balancers may act on an older list.
+// fleet is the number of balancers, the time that a call takes discovery, and the time for which balancers may act on
+// an older list.
 type fleet struct {
 	n        int
 	callTime monotime.Micros
 	grace    monotime.Micros
 }
 
-// simulate has all of a fleet lose their watches at once, and runs until all have the list again, or for a limit.
+// simulate has all balancers of a fleet lose their watches at once, and runs until all have the list again, or up to
+// limit after the outage.
 func (f fleet) simulate(o outage, limit monotime.Micros, seed uint64) result {
 	begin := monotime.Micros(start)
 	run := &outageRun{
@@ -126,7 +129,7 @@
 	return balancers
 }
 
-// step does what a balancer does now, and reports whether it has just got the list.
+// step runs a balancer at the present time, and reports whether it has just received the list.
 func (run *outageRun) step(b *balancer, now monotime.Micros) (gotList bool) {
 	if b.noticesAt > 0 && now >= b.noticesAt {
 		b.noticesAt = 0
@@ -165,11 +168,12 @@
 	}
 }
 
-// graces are the shortest that a deployment at hand gives, and a common one.
+// graces returns the shortest grace that a deployment at hand gives, and a common one.
 func graces() []monotime.Micros { return []monotime.Micros{300 * ms, 2500 * ms} }
 
-// However many balancers there are, however long discovery was away and however calls ended meanwhile: each has the
-// list before it must stop acting on the one before, where discovery can serve so many calls at all.
+// However many balancers there are, however long discovery was unavailable and however calls ended meanwhile, each
+// balancer has the list before it must stop acting on the older one, provided that discovery can serve that many calls
+// at all.
 func TestInformedInTimeAfterAnOutage(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
@@ -187,7 +191,7 @@
 	}
 }
 
-// The same where discovery is there, and all open watches fall silent at once.
+// The same if discovery is available, and all open watches stop receiving data at once.
 func TestInformedInTimeAfterSilence(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
@@ -203,8 +207,8 @@
 	}
 }
 
-// Where discovery can't answer all in time, the fleet spreads its calls further, so that all have the list in the end:
-// within a small multiple of what the answers take one after another.
+// If discovery can't answer all balancers in time, the fleet spreads its calls further, so that all balancers have the
+// list in the end: within a small multiple of the time that the answers take one after another.
 func TestLargeFleetBacksOff(t *testing.T) {
 	for _, c := range []struct{ n, rate int }{{30, 3}, {80, 5}, {300, 10}, {300, 35}, {1500, 100}, {1500, 300}} {
 		for _, grace := range graces() {
--- a/decision/polling/polling_test.go
+++ b/decision/polling/polling_test.go
@@ -28,10 +28,10 @@
 	s := startedSchedule(2, 4)
 	now := s.nextPoll
 	if s.PollDue(now-1) || !s.PollDue(now) || s.PollDue(now+second) {
-		t.Fatal("not polled once, in its turn")
+		t.Fatal("want exactly one poll, in its turn")
 	}
 	if !s.PollDue(now + answerTimeout*5/4) {
-		t.Fatal("a poll without an answer is never repeated")
+		t.Fatal("a poll without an answer was not repeated")
 	}
 	longest := monotime.Micros(0)
 	for i := range 3 {
@@ -39,28 +39,28 @@
 		s.Failed(now)
 		wait := s.nextPoll - now
 		if most := minBackoff/2 + minBackoff<<i; wait < minBackoff/2 || wait > most || s.PollDue(s.nextPoll-1) {
-			t.Fatalf("failure %d waits %d of %d at most", i, wait, most)
+			t.Fatalf("failure %d: next poll after %d, want at most %d", i, wait, most)
 		}
 		longest = max(longest, wait)
 	}
 	if longest <= minBackoff*3/2 {
-		t.Fatalf("failures in a row wait %d at most", longest)
+		t.Fatalf("failures in a row: longest wait is only %d", longest)
 	}
 	s.PollDue(s.nextPoll)
 	s.Answered(now)
 	if s.PollDue(now+60*second) || s.failures != 0 {
-		t.Fatal("an answer does not count as the watch")
+		t.Fatal("polled despite a live watch")
 	}
 }
 
-// However many balancers there are, each polls before it has gone MaxInterval without, and they do not poll at once.
+// However many balancers there are, each polls before MaxInterval has passed, and their polls are spread.
 func TestAllPollInTurnAndInTime(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 5000} {
 		pollsBySecond := map[monotime.Micros]int{}
 		for rank := range n {
 			s := startedSchedule(rank, n)
 			if s.nextPoll <= start || s.nextPoll-start > s.MaxInterval {
-				t.Fatalf("%d of %d first polls after %d", rank, n, s.nextPoll-start)
+				t.Fatalf("balancer %d of %d first polls after %d", rank, n, s.nextPoll-start)
 			}
 			pollsBySecond[s.nextPoll/second]++
 		}
@@ -77,15 +77,15 @@
 	s := startedSchedule(0, 3)
 	s.PollDue(s.nextPoll)
 	if s.Answered(start); s.RefreshAllowed(start + minRefreshInterval - 1) {
-		t.Fatal("refreshes too soon")
+		t.Fatal("refresh allowed too soon")
 	}
 	now := start + minRefreshInterval
 	if !s.RefreshAllowed(now) {
-		t.Fatal("never refreshes")
+		t.Fatal("refresh not allowed")
 	}
 	s.ScheduleRefresh(now)
 	if s.RefreshAllowed(now) || s.nextPoll <= now || s.nextPoll > now+s.SpreadTime() || !s.PollDue(s.nextPoll) ||
 		s.RefreshAllowed(s.nextPoll) {
-		t.Fatal("not polled once more, in its turn")
+		t.Fatal("want exactly one more poll, in its turn")
 	}
 }
--- a/decision/recall/recall.go
+++ b/decision/recall/recall.go
@@ -1,32 +1,33 @@
-// Package recall decides which change of a server's listing recalls an attempt: one that is on its way to that server
-// while its request has not been written yet. It knows neither sockets nor the server list; the caller compares the
-// listing at the time of placement with the current one.
+// Package recall decides whether a change of a server's listing cancels an attempt whose request has not been written
+// to that server yet, so that the request is placed again. It does not know sockets or the server list; the caller
+// passes the listing at the time of placement and the current one.
 package recall
 
 import "net/netip"
 
-// Listing is the part of a server's listing that matters to a request that is about to be written to it.
+// Listing is the part of a server's listing that matters to a request not yet written.
 type Listing struct {
-	Ready     bool           // listed as ready, neither draining nor removed
-	StartedAt int64          // start of the server's process, Unix time in milliseconds; 0 where unknown
+	Ready     bool           // listed and ready, neither draining nor removed
+	StartedAt int64          // start of the server's process, Unix time in milliseconds; 0 if unknown
 	Addr      netip.AddrPort // where it listens
 }
 
 // Attempt is an attempt that has no answer yet.
 type Attempt struct {
-	Placed  bool    // the core placed it; false where its client names the server
-	Written bool    // its request is written, and may have been executed
-	Chosen  Listing // of its server, when it was chosen
-	Current Listing // of its server, now
+	Placed  bool    // the core placed it; false if its client names the server
+	Written bool    // its request has been written, and may have been executed
+	Chosen  Listing // listing of its server when it was chosen
+	Current Listing // present listing of its server
 }
 
-// Needed reports whether an attempt is recalled and its request placed again. That is so if nothing has been written
-// and the server is no longer ready, has restarted or has another address: a placement made now would not choose it.
-// An attempt at a server that the client names goes on whatever the listing is.
+// Needed reports whether an attempt must be cancelled and its request placed again: its request has not been written,
+// and the server is no longer ready, has restarted or has another address, so that a placement made now would not
+// choose it. An attempt at a server that the client names continues whatever the listing is.
 func Needed(a Attempt) bool {
 	return a.Placed && !a.Written && changed(a.Chosen, a.Current)
 }
 
+// changed reports whether a server was removed, drained, restarted or moved to another address since it was chosen.
 func changed(chosen, current Listing) bool {
 	restarted := current.StartedAt != chosen.StartedAt
 	readdressed := current.Addr != chosen.Addr
--- a/decision/requestids/requestids.go
+++ b/decision/requestids/requestids.go
@@ -1,18 +1,18 @@
 // Package requestids decides whether a request's id is a duplicate. It holds the ids of the requests that are being
-// served and of the last MaxFinished that are over; it has no clock and no sockets.
+// served and of the last MaxFinished requests that have finished. It has no clock and no sockets.
 //
-// The invariant: of the ids that are over, the most recent MaxFinished are known and no others.
+// Invariant: of the ids of finished requests, the most recent MaxFinished are known and no others.
 package requestids
 
-// MaxFinished is how many ids of requests that are over are known. It bounds the memory that clients can use up with
+// MaxFinished is the number of finished requests whose ids are known. It bounds the memory that clients can use up with
 // new ids; a duplicate that comes later is rejected by its server.
 const MaxFinished = 1024
 
 // Set is the set of known ids.
 type Set struct {
-	known  map[uint64]bool // known ids; true while the request is being served
-	recent []uint64        // ring of ids that are over
-	next   int             // the entry of the ring that is overwritten next
+	known  map[uint64]bool // value is true while the request is being served
+	recent []uint64        // ring buffer of ids of finished requests
+	next   int             // index in recent that is overwritten next
 }
 
 // New returns an empty set.
@@ -20,14 +20,14 @@
 	return &Set{known: map[uint64]bool{}, recent: make([]uint64, 0, MaxFinished)}
 }
 
-// Known reports whether the request is being served, or was among the last that were.
+// Known reports whether the request is being served or is among the last MaxFinished that have finished.
 func (s *Set) Known(id uint64) bool {
 	_, known := s.known[id]
 	return known
 }
 
-// Add adds the id of a new request. It returns false, and changes nothing, for a duplicate: the protocol asks for a new
-// id with each connection, and a server rejects one that it has seen.
+// Add adds the id of a new request. It returns false, and changes nothing, for a duplicate: the protocol requires a new
+// id for each connection, and a server rejects an id that it has seen.
 func (s *Set) Add(id uint64) bool {
 	if s.Known(id) {
 		return false
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Finish notes that the request with this id is over. The oldest finished id is forgotten for it once MaxFinished are
-// known.
+// Finish records that the request with this id has finished. Beyond MaxFinished finished requests, the id that finished
+// first is forgotten.
 func (s *Set) Finish(id uint64) {
 	s.known[id] = false
 	if len(s.recent) < MaxFinished {
@@ -49,5 +49,5 @@
 	s.next = (s.next + 1) % MaxFinished
 }
 
-// Len is the number of known ids.
+// Len returns the number of known ids.
 func (s *Set) Len() int { return len(s.known) }
--- a/decision/requestids/requestids_test.go
+++ b/decision/requestids/requestids_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes and goes, the active ids and the last finished ones are duplicates, and nothing else is.
+// The ids in use and those of the last finished requests are duplicates, and no others.
 func TestDuplicatesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -22,7 +22,7 @@
 				finished = append(finished, id)
 			}
 			if !s.Add(next) {
-				t.Fatalf("new id %d is taken for a duplicate", next)
+				t.Fatalf("new id %d was rejected as a duplicate", next)
 			}
 			active[next] = true
 			next++
@@ -38,7 +38,7 @@
 			}
 		}
 		if s.Len() != len(active)+len(known) {
-			t.Fatalf("%d ids, want %d", s.Len(), len(active)+len(known))
+			t.Fatalf("%d known ids, want %d", s.Len(), len(active)+len(known))
 		}
 	})
 }
--- a/decision/resume/claims.go
+++ b/decision/resume/claims.go
@@ -2,18 +2,18 @@
 
 import "container/heap"
 
-// claimState is how far a token that was presented has got. One that is not in the table was never presented, or was
-// released: it may be presented again. States only advance.
+// claimState is the state of a token that was presented. A token that is not in the table was never presented, or was
+// released, and may be presented again. States only advance.
 type claimState uint8
 
 const (
-	statePending claimState = iota // an attempt is under way
+	statePending claimState = iota // an attempt is in progress
 	stateLive                      // an attempt is established
 	stateUsed                      // an attempt was established, or may have been
 	claimStates
 )
 
-// claim is one token that was presented.
+// claim is the record of one token that was presented.
 type claim struct {
 	id        ID
 	expires   UnixMillis
@@ -21,21 +21,22 @@
 	heapIndex int
 }
 
-// claimTable remembers tokens that were presented until they expire. It is bounded by limit: a full table takes no new
-// ones, and never forgets one early.
+// claimTable holds the tokens that were presented until they expire. It has at most limit claims: a full table rejects
+// new tokens, and never forgets a claim early.
 type claimTable struct {
 	limit    int
 	byID     map[ID]*claim
 	expiries expiryHeap
-	// expiredThrough is the latest expiry of any claim that was forgotten. A token that expires no later counts as
-	// expired whatever the clock says: a clock that steps forward and back would let a forgotten one in again.
+	// expiredThrough is the latest expiry of any claim that was dropped. A token that expires no later counts as
+	// expired whatever the clock says, because a clock that steps forward and back would otherwise let a dropped token
+	// in again.
 	expiredThrough UnixMillis
 }
 
 func newClaimTable(limit int) claimTable { return claimTable{limit: limit, byID: map[ID]*claim{}} }
 
-// claim decides whether a token may be used now, and if so adds it: not if it has expired, is known already, or the
-// table is full.
+// claim adds a token and returns Accepted, or returns the reason why it may not be used now: it has expired, is in the
+// table already, or the table is full.
 func (t *claimTable) claim(now UnixMillis, grant *Grant) Reason {
 	t.dropExpired(now)
 	if grant.ExpiresAt <= t.expiredThrough {
@@ -56,14 +57,14 @@
 	return Accepted
 }
 
-// advance moves a claim to a later state. One that was forgotten has expired, and needs none.
+// advance moves a claim to a later state. A claim that is no longer in the table has expired, and is ignored.
 func (t *claimTable) advance(id ID, state claimState) {
 	if c := t.byID[id]; c != nil && c.state <= state {
 		c.state = state
 	}
 }
 
-// release forgets a pending claim, as if its token had never been presented.
+// release removes a pending claim, as if its token had never been presented.
 func (t *claimTable) release(id ID) {
 	if c := t.byID[id]; c != nil && c.state == statePending {
 		heap.Remove(&t.expiries, c.heapIndex)
@@ -71,6 +72,7 @@
 	}
 }
 
+// dropExpired removes the claims that have expired by now.
 func (t *claimTable) dropExpired(now UnixMillis) {
 	for len(t.expiries) > 0 && t.expiries[0].expires <= now {
 		expired := heap.Pop(&t.expiries).(*claim)
@@ -79,7 +81,7 @@
 	}
 }
 
-// counts returns how many claims are in each state.
+// counts returns the number of claims in each state.
 func (t *claimTable) counts() (n [claimStates]int) {
 	for _, c := range t.byID {
 		n[c.state]++
@@ -87,7 +89,7 @@
 	return n
 }
 
-// expiryHeap is the claims as a heap, the first to expire on top; see container/heap.
+// expiryHeap orders the claims by expiry, the first to expire on top; see container/heap.
 type expiryHeap []*claim
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -98,14 +100,14 @@
 	h[j].heapIndex = j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
 	c := x.(*claim)
 	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	c := (*h)[last]
--- a/decision/resume/doc.go
+++ b/decision/resume/doc.go
@@ -1,16 +1,16 @@
-// Package resume decides about resume tokens, with which a client whose connection is moved continues its stream on
-// another connection: whether a token that a client presents may be accepted, what the end of an attempt makes of it,
-// and which reason a client gets whose token is rejected.
+// Package resume decides about resume tokens, by which a client whose connection is moved continues its stream on
+// another connection: whether a token that a client presents may be accepted, how the end of an attempt affects the
+// token, and for which reason a client's token is rejected.
 //
-// It does not know sockets, clocks or keys: the opened token (Grant), the request and the time are arguments. Times are
-// UnixMillis, of the wall clock, as tokens are issued and checked on different machines.
+// It does not know sockets, clocks or encryption keys: the decrypted token (Grant), the request and the time are
+// arguments. Times are UnixMillis of the wall clock, as tokens are issued and checked on different machines.
 //
-// A Registry is the part of the server that a token names, and has the last word. A Validator is the part of a
-// balancer: it spares the server what is certainly rejected, and knows which reason the client gets. What a Validator
-// loses never breaks the invariant.
+// A Registry belongs to the server that a token names, and makes the final decision. A Validator belongs to a balancer:
+// it rejects invalid tokens before they reach the server, and determines the reason that the client gets. Loss of a
+// Validator's state never breaks the invariant.
 //
-// Invariant: at most one attempt with a token is ever live, anywhere, at any instant. It depends on one process alone,
-// that of the server which the token names, in the very run that the token names: it holds both the claim and the
-// stream, so that they end together. Whatever is not certain (the server has restarted, its clock has stepped, its
-// table is full, an attempt may still be executed) rejects the token, and the client starts over without one.
+// Invariant: at most one attempt with a token is ever live, anywhere, at any instant. This depends on a single process:
+// the server that the token names, in the run that the token names. It holds both the claim and the stream, so that
+// they end together. Whenever this is uncertain (the server has restarted, its clock has stepped, its table is full, an
+// attempt may still be executed), the token is rejected, and the client starts over without one.
 package resume
--- a/decision/resume/grant.go
+++ b/decision/resume/grant.go
@@ -1,6 +1,6 @@
 package resume
 
-// UnixMillis is Unix time, or a span, in milliseconds.
+// UnixMillis is a Unix time, or a span of time, in milliseconds.
 type UnixMillis int64
 
 const (
@@ -8,35 +8,35 @@
 
 	// MaxLifetime is the longest lifetime that a token may have.
 	MaxLifetime = 10 * minute
-	// minAgeForZeroStart is how long a server must have run for a token without a start time to name its present run:
-	// longer than MaxLifetime, by more than clocks may differ.
+	// minAgeForZeroStart is the time that a server must have run for a token without a start time to be accepted as
+	// naming its present run: longer than MaxLifetime, by more than clocks may differ.
 	minAgeForZeroStart = 15 * minute
 )
 
 // ID identifies a token.
 type ID [16]byte
 
-// Grant is what an opened token states, as far as decisions need it.
+// Grant is the part of a decrypted token that decisions depend on.
 type Grant struct {
 	ID              ID
 	IssuedAt        UnixMillis // by the issuing balancer's clock
 	ExpiresAt       UnixMillis // by the same clock
-	Class           string     // of the stream, as are Key, Group and Tenant
+	Class           string     // class of the stream; Key, Group and Tenant are also of the stream
 	Key             uint64
 	Group           uint64
 	Tenant          uint64
-	LastDelivered   uint64     // cursor of the last message that had been delivered when the token was issued
-	Server          string     // id of the server that holds the stream
-	ServerStartedAt UnixMillis // by that server's clock; 0: before any token that is still valid
+	LastDelivered   uint64     // cursor of the last message delivered when the token was issued
+	Server          string     // ID of the server that holds the stream
+	ServerStartedAt UnixMillis // by that server's clock; 0: earlier than the issue of any valid token
 }
 
-// StreamRequest is the request that presents a token.
+// StreamRequest is the request with which a client presents a token.
 type StreamRequest struct {
 	Class  string
 	Key    uint64
 	Group  uint64
 	Tenant uint64
-	Cursor uint64 // the stream is to continue after it
+	Cursor uint64 // the stream is to continue after this message
 }
 
 // sameStream reports whether the request is for the grant's stream.
@@ -44,8 +44,8 @@
 	return g.Class == request.Class && g.Key == request.Key && g.Group == request.Group
 }
 
-// checkRequest decides what balancer and server decide alike: whether a grant is valid now and is for this request.
-// skew is how far clocks may differ.
+// checkRequest makes the checks that balancer and server share: whether the grant is valid now and is for this request.
+// skew is the largest difference between clocks. It returns Accepted or the reason for a rejection.
 func (g *Grant) checkRequest(now, skew UnixMillis, request *StreamRequest) Reason {
 	switch {
 	case g.IssuedAt > now+skew:
--- a/decision/resume/invariant_test.go
+++ b/decision/resume/invariant_test.go
@@ -15,11 +15,11 @@
 	noValidator = -1
 )
 
-// attemptState is how far an attempt with a token has got.
+// attemptState is the progress of an attempt with a token.
 type attemptState int
 
 const (
-	sent     attemptState = iota // on its way to the server
+	sent     attemptState = iota // in transit to the server
 	accepted                     // by the server, which has not established it yet
 	live
 	over
@@ -27,24 +27,24 @@
 
 type attempt struct {
 	token     int
-	validator int // noValidator: a balancer that has lost its state
+	validator int // noValidator for a balancer that has lost its state
 	registry  int
 	state     attemptState
-	closed    bool // the balancer has ended it
+	closed    bool // the balancer has closed it
 }
 
-// deployment is two balancers and two servers, with clocks that may be off and all that may happen to them.
+// deployment is two balancers and two servers whose clocks may be wrong, and all events that may happen to them.
 type deployment struct {
 	t            *rapid.T
 	now          UnixMillis
 	validators   [2]*Validator
 	registries   [2]*Registry
-	clockOffsets [4]UnixMillis // of the validators, then of the registries
+	clockOffsets [4]UnixMillis // of the validators, then the registries
 	startedAt    [2]UnixMillis
-	listedStarts [2]UnixMillis // as balancers have them; may be outdated
+	listedStarts [2]UnixMillis // as listed at the balancers; may be outdated
 	usedStarts   map[UnixMillis]bool
 	tokens       []Grant
-	timesLive    []int // of each token
+	timesLive    []int // how often each token has been live
 	attempts     []*attempt
 }
 
@@ -62,7 +62,7 @@
 	return d.now + d.clockOffsets[len(d.validators)+i]
 }
 
-// start starts a server, at a time at which none has started before: runs are told apart by it.
+// start starts a server at a time at which none has started before, because the start time identifies a run.
 func (d *deployment) start(registry int, at UnixMillis) {
 	for d.usedStarts[at] {
 		at++
@@ -74,7 +74,7 @@
 
 func serverName(registry int) string { return fmt.Sprint("s", registry) }
 
-// draw picks an attempt in one of the states, and skips the action where there is none.
+// draw picks an attempt in one of the states, and skips the action if there is none.
 func (d *deployment) draw(t *rapid.T, states ...attemptState) *attempt {
 	var candidates []*attempt
 	for _, a := range d.attempts {
@@ -90,7 +90,7 @@
 
 func (d *deployment) tokenID(a *attempt) ID { return d.tokens[a.token].ID }
 
-// validatorOf returns the validator that still follows an attempt, nil if there is none.
+// validatorOf returns the validator that still tracks an attempt, nil if there is none.
 func (d *deployment) validatorOf(a *attempt) *Validator {
 	if a.validator == noValidator || a.closed {
 		return nil
@@ -112,7 +112,7 @@
 	d.timesLive = append(d.timesLive, 0)
 }
 
-// present presents one of the last tokens to a validator, or past all of them.
+// present presents one of the last four tokens to a validator, or to a server directly.
 func (d *deployment) present(t *rapid.T) {
 	if len(d.tokens) == 0 {
 		t.Skip()
@@ -184,7 +184,7 @@
 	}
 }
 
-// close ends an attempt at the server, perhaps long after the balancer has.
+// close ends an attempt at the server, possibly long after the balancer has closed it.
 func (d *deployment) close(t *rapid.T) {
 	a := d.draw(t, accepted, live)
 	d.closeAtValidator(a)
@@ -248,7 +248,7 @@
 	}
 	for _, v := range d.validators {
 		if pending, live, used := v.Counts(); pending+live+used > maxClaims {
-			t.Fatalf("%d claims", pending+live+used)
+			t.Fatalf("%d claims, want at most the limit", pending+live+used)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 	}
 }
 
-// Whatever happens to two balancers and two servers, a token is live once at most, and so never twice at one instant.
+// Whatever happens to two balancers and two servers, a token is live at most once, and so never twice at one instant.
 func TestSingleLiveAttempt(t *testing.T) {
 	lived := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/decision/resume/reason.go
+++ b/decision/resume/reason.go
@@ -1,28 +1,28 @@
 package resume
 
-// Reason says why a token is rejected. Its word is sent to clients and logged.
+// Reason is the reason why a token is rejected. Its word is sent to clients and logged.
 type Reason uint8
 
-// The reasons. Accepted is none.
+// The reasons. Accepted means no rejection.
 const (
 	Accepted       Reason = iota
-	Malformed             // it is not a token, or lasts longer than MaxLifetime
-	UnknownKey            // its key was withdrawn, or never known
+	Malformed             // it is not a token, or its lifetime exceeds MaxLifetime
+	UnknownKey            // its encryption key was withdrawn, or never known
 	Forged                // its authentication fails
-	NotYetValid           // it is issued later than now: clocks disagree
+	NotYetValid           // its time of issue is in the future: clocks disagree
 	Expired               // its lifetime is over
 	StreamMismatch        // the request is of another class, key or group
 	TenantMismatch        // the request is of another tenant
-	CursorAhead           // the cursor is beyond what the stream had delivered
+	CursorAhead           // the cursor is beyond the last delivered message
 	WrongServer           // it names another server
-	ServerGone            // the server that it names is not listed as ready, or has restarted since
-	ServerDraining        // that server takes nothing new
-	InUse                 // another attempt with it is under way or live
+	ServerGone            // the server that it names is not listed as ready, or has restarted
+	ServerDraining        // the server that it names accepts no new streams
+	InUse                 // another attempt with it is pending or live
 	AlreadyUsed           // it has been used
 	TableFull             // the table of claims is full
 	LogGap                // the server's log no longer reaches back to the cursor
-	Unreachable           // the server can't be connected to
-	OutcomeUnknown        // an attempt ended such that it may have been executed, or may yet be
+	Unreachable           // connecting to the server failed
+	OutcomeUnknown        // an attempt ended and may have been executed, or may still be
 	Unsupported           // the server does not understand tokens
 	reasonCount
 )
@@ -53,7 +53,8 @@
 	return words[r]
 }
 
-// ParseReason returns the reason of a word on the wire; false if there is none. The word of Accepted is not a reason.
+// ParseReason returns the reason of a word on the wire, or false if there is none. The word of Accepted is not a
+// reason.
 func ParseReason(word []byte) (Reason, bool) {
 	for r := Accepted + 1; r < reasonCount; r++ {
 		if r.String() == string(word) {
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -32,7 +32,7 @@
 	return StreamRequest{Class: "sync", Key: 7, Group: 5, Tenant: 9, Cursor: 41}
 }
 
-// presented is all that a validator decides by, acceptable unless changed.
+// presented holds the inputs of a validator's decision; they are acceptable unless changed.
 type presented struct {
 	now     UnixMillis
 	grant   Grant
@@ -51,22 +51,22 @@
 
 func (p *presented) claim(v *Validator) Reason { return v.Claim(p.now, &p.grant, &p.request, p.server) }
 
-// What a balancer rejects before a server is involved, and the reason.
+// A balancer rejects these tokens before a server is involved, for these reasons.
 func TestValidatorRejects(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*presented)
 		want   Reason
 	}{
-		"acceptable":             {func(*presented) {}, Accepted},
-		"issued later":           {func(p *presented) { p.now = t0 - skew - 1 }, NotYetValid},
-		"expired":                {func(p *presented) { p.now = t0 + lifetime }, Expired},
-		"another tenant":         {func(p *presented) { p.request.Tenant++ }, TenantMismatch},
-		"another key":            {func(p *presented) { p.request.Key++ }, StreamMismatch},
-		"another class":          {func(p *presented) { p.request.Class = "watch" }, StreamMismatch},
-		"another group":          {func(p *presented) { p.request.Group = 0 }, StreamMismatch},
-		"cursor ahead":           {func(p *presented) { p.request.Cursor++ }, CursorAhead},
-		"the server restarted":   {func(p *presented) { p.server.StartedAt++ }, ServerGone},
-		"the server isn't ready": {func(p *presented) { p.server.Ready = false }, ServerGone},
+		"acceptable":           {func(*presented) {}, Accepted},
+		"issued in the future": {func(p *presented) { p.now = t0 - skew - 1 }, NotYetValid},
+		"expired":              {func(p *presented) { p.now = t0 + lifetime }, Expired},
+		"another tenant":       {func(p *presented) { p.request.Tenant++ }, TenantMismatch},
+		"another key":          {func(p *presented) { p.request.Key++ }, StreamMismatch},
+		"another class":        {func(p *presented) { p.request.Class = "watch" }, StreamMismatch},
+		"another group":        {func(p *presented) { p.request.Group = 0 }, StreamMismatch},
+		"cursor ahead":         {func(p *presented) { p.request.Cursor++ }, CursorAhead},
+		"server restarted":     {func(p *presented) { p.server.StartedAt++ }, ServerGone},
+		"server not ready":     {func(p *presented) { p.server.Ready = false }, ServerGone},
 	} {
 		v, p := NewValidator(skew, 4), acceptable()
 		c.change(&p)
@@ -79,26 +79,26 @@
 	}
 }
 
-// The same token again, after each thing that may have become of it.
+// The same token is presented again after each way in which its first attempt may have gone on.
 func TestTokenPresentedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		then  func(v *Validator, id ID) Reason
-		why   Reason // what the client gets
+		why   Reason // the reason that the client gets
 		again Reason
 	}{
-		"at the same time":             {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
+		"first attempt pending":        {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
 		"established":                  {established, Accepted, InUse},
 		"closed":                       {closed, Accepted, AlreadyUsed},
 		"released without an attempt":  {released, Accepted, Accepted},
 		"released though established":  {releasedEstablished, Accepted, InUse},
 		"server full":                  {attemptFailed(outcome.ServerFull, true), Accepted, Accepted},
-		"no socket for it":             {attemptFailed(outcome.Inconclusive, false), Accepted, Accepted},
+		"no socket for the attempt":    {attemptFailed(outcome.Inconclusive, false), Accepted, Accepted},
 		"connect failed":               {attemptFailed(outcome.ConnectFailed, false), Unreachable, Accepted},
 		"timed out":                    {attemptFailed(outcome.TimedOut, true), OutcomeUnknown, AlreadyUsed},
 		"reset":                        {attemptFailed(outcome.Reset, true), OutcomeUnknown, AlreadyUsed},
 		"error":                        {attemptFailed(outcome.ErrorResponse, true), OutcomeUnknown, AlreadyUsed},
 		"cancelled before it was sent": {attemptFailed(outcome.Cancelled, false), Accepted, Accepted},
-		"cancelled afterwards":         {attemptFailed(outcome.Cancelled, true), OutcomeUnknown, AlreadyUsed},
+		"cancelled after it was sent":  {attemptFailed(outcome.Cancelled, true), OutcomeUnknown, AlreadyUsed},
 		"rejected by the server":       {rejectedByServer, LogGap, AlreadyUsed},
 	} {
 		v, p := NewValidator(skew, 4), acceptable()
@@ -110,7 +110,7 @@
 		}
 		p.now++
 		if got := p.claim(v); got != c.again {
-			t.Errorf("%s: again %v, want %v", name, got, c.again)
+			t.Errorf("%s: presented again: %v, want %v", name, got, c.again)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	return func(v *Validator, id ID) Reason { return v.AttemptFailed(id, status, requestSent) }
 }
 
-// arrived is all that a registry decides by, acceptable unless changed.
+// arrived holds the inputs of a registry's decision; they are acceptable unless changed.
 type arrived struct {
 	registry *Registry
 	now      UnixMillis
@@ -155,23 +155,23 @@
 
 func testRegistry(maxClaims int) *Registry { return NewRegistry("s1", t0-second, skew, maxClaims) }
 
-// What only the server can decide.
+// Only the server can make these decisions.
 func TestRegistryRejects(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*arrived)
 		want   Reason
 	}{
-		"acceptable":       {func(*arrived) {}, Accepted},
-		"another server":   {func(a *arrived) { a.grant.Server = "s2" }, WrongServer},
-		"another run":      {func(a *arrived) { a.grant.ServerStartedAt-- }, ServerGone},
-		"no start time":    {func(a *arrived) { a.grant.ServerStartedAt = 0 }, ServerGone},
-		"an old server":    {serverIsOld, Accepted},
-		"lasts too long":   {func(a *arrived) { a.grant.ExpiresAt = t0 + MaxLifetime + 1 }, Malformed},
-		"expired":          {func(a *arrived) { a.now += lifetime }, Expired},
-		"cursor ahead":     {func(a *arrived) { a.request.Cursor = 42 }, CursorAhead},
-		"draining":         {func(a *arrived) { a.draining = true }, ServerDraining},
-		"the log is short": {func(a *arrived) { a.log.OldestCursor = 42 }, LogGap},
-		"the log reaches":  {func(a *arrived) { a.log.OldestCursor = 41 }, Accepted},
+		"acceptable":              {func(*arrived) {}, Accepted},
+		"another server":          {func(a *arrived) { a.grant.Server = "s2" }, WrongServer},
+		"another run":             {func(a *arrived) { a.grant.ServerStartedAt-- }, ServerGone},
+		"no start time":           {func(a *arrived) { a.grant.ServerStartedAt = 0 }, ServerGone},
+		"long-running server":     {serverRunsLong, Accepted},
+		"lifetime too long":       {func(a *arrived) { a.grant.ExpiresAt = t0 + MaxLifetime + 1 }, Malformed},
+		"expired":                 {func(a *arrived) { a.now += lifetime }, Expired},
+		"cursor ahead":            {func(a *arrived) { a.request.Cursor = 42 }, CursorAhead},
+		"draining":                {func(a *arrived) { a.draining = true }, ServerDraining},
+		"log starts after cursor": {func(a *arrived) { a.log.OldestCursor = 42 }, LogGap},
+		"log starts at cursor":    {func(a *arrived) { a.log.OldestCursor = 41 }, Accepted},
 	} {
 		a := arrived{registry: testRegistry(4), now: t0, grant: testGrant(), request: testRequest()}
 		c.change(&a)
@@ -181,12 +181,12 @@
 	}
 }
 
-func serverIsOld(a *arrived) {
+func serverRunsLong(a *arrived) {
 	a.grant.ServerStartedAt = 0
 	a.registry.startedAt = t0 - minAgeForZeroStart
 }
 
-// A full table rejects new tokens; a claim is never forgotten early, and makes room once it has expired.
+// A full table rejects new tokens; a claim is never dropped early, and makes room once it has expired.
 func TestTableIsBounded(t *testing.T) {
 	r, request := testRegistry(2), testRequest()
 	claim := func(now UnixMillis, id byte) Reason {
@@ -196,7 +196,7 @@
 	}
 	for i, want := range []Reason{Accepted, Accepted, TableFull} {
 		if got := claim(t0+UnixMillis(i), byte(i)); got != want {
-			t.Errorf("%d: %v, want %v", i, got, want)
+			t.Errorf("claim %d: %v, want %v", i, got, want)
 		}
 	}
 	r.Release(ID{1})
@@ -212,11 +212,11 @@
 		t.Errorf("after expiry: %v", got)
 	}
 	if pending, _, _ := r.Counts(); pending != 1 {
-		t.Errorf("%d pending", pending)
+		t.Errorf("%d pending, want 1", pending)
 	}
 }
 
-// A clock that steps forward and back must not let a forgotten token in again.
+// A clock that steps forward and back must not let a dropped token in again.
 func TestClockSteps(t *testing.T) {
 	r, first, request := testRegistry(4), testGrant(), testRequest()
 	claim := func(now UnixMillis, g *Grant) Reason { return r.Claim(now, g, &request, StreamLog{}, false) }
@@ -243,10 +243,10 @@
 func TestReasonWords(t *testing.T) {
 	for r := Malformed; r < reasonCount; r++ {
 		if got, ok := ParseReason([]byte(r.String())); !ok || got != r {
-			t.Errorf("%v", r)
+			t.Errorf("the word of %v does not parse to it", r)
 		}
 	}
 	if _, ok := ParseReason([]byte("honoured")); ok {
-		t.Error("a rejection without a reason")
+		t.Error("the word of Accepted parsed as a reason")
 	}
 }
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -8,8 +8,8 @@
 	"spurspread/decision/monotime"
 )
 
-// model is the protocol's rule in ten lines: what may have been executed is retried only where its class allows that,
-// and a rejection invites a retry only where any duplicate is discarded or harmless.
+// model is an independent statement of the protocol's rule: a request that may have been executed is retried only where
+// its class allows that, and a client is invited to retry only if any duplicate is discarded or harmless.
 func model(p Policy, executed bool, age monotime.Micros, same func(DedupScope) bool) (allowed, clientSafe bool) {
 	switch {
 	case !executed || p.Idempotency == Idempotent:
@@ -43,7 +43,7 @@
 		executed := rapid.Bool().Draw(t, "executed")
 		if executed {
 			history.RecordAttempt(firstSentAt, first)
-			// A second attempt does not move the window.
+			// A second attempt must not move the window.
 			history.RecordAttempt(firstSentAt+drawMicros(t, 1_000_000, "second"), drawLocation(t, "second"))
 		}
 		age, next := drawMicros(t, 2_000_000, "age"), drawLocation(t, "next")
--- a/decision/serverload/rebalance.go
+++ b/decision/serverload/rebalance.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// overloadUtilization is the utilization at which a server is overloaded: hardly any message is answered in time.
+	// overloadUtilization is the utilization from which on a server is overloaded: hardly any message is answered in
+	// time.
 	overloadUtilization = 0.9
-	// targetUtilization is the utilization down to which an overloaded server is relieved, and up to which others take
-	// what is moved.
+	// targetUtilization is the utilization down to which an overloaded server is relieved, and up to which other
+	// servers accept the moved connections.
 	targetUtilization = 0.8
-	// rebalanceInterval is the time after moves before more follow: their effect does not show sooner.
+	// rebalanceInterval is the minimum time between two rounds of moves off a server, because the effect of a round
+	// does not show sooner.
 	rebalanceInterval = 2 * monotime.Second
-	// moveOvershoot is how much may be moved at most, as a multiple of what is still to be moved: somewhat too much
-	// rather than nothing.
+	// moveOvershoot is the largest load that may be moved, as a multiple of the load that still has to be moved. Moving
+	// somewhat too much is better than moving nothing.
 	moveOvershoot = 1.2
 )
 
-// SpareCapacity returns how much load, in cores, the server can take up to targetUtilization.
+// SpareCapacity returns the load, in cores, that the server can accept before it reaches targetUtilization.
 func (g *Gauge) SpareCapacity(model *LoadModel, warmUp float64) float64 {
 	return max(targetUtilization-g.Utilization(model, warmUp), 0) * g.Size * warmUp
 }
 
-// ExcessLoad decides how much of this balancer's load, in cores, is to be moved off the server: nothing below
-// overloadUtilization or within rebalanceInterval, else this balancer's part of what is above targetUtilization.
+// ExcessLoad returns how much of this balancer's load, in cores, is to be moved off the server: 0 below
+// overloadUtilization or within rebalanceInterval of the last moves, otherwise this balancer's proportional part of the
+// load above targetUtilization.
 func (g *Gauge) ExcessLoad(now monotime.Micros, model *LoadModel, warmUp float64) float64 {
 	utilization := g.Utilization(model, warmUp)
 	if utilization < overloadUtilization || now-g.RebalancedAt < rebalanceInterval {
@@ -37,14 +40,14 @@
 
 // Connection is a connection that may be moved.
 type Connection struct {
-	Group uint64  // 0 where it has none
+	Group uint64  // 0 if it has none
 	Load  float64 // cores
 }
 
-// SelectConnectionsToMove decides which connections are to be moved to take this much load, in cores, off a server. It
-// returns their indices and the sum of their loads. Those whose move takes off most per connection go first: the last
-// few of a group, with which the group's cost goes, before heavy ones of other groups. A connection or a whole
-// group goes only if it is no more than moveOvershoot times what is still to be moved.
+// SelectConnectionsToMove selects connections to move, so as to take the wanted load, in cores, off a server. It
+// returns their indices and the sum of their loads. Connections that relieve the server most per move go first: the
+// last few of a group, which take the group's cost along, before heavy ones of other groups. A connection or a whole
+// group is selected only if its load is at most moveOvershoot times the load that still has to be moved.
 func SelectConnectionsToMove(
 	model *LoadModel, connections []Connection, wanted float64,
 ) (selected []int, load float64) {
@@ -70,11 +73,11 @@
 	return selected, load
 }
 
-// movableGroup is the connections of one group, or one connection without a group.
+// movableGroup is the connections of one group, or a single connection without a group.
 type movableGroup struct {
 	members []int   // indices, the heaviest first
 	load    float64 // of all members, in cores
-	relief  float64 // load that moving all of them takes off, for each of them
+	relief  float64 // load that moving all members takes off, per member
 }
 
 func (g *movableGroup) each(f func(index int)) {
@@ -83,7 +86,7 @@
 	}
 }
 
-// groupsByRelief returns the connections by groups, those first whose move relieves a server most per connection.
+// groupsByRelief returns the connections by group, in descending order of relief.
 func groupsByRelief(model *LoadModel, connections []Connection) []*movableGroup {
 	var groups []*movableGroup
 	byID := map[uint64]*movableGroup{}
--- a/decision/serverload/reports.go
+++ b/decision/serverload/reports.go
@@ -3,20 +3,21 @@
 import "spurspread/decision/monotime"
 
 const (
-	// reportCostFraction is the part of the value of requests that load reports may cost.
+	// reportCostFraction is the fraction of the value of requests that may be spent on load reports.
 	reportCostFraction = 0.012
-	// maxReportCredits is how many reports can be saved up.
+	// maxReportCredits is the largest number of reports that can be saved up.
 	maxReportCredits = 40.0
-	// minReportInterval is the time between two reports of one server.
+	// minReportInterval is the minimum time between two report requests to one server.
 	minReportInterval = 1 * monotime.Second
 )
 
-// ReportBudget decides how often this balancer requests load reports. It earns a part of one with each request, so that
-// the fleet's reports follow the fleet's requests, however many balancers there are. Its zero value has earned nothing.
+// ReportBudget limits how often this balancer requests load reports. Each request earns a fraction of a report, so that
+// the number of reports in the fleet follows the number of requests, however many balancers there are. The zero value
+// has earned nothing.
 type ReportBudget struct{ credits float64 }
 
-// Earn adds the credit of one request, where a load report costs this part of the value of a request. At a cost of 0 or
-// less, which is not stated, nothing is earned.
+// Earn adds the credit of one request. cost is the cost of a load report as a fraction of the value of a request; a
+// cost of 0 or less is not set, and earns nothing.
 func (b *ReportBudget) Earn(cost float64) {
 	if cost > 0 {
 		b.credits += reportCostFraction / cost
@@ -24,8 +25,8 @@
 	b.credits = min(b.credits, maxReportCredits)
 }
 
-// RequestDue decides whether to request a load report of the server now, and if so charges it: at most one per
-// minReportInterval, for one credit.
+// RequestDue reports whether to request a load report of the server now, and charges one credit if so. There is at most
+// one report of a server per minReportInterval.
 func (b *ReportBudget) RequestDue(now monotime.Micros, g *Gauge) bool {
 	if b.credits < 1 || now-g.ReportRequestedAt < minReportInterval {
 		return false
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -19,7 +19,7 @@
 func TestDynamicWeightShowsSizeAndConnections(t *testing.T) {
 	m := &LoadModel{DynamicWeights: true}
 	for _, c := range []struct{ weight, size, connections float64 }{
-		{2, 2, 0}, {1, 2, 2}, {0.2, 2, 18}, {4, 4, 0}, {2, 4, 4}, // a larger one shows the size of its kind
+		{2, 2, 0}, {1, 2, 2}, {0.2, 2, 18}, {4, 4, 0}, {2, 4, 4}, // the larger weight becomes the size of its kind
 	} {
 		size, connections := m.SizeFromWeight(1, c.weight)
 		if size != c.size || math.Abs(connections-c.connections) > 1e-9 {
@@ -28,14 +28,15 @@
 		}
 	}
 	if size, _ := m.SizeFromWeight(2, 0.5); size != 0.5 {
-		t.Errorf("one kind's size is taken for another's: %v", size)
+		t.Errorf("size of another kind is used: size %v, want 0.5", size)
 	}
 	if size, connections := (&LoadModel{}).SizeFromWeight(1, 0.5); size != 0.5 || connections != 0 {
-		t.Errorf("a weight that is a size: %v, %v connections", size, connections)
+		t.Errorf("static weight 0.5: size %v, %v connections, want 0.5 and 0", size, connections)
 	}
 }
 
-// A report shows some moment lately: within what was known then it corrects nothing, beyond that it does.
+// A report shows an earlier moment: within the range of utilizations known around then it corrects nothing, outside of
+// it it does.
 func TestReportIsOlderThanItsArrival(t *testing.T) {
 	m, g := modelWithMean(0.1), &Gauge{Size: 2}
 	now := 1000 * second
@@ -53,26 +54,27 @@
 	advance(4 * second)
 	g.OwnLoad = 1
 	g.ApplyReport(now, m, 1, 0.2)
-	expect("a report of 0.2 while a half is placed", 0.5)
+	expect("report of 0.2 after a load of 0.5 was placed", 0.5)
 	g.ApplyReport(now, m, 1, 0.8)
-	expect("a report of 0.8 then", 0.8)
+	expect("report of 0.8 at the same time", 0.8)
 	advance(4 * second)
 	g.ApplyReport(now, m, 1, 0.7)
-	expect("0.7 long after", 0.7)
+	expect("report of 0.7 long after", 0.7)
 	g.OwnLoad = 0
-	expect("all connections have ended since", 0.2)
+	expect("all connections have ended since the report", 0.2)
 	g.ApplyReport(now, m, 1, 0.45)
-	expect("a report from before they ended", 0)
+	expect("report from before they ended", 0)
 	advance(4 * second)
 	g.ApplyReport(now, m, 1, 0.45)
-	expect("another program's load", 0.45)
+	expect("load of another program", 0.45)
 	g.ResetReports()
 	expect("after a restart", 0)
 }
 
-// What is moved is little and helps: the last of a group, with which its cost goes, before half of a larger one.
+// Few connections are moved, and those that relieve the server most: the last of a group, which takes the group's cost
+// along, before half of a larger group.
 func TestSelectConnectionsToMove(t *testing.T) {
-	m := modelWithMean(0.1) // so a group costs 0.3
+	m := modelWithMean(0.1) // so that a group costs 0.3
 	connections := []Connection{{1, 0.1}, {1, 0.1}, {1, 0.1}, {1, 0.1}, {2, 0.05}, {1, 0.1}, {0, 0.02}, {0, 0.5}}
 	for _, c := range []struct {
 		wanted   float64
@@ -92,15 +94,15 @@
 			sum += connections[i].Load
 		}
 		if !slices.Equal(selected, c.selected) || math.Abs(load-sum) > 1e-9 {
-			t.Errorf("to take %v off: %v with %v, want %v", c.wanted, selected, load, c.selected)
+			t.Errorf("wanted load %v: selected %v with load %v, want %v", c.wanted, selected, load, c.selected)
 		}
 	}
 	if selected, _ := SelectConnectionsToMove(m, []Connection{{1, 3}, {1, 3}}, 1); len(selected) != 0 {
-		t.Errorf("%v are moved, each three times what was wanted", selected)
+		t.Errorf("selected %v, each with three times the wanted load", selected)
 	}
 }
 
-// No connection is selected twice, and never more load than wanted but for the overshoot.
+// No connection is selected twice, and the selected load exceeds the wanted load by at most the overshoot.
 func TestMovesAreBounded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		connections := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) Connection {
@@ -110,15 +112,15 @@
 		m := modelWithMean(rapid.Float64Range(0, 1).Draw(r, "mean"))
 		selected, load := SelectConnectionsToMove(m, connections, wanted)
 		if slices.Sort(selected); len(slices.Compact(slices.Clone(selected))) != len(selected) {
-			r.Fatalf("%v", selected)
+			r.Fatalf("connection selected twice: %v", selected)
 		}
 		if load > max(wanted, 0)*moveOvershoot+1e-9 {
-			r.Fatalf("%v is moved where %v was wanted", load, wanted)
+			r.Fatalf("load %v selected, wanted %v", load, wanted)
 		}
 	})
 }
 
-// The excess is this balancer's own part of what is too much, and nothing until the last moves show.
+// The excess load is this balancer's proportional part, and 0 until the effect of the last moves shows.
 func TestExcessLoad(t *testing.T) {
 	m := modelWithMean(0)
 	now := 1000 * second
@@ -128,32 +130,32 @@
 		g := &Gauge{Size: 2, OwnLoad: c.own}
 		g.ApplyReport(now, m, 1, c.utilization)
 		if e := g.ExcessLoad(now, m, 1); math.Abs(e-c.want) > 1e-9 {
-			t.Errorf("own load %v, utilization %v: %v, want %v", c.own, c.utilization, e, c.want)
+			t.Errorf("own load %v, utilization %v: excess load %v, want %v", c.own, c.utilization, e, c.want)
 		}
 		g.RebalancedAt = now
 		if e := g.ExcessLoad(now+rebalanceInterval-1, m, 1); e != 0 {
-			t.Errorf("%v more before the effect of the last moves shows", e)
+			t.Errorf("excess load %v before the effect of the last moves shows, want 0", e)
 		}
 	}
 }
 
-// The first load says little about the others; a hundred determine the mean.
+// One load hardly changes the mean; a hundred loads determine it, and hints are ignored from then on.
 func TestMeanLoad(t *testing.T) {
 	m := &LoadModel{}
 	if m.Observe(1.5); m.MeanLoad() > 0.3 {
-		t.Errorf("one heavy connection makes the mean %v", m.MeanLoad())
+		t.Errorf("mean %v after one heavy connection", m.MeanLoad())
 	}
 	for i := range 200 {
 		m.Observe([]float64{0.05, 0.15}[i%2])
 	}
 	m.ObserveHint(100)
 	if math.Abs(m.MeanLoad()-0.1) > 0.02 {
-		t.Errorf("mean %v of loads of 0.1", m.MeanLoad())
+		t.Errorf("mean %v of loads around 0.1", m.MeanLoad())
 	}
 }
 
-// Whatever is observed, a selection weight is a number above 0, smaller for more load, larger for a group that is
-// there, smaller for a server of another zone.
+// Whatever is observed, a selection weight is a finite number above 0. More load lowers it, the presence of the
+// connection's group does not, and crossing zones lowers it.
 func TestSelectionWeightIsOrdered(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		upTo := func(most float64, name string) float64 { return rapid.Float64Range(0, most).Draw(r, name) }
@@ -174,20 +176,20 @@
 			r.Fatalf("weight %v", weight)
 		}
 		if grouped := g.SelectionWeight(m, warmUp, load, true, false); grouped < weight {
-			r.Fatalf("%v with its group, %v without", grouped, weight)
+			r.Fatalf("weight %v with its group, %v without", grouped, weight)
 		}
 		if crossZone := g.SelectionWeight(m, warmUp, load, false, true); crossZone >= weight {
-			r.Fatalf("%v across zones, %v within", crossZone, weight)
+			r.Fatalf("weight %v across zones, %v within", crossZone, weight)
 		}
 		loaded := g
 		loaded.OwnLoad += 1 + upTo(10, "more")
 		if loaded.SelectionWeight(m, warmUp, load, false, false) > weight {
-			r.Fatal("more load makes it more likely")
+			r.Fatal("weight rises with load")
 		}
 	})
 }
 
-// The reports that all balancers request follow the requests, not the balancers.
+// The number of reports that all balancers together request follows the number of requests, not of balancers.
 func TestReportsFollowRequests(t *testing.T) {
 	const cost, requests = 0.004, 1200
 	sums := map[int]int{}
@@ -206,10 +208,10 @@
 		}
 	}
 	if empty := (ReportBudget{}); empty.RequestDue(100*second, &Gauge{}) {
-		t.Error("requests a report with nothing earned")
+		t.Error("report requested without any credit")
 	}
 	var unpriced ReportBudget
 	if unpriced.Earn(0); unpriced.RequestDue(100*second, &Gauge{}) {
-		t.Error("requests reports whose cost is not stated")
+		t.Error("report requested although its cost is not set")
 	}
 }
--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -8,8 +8,8 @@
 	"spurspread/decision/monotime"
 )
 
-// randomBudget is a simpler design, to compare with: each balancer draws its part of a window whole or not at all, by
-// chance, and counts windows from its first request.
+// randomBudget is a simpler design to compare with: each balancer's part of a window is rounded up or down at random,
+// and each balancer counts windows from its first request.
 type randomBudget struct {
 	windowStart monotime.Micros
 	left        float64
@@ -24,22 +24,22 @@
 }
 
 const (
-	window = monotime.Second // of the warm-up rule
+	window = monotime.Second // over which the warm-up budget is stated
 	step   = window / 40
 	warmUp = 23 * window
 )
 
-// reconnectWave is a fleet of which each balancer has requests at its own rate, for one server that warms up.
+// reconnectWave is a fleet whose balancers each have requests at their own rate, for one server that is warming up.
 type reconnectWave struct {
 	balancers, zones int
-	allowed          float64                       // requests in a window
-	hasRequest       func(*rand.Rand) bool         // whether a balancer has one in a step
+	allowed          float64                       // number of requests allowed in a window
+	hasRequest       func(*rand.Rand) bool         // whether a balancer has a request in a step
 	work             func(*rand.Rand) float64      // of a request, as a multiple of the mean
-	perGrant         float64                       // the work that a grant is for
-	rank             func(int) (rank, counted int) // as a balancer sees the fleet; nil: as it is
+	perGrant         float64                       // the work that a grant covers
+	rank             func(int) (rank, counted int) // the fleet as a balancer sees it; nil for correct ranks
 }
 
-// simulate returns what the server got in each step of its warm-up: by grants, and by random budgets.
+// simulate returns the work that the server was sent in each step of its warm-up: by grants, and by random budgets.
 func (w reconnectWave) simulate(seed uint64) (byGrants, byChance []float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	server := rng.Uint64()
@@ -84,8 +84,8 @@
 	return Fleet{Rank: rank, Balancers: counted, Zones: w.zones, ServerID: server, SameZone: i%w.zones == 0}
 }
 
-// windowStats sums up what windows got, wherever they begin: the mean, the standard deviation, the largest, and the
-// part of them that is over what chance explains.
+// windowStats summarizes the work sent in all windows, wherever they begin: the mean, the standard deviation, the
+// maximum, and the fraction of windows with more than chance explains.
 type windowStats struct{ mean, deviation, largest, over float64 }
 
 func (w reconnectWave) windowStats(received []float64) (stats windowStats) {
@@ -117,9 +117,9 @@
 	return math.Exp(rng.NormFloat64()*0.8 - 0.32)
 }
 
-// What all balancers together send in any window, wherever it begins, stays below what chance explains, and where each
-// request takes the mean below the quota of SlotsPerWindow+grantLifetime slots and 2, however many balancers there are
-// and however many have requests. With random budgets it does not.
+// Checks the work that all balancers together send in any window, wherever it begins, however many balancers there are
+// and however many have requests. It stays below what chance explains and, if each request takes the mean work, below
+// the quota of SlotsPerWindow+grantLifetime slots plus 2. Random budgets exceed the former.
 func TestSumOverTheFleet(t *testing.T) {
 	const unevenCase = "uneven work"
 	for _, balancers := range []int{30, 300, 1500} {
@@ -150,19 +150,19 @@
 			}
 			if grants.over > overBound || grants.largest > largestBound ||
 				grants.mean == 0 || grants.mean > w.allowed*1.05 {
-				t.Errorf("%d, %s: %+v, at most %.0f", balancers, name, grants, largestBound)
+				t.Errorf("%d balancers, %s: %+v, want at most %.0f a window", balancers, name, grants, largestBound)
 			}
 		}
 		if randomOver == 0 {
-			t.Errorf("%d balancers: random budgets were never over, so this shows nothing", balancers)
+			t.Errorf("%d balancers: random budgets never exceeded the bound, nothing is compared", balancers)
 		}
 	}
 }
 
-// seeds is how many waves of a kind are played.
+// seeds is the number of waves simulated for each case.
 const seeds = 2
 
-// add adds one wave's part of the mean over all seeds.
+// add adds one wave's contribution to the mean over all seeds.
 func (s *windowStats) add(wave windowStats) {
 	s.mean += wave.mean / seeds
 	s.deviation += wave.deviation / seeds
@@ -170,7 +170,7 @@
 	s.largest = max(s.largest, wave.largest)
 }
 
-// disagreeingRanks has one in ten balancers count a tenth fewer, as while a membership settles.
+// disagreeingRanks makes one balancer in ten count a tenth fewer, as happens while the membership converges.
 func disagreeingRanks(balancers int) func(int) (int, int) {
 	return func(i int) (int, int) {
 		if i%10 == 0 {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Where loads differ, a part of the budget is kept back for the heavy ones, over all balancers together.
+// If loads differ, a part of the budget of all balancers together is reserved for the heavy ones.
 func TestUnevenLoadsAreGrantedLess(t *testing.T) {
 	granted := func(uneven bool) (sum int) {
 		for rank := range 30 {
@@ -193,6 +193,6 @@
 	}
 	even, uneven := float64(granted(false)), float64(granted(true))
 	if part := uneven / even; part < unevenLoadFraction-0.02 || part > unevenLoadFraction+0.02 {
-		t.Fatalf("%.0f grants of %.0f where loads differ: %.3f, not %v", uneven, even, part, unevenLoadFraction)
+		t.Fatalf("%.0f of %.0f grants if loads differ: fraction %.3f, want %v", uneven, even, part, unevenLoadFraction)
 	}
 }
--- a/decision/slowstart/grants.go
+++ b/decision/slowstart/grants.go
@@ -8,40 +8,43 @@
 )
 
 const (
-	// SlotsPerWindow is how many slots the window of a warming server's budget has.
+	// SlotsPerWindow is the number of slots in the window over which the budget of a warming server is stated.
 	SlotsPerWindow = 4
-	// grantLifetime is for how many slots a grant can be used, its own included. Any window, wherever it begins, so
-	// gets the grants of at most SlotsPerWindow + grantLifetime slots, also when all balancers have requests at once
-	// after a pause. With a shorter one, most grants would expire where a balancer rarely has a request.
+	// grantLifetime is the number of slots in which a grant can be used, its own included. Any window, wherever it
+	// begins, therefore gets the grants of at most SlotsPerWindow + grantLifetime slots, even if all balancers have
+	// requests at once after a pause. With a shorter lifetime, most grants would expire at balancers that rarely have a
+	// request.
 	grantLifetime = 3
-	// maxRepaidSlots is how many slots back grants are added to repay a debt. It bounds the work of one call.
+	// maxRepaidSlots is the number of past slots whose grants are added to repay a debt. It bounds the work of one
+	// call.
 	maxRepaidSlots = 256
 	// maxGrantsPerSlot bounds the grants of one slot, over the whole fleet.
 	maxGrantsPerSlot = 4096
 
-	// sameZoneFraction is the part of a warming server's budget that balancers in its zone use.
+	// sameZoneFraction is the largest fraction of a warming server's budget that the balancers in its zone use.
 	sameZoneFraction = 0.6
-	// crossZoneFraction is what a balancer of another zone uses, as a part of what one in the server's zone does:
-	// crossing zones costs.
+	// crossZoneFraction is the amount that a balancer of another zone uses, as a fraction of that of a balancer in the
+	// server's zone, because crossing zones costs more.
 	crossZoneFraction = 1 / 3.
-	// unevenLoadFraction is the part of the budget that is granted where the loads of connections differ, so that the
-	// few heavy ones still fit: a grant is for the mean load.
+	// unevenLoadFraction is the fraction of the budget that is granted if the loads of connections differ. A grant
+	// covers the mean load, so this leaves room for the few heavy connections.
 	unevenLoadFraction = 0.63
 )
 
-// The sequences by which grants are dealt.
+// Constants of the sequences that assign grants to balancers.
 const (
-	// slotStride is how far apart the slots begin in the sequence: farther than a slot usually has grants.
+	// slotStride is the distance in the sequence between the beginnings of successive slots, larger than the usual
+	// number of grants in a slot.
 	slotStride = 64
 
-	// Multiples of these steps spread evenly over the circle of 2^64, however many are taken: those of the golden
-	// ratio, and of the plastic number, whose two steps also spread evenly as pairs.
+	// Multiples of these steps, modulo 2^64, are spread evenly however many are taken. The first is derived from the
+	// golden ratio; the other two are derived from the plastic number and also spread evenly as pairs.
 	goldenRatioStep = 0x9e3779b97f4a7c15
 	rankStep        = 0xc13fa9a902a6328f
 	crossZoneStep   = 0x91e10da5c79e7b1d
 )
 
-// The float64 fraction of 64 random-like bits: their upper 53 over 2^53.
+// Constants that convert 64 random-like bits to a float64 from 0 to 1: their upper 53 bits divided by 2^53.
 const (
 	mantissaBits  = 53
 	droppedBits   = 64 - mantissaBits
@@ -49,29 +52,29 @@
 	circle        = 1 << 64
 )
 
-// Fleet is who shares a warming server's budget, and this balancer's place among them.
+// Fleet describes the balancers that share a warming server's budget, and this balancer's place among them.
 type Fleet struct {
 	Rank        int    // of this balancer, from 0
 	Balancers   int    // in all zones
 	Zones       int    // that have balancers
 	ServerID    uint64 // the same at every balancer
 	SameZone    bool   // the server is in this balancer's zone
-	UnevenLoads bool   // loads of connections differ, and are known only once these are established
+	UnevenLoads bool   // loads of connections differ, and are known only after their set-up
 }
 
-// SlotAt returns the slot of a server's warm-up in which now lies, and when that slot began. Slots are counted from the
+// SlotAt returns the slot of a server's warm-up that contains now, and when that slot began. Slots are counted from the
 // server's start as discovery reports it, so that all balancers count the same ones; a server that seems to start in
-// the future is in slot 0. window is the time over which the budget is stated, in SlotsPerWindow slots.
+// the future is in slot 0. window is the time over which the budget is stated, divided into SlotsPerWindow slots.
 func SlotAt(now, startedAt, window monotime.Micros) (slot int64, began monotime.Micros) {
 	length := max(window/SlotsPerWindow, 1)
 	slot = int64(max(now-startedAt, 0) / length)
 	return slot, startedAt + monotime.Micros(slot)*length
 }
 
-// GrantAvailable decides whether a server that is warming up may be sent one more connection by this balancer in this
-// slot. quota is how many grants all balancers together have in a window. At least one whole grant must be left.
-// No balancer can use another's grants, and unused ones expire; a connection that takes more work than a grant is for
-// is repaid from this balancer's next ones.
+// GrantAvailable reports whether this balancer may send a warming server one more connection in this slot: at least one
+// whole grant must be left. quota is the number of grants that all balancers together have in a window. A balancer
+// can't use another's grants, and unused ones expire. A connection that takes more work than a grant covers is repaid
+// from this balancer's next grants.
 func (b *Budget) GrantAvailable(slot int64, quota float64, fleet Fleet) bool {
 	if slot >= b.NextSlot {
 		for s := max(b.firstUsefulSlot(slot), b.NextSlot); s <= slot; s++ {
@@ -82,8 +85,8 @@
 	return b.GrantsLeft >= 1
 }
 
-// firstUsefulSlot returns the earliest slot whose grants can matter in this one: those that have not expired, and in
-// debt those that repay it.
+// firstUsefulSlot returns the earliest slot whose grants can matter in this one: those that have not expired and, if
+// there is a debt, those that repay it.
 func (b *Budget) firstUsefulSlot(slot int64) int64 {
 	if b.GrantsLeft < 0 {
 		return slot - maxRepaidSlots
@@ -91,7 +94,7 @@
 	return slot - grantLifetime + 1
 }
 
-// addGrants begins a slot with its grants. What is left of those that were added grantLifetime slots ago expires.
+// addGrants begins a slot and adds its grants. Unused grants that were added grantLifetime slots ago expire.
 func (b *Budget) addGrants(added float64) {
 	unexpired := 0.0
 	for i := len(b.GrantsBySlot) - 1; i > 0; i-- {
@@ -102,17 +105,18 @@
 	b.GrantsLeft = min(b.GrantsLeft, unexpired) + added
 }
 
-// ResetGrants discards the grants of a server that has restarted, and so warms up again.
+// ResetGrants discards the grants of a server that has restarted, and therefore warms up again.
 func (b *Budget) ResetGrants() {
 	b.NextSlot = 0
 	b.GrantsLeft = 0
 	b.GrantsBySlot = [grantLifetime]float64{}
 }
 
-// grantsInSlot decides how many of a slot's grants are this balancer's. quota is how many grants all balancers together
-// have in a slot, at most maxGrantsPerSlot: its whole part is granted in each slot, its fraction as one more grant in
-// that fraction of the slots. The owner of each grant is drawn by a sequence that depends on server and slot only, so
-// all balancers agree on it; a balancer in another zone keeps only crossZoneFraction of what it is dealt.
+// grantsInSlot returns how many of a slot's grants are this balancer's. quota is the number of grants that all
+// balancers together have in a slot, at most maxGrantsPerSlot. Its whole part is granted in each slot, its fraction as
+// one more grant in that fraction of the slots. The owner of each grant is drawn by a sequence that depends on the
+// server and the slot only, so that all balancers agree on it. A balancer in another zone keeps only crossZoneFraction
+// of the grants that it is dealt.
 func (f Fleet) grantsInSlot(slot int64, quota float64) (own int) {
 	balancers := uint64(max(f.Balancers, 1))
 	rank := uint64(max(f.Rank, 0)) % balancers
@@ -127,22 +131,23 @@
 	return own
 }
 
-// totalGrants returns how many grants all balancers together are dealt in a slot.
+// totalGrants returns the number of grants that all balancers together are dealt in a slot.
 func (f Fleet) totalGrants(slot int64, quota float64) int {
 	carry := float64((f.ServerID+uint64(slot)*goldenRatioStep)>>droppedBits) / mantissaRange
-	return int(math.Floor(min(quota*f.grantedFraction(), maxGrantsPerSlot) + carry))
+	return int(math.Floor(min(quota*f.grantRatio(), maxGrantsPerSlot) + carry))
 }
 
-// keepsGrant decides whether this balancer uses a grant that it is dealt: each in the server's zone, else
+// keepsGrant reports whether this balancer uses a grant that it is dealt: always in the server's zone, otherwise for
 // crossZoneFraction of them.
 func (f Fleet) keepsGrant(term uint64) bool {
 	return f.SameZone || float64(f.ServerID+term*crossZoneStep) < crossZoneFraction*circle
 }
 
-// grantedFraction is the factor between the grants that are dealt and the budget. Balancers of other zones keep
-// crossZoneFraction of theirs, so more are dealt, such that all together keep the budget where each zone has as many
-// balancers; but never so many that those of the server's zone use more than sameZoneFraction.
-func (f Fleet) grantedFraction() float64 {
+// grantRatio returns the ratio of the grants that are dealt to the budget. Balancers of other zones keep only
+// crossZoneFraction of theirs, so more are dealt than the budget: as many as make the kept grants add up to the budget
+// if each zone has as many balancers, but at most as many as keep the use by balancers in the server's zone within
+// sameZoneFraction.
+func (f Fleet) grantRatio() float64 {
 	zones := float64(min(max(f.Zones, 1), max(f.Balancers, 1)))
 	kept := (1 + (zones-1)*crossZoneFraction) / zones
 	part := min(sameZoneFraction*zones, 1/kept)
--- a/decision/splitmix/splitmix.go
+++ b/decision/splitmix/splitmix.go
@@ -1,7 +1,7 @@
-// Package splitmix has the hash of a number that decisions share. It is a leaf: it knows nothing of this module.
+// Package splitmix implements the 64-bit hash of a number that decisions share. It imports nothing of this module.
 package splitmix
 
-// Gamma is the increment of splitmix64: its multiples tell several hashes of one number apart.
+// Gamma is the increment of splitmix64. Adding its multiples to a number yields several distinct hashes of that number.
 const Gamma = 0x9e3779b97f4a7c15
 
 const (
@@ -12,7 +12,8 @@
 	shift3      = 31
 )
 
-// Mix64 is the finalizer of splitmix64: a one-to-one mapping in which each bit of the result depends on all of x.
+// Mix64 returns the splitmix64 finalizer of x: a one-to-one mapping in which each bit of the result depends on all of
+// x.
 func Mix64(x uint64) uint64 {
 	x = (x ^ x>>shift1) * multiplier1
 	x = (x ^ x>>shift2) * multiplier2
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -13,23 +13,23 @@
 
 func TestCombinedLimits(t *testing.T) {
 	for name, c := range map[string]struct{ got, want monotime.Micros }{
-		"class bounds the client":          {Request(9*sec, 3*sec), 3 * sec},
-		"client waits less":                {Request(1*sec, 3*sec), 1 * sec},
+		"class deadline bounds the client": {Request(9*sec, 3*sec), 3 * sec},
+		"client waits for less":            {Request(1*sec, 3*sec), 1 * sec},
 		"reattaching is bounded":           {Reattach(60 * sec), MaxReattach},
-		"reattaching as announced":         {Reattach(2 * sec), 2 * sec},
+		"reattaching, as announced":        {Reattach(2 * sec), 2 * sec},
 		"reattaching, overdue":             {ReattachAttempt(-5), 1 * ms},
 		"reattaching, time left":           {ReattachAttempt(2 * sec), 2 * sec},
 		"attempt without its own time-out": {Attempt(0, 2*sec), 2 * sec},
-		"attempt longer than the client":   {Attempt(3*sec, 2*sec), 2 * sec},
+		"attempt longer than client waits": {Attempt(3*sec, 2*sec), 2 * sec},
 		"attempt shorter":                  {Attempt(1*sec, 2*sec), 1 * sec},
 		"client is overdue":                {Attempt(1*sec, -5), 0},
 		"connecting":                       {Connect(2*sec, 100*ms), 100 * ms},
 		"connecting with little left":      {Connect(50*ms, 100*ms), 50 * ms},
 		"multiplexed set-up":               {MuxSetup(100 * ms), 300 * ms},
-		"waiting for a multiplexed one":    {MuxAttempt(200*ms, 100*ms), 200 * ms},
+		"waiting for multiplexed set-up":   {MuxAttempt(200*ms, 100*ms), 200 * ms},
 		"written request":                  {AnswerDeadline(5*sec, 2*sec, true), 5 * sec},
 		"unwritten request":                {AnswerDeadline(5*sec, 2*sec, false), 2 * sec},
-		"unwritten without a window":       {AnswerDeadline(5*sec, 0, false), 5 * sec},
+		"unwritten, without a window":      {AnswerDeadline(5*sec, 0, false), 5 * sec},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", name, c.got, c.want)
@@ -37,23 +37,23 @@
 	}
 }
 
-// The protocol's limits: a client has an answer or an end within 3 s of connecting, and a silent server is given up
-// within 7 s, those 0.9 s included in which a line under way may end.
+// Constants that the protocol depends on. A client has an answer or the end of its connection within 3 s of connecting,
+// and an unresponsive server is abandoned within 7 s, including 0.9 s in which a line in transmission may end.
 func TestProtocolLimits(t *testing.T) {
 	for name, c := range map[string]struct{ got, want monotime.Micros }{
-		"first line":          {FirstLine, 2 * sec},
-		"health checker":      {HealthCheckIdleTimeout, 60 * sec},
-		"reading the answer":  {Linger, 800 * ms},
-		"reattaching":         {MaxReattach, 40 * sec},
-		"half-closed":         {HalfClose, 5 * sec},
-		"silent":              {UnresponsiveTimeout, 5500 * ms},
-		"reattaching again":   {ReattachRetry(1, 0.5), 250 * ms},
-		"the third time":      {ReattachRetry(3, 0.5), sec},
-		"the last times":      {ReattachRetry(1000, 0.5), 4 * sec},
-		"at the soonest":      {ReattachRetry(1, 0), 187500},
-		"at the latest":       {ReattachRetry(1000, 1), 5 * sec},
-		"answer to a probe":   {ProbeReply, 150 * ms},
-		"watching lists anew": {WatchRestartDelay, 500 * ms},
+		"first line":           {FirstLine, 2 * sec},
+		"health checker":       {HealthCheckIdleTimeout, 60 * sec},
+		"reading the answer":   {Linger, 800 * ms},
+		"reattaching":          {MaxReattach, 40 * sec},
+		"half-closed":          {HalfClose, 5 * sec},
+		"unresponsive":         {UnresponsiveTimeout, 5500 * ms},
+		"first retry":          {ReattachRetry(1, 0.5), 250 * ms},
+		"third retry":          {ReattachRetry(3, 0.5), sec},
+		"later retries":        {ReattachRetry(1000, 0.5), 4 * sec},
+		"shortest retry pause": {ReattachRetry(1, 0), 187500},
+		"longest retry pause":  {ReattachRetry(1000, 1), 5 * sec},
+		"answer to a probe":    {ProbeReply, 150 * ms},
+		"restart of a watch":   {WatchRestartDelay, 500 * ms},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", name, c.got, c.want)
@@ -63,7 +63,7 @@
 
 func TestWriteForbidden(t *testing.T) {
 	if WriteForbidden(9*sec, 0) || WriteForbidden(sec-1, sec) || !WriteForbidden(sec, sec) {
-		t.Error("the window ends at its end, and where there is none it never ends")
+		t.Error("writing must be forbidden from the end of the window on, and never without a window")
 	}
 }
 
@@ -75,20 +75,20 @@
 	}
 }
 
-func TestSilent(t *testing.T) {
+func TestUnresponsive(t *testing.T) {
 	for name, c := range map[string]struct {
 		lastReply, oldest monotime.Micros
 		want              bool
 	}{
-		"answered lately":            {15 * sec, 15 * sec, false},
+		"answered recently":          {15 * sec, 15 * sec, false},
 		"long pause, then a line":    {0, 19 * sec, false},
-		"nothing back":               {13 * sec, 15 * sec, true},
+		"no reply":                   {13 * sec, 15 * sec, true},
 		"at the limit":               {14500 * ms, 16500 * ms, false},
 		"one microsecond beyond it":  {14500*ms - 1, 14500 * ms, true},
 		"pause of the client":        {14500*ms - 1, 16500 * ms, false},
 		"longer pause of the client": {14500*ms - 1, 16500*ms - 1, true},
-		"reply to a line before":     {19 * sec, 10 * sec, false},
-		"pause counts until a point": {0, 16*sec + 500*ms - 1, true},
+		"recent reply to older line": {19 * sec, 10 * sec, false},
+		"pause beyond one interval":  {0, 16*sec + 500*ms - 1, true},
 	} {
 		if got := Unresponsive(20*sec, c.lastReply, c.oldest); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/decision/upstreampool/choice.go
+++ b/decision/upstreampool/choice.go
@@ -6,31 +6,31 @@
 	"spurspread/decision/monotime"
 )
 
-// openAheadFraction is the part of a server's channels in use from which one more connection is opened ahead of need.
-// Opening takes a round trip or two, in which more channels arrive.
+// openAheadFraction is the fraction of a server's channels in use from which on one more connection is opened ahead of
+// need. Opening takes a round trip or two, in which more channels arrive.
 const openAheadFraction = 0.75
 
-// Kind is what is decided about a channel.
+// Kind is the kind of a Choice.
 type Kind uint8
 
 // The kinds of choices.
 const (
-	Use          Kind = iota // the channel goes on Connection
-	WaitForOpen              // the channel goes on Connection as soon as that is established
-	PlainLines               // the channel goes on a connection of its own: the server understands plain lines only
-	LimitReached             // no channel now: all connections that the limits allow are full
-	BackingOff               // no channel now: the last connection failed, and its backoff is not over
+	Use          Kind = iota // the channel uses Connection
+	WaitForOpen              // the channel uses Connection as soon as that is established
+	PlainLines               // the channel uses a connection of its own: the server understands plain lines only
+	LimitReached             // no channel now: all connections within the limits are full
+	BackingOff               // no channel now: the last connection failed, and the backoff is not over
 )
 
-// Choice is what is decided about a channel, or ahead of need.
+// Choice is the decision about a channel, or about a connection opened ahead of need.
 type Choice struct {
 	Kind       Kind
 	Connection uint32 // for Use and WaitForOpen
 	Open       bool   // Connection has to be opened first
 }
 
-// Acquire decides where a new channel to a server goes. With Use and WaitForOpen it reserves a place on the connection
-// until Release.
+// Acquire decides which connection a new channel to a server uses. With Use and WaitForOpen it reserves a place on the
+// connection until Release.
 func (p *Pool) Acquire(now monotime.Micros, serverID uint32) Choice {
 	s := p.serverState(serverID)
 	if now < s.plainUntil {
@@ -47,8 +47,8 @@
 	return Choice{Kind: Use, Connection: c.id}
 }
 
-// preferredConnection returns the server's best connection with a free channel, nil if there is none: established
-// ones first, then the one with the fewest channels, so that a failure affects few.
+// preferredConnection returns the server's best connection with a free channel, nil if there is none. It prefers
+// established connections, and among them the one with the fewest channels, so that a failure affects few.
 func (p *Pool) preferredConnection(s *server) *connection {
 	var best *connection
 	for _, c := range s.connections {
@@ -76,8 +76,8 @@
 	return Choice{Kind: WaitForOpen, Connection: c.id, Open: true}
 }
 
-// openConnection decides whether one more connection to a server may be opened now, and if so adds it. Not while
-// another is being opened, beyond a limit, or during a backoff: then it returns nil and the reason.
+// openConnection adds one more connection to a server, to be opened now. If another connection is being opened, a limit
+// is reached or the server is in backoff, it returns nil and the reason.
 func (p *Pool) openConnection(now monotime.Micros, s *server) (*connection, Kind) {
 	switch {
 	case s.opening():
@@ -99,8 +99,8 @@
 	return slices.ContainsFunc(s.connections, func(c *connection) bool { return !c.established })
 }
 
-// OpenAhead decides whether a server should get one more connection before channels need it: it has connections, and
-// openAheadFraction of their channels are in use. The Choice has Open set if so.
+// OpenAhead decides whether to open one more connection to a server before channels need it: the server has
+// connections, and openAheadFraction of their channels are in use. If so, the Choice has Open set.
 func (p *Pool) OpenAhead(now monotime.Micros, serverID uint32) Choice {
 	s := p.serverState(serverID)
 	if now < s.plainUntil || len(s.connections) == 0 {
@@ -118,7 +118,7 @@
 	return Choice{Kind: WaitForOpen, Connection: c.id, Open: true}
 }
 
-// channels returns how many channels a server has on all its connections.
+// channels returns the number of channels on all connections of a server.
 func (s *server) channels() (total int) {
 	for _, c := range s.connections {
 		total += c.channels
--- a/decision/upstreampool/limits_test.go
+++ b/decision/upstreampool/limits_test.go
@@ -9,14 +9,14 @@
 	"spurspread/decision/monotime"
 )
 
-// poolModel is what a pool must agree with: its connections by server, and the channels on them.
+// poolModel is the expected state of a pool: its connections by server, and the channels on them.
 type poolModel struct {
 	pool     *Pool
 	limits   Limits
 	now      monotime.Micros
-	opening  map[uint32]uint32 // connection to server
+	opening  map[uint32]uint32 // server of each connection that is being opened
 	open     map[uint32]uint32
-	channels []uint32 // the connection of each
+	channels []uint32 // the connection of each channel
 	failedAt map[uint32]monotime.Micros
 }
 
@@ -30,20 +30,20 @@
 	}
 }
 
-// begin has a connection opened that the pool chose to open.
+// begin records that a connection is being opened, as the pool chose.
 func (m *poolModel) begin(t *rapid.T, c Choice, server uint32) {
 	for _, s := range m.opening {
 		if s == server {
-			t.Fatalf("two connections to %d are being opened", server)
+			t.Fatalf("two connections to server %d are being opened", server)
 		}
 	}
 	if at, failed := m.failedAt[server]; failed && m.now < at+initialBackoff {
-		t.Fatalf("opened %d after a failure", m.now-at)
+		t.Fatalf("opened %d us after a failure", m.now-at)
 	}
 	m.opening[c.Connection] = server
 }
 
-// draw picks one of some connections.
+// draw picks one of the given connections.
 func (m *poolModel) draw(t *rapid.T, from map[uint32]uint32) uint32 {
 	var ids []uint32
 	for id := uint32(1); id <= m.pool.lastID; id++ {
@@ -72,7 +72,7 @@
 	switch c.Kind {
 	case Use:
 		if m.open[c.Connection] != server {
-			t.Fatalf("on connection %d, which is not open to %d", c.Connection, server)
+			t.Fatalf("channel uses connection %d, which is not open to server %d", c.Connection, server)
 		}
 		m.channels = append(m.channels, c.Connection)
 	case WaitForOpen:
@@ -80,7 +80,7 @@
 			m.begin(t, c, server)
 		}
 		if m.opening[c.Connection] != server {
-			t.Fatalf("waits for connection %d, which is not being opened to %d", c.Connection, server)
+			t.Fatalf("channel waits for connection %d, which is not being opened to server %d", c.Connection, server)
 		}
 		m.channels = append(m.channels, c.Connection)
 	}
@@ -117,7 +117,7 @@
 	m.pool.MarkPlain(m.now, id, rapid.Bool().Draw(t, "confirmed"))
 	m.lose(id)
 	if c := m.pool.Acquire(m.now, server); c.Kind != PlainLines {
-		t.Fatalf("%+v", c)
+		t.Fatalf("channel to a server with plain lines only: %+v", c)
 	}
 }
 
@@ -133,7 +133,7 @@
 func (m *poolModel) closeIdle(t *rapid.T) {
 	for _, id := range m.pool.IdleConnections(m.now, nil) {
 		if slices.Contains(m.channels, id) {
-			t.Fatalf("connection %d is closed with channels on it", id)
+			t.Fatalf("connection %d with channels is reported as idle", id)
 		}
 		m.pool.Closed(id)
 		m.lose(id)
@@ -144,7 +144,7 @@
 	m.now += monotime.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "us"))
 }
 
-// check compares counts and limits.
+// check compares the counts with the pool, and both with the limits.
 func (m *poolModel) check(t *rapid.T) {
 	connections, channels := m.pool.Counts()
 	want := len(m.opening) + len(m.open)
@@ -160,13 +160,13 @@
 	for _, connections := range []map[uint32]uint32{m.opening, m.open} {
 		for _, server := range connections {
 			if byServer[server]++; byServer[server] > m.limits.ConnectionsPerServer {
-				t.Fatalf("%d connections to %d", byServer[server], server)
+				t.Fatalf("%d connections to server %d", byServer[server], server)
 			}
 		}
 	}
 }
 
-// Whatever happens, the limits hold, and one connection to a server is being opened at a time.
+// Whatever happens, the limits hold, and at most one connection to a server is being opened at a time.
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPoolModel(Limits{
--- a/decision/upstreampool/pool.go
+++ b/decision/upstreampool/pool.go
@@ -10,54 +10,56 @@
 const (
 	// initialBackoff is the time after a failure in which no connection to the server is opened. It doubles with each
 	// further failure, at most maxBackoffDoublings times and up to maxBackoff. A server that dies takes its channels
-	// along, and all their clients reconnect within a second.
+	// with it, and all their clients reconnect within a second.
 	initialBackoff      = 250 * monotime.Millisecond
 	maxBackoff          = 8 * monotime.Second
 	maxBackoffDoublings = 10
-	// stableAfter is how long a connection must have been established for its failure to count as the first again.
+	// stableAfter is the time for which a connection must have been established for its failure to count as the first
+	// one again.
 	stableAfter = 10 * monotime.Second
-	// unconfirmedPlainTTL is for how long a server that only broke the connection off is taken to understand plain
-	// lines only. Such a server does so, as it leaves unread what it does not understand; but so does one that dies.
+	// unconfirmedPlainTTL is the time for which a server is assumed to understand plain lines only if it merely broke
+	// off the connection. A server that understands plain lines only does that, as it leaves the rest unread; but so
+	// does one that dies.
 	unconfirmedPlainTTL = 10 * monotime.Second
 )
 
-// Limits bound a pool. The defaults are those of the site file, from which they come.
+// Limits bound a pool. They come from the site file, whose defaults are given below.
 type Limits struct {
-	// ChannelsPerConnection bounds the channels on one connection; default 128. More of them save connections, and lose
-	// more clients with each that fails.
+	// ChannelsPerConnection bounds the channels on one connection; default 128. A higher limit saves connections, but
+	// more clients are affected by the failure of one.
 	ChannelsPerConnection int
-	// ConnectionsPerServer bounds the connections to one server; default 4. More of them allow more channels there.
+	// ConnectionsPerServer bounds the connections to one server; default 4. A higher limit allows more channels to it.
 	ConnectionsPerServer int
 	// Connections bounds the connections to all servers together, and with them descriptors and buffers; default 256.
 	Connections int
-	// IdleTimeout is the time without a channel after which a connection is closed; default 10 s. A longer one saves
-	// set-ups, and holds descriptors.
+	// IdleTimeout is the time without channels after which a connection is closed; default 10 s. A longer one saves
+	// set-ups, and holds descriptors longer.
 	IdleTimeout monotime.Micros
-	// PlainTTL is for how long it is remembered that a server understands plain lines only; default 10 min. A
-	// longer one saves attempts; a server that has been upgraded is used with channels that much later.
+	// PlainTTL is the time for which a server is known to understand plain lines only; default 10 min. A longer one
+	// saves attempts, but delays the use of channels after the server has been upgraded.
 	PlainTTL monotime.Micros
 }
 
-// connection is a multiplexed upstream connection, or one that is being opened.
+// connection is an open multiplexed upstream connection, or one that is being opened.
 type connection struct {
 	id            uint32
 	server        *server
 	established   bool
 	establishedAt monotime.Micros
-	channels      int             // on it or waiting for it
+	channels      int             // number of channels that use it or wait for it
 	idleSince     monotime.Micros // when it last had a channel, or was opened
 }
 
-// server is what is known of one server.
+// server is the state of one server.
 type server struct {
 	id           uint32
 	connections  []*connection
-	plainUntil   monotime.Micros // it is taken to understand plain lines only until then
-	failures     int             // in a row
+	plainUntil   monotime.Micros // until then it is assumed to understand plain lines only
+	failures     int             // number of failures in a row
 	backoffUntil monotime.Micros
 }
 
-// Pool holds all multiplexed upstream connections of a balancer.
+// Pool is the set of all multiplexed upstream connections of a balancer.
 type Pool struct {
 	limits      Limits
 	servers     map[uint32]*server
@@ -70,7 +72,7 @@
 	return &Pool{limits: limits, servers: map[uint32]*server{}, connections: map[uint32]*connection{}}
 }
 
-// SetLimits changes the limits. Connections beyond a new limit stay until they are idle, and take no new channels.
+// SetLimits changes the limits. Connections beyond a new limit stay until they are idle, and accept no new channels.
 func (p *Pool) SetLimits(limits Limits) { p.limits = limits }
 
 func (p *Pool) serverState(id uint32) *server {
@@ -82,7 +84,7 @@
 	return s
 }
 
-// Established records that a connection has been opened, and so that its server understands channels.
+// Established records that a connection is open, which shows that its server understands channels.
 func (p *Pool) Established(now monotime.Micros, id uint32) {
 	c := p.connections[id]
 	if c == nil || c.established {
@@ -94,7 +96,7 @@
 	c.server.plainUntil = 0
 }
 
-// Release records that a channel on a connection, or one that waited for it, has ended.
+// Release records the end of a channel that used a connection or waited for it.
 func (p *Pool) Release(now monotime.Micros, id uint32) {
 	c := p.connections[id]
 	if c == nil || c.channels == 0 {
@@ -106,8 +108,8 @@
 	}
 }
 
-// Failed records that a connection broke or could not be opened, removes it with its channels, and starts its server's
-// backoff.
+// Failed records that a connection broke or could not be opened. It removes the connection with its channels, and
+// starts the server's backoff.
 func (p *Pool) Failed(now monotime.Micros, id uint32) {
 	c := p.connections[id]
 	if c == nil {
@@ -122,8 +124,9 @@
 	p.remove(c)
 }
 
-// MarkPlain records that the server of a connection understands plain lines only, and removes the connection. This is
-// remembered for PlainTTL, or unconfirmedPlainTTL if it is shorter and the server only broke the connection off.
+// MarkPlain records that the server of a connection understands plain lines only, and removes the connection. This
+// holds for PlainTTL or, if the server merely broke off the connection and confirmed is false, for at most
+// unconfirmedPlainTTL.
 func (p *Pool) MarkPlain(now monotime.Micros, id uint32, confirmed bool) {
 	c := p.connections[id]
 	if c == nil {
@@ -137,7 +140,7 @@
 	p.remove(c)
 }
 
-// Closed records that a connection was closed in order, and removes it.
+// Closed records that a connection was closed regularly, and removes it.
 func (p *Pool) Closed(id uint32) {
 	if c := p.connections[id]; c != nil {
 		p.remove(c)
@@ -149,8 +152,8 @@
 	c.server.connections = slices.DeleteFunc(c.server.connections, func(o *connection) bool { return o == c })
 }
 
-// IdleConnections appends to out, in order of their ids, the connections that are to be closed: established, and
-// without a channel for IdleTimeout.
+// IdleConnections appends to out the ids of the connections to close, in ascending order: those that are established
+// and have had no channel for IdleTimeout.
 func (p *Pool) IdleConnections(now monotime.Micros, out []uint32) []uint32 {
 	for _, c := range p.connections {
 		if c.established && c.channels == 0 && now-c.idleSince >= p.limits.IdleTimeout {
@@ -161,14 +164,14 @@
 	return out
 }
 
-// ForgetServer discards what is known of a server that is no longer listed, unless it has connections.
+// ForgetServer discards the state of a server that is no longer listed, unless it has connections.
 func (p *Pool) ForgetServer(id uint32) {
 	if s := p.servers[id]; s != nil && len(s.connections) == 0 {
 		delete(p.servers, id)
 	}
 }
 
-// Counts returns how many connections there are, and how many channels on them.
+// Counts returns the number of connections and the number of channels on them.
 func (p *Pool) Counts() (connections, channels int) {
 	for _, c := range p.connections {
 		channels += c.channels
--- a/decision/upstreampool/upstreampool_test.go
+++ b/decision/upstreampool/upstreampool_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// One connection is opened to a new server; channels that arrive meanwhile wait for it, up to its limit.
+// One connection is opened to a new server; channels that arrive meanwhile wait for it, up to the limit of channels.
 func TestFirstConnection(t *testing.T) {
 	p := New(testLimits())
 	first := p.Acquire(0, 1)
@@ -31,15 +31,15 @@
 		}
 	}
 	if c := p.Acquire(0, 1); c.Kind != LimitReached {
-		t.Errorf("more channels than one connection carries: %+v", c)
+		t.Errorf("more channels than one connection may carry: %+v", c)
 	}
 	if c := p.OpenAhead(0, 1); c.Open {
-		t.Errorf("a second one while the first is being opened: %+v", c)
+		t.Errorf("second connection while the first is being opened: %+v", c)
 	}
 	p.Established(0, first.Connection)
 	ahead := p.OpenAhead(0, 1)
 	if !ahead.Open || ahead.Connection == first.Connection {
-		t.Fatalf("ahead: %+v", ahead)
+		t.Fatalf("not opened ahead of need: %+v", ahead)
 	}
 	p.Established(0, ahead.Connection)
 	if c := p.Acquire(0, 1); c.Kind != Use || c.Connection != ahead.Connection {
@@ -49,17 +49,17 @@
 		p.Release(0, first.Connection)
 	}
 	if c := p.Acquire(0, 1); c.Kind != Use || c.Connection != first.Connection {
-		t.Errorf("not the one with fewer channels: %+v", c)
+		t.Errorf("want the connection with fewer channels: %+v", c)
 	}
 	if got := p.IdleConnections(100*second, nil); len(got) != 0 {
-		t.Errorf("closed with channels on it: %v", got)
+		t.Errorf("connections with channels reported as idle: %v", got)
 	}
 	p.Release(50*second, first.Connection)
 	if got := p.IdleConnections(60*second-1, nil); len(got) != 0 {
-		t.Errorf("closed too soon: %v", got)
+		t.Errorf("connections reported as idle too soon: %v", got)
 	}
 	if got := p.IdleConnections(60*second, nil); len(got) != 1 || got[0] != first.Connection {
-		t.Errorf("%v", got)
+		t.Errorf("idle connections %v, want the first only", got)
 	}
 }
 
@@ -71,11 +71,11 @@
 	} {
 		c := p.Acquire(now, 1)
 		if !c.Open {
-			t.Fatalf("%d: %+v", i, c)
+			t.Fatalf("failure %d: not opened: %+v", i, c)
 		}
 		p.Failed(now, c.Connection)
 		if c := p.Acquire(now+wait-1, 1); c.Kind != BackingOff {
-			t.Errorf("%d: after %d: %+v", i, wait-1, c)
+			t.Errorf("failure %d: opened after %d: %+v", i, wait-1, c)
 		}
 		now += wait
 	}
@@ -86,7 +86,7 @@
 		t.Errorf("after a stable connection: %+v", c)
 	}
 	if c := p.Acquire(now, 2); !c.Open {
-		t.Errorf("another server backs off as well: %+v", c)
+		t.Errorf("another server is in backoff as well: %+v", c)
 	}
 }
 
@@ -101,22 +101,22 @@
 		t.Errorf("%+v", got)
 	}
 	if got := p.Acquire(61*second, 1); !got.Open {
-		t.Errorf("channels are never tried again: %+v", got)
+		t.Errorf("channels are not tried again after PlainTTL: %+v", got)
 	}
 	p.MarkPlain(61*second, 2, false)
 	if got := p.Acquire(71*second-1, 1); got.Kind != PlainLines {
 		t.Errorf("%+v", got)
 	}
 	if got := p.Acquire(71*second, 1); !got.Open || got.Connection != 3 {
-		t.Errorf("unconfirmed, and channels are never tried again: %+v", got)
+		t.Errorf("channels are not tried again after unconfirmedPlainTTL: %+v", got)
 	}
 	p.ForgetServer(1)
 	if _, known := p.servers[1]; !known {
-		t.Error("forgotten with a connection")
+		t.Error("server with a connection was forgotten")
 	}
 	p.Closed(3)
 	p.ForgetServer(1)
 	if _, known := p.servers[1]; known {
-		t.Error("not forgotten")
+		t.Error("server without connections was not forgotten")
 	}
 }
