--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -20,8 +20,8 @@
 	// MoveLineTimeout is the time that a move waits for the line in transmission to end. After that the connection is
 	// aborted, because MOVE can't be sent in the middle of a line.
 	MoveLineTimeout = 900 * monotime.Millisecond
-	// LameDuckDuration is the time over which a lame duck's moves are spread. No client may be left after 4 s, and a
-	// line in transmission at that time still has to end.
+	// LameDuckDuration is the time over which a lame duck's moves are spread. No client may be left after 4 s, so this
+	// leaves time for a line in transmission to end.
 	LameDuckDuration = 2800 * monotime.Millisecond
 	// CheckInterval is the interval at which the progress of a drain is checked.
 	CheckInterval = 20 * monotime.Millisecond
--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -53,9 +53,9 @@
 func (e *Estimate) ExpectReconnect() { e.expectedReconnects++ }
 
 // ChargeReconnect returns the price of the connection of a client that connects now, in tokens of a warm server's
-// bucket. It is 1 unless the fleet is reduced and reconnects are expected; then it is reconnectPrice, and one reconnect
-// fewer is expected. The remaining servers of a reduced fleet have a higher load than usual, and so accept returning
-// clients more slowly.
+// bucket. It is 1 unless the fleet is reduced and reconnects are expected. Then it is reconnectPrice, and the number of
+// expected reconnects falls by one. The remaining servers of a reduced fleet have a higher load than usual, and so
+// accept returning clients more slowly.
 func (e *Estimate) ChargeReconnect() float64 {
 	if !e.Reduced() || e.expectedReconnects < 1 {
 		return 1
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -15,24 +15,24 @@
 
 // transferModel is the expected state of a transfer.
 type transferModel struct {
-	transfer *Transfer
-	now      monotime.Micros
-	deadline monotime.Micros
-	pending  map[uint32]bool
-	given    map[uint32]bool // connections that the successor owns
-	declined map[uint32]bool
-	linked   bool
-	draining bool
+	transfer    *Transfer
+	now         monotime.Micros
+	deadline    monotime.Micros
+	pending     map[uint32]bool
+	transferred map[uint32]bool // connections that the successor owns
+	declined    map[uint32]bool
+	linked      bool
+	draining    bool
 }
 
 func newTransferModel(longestDeadline monotime.Micros) *transferModel {
 	return &transferModel{
-		transfer: New(0, longestDeadline),
-		deadline: min(OfferPeriod, longestDeadline/2),
-		pending:  map[uint32]bool{},
-		given:    map[uint32]bool{},
-		declined: map[uint32]bool{},
-		linked:   true,
+		transfer:    New(0, longestDeadline),
+		deadline:    min(OfferPeriod, longestDeadline/2),
+		pending:     map[uint32]bool{},
+		transferred: map[uint32]bool{},
+		declined:    map[uint32]bool{},
+		linked:      true,
 	}
 }
 
@@ -40,7 +40,7 @@
 func drawID(t *rapid.T) uint32 { return uint32(rapid.IntRange(0, 5).Draw(t, "id")) }
 
 func (m *transferModel) offer(t *rapid.T, id uint32, state ConnectionState) {
-	if m.given[id] {
+	if m.transferred[id] {
 		return // the successor owns it
 	}
 	free := !m.pending[id] && !m.declined[id]
@@ -81,7 +81,7 @@
 	}
 	if m.pending[id] {
 		delete(m.pending, id)
-		m.given[id] = accepted
+		m.transferred[id] = accepted
 		m.declined[id] = !accepted
 	}
 }
@@ -93,7 +93,7 @@
 		t.Fatalf("connections %v returned, pending %v", returned, m.pending)
 	}
 	for _, id := range returned {
-		if !m.pending[id] || m.given[id] {
+		if !m.pending[id] || m.transferred[id] {
 			t.Fatalf("connection %d returned, but was not pending", id)
 		}
 		m.declined[id] = true
@@ -105,7 +105,7 @@
 	m.now += monotime.Micros(rapid.Int64Range(0, int64(OfferPeriod)).Draw(t, "wait"))
 }
 
-func (m *transferModel) drainRest(t *rapid.T) {
+func (m *transferModel) drainRemaining(t *rapid.T) {
 	drain, closeLink := m.transfer.DrainRemaining(m.now)
 	want := !m.draining && (!m.linked || m.now >= m.deadline)
 	if drain != want || closeLink != (want && len(m.pending) > 0) {
@@ -129,7 +129,7 @@
 			"answer":     m.answer,
 			"close link": m.closeLink,
 			"wait":       m.wait,
-			"drain rest": m.drainRest,
+			"drain rest": m.drainRemaining,
 		})
 	})
 }
--- a/decision/latency/latency_test.go
+++ b/decision/latency/latency_test.go
@@ -38,7 +38,7 @@
 }
 
 // The excess fraction follows from the growth of the delay and from the backlog, and the same report counts once.
-func TestExcessPart(t *testing.T) {
+func TestExcessFraction(t *testing.T) {
 	e := New()
 	e.ObserveDelay(start, objective, objective, 10)
 	steady := e
--- a/decision/lifecycle/doc.go
+++ b/decision/lifecycle/doc.go
@@ -1,4 +1,4 @@
-// Package lifecycle decides how an admin command changes a balancer's lifecycle state and what the caller is answered.
+// Package lifecycle decides how an admin command changes a balancer's lifecycle state and how it is answered.
 // A balancer accepts clients (Serving), moves them away but stays (LameDuck), or is shutting down (Stopping).
 //
 // It knows commands and states, and has no sockets, clocks or connections. The admin listener reads lines up to
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -68,8 +68,8 @@
 // AddUnanswered adds the age of a connection's oldest unanswered line.
 func (e *Estimator) AddUnanswered(age monotime.Micros) { e.unanswered = append(e.unanswered, age) }
 
-// Discard drops all samples. It is for servers without reports, whose samples would otherwise accumulate with every
-// line.
+// Discard drops all samples. It is called while no reports are wanted, when samples would otherwise accumulate with
+// every line.
 func (e *Estimator) Discard() { e.samples = nil }
 
 // Samples returns the number of samples.
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -76,7 +76,7 @@
 func TestEvictionClasses(t *testing.T) {
 	for name, c := range map[string]struct{ got, want EvictionClass }{
 		"answered":       {ClassOf(true, 5), Answered},
-		"silent":         {ClassOf(false, 0), NoRequest},
+		"no request":     {ClassOf(false, 0), NoRequest},
 		"one ping":       {ClassOf(false, 1), NoRequest},
 		"health checker": {ClassOf(false, 2), HealthChecks},
 	} {
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -36,8 +36,8 @@
 type outage struct {
 	// span is the time for which discovery is unavailable. With 0, all watches stop receiving data as the outage
 	// begins, and discovery stays available.
-	span   monotime.Micros
-	silent bool // calls during the outage time out, otherwise they are rejected at once
+	span         monotime.Micros
+	callsTimeOut bool // calls during the outage time out; otherwise they are rejected at once
 }
 
 // balancer is one balancer of a fleet in virtual time.
@@ -161,14 +161,14 @@
 	case now >= run.end:
 		b.answerAt, b.listed = run.service.call(now)
 		run.result.calls[(now-run.end)/second]++
-	case run.outage.silent:
+	case run.outage.callsTimeOut:
 		b.answerAt, b.listed = now+callTimeout, false
 	default:
 		b.answerAt, b.listed = now+ms, false
 	}
 }
 
-// graces returns the shortest grace that a deployment at hand gives, and a common one.
+// graces returns the shortest grace that a known deployment sets, and a common one.
 func graces() []monotime.Micros { return []monotime.Micros{300 * ms, 2500 * ms} }
 
 // However many balancers there are, however long discovery was unavailable and however calls ended meanwhile, each
--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -43,13 +43,14 @@
 	minBackoff          = 500 * monotime.Millisecond
 	maxBackoffDoublings = 2
 	// overloadAssumedAfter is the time for which failures must persist before discovery is assumed to have too many
-	// callers, so that a cycle may grow beyond the length that leaves time for an answer. firstOverloadAssumedAfter is
-	// the same for a process that discovery has never answered; it is shorter because many processes may start at once.
-	overloadAssumedAfter      = 10 * monotime.Second
-	firstOverloadAssumedAfter = 4 * monotime.Second
+	// callers, so that a cycle may grow beyond the length that leaves time for an answer. startupOverloadAssumedAfter
+	// is the same for a process that discovery has never answered; it is shorter because many processes may start at
+	// once.
+	overloadAssumedAfter        = 10 * monotime.Second
+	startupOverloadAssumedAfter = 4 * monotime.Second
 	// maxCycleFactor bounds a cycle that has grown, as a multiple of cyclePerBalancer for each balancer.
 	maxCycleFactor = 4
-	// cycleGrowth is the factor by which a cycle grows with each of overloadFailures.
+	// cycleGrowth is the factor by which a cycle grows for each of overloadFailures.
 	cycleGrowth = 2
 	// minRefreshInterval is the shortest time between an answer and a further poll on the same watch.
 	minRefreshInterval = 12 * monotime.Second
@@ -80,7 +81,7 @@
 	lastAnswer       monotime.Micros
 	fastestAnswer    monotime.Micros // shortest time that an answer has taken; 0: no answer yet
 	failures         int             // number of failures in a row
-	overloadFailures int             // those of them since discoveryMayBeOverloaded
+	overloadFailures int             // those of them with discoveryMayBeOverloaded
 	failingSince     monotime.Micros // time of the first of these failures
 }
 
@@ -150,7 +151,7 @@
 func (s *Schedule) discoveryMayBeOverloaded(now monotime.Micros) bool {
 	failingFor := now - s.failingSince
 	neverAnswered := s.fastestAnswer == 0
-	return failingFor >= overloadAssumedAfter || neverAnswered && failingFor >= firstOverloadAssumedAfter
+	return failingFor >= overloadAssumedAfter || neverAnswered && failingFor >= startupOverloadAssumedAfter
 }
 
 // RefreshAllowed reports whether a further poll on a live watch is allowed: none is in flight or pending, and
--- a/decision/recall/recall.go
+++ b/decision/recall/recall.go
@@ -5,7 +5,7 @@
 
 import "net/netip"
 
-// Listing is the part of a server's listing that matters to a request not yet written.
+// Listing is the part of a server's listing that matters to a request that is about to be written to it.
 type Listing struct {
 	Ready     bool           // listed and ready, neither draining nor removed
 	StartedAt int64          // start of the server's process, Unix time in milliseconds; 0 if unknown
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// The same token is presented again after each way in which its first attempt may have gone on.
+// The same token is presented again, after each possible end of its first attempt and while that is pending or live.
 func TestTokenPresentedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		then  func(v *Validator, id ID) Reason
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A report shows an earlier moment: within the range of utilizations known around then it corrects nothing, outside of
-// it it does.
+// A report shows an earlier moment: it corrects nothing within the range of utilizations known around then, and does
+// outside of that range.
 func TestReportIsOlderThanItsArrival(t *testing.T) {
 	m, g := modelWithMean(0.1), &Gauge{Size: 2}
 	now := 1000 * second
@@ -154,8 +154,8 @@
 	}
 }
 
-// Whatever is observed, a selection weight is a finite number above 0. More load lowers it, the presence of the
-// connection's group does not, and crossing zones lowers it.
+// Whatever is observed, a selection weight is a finite number above 0. It does not rise with load, does not fall if the
+// server has the connection's group, and is lower across zones.
 func TestSelectionWeightIsOrdered(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		upTo := func(most float64, name string) float64 { return rapid.Float64Range(0, most).Draw(r, name) }
--- a/decision/slowstart/budget.go
+++ b/decision/slowstart/budget.go
@@ -4,8 +4,8 @@
 
 // Rates and limits for a server of mean size, in connections; the core scales them by the server's size.
 const (
-	// WarmUpRate is the rate, in connections a second, from which the budget of a server that is warming up is derived;
-	// it applies in full once the server is warm.
+	// WarmUpRate is the rate, in connections a second, that a server can take once it is warm. The budget of a server
+	// that is warming up is derived from it.
 	WarmUpRate = 3.8
 	// Rate is the rate, in connections a second, at which all balancers together send connections to a warm server if
 	// each uses an equal part. With more than 1/MinFleetShare balancers, their parts add up to more.
--- a/decision/slowstart/fleet_test.go
+++ b/decision/slowstart/fleet_test.go
@@ -117,9 +117,9 @@
 	return math.Exp(rng.NormFloat64()*0.8 - 0.32)
 }
 
-// Checks the work that all balancers together send in any window, wherever it begins, however many balancers there are
-// and however many have requests. It stays below what chance explains and, if each request takes the mean work, below
-// the quota of SlotsPerWindow+grantLifetime slots plus 2. Random budgets exceed the former.
+// The work that all balancers together send in any window, wherever it begins, stays below what chance explains and, if
+// each request takes the mean work, below the quota of SlotsPerWindow+grantLifetime slots plus 2. This holds however
+// many balancers there are and however many have requests. Random budgets exceed what chance explains.
 func TestSumOverTheFleet(t *testing.T) {
 	const unevenCase = "uneven work"
 	for _, balancers := range []int{30, 300, 1500} {
--- a/decision/splitmix/splitmix.go
+++ b/decision/splitmix/splitmix.go
@@ -12,7 +12,7 @@
 	shift3      = 31
 )
 
-// Mix64 returns the splitmix64 finalizer of x: a one-to-one mapping in which each bit of the result depends on all of
+// Mix64 returns the splitmix64 finalizer of x, a one-to-one mapping in which each bit of the result depends on all of
 // x.
 func Mix64(x uint64) uint64 {
 	x = (x ^ x>>shift1) * multiplier1
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -65,9 +65,9 @@
 // from 0 to 1, changes it by up to a quarter either way, so that the clients of one failed server do not return all at
 // once.
 func ReattachRetry(failures int, variate float64) monotime.Micros {
-	const maxDoublings, minAround, aroundRange = 10, 0.75, 0.5
+	const maxDoublings, minFactor, factorRange = 10, 0.75, 0.5
 	pause := backoff.Exponential(minReattachRetry, maxReattachRetry, failures-1, maxDoublings)
-	return monotime.Micros(float64(pause) * (minAround + aroundRange*variate))
+	return monotime.Micros(float64(pause) * (minFactor + factorRange*variate))
 }
 
 // ReattachAttempt returns the time-out of an attempt at the server that a client names: the time left to the client, at
--- a/decision/upstreampool/limits_test.go
+++ b/decision/upstreampool/limits_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// begin records that a connection is being opened, as the pool chose.
-func (m *poolModel) begin(t *rapid.T, c Choice, server uint32) {
+// recordOpening records that a connection is being opened, as the pool chose.
+func (m *poolModel) recordOpening(t *rapid.T, c Choice, server uint32) {
 	for _, s := range m.opening {
 		if s == server {
 			t.Fatalf("two connections to server %d are being opened", server)
@@ -57,8 +57,8 @@
 	return rapid.SampledFrom(ids).Draw(t, "connection")
 }
 
-// lose removes a connection with its channels.
-func (m *poolModel) lose(id uint32) {
+// removeConnection removes a connection with its channels.
+func (m *poolModel) removeConnection(id uint32) {
 	m.channels = slices.DeleteFunc(m.channels, func(on uint32) bool { return on == id })
 	delete(m.opening, id)
 	delete(m.open, id)
@@ -77,7 +77,7 @@
 		m.channels = append(m.channels, c.Connection)
 	case WaitForOpen:
 		if c.Open {
-			m.begin(t, c, server)
+			m.recordOpening(t, c, server)
 		}
 		if m.opening[c.Connection] != server {
 			t.Fatalf("channel waits for connection %d, which is not being opened to server %d", c.Connection, server)
@@ -89,7 +89,7 @@
 func (m *poolModel) openAhead(t *rapid.T) {
 	server := drawServer(t)
 	if c := m.pool.OpenAhead(m.now, server); c.Open {
-		m.begin(t, c, server)
+		m.recordOpening(t, c, server)
 	}
 }
 
@@ -108,14 +108,14 @@
 	id := m.draw(t, from)
 	m.failedAt[from[id]] = m.now
 	m.pool.Failed(m.now, id)
-	m.lose(id)
+	m.removeConnection(id)
 }
 
 func (m *poolModel) markPlain(t *rapid.T) {
 	id := m.draw(t, m.opening)
 	server := m.opening[id]
 	m.pool.MarkPlain(m.now, id, rapid.Bool().Draw(t, "confirmed"))
-	m.lose(id)
+	m.removeConnection(id)
 	if c := m.pool.Acquire(m.now, server); c.Kind != PlainLines {
 		t.Fatalf("channel to a server with plain lines only: %+v", c)
 	}
@@ -136,7 +136,7 @@
 			t.Fatalf("connection %d with channels is reported as idle", id)
 		}
 		m.pool.Closed(id)
-		m.lose(id)
+		m.removeConnection(id)
 	}
 }
 
