--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -109,7 +109,7 @@
 
 // adjustLimit adjusts the limit on set-ups in flight to the set-up latency. Clients that reconnect all at once arrive
 // faster than the shared resource that set-ups wait for can serve them. With all of them in flight, each would time out
-// and be retried, and the resource would only serve set-ups that nobody waits for any more.
+// and be retried, and the resource would only serve set-ups that have already timed out.
 func (l *Limiter) adjustLimit() {
 	if l.setupLatency > slowSetupLatency {
 		l.Limit = max(l.Limit*limitDecrease, minLimit)
--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -96,11 +96,11 @@
 	d.queue = slices.Insert(d.queue, i, m)
 }
 
-// CancelDrain ends a server's drain, because the server is listed as ready again or is gone with all its connections.
+// CancelDrain ends a server's drain, because the server is ready again or was removed with all its connections.
 func (p *Plan) CancelDrain(server uint32) { delete(p.drains, server) }
 
 // Due appends to out the ids of the connections that are to be moved by now, and returns when the next one falls due,
-// below 0 if none is left. Some of the connections may have ended meanwhile.
+// below 0 if none is left. Some of the connections may have ended since they were added.
 func (p *Plan) Due(now monotime.Micros, out []uint32) (due []uint32, next monotime.Micros) {
 	next = noneDue
 	for _, server := range p.drainingServers() {
--- a/decision/hotrestart/predecessor.go
+++ b/decision/hotrestart/predecessor.go
@@ -70,7 +70,7 @@
 // CancelOffer withdraws an offer that could not be sent. The connection may be offered again.
 func (t *Transfer) CancelOffer(id uint32) { delete(t.pending, id) }
 
-// Answered records the successor's answer to an offer. It returns false if there is no such offer: the successor
+// Answered records the successor's answer to an offer. It returns false if no such offer is pending: the successor
 // violates the protocol, and the link must be closed.
 func (t *Transfer) Answered(id uint32, accepted bool) bool {
 	if !t.pending[id] {
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -29,9 +29,8 @@
 	downstreamTimeoutFactor = 2
 )
 
-// Upstream returns the verdict on a connection to a server that carries channels; one without channels need not be
-// checked, and may be quiet for as long as it is kept. lastReceived is when any data last arrived, lastPing when the
-// last ping was sent.
+// Upstream returns the verdict on a connection to a server that carries channels; a connection without channels is not
+// checked and may stay quiet. lastReceived is when any data last arrived, lastPing when the last ping was sent.
 func Upstream(now, lastReceived, lastPing monotime.Micros) Verdict {
 	switch {
 	case now-lastReceived >= UpstreamTimeout:
@@ -47,9 +46,9 @@
 	return idle / downstreamCheckDivisor
 }
 
-// Downstream returns the verdict on a client's connection. quiet is the time since data last arrived, idle its idle
-// time-out, channels the number of its channels. Without channels it is closed after the idle time-out. With channels
-// it is pinged shortly before that, and closed after twice the idle time-out.
+// Downstream returns the verdict on a client's connection. quiet is the time since data last arrived, idle is the
+// connection's idle time-out, and channels is the number of its channels. Without channels it is closed after the idle
+// time-out. With channels it is pinged shortly before that, and closed after twice the idle time-out.
 func Downstream(quiet, idle monotime.Micros, channels int) Verdict {
 	switch {
 	case quiet >= downstreamTimeoutFactor*idle:
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -52,7 +52,7 @@
 
 // ObserveDelay records a report that a message takes delay microseconds at the server while this balancer has the given
 // number of connections there. objective is the shortest latency objective of messages, in microseconds. It returns
-// false, and changes nothing, if there is no objective (0 or less) or the last report came within minReportInterval.
+// false, and changes nothing, if objective is 0 or less or the last report came within minReportInterval.
 func (e *Estimate) ObserveDelay(now monotime.Micros, delay, objective, connections float64) bool {
 	if objective <= 0 || now-e.reportedAt < minReportInterval {
 		return false
--- a/decision/messagedelay/messagedelay.go
+++ b/decision/messagedelay/messagedelay.go
@@ -142,7 +142,7 @@
 	return latency, true
 }
 
-// reportsItself reports whether the server's last report of its own latency is still valid.
+// reportsItself reports whether the server has reported its own latency within selfReportValidity.
 func (e *Estimator) reportsItself(now monotime.Micros) bool {
 	return e.selfReportedAt != 0 && now-e.selfReportedAt < selfReportValidity
 }
--- a/decision/monotime/monotime.go
+++ b/decision/monotime/monotime.go
@@ -1,5 +1,5 @@
 // Package monotime defines the type for times and spans of time that all decisions share. It imports nothing of this
-// module and reads no clock: the caller of a decision passes the time of its own monotonic clock.
+// module and reads no clock: the caller of a decision passes the time of a monotonic clock.
 package monotime
 
 // Micros is a point in time on the caller's monotonic clock, or a span of time, in microseconds.
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -1,5 +1,5 @@
-// Package overload decides what the proxy rejects, closes or limits because it is short of descriptors or memory or is
-// shutting down. These decisions come before the core places a request, and don't involve it. The package has no
+// Package overload decides what the proxy rejects, closes or limits when descriptors or memory are short or the process
+// is shutting down. These decisions come before the core places a request, and don't involve it. The package has no
 // sockets; the caller passes the counts.
 package overload
 
--- a/decision/polling/doc.go
+++ b/decision/polling/doc.go
@@ -1,9 +1,9 @@
 // Package polling schedules one balancer's polls of discovery, among many balancers, where discovery answers only when
-// polled. Discovery serves one call after another, and its work on calls that have waited too long is lost: polled
-// faster than it can answer, it answers nobody. So the balancers take turns, each at its own moment of a cycle that all
-// share by the clock.
+// polled. Discovery serves one call after another, and its work on calls that have waited too long is lost: if polled
+// faster than it can answer, it answers none of the calls in time. So the balancers take turns, each in its own part of
+// a cycle that all share by the clock.
 //
-// It does not know what is polled for, and has no sockets or clock. The core calls PollDue several times a second, at
+// It knows no sockets, no clock and not the contents of the answers. The core calls PollDue several times a second, at
 // most maxCheckInterval apart, and reports the outcome of each poll with Answered or Failed. Times are monotime.Micros.
 //
 // Invariant: however many balancers there are, each polls so soon after a failure that the answer can arrive before the
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -171,9 +171,8 @@
 // graces returns the shortest grace that a known deployment sets, and a common one.
 func graces() []monotime.Micros { return []monotime.Micros{300 * ms, 2500 * ms} }
 
-// However many balancers there are, however long discovery was unavailable and however calls ended meanwhile, each
-// balancer has the list before it must stop acting on the older one, provided that discovery can serve that many calls
-// at all.
+// For any number of balancers, any length of the outage and any way in which calls ended during it: each balancer has
+// the list before it must stop acting on the older one, provided that discovery can serve that many calls at all.
 func TestInformedInTimeAfterAnOutage(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
--- a/decision/recall/recall.go
+++ b/decision/recall/recall.go
@@ -20,9 +20,9 @@
 	Current Listing // present listing of its server
 }
 
-// Needed reports whether an attempt must be cancelled and its request placed again: its request has not been written,
-// and the server is no longer ready, has restarted or has another address, so that a placement made now would not
-// choose it. An attempt at a server that the client names continues whatever the listing is.
+// Needed reports whether an attempt must be cancelled and its request placed again. This is so if the request has not
+// been written and the server is no longer ready, has restarted or has another address: a new placement would not
+// choose it. An attempt at a server that the client names continues in any case.
 func Needed(a Attempt) bool {
 	return a.Placed && !a.Written && changed(a.Chosen, a.Current)
 }
--- a/decision/resume/claims.go
+++ b/decision/resume/claims.go
@@ -57,7 +57,7 @@
 	return Accepted
 }
 
-// advance moves a claim to a later state. A claim that is no longer in the table has expired, and is ignored.
+// advance moves a claim to a later state. It ignores a token that is not in the table, as its claim has expired.
 func (t *claimTable) advance(id ID, state claimState) {
 	if c := t.byID[id]; c != nil && c.state <= state {
 		c.state = state
--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -77,8 +77,8 @@
 func (h *AttemptHistory) MayHaveExecuted() bool { return h.mayHaveExecuted }
 
 // RetryDeadline returns the time by which a retry must have been written: deliveryMargin before the deduplication
-// window ends. bounded is false, and the deadline meaningless, if there is no such limit: the request can't have been
-// executed, or its duplicates are not discarded by a key.
+// window ends. bounded is false, and the deadline meaningless, if there is no such limit, because the request can't
+// have been executed or because its duplicates are not discarded by a key.
 func (p Policy) RetryDeadline(history *AttemptHistory) (deadline monotime.Micros, bounded bool) {
 	deadline = history.firstSentAt + p.DedupWindow - deliveryMargin
 	bounded = history.mayHaveExecuted && p.Idempotency == IdempotentWithKey
--- a/decision/slowstart/doc.go
+++ b/decision/slowstart/doc.go
@@ -4,8 +4,8 @@
 //
 //   - to a server that has warmed up, by a token bucket per balancer (Refill, Tokens);
 //   - to a server that is still warming up, by grants (GrantAvailable). The fleet's budget for each slot of time is
-//     dealt out as grants by a sequence that every balancer computes on its own with the same result, so that the
-//     grants of the fleet add up to the budget without any message between balancers.
+//     dealt out as grants by a sequence that every balancer computes alike, so that the grants of the fleet add up to
+//     the budget without any message between balancers.
 //
 // It knows the fleet only as the numbers in Fleet, and has no clock, no random source and no requests. The core keeps
 // one Budget per server, consults it before each attempt and charges each attempt with Spend. Times are
--- a/decision/slowstart/grants.go
+++ b/decision/slowstart/grants.go
@@ -144,9 +144,9 @@
 }
 
 // grantRatio returns the ratio of the grants that are dealt to the budget. Balancers of other zones keep only
-// crossZoneFraction of theirs, so more are dealt than the budget: as many as make the kept grants add up to the budget
-// if each zone has as many balancers, but at most as many as keep the use by balancers in the server's zone within
-// sameZoneFraction.
+// crossZoneFraction of their grants, so more are dealt: just as many that the grants kept add up to the budget,
+// provided that each zone has the same number of balancers. The ratio is bounded, so that the balancers in the server's
+// zone use at most sameZoneFraction of the budget.
 func (f Fleet) grantRatio() float64 {
 	zones := float64(min(max(f.Zones, 1), max(f.Balancers, 1)))
 	kept := (1 + (zones-1)*crossZoneFraction) / zones
