--- a/decision/requestids/requestids_test.go
+++ b/decision/requestids/requestids_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes and goes, the active ids and the last finished ones are duplicates, and nothing else is.
+// The ids in use and those of the last finished requests are duplicates, and no others.
 func TestDuplicatesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -15,19 +15,19 @@
 		var finished []uint64
 		next := uint64(0)
 		lifetime := rapid.Uint64Range(1, 5).Draw(t, "lifetime")
-		for range rapid.IntRange(1, 3*Remembered).Draw(t, "steps") {
+		for range rapid.IntRange(1, 3*MaxFinished).Draw(t, "steps") {
 			if id := next - lifetime; next >= lifetime {
 				delete(active, id)
 				s.Finish(id)
 				finished = append(finished, id)
 			}
 			if !s.Add(next) {
-				t.Fatalf("new id %d is taken for a duplicate", next)
+				t.Fatalf("new id %d was rejected as a duplicate", next)
 			}
 			active[next] = true
 			next++
 		}
-		known := finished[max(0, len(finished)-Remembered):]
+		known := finished[max(0, len(finished)-MaxFinished):]
 		for id := range next {
 			want := active[id] || slices.Contains(known, id)
 			if s.Known(id) != want {
@@ -38,7 +38,7 @@
 			}
 		}
 		if s.Len() != len(active)+len(known) {
-			t.Fatalf("%d ids, want %d", s.Len(), len(active)+len(known))
+			t.Fatalf("%d known ids, want %d", s.Len(), len(active)+len(known))
 		}
 	})
 }
