--- a/cmd/spurspread/siteconfig.go
+++ b/cmd/spurspread/siteconfig.go
@@ -19,7 +19,7 @@
 		return nil, err
 	}
 	return &proxy.ResumeConfig{
-		Ring:          ring,
+		KeyRing:       ring,
 		TokenLifetime: r.Lifetime.Std().Milliseconds(),
 		ClockSkew:     r.Skew.Std().Milliseconds(),
 		MaxClaims:     r.MaxClaims,
@@ -42,15 +42,15 @@
 		return nil
 	}
 	return &proxy.ChannelConfig{
-		Downstreams:    c.Clients,
-		Upstreams:      c.Upstreams,
-		Version:        version(),
-		MaxChannels:    c.MaxChannels,
-		OpensPerSecond: float64(c.OpenRate),
-		Window:         uint32(c.Window),
-		SetupTimeout:   eventloop.Micros(c.FirstPacket.Micros()),
-		IdleTimeout:    eventloop.Micros(c.Idle.Micros()),
-		Pool:           poolLimits(c.UpstreamPool),
+		AcceptDownstream: c.Clients,
+		UseUpstream:      c.Upstreams,
+		Version:          version(),
+		MaxChannels:      c.MaxChannels,
+		OpensPerSecond:   float64(c.OpenRate),
+		Window:           uint32(c.Window),
+		SetupTimeout:     eventloop.Micros(c.FirstPacket.Micros()),
+		IdleTimeout:      eventloop.Micros(c.Idle.Micros()),
+		Pool:             poolLimits(c.UpstreamPool),
 	}
 }
 
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -23,13 +23,13 @@
 	proxy         *Proxy
 	request       *request
 	server        *discovery.Server
-	chosen        recall.Listing // of the server, when it was chosen
+	chosenListing recall.Listing // of the server, when it was chosen
 	number        int            // among the request's attempts, from 0 on
 	upstream      transport      // nil until there is one
 	muxConn       *muxUpstreamConn
-	began         monotime.Micros
+	startedAt     monotime.Micros
 	deadline      monotime.Micros // it is given up then, unless it is established
-	writeBy       monotime.Micros // the request is written by then or not at all; 0 for no such limit
+	writeDeadline monotime.Micros // the request is written by then or not at all; 0 for no such limit
 	connected     bool
 	written       bool   // the request's last byte is written: the server may have executed it
 	answerBuf     []byte // the server's first line, as far as it has arrived
@@ -40,9 +40,9 @@
 
 // attemptLimits are the limits of an attempt.
 type attemptLimits struct {
-	number      int
-	timeout     monotime.Micros // it is given up after it
-	writeWithin monotime.Micros // the request is written within it or not at all; 0 for no such limit
+	number       int
+	timeout      monotime.Micros // it is given up after it
+	writeTimeout monotime.Micros // the request is written within it or not at all; 0 for no such limit
 }
 
 // startAttempt starts the attempt that the decision core has decided on.
@@ -65,9 +65,9 @@
 		return
 	}
 	r.attempt = newAttempt(r, server, attemptLimits{
-		number:      number,
-		timeout:     timeouts.Attempt(decided.Timeout, r.deadline-p.loop.Now()),
-		writeWithin: decided.WriteWithin,
+		number:       number,
+		timeout:      timeouts.Attempt(decided.Timeout, r.deadline-p.loop.Now()),
+		writeTimeout: decided.WriteWithin,
 	})
 }
 
@@ -76,18 +76,18 @@
 	p := r.proxy
 	now := p.loop.Now()
 	a := &attempt{
-		proxy:    p,
-		request:  r,
-		server:   server,
-		chosen:   listingOf(server),
-		number:   limits.number,
-		began:    now,
-		deadline: now + limits.timeout,
+		proxy:         p,
+		request:       r,
+		server:        server,
+		chosenListing: listingOf(server),
+		number:        limits.number,
+		startedAt:     now,
+		deadline:      now + limits.timeout,
 	}
-	if limits.writeWithin > 0 {
-		a.writeBy = now + limits.writeWithin
+	if limits.writeTimeout > 0 {
+		a.writeDeadline = now + limits.writeTimeout
 	}
-	if p.cfg.Channels == nil || !p.cfg.Channels.Upstreams || !a.startOnMux() {
+	if p.cfg.Channels == nil || !p.cfg.Channels.UseUpstream || !a.startOnMux() {
 		a.dial()
 	}
 	return a
@@ -103,11 +103,11 @@
 }
 
 // recalled reports whether the attempt, which has no answer yet, is recalled for a change of its server's listing.
-func (a *attempt) recalled() bool {
+func (a *attempt) invalidatedByListChange() bool {
 	return recall.Needed(recall.Attempt{
 		Placed:  a.request.state == statePending,
 		Written: a.written,
-		Chosen:  a.chosen,
+		Chosen:  a.chosenListing,
 		Current: listingOf(a.server),
 	})
 }
@@ -138,7 +138,7 @@
 		return
 	}
 	a.connected = true
-	if !a.mayWrite() {
+	if !a.recheckBeforeWrite() {
 		return
 	}
 	conn.Write(a.requestLine())
@@ -146,16 +146,16 @@
 	a.awaitAnswer()
 }
 
-// mayWrite looks once more before the request is written; if it may not be any more, the attempt has ended. Connecting
-// takes some time, in which the client may have left, its end still unread behind this very event, or the window may
-// have passed in which the request may be retried. A change of the server list recalls the attempt at once: see
-// requestTable.followServerList.
-func (a *attempt) mayWrite() bool {
+// recheckBeforeWrite checks whether the request may still be written; if not, it ends the attempt and returns false.
+// While the attempt was connecting, the client may have closed its connection, which this event loop turn may not have
+// read yet, or the write deadline may have passed. Changes of the server list need no check here:
+// requestTable.handleServerListUpdate ends the attempts concerned at once.
+func (a *attempt) recheckBeforeWrite() bool {
 	a.request.readClient()
 	if a.ended {
 		return false
 	}
-	if timeouts.WriteForbidden(a.proxy.loop.Now(), a.writeBy) {
+	if timeouts.WriteForbidden(a.proxy.loop.Now(), a.writeDeadline) {
 		a.end(outcome.Inconclusive)
 		return false
 	}
@@ -175,7 +175,7 @@
 // awaitAnswer has the attempt end if its server does not answer in time, or the request can't be written in time.
 func (a *attempt) awaitAnswer() {
 	p := a.proxy
-	until := timeouts.Answer(a.deadline, a.writeBy, a.written)
+	until := timeouts.Answer(a.deadline, a.writeDeadline, a.written)
 	p.loop.Cancel(&a.timer)
 	a.timer = p.loop.After(until-p.loop.Now(), func() {
 		a.readServer() // an answer that arrived in this very turn still counts
@@ -191,10 +191,10 @@
 }
 
 // Flushed is part of eventloop.Owner.
-func (a *attempt) Flushed(*eventloop.Conn) { a.serverCaughtUp() }
+func (a *attempt) Flushed(*eventloop.Conn) { a.upstreamFlushed() }
 
-// serverCaughtUp handles that the server has been written all that was pending.
-func (a *attempt) serverCaughtUp() {
+// upstreamFlushed handles that the server has been written all that was pending.
+func (a *attempt) upstreamFlushed() {
 	a.written = true
 	if a.request.state == stateEstablished {
 		a.request.readClient()
@@ -220,7 +220,7 @@
 			return
 		}
 		if err != nil {
-			a.serverEnded(errors.Is(err, io.EOF))
+			a.handleServerClosed(errors.Is(err, io.EOF))
 			return
 		}
 		b := a.proxy.buffers.read[:n]
@@ -246,19 +246,19 @@
 	}
 	rest := a.answerBuf[n:]
 	a.answerBuf = nil
-	a.answered(text)
+	a.handleAnswer(text)
 	if a.request.state == stateEstablished && len(rest) > 0 {
 		a.request.forwardToClient(rest)
 	}
 }
 
 // answered handles the server's answer, a line without its end.
-func (a *attempt) answered(text []byte) {
+func (a *attempt) handleAnswer(text []byte) {
 	r := a.request
 	switch verb, _ := lineproto.ParseServerLine(text); verb {
 	case lineproto.Up:
 		r.readClient() // what the client sent before its answer shows now at the latest
-		if a.ended || !r.checkNumbering(text) {
+		if a.ended || !r.checkContinuation(text) {
 			return
 		}
 		a.proxy.loop.Cancel(&a.timer)
@@ -268,7 +268,7 @@
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
-		r.tokenRejectedByServer(lineproto.LastWord(text))
+		r.handleTokenRejection(lineproto.LastWord(text))
 	default:
 		status, known := answerOutcome(verb)
 		if !known {
@@ -293,19 +293,19 @@
 	}
 }
 
-// serverEnded handles the end of the server's side, a plain one or a reset.
-func (a *attempt) serverEnded(plain bool) {
+// handleServerClosed handles the end of the server's side, a plain one or a reset.
+func (a *attempt) handleServerClosed(graceful bool) {
 	r := a.request
 	if r.state != stateEstablished && r.state != stateHalfClosed {
 		a.end(attemptoutcome.OfUnanswered(outcome.Reset, a.written))
 		return
 	}
 	if r.continuesOnAnotherServer() {
-		r.moveAway(r.endStatus, false)
+		r.startMove(r.endStatus, false)
 		return
 	}
 	status := attemptoutcome.OfEstablished(r.endStatus, r.state == stateHalfClosed)
-	if plain {
+	if graceful {
 		r.finish(status)
 		return
 	}
@@ -341,13 +341,13 @@
 	}
 	r.attempt = nil
 	r.releaseClaim(a, status)
-	if r.coreKnows {
+	if r.registered {
 		p.core.dispatch(decision.AttemptEnded{
 			ID:            uint32(r.ref),
 			Attempt:       a.number,
 			Server:        a.server.Number,
 			Status:        status,
-			Duration:      p.loop.Now() - a.began,
+			Duration:      p.loop.Now() - a.startedAt,
 			RequestClosed: r.state != statePending,
 			SharedCause:   a.failureShared,
 		})
--- a/internal/proxy/channel_config.go
+++ b/internal/proxy/channel_config.go
@@ -9,10 +9,10 @@
 // has the protocol. Whoever speaks plain lines is served as without it.
 type ChannelConfig struct {
 	// Downstreams lets clients open multiplexed connections, with a first line that begins with SSH-.
-	Downstreams bool
+	AcceptDownstream bool
 	// Upstreams has requests go over multiplexed connections to servers that speak channels. It saves connections and
 	// their set-up, but a broken one ends all requests on it.
-	Upstreams bool
+	UseUpstream bool
 	// Version is the program's version, for the identification.
 	Version string
 	// MaxChannels is how many channels a client's connection may have at once.
@@ -34,15 +34,15 @@
 func (p *Proxy) configureChannels(cfg *ChannelConfig) {
 	if cfg == nil && p.upstreams.pool != nil {
 		off := *p.cfg.Channels
-		off.Downstreams = false
-		off.Upstreams = false
+		off.AcceptDownstream = false
+		off.UseUpstream = false
 		cfg = &off
 	}
 	p.cfg.Channels = cfg
 	if cfg == nil {
 		return
 	}
-	p.fitWindows()
+	p.updateWindowBudget()
 	if p.upstreams.pool != nil {
 		p.upstreams.pool.SetLimits(cfg.Pool)
 		return
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -79,9 +79,9 @@
 	g.inLoop(g.proxy.Drain)
 	late = g.connection()
 	g.inLoop(func() {
-		g.proxy.drain.began -= 2 * drainschedule.MinDuration // that time is over
-		g.onlyRequest().moveAway(outcome.Cancelled, true)
-		g.proxy.drain.check()
+		g.proxy.drain.startedAt -= 2 * drainschedule.MinDuration // that time is over
+		g.onlyRequest().startMove(outcome.Cancelled, true)
+		g.proxy.drain.checkFinished()
 	})
 	g.overChannel(ch).moved()
 	for _, conn := range []*sshchan.Conn{c, late} {
@@ -138,7 +138,7 @@
 	client, _ := g.pair(true, true)
 	age := func(by eventloop.Micros) (over bool) {
 		g.inLoop(func() {
-			for m := range g.proxy.listener.muxed {
+			for m := range g.proxy.listener.muxConns {
 				m.lastReceived -= by
 				m.checkIdle()
 				over = m.closed
@@ -151,7 +151,7 @@
 	}
 	for quiet := eventloop.Micros(1); quiet > 0; { // its answer has arrived
 		g.inLoop(func() {
-			for m := range g.proxy.listener.muxed {
+			for m := range g.proxy.listener.muxConns {
 				if quiet = 0; m.lastReceived < g.loop.Now()-monotime.Second {
 					quiet = 1
 				}
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -20,8 +20,8 @@
 
 func channelsOn(cfg *Config) {
 	cfg.Channels = &ChannelConfig{
-		Downstreams: true, Upstreams: true, Version: "test", MaxChannels: 100, OpensPerSecond: 1000, Window: 32 << 10,
-		SetupTimeout: 2 * monotime.Second, IdleTimeout: 30 * monotime.Second,
+		AcceptDownstream: true, UseUpstream: true, Version: "test", MaxChannels: 100, OpensPerSecond: 1000,
+		Window: 32 << 10, SetupTimeout: 2 * monotime.Second, IdleTimeout: 30 * monotime.Second,
 		Pool: upstreampool.Limits{
 			ChannelsPerConnection: 50,
 			ConnectionsPerServer:  2,
@@ -34,7 +34,7 @@
 
 func plainUpstreams(cfg *Config) {
 	channelsOn(cfg)
-	cfg.Channels.Upstreams = false
+	cfg.Channels.UseUpstream = false
 }
 
 // connection is a client's connection with channels.
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -16,7 +16,7 @@
 	loop        *eventloop.Loop
 	core        decisionCore
 	apply       func(decision.Action)
-	emptied     func() // called when no event is left
+	onEmpty     func() // called when no event is left
 	events      []decision.Event
 	actions     []decision.Action // reused from event to event
 	dispatching bool
@@ -38,7 +38,7 @@
 	clear(d.events)
 	d.events = d.events[:0]
 	d.dispatching = false
-	d.emptied()
+	d.onEmpty()
 }
 
 // apply carries out an action of the decision core. One that concerns a request which is over has no effect.
@@ -70,7 +70,7 @@
 		}
 	case decision.MoveConnection:
 		if r, ok := p.requests.get(action.ID); ok {
-			r.moveAsDecided(action)
+			r.handleMoveDecision(action)
 		}
 	}
 }
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -44,20 +44,20 @@
 // downstreamConn is a client's connection: before its first line, while it serves a request or is multiplexed, and
 // while its client reads its final answer.
 type downstreamConn struct {
-	proxy        *Proxy
-	conn         *eventloop.Conn
-	acceptedAt   monotime.Micros
-	firstLine    []byte // as far as it has arrived; never longer than a line may be
-	pings        int    // pings that were answered
-	rejectOnly   bool   // accepted for want of descriptors, only to be rejected
-	request      *request
-	mux          *muxDownstreamConn // set once it is multiplexed
-	lingering    bool               // it has its final answer; its client has not closed it yet
-	closed       bool
-	discarded    int  // bytes that arrived after its final answer
-	clientClosed bool // its client has ended its side
-	idle         idlePosition
-	timer        eventloop.Ref
+	proxy          *Proxy
+	conn           *eventloop.Conn
+	acceptedAt     monotime.Micros
+	firstLine      []byte // as far as it has arrived; never longer than a line may be
+	pings          int    // pings that were answered
+	rejectOnly     bool   // accepted for want of descriptors, only to be rejected
+	request        *request
+	mux            *muxDownstreamConn // set once it is multiplexed
+	lingering      bool               // it has its final answer; its client has not closed it yet
+	closed         bool
+	discardedBytes int  // bytes that arrived after its final answer
+	clientClosed   bool // its client has ended its side
+	idle           idlePosition
+	timer          eventloop.Ref
 }
 
 // Connected is part of eventloop.Owner; a listener dials nothing.
@@ -67,7 +67,7 @@
 func (c *downstreamConn) Flushed(*eventloop.Conn) {
 	switch {
 	case c.request != nil:
-		c.request.clientCaughtUp()
+		c.request.downstreamFlushed()
 	case c.multiplexed():
 		c.mux.mux.Flushed()
 	case c.lingering && c.clientClosed:
@@ -85,7 +85,7 @@
 		case c.multiplexed():
 			c.mux.readClient()
 			return
-		case c.closed, overload.StopsReading(c.discarded):
+		case c.closed, overload.StopsReading(c.discardedBytes):
 			return
 		}
 		n, err := c.conn.Read(c.proxy.buffers.read)
@@ -93,11 +93,11 @@
 			return
 		}
 		if err != nil {
-			c.clientEnded(errors.Is(err, io.EOF))
+			c.handleClientClosed(errors.Is(err, io.EOF))
 			return
 		}
 		if c.lingering {
-			c.discarded += n
+			c.discardedBytes += n
 		} else {
 			c.readFirstLine(c.proxy.buffers.read[:n])
 		}
@@ -108,11 +108,11 @@
 // multiplexed reports whether it carries channels now.
 func (c *downstreamConn) multiplexed() bool { return c.mux != nil && !c.mux.closed }
 
-// clientEnded handles the client's end, a plain one or a reset, while no request depends on the connection. The final
-// answer is still written out after a plain one.
-func (c *downstreamConn) clientEnded(plain bool) {
-	c.clientClosed = plain
-	if plain && c.lingering && c.conn.Pending() > 0 {
+// handleClientClosed handles EOF (graceful) or an error from the client while no request uses the connection. After EOF
+// a pending final answer is still written before the connection is closed.
+func (c *downstreamConn) handleClientClosed(graceful bool) {
+	c.clientClosed = graceful
+	if graceful && c.lingering && c.conn.Pending() > 0 {
 		return
 	}
 	c.close()
@@ -149,7 +149,7 @@
 // startsMux reports whether the client asks for a multiplexed connection, and may.
 func (c *downstreamConn) startsMux() bool {
 	channels := c.proxy.cfg.Channels
-	return channels != nil && channels.Downstreams && c.pings == 0 &&
+	return channels != nil && channels.AcceptDownstream && c.pings == 0 &&
 		bytes.HasPrefix(c.firstLine, []byte(channel.Prefix))
 }
 
@@ -185,7 +185,7 @@
 // are wanted here.
 func (c *downstreamConn) answerPing(n int) {
 	answer := "PONG\r\n"
-	if c.proxy.drain.on {
+	if c.proxy.drain.active {
 		answer = "ERR\r\n"
 	}
 	c.conn.Write([]byte(answer))
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -26,7 +26,7 @@
 	lastReceived     monotime.Micros
 	serviceRequested bool // the client has requested the service, and may open channels
 	requests         int  // requests on it
-	opens            overload.OpenLimiter
+	openLimiter      overload.OpenLimiter
 	closed           bool
 }
 
@@ -36,7 +36,7 @@
 	p := c.proxy
 	cfg := p.cfg.Channels
 	now := p.loop.Now()
-	m := &muxDownstreamConn{conn: c, lastReceived: now, opens: overload.NewOpenLimiter(now, cfg.OpensPerSecond)}
+	m := &muxDownstreamConn{conn: c, lastReceived: now, openLimiter: overload.NewOpenLimiter(now, cfg.OpensPerSecond)}
 	m.mux = mux.New(c.conn, mux.Config{
 		Server:      true,
 		Version:     cfg.Version,
@@ -45,7 +45,7 @@
 		Budget:      &p.buffers.windows,
 	}, m)
 	c.mux = m
-	p.listener.muxed[m] = true
+	p.listener.muxConns[m] = true
 	greeting := c.firstLine
 	c.firstLine = nil
 	if m.feed(greeting) && !m.serviceRequested {
@@ -68,7 +68,7 @@
 			return
 		}
 		if err != nil {
-			m.connectionLost(errors.Is(err, io.EOF))
+			m.handleClientClosed(errors.Is(err, io.EOF))
 			return
 		}
 		if !m.feed(buffer[:n]) {
@@ -97,29 +97,29 @@
 	return false
 }
 
-// connectionLost handles the end of the client's side, a plain one or a reset.
-func (m *muxDownstreamConn) connectionLost(plain bool) {
+// handleClientClosed handles the end of the client's side, a plain one or a reset.
+func (m *muxDownstreamConn) handleClientClosed(graceful bool) {
 	if m.closed {
 		return
 	}
-	m.release(plain)
+	m.release(graceful)
 	m.conn.close()
 }
 
 // close ends the connection once the client has had time to read what was sent.
-func (m *muxDownstreamConn) close(plain bool) {
+func (m *muxDownstreamConn) close(graceful bool) {
 	if m.closed {
 		return
 	}
-	m.release(plain)
+	m.release(graceful)
 	m.conn.closeGracefully()
 }
 
 // release ends all requests on the connection.
-func (m *muxDownstreamConn) release(plain bool) {
+func (m *muxDownstreamConn) release(graceful bool) {
 	m.closed = true
-	delete(m.conn.proxy.listener.muxed, m)
-	m.mux.Lost(plain)
+	delete(m.conn.proxy.listener.muxConns, m)
+	m.mux.Lost(graceful)
 }
 
 // disconnect ends the connection with a reason for its client.
@@ -165,7 +165,7 @@
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
 	p := m.conn.proxy
 	cfg := p.cfg.Channels
-	if m.opens.Admit(p.loop.Now(), cfg.OpensPerSecond, m.mux.Len(), cfg.MaxChannels) {
+	if m.openLimiter.Admit(p.loop.Now(), cfg.OpensPerSecond, m.mux.Len(), cfg.MaxChannels) {
 		return 0, ""
 	}
 	p.stats.rejected++
@@ -226,7 +226,7 @@
 	}
 	p := m.conn.proxy
 	p.listener.idle.add(m.conn)
-	if p.drain.on {
+	if p.drain.active {
 		p.loop.After(0, m.closeIfUnused)
 	}
 }
@@ -250,7 +250,7 @@
 // Flushed is part of mux.ChannelOwner.
 func (k *downstreamChannel) Flushed() {
 	if k.request != nil {
-		k.request.clientCaughtUp()
+		k.request.downstreamFlushed()
 	}
 }
 
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -188,7 +188,7 @@
 		block := strings.Repeat("k", 64<<10)
 		for more := 2; !d.closed && more > 0; {
 			p.say(block)
-			if d.Readable(d.conn); overload.StopsReading(d.discarded) {
+			if d.Readable(d.conn); overload.StopsReading(d.discardedBytes) {
 				more--
 			}
 		}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,10 +11,10 @@
 // drain owns a planned stop or a lame duck's drain, which may be cancelled.
 type drain struct {
 	proxy       *Proxy
-	on          bool // clients are moved away, and health checkers are told that no new ones are wanted
+	active      bool // clients are moved away, and health checkers are told that no new ones are wanted
 	stopping    bool // once they are away, the loop ends
 	handingOver bool // a successor listens on the same port and takes new clients
-	began       monotime.Micros
+	startedAt   monotime.Micros
 	duration    monotime.Micros // of a planned stop, by the settings as they were when it began
 	generation  int             // counts drains, so that what a cancelled one has scheduled does nothing
 	transfer    *transferSender // to a successor that takes established connections
@@ -25,7 +25,7 @@
 	switch {
 	case d.stopping:
 		return lifecycle.Stopping
-	case d.on:
+	case d.active:
 		return lifecycle.LameDuck
 	}
 	return lifecycle.Serving
@@ -43,7 +43,7 @@
 		d.begin()
 		d.moveEstablished(drainschedule.LameDuckDuration)
 	} else {
-		d.on = false
+		d.active = false
 		d.generation++
 		log.Info("rejoined: taking clients again")
 	}
@@ -59,13 +59,13 @@
 	d.begin()
 	d.moveEstablished(d.duration)
 	d.stopping = true
-	d.proxy.loop.After(drainschedule.CheckInterval, d.check)
+	d.proxy.loop.After(drainschedule.CheckInterval, d.checkFinished)
 }
 
-// handOver is Proxy.HotRestart. What waits in the accept queue is accepted and the listener closes, so that the kernel
-// gives all new clients to the successor; what was accepted is served, and transferred or moved soon after it is
-// established, rather than rejected.
-func (d *drain) handOver(path string, pid int) {
+// hotRestart implements Proxy.HotRestart. It accepts the connections in the accept queue and closes the listener, so
+// that the kernel gives all new clients to the successor. Connections already accepted are served rather than rejected,
+// and are transferred or moved soon after they are established.
+func (d *drain) hotRestart(path string, pid int) {
 	if d.stopping {
 		return
 	}
@@ -76,7 +76,7 @@
 	d.proxy.listener.close()
 	d.proxy.log.Info("hot restart: successor accepts new clients")
 	d.startTransfer(path, pid)
-	d.proxy.loop.After(drainschedule.CheckInterval, d.check)
+	d.proxy.loop.After(drainschedule.CheckInterval, d.checkFinished)
 }
 
 // begin starts a drain. Requests that wait to be reattached are answered, as far as their class allows.
@@ -84,8 +84,8 @@
 	p := d.proxy
 	*d = drain{
 		proxy:      p,
-		on:         true,
-		began:      p.loop.Now(),
+		active:     true,
+		startedAt:  p.loop.Now(),
 		duration:   drainschedule.Duration(d.deadlines()),
 		generation: d.generation + 1,
 	}
@@ -105,10 +105,10 @@
 }
 
 // elapsed is the time since the drain began.
-func (d *drain) elapsed() monotime.Micros { return d.proxy.loop.Now() - d.began }
+func (d *drain) elapsed() monotime.Micros { return d.proxy.loop.Now() - d.startedAt }
 
-// idleAge is from which age on idle connections are closed now.
-func (d *drain) idleAge() monotime.Micros { return drainschedule.IdleAge(d.elapsed(), d.duration) }
+// maxIdleAge is from which age on idle connections are closed now.
+func (d *drain) maxIdleAge() monotime.Micros { return drainschedule.IdleAge(d.elapsed(), d.duration) }
 
 // moveEstablished moves the established connections within what is left of the span since the drain began, and answers
 // all else after that.
@@ -121,14 +121,14 @@
 			connections = append(connections, r)
 		}
 	}
-	for m := range p.listener.muxed {
+	for m := range p.listener.muxConns {
 		p.loop.After(0, m.closeIfUnused)
 	}
 	for i, r := range connections {
 		delay := drainschedule.MoveDelay(left, i, len(connections))
-		d.after(delay, func() { r.moveAway(outcome.Cancelled, true) })
+		d.after(delay, func() { r.startMove(outcome.Cancelled, true) })
 	}
-	d.after(left+drainschedule.FinalAnswerDelay, d.answerRest)
+	d.after(left+drainschedule.FinalAnswerDelay, d.answerRemaining)
 }
 
 // after calls f after a delay, unless this drain has been cancelled or followed by another by then.
@@ -141,21 +141,21 @@
 	})
 }
 
-// answerRest answers what is still pending, and moves what was established since.
-func (d *drain) answerRest() {
+// answerRemaining answers what is still pending, and moves what was established since.
+func (d *drain) answerRemaining() {
 	for r := range d.proxy.requests.all {
 		if r.state == statePending {
 			r.expire()
 			continue
 		}
-		r.moveAway(outcome.Cancelled, true)
+		r.startMove(outcome.Cancelled, true)
 	}
 }
 
 // rejectsNew reports whether new requests are rejected.
 func (d *drain) rejectsNew() bool {
 	return drainschedule.RejectsNew(drainschedule.State{
-		Draining:    d.on,
+		Draining:    d.active,
 		Stopping:    d.stopping,
 		HandingOver: d.handingOver,
 		Elapsed:     d.elapsed(),
@@ -165,32 +165,32 @@
 // moveAfterFirstLines transfers or moves a connection that was established during the drain, after its first lines.
 func (d *drain) moveAfterFirstLines(r *request) {
 	d.after(drainschedule.FirstMoveDelay, func() {
-		if !d.on || r.state == stateTransferring {
+		if !d.active || r.state == stateTransferring {
 			return
 		}
 		if d.transfer == nil || !d.transfer.offer(r) {
-			r.moveAway(outcome.Cancelled, true)
+			r.startMove(outcome.Cancelled, true)
 		}
 	})
 }
 
 // check ends the loop once nothing is left, or when the time is up. Multiplexed connections are disconnected first,
 // also one that was opened late, or whose last channel ended in this very turn.
-func (d *drain) check() {
+func (d *drain) checkFinished() {
 	p := d.proxy
 	elapsed := d.elapsed()
 	if drainschedule.ClosesIdle(elapsed) {
 		p.listener.closeUnusedMux()
-		p.listener.closeIdle(d.idleAge())
+		p.listener.closeIdle(d.maxIdleAge())
 	}
-	if drainschedule.Finished(elapsed, d.duration, p.requests.len()+len(p.listener.muxed)) {
+	if drainschedule.Finished(elapsed, d.duration, p.requests.len()+len(p.listener.muxConns)) {
 		p.listener.close()
 	}
 	waiting := p.listener.lingering + p.listener.idle.unanswered()
-	if drainschedule.Finished(elapsed, d.duration, p.requests.len()+len(p.listener.muxed)+waiting) {
+	if drainschedule.Finished(elapsed, d.duration, p.requests.len()+len(p.listener.muxConns)+waiting) {
 		p.log.WithField(logging.Aborted, p.requests.len()).Info("drained")
 		p.loop.Stop()
 		return
 	}
-	p.loop.After(drainschedule.CheckInterval, d.check)
+	p.loop.After(drainschedule.CheckInterval, d.checkFinished)
 }
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -18,14 +18,14 @@
 )
 
 // established is what a request has once it is established: the streams of lines in both directions.
-type established struct {
+type establishedStream struct {
 	fromClient    lineproto.Scanner
 	fromServer    lineproto.Scanner
 	sentAt        []monotime.Micros // when the unanswered lines went to the server, oldest first; some are not timed
 	lastReply     monotime.Micros   // when the last line came from the server
 	endStatus     outcome.Status    // the outcome if the server ends it now, from its last lines
 	clientStalled bool              // its client does not read, and so its server is left unread
-	moving        bool              // moved as soon as the line that is under way has ended
+	movePending   bool              // moved as soon as the line that is under way has ended
 	partial       lineBuffer        // of a line, where only whole ones are forwarded
 	resumable     *resumableStream  // of a client that takes tokens; set before it is established
 	latency       *serverLatency    // of the server
@@ -45,10 +45,10 @@
 	r.freeFirstLine()
 	r.downstream.sendUp(append(up, lineEnd...))
 	r.notifyEstablished(reattached)
-	if p.drain.on {
+	if p.drain.active {
 		p.drain.moveAfterFirstLines(r)
 	}
-	p.resumption.joinDrain(r)
+	p.resumption.addToDrain(r)
 	r.readClient()
 }
 
@@ -65,27 +65,27 @@
 func (r *request) notifyEstablished(reattached bool) {
 	p, a := r.proxy, r.attempt
 	if reattached {
-		p.core.dispatch(decision.ExistingConnection{Request: r.event(), Server: a.server.Number})
+		p.core.dispatch(decision.ExistingConnection{Request: r.decisionRequest(), Server: a.server.Number})
 		return
 	}
 	p.core.dispatch(decision.Established{
 		ID:        uint32(r.ref),
 		Attempt:   a.number,
 		Server:    a.server.Number,
-		SetupTime: p.loop.Now() - a.began,
+		SetupTime: p.loop.Now() - a.startedAt,
 	})
 }
 
 // joinServer counts the request among those that are established at its server.
 func (r *request) joinServer() {
-	r.latency = r.proxy.latencies.of(r.attempt.server.Number)
+	r.latency = r.proxy.latencies.forServer(r.attempt.server.Number)
 	r.latency.established.add(r)
 }
 
 // readClient reads what the client sends.
 func (r *request) readClient() {
 	for range readsPerTurn {
-		if !r.readsClient() {
+		if !r.canReadClient() {
 			return
 		}
 		n, err := r.downstream.Read(r.proxy.buffers.read)
@@ -93,7 +93,7 @@
 			return
 		}
 		if err != nil {
-			r.clientEnded(errors.Is(err, io.EOF))
+			r.handleClientClosed(errors.Is(err, io.EOF))
 			return
 		}
 		if r.state == stateEstablished {
@@ -105,9 +105,9 @@
 	r.proxy.loop.After(0, r.readClient)
 }
 
-// readsClient reports whether the client is read now. While its server does not take what is pending it is not; it is
+// canReadClient reports whether the client is read now. While its server does not take what is pending it is not; it is
 // read on once that has caught up.
-func (r *request) readsClient() bool {
+func (r *request) canReadClient() bool {
 	switch r.state {
 	case stateClosed, stateHalfClosed, stateTransferring:
 		return false
@@ -121,22 +121,22 @@
 // rejectEarlyBytes ends a request whose client does not wait for its answer, as every client does. Forwarded, what it
 // sends would be taken for lines of an established connection.
 func (r *request) rejectEarlyBytes() {
-	coreKnew := r.coreKnows
+	wasRegistered := r.registered
 	r.fail(answercause.ClientTooEarly)
-	if coreKnew {
+	if wasRegistered {
 		r.notifyCancelled()
 	}
 }
 
-// clientEnded handles the client's end, a plain one or a reset. The server sees the same.
-func (r *request) clientEnded(plain bool) {
+// handleClientClosed handles the client's end, a plain one or a reset. The server sees the same.
+func (r *request) handleClientClosed(graceful bool) {
 	if r.state != stateEstablished {
 		r.close()
 		return
 	}
 	r.transition(stateHalfClosed)
 	r.notifyCancelled()
-	if plain {
+	if graceful {
 		// The server may still have something to send.
 		r.attempt.upstream.CloseWrite()
 		r.startTimer(timeouts.HalfClose, r.close)
@@ -146,8 +146,8 @@
 	r.close()
 }
 
-// clientCaughtUp handles that the client has read all that was pending.
-func (r *request) clientCaughtUp() {
+// downstreamFlushed handles that the client has read all that was pending.
+func (r *request) downstreamFlushed() {
 	if r.attempt == nil || r.state != stateEstablished && r.state != stateHalfClosed {
 		return
 	}
@@ -155,7 +155,7 @@
 		// What the server has sent meanwhile was left unread: how long that took is not the server's doing.
 		r.clientStalled = false
 		r.lastReply = r.proxy.loop.Now()
-		r.replied(len(r.sentAt))
+		r.removeAnswered(len(r.sentAt))
 	}
 	r.attempt.readServer()
 }
@@ -178,7 +178,7 @@
 }
 
 // replied notes that the oldest n lines are answered, or no longer waited for.
-func (r *request) replied(n int) {
+func (r *request) removeAnswered(n int) {
 	r.sentAt = slices.Delete(r.sentAt, 0, n)
 	if len(r.sentAt) == 0 {
 		r.proxy.requests.awaitingReply.remove(r)
@@ -187,21 +187,21 @@
 
 // forwardToClient forwards the server's bytes and notes what its lines report.
 func (r *request) forwardToClient(b []byte) {
-	if r.holdsPartialLines() {
-		var sentAway bool
-		if b, sentAway = r.partial.completeLines(b); sentAway {
-			defer r.moveAway(outcome.Cancelled, false)
+	if r.buffersPartialLines() {
+		var movedByServer bool
+		if b, movedByServer = r.partial.completeLines(b); movedByServer {
+			defer r.startMove(outcome.Cancelled, false)
 		}
 	}
-	if r.moving {
+	if r.movePending {
 		b = firstLineOf(b) // MOVE comes next
 	}
-	load, reported := r.noteServerLines(b)
+	load, reported := r.recordServerLines(b)
 	r.downstream.Write(b)
 	if reported {
 		r.reportMetric(load)
 	}
-	if r.moving {
+	if r.movePending {
 		r.move(outcome.Cancelled)
 	}
 }
@@ -214,12 +214,12 @@
 	return b
 }
 
-// noteServerLines notes what the server's lines report, and returns the last load among them, if there is one.
-func (r *request) noteServerLines(b []byte) (load float64, reported bool) {
+// recordServerLines notes what the server's lines report, and returns the last load among them, if there is one.
+func (r *request) recordServerLines(b []byte) (load float64, reported bool) {
 	now := r.proxy.loop.Now()
 	r.fromServer.Feed(b, func(start []byte) {
 		r.lastReply = now
-		r.resumable.noteForwarded(start)
+		r.resumable.recordForwarded(start)
 		switch verb, value := lineproto.ParseServerLine(start); verb {
 		case lineproto.Goaway:
 			r.endStatus = outcome.OK
@@ -231,14 +231,14 @@
 		default:
 			if len(r.sentAt) > 0 {
 				r.latency.delay.Record(now, now-r.sentAt[0])
-				r.replied(1)
+				r.removeAnswered(1)
 			}
 		}
 	})
 	return load, reported
 }
 
-// isSilent reports whether the server sends nothing back any more.
-func (r *request) isSilent(now monotime.Micros) bool {
+// isUnresponsive reports whether the server sends nothing back any more.
+func (r *request) isUnresponsive(now monotime.Micros) bool {
 	return r.state == stateEstablished && len(r.sentAt) > 0 && timeouts.Silent(now, r.lastReply, r.sentAt[0])
 }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -43,7 +43,7 @@
 }
 
 // accepted are those without a final answer that were accepted at a time or before.
-func (i *idleConns) accepted(until monotime.Micros) (all []*downstreamConn) {
+func (i *idleConns) acceptedUntil(until monotime.Micros) (all []*downstreamConn) {
 	for class := overload.Silent; class < overload.EvictionClasses; class++ {
 		for entry := i.classes[class].Front(); entry != nil; entry = entry.Next() {
 			if c := entry.Value.(*downstreamConn); c.acceptedAt <= until {
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -24,7 +24,7 @@
 }
 
 // of is the record of a server, a new one where there is none yet.
-func (t *latencyTable) of(server uint32) *serverLatency {
+func (t *latencyTable) forServer(server uint32) *serverLatency {
 	for int(server) >= len(t.servers) {
 		t.servers = append(t.servers, &serverLatency{
 			established: requestSet{index: func(r *request) *int32 { return &r.establishedIndex }},
@@ -59,9 +59,9 @@
 		if r.state != stateEstablished || overload.IsStalled(r.downstream.Pending(), p.buffers.maxPending) {
 			continue
 		}
-		if r.isSilent(now) {
-			p.stats.silent++
-			r.moveAway(outcome.Reset, false)
+		if r.isUnresponsive(now) {
+			p.stats.unresponsive++
+			r.startMove(outcome.Reset, false)
 			continue
 		}
 		if len(r.sentAt) > 0 {
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -48,12 +48,12 @@
 	silent := 0
 	g.inLoop(func() { // nor is it the server that brings nothing back
 		s := firstRequest(g)
-		s.replied(len(s.sentAt))
+		s.removeAnswered(len(s.sentAt))
 		s.lastReply = 1
 		s.awaitReply(1)
 		g.proxy.latencies.sweep()
-		s.replied(len(s.sentAt))
-		silent = g.proxy.stats.silent
+		s.removeAnswered(len(s.sentAt))
+		silent = g.proxy.stats.unresponsive
 	})
 	if silent != 0 {
 		t.Fatal("a slow reader was taken for a silent server")
@@ -62,11 +62,11 @@
 	server.want("T 1\r\n")
 	defer func() {
 		samples := 0
-		g.inLoop(func() { samples = g.proxy.latencies.of(0).delay.Samples() })
+		g.inLoop(func() { samples = g.proxy.latencies.forServer(0).delay.Samples() })
 		if samples > 0 {
 			t.Errorf(
 				"a line that waited for its client to read was timed: %d",
-				g.proxy.latencies.of(0).delay.Samples(),
+				g.proxy.latencies.forServer(0).delay.Samples(),
 			)
 		}
 	}()
@@ -80,7 +80,7 @@
 // The protocol's limit for a connection that brings nothing back is 7 s.
 func TestSilent(t *testing.T) {
 	at := func(state requestState, lastReply monotime.Micros, sentAt ...monotime.Micros) *request {
-		return &request{state: state, established: established{lastReply: lastReply, sentAt: sentAt}}
+		return &request{state: state, establishedStream: establishedStream{lastReply: lastReply, sentAt: sentAt}}
 	}
 	const sec = monotime.Second
 	for name, c := range map[string]struct {
@@ -93,7 +93,7 @@
 		"nothing back":    {at(stateEstablished, 13*sec, 15*sec), true},
 		"half-closed":     {at(stateHalfClosed, 13*sec, 15*sec), false},
 	} {
-		if got := c.request.isSilent(20 * monotime.Second); got != c.want {
+		if got := c.request.isUnresponsive(20 * monotime.Second); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -112,7 +112,7 @@
 	kept := -1
 	g.inLoop(func() {
 		g.proxy.latencies.sweep()
-		kept = g.proxy.latencies.of(0).delay.Samples()
+		kept = g.proxy.latencies.forServer(0).delay.Samples()
 	})
 	if kept != 0 {
 		t.Fatalf("%d times are kept", kept)
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -9,20 +9,20 @@
 // lineBuffer holds the start of a line back until its end has arrived: a client whose server dies in the middle of a
 // line can then still be sent elsewhere.
 type lineBuffer struct {
-	held        []byte // the start of a line, not forwarded
+	incomplete  []byte // the start of a line, not forwarded
 	passThrough bool   // a line was too long to be held back
 }
 
 // completeLines takes bytes from the server and returns the whole lines among them, with what was held back. sentAway
 // reports that the server sends the client away; its MOVE is not among the lines, for the client is sent away in a
 // form of its own. A line that is longer than a line may be is forwarded as it arrives, with all that follows.
-func (l *lineBuffer) completeLines(b []byte) (lines []byte, sentAway bool) {
+func (l *lineBuffer) completeLines(b []byte) (lines []byte, movedByServer bool) {
 	if l.passThrough {
 		return b, false
 	}
-	if len(l.held) > 0 {
-		b = append(l.held, b...)
-		l.held = nil
+	if len(l.incomplete) > 0 {
+		b = append(l.incomplete, b...)
+		l.incomplete = nil
 	}
 	end := bytes.LastIndexByte(b, '\n') + 1
 	rest := b[end:]
@@ -31,7 +31,7 @@
 		return b, false
 	}
 	if len(rest) > 0 {
-		l.held = bytes.Clone(rest)
+		l.incomplete = bytes.Clone(rest)
 	}
 	if at := moveLine(b[:end]); at >= 0 {
 		return b[:at], true
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,11 +17,11 @@
 	closed    bool
 	idle      idleConns
 	lingering int // connections with their final answer that their clients have not closed yet
-	muxed     map[*muxDownstreamConn]bool
+	muxConns  map[*muxDownstreamConn]bool
 }
 
 func newListener(p *Proxy) listener {
-	return listener{proxy: p, muxed: map[*muxDownstreamConn]bool{}}
+	return listener{proxy: p, muxConns: map[*muxDownstreamConn]bool{}}
 }
 
 // listen opens the listening socket, which processes of one deployment share during a hot restart.
@@ -33,7 +33,7 @@
 // accept takes a connection from the accept queue.
 func (l *listener) accept(adopt func(eventloop.Owner) (*eventloop.Conn, error)) {
 	l.evictIdle()
-	c := &downstreamConn{proxy: l.proxy, acceptedAt: l.proxy.loop.Now(), rejectOnly: l.proxy.descriptorsShort()}
+	c := &downstreamConn{proxy: l.proxy, acceptedAt: l.proxy.loop.Now(), rejectOnly: l.proxy.nearDescriptorLimit()}
 	conn, err := adopt(c)
 	if err != nil {
 		return
@@ -46,7 +46,7 @@
 
 // evictIdle closes idle connections until descriptors no longer run short, or none is left.
 func (l *listener) evictIdle() {
-	for l.proxy.descriptorsShort() {
+	for l.proxy.nearDescriptorLimit() {
 		c := l.idle.oldest(overload.Answered)
 		if c == nil {
 			return
@@ -59,7 +59,7 @@
 // closeIdle ends the connections without a request that are at least so old. A request that arrives in this very turn
 // is answered.
 func (l *listener) closeIdle(age monotime.Micros) {
-	for _, c := range l.idle.accepted(l.proxy.loop.Now() - age) {
+	for _, c := range l.idle.acceptedUntil(l.proxy.loop.Now() - age) {
 		l.idle.remove(c)
 		c.expire()
 	}
@@ -67,7 +67,7 @@
 
 // closeUnusedMux ends the multiplexed connections without channels.
 func (l *listener) closeUnusedMux() {
-	for m := range l.muxed {
+	for m := range l.muxConns {
 		m.closeIfUnused()
 	}
 }
@@ -80,6 +80,6 @@
 	l.closed = true
 	l.socket.Shut()
 	if l.proxy.drain.stopping && !l.proxy.drain.handingOver {
-		l.closeIdle(l.proxy.drain.idleAge())
+		l.closeIdle(l.proxy.drain.maxIdleAge())
 	}
 }
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -7,11 +7,11 @@
 	"spurspread/decision/outcome"
 )
 
-// moveAway has an established connection end gracefully, because its server drains, is gone or is silent, or because
+// startMove has an established connection end gracefully, because its server drains, is gone or is silent, or because
 // this balancer stops. status is its outcome. sameServerAllowed reports whether it may go on at the same server. The
 // decision core says where a client that takes tokens is to go.
-func (r *request) moveAway(status outcome.Status, sameServerAllowed bool) {
-	if r.state != stateEstablished || r.moving {
+func (r *request) startMove(status outcome.Status, sameServerAllowed bool) {
+	if r.state != stateEstablished || r.movePending {
 		return
 	}
 	if !r.resumable.canContinue() {
@@ -23,14 +23,14 @@
 	r.proxy.loop.After(0, func() { r.move(status) }) // should the core ever not answer
 }
 
-// moveAsDecided carries out the decision core's move.
-func (r *request) moveAsDecided(decided decision.MoveConnection) {
+// handleMoveDecision carries out the decision core's move.
+func (r *request) handleMoveDecision(decided decision.MoveConnection) {
 	status := outcome.Cancelled
 	if r.resumable != nil {
 		status = r.resumable.moveStatus
-		r.resumable.next = nil
+		r.resumable.nextServer = nil
 		if decided.HasNextServer {
-			r.resumable.next = r.proxy.servers.list.ByNumber(decided.NextServer)
+			r.resumable.nextServer = r.proxy.servers.list.ByNumber(decided.NextServer)
 		}
 	}
 	r.move(status)
@@ -48,8 +48,8 @@
 		r.finish(status)
 		return
 	}
-	if !r.moving {
-		r.moving = true
+	if !r.movePending {
+		r.movePending = true
 		r.startTimer(drainschedule.MoveLineTimeout, r.abort)
 	}
 }
--- a/internal/proxy/namenumbers.go
+++ b/internal/proxy/nameinterner.go
@@ -1,14 +1,14 @@
 package proxy
 
-// nameNumbers gives each name a number that it keeps for as long as the process runs, however often the settings that
+// nameInterner gives each name a number that it keeps for as long as the process runs, however often the settings that
 // list names are reloaded. The zero value knows no names.
-type nameNumbers struct {
+type nameInterner struct {
 	byName map[string]int
 	next   int
 }
 
 // add numbers names in their order: the first settings' names have their indices.
-func (n *nameNumbers) add(names []string) {
+func (n *nameInterner) internAll(names []string) {
 	if n.byName == nil {
 		n.byName = map[string]int{}
 	}
@@ -21,9 +21,9 @@
 }
 
 // number returns a name's number, a new one for a new name.
-func (n *nameNumbers) number(name string) int {
+func (n *nameInterner) intern(name string) int {
 	if _, known := n.byName[name]; !known {
-		n.add([]string{name})
+		n.internAll([]string{name})
 	}
 	return n.byName[name]
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -17,7 +17,7 @@
 	proxy     *Proxy
 	server    uint32
 	conn      *eventloop.Conn
-	began     monotime.Micros
+	startedAt monotime.Micros
 	connected bool
 	answerBuf []byte
 	timer     eventloop.Ref
@@ -28,18 +28,18 @@
 // startProbe probes a server. Where load reports are promised the probe asks for one, which costs no more than asking
 // whether the server lives.
 func (p *Proxy) startProbe(server uint32) {
-	h := &healthProbe{proxy: p, server: server, began: p.loop.Now()}
+	h := &healthProbe{proxy: p, server: server, startedAt: p.loop.Now()}
 	p.listener.evictIdle()
 	var err error
 	if h.conn, err = p.dialServer(p.servers.list.ByNumber(server), h); err != nil {
 		h.timer = p.loop.After(0, func() { h.end(dialOutcome(err)) })
 		return
 	}
-	question := "PING\r\n"
+	command := "PING\r\n"
 	if len(p.cfg.Settings.Decision.LoadReportColumns) > 0 {
-		question = "STATS\r\n"
+		command = "STATS\r\n"
 	}
-	h.conn.Write([]byte(question))
+	h.conn.Write([]byte(command))
 	h.timer = p.loop.After(p.cfg.Settings.ConnectTimeout, h.connectTimedOut)
 }
 
@@ -116,7 +116,7 @@
 	p.core.dispatch(decision.ProbeResult{
 		Server:     h.server,
 		Status:     status,
-		Duration:   p.loop.Now() - h.began,
+		Duration:   p.loop.Now() - h.startedAt,
 		LoadReport: h.load,
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -75,7 +75,7 @@
 
 func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) (*Proxy, error) {
 	p := newProxy(l, cfg, log, core)
-	p.fitBuffers()
+	p.updateBufferLimits()
 	p.configureChannels(cfg.Channels)
 	p.resumption.configure(cfg.Resume, cfg.Seed)
 	cached, err := p.servers.open(cfg)
@@ -85,8 +85,8 @@
 	if err := p.listener.listen(cfg.Listen); err != nil {
 		return nil, err
 	}
-	p.core.dispatch(p.servers.event(decision.UpdateCached, cached))
-	p.resumption.followServerList(cached)
+	p.core.dispatch(p.servers.updateEvent(decision.UpdateCached, cached))
+	p.resumption.handleServerListUpdate(cached)
 	p.servers.watchIfPushed()
 	l.After(sweepInterval, p.latencies.sweep)
 	l.After(statsInterval, p.logStats)
@@ -99,7 +99,7 @@
 // newProxy connects the owners with each other.
 func newProxy(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) *Proxy {
 	p := &Proxy{loop: l, cfg: cfg, log: log, random: rand.New(rand.NewPCG(cfg.Seed, jitterSequence))}
-	p.core = dispatcher{loop: l, core: core, apply: p.apply, emptied: p.requests.freeClosed}
+	p.core = dispatcher{loop: l, core: core, apply: p.apply, onEmpty: p.requests.freeClosed}
 	p.servers = newServerDirectory(p)
 	p.listener = newListener(p)
 	p.requests = newRequestTable()
@@ -120,7 +120,7 @@
 
 // HotRestart stops as Drain does, for a successor, process pid, that listens on the same port and takes established
 // connections at the path. What can't be transferred is moved.
-func (p *Proxy) HotRestart(path string, pid int) { p.drain.handOver(path, pid) }
+func (p *Proxy) HotRestart(path string, pid int) { p.drain.hotRestart(path, pid) }
 
 // LifecycleState is what the proxy is doing: serving, a lame duck, or stopping.
 func (p *Proxy) LifecycleState() lifecycle.State { return p.drain.lifecycleState() }
@@ -178,7 +178,7 @@
 	p.reloadSettings(cfg.Settings)
 	p.cfg.MaxDescriptors = cfg.MaxDescriptors
 	p.cfg.MemoryLimit = cfg.MemoryLimit
-	p.fitBuffers()
+	p.updateBufferLimits()
 	p.resumption.configure(cfg.Resume, p.cfg.Seed)
 	p.configureChannels(cfg.Channels)
 	if cfg.Discovery != p.cfg.Discovery {
@@ -191,7 +191,7 @@
 
 func (p *Proxy) reloadSettings(changed settings.Settings) {
 	p.fleet.override(&changed.Decision)
-	p.servers.keepNumbers(&changed)
+	p.servers.preserveZoneIndex(&changed)
 	if reflect.DeepEqual(changed, p.cfg.Settings) {
 		return
 	}
@@ -200,7 +200,7 @@
 	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings changed")
 }
 
-// descriptorsShort reports whether the process comes near its limit of descriptors.
-func (p *Proxy) descriptorsShort() bool {
+// nearDescriptorLimit reports whether the process comes near its limit of descriptors.
+func (p *Proxy) nearDescriptorLimit() bool {
 	return overload.DescriptorsShort(p.loop.Descriptors(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -49,7 +49,7 @@
 func (r *request) rejectReattaching() {
 	mayHaveExecuted := r.attempt != nil && r.attempt.written
 	if r.retryPolicy.ClientRetrySafe(mayHaveExecuted) {
-		r.rejectHere(answercause.ShuttingDown)
+		r.rejectLocally(answercause.ShuttingDown)
 	} else {
 		r.fail(answercause.ShuttingDown)
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -21,12 +21,12 @@
 	ref        eventloop.Ref // its slot, and its id in the decision core
 	downstream downstream
 	state      requestState
-	coreKnows  bool // the decision core knows it, or did until it was over; set by transition
+	registered bool // the decision core knows it, or did until it was over; set by transition
 	timer      eventloop.Ref
 
 	firstLine   []byte // with its line end, until the server has accepted it
 	open        lineproto.Open
-	idTaken     bool            // its id is among the known ones
+	idReserved  bool            // its id is among the known ones
 	class       int             // index in classNames
 	classNames  []string        // as they were when it was accepted
 	retryPolicy retry.Policy    // of its class, as it was then
@@ -37,7 +37,7 @@
 
 	reattachFailures int // in a row, while it reattaches
 
-	established
+	establishedStream
 
 	unansweredIndex    int32 // in requestTable.unanswered
 	awaitingReplyIndex int32 // in requestTable.awaitingReply
@@ -57,9 +57,9 @@
 		return r
 	}
 	p.requests.unanswered.add(r)
-	p.fitBuffersToGrowth()
-	if problem, ok := r.parse(text); !ok {
-		r.fail(problem)
+	p.updateBufferLimitsIfGrown()
+	if cause, ok := r.parse(text); !ok {
+		r.fail(cause)
 		return r
 	}
 	r.admit(rejectOnly)
@@ -67,7 +67,7 @@
 }
 
 // parse reads the first line. One that is malformed, or whose id or class can't be served, is a problem.
-func (r *request) parse(text []byte) (problem answercause.Cause, ok bool) {
+func (r *request) parse(text []byte) (cause answercause.Cause, ok bool) {
 	var err error
 	if r.open, err = lineproto.ParseOpen(text); err != nil {
 		return answercause.Malformed, false
@@ -76,7 +76,7 @@
 	if !r.proxy.requests.ids.Add(r.open.ID) {
 		return answercause.DuplicateID, false
 	}
-	r.idTaken = true
+	r.idReserved = true
 	r.classNames = r.proxy.cfg.Settings.ClassNames
 	r.class = indexOr(r.classNames, string(r.open.Class), unknownClass)
 	if r.class == unknownClass {
@@ -97,10 +97,10 @@
 		MaxHeld:       p.cfg.Settings.Decision.MaxHeldRequests,
 	})
 	if rejected {
-		r.rejectHere(cause)
+		r.rejectLocally(cause)
 		return
 	}
-	if !r.presentToken() {
+	if !r.handleToken() {
 		return
 	}
 	if len(r.open.HeldBy) > 0 {
@@ -118,8 +118,8 @@
 	r.deadline = p.loop.Now() + left
 	r.transition(statePending)
 	// The core answers before; should it ever not, the client must still get its answer.
-	r.startTimer(left, r.coreOverdue)
-	p.core.dispatch(r.event())
+	r.startTimer(left, r.decisionTimedOut)
+	p.core.dispatch(r.decisionRequest())
 }
 
 // announcedDeadline is how long the client says it waits.
@@ -128,7 +128,7 @@
 }
 
 // event is the request as the decision core sees it.
-func (r *request) event() decision.Request {
+func (r *request) decisionRequest() decision.Request {
 	// Reloaded settings may number the classes otherwise; a class that they dropped has the strictest rules.
 	names := r.proxy.cfg.Settings.ClassNames
 	ev := decision.Request{
@@ -155,7 +155,7 @@
 	r.timer = r.proxy.loop.After(span, due)
 }
 
-func (r *request) coreOverdue() {
+func (r *request) decisionTimedOut() {
 	r.proxy.log.Warn("request expired: no decision was made in time")
 	r.expire()
 }
@@ -174,12 +174,12 @@
 	return p.cfg.Settings.Decision.RetryAfter(p.random.Float64())
 }
 
-// rejectHere rejects the request without the decision core.
-func (r *request) rejectHere(cause answercause.Cause) { r.reject(r.proxy.retryAfter(), cause) }
+// rejectLocally rejects the request without the decision core.
+func (r *request) rejectLocally(cause answercause.Cause) { r.reject(r.proxy.retryAfter(), cause) }
 
 // reject answers that the client may try again after a span, for a cause that is counted.
 func (r *request) reject(retryAfter monotime.Micros, cause answercause.Cause) {
-	if r.state.unanswered() && !r.answeredStale() {
+	if r.state.unanswered() && !r.answerStaleIfDue() {
 		r.proxy.stats.rejected++
 		r.proxy.countUnserved(r.className(), cause)
 		r.answer(lineproto.AppendBusy(nil, millisRoundedUp(retryAfter)))
@@ -188,7 +188,7 @@
 
 // fail answers that the request failed, and may have been executed, for a cause that is counted.
 func (r *request) fail(cause answercause.Cause) {
-	if r.state.unanswered() && !r.answeredStale() {
+	if r.state.unanswered() && !r.answerStaleIfDue() {
 		r.proxy.stats.failed++
 		r.proxy.countUnserved(r.className(), cause)
 		r.answer([]byte("ERR\r\n"))
@@ -224,7 +224,7 @@
 		return
 	}
 	// Of a half-closed one the core was notified when its client ended its side.
-	notify := r.coreKnows && r.state != stateHalfClosed
+	notify := r.registered && r.state != stateHalfClosed
 	r.downstream.Close()
 	r.release(outcome.Cancelled)
 	if notify {
@@ -237,7 +237,7 @@
 	p := r.proxy
 	r.transition(stateClosed)
 	p.loop.Cancel(&r.timer)
-	if r.idTaken {
+	if r.idReserved {
 		p.requests.ids.Finish(r.open.ID)
 	}
 	r.firstLine = nil
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -65,7 +65,7 @@
 					got = [3]int{
 						len(g.proxy.requests.unanswered.members),
 						len(g.proxy.requests.awaitingReply.members),
-						len(g.proxy.latencies.of(0).established.members),
+						len(g.proxy.latencies.forServer(0).established.members),
 					}
 				},
 			)
--- a/internal/proxy/request_state.go
+++ b/internal/proxy/request_state.go
@@ -33,11 +33,11 @@
 //	statePending      → stateClosed        request.release: answered finally, or its client left
 //	stateReattaching  → stateEstablished   request.establish
 //	stateReattaching  → stateClosed        request.release
-//	stateEstablished  → stateHalfClosed    request.clientEnded: its client ended its side
+//	stateEstablished  → stateHalfClosed    request.handleClientClosed: its client ended its side
 //	stateEstablished  → stateTransferring  transferSender.offer: offered to the successor
 //	stateEstablished  → stateClosed        request.release: moved, finished, or its client or server left
 //	stateHalfClosed   → stateClosed        request.release
-//	stateTransferring → stateEstablished   transferSender.takeBack: the successor does not have it
+//	stateTransferring → stateEstablished   transferSender.reclaim: the successor does not have it
 //	stateTransferring → stateClosed        request.release: the successor has it
 //
 // A connection that a predecessor transferred begins in stateEstablished.
@@ -67,7 +67,7 @@
 	}
 	r.state = to
 	if to == statePending || to == stateEstablished {
-		r.coreKnows = true
+		r.registered = true
 	}
 }
 
--- a/internal/proxy/request_state_test.go
+++ b/internal/proxy/request_state_test.go
@@ -51,8 +51,8 @@
 		r := &request{proxy: &Proxy{log: log}}
 		for i, to := range c.path {
 			r.transition(to)
-			if r.coreKnows != c.want[i] || r.state != to {
-				t.Errorf("%v, step %d: core knows %v", c.path, i, r.coreKnows)
+			if r.registered != c.want[i] || r.state != to {
+				t.Errorf("%v, step %d: core knows %v", c.path, i, r.registered)
 			}
 		}
 	}
--- a/internal/proxy/request_table.go
+++ b/internal/proxy/request_table.go
@@ -53,12 +53,12 @@
 	t.closed = t.closed[:0]
 }
 
-// followServerList handles a change of the server list. It recalls attempts that are on their way, their requests not
-// written, to servers whose listing has changed since, and reattaches clients whose servers may be listed by now. A
-// client that is reattached goes to its server whatever the listing is.
-func (t *requestTable) followServerList() {
+// handleServerListUpdate handles a change of the server list. It ends attempts that have not written their request and
+// whose server's listing has changed since it was chosen, so that the request is placed anew, and starts reattaching
+// requests whose server is now listed. A request that reattaches goes to its server whatever the server's state.
+func (t *requestTable) handleServerListUpdate() {
 	for r := range t.unanswered.each {
-		if a := r.attempt; a != nil && a.recalled() {
+		if a := r.attempt; a != nil && a.invalidatedByListChange() {
 			a.end(outcome.Inconclusive)
 		}
 	}
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -23,7 +23,7 @@
 // docs/protocol/resume.md has the protocol. It concerns clients that ask for tokens, and nobody else.
 type ResumeConfig struct {
 	// Ring has the keys that tokens are sealed with; the deployment shares them.
-	Ring *token.Ring
+	KeyRing *token.Ring
 	// TokenLifetime is how long a token is valid, in milliseconds.
 	TokenLifetime int64
 	// ClockSkew is how far clocks may differ, in milliseconds. A larger one accepts tokens for longer.
@@ -43,8 +43,8 @@
 	tokens       *resume.Validator // nil until it is turned on
 	drains       *drainorder.Plan
 	drainTimer   eventloop.Ref
-	due          []uint32    // reused from move to move
-	opened       token.Token // reused from token to token
+	dueIDs       []uint32    // reused from move to move
+	openedToken  token.Token // reused from token to token
 	tokensIssued int
 	resumed      int
 	streamIDs    *rand.Rand
@@ -84,7 +84,7 @@
 
 // openToken reads a token into s.opened and returns why it can't be accepted, Accepted where its seal holds.
 func (s *resumption) openToken(text []byte) resume.Reason {
-	err := s.cfg.Ring.Open(text, &s.opened)
+	err := s.cfg.KeyRing.Open(text, &s.openedToken)
 	switch {
 	case err == nil:
 		return resume.Accepted
@@ -98,7 +98,7 @@
 
 // grant is what the opened token allows.
 func (s *resumption) grant() resume.Grant {
-	t := &s.opened
+	t := &s.openedToken
 	return resume.Grant{
 		ID:              resume.ID(t.ID),
 		IssuedAt:        resume.UnixMillis(t.IssuedAt),
@@ -113,7 +113,7 @@
 }
 
 // listed is what the server list says of a token's server.
-func listed(server *discovery.Server) resume.ListedServer {
+func listedServer(server *discovery.Server) resume.ListedServer {
 	if server == nil {
 		return resume.ListedServer{}
 	}
@@ -123,8 +123,9 @@
 	}
 }
 
-// followServerList has resumable streams moved off servers that began to drain, and no longer off those that don't.
-func (s *resumption) followServerList(update discovery.Update) {
+// handleServerListUpdate starts moving resumable streams off servers that began to drain, and stops moving them off
+// servers that are ready again or gone.
+func (s *resumption) handleServerListUpdate(update discovery.Update) {
 	if s.cfg == nil {
 		return
 	}
@@ -137,12 +138,12 @@
 			s.drains.StartDrain(s.proxy.loop.Now(), server.Number, streams, s.cfg.DrainSpread)
 		}
 	}
-	s.moveDue()
+	s.moveDueStreams()
 }
 
 // streamsAt are the resumable streams at a server.
 func (s *resumption) streamsAt(server uint32) (streams []drainorder.Connection) {
-	for r := range s.proxy.latencies.of(server).established.each {
+	for r := range s.proxy.latencies.forServer(server).established.each {
 		if r.state == stateEstablished && r.resumable.canContinue() {
 			streams = append(streams, drainorder.Connection{ID: uint32(r.ref), Group: r.open.Group})
 		}
@@ -150,28 +151,28 @@
 	return streams
 }
 
-// joinDrain has a stream moved that is established at a server while others are moved off it.
-func (s *resumption) joinDrain(r *request) {
+// addToDrain has a stream moved that is established at a server while others are moved off it.
+func (s *resumption) addToDrain(r *request) {
 	if r.state != stateEstablished || !r.resumable.canContinue() {
 		return
 	}
 	if s.drains.AddConnection(s.proxy.loop.Now(), r.attempt.server.Number, uint32(r.ref)) {
-		s.moveDue()
+		s.moveDueStreams()
 	}
 }
 
-// moveDue moves the streams whose turn it is.
-func (s *resumption) moveDue() {
+// moveDueStreams moves the streams whose turn it is.
+func (s *resumption) moveDueStreams() {
 	p := s.proxy
 	p.loop.Cancel(&s.drainTimer)
 	var next monotime.Micros
-	s.due, next = s.drains.Due(p.loop.Now(), s.due[:0])
-	for _, id := range s.due {
+	s.dueIDs, next = s.drains.Due(p.loop.Now(), s.dueIDs[:0])
+	for _, id := range s.dueIDs {
 		if r, ok := p.requests.get(id); ok {
-			r.moveAway(outcome.Cancelled, false)
+			r.startMove(outcome.Cancelled, false)
 		}
 	}
 	if next >= 0 {
-		s.drainTimer = p.loop.After(next-p.loop.Now(), s.moveDue)
+		s.drainTimer = p.loop.After(next-p.loop.Now(), s.moveDueStreams)
 	}
 }
--- a/internal/proxy/resume_keys_test.go
+++ b/internal/proxy/resume_keys_test.go
@@ -79,7 +79,7 @@
 		ring := ringWith(t, keys...)
 		g.inLoop(func() {
 			cfg, set := g.proxy.cfg, *g.proxy.cfg.Resume
-			set.Ring = ring
+			set.KeyRing = ring
 			cfg.Resume = &set
 			g.proxy.Reload(cfg)
 		})
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -10,8 +10,8 @@
 	"spurspread/internal/token"
 )
 
-// firstTokenWord is what a client sends in place of a token to ask for its first one.
-const firstTokenWord = "ask"
+// tokenRequestWord is what a client sends in place of a token to ask for its first one.
+const tokenRequestWord = "ask"
 
 // resumableStream is what a request has whose client takes tokens. Methods accept nil, for one whose client does not.
 type resumableStream struct {
@@ -25,14 +25,14 @@
 	numbered    bool              // its server numbers the messages, so that it can be continued
 	lastMessage uint64            // the last message that was forwarded
 	moveStatus  outcome.Status    // its outcome when it is moved
-	next        *discovery.Server // where its client is to go; nil where the decision core named none
+	nextServer  *discovery.Server // where its client is to go; nil where the decision core named none
 }
 
 // canContinue reports whether the stream can go on elsewhere.
 func (x *resumableStream) canContinue() bool { return x != nil && x.numbered }
 
-// noteForwarded notes the number of a message that was forwarded, of which start is the start.
-func (x *resumableStream) noteForwarded(start []byte) {
+// recordForwarded notes the number of a message that was forwarded, of which start is the start.
+func (x *resumableStream) recordForwarded(start []byte) {
 	if !x.canContinue() {
 		return
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// presentToken handles what the first line says of tokens. It returns false if the client has been answered.
-func (r *request) presentToken() bool {
+// handleToken handles what the first line says of tokens. It returns false if the client has been answered.
+func (r *request) handleToken() bool {
 	s := &r.proxy.resumption
 	if s.cfg == nil || len(r.open.Token) == 0 {
 		return true
@@ -51,7 +51,7 @@
 	if len(r.open.Cursor) > 0 {
 		cursor, cursorOK = lineproto.ParseCursor(r.open.Cursor)
 	}
-	if string(r.open.Token) == firstTokenWord {
+	if string(r.open.Token) == tokenRequestWord {
 		if !cursorOK {
 			r.fail(answercause.Malformed)
 			return false
@@ -82,13 +82,13 @@
 		Tenant: r.open.Tenant,
 		Cursor: cursor,
 	}
-	server := r.proxy.servers.list.ByID(s.opened.Server)
-	if why := s.tokens.Claim(s.now(), &grant, &line, listed(server)); why != resume.Accepted {
+	server := r.proxy.servers.list.ByID(s.openedToken.Server)
+	if why := s.tokens.Claim(s.now(), &grant, &line, listedServer(server)); why != resume.Accepted {
 		r.rejectToken(why)
 		return false
 	}
 	r.resumable = &resumableStream{
-		id:         s.opened.Stream,
+		id:         s.openedToken.Stream,
 		claim:      grant.ID,
 		claimed:    true,
 		pinned:     true,
@@ -104,8 +104,8 @@
 	r.answer([]byte("STALE " + why.String() + lineEnd))
 }
 
-// answeredStale gives that answer if the end of an attempt calls for it, and reports whether it did.
-func (r *request) answeredStale() bool {
+// answerStaleIfDue gives that answer if the end of an attempt calls for it, and reports whether it did.
+func (r *request) answerStaleIfDue() bool {
 	if r.resumable == nil || r.resumable.staleReason == resume.Accepted {
 		return false
 	}
@@ -131,9 +131,9 @@
 	x.claimed = false
 }
 
-// tokenRejectedByServer handles a server's answer that it does not accept the token, with its word for the reason.
+// handleTokenRejection handles a server's answer that it does not accept the token, with its word for the reason.
 // Where there is no token the protocol does not have that answer.
-func (r *request) tokenRejectedByServer(word []byte) {
+func (r *request) handleTokenRejection(word []byte) {
 	why, ok := resume.ParseReason(word)
 	if r.resumable == nil || !r.resumable.claimed || !ok {
 		r.proxy.stats.protocolErrors++
@@ -151,13 +151,14 @@
 	// The request was not executed, and this says nothing of the server's health.
 	r.attempt.end(outcome.Inconclusive)
 	if r.state.unanswered() {
-		r.answeredStale()
+		r.answerStaleIfDue()
 	}
 }
 
-// checkNumbering reads a server's UP for a client that takes tokens. It returns false, and the attempt has ended, if a
-// token was presented and the server does not continue after its cursor: the client would miss messages.
-func (r *request) checkNumbering(up []byte) bool {
+// checkContinuation reads the sequence number in a server's UP line for a client that takes tokens. If the client
+// presented a token and the server does not continue right after the client's cursor, the client would miss messages:
+// then it ends the attempt and returns false.
+func (r *request) checkContinuation(up []byte) bool {
 	x := r.resumable
 	if x == nil {
 		return true
@@ -176,24 +177,24 @@
 	return true
 }
 
-// holdsPartialLines reports whether only whole lines are forwarded.
-func (r *request) holdsPartialLines() bool {
+// buffersPartialLines reports whether only whole lines are forwarded.
+func (r *request) buffersPartialLines() bool {
 	return r.resumable.canContinue() || r.downstream.completeLinesOnly()
 }
 
 // appendToken appends a token for a client that is sent away, if it is to have one; else nothing.
 func (r *request) appendToken(to []byte) []byte {
 	x, s := r.resumable, &r.proxy.resumption
-	if !x.canContinue() || x.next == nil || s.cfg == nil {
+	if !x.canContinue() || x.nextServer == nil || s.cfg == nil {
 		return to
 	}
-	class, server := r.classNames[r.class], x.next.ID
+	class, server := r.classNames[r.class], x.nextServer.ID
 	if len(class) > token.MaxName || len(server) > token.MaxName {
 		return to
 	}
 	now := int64(s.now())
 	s.tokensIssued++
-	return s.cfg.Ring.Seal(to, &token.Token{
+	return s.cfg.KeyRing.Seal(to, &token.Token{
 		IssuedAt:      now,
 		ExpiresAt:     now + s.cfg.TokenLifetime,
 		Stream:        x.id,
@@ -201,7 +202,7 @@
 		Group:         r.open.Group,
 		Tenant:        r.open.Tenant,
 		LastSequence:  x.lastMessage,
-		ServerStarted: x.next.StartedMillis,
+		ServerStarted: x.nextServer.StartedMillis,
 		Class:         []byte(class),
 		Server:        []byte(server),
 	})
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	return newHarness(t, 2, sendOrMove, func(cfg *Config) {
 		cfg.Resume = &ResumeConfig{
-			Ring:          ringWith(t, token.Key{Secret: keyOf(1), Issues: true}),
+			KeyRing:       ringWith(t, token.Key{Secret: keyOf(1), Issues: true}),
 			TokenLifetime: 60_000,
 			ClockSkew:     2000,
 			MaxClaims:     100,
--- a/internal/proxy/scale_bench_test.go
+++ b/internal/proxy/scale_bench_test.go
@@ -33,11 +33,11 @@
 	}
 	for i := range n {
 		r := &request{
-			proxy:       p,
-			downstream:  &downstreamConn{proxy: p, conn: &eventloop.Conn{}},
-			state:       stateEstablished,
-			coreKnows:   true,
-			established: established{lastReply: l.Now()},
+			proxy:             p,
+			downstream:        &downstreamConn{proxy: p, conn: &eventloop.Conn{}},
+			state:             stateEstablished,
+			registered:        true,
+			establishedStream: establishedStream{lastReply: l.Now()},
 		}
 		r.attempt = &attempt{
 			proxy:     p,
@@ -74,7 +74,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := proxyWithRequests(b, n, 0)
 			for b.Loop() {
-				p.requests.followServerList()
+				p.requests.handleServerListUpdate()
 			}
 		})
 	}
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -30,23 +30,23 @@
 	list          *discovery.ServerList
 	client        *discovery.Client
 	saveScheduled bool
-	zones         nameNumbers
-	machineTypes  nameNumbers
+	zones         nameInterner
+	machineTypes  nameInterner
 	failures      int // of calls of discovery, and of established watches
 }
 
 func newServerDirectory(p *Proxy) serverDirectory {
 	d := serverDirectory{proxy: p, list: discovery.NewServerList()}
-	d.zones.add(p.cfg.Settings.ZoneNames)
-	d.machineTypes.add(p.cfg.Settings.MachineTypes)
+	d.zones.internAll(p.cfg.Settings.ZoneNames)
+	d.machineTypes.internAll(p.cfg.Settings.MachineTypes)
 	return d
 }
 
-// keepNumbers puts the numbers that zones have here in place of those that reloaded settings give them: servers and
-// requests that the core knows have the old ones.
-func (d *serverDirectory) keepNumbers(changed *settings.Settings) {
+// preserveZoneIndex replaces the balancer's zone index in reloaded settings by the index that the zone has had since the
+// process started, because servers and requests already known to the core use those indexes.
+func (d *serverDirectory) preserveZoneIndex(changed *settings.Settings) {
 	if home := changed.Decision.Zone; home >= 0 && home < len(changed.ZoneNames) {
-		changed.Decision.Zone = d.zones.number(changed.ZoneNames[home])
+		changed.Decision.Zone = d.zones.intern(changed.ZoneNames[home])
 	}
 }
 
@@ -87,9 +87,9 @@
 	if update.Full {
 		kind = decision.UpdateFull
 	}
-	p.core.dispatch(d.event(kind, update))
-	p.requests.followServerList()
-	p.resumption.followServerList(update)
+	p.core.dispatch(d.updateEvent(kind, update))
+	p.requests.handleServerListUpdate()
+	p.resumption.handleServerListUpdate(update)
 	if p.cfg.SaveList != nil && !d.saveScheduled {
 		d.saveScheduled = true
 		p.loop.After(saveListDelay, d.save)
@@ -169,14 +169,14 @@
 }
 
 // event is a change of the list as the decision core sees it.
-func (d *serverDirectory) event(kind decision.UpdateKind, update discovery.Update) decision.ServerListUpdate {
+func (d *serverDirectory) updateEvent(kind decision.UpdateKind, update discovery.Update) decision.ServerListUpdate {
 	ev := decision.ServerListUpdate{Kind: kind}
 	for _, server := range update.Servers {
 		ev.Entries = append(ev.Entries, decision.ServerEntry{
 			Server:      server.Number,
 			StableID:    xxhash.Sum64String(server.ID),
-			Zone:        uint32(d.zones.number(server.Zone)),
-			MachineType: uint16(min(d.machineTypes.number(server.MachineType), maxMachineType)),
+			Zone:        uint32(d.zones.intern(server.Zone)),
+			MachineType: uint16(min(d.machineTypes.intern(server.MachineType), maxMachineType)),
 			State:       entryState(server.State),
 			Weight:      server.Weight,
 			Cell:        server.Cell,
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -69,7 +69,7 @@
 		g.core = decision.New(g.proxy.cfg.Settings.Decision, 1, startedAt)
 		cached, err := g.proxy.servers.list.Apply(g.cachedList)
 		g.check(err)
-		g.proxy.core.dispatch(g.proxy.servers.event(decision.UpdateCached, cached))
+		g.proxy.core.dispatch(g.proxy.servers.updateEvent(decision.UpdateCached, cached))
 	})
 	client := g.client(openLine)
 	a.watch(1, `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"Gone"},`+
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -17,7 +17,7 @@
 	rejected        int // requests that were rejected
 	failed          int // requests that failed
 	moved           int // connections that were moved
-	silent          int // connections given up because their servers sent nothing back
+	unresponsive    int // connections given up because their servers sent nothing back
 	protocolErrors  int // answers and messages that the protocol does not have
 	evicted         int // idle connections closed for want of descriptors
 	upstreamsFailed int // multiplexed upstream connections that broke or could not be opened
@@ -38,7 +38,7 @@
 		logging.Rejected:       p.stats.rejected,
 		logging.Failed:         p.stats.failed,
 		logging.Moved:          p.stats.moved,
-		logging.Unresponsive:   p.stats.silent,
+		logging.Unresponsive:   p.stats.unresponsive,
 		logging.ProtocolErrors: p.stats.protocolErrors,
 		logging.Evicted:        p.stats.evicted,
 		logging.TransferredIn:  p.stats.transferredIn,
@@ -55,7 +55,7 @@
 		return
 	}
 	connections, channels := p.upstreams.pool.Counts()
-	fields[logging.MuxClients] = len(p.listener.muxed)
+	fields[logging.MuxClients] = len(p.listener.muxConns)
 	fields[logging.MuxUpstreams] = connections
 	fields[logging.UpstreamChannels] = channels
 	fields[logging.ReceiveWindowBytes] = p.buffers.windows.Promised()
@@ -67,7 +67,7 @@
 // queuedBytes is how many bytes wait for clients and servers to read them.
 func (p *Proxy) queuedBytes() (bytes int) {
 	for r := range p.requests.all {
-		bytes += r.downstream.Pending() + len(r.partial.held)
+		bytes += r.downstream.Pending() + len(r.partial.incomplete)
 		if r.attempt != nil && r.attempt.upstream != nil {
 			bytes += r.attempt.upstream.Pending()
 		}
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -170,8 +170,8 @@
 			g.waitRead()
 			g.inLoop(func() {
 				g.proxy.Drain()
-				g.proxy.drain.began -= drainschedule.MinDuration + drainschedule.CheckInterval
-				g.proxy.drain.check()
+				g.proxy.drain.startedAt -= drainschedule.MinDuration + drainschedule.CheckInterval
+				g.proxy.drain.checkFinished()
 				p.say(openLine)
 			})
 			return []*peer{p}
@@ -251,12 +251,12 @@
 	var began eventloop.Micros
 	g.inLoop(func() {
 		g.proxy.Drain()
-		began = g.proxy.drain.began
+		began = g.proxy.drain.startedAt
 	})
 	g.inLoop(func() {
 		g.proxy.Drain()
 		g.proxy.HotRestart("nowhere", 1)
-		if d := g.proxy.drain; d.began != began || d.handingOver || d.generation != 1 {
+		if d := g.proxy.drain; d.startedAt != began || d.handingOver || d.generation != 1 {
 			t.Errorf("%+v", d)
 		}
 	})
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -32,7 +32,7 @@
 	}
 	d.transfer = t
 	t.offerRound()
-	p.loop.After(t.plan.Deadline()-p.loop.Now(), t.moveRest)
+	p.loop.After(t.plan.Deadline()-p.loop.Now(), t.moveUntransferred)
 }
 
 // offerRound offers what can be transferred now, and looks again soon: lines that are under way end.
@@ -67,12 +67,12 @@
 		return false
 	}
 	id := uint32(r.ref)
-	client, server, own := r.sockets()
+	client, server, dedicated := r.sockets()
 	if !t.plan.Offer(id, hotrestart.ConnectionState{
 		AtLineBoundary:  r.fromClient.AtLineStart() && r.fromServer.AtLineStart(),
-		OwnsSockets:     own,
+		OwnsSockets:     dedicated,
 		NothingBuffered: r.nothingBuffered(),
-		PinnedToProcess: r.moving || r.resumable != nil,
+		PinnedToProcess: r.movePending || r.resumable != nil,
 	}) {
 		return false
 	}
@@ -86,13 +86,13 @@
 }
 
 // sockets are those of an established connection; false if one side is a channel.
-func (r *request) sockets() (client, server *eventloop.Conn, own bool) {
+func (r *request) sockets() (client, server *eventloop.Conn, dedicated bool) {
 	down, single := r.downstream.(*downstreamConn)
 	if !single {
 		return nil, nil, false
 	}
-	server, own = r.attempt.upstream.(*eventloop.Conn)
-	return down.conn, server, own
+	server, dedicated = r.attempt.upstream.(*eventloop.Conn)
+	return down.conn, server, dedicated
 }
 
 // nothingBuffered reports whether all that was read has been written, in both directions.
@@ -102,8 +102,8 @@
 
 // releaseSockets gives up the sockets of a connection that another process has, without ending the connection.
 func (r *request) releaseSockets() {
-	client, server, own := r.sockets()
-	if own {
+	client, server, dedicated := r.sockets()
+	if dedicated {
 		client.Release()
 		server.Release()
 	}
@@ -147,22 +147,22 @@
 		r.releaseSockets()
 		r.close()
 	} else {
-		t.takeBack(r)
+		t.reclaim(r)
 	}
 	if !t.plan.Draining() {
 		t.offerRemaining()
 	}
 }
 
-// takeBack takes a connection back that the successor does not have.
-func (t *transferSender) takeBack(r *request) {
+// reclaim takes a connection back that the successor does not have.
+func (t *transferSender) reclaim(r *request) {
 	r.transition(stateEstablished)
 	r.readClient()
 	if r.state == stateEstablished {
 		r.attempt.readServer()
 	}
 	if t.plan.Draining() {
-		r.moveAway(outcome.Cancelled, true)
+		r.startMove(outcome.Cancelled, true)
 	}
 }
 
@@ -172,14 +172,14 @@
 	link.Close()
 	for _, id := range t.plan.LinkClosed() {
 		if r, ok := t.proxy.requests.get(id); ok {
-			t.takeBack(r)
+			t.reclaim(r)
 		}
 	}
-	t.moveRest()
+	t.moveUntransferred()
 }
 
-// moveRest moves what was not transferred, once the plan says so.
-func (t *transferSender) moveRest() {
+// moveUntransferred moves what was not transferred, once the plan says so.
+func (t *transferSender) moveUntransferred() {
 	move, offersPending := t.plan.DrainRest(t.proxy.loop.Now())
 	if !move {
 		return
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -42,7 +42,7 @@
 		return
 	}
 	p.stats.transferredIn++
-	p.core.dispatch(decision.ExistingConnection{Request: r.event(), Server: r.attempt.server.Number})
+	p.core.dispatch(decision.ExistingConnection{Request: r.decisionRequest(), Server: r.attempt.server.Number})
 }
 
 // accepts reports whether an offer is accepted that came with so many sockets.
@@ -52,8 +52,8 @@
 		Sockets:          sockets,
 		ServerListed:     p.servers.list.ByID([]byte(offer.Server)) != nil,
 		IDUnused:         !p.requests.ids.Known(offer.ID),
-		Draining:         p.drain.on,
-		DescriptorsShort: p.descriptorsShort(),
+		Draining:         p.drain.active,
+		DescriptorsShort: p.nearDescriptorLimit(),
 	})
 }
 
@@ -79,7 +79,7 @@
 		server.Release()
 		return nil
 	}
-	p.fitBuffersToGrowth()
+	p.updateBufferLimitsIfGrown()
 	r.joinServer()
 	for _, age := range offer.Unanswered {
 		r.awaitReply(p.loop.Now() - monotime.Micros(age))
@@ -94,7 +94,7 @@
 		proxy:      p,
 		downstream: client,
 		state:      stateEstablished,
-		coreKnows:  true,
+		registered: true,
 		open: lineproto.Open{
 			ID:          offer.ID,
 			Key:         offer.Key,
@@ -104,11 +104,11 @@
 			Retry:       offer.Retry,
 			Returned:    offer.Returned,
 		},
-		idTaken:    true,
+		idReserved: true,
 		class:      0,
 		classNames: []string{offer.Class},
 		deadline:   now,
-		established: established{
+		establishedStream: establishedStream{
 			lastReply: now - monotime.Micros(offer.SinceLastReply),
 			endStatus: outcome.Status(offer.Verdict),
 		},
@@ -117,7 +117,7 @@
 		proxy:     p,
 		request:   r,
 		server:    p.servers.list.ByID([]byte(offer.Server)),
-		began:     now,
+		startedAt: now,
 		connected: true,
 		written:   true,
 	}
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -272,7 +272,7 @@
 	client.want("MOVE\r\n")
 	client.ended(true)
 	next.inLoop(func() {
-		if next.proxy.stats.transferredIn != 1 || next.proxy.stats.silent != 1 {
+		if next.proxy.stats.transferredIn != 1 || next.proxy.stats.unresponsive != 1 {
 			t.Errorf("%+v", next.proxy.stats)
 		}
 	})
--- a/internal/proxy/unserved_test.go
+++ b/internal/proxy/unserved_test.go
@@ -24,10 +24,10 @@
 	} {
 		g.client(line).line()
 	}
-	g.inLoop(func() { g.proxy.drain.on, g.proxy.drain.stopping = true, true })
+	g.inLoop(func() { g.proxy.drain.active, g.proxy.drain.stopping = true, true })
 	g.client("OPEN 9b22 7f3a c=sync,d=60000\r\n").want("BUSY 150\r\n")
 	g.inLoop(func() {
-		g.proxy.drain.on, g.proxy.drain.stopping = false, false
+		g.proxy.drain.active, g.proxy.drain.stopping = false, false
 		want := "+OK sync/no_capacity=1 sync/shutting_down=1 " +
 			"unread/malformed=1 unread/unknown_class=1 unread/duplicate_id=1 unread/client_too_early=1"
 		if got := g.proxy.HandleAdminCall(lifecycle.CommandUnserved); got != want {
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -78,7 +78,7 @@
 type upstreamChannel struct{ attempt *attempt }
 
 // Confirmed is part of mux.ChannelOwner: the server has accepted the request.
-func (k upstreamChannel) Confirmed(data []byte) { k.attempt.answered(bytes.Clone(data)) }
+func (k upstreamChannel) Confirmed(data []byte) { k.attempt.handleAnswer(bytes.Clone(data)) }
 
 // Rejected is part of mux.ChannelOwner.
 func (k upstreamChannel) Rejected(code uint32, description []byte) {
@@ -86,7 +86,7 @@
 		k.attempt.end(outcome.Reset)
 		return
 	}
-	k.attempt.answered(rejectionLine(code, description))
+	k.attempt.handleAnswer(rejectionLine(code, description))
 }
 
 // rejectionLine is the line that a server would have sent in place of a rejection. Its description is the line, unless
@@ -106,7 +106,7 @@
 func (k upstreamChannel) Readable() { k.attempt.readServer() }
 
 // Flushed is part of mux.ChannelOwner.
-func (k upstreamChannel) Flushed() { k.attempt.serverCaughtUp() }
+func (k upstreamChannel) Flushed() { k.attempt.upstreamFlushed() }
 
 // Requested is part of mux.ChannelOwner: a server that drains sends the client away.
 func (k upstreamChannel) Requested(name, _ []byte) bool {
@@ -114,7 +114,7 @@
 		return false
 	}
 	if k.attempt.request.state == stateEstablished {
-		k.attempt.request.moveAway(outcome.Cancelled, false)
+		k.attempt.request.startMove(outcome.Cancelled, false)
 	}
 	return true
 }
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -22,10 +22,10 @@
 // muxUpstreams owns the multiplexed upstream connections. How many there are, and which one an attempt takes, is
 // decided by the pool.
 type muxUpstreams struct {
-	proxy *Proxy
-	pool  *upstreampool.Pool // nil until channels are turned on
-	conns map[uint32]*muxUpstreamConn
-	idle  []uint32 // reused from look to look
+	proxy   *Proxy
+	pool    *upstreampool.Pool // nil until channels are turned on
+	conns   map[uint32]*muxUpstreamConn
+	idleIDs []uint32 // reused from look to look
 }
 
 func newMuxUpstreams(p *Proxy) muxUpstreams {
@@ -58,8 +58,8 @@
 // retireIdle closes connections that have carried nothing for long.
 func (u *muxUpstreams) retireIdle() {
 	u.proxy.loop.After(retireInterval, u.retireIdle)
-	u.idle = u.pool.IdleConnections(u.proxy.loop.Now(), u.idle[:0])
-	for _, id := range u.idle {
+	u.idleIDs = u.pool.IdleConnections(u.proxy.loop.Now(), u.idleIDs[:0])
+	for _, id := range u.idleIDs {
 		if c := u.conns[id]; c != nil && !c.closed {
 			c.mux.Disconnect(channel.ByApplication, "idle")
 			u.pool.Closed(id)
@@ -119,20 +119,20 @@
 			return
 		}
 		if err != nil {
-			c.connectionEnded(errors.Is(err, io.EOF))
+			c.handleConnectionClosed(errors.Is(err, io.EOF))
 			return
 		}
 		c.lastReceived = c.proxy.loop.Now()
 		if err := c.mux.Feed(buffer[:n]); err != nil {
-			c.protocolEnded(err)
+			c.handleProtocolError(err)
 			return
 		}
 	}
 	c.proxy.loop.After(0, func() { c.Readable(conn) })
 }
 
-// protocolEnded handles an error of the channel protocol.
-func (c *muxUpstreamConn) protocolEnded(err error) {
+// handleProtocolError handles an error of the channel protocol.
+func (c *muxUpstreamConn) handleProtocolError(err error) {
 	if errors.Is(err, mux.ErrNotSSH) {
 		c.revertToPlain(true)
 		return
@@ -140,14 +140,15 @@
 	c.fail(outcome.Reset, errors.Is(err, mux.ErrDisconnected))
 }
 
-// connectionEnded handles the end of the connection. A server that ends it before it has identified itself speaks plain
-// lines; it may reset it, for it has not read what it does not understand.
-func (c *muxUpstreamConn) connectionEnded(plain bool) {
+// handleConnectionClosed handles EOF (graceful) or a read error. A server that closes the connection before it has sent
+// its identification speaks plain lines; the close may be a reset, since the server has not read the bytes that it does
+// not understand.
+func (c *muxUpstreamConn) handleConnectionClosed(graceful bool) {
 	if !c.mux.Identified() {
-		c.revertToPlain(plain)
+		c.revertToPlain(graceful)
 		return
 	}
-	c.fail(outcome.Reset, plain)
+	c.fail(outcome.Reset, graceful)
 }
 
 // revertToPlain gives the waiting attempts connections of their own: the server does not speak channels, and no request
@@ -163,7 +164,7 @@
 }
 
 // fail ends the connection and all attempts on it.
-func (c *muxUpstreamConn) fail(status outcome.Status, plain bool) {
+func (c *muxUpstreamConn) fail(status outcome.Status, graceful bool) {
 	if c.closed {
 		return
 	}
@@ -179,7 +180,7 @@
 		a.end(attemptoutcome.OfWaiting(status))
 	}
 	if c.mux != nil {
-		c.mux.Lost(plain)
+		c.mux.Lost(graceful)
 	}
 }
 
@@ -219,7 +220,7 @@
 			continue
 		}
 		p.loop.Cancel(&a.timer)
-		if a.mayWrite() {
+		if a.recheckBeforeWrite() {
 			a.openChannel()
 		}
 	}
@@ -250,7 +251,7 @@
 	}
 	switch keepalive.Upstream(now, c.lastReceived, c.lastPing) {
 	case keepalive.Close:
-		c.failSilent()
+		c.failUnresponsive()
 	case keepalive.Ping:
 		c.lastPing = now
 		c.mux.Ping()
@@ -258,13 +259,13 @@
 	}
 }
 
-// failSilent moves the clients of a server that sends nothing any more, and gives the connection up.
-func (c *muxUpstreamConn) failSilent() {
-	c.proxy.stats.silent++
+// failUnresponsive moves the clients of a server that sends nothing any more, and gives the connection up.
+func (c *muxUpstreamConn) failUnresponsive() {
+	c.proxy.stats.unresponsive++
 	c.failing = true
 	for a := range c.attempts {
 		if a.request.state == stateEstablished {
-			a.request.moveAway(outcome.Reset, false)
+			a.request.startMove(outcome.Reset, false)
 		}
 	}
 	c.failing = false
