--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,42 +17,43 @@
 	"spurspread/internal/lineproto"
 )
 
-// attempt is one attempt to have a server accept a request and, if it does, the upstream side of the connection. It
-// ends once, with one outcome for the decision core.
+// attempt is one attempt to establish a request at a server and, if the server accepts it, the upstream side of the
+// connection. It ends exactly once and reports one outcome to the decision core.
 type attempt struct {
 	proxy         *Proxy
 	request       *request
 	server        *discovery.Server
-	chosenListing recall.Listing // of the server, when it was chosen
-	number        int            // among the request's attempts, from 0 on
-	upstream      transport      // nil until there is one
+	chosenListing recall.Listing // listing of the server when the attempt started
+	number        int            // index among the request's attempts, from 0 on
+	upstream      transport      // nil until it is dialed or its channel opened
 	muxConn       *muxUpstreamConn
 	startedAt     monotime.Micros
-	deadline      monotime.Micros // it is given up then, unless it is established
-	writeDeadline monotime.Micros // the request is written by then or not at all; 0 for no such limit
+	deadline      monotime.Micros // the attempt ends then unless it is established
+	writeDeadline monotime.Micros // the request must not be written after this time; 0 for no limit
 	connected     bool
-	written       bool   // the request's last byte is written: the server may have executed it
-	answerBuf     []byte // the server's first line, as far as it has arrived
+	written       bool   // the request is written to its last byte, so the server may have executed it
+	answerBuf     []byte // received part of the server's first line
 	timer         eventloop.Ref
-	failureShared bool // its end is not evidence of the server's health: another attempt's end was, of the same cause
+	failureShared bool // its failure was already counted against the server with another attempt on the same connection
 	ended         bool
 }
 
-// attemptLimits are the limits of an attempt.
+// attemptLimits are the number and the time limits of a new attempt.
 type attemptLimits struct {
 	number       int
-	timeout      monotime.Micros // it is given up after it
-	writeTimeout monotime.Micros // the request is written within it or not at all; 0 for no such limit
+	timeout      monotime.Micros // from the start until the attempt must be established
+	writeTimeout monotime.Micros // from the start until the request must be written; 0 for no limit
 }
 
-// startAttempt starts the attempt that the decision core has decided on.
+// startAttempt starts an attempt that the decision core decided on. If the request can no longer use it, the attempt is
+// reported as ended at once.
 func (r *request) startAttempt(decided decision.StartAttempt) {
 	p := r.proxy
 	number := r.attempts
 	r.attempts++
 	server := p.servers.list.ByNumber(decided.Server)
 	if r.state == statePending {
-		r.readClient() // its client may have left, its end not read yet, or may not wait for its answer
+		r.readClient() // the client may have closed its connection or sent data too early, not yet read
 	}
 	if r.state != statePending || r.attempt != nil || server == nil {
 		p.core.dispatch(decision.AttemptEnded{
@@ -71,7 +72,7 @@
 	})
 }
 
-// newAttempt starts an attempt, on a multiplexed connection or with one of its own.
+// newAttempt starts an attempt, on a multiplexed connection or on a connection of its own.
 func newAttempt(r *request, server *discovery.Server, limits attemptLimits) *attempt {
 	p := r.proxy
 	now := p.loop.Now()
@@ -93,7 +94,7 @@
 	return a
 }
 
-// listingOf is what of a server's listing matters to a request that is about to be written to it.
+// listingOf returns the parts of a server's listing that decide whether a request may still be written to it.
 func listingOf(server *discovery.Server) recall.Listing {
 	return recall.Listing{
 		Ready:     server.State == discovery.Ready,
@@ -102,7 +103,8 @@
 	}
 }
 
-// recalled reports whether the attempt, which has no answer yet, is recalled for a change of its server's listing.
+// invalidatedByListChange reports whether the attempt must end, and its request be placed anew, because its server's
+// listing has changed. The attempt must have no answer yet.
 func (a *attempt) invalidatedByListChange() bool {
 	return recall.Needed(recall.Attempt{
 		Placed:  a.request.state == statePending,
@@ -112,7 +114,7 @@
 	})
 }
 
-// dial gives the attempt a connection of its own.
+// dial starts a connection of the attempt's own to the server.
 func (a *attempt) dial() {
 	p := a.proxy
 	p.listener.evictIdle()
@@ -124,7 +126,7 @@
 	a.upstream = conn
 	wait := timeouts.Connect(a.deadline-p.loop.Now(), p.cfg.Settings.ConnectTimeout)
 	a.timer = p.loop.After(wait, func() {
-		conn.CheckConnected() // its success may be waiting in this very turn
+		conn.CheckConnected() // the connect event may be pending in this turn of the event loop
 		if !a.connected {
 			a.end(outcome.ConnectFailed)
 		}
@@ -162,8 +164,8 @@
 	return true
 }
 
-// requestLine is what the server is sent, in three parts: as the client sent it, byte for byte, but with how long this
-// attempt waits in place of how long the client does.
+// requestLine returns the first line for the server, in three parts: the client's line byte for byte, with the client's
+// deadline (wait) replaced by the attempt's.
 func (a *attempt) requestLine() (head, wait, tail []byte) {
 	const digits = 20 // of the largest int64
 	line, open := a.request.firstLine, &a.request.open
@@ -172,13 +174,14 @@
 	return line[:open.DeadlineStart], wait, line[open.DeadlineEnd:]
 }
 
-// awaitAnswer has the attempt end if its server does not answer in time, or the request can't be written in time.
+// awaitAnswer starts the timer that ends the attempt if the request is not written or the server does not answer in
+// time.
 func (a *attempt) awaitAnswer() {
 	p := a.proxy
 	until := timeouts.Answer(a.deadline, a.writeDeadline, a.written)
 	p.loop.Cancel(&a.timer)
 	a.timer = p.loop.After(until-p.loop.Now(), func() {
-		a.readServer() // an answer that arrived in this very turn still counts
+		a.readServer() // an answer that has arrived but is not yet read still counts
 		if a.ended || a.request.state == stateEstablished {
 			return
 		}
@@ -193,7 +196,7 @@
 // Flushed is part of eventloop.Owner.
 func (a *attempt) Flushed(*eventloop.Conn) { a.upstreamFlushed() }
 
-// upstreamFlushed handles that the server has been written all that was pending.
+// upstreamFlushed is called when all data pending for the server has been written.
 func (a *attempt) upstreamFlushed() {
 	a.written = true
 	if a.request.state == stateEstablished {
@@ -204,7 +207,7 @@
 // Readable is part of eventloop.Owner.
 func (a *attempt) Readable(*eventloop.Conn) { a.readServer() }
 
-// readServer reads what the server sends. While the client does not read what is pending it is left unread.
+// readServer reads from the server and forwards to the client. It stops while too much data is pending for the client.
 func (a *attempt) readServer() {
 	r := a.request
 	for range readsPerTurn {
@@ -233,7 +236,7 @@
 	a.proxy.loop.After(0, a.readServer)
 }
 
-// readAnswer reads the server's first line.
+// readAnswer collects the server's first line and handles it once it is complete.
 func (a *attempt) readAnswer(b []byte) {
 	a.answerBuf = append(a.answerBuf, b...)
 	text, n, err := lineproto.SplitLine(a.answerBuf)
@@ -252,19 +255,19 @@
 	}
 }
 
-// answered handles the server's answer, a line without its end.
+// handleAnswer handles the server's answer, a line without its line end.
 func (a *attempt) handleAnswer(text []byte) {
 	r := a.request
 	switch verb, _ := lineproto.ParseServerLine(text); verb {
 	case lineproto.Up:
-		r.readClient() // what the client sent before its answer shows now at the latest
+		r.readClient() // detect data that the client sent before it had its answer
 		if a.ended || !r.checkContinuation(text) {
 			return
 		}
 		a.proxy.loop.Cancel(&a.timer)
 		r.establish(text)
 	case lineproto.Goaway:
-		// Served to its end at once: the server's line is the answer.
+		// The request is already served completely: the server's line is the final answer.
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
@@ -278,8 +281,8 @@
 	}
 }
 
-// answerOutcome is the outcome of an attempt whose server did not accept the request; known is false for an answer that
-// the protocol does not have.
+// answerOutcome returns the outcome of an attempt whose server did not accept the request. known is false if the answer
+// is not part of the protocol.
 func answerOutcome(verb lineproto.ServerVerb) (status outcome.Status, known bool) {
 	switch verb {
 	case lineproto.Move:
@@ -293,7 +296,7 @@
 	}
 }
 
-// handleServerClosed handles the end of the server's side, a plain one or a reset.
+// handleServerClosed handles EOF (graceful) or a read error from the server.
 func (a *attempt) handleServerClosed(graceful bool) {
 	r := a.request
 	if r.state != stateEstablished && r.state != stateHalfClosed {
@@ -313,19 +316,21 @@
 	r.abort()
 }
 
-// endNextTurn ends the attempt in a later turn, like every other outcome.
+// endNextTurn ends the attempt in a later turn of the event loop, so that no outcome is reported while the attempt is
+// being started.
 func (a *attempt) endNextTurn(status outcome.Status) {
 	a.timer = a.proxy.loop.After(0, func() { a.end(status) })
 }
 
-// cancelAttempt ends the attempt with this number, unless its server has answered.
+// cancelAttempt cancels the current attempt if it has this number and is not established.
 func (r *request) cancelAttempt(number int) {
 	if r.attempt != nil && r.attempt.number == number && r.state != stateEstablished {
 		r.attempt.end(outcome.Cancelled)
 	}
 }
 
-// end closes the attempt's connection or channel and reports its outcome to the decision core, once.
+// end closes the attempt's connection or channel and reports its outcome to the decision core. Only the first call has
+// an effect.
 func (a *attempt) end(status outcome.Status) {
 	if a.ended {
 		return
--- a/internal/proxy/channel_config.go
+++ b/internal/proxy/channel_config.go
@@ -5,32 +5,34 @@
 	"spurspread/decision/upstreampool"
 )
 
-// ChannelConfig has clients and servers use multiplexed connections with SSH-style channels; docs/protocol/channels.md
-// has the protocol. Whoever speaks plain lines is served as without it.
+// ChannelConfig configures multiplexed connections with SSH-style channels to clients and servers; see
+// docs/protocol/channels.md for the protocol. Peers that speak plain lines are not affected.
 type ChannelConfig struct {
-	// Downstreams lets clients open multiplexed connections, with a first line that begins with SSH-.
+	// AcceptDownstream lets clients open multiplexed connections, with a first line that starts with "SSH-".
 	AcceptDownstream bool
-	// Upstreams has requests go over multiplexed connections to servers that speak channels. It saves connections and
-	// their set-up, but a broken one ends all requests on it.
+	// UseUpstream sends requests over multiplexed connections to servers that speak channels. This saves connections
+	// and their set-up, but a connection that fails ends all requests on it.
 	UseUpstream bool
-	// Version is the program's version, for the identification.
+	// Version is the program's version, sent in the identification line.
 	Version string
-	// MaxChannels is how many channels a client's connection may have at once.
+	// MaxChannels limits the concurrent channels on a client's connection.
 	MaxChannels int
-	// OpensPerSecond is how many channels a second a client's connection may open, and how many at once.
+	// OpensPerSecond limits the rate at which a client's connection may open channels; it is also the burst size.
 	OpensPerSecond float64
-	// Window is how many bytes a peer is granted on each channel at most. A larger one is faster over long round trips
-	// and takes more memory.
+	// Window is the maximum receive window per channel, in bytes. A larger window gives a higher throughput over long
+	// round-trip times and takes more memory.
 	Window uint32
-	// SetupTimeout is how long a client may take to request the service.
+	// SetupTimeout limits the time from the greeting until the client requests the service.
 	SetupTimeout monotime.Micros
-	// IdleTimeout is how long a client's connection may be quiet.
+	// IdleTimeout is the time after which a client's connection is closed if it has no channels and nothing arrives. If
+	// it has channels, the client is pinged shortly before, and the connection closed if nothing arrives for as long
+	// again.
 	IdleTimeout monotime.Micros
-	// Pool bounds the upstream connections.
+	// Pool limits the multiplexed upstream connections.
 	Pool upstreampool.Limits
 }
 
-// configureChannels takes a configuration, nil for off. Connections that are established go on when it is turned off.
+// configureChannels applies a configuration; nil turns channels off. Existing multiplexed connections stay open then.
 func (p *Proxy) configureChannels(cfg *ChannelConfig) {
 	if cfg == nil && p.upstreams.pool != nil {
 		off := *p.cfg.Channels
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -5,24 +5,24 @@
 	"spurspread/internal/eventloop"
 )
 
-// decisionCore is what the proxy needs of the decision core.
+// decisionCore is the interface of the decision core; tests replace it.
 type decisionCore interface {
 	Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action
 }
 
-// dispatcher hands events to the decision core and has its actions carried out. An action may bring about further
-// events; they wait in the queue, so that the core never handles an event in the middle of another.
+// dispatcher passes events to the decision core and applies the resulting actions. An action may cause further events;
+// they are queued, so that the core never handles an event while the actions of another are still being applied.
 type dispatcher struct {
 	loop        *eventloop.Loop
 	core        decisionCore
 	apply       func(decision.Action)
-	onEmpty     func() // called when no event is left
+	onEmpty     func() // called when the queue has become empty
 	events      []decision.Event
-	actions     []decision.Action // reused from event to event
+	actions     []decision.Action // buffer, reused for each event
 	dispatching bool
 }
 
-// dispatch queues an event and handles it, unless an event is being handled already.
+// dispatch queues an event, and handles the queue unless a call further up the stack is already doing so.
 func (d *dispatcher) dispatch(ev decision.Event) {
 	d.events = append(d.events, ev)
 	if d.dispatching {
@@ -41,7 +41,7 @@
 	d.onEmpty()
 }
 
-// apply carries out an action of the decision core. One that concerns a request which is over has no effect.
+// apply carries out an action of the decision core. Actions for a request that has ended have no effect.
 func (p *Proxy) apply(action decision.Action) {
 	switch action := action.(type) {
 	case decision.WatchDiscovery:
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,24 +1,24 @@
-// Package proxy is the data plane of one balancer: it accepts downstream connections, forwards each request to an
-// upstream server, and then forwards lines in both directions for as long as the connection lives.
+// Package proxy is the data plane of one balancer: it accepts client connections, forwards each request to a server,
+// and then forwards lines in both directions until either side closes the connection.
 //
-// It turns what happens on sockets into events of the decision core and carries out the core's actions. It owns
-// sockets, buffers and timers and holds no rule of its own: whom to choose, reject, retry, move or give up is decided
-// by package decision and the packages below it, none of which knows this one.
+// It translates socket events into events of the decision core and carries out the core's actions. It owns sockets,
+// buffers and timers but makes no decisions: which server to choose and what to reject, retry, move or close is
+// decided by package decision and its subpackages, none of which imports this one.
 //
-// All of it runs on the goroutine of one event loop; only New, before the loop runs, may be called from elsewhere. Each
-// part has one owner, and Proxy connects them:
+// Everything runs on the goroutine of one event loop; only New, before the loop runs, may be called from elsewhere.
+// Proxy connects these components:
 //
-//   - listener: the listening socket, and the downstream connections on which no request depends
+//   - listener: the listening socket, and the downstream connections that carry no request
 //   - requestTable: the requests, from the first line to the end of the connection
 //   - serverDirectory: service discovery and the server list
-//   - latencyTable: how long each server takes to answer messages
-//   - muxUpstreams: the upstream connections that several requests share
-//   - drain: a planned stop, a hot restart, a lame duck
-//   - resumption: streams that continue elsewhere with a token
-//   - bufferLimits: read buffers and what may be kept for slow readers
-//   - dispatcher: the queue of events for the decision core
+//   - latencyTable: the message latency of each server
+//   - muxUpstreams: the multiplexed upstream connections, which several requests share
+//   - drain: planned stops, hot restarts and lame-duck mode
+//   - resumption: streams that a client can resume on another connection with a token
+//   - bufferLimits: the read buffers, and the limit on buffered data for slow readers
+//   - dispatcher: the event queue of the decision core
 //
-// A downstream connection (downstreamConn, or downstreamChannel where it is multiplexed) gives rise to a request; a
-// request has at most one attempt at a time; an attempt has an upstream connection of its own or a channel
-// (upstreamChannel) of a shared one. The states of a request are in request_state.go.
+// A downstream connection (downstreamConn), or each channel of a multiplexed one (downstreamChannel), carries one
+// request. A request has at most one attempt at a time, and an attempt uses either an upstream connection of its own or
+// a channel (upstreamChannel) of a multiplexed one. request_state.go lists the states of a request.
 package proxy
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -15,8 +15,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// transport is one side of a request, towards its client or towards its server: a connection of its own or a channel of
-// a multiplexed one. The methods are those of eventloop.Conn.
+// transport is one side of a request, downstream or upstream: a connection of its own or a channel of a multiplexed
+// connection. The methods have the semantics of eventloop.Conn.
 type transport interface {
 	Read(b []byte) (int, error)
 	Write(parts ...[]byte)
@@ -26,44 +26,44 @@
 	Reset()
 }
 
-// downstream is the side towards the client. Each kind of connection has its own form for what a client is answered.
+// downstream is the client's side of a request. Plain connections and channels encode answers differently.
 type downstream interface {
 	transport
 	// sendUp forwards the server's UP line, with its line end.
 	sendUp(line []byte)
-	// sendFinal sends the final answer, a line with its line end.
+	// sendFinal sends the final answer, given as a line with its line end.
 	sendFinal(answer []byte)
-	// sendMove sends the client away, with a token or none.
+	// sendMove asks the client to reconnect elsewhere, with a resume token; an empty token sends none.
 	sendMove(token []byte)
-	// closeGracefully ends both directions once the client has had time to read what was sent.
+	// closeGracefully closes both directions after the client has had time to read the data already sent.
 	closeGracefully()
-	// completeLinesOnly reports whether only whole lines may be forwarded, and a server's MOVE not as one of them.
+	// completeLinesOnly reports whether only complete lines may be forwarded, and a server's MOVE line not at all.
 	completeLinesOnly() bool
 }
 
-// downstreamConn is a client's connection: before its first line, while it serves a request or is multiplexed, and
-// while its client reads its final answer.
+// downstreamConn is a client's connection: before its first line, while it carries a request or is multiplexed, and
+// while it lingers after the final answer.
 type downstreamConn struct {
 	proxy          *Proxy
 	conn           *eventloop.Conn
 	acceptedAt     monotime.Micros
-	firstLine      []byte // as far as it has arrived; never longer than a line may be
-	pings          int    // pings that were answered
-	rejectOnly     bool   // accepted for want of descriptors, only to be rejected
+	firstLine      []byte // received part of the first line, at most lineproto.MaxLine bytes
+	pings          int    // number of pings answered
+	rejectOnly     bool   // descriptors are short: any request on the connection is rejected
 	request        *request
-	mux            *muxDownstreamConn // set once it is multiplexed
-	lingering      bool               // it has its final answer; its client has not closed it yet
+	mux            *muxDownstreamConn // not nil once the connection is multiplexed
+	lingering      bool               // the final answer was sent, the client has not closed the connection yet
 	closed         bool
-	discardedBytes int  // bytes that arrived after its final answer
-	clientClosed   bool // its client has ended its side
+	discardedBytes int  // bytes that arrived after the final answer
+	clientClosed   bool // the client has closed its sending side
 	idle           idlePosition
 	timer          eventloop.Ref
 }
 
-// Connected is part of eventloop.Owner; a listener dials nothing.
+// Connected is part of eventloop.Owner; it is never called, since client connections are accepted, not dialed.
 func (c *downstreamConn) Connected(*eventloop.Conn, error) {}
 
-// Flushed is part of eventloop.Owner: the client has read all that was pending.
+// Flushed is part of eventloop.Owner: all data pending for the client has been written.
 func (c *downstreamConn) Flushed(*eventloop.Conn) {
 	switch {
 	case c.request != nil:
@@ -105,7 +105,7 @@
 	c.proxy.loop.After(0, func() { c.Readable(c.conn) })
 }
 
-// multiplexed reports whether it carries channels now.
+// multiplexed reports whether the connection currently carries channels.
 func (c *downstreamConn) multiplexed() bool { return c.mux != nil && !c.mux.closed }
 
 // handleClientClosed handles EOF (graceful) or an error from the client while no request uses the connection. After EOF
@@ -118,13 +118,13 @@
 	c.close()
 }
 
-// readFirstLine reads the first line, or one ping after another.
+// readFirstLine handles bytes that arrive before a request: part of the first line, or of a ping.
 func (c *downstreamConn) readFirstLine(b []byte) {
 	had := len(c.firstLine)
 	taken := min(len(b), lineproto.MaxLine-had)
 	c.firstLine = append(c.firstLine, b[:taken]...)
 	if c.startsMux() {
-		c.startMux(bytes.Clone(b[taken:])) // b is the read buffer, which requests use, too
+		c.startMux(bytes.Clone(b[taken:])) // b is the shared read buffer
 		return
 	}
 	text, n, err := lineproto.SplitLine(c.firstLine)
@@ -134,26 +134,26 @@
 		c.fail(answercause.Malformed)
 	case n == 0:
 		if had == 0 && c.pings > 0 {
-			c.expireAfter(timeouts.FirstLine) // a further line has begun
+			c.expireAfter(timeouts.FirstLine) // the first byte of a line after a ping
 		}
 	case verb == lineproto.VerbPing && bytes.IndexByte(c.firstLine[n:], '\n') < 0:
 		c.answerPing(n)
 	case verb == lineproto.VerbOpen && n == had+len(b):
 		c.openRequest(text)
 	default:
-		// This includes what has more bytes behind it: clients and health checkers wait for each answer.
+		// This includes a line followed by more bytes: clients and health checkers must wait for each answer.
 		c.fail(unservableCause(verb))
 	}
 }
 
-// startsMux reports whether the client asks for a multiplexed connection, and may.
+// startsMux reports whether the client asks for a multiplexed connection and the configuration allows it.
 func (c *downstreamConn) startsMux() bool {
 	channels := c.proxy.cfg.Channels
 	return channels != nil && channels.AcceptDownstream && c.pings == 0 &&
 		bytes.HasPrefix(c.firstLine, []byte(channel.Prefix))
 }
 
-// openRequest has the first line served; text is the line without its end.
+// openRequest starts the request of the first line; text is the line without its line end.
 func (c *downstreamConn) openRequest(text []byte) {
 	c.proxy.loop.Cancel(&c.timer)
 	c.proxy.listener.idle.remove(c)
@@ -164,8 +164,8 @@
 	}
 }
 
-// unservableCause is why a complete first line that is no ping can't be served: it is not one, or its client has sent
-// more before its answer.
+// unservableCause returns why a complete first line can't be served: it is malformed, or the client sent more data
+// before it had the answer.
 func unservableCause(verb lineproto.ClientVerb) answercause.Cause {
 	if verb == lineproto.VerbOpen || verb == lineproto.VerbPing {
 		return answercause.ClientTooEarly
@@ -173,7 +173,7 @@
 	return answercause.Malformed
 }
 
-// fail answers a first line that can't be served, for a cause that is counted.
+// fail sends ERR for a first line that can't be served, counts the cause and closes the connection gracefully.
 func (c *downstreamConn) fail(cause answercause.Cause) {
 	c.proxy.stats.failed++
 	c.proxy.countUnserved("", cause)
@@ -181,8 +181,8 @@
 	c.closeGracefully()
 }
 
-// answerPing answers a health checker's ping, which takes n bytes. During a drain the answer says that no new clients
-// are wanted here.
+// answerPing answers a health checker's ping, the first n bytes of firstLine. During a drain the answer is ERR, so that
+// no new clients are sent here.
 func (c *downstreamConn) answerPing(n int) {
 	answer := "PONG\r\n"
 	if c.proxy.drain.active {
@@ -190,7 +190,7 @@
 	}
 	c.conn.Write([]byte(answer))
 	if overload.IsStalled(c.conn.Pending(), c.proxy.buffers.maxPending) {
-		c.close() // it pings and does not read
+		c.close() // the client sends pings without reading the answers
 		return
 	}
 	c.pings++
@@ -200,11 +200,11 @@
 		c.expireAfter(timeouts.FirstLine)
 		return
 	}
-	c.firstLine = nil // it may stay for long, and holds no memory meanwhile
+	c.firstLine = nil // free the memory: the connection may stay idle for long
 	c.expireAfter(timeouts.PingGap)
 }
 
-// expireAfter ends the connection after a span, unless it has sent a first line by then.
+// expireAfter (re)starts the connection's timer to call expire after span.
 func (c *downstreamConn) expireAfter(span monotime.Micros) { c.startTimer(span, c.expire) }
 
 func (c *downstreamConn) startTimer(span monotime.Micros, due func()) {
@@ -212,22 +212,21 @@
 	c.timer = c.proxy.loop.After(span, due)
 }
 
-// expire ends a connection that has sent no first line in time. What has arrived by now, unread behind this very event,
-// still counts; after the end nothing does: what arrives then is discarded, and the client sees a plain end, not a
-// reset.
+// expire closes a connection whose first line is not complete in time. Data that has arrived but is not yet read still
+// counts. Data that arrives later is read and discarded, so that the client sees EOF rather than a reset.
 func (c *downstreamConn) expire() {
 	c.Readable(c.conn)
 	if c.closed || c.lingering || c.request != nil || c.mux != nil {
 		return
 	}
 	if len(c.firstLine) > 0 {
-		c.fail(answercause.Malformed) // a request has begun
+		c.fail(answercause.Malformed) // part of a request has arrived
 		return
 	}
 	c.closeGracefully()
 }
 
-// evict ends a connection for want of descriptors. A request that has arrived by now, unread, is rejected.
+// evict closes a connection because descriptors are short. A request that has arrived but is not yet read is rejected.
 func (c *downstreamConn) evict() {
 	c.proxy.listener.idle.remove(c)
 	c.rejectOnly = true
@@ -239,7 +238,7 @@
 	}
 }
 
-// close closes the connection at once; what is pending is lost.
+// close closes the connection at once; pending data is lost.
 func (c *downstreamConn) close() {
 	if c.closed {
 		return
@@ -291,8 +290,8 @@
 	c.conn.Write([]byte("MOVE "), token, []byte("\r\n"))
 }
 
-// closeGracefully ends the sending side only, and gives the client some time to close: a close with unread bytes would
-// be a reset, which can overtake the last line.
+// closeGracefully closes the sending side and gives the client timeouts.Linger to close its own. Closing a socket with
+// unread data would send a reset, which could make the client lose the last line.
 func (c *downstreamConn) closeGracefully() {
 	if c.closed || c.lingering {
 		return
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -16,22 +16,22 @@
 	"spurspread/internal/mux"
 )
 
-// lineEnd ends a line of the protocol. Data of channels comes without it.
+// lineEnd terminates the lines of the protocol. Lines in the data of channel messages come without it.
 const lineEnd = "\r\n"
 
-// muxDownstreamConn is a client's multiplexed connection. Each of its channels carries a request.
+// muxDownstreamConn is a client's multiplexed connection. Each of its channels carries one request.
 type muxDownstreamConn struct {
 	conn             *downstreamConn
 	mux              *mux.Conn
 	lastReceived     monotime.Micros
-	serviceRequested bool // the client has requested the service, and may open channels
-	requests         int  // requests on it
+	serviceRequested bool // the client has requested the service and may open channels
+	requests         int  // number of requests on the connection
 	openLimiter      overload.OpenLimiter
 	closed           bool
 }
 
-// startMux makes a connection multiplexed whose first line has the greeting of one. rest is what came behind the part
-// of it that firstLine holds.
+// startMux turns the connection, whose first line starts with the greeting of the channel protocol, into a multiplexed
+// one. rest is the received data that follows the part in firstLine.
 func (c *downstreamConn) startMux(rest []byte) {
 	p := c.proxy
 	cfg := p.cfg.Channels
@@ -56,7 +56,7 @@
 	}
 }
 
-// readClient reads what the client sends.
+// readClient reads from the client until there is no more data or its turn is over.
 func (m *muxDownstreamConn) readClient() {
 	buffer := m.conn.proxy.buffers.muxRead
 	for range readsPerTurn {
@@ -78,7 +78,8 @@
 	m.conn.proxy.loop.After(0, m.readClient)
 }
 
-// feed handles bytes from the client. It returns false where the connection has ended, by them or because of them.
+// feed handles bytes from the client. It returns false if the connection is closed, because the client disconnected or
+// violated the protocol.
 func (m *muxDownstreamConn) feed(b []byte) bool {
 	m.lastReceived = m.conn.proxy.loop.Now()
 	err := m.mux.Feed(b)
@@ -106,7 +107,7 @@
 	m.conn.close()
 }
 
-// close ends the connection once the client has had time to read what was sent.
+// close ends all requests on the connection and closes it gracefully.
 func (m *muxDownstreamConn) close(graceful bool) {
 	if m.closed {
 		return
@@ -115,14 +116,15 @@
 	m.conn.closeGracefully()
 }
 
-// release ends all requests on the connection.
+// release ends all requests on the connection, without closing it. graceful reports whether it ended with EOF or in
+// order.
 func (m *muxDownstreamConn) release(graceful bool) {
 	m.closed = true
 	delete(m.conn.proxy.listener.muxConns, m)
 	m.mux.Lost(graceful)
 }
 
-// disconnect ends the connection with a reason for its client.
+// disconnect sends the client DISCONNECT with a reason and closes the connection.
 func (m *muxDownstreamConn) disconnect(reason string) {
 	m.mux.Disconnect(channel.ByApplication, reason)
 	m.close(true)
@@ -130,7 +132,8 @@
 
 func (m *muxDownstreamConn) setupTimedOut() { m.disconnect("the service was not asked for in time") }
 
-// checkIdle closes the connection if its client shows no sign of life, and asks for one before.
+// checkIdle pings a client from which nothing has arrived for a while, and closes the connection if nothing follows. It
+// reschedules itself.
 func (m *muxDownstreamConn) checkIdle() {
 	if m.closed {
 		return
@@ -148,7 +151,7 @@
 	m.conn.startTimer(keepalive.DownstreamCheckInterval(idle), m.checkIdle)
 }
 
-// closeIfUnused ends a connection without requests, for the balancer stops.
+// closeIfUnused disconnects a client without requests because the balancer stops or drains.
 func (m *muxDownstreamConn) closeIfUnused() {
 	if m.requests == 0 && !m.closed {
 		m.disconnect("the balancer stops")
@@ -158,10 +161,10 @@
 // Ready is part of mux.Owner.
 func (m *muxDownstreamConn) Ready() {}
 
-// Alive is part of mux.Owner: whatever arrives is a sign of life.
+// Alive is part of mux.Owner. It does nothing: feed records the arrival of any data as a sign of life.
 func (m *muxDownstreamConn) Alive() {}
 
-// Admit is part of mux.Owner: the client is about to open a channel.
+// Admit is part of mux.Owner: it decides whether the client may open a channel.
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
 	p := m.conn.proxy
 	cfg := p.cfg.Channels
@@ -174,7 +177,7 @@
 	return channel.NoResources, string(bytes.TrimRight(busy, lineEnd))
 }
 
-// Open is part of mux.Owner: the client has opened a channel, with its first line as the data.
+// Open is part of mux.Owner: the client has opened a channel, whose data is the first line of a request.
 func (m *muxDownstreamConn) Open(ch *mux.Channel, data []byte) {
 	p := m.conn.proxy
 	text, err := channel.String(data)
@@ -195,7 +198,7 @@
 	}
 }
 
-// isOpenLine reports whether a channel's data may be a first line: one line, without its end, that opens a request.
+// isOpenLine reports whether a channel's data is a single OPEN line without its line end.
 func isOpenLine(text []byte) bool {
 	return len(text) <= lineproto.MaxLine-len(lineEnd) && !bytes.ContainsAny(text, lineEnd) &&
 		lineproto.ParseVerb(text) == lineproto.VerbOpen
@@ -208,11 +211,11 @@
 	request   *request
 	moveToken []byte
 	sendsMove bool
-	answered  bool // it was rejected with the final answer, and so ended
+	answered  bool // the channel was rejected with the final answer, which ended it
 	released  bool
 }
 
-// release counts the request out, once.
+// release removes the channel's request from its connection's count. Only the first call has an effect.
 func (k *downstreamChannel) release() {
 	if k.released {
 		return
@@ -231,13 +234,13 @@
 	}
 }
 
-// Confirmed is part of mux.ChannelOwner; only the client opens channels here.
+// Confirmed is part of mux.ChannelOwner; it is never called, since only the client opens channels here.
 func (k *downstreamChannel) Confirmed([]byte) {}
 
-// Rejected is part of mux.ChannelOwner; only the client opens channels here.
+// Rejected is part of mux.ChannelOwner; it is never called, since only the client opens channels here.
 func (k *downstreamChannel) Rejected(uint32, []byte) {}
 
-// Requested is part of mux.ChannelOwner: no channel request of a client's is known.
+// Requested is part of mux.ChannelOwner: channel requests from clients are not supported.
 func (k *downstreamChannel) Requested(_, _ []byte) bool { return false }
 
 // Readable is part of mux.ChannelOwner.
@@ -260,12 +263,12 @@
 	k.release()
 }
 
-// Reset is part of transport: the client sees CLOSE without EOF.
+// Reset is part of transport: the client receives CLOSE without EOF.
 func (k *downstreamChannel) Reset() { k.Close() }
 
 func (k *downstreamChannel) sendUp(line []byte) { k.Confirm(bytes.TrimRight(line, lineEnd)) }
 
-// sendFinal sends the answer as the description of the channel's rejection, with the code that fits it best.
+// sendFinal rejects the channel, with the answer as the description and the reason code that matches it best.
 func (k *downstreamChannel) sendFinal(answer []byte) {
 	answer = bytes.TrimRight(answer, lineEnd)
 	code := channel.ConnectError
@@ -281,7 +284,8 @@
 	k.moveToken = token
 }
 
-// closeGracefully ends the channel. A client that does not read what is pending is given some time.
+// closeGracefully ends the channel. If data is pending, the client gets timeouts.Linger to read it before the channel
+// is closed.
 func (k *downstreamChannel) closeGracefully() {
 	defer k.release()
 	if k.answered {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -8,19 +8,19 @@
 	"spurspread/internal/logging"
 )
 
-// drain owns a planned stop or a lame duck's drain, which may be cancelled.
+// drain manages a planned stop, a hot restart, or the drain of a lame duck, which can be cancelled.
 type drain struct {
 	proxy       *Proxy
-	active      bool // clients are moved away, and health checkers are told that no new ones are wanted
-	stopping    bool // once they are away, the loop ends
-	handingOver bool // a successor listens on the same port and takes new clients
+	active      bool // clients are moved away, and health checks fail so that no new ones come
+	stopping    bool // the loop stops when the drain has finished
+	handingOver bool // a successor listens on the same port and accepts the new clients
 	startedAt   monotime.Micros
-	duration    monotime.Micros // of a planned stop, by the settings as they were when it began
-	generation  int             // counts drains, so that what a cancelled one has scheduled does nothing
-	transfer    *transferSender // to a successor that takes established connections
+	duration    monotime.Micros // of a planned stop, by the settings at its start
+	generation  int             // number of drains started or cancelled; timers of an older one do nothing
+	transfer    *transferSender // to a successor that accepts established connections; nil for none
 }
 
-// lifecycleState is what the process is doing.
+// lifecycleState returns the state for the admin listener.
 func (d *drain) lifecycleState() lifecycle.State {
 	switch {
 	case d.stopping:
@@ -31,7 +31,7 @@
 	return lifecycle.Serving
 }
 
-// handleAdminCall starts or cancels a lame duck's drain.
+// handleAdminCall starts or cancels the drain of a lame duck and returns the reply.
 func (d *drain) handleAdminCall(command lifecycle.CommandKind) string {
 	log := d.proxy.log
 	transition := lifecycle.Apply(d.lifecycleState(), command)
@@ -50,7 +50,8 @@
 	return transition.Reply
 }
 
-// stop is Proxy.Drain. Connections that a lame duck still has are moved sooner than it had scheduled.
+// stop implements Proxy.Drain. If the process was a lame duck, connections that it still has are moved sooner than
+// scheduled.
 func (d *drain) stop() {
 	if d.stopping {
 		return
@@ -79,7 +80,8 @@
 	d.proxy.loop.After(drainschedule.CheckInterval, d.checkFinished)
 }
 
-// begin starts a drain. Requests that wait to be reattached are answered, as far as their class allows.
+// begin starts a drain, replacing one that was in progress. Requests that are reattaching get their final answer:
+// rejected if their class allows a retry, else failed.
 func (d *drain) begin() {
 	p := d.proxy
 	*d = drain{
@@ -96,7 +98,7 @@
 	}
 }
 
-// deadlines are those of all request classes.
+// deadlines returns the deadlines of all request classes.
 func (d *drain) deadlines() (deadlines []monotime.Micros) {
 	for _, class := range d.proxy.cfg.Settings.Decision.Classes {
 		deadlines = append(deadlines, class.Deadline)
@@ -104,14 +106,14 @@
 	return deadlines
 }
 
-// elapsed is the time since the drain began.
+// elapsed returns the time since the drain began.
 func (d *drain) elapsed() monotime.Micros { return d.proxy.loop.Now() - d.startedAt }
 
-// maxIdleAge is from which age on idle connections are closed now.
+// maxIdleAge returns the age from which on idle connections are currently closed.
 func (d *drain) maxIdleAge() monotime.Micros { return drainschedule.IdleAge(d.elapsed(), d.duration) }
 
-// moveEstablished moves the established connections within what is left of the span since the drain began, and answers
-// all else after that.
+// moveEstablished schedules the moves of all established connections within span, counted from the start of the drain,
+// and then the final answers of all other requests.
 func (d *drain) moveEstablished(span monotime.Micros) {
 	p := d.proxy
 	left := drainschedule.Remaining(span, d.elapsed())
@@ -131,7 +133,7 @@
 	d.after(left+drainschedule.FinalAnswerDelay, d.answerRemaining)
 }
 
-// after calls f after a delay, unless this drain has been cancelled or followed by another by then.
+// after calls f after a delay, unless this drain has been cancelled or replaced by then.
 func (d *drain) after(delay monotime.Micros, f func()) {
 	generation := d.generation
 	d.proxy.loop.After(delay, func() {
@@ -141,7 +143,7 @@
 	})
 }
 
-// answerRemaining answers what is still pending, and moves what was established since.
+// answerRemaining requests the final answers of pending requests and moves the connections established in the meantime.
 func (d *drain) answerRemaining() {
 	for r := range d.proxy.requests.all {
 		if r.state == statePending {
@@ -162,7 +164,8 @@
 	})
 }
 
-// moveAfterFirstLines transfers or moves a connection that was established during the drain, after its first lines.
+// moveAfterFirstLines transfers or moves a connection that was established during the drain, after a delay that lets
+// its first lines pass.
 func (d *drain) moveAfterFirstLines(r *request) {
 	d.after(drainschedule.FirstMoveDelay, func() {
 		if !d.active || r.state == stateTransferring {
@@ -174,8 +177,8 @@
 	})
 }
 
-// check ends the loop once nothing is left, or when the time is up. Multiplexed connections are disconnected first,
-// also one that was opened late, or whose last channel ended in this very turn.
+// checkFinished stops the loop once no connection is left or the time is up; until then it reschedules itself. It first
+// disconnects unused multiplexed connections, including those opened late or whose last channel has just ended.
 func (d *drain) checkFinished() {
 	p := d.proxy
 	elapsed := d.elapsed()
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -17,21 +17,21 @@
 	"spurspread/internal/lineproto"
 )
 
-// established is what a request has once it is established: the streams of lines in both directions.
+// establishedStream is the state of an established request: the streams of lines in both directions.
 type establishedStream struct {
 	fromClient    lineproto.Scanner
 	fromServer    lineproto.Scanner
-	sentAt        []monotime.Micros // when the unanswered lines went to the server, oldest first; some are not timed
-	lastReply     monotime.Micros   // when the last line came from the server
-	endStatus     outcome.Status    // the outcome if the server ends it now, from its last lines
-	clientStalled bool              // its client does not read, and so its server is left unread
-	movePending   bool              // moved as soon as the line that is under way has ended
-	partial       lineBuffer        // of a line, where only whole ones are forwarded
-	resumable     *resumableStream  // of a client that takes tokens; set before it is established
-	latency       *serverLatency    // of the server
+	sentAt        []monotime.Micros // send times of unanswered lines, oldest first; at most messagedelay.MaxTimedLines
+	lastReply     monotime.Micros   // when the last line arrived from the server
+	endStatus     outcome.Status    // outcome if the server closes the connection now, derived from its last lines
+	clientStalled bool              // too much data is pending for the client, so the server is not read
+	movePending   bool              // MOVE follows as soon as the current line from the server is complete
+	partial       lineBuffer        // incomplete line from the server, if only complete ones are forwarded
+	resumable     *resumableStream  // not nil if the client takes tokens; set before the request is established
+	latency       *serverLatency    // message latency of the server
 }
 
-// establish forwards the server's UP, a line without its end; from now on the connection is established.
+// establish marks the request as established and forwards the server's UP line, given without its line end.
 func (r *request) establish(up []byte) {
 	p := r.proxy
 	reattached := r.state == stateReattaching
@@ -52,7 +52,8 @@
 	r.readClient()
 }
 
-// freeFirstLine frees what would keep the whole first line in memory for as long as the connection lives.
+// freeFirstLine drops all references into the first line that are no longer needed, so that the line isn't kept in
+// memory until the connection ends.
 func (r *request) freeFirstLine() {
 	r.firstLine = nil
 	if r.resumable == nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// notifyEstablished notifies the decision core; it does not know a reattached request yet.
+// notifyEstablished notifies the decision core, to which a reattached request is new.
 func (r *request) notifyEstablished(reattached bool) {
 	p, a := r.proxy, r.attempt
 	if reattached {
@@ -76,13 +77,14 @@
 	})
 }
 
-// joinServer counts the request among those that are established at its server.
+// joinServer adds the request to the set of those established at its server.
 func (r *request) joinServer() {
 	r.latency = r.proxy.latencies.forServer(r.attempt.server.Number)
 	r.latency.established.add(r)
 }
 
-// readClient reads what the client sends.
+// readClient reads from the client and forwards to the server. It stops while too much data is pending for the server.
+// A client that sends data before it has an answer is rejected.
 func (r *request) readClient() {
 	for range readsPerTurn {
 		if !r.canReadClient() {
@@ -105,8 +107,8 @@
 	r.proxy.loop.After(0, r.readClient)
 }
 
-// canReadClient reports whether the client is read now. While its server does not take what is pending it is not; it is
-// read on once that has caught up.
+// canReadClient reports whether data from the client may be read now. It may not while too much data is pending for the
+// server; upstreamFlushed resumes reading.
 func (r *request) canReadClient() bool {
 	switch r.state {
 	case stateClosed, stateHalfClosed, stateTransferring:
@@ -118,8 +120,8 @@
 	return true
 }
 
-// rejectEarlyBytes ends a request whose client does not wait for its answer, as every client does. Forwarded, what it
-// sends would be taken for lines of an established connection.
+// rejectEarlyBytes ends a request whose client sent data before it had an answer, which the protocol forbids. If the
+// data were forwarded, the server would take it for lines of an established connection.
 func (r *request) rejectEarlyBytes() {
 	wasRegistered := r.registered
 	r.fail(answercause.ClientTooEarly)
@@ -128,7 +130,8 @@
 	}
 }
 
-// handleClientClosed handles the client's end, a plain one or a reset. The server sees the same.
+// handleClientClosed handles EOF (graceful) or a read error from the client, and passes it on to the server as EOF or
+// reset.
 func (r *request) handleClientClosed(graceful bool) {
 	if r.state != stateEstablished {
 		r.close()
@@ -137,7 +140,7 @@
 	r.transition(stateHalfClosed)
 	r.notifyCancelled()
 	if graceful {
-		// The server may still have something to send.
+		// The server may still send data.
 		r.attempt.upstream.CloseWrite()
 		r.startTimer(timeouts.HalfClose, r.close)
 		return
@@ -146,13 +149,14 @@
 	r.close()
 }
 
-// downstreamFlushed handles that the client has read all that was pending.
+// downstreamFlushed is called when all data pending for the client has been written. It resumes reading from the
+// server.
 func (r *request) downstreamFlushed() {
 	if r.attempt == nil || r.state != stateEstablished && r.state != stateHalfClosed {
 		return
 	}
 	if r.clientStalled {
-		// What the server has sent meanwhile was left unread: how long that took is not the server's doing.
+		// The server was not read in the meantime, so the replies that are late now don't count against it.
 		r.clientStalled = false
 		r.lastReply = r.proxy.loop.Now()
 		r.removeAnswered(len(r.sentAt))
@@ -160,7 +164,7 @@
 	r.attempt.readServer()
 }
 
-// forwardToServer forwards the client's bytes and notes when its lines went.
+// forwardToServer forwards the client's bytes and records the send times of its lines.
 func (r *request) forwardToServer(b []byte) {
 	now := r.proxy.loop.Now()
 	r.fromClient.Feed(b, func([]byte) {
@@ -171,13 +175,13 @@
 	r.attempt.upstream.Write(b)
 }
 
-// awaitReply notes that a line went to the server at this time.
+// awaitReply records that a line was sent to the server at the given time.
 func (r *request) awaitReply(at monotime.Micros) {
 	r.sentAt = append(r.sentAt, at)
 	r.proxy.requests.awaitingReply.add(r)
 }
 
-// replied notes that the oldest n lines are answered, or no longer waited for.
+// removeAnswered removes the oldest n send times, whose lines are answered or no longer timed.
 func (r *request) removeAnswered(n int) {
 	r.sentAt = slices.Delete(r.sentAt, 0, n)
 	if len(r.sentAt) == 0 {
@@ -185,7 +189,7 @@
 	}
 }
 
-// forwardToClient forwards the server's bytes and notes what its lines report.
+// forwardToClient forwards the server's bytes and evaluates the lines among them.
 func (r *request) forwardToClient(b []byte) {
 	if r.buffersPartialLines() {
 		var movedByServer bool
@@ -194,7 +198,7 @@
 		}
 	}
 	if r.movePending {
-		b = firstLineOf(b) // MOVE comes next
+		b = firstLineOf(b) // the proxy's MOVE follows
 	}
 	load, reported := r.recordServerLines(b)
 	r.downstream.Write(b)
@@ -206,7 +210,7 @@
 	}
 }
 
-// firstLineOf cuts off what comes behind the first line end, if there is one.
+// firstLineOf returns the bytes up to and including the first line end; all of them if there is none.
 func firstLineOf(b []byte) []byte {
 	if end := bytes.IndexByte(b, '\n'); end >= 0 {
 		return b[:end+1]
@@ -214,7 +218,8 @@
 	return b
 }
 
-// recordServerLines notes what the server's lines report, and returns the last load among them, if there is one.
+// recordServerLines records message numbers, replies, and the outcome that a close by the server would have. It returns
+// the value of the last LOAD line; reported is false if there is none.
 func (r *request) recordServerLines(b []byte) (load float64, reported bool) {
 	now := r.proxy.loop.Now()
 	r.fromServer.Feed(b, func(start []byte) {
@@ -238,7 +243,7 @@
 	return load, reported
 }
 
-// isUnresponsive reports whether the server sends nothing back any more.
+// isUnresponsive reports whether the server has left the client's lines without a reply for too long.
 func (r *request) isUnresponsive(now monotime.Micros) bool {
 	return r.state == stateEstablished && len(r.sentAt) > 0 && timeouts.Silent(now, r.lastReply, r.sentAt[0])
 }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -7,26 +7,26 @@
 	"spurspread/decision/overload"
 )
 
-// idleConns are the downstream connections on which no request depends, by eviction class. Each costs a descriptor, and
-// clients may open hundreds, send nothing and stay; so they are kept while descriptors suffice.
+// idleConns holds the downstream connections that carry no request, by eviction class. Clients may open hundreds of
+// connections without sending anything, and each uses a descriptor, so they are evicted when descriptors run short.
 type idleConns struct {
 	classes [overload.EvictionClasses]list.List // oldest first
 }
 
-// idlePosition is where a connection is among the idle ones; the zero value is nowhere.
+// idlePosition is the position of a connection in idleConns; the zero value means that it is not in it.
 type idlePosition struct {
 	list  *list.List
 	entry *list.Element
 }
 
-// add puts a connection last in its class.
+// add appends a connection to its class, after removing it from its previous one.
 func (i *idleConns) add(c *downstreamConn) {
 	i.remove(c)
 	class := &i.classes[overload.ClassOf(c.lingering, c.pings)]
 	c.idle = idlePosition{class, class.PushBack(c)}
 }
 
-// remove takes a connection out, if it is in.
+// remove removes a connection; it does nothing if the connection is not in idleConns.
 func (i *idleConns) remove(c *downstreamConn) {
 	if c.idle.entry != nil {
 		c.idle.list.Remove(c.idle.entry)
@@ -34,7 +34,7 @@
 	}
 }
 
-// unanswered is how many have no final answer.
+// unanswered returns the number of connections without a final answer.
 func (i *idleConns) unanswered() (n int) {
 	for class := overload.Silent; class < overload.EvictionClasses; class++ {
 		n += i.classes[class].Len()
@@ -42,7 +42,7 @@
 	return n
 }
 
-// accepted are those without a final answer that were accepted at a time or before.
+// acceptedUntil returns the connections without a final answer that were accepted at the given time or before.
 func (i *idleConns) acceptedUntil(until monotime.Micros) (all []*downstreamConn) {
 	for class := overload.Silent; class < overload.EvictionClasses; class++ {
 		for entry := i.classes[class].Front(); entry != nil; entry = entry.Next() {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// oldest is the oldest connection of the first class that has any, from the given class on; nil where none has.
+// oldest returns the oldest connection of the first non-empty class, starting at from; nil if all are empty.
 func (i *idleConns) oldest(from overload.EvictionClass) *downstreamConn {
 	for class := from; class < overload.EvictionClasses; class++ {
 		if entry := i.classes[class].Front(); entry != nil {
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -8,22 +8,22 @@
 	"spurspread/decision/overload"
 )
 
-// sweepInterval is how often established connections are looked at.
+// sweepInterval is the interval between checks of established connections.
 const sweepInterval = 200 * monotime.Millisecond
 
-// latencyTable owns what is known of how long servers take to answer messages, by the server's number.
+// latencyTable owns the message latencies of all servers, indexed by server number.
 type latencyTable struct {
 	proxy   *Proxy
 	servers []*serverLatency
 }
 
-// serverLatency is one server's message latency, and the requests that are established there.
+// serverLatency is one server's message latency and the set of requests established there.
 type serverLatency struct {
 	delay       messagedelay.Estimator
 	established requestSet
 }
 
-// of is the record of a server, a new one where there is none yet.
+// forServer returns the entry of a server, creating it if necessary.
 func (t *latencyTable) forServer(server uint32) *serverLatency {
 	for int(server) >= len(t.servers) {
 		t.servers = append(t.servers, &serverLatency{
@@ -33,7 +33,7 @@
 	return t.servers[server]
 }
 
-// sweep gives up connections whose servers send nothing back, and reports servers whose messages are slow.
+// sweep moves clients off unresponsive servers and reports slow servers to the core. It reschedules itself.
 func (t *latencyTable) sweep() {
 	t.proxy.loop.After(sweepInterval, t.sweep)
 	now := t.proxy.loop.Now()
@@ -48,14 +48,15 @@
 	}
 }
 
-// checkUnanswered looks at the connections with unanswered lines.
+// checkUnanswered moves the connections whose servers are unresponsive, and records the ages of the oldest unanswered
+// lines of the others.
 func (t *latencyTable) checkUnanswered(now monotime.Micros) {
 	p := t.proxy
 	for _, server := range t.servers {
 		server.delay.ResetUnanswered()
 	}
 	for r := range p.requests.awaitingReply.each {
-		// While a client does not read its server is left unread: what is late then is not the server's doing.
+		// While a client does not read, its server is not read either, and late replies don't count against the server.
 		if r.state != stateEstablished || overload.IsStalled(r.downstream.Pending(), p.buffers.maxPending) {
 			continue
 		}
@@ -70,7 +71,7 @@
 	}
 }
 
-// slowLimit is the message latency above which a server is reported; 0 where the core expects no reports.
+// slowLimit returns the message latency above which a server is reported as slow; 0 if the core expects no reports.
 func (t *latencyTable) slowLimit() monotime.Micros {
 	settings := &t.proxy.cfg.Settings
 	if !settings.ReportsDelay {
@@ -83,9 +84,10 @@
 	return messagedelay.SlowLimit(objectives)
 }
 
-// report notifies the core of a server's message latency, if that is due, in the name of one of its connections.
+// report notifies the core of a server's message latency, if a report is due. The event names one of the connections
+// established there, as the core expects.
 func (t *latencyTable) report(now monotime.Micros, number uint32, server *serverLatency, limit monotime.Micros) {
-	r := server.anyEstablished() // an earlier report may have moved the last one away
+	r := server.anyEstablished() // nil if an earlier report has moved the last one
 	latency, due := server.delay.Report(now, limit, r != nil)
 	if !due {
 		return
@@ -99,7 +101,7 @@
 	})
 }
 
-// anyEstablished is a request that is established at the server, nil where none is.
+// anyEstablished returns a request that is established at the server; nil if there is none.
 func (l *serverLatency) anyEstablished() *request {
 	for r := range l.established.each {
 		if r.state == stateEstablished {
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// reportMetric notifies the core of the number on a server's LOAD line: its message latency in milliseconds or the
-// connection's load, as the settings promise.
+// reportMetric notifies the core of the value of a server's LOAD line. Depending on the settings it is the server's
+// message latency in milliseconds or the connection's load.
 func (r *request) reportMetric(value float64) {
 	p := r.proxy
 	kind := decision.LoadMetric
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -6,16 +6,16 @@
 	"spurspread/internal/lineproto"
 )
 
-// lineBuffer holds the start of a line back until its end has arrived: a client whose server dies in the middle of a
-// line can then still be sent elsewhere.
+// lineBuffer buffers an incomplete line until its end has arrived, so that a client whose server fails in the middle of
+// a line has received complete lines only and can still be moved.
 type lineBuffer struct {
-	incomplete  []byte // the start of a line, not forwarded
-	passThrough bool   // a line was too long to be held back
+	incomplete  []byte // received part of a line, not forwarded yet
+	passThrough bool   // a line exceeded lineproto.MaxLine: everything is forwarded as it arrives
 }
 
-// completeLines takes bytes from the server and returns the whole lines among them, with what was held back. sentAway
-// reports that the server sends the client away; its MOVE is not among the lines, for the client is sent away in a
-// form of its own. A line that is longer than a line may be is forwarded as it arrives, with all that follows.
+// completeLines takes bytes from the server and returns the complete lines among the buffered and the new bytes.
+// movedByServer reports that the server sent MOVE; that line is not returned, since the proxy sends the client its own
+// form of it. Once a line exceeds lineproto.MaxLine, all bytes are returned as they arrive.
 func (l *lineBuffer) completeLines(b []byte) (lines []byte, movedByServer bool) {
 	if l.passThrough {
 		return b, false
@@ -39,7 +39,7 @@
 	return b[:end], false
 }
 
-// moveLine is where the first MOVE begins among whole lines, -1 where there is none.
+// moveLine returns the index of the first MOVE line in a sequence of complete lines; -1 if there is none.
 func moveLine(lines []byte) int {
 	for at := 0; at < len(lines); {
 		n := bytes.IndexByte(lines[at:], '\n') + 1
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,14 +9,14 @@
 	"spurspread/internal/eventloop"
 )
 
-// listener owns the listening socket and the downstream connections that no request depends on: those that have not
-// sent a first line, those whose clients are given time to read a final answer, and multiplexed ones.
+// listener owns the listening socket and the downstream connections that carry no request: those that have not sent a
+// first line, those that linger after their final answer, and the multiplexed ones.
 type listener struct {
 	proxy     *Proxy
 	socket    *eventloop.Listener
 	closed    bool
 	idle      idleConns
-	lingering int // connections with their final answer that their clients have not closed yet
+	lingering int // number of connections whose clients have not closed after the final answer
 	muxConns  map[*muxDownstreamConn]bool
 }
 
@@ -24,13 +24,13 @@
 	return listener{proxy: p, muxConns: map[*muxDownstreamConn]bool{}}
 }
 
-// listen opens the listening socket, which processes of one deployment share during a hot restart.
+// listen opens the listening socket with an address that predecessor and successor can share during a hot restart.
 func (l *listener) listen(addr netip.AddrPort) (err error) {
 	l.socket, err = l.proxy.loop.ListenShared(addr, l.accept)
 	return err
 }
 
-// accept takes a connection from the accept queue.
+// accept accepts a connection from the accept queue.
 func (l *listener) accept(adopt func(eventloop.Owner) (*eventloop.Conn, error)) {
 	l.evictIdle()
 	c := &downstreamConn{proxy: l.proxy, acceptedAt: l.proxy.loop.Now(), rejectOnly: l.proxy.nearDescriptorLimit()}
@@ -41,10 +41,10 @@
 	c.conn = conn
 	l.idle.add(c)
 	c.timer = l.proxy.loop.After(timeouts.FirstLine, c.expire)
-	c.Readable(conn) // the first line has mostly arrived with the connection
+	c.Readable(conn) // the first line has usually arrived already
 }
 
-// evictIdle closes idle connections until descriptors no longer run short, or none is left.
+// evictIdle closes idle connections until descriptors are no longer short or no idle connection is left.
 func (l *listener) evictIdle() {
 	for l.proxy.nearDescriptorLimit() {
 		c := l.idle.oldest(overload.Answered)
@@ -56,8 +56,8 @@
 	}
 }
 
-// closeIdle ends the connections without a request that are at least so old. A request that arrives in this very turn
-// is answered.
+// closeIdle closes the connections without a request whose age is at least age. A request that has arrived but is not
+// yet read is still answered.
 func (l *listener) closeIdle(age monotime.Micros) {
 	for _, c := range l.idle.acceptedUntil(l.proxy.loop.Now() - age) {
 		l.idle.remove(c)
@@ -65,14 +65,14 @@
 	}
 }
 
-// closeUnusedMux ends the multiplexed connections without channels.
+// closeUnusedMux disconnects the multiplexed connections without requests.
 func (l *listener) closeUnusedMux() {
 	for m := range l.muxConns {
 		m.closeIfUnused()
 	}
 }
 
-// close accepts what waits in the accept queue, which would be reset otherwise, and listens no more.
+// close accepts the connections in the accept queue, which would otherwise be reset, and stops listening.
 func (l *listener) close() {
 	if l.closed {
 		return
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -7,9 +7,9 @@
 	"spurspread/decision/outcome"
 )
 
-// startMove has an established connection end gracefully, because its server drains, is gone or is silent, or because
-// this balancer stops. status is its outcome. sameServerAllowed reports whether it may go on at the same server. The
-// decision core says where a client that takes tokens is to go.
+// startMove moves the client of an established connection, because its server drains, is gone or is unresponsive, or
+// because this balancer drains. status is the connection's outcome; sameServerAllowed tells whether the client may
+// continue at the same server. If the client takes tokens, the decision core chooses the next server first.
 func (r *request) startMove(status outcome.Status, sameServerAllowed bool) {
 	if r.state != stateEstablished || r.movePending {
 		return
@@ -20,10 +20,10 @@
 	}
 	r.resumable.moveStatus = status
 	r.proxy.core.dispatch(decision.MoveRequested{ID: uint32(r.ref), SameServerAllowed: sameServerAllowed})
-	r.proxy.loop.After(0, func() { r.move(status) }) // should the core ever not answer
+	r.proxy.loop.After(0, func() { r.move(status) }) // in case the core does not answer
 }
 
-// handleMoveDecision carries out the decision core's move.
+// handleMoveDecision moves the client as the decision core decided.
 func (r *request) handleMoveDecision(decided decision.MoveConnection) {
 	status := outcome.Cancelled
 	if r.resumable != nil {
@@ -36,8 +36,8 @@
 	r.move(status)
 }
 
-// move sends the client away, as soon as the line that is under way to it has ended. status is the connection's
-// outcome.
+// move sends MOVE to the client and ends the request with the outcome status. In the middle of a line it waits until
+// the line is complete, for at most drainschedule.MoveLineTimeout, after which the connection is reset.
 func (r *request) move(status outcome.Status) {
 	if r.state != stateEstablished {
 		return
@@ -54,13 +54,14 @@
 	}
 }
 
-// abort ends a connection with a reset, where not even MOVE can be sent.
+// abort resets the client's connection, when no MOVE can be sent, and ends the request.
 func (r *request) abort() {
 	r.downstream.Reset()
 	r.close()
 }
 
-// continuesOnAnotherServer reports whether a connection whose server's side ended goes on at another server.
+// continuesOnAnotherServer reports whether the client of a connection that its server closed can continue at another
+// server.
 func (r *request) continuesOnAnotherServer() bool {
 	return r.state == stateEstablished && attemptoutcome.ContinuesOnAnotherServer(attemptoutcome.Stream{
 		Numbered:       r.resumable.canContinue(),
--- a/internal/proxy/nameinterner.go
+++ b/internal/proxy/nameinterner.go
@@ -1,13 +1,13 @@
 package proxy
 
-// nameInterner gives each name a number that it keeps for as long as the process runs, however often the settings that
-// list names are reloaded. The zero value knows no names.
+// nameInterner assigns each name a number that stays the same until the process ends, even if the settings that list
+// the names are reloaded. The zero value is empty.
 type nameInterner struct {
 	byName map[string]int
 	next   int
 }
 
-// add numbers names in their order: the first settings' names have their indices.
+// internAll adds names in order, so that the names of the settings at startup get their indexes as numbers.
 func (n *nameInterner) internAll(names []string) {
 	if n.byName == nil {
 		n.byName = map[string]int{}
@@ -20,7 +20,7 @@
 	}
 }
 
-// number returns a name's number, a new one for a new name.
+// intern returns a name's number, assigning the next one to a new name.
 func (n *nameInterner) intern(name string) int {
 	if _, known := n.byName[name]; !known {
 		n.internAll([]string{name})
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,8 +11,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// healthProbe is one probe of a server, on a connection of its own. It ends once, with one result for the decision
-// core.
+// healthProbe is one probe of a server, on a connection of its own. It ends exactly once and reports one result to the
+// decision core.
 type healthProbe struct {
 	proxy     *Proxy
 	server    uint32
@@ -25,8 +25,8 @@
 	load      decision.LoadReport
 }
 
-// startProbe probes a server. Where load reports are promised the probe asks for one, which costs no more than asking
-// whether the server lives.
+// startProbe probes a server. If the settings name load report columns, it requests a load report (STATS), which costs
+// no more than a PING.
 func (p *Proxy) startProbe(server uint32) {
 	h := &healthProbe{proxy: p, server: server, startedAt: p.loop.Now()}
 	p.listener.evictIdle()
@@ -43,9 +43,9 @@
 	h.timer = p.loop.After(p.cfg.Settings.ConnectTimeout, h.connectTimedOut)
 }
 
-// connectTimedOut ends the probe, unless it is connected: then its server has some time to answer.
+// connectTimedOut ends the probe unless it is connected; if it is, the server gets timeouts.ProbeReply to answer.
 func (h *healthProbe) connectTimedOut() {
-	h.conn.CheckConnected() // its success may be waiting in this very turn
+	h.conn.CheckConnected() // the connect event may be pending in this turn of the event loop
 	if h.ended {
 		return
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// readAnswer reads the server's answer, as far as it has arrived.
+// readAnswer collects the server's answer and ends the probe once the line is complete.
 func (h *healthProbe) readAnswer(b []byte) {
 	h.answerBuf = append(h.answerBuf, b...)
 	text, n, err := lineproto.SplitLine(h.answerBuf)
@@ -104,7 +104,7 @@
 	}
 }
 
-// end closes the probe's connection and reports its result to the decision core, once.
+// end closes the probe's connection and reports its result to the decision core. Only the first call has an effect.
 func (h *healthProbe) end(status outcome.Status) {
 	if h.ended {
 		return
@@ -121,8 +121,8 @@
 	})
 }
 
-// parseLoadReport reads the load report behind a server's answer, in the order of the columns that the settings name.
-// It is empty where one of them can't be read.
+// parseLoadReport parses the load report in a server's answer, in the order of the settings' columns. The report is
+// empty if the value of any column is missing or invalid.
 func parseLoadReport(text []byte, columns []string) (report decision.LoadReport) {
 	for i, name := range columns {
 		if i >= len(report.Values) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,36 +16,36 @@
 	"spurspread/internal/settings"
 )
 
-// Config is what a Proxy is started with. Reload takes a new one, of which Listen, Seed, CachedList and SaveList have
-// no effect until the process restarts.
+// Config configures a Proxy. Reload applies a changed Config, except for Listen, Seed, CachedList and SaveList, which
+// take effect only when the process restarts.
 type Config struct {
-	// Settings are the platform's settings, which have been checked.
+	// Settings are the platform's settings, already validated.
 	Settings settings.Settings
-	// Listen is where clients connect; port 0 lets the kernel choose one.
+	// Listen is the address for client connections; port 0 lets the kernel choose a port.
 	Listen netip.AddrPort
 	// Discovery is the address of service discovery.
 	Discovery netip.AddrPort
-	// Seed is what all random choices are drawn from. The same seed and the same events give the same decisions.
+	// Seed seeds all random choices. The same seed and the same events give the same decisions.
 	Seed uint64
-	// CachedList is a server list in the form that discovery sends, as it was last known; none if empty. A balancer
-	// with an outdated list serves before discovery answers, one without has to reject.
+	// CachedList is the last known server list, encoded as discovery sends it; empty for none. With a list, even an
+	// outdated one, the balancer can serve requests before discovery answers; without one it must reject them.
 	CachedList []byte
-	// MaxDescriptors is how many descriptors the process may hold; 0 for no limit. Idle connections are closed before
-	// it is reached.
+	// MaxDescriptors limits the file descriptors of the process; 0 for no limit. Idle connections are closed before
+	// the limit is reached.
 	MaxDescriptors int
-	// MemoryLimit is how many bytes the process may use; 0 for unknown. Less memory means smaller buffers for slow
-	// readers, and so lower throughput to them.
+	// MemoryLimit is the memory available to the process, in bytes; 0 for unknown. A lower limit means smaller buffers
+	// for slow readers, and so a lower throughput to them.
 	MemoryLimit int64
-	// Resume turns resumable streams on; nil for off.
+	// Resume configures resumable streams; nil turns them off.
 	Resume *ResumeConfig
-	// SaveList, if set, is given the whole server list and the address that it came from, some time after a change. It
-	// must not block.
+	// SaveList, if not nil, is called shortly after a change of the server list, with the whole list and the address of
+	// discovery that it came from. It must not block.
 	SaveList func(discovery netip.AddrPort, list []byte)
-	// Channels turns multiplexed connections on; nil for off.
+	// Channels configures multiplexed connections; nil turns them off.
 	Channels *ChannelConfig
 }
 
-// Proxy is one balancer on one event loop. Its methods are called on the loop's goroutine.
+// Proxy is one balancer on one event loop. Its methods must be called on the loop's goroutine.
 type Proxy struct {
 	loop   *eventloop.Loop
 	cfg    Config
@@ -67,8 +67,8 @@
 	fleet        fleetPosition
 }
 
-// New starts a proxy on the loop: it listens, and its decision core begins with the cached server list. It returns an
-// error where that list can't be read or the address can't be listened at.
+// New starts a proxy on the loop: it listens for clients, and its decision core starts with the cached server list. It
+// returns an error if the list can't be parsed or the address can't be bound.
 func New(l *eventloop.Loop, cfg Config, log *logrus.Logger) (*Proxy, error) {
 	return start(l, cfg, log, decision.New(cfg.Settings.Decision, cfg.Seed, l.Now()))
 }
@@ -93,10 +93,10 @@
 	return p, nil
 }
 
-// jitterSequence tells the proxy's own random sequence from others of the same seed.
+// jitterSequence separates the proxy's random sequence from others with the same seed.
 const jitterSequence = 0x6a69747465720001
 
-// newProxy connects the owners with each other.
+// newProxy creates the components and connects them with each other.
 func newProxy(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) *Proxy {
 	p := &Proxy{loop: l, cfg: cfg, log: log, random: rand.New(rand.NewPCG(cfg.Seed, jitterSequence))}
 	p.core = dispatcher{loop: l, core: core, apply: p.apply, onEmpty: p.requests.freeClosed}
@@ -111,21 +111,21 @@
 	return p
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() netip.AddrPort { return p.listener.socket.Addr() }
 
-// Drain stops in a planned way: new requests are rejected, requests under way are finished or answered, every
-// established connection is moved, and then the loop stops.
+// Drain starts a planned stop: new requests are rejected, pending requests get their final answer, every established
+// connection is moved, and then the loop stops.
 func (p *Proxy) Drain() { p.drain.stop() }
 
-// HotRestart stops as Drain does, for a successor, process pid, that listens on the same port and takes established
-// connections at the path. What can't be transferred is moved.
+// HotRestart stops like Drain, but hands over to a successor, the process pid, which listens on the same port and
+// accepts established connections at the Unix socket path. Connections that can't be transferred are moved.
 func (p *Proxy) HotRestart(path string, pid int) { p.drain.hotRestart(path, pid) }
 
-// LifecycleState is what the proxy is doing: serving, a lame duck, or stopping.
+// LifecycleState returns whether the proxy is serving, a lame duck, or stopping.
 func (p *Proxy) LifecycleState() lifecycle.State { return p.drain.lifecycleState() }
 
-// HandleAdminCall carries out a command of the admin listener and returns its reply, without the line end.
+// HandleAdminCall carries out a command of the admin listener and returns the reply, without the line end.
 func (p *Proxy) HandleAdminCall(command lifecycle.CommandKind) string {
 	if command == lifecycle.CommandUnserved {
 		return strings.TrimSpace("+OK " + p.stats.unserved.text())
@@ -133,7 +133,8 @@
 	return p.drain.handleAdminCall(command)
 }
 
-// AcceptTransfers listens at the path for connections that an older process transfers when it ends.
+// AcceptTransfers listens at the Unix socket path for established connections that a predecessor transfers in a hot
+// restart.
 func (p *Proxy) AcceptTransfers(path string) error {
 	_, err := p.loop.ListenPackets(
 		path,
@@ -142,13 +143,13 @@
 	return err
 }
 
-// fleetPosition is this balancer's position among those that share the fleet's budgets, as membership reports it.
+// fleetPosition is this balancer's rank among the balancers that share the fleet's budgets, as membership reports it.
 type fleetPosition struct {
-	size int // balancers of the fleet; 0 where nothing was reported yet
-	rank int // of this one among them, from 0 on
+	size int // number of balancers in the fleet; 0 until it is first reported
+	rank int // rank of this balancer, from 0 on
 }
 
-// override puts the reported position in place of the settings'.
+// override replaces the fleet size and rank of the settings by the reported ones, if there are any.
 func (f fleetPosition) override(s *decision.Settings) {
 	if f.size > 0 {
 		s.Balancers = f.size
@@ -156,8 +157,8 @@
 	}
 }
 
-// SetFleet reports how many balancers share the fleet's budgets, and which rank this one has among them, from 0 on.
-// Until it is called the settings' numbers hold.
+// SetFleet sets the number of balancers that share the fleet's budgets and the rank of this balancer among them, from 0
+// on. Until it is called, the values of the settings apply.
 func (p *Proxy) SetFleet(size, rank int) {
 	position := fleetPosition{size, rank}
 	if position == p.fleet {
@@ -168,9 +169,9 @@
 	p.core.dispatch(decision.SettingsChanged{Settings: p.cfg.Settings.Decision})
 }
 
-// Reload takes a configuration that was read again, as far as it can change while the process runs: the settings,
-// discovery's address, the limits, resumption and channels. Settings are swapped whole: later requests are served by
-// them, and connections keep the class that they were accepted with.
+// Reload applies the parts of a changed configuration that can change while the process runs: the settings, discovery's
+// address, the limits, resumption and channels. The settings are replaced as a whole for later requests; existing
+// connections keep the class that they were accepted with.
 func (p *Proxy) Reload(cfg Config) {
 	if cfg.Listen != p.cfg.Listen {
 		p.log.Warn("change of listen ignored, it needs a restart")
@@ -200,7 +201,7 @@
 	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings changed")
 }
 
-// nearDescriptorLimit reports whether the process comes near its limit of descriptors.
+// nearDescriptorLimit reports whether the process is close to Config.MaxDescriptors.
 func (p *Proxy) nearDescriptorLimit() bool {
 	return overload.DescriptorsShort(p.loop.Descriptors(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -7,8 +7,8 @@
 	"spurspread/decision/timeouts"
 )
 
-// startReattaching has the request go to the server that its client names, which an earlier process of this deployment
-// connected it to. The decision core knows it once it is established.
+// startReattaching sends the request to the server that the client named, to which an earlier process of this
+// deployment had connected it. The decision core is notified once the request is established.
 func (r *request) startReattaching() {
 	left := timeouts.Reattach(r.announcedDeadline())
 	r.deadline = r.proxy.loop.Now() + left
@@ -17,7 +17,8 @@
 	r.reattach()
 }
 
-// reattach starts an attempt at the server that the client names, if that is listed.
+// reattach starts an attempt at the server that the client named, if that server is listed and no attempt is in
+// progress.
 func (r *request) reattach() {
 	if r.state != stateReattaching || r.attempt != nil {
 		return
@@ -26,7 +27,7 @@
 	if server == nil {
 		return
 	}
-	r.readClient() // its client may have left meanwhile, its end not read yet, or may not wait for its answer
+	r.readClient() // the client may have closed its connection or sent data too early, not yet read
 	if r.state != stateReattaching {
 		return
 	}
@@ -35,7 +36,7 @@
 	r.attempt = newAttempt(r, server, attemptLimits{number: 0, timeout: left})
 }
 
-// reattachFailed handles the end of such an attempt.
+// reattachFailed handles a failed reattach attempt: it schedules another or fails the request.
 func (r *request) reattachFailed(status outcome.Status) {
 	if attemptoutcome.RetriesReattach(status) {
 		r.reattachFailures++
@@ -45,7 +46,8 @@
 	r.fail(answercause.ReattachFailed)
 }
 
-// rejectReattaching answers a request at once that waits for its server. The decision core does not know it.
+// rejectReattaching sends the final answer of a reattaching request at once. It does not involve the decision core,
+// which does not know the request.
 func (r *request) rejectReattaching() {
 	mayHaveExecuted := r.attempt != nil && r.attempt.written
 	if r.retryPolicy.ClientRetrySafe(mayHaveExecuted) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -12,30 +12,30 @@
 	"spurspread/internal/lineproto"
 )
 
-// unknownClass is the index of a request class that the settings don't have.
+// unknownClass is the index of a request class that is not in the settings.
 const unknownClass = -1
 
-// request is a client's request and, once it is established, its stream of lines.
+// request is a client's request and, once it is established, the stream of lines in both directions.
 type request struct {
 	proxy      *Proxy
-	ref        eventloop.Ref // its slot, and its id in the decision core
+	ref        eventloop.Ref // slot in requestTable, and id in the decision core
 	downstream downstream
 	state      requestState
-	registered bool // the decision core knows it, or did until it was over; set by transition
+	registered bool // the decision core knows or knew the request; set by transition
 	timer      eventloop.Ref
 
-	firstLine   []byte // with its line end, until the server has accepted it
+	firstLine   []byte // with its line end; nil once the server has accepted the request
 	open        lineproto.Open
-	idReserved  bool            // its id is among the known ones
-	class       int             // index in classNames
-	classNames  []string        // as they were when it was accepted
-	retryPolicy retry.Policy    // of its class, as it was then
-	deadline    monotime.Micros // when the client gives up
+	idReserved  bool            // open.ID is in requestTable.ids and must be released
+	class       int             // index in classNames, or unknownClass
+	classNames  []string        // of the settings when the request arrived
+	retryPolicy retry.Policy    // of the class, when the request arrived
+	deadline    monotime.Micros // time by which the client expects the final answer
 
-	attempt  *attempt // under way, or the established one
-	attempts int      // started so far
+	attempt  *attempt // current or established attempt; nil for none
+	attempts int      // number of attempts started
 
-	reattachFailures int // in a row, while it reattaches
+	reattachFailures int // consecutive, in stateReattaching
 
 	establishedStream
 
@@ -44,8 +44,8 @@
 	establishedIndex   int32 // in serverLatency.established
 }
 
-// openRequest begins a request with its first line, which text holds without its end and line with it. rejectOnly has
-// the client rejected. The request is over if the slots are used up.
+// openRequest starts a request from its first line, given without its line end (text) and with it (line). With
+// rejectOnly the request is rejected. If no slot is free, it rejects the client and returns a request in stateClosed.
 func (p *Proxy) openRequest(client downstream, text, line []byte, rejectOnly bool) *request {
 	r := &request{proxy: p, downstream: client, firstLine: line}
 	if !p.requests.put(r) {
@@ -66,13 +66,14 @@
 	return r
 }
 
-// parse reads the first line. One that is malformed, or whose id or class can't be served, is a problem.
+// parse parses the first line. If the line is malformed, or its id or class can't be served, it returns false and the
+// cause.
 func (r *request) parse(text []byte) (cause answercause.Cause, ok bool) {
 	var err error
 	if r.open, err = lineproto.ParseOpen(text); err != nil {
 		return answercause.Malformed, false
 	}
-	// The id is new for every connection; a server that sees one again answers ERR, whoever used it before.
+	// Clients use a new id for every connection; servers answer ERR to an id that they have seen before.
 	if !r.proxy.requests.ids.Add(r.open.ID) {
 		return answercause.DuplicateID, false
 	}
@@ -86,7 +87,7 @@
 	return answercause.Unknown, true
 }
 
-// admit rejects the request, or has it placed or reattached.
+// admit rejects the request, hands it to the decision core for placement, or starts to reattach it.
 func (r *request) admit(rejectOnly bool) {
 	p := r.proxy
 	p.stats.accepted++
@@ -117,19 +118,20 @@
 	left := timeouts.Request(r.announcedDeadline(), class.Deadline)
 	r.deadline = p.loop.Now() + left
 	r.transition(statePending)
-	// The core answers before; should it ever not, the client must still get its answer.
+	// The core normally answers earlier; the timer guarantees an answer if it ever doesn't.
 	r.startTimer(left, r.decisionTimedOut)
 	p.core.dispatch(r.decisionRequest())
 }
 
-// announcedDeadline is how long the client says it waits.
+// announcedDeadline returns how long the client waits, from the OPEN line.
 func (r *request) announcedDeadline() monotime.Micros {
 	return monotime.Micros(r.open.DeadlineMillis) * monotime.Millisecond
 }
 
-// event is the request as the decision core sees it.
+// decisionRequest returns the request as an event for the decision core.
 func (r *request) decisionRequest() decision.Request {
-	// Reloaded settings may number the classes otherwise; a class that they dropped has the strictest rules.
+	// Class indexes may differ after a reload. A class that was removed gets an index out of range, for which the core
+	// applies its strictest rules.
 	names := r.proxy.cfg.Settings.ClassNames
 	ev := decision.Request{
 		ID:          uint32(r.ref),
@@ -160,7 +162,8 @@
 	r.expire()
 }
 
-// expire has the request answered at once. What the answer may promise is for the decision core to say.
+// expire requests the final answer at once from the decision core, which decides whether the client may retry. If the
+// core does not answer, the request fails.
 func (r *request) expire() {
 	r.proxy.core.dispatch(decision.RequestExpired{ID: uint32(r.ref)})
 	if r.state == statePending {
@@ -169,15 +172,17 @@
 	}
 }
 
-// retryAfter draws how long a client waits that the proxy itself rejects; 0 states nothing.
+// retryAfter returns the randomized retry delay for a client that the proxy itself rejects; 0 omits the delay from the
+// answer.
 func (p *Proxy) retryAfter() monotime.Micros {
 	return p.cfg.Settings.Decision.RetryAfter(p.random.Float64())
 }
 
-// rejectLocally rejects the request without the decision core.
+// rejectLocally rejects the request without asking the decision core.
 func (r *request) rejectLocally(cause answercause.Cause) { r.reject(r.proxy.retryAfter(), cause) }
 
-// reject answers that the client may try again after a span, for a cause that is counted.
+// reject sends BUSY with the delay after which the client may retry, or STALE if that is due, and counts the cause of a
+// BUSY. It does nothing if the request is already answered or established.
 func (r *request) reject(retryAfter monotime.Micros, cause answercause.Cause) {
 	if r.state.unanswered() && !r.answerStaleIfDue() {
 		r.proxy.stats.rejected++
@@ -186,7 +191,8 @@
 	}
 }
 
-// fail answers that the request failed, and may have been executed, for a cause that is counted.
+// fail sends ERR, which means that the request failed and may have been executed, or STALE if that is due, and counts
+// the cause of an ERR. It does nothing if the request is already answered or established.
 func (r *request) fail(cause answercause.Cause) {
 	if r.state.unanswered() && !r.answerStaleIfDue() {
 		r.proxy.stats.failed++
@@ -195,7 +201,7 @@
 	}
 }
 
-// className is the request's class; empty for one that the settings don't have, or that was not read.
+// className returns the request's class; empty if the class is unknown or the first line was not parsed.
 func (r *request) className() string {
 	if r.class < 0 || r.class >= len(r.classNames) {
 		return ""
@@ -203,13 +209,14 @@
 	return r.classNames[r.class]
 }
 
-// answer gives the final answer, a line with its end.
+// answer sends the final answer, a line with its line end, and ends the request.
 func (r *request) answer(line []byte) {
 	r.downstream.sendFinal(line)
 	r.finish(outcome.Cancelled)
 }
 
-// finish ends both sides gracefully. status is the outcome of an attempt that is still there.
+// finish closes the downstream gracefully and releases the request. status is the outcome of the current attempt, if
+// there is one.
 func (r *request) finish(status outcome.Status) {
 	if r.state == stateClosed {
 		return
@@ -218,12 +225,12 @@
 	r.release(status)
 }
 
-// close ends a request whose client is gone.
+// close closes the downstream at once, releases the request and notifies the core that it was cancelled.
 func (r *request) close() {
 	if r.state == stateClosed {
 		return
 	}
-	// Of a half-closed one the core was notified when its client ended its side.
+	// For a half-closed request the core was notified when the client closed its sending side.
 	notify := r.registered && r.state != stateHalfClosed
 	r.downstream.Close()
 	r.release(outcome.Cancelled)
@@ -232,7 +239,8 @@
 	}
 }
 
-// release frees what the request has. Its slot is freed once the core has handled all events that name it.
+// release ends the request's attempt with status and frees its resources. The slot is freed only once the core has
+// handled all queued events, since they may refer to the request.
 func (r *request) release(status outcome.Status) {
 	p := r.proxy
 	r.transition(stateClosed)
@@ -263,7 +271,7 @@
 	r.proxy.core.dispatch(decision.RequestCancelled{ID: uint32(r.ref)})
 }
 
-// millisRoundedUp is a span in whole milliseconds, no shorter than the span.
+// millisRoundedUp converts a duration to milliseconds, rounded up.
 func millisRoundedUp(span monotime.Micros) int64 {
 	return int64((span + monotime.Millisecond - 1) / monotime.Millisecond)
 }
--- a/internal/proxy/request_set.go
+++ b/internal/proxy/request_set.go
@@ -1,14 +1,14 @@
 package proxy
 
-// requestSet is a set of requests, in no order. Each request notes its index in it, so that adding and removing cost
-// the same however many there are. What happens several times a second iterates over a set of those that it concerns,
-// and never over all requests: of 80,000 that are established, a hundredth have an unanswered line.
+// requestSet is an unordered set of requests. Each request stores its own index in the set, so that add and remove take
+// constant time. Periodic work that runs several times a second iterates over a set of the requests concerned rather
+// than over all requests: of 80,000 established ones, about a hundredth have an unanswered line.
 type requestSet struct {
 	members []*request
-	index   func(*request) *int32 // where a request notes its index, from 1 on; 0 while it is not in
+	index   func(*request) *int32 // field with the request's index in members plus 1; 0 if it is not a member
 }
 
-// add puts a request in, if it is not in.
+// add adds a request; it does nothing if the request is a member.
 func (s *requestSet) add(r *request) {
 	at := s.index(r)
 	if *at != 0 {
@@ -18,7 +18,7 @@
 	*at = int32(len(s.members))
 }
 
-// remove takes a request out, if it is in.
+// remove removes a request; it does nothing if the request is not a member.
 func (s *requestSet) remove(r *request) {
 	at := s.index(r)
 	if *at == 0 {
@@ -33,8 +33,8 @@
 	*at = 0
 }
 
-// each yields the members. Requests may be removed meanwhile, also others than the one that was yielded; one may then
-// be yielded twice.
+// each yields the members. During the iteration any member may be removed, not only the one just yielded; a member may
+// then be yielded twice.
 func (s *requestSet) each(yield func(*request) bool) {
 	for i := len(s.members) - 1; i >= 0; i-- {
 		if i < len(s.members) && !yield(s.members[i]) {
--- a/internal/proxy/request_state.go
+++ b/internal/proxy/request_state.go
@@ -2,45 +2,48 @@
 
 import "github.com/sirupsen/logrus"
 
-// requestState is where a request is in its life. transition is the only function that changes it; the functions that
-// make each transition are named in the table of transitionAllowed.
+// requestState is the state of a request in its life cycle. Only transition changes it; the table at transitionAllowed
+// names the functions that make each transition.
 type requestState uint8
 
 const (
-	// stateNew: its first line is being read; the decision core does not know it. It lasts within one turn only.
+	// stateNew: the first line is being parsed; the decision core does not know the request. This state never outlasts
+	// one turn of the event loop.
 	stateNew requestState = iota
-	// statePending: the decision core places it. It may have an attempt under way.
+	// statePending: the decision core is placing the request. It may have an attempt in progress.
 	statePending
-	// stateReattaching: it goes to the server that its client names, as soon as that is listed; the decision core does
-	// not know it.
+	// stateReattaching: the client named its server, and the request goes there as soon as the server is listed; the
+	// decision core does not know the request.
 	stateReattaching
-	// stateEstablished: its server has accepted it, and lines are forwarded both ways.
+	// stateEstablished: the server has accepted the request, and lines are forwarded in both directions.
 	stateEstablished
-	// stateHalfClosed: its client has ended its side, the server has not.
+	// stateHalfClosed: the client has closed its sending side, the server has not.
 	stateHalfClosed
-	// stateTransferring: it is offered to the successor of a hot restart; nobody reads it until that has answered.
+	// stateTransferring: the connection is offered to the successor in a hot restart, and is not read until the
+	// successor has answered.
 	stateTransferring
-	// stateClosed: it is answered, moved, transferred or ended.
+	// stateClosed: the request was rejected or failed, or the connection was moved, transferred or closed.
 	stateClosed
 )
 
-// transitionAllowed is the table of transitions:
+// transitionAllowed reports whether a request may change from one state to another. These are the transitions and the
+// functions that make them:
 //
 //	stateNew          → statePending       request.place: handed to the decision core
-//	stateNew          → stateReattaching   request.startReattaching: its client names a server
+//	stateNew          → stateReattaching   request.startReattaching: the client names its server
 //	stateNew          → stateClosed        request.release, openRequest: rejected or malformed
-//	statePending      → stateEstablished   request.establish: its server accepted it
-//	statePending      → stateClosed        request.release: answered finally, or its client left
+//	statePending      → stateEstablished   request.establish: the server accepted it
+//	statePending      → stateClosed        request.release: final answer sent, or the client disconnected
 //	stateReattaching  → stateEstablished   request.establish
 //	stateReattaching  → stateClosed        request.release
-//	stateEstablished  → stateHalfClosed    request.handleClientClosed: its client ended its side
+//	stateEstablished  → stateHalfClosed    request.handleClientClosed: the client closed its sending side
 //	stateEstablished  → stateTransferring  transferSender.offer: offered to the successor
-//	stateEstablished  → stateClosed        request.release: moved, finished, or its client or server left
+//	stateEstablished  → stateClosed        request.release: moved, finished, or the client or server disconnected
 //	stateHalfClosed   → stateClosed        request.release
-//	stateTransferring → stateEstablished   transferSender.reclaim: the successor does not have it
-//	stateTransferring → stateClosed        request.release: the successor has it
+//	stateTransferring → stateEstablished   transferSender.reclaim: the successor did not accept it
+//	stateTransferring → stateClosed        request.release: the successor accepted it
 //
-// A connection that a predecessor transferred begins in stateEstablished.
+// A connection that a predecessor transferred starts in stateEstablished.
 func transitionAllowed(from, to requestState) bool {
 	switch from {
 	case stateNew:
@@ -59,8 +62,8 @@
 	return false
 }
 
-// transition changes the request's state. The decision core knows a request from the moment it is placed or, where its
-// client names a server, established.
+// transition changes the request's state. The decision core knows a request once it is placed or, if it reattaches,
+// established.
 func (r *request) transition(to requestState) {
 	if !transitionAllowed(r.state, to) {
 		r.proxy.log.WithFields(logrus.Fields{"from": r.state, "to": to}).Error(invalidTransition)
@@ -71,15 +74,15 @@
 	}
 }
 
-// invalidTransition is logged where the table does not have a transition, which is a defect of this package.
+// invalidTransition is logged for a transition that transitionAllowed forbids, which indicates a bug in this package.
 const invalidTransition = "invalid transition of a request's state"
 
-// unanswered reports whether the request has no answer yet.
+// unanswered reports whether the request has neither a final answer nor been established.
 func (s requestState) unanswered() bool {
 	return s == stateNew || s == statePending || s == stateReattaching
 }
 
-// String is the state's name for the log.
+// String returns the state's name for the log.
 func (s requestState) String() string {
 	switch s {
 	case stateNew:
--- a/internal/proxy/request_table.go
+++ b/internal/proxy/request_table.go
@@ -6,14 +6,14 @@
 	"spurspread/internal/eventloop"
 )
 
-// requestTable owns the requests: their slots, whose numbers are the ids under which the decision core knows them, the
-// ids that clients gave them, and the sets of those that something is due for.
+// requestTable owns the requests: their slots, whose numbers identify requests to the decision core, the ids that
+// clients sent, and the sets of requests that need periodic work.
 type requestTable struct {
 	slots         eventloop.Slots[*request]
-	unanswered    requestSet // requests that have no answer yet
+	unanswered    requestSet // requests in stateNew, statePending or stateReattaching
 	awaitingReply requestSet // established connections with unanswered lines
 	ids           *requestids.Set
-	closed        []*request // over; their slots are freed once the core's queue is empty
+	closed        []*request // ended requests, whose slots are freed once the core's event queue is empty
 }
 
 func newRequestTable() requestTable {
@@ -24,16 +24,16 @@
 	}
 }
 
-// get is the request that the decision core knows by this id.
+// get returns the request with this id in the decision core; false if there is none.
 func (t *requestTable) get(id uint32) (*request, bool) { return t.slots.Get(eventloop.Ref(id)) }
 
-// put gives the request a slot; false where there is none left.
+// put assigns the request a slot; it returns false if none is free.
 func (t *requestTable) put(r *request) bool {
 	r.ref = t.slots.Put(r)
 	return r.ref != 0
 }
 
-// len is how many requests there are, those included that are over but have not been freed.
+// len returns the number of requests, including ended ones whose slots have not been freed.
 func (t *requestTable) len() int { return t.slots.Len() }
 
 // all yields all requests in the order of their slots.
@@ -45,7 +45,8 @@
 	}
 }
 
-// freeClosed frees the slots of requests that are over. It must not be called while the core may still name them.
+// freeClosed frees the slots of ended requests. It must not be called while queued events or actions may still refer to
+// them.
 func (t *requestTable) freeClosed() {
 	for _, r := range t.closed {
 		t.slots.Drop(r.ref)
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -16,41 +16,42 @@
 	"spurspread/internal/token"
 )
 
-// streamIDSequence sets the random sequence of stream ids apart from others with the same seed.
+// streamIDSequence separates the random sequence of stream ids from others with the same seed.
 const streamIDSequence = 0x73747265616d
 
-// ResumeConfig has connections that are moved carry a token, with which they continue where they were;
-// docs/protocol/resume.md has the protocol. It concerns clients that ask for tokens, and nobody else.
+// ResumeConfig configures resumable streams: a client that is moved receives a token, with which it continues its
+// stream on another connection. See docs/protocol/resume.md for the protocol. It affects only clients that ask for
+// tokens.
 type ResumeConfig struct {
-	// Ring has the keys that tokens are sealed with; the deployment shares them.
+	// KeyRing holds the keys that seal tokens; all balancers of the deployment share them.
 	KeyRing *token.Ring
-	// TokenLifetime is how long a token is valid, in milliseconds.
+	// TokenLifetime is the validity period of a token, in milliseconds.
 	TokenLifetime int64
-	// ClockSkew is how far clocks may differ, in milliseconds. A larger one accepts tokens for longer.
+	// ClockSkew is the tolerated difference between clocks, in milliseconds. A larger value accepts tokens for longer.
 	ClockSkew int64
-	// MaxClaims is how many presented tokens are remembered at once, so that none is accepted twice. Beyond it tokens
-	// are rejected.
+	// MaxClaims limits the presented tokens that are remembered so that none is accepted twice. When the limit is
+	// reached, further tokens are rejected.
 	MaxClaims int
-	// DrainSpread is the time over which connections are moved off a draining server.
+	// DrainSpread is the time over which the moves of connections off a draining server are spread.
 	DrainSpread monotime.Micros
 }
 
-// resumption owns the tokens of resumable streams, and the order in which such streams are moved off draining servers.
-// What it knows of tokens outlasts a reload, also one that turns it off.
+// resumption issues and validates the tokens of resumable streams, and schedules the moves of such streams off draining
+// servers. Its record of used tokens is kept across reloads, including one that turns resumption off.
 type resumption struct {
 	proxy        *Proxy
 	cfg          *ResumeConfig
-	tokens       *resume.Validator // nil until it is turned on
+	tokens       *resume.Validator // nil until resumption is first turned on
 	drains       *drainorder.Plan
 	drainTimer   eventloop.Ref
-	dueIDs       []uint32    // reused from move to move
-	openedToken  token.Token // reused from token to token
+	dueIDs       []uint32    // buffer, reused by moveDueStreams
+	openedToken  token.Token // token most recently opened by openToken
 	tokensIssued int
 	resumed      int
 	streamIDs    *rand.Rand
 }
 
-// configure takes a configuration, nil for off.
+// configure applies a configuration; nil turns resumption off.
 func (s *resumption) configure(cfg *ResumeConfig, seed uint64) {
 	s.cfg = cfg
 	switch {
@@ -77,12 +78,13 @@
 	}
 }
 
-// now is the time in tokens.
+// now returns the current time in the unit of tokens.
 func (s *resumption) now() resume.UnixMillis {
 	return resume.UnixMillis(s.proxy.loop.Now() / monotime.Millisecond)
 }
 
-// openToken reads a token into s.opened and returns why it can't be accepted, Accepted where its seal holds.
+// openToken decrypts a token into s.openedToken. It returns Accepted if the seal is valid, else the reason to reject
+// the token.
 func (s *resumption) openToken(text []byte) resume.Reason {
 	err := s.cfg.KeyRing.Open(text, &s.openedToken)
 	switch {
@@ -96,7 +98,7 @@
 	return resume.Malformed
 }
 
-// grant is what the opened token allows.
+// grant returns the contents of openedToken for the validator.
 func (s *resumption) grant() resume.Grant {
 	t := &s.openedToken
 	return resume.Grant{
@@ -112,7 +114,7 @@
 	}
 }
 
-// listed is what the server list says of a token's server.
+// listedServer returns the listing of a token's server for the validator; a nil server counts as not ready.
 func listedServer(server *discovery.Server) resume.ListedServer {
 	if server == nil {
 		return resume.ListedServer{}
@@ -141,7 +143,7 @@
 	s.moveDueStreams()
 }
 
-// streamsAt are the resumable streams at a server.
+// streamsAt returns the resumable streams established at a server.
 func (s *resumption) streamsAt(server uint32) (streams []drainorder.Connection) {
 	for r := range s.proxy.latencies.forServer(server).established.each {
 		if r.state == stateEstablished && r.resumable.canContinue() {
@@ -151,7 +153,7 @@
 	return streams
 }
 
-// addToDrain has a stream moved that is established at a server while others are moved off it.
+// addToDrain schedules the move of a stream that was just established at a server that is being drained.
 func (s *resumption) addToDrain(r *request) {
 	if r.state != stateEstablished || !r.resumable.canContinue() {
 		return
@@ -161,7 +163,7 @@
 	}
 }
 
-// moveDueStreams moves the streams whose turn it is.
+// moveDueStreams moves the streams whose moves are due, and schedules itself for the next one.
 func (s *resumption) moveDueStreams() {
 	p := s.proxy
 	p.loop.Cancel(&s.drainTimer)
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -10,28 +10,29 @@
 	"spurspread/internal/token"
 )
 
-// tokenRequestWord is what a client sends in place of a token to ask for its first one.
+// tokenRequestWord is sent by a client in place of a token to request its first one.
 const tokenRequestWord = "ask"
 
-// resumableStream is what a request has whose client takes tokens. Methods accept nil, for one whose client does not.
+// resumableStream is the resumption state of a request whose client takes tokens. Methods may be called on nil, which
+// stands for a client that does not.
 type resumableStream struct {
-	id          uint64            // through all its moves
-	claim       resume.ID         // of the token that it came with
-	claimed     bool              // this request holds the claim of that token
-	pinned      bool              // it came with a token, and so goes to one server
-	server      uint32            // that it is pinned to
-	cursor      uint64            // the last message that the client has
-	staleReason resume.Reason     // why the client is to start over without its token; Accepted where it is not
-	numbered    bool              // its server numbers the messages, so that it can be continued
-	lastMessage uint64            // the last message that was forwarded
-	moveStatus  outcome.Status    // its outcome when it is moved
-	nextServer  *discovery.Server // where its client is to go; nil where the decision core named none
+	id          uint64            // stays the same through all moves
+	claim       resume.ID         // id of the presented token
+	claimed     bool              // this request holds the claim on that token
+	pinned      bool              // a token was presented, so only server may serve the request
+	server      uint32            // server number, if pinned
+	cursor      uint64            // sequence number of the last message that the client has received
+	staleReason resume.Reason     // why the client must start over without its token; Accepted if it need not
+	numbered    bool              // the server numbers the messages, so the stream can be continued elsewhere
+	lastMessage uint64            // sequence number of the last forwarded message
+	moveStatus  outcome.Status    // outcome of the connection when it is moved
+	nextServer  *discovery.Server // where the client is moved to; nil if the decision core named no server
 }
 
-// canContinue reports whether the stream can go on elsewhere.
+// canContinue reports whether the stream can be continued on another connection.
 func (x *resumableStream) canContinue() bool { return x != nil && x.numbered }
 
-// recordForwarded notes the number of a message that was forwarded, of which start is the start.
+// recordForwarded records the sequence number of a forwarded message; start holds the beginning of its line.
 func (x *resumableStream) recordForwarded(start []byte) {
 	if !x.canContinue() {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// handleToken handles what the first line says of tokens. It returns false if the client has been answered.
+// handleToken evaluates the token and the cursor in the first line. It returns false if the client has been answered.
 func (r *request) handleToken() bool {
 	s := &r.proxy.resumption
 	if s.cfg == nil || len(r.open.Token) == 0 {
@@ -61,7 +62,7 @@
 	}
 	why := resume.Malformed
 	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.HeldBy) == 0 {
-		// The seal comes first: a claim costs memory.
+		// Check the seal first: a claim takes memory, which a forged token must not use up.
 		why = s.openToken(r.open.Token)
 	}
 	if why != resume.Accepted {
@@ -71,7 +72,7 @@
 	return r.claimStream(cursor)
 }
 
-// claimStream claims the stream of the token that was opened. It returns false if the client has been answered.
+// claimStream claims the opened token and resumes its stream. It returns false if the client has been answered.
 func (r *request) claimStream(cursor uint64) bool {
 	s := &r.proxy.resumption
 	grant := s.grant()
@@ -99,12 +100,12 @@
 	return true
 }
 
-// rejectToken is the final answer that has the client start over without its token.
+// rejectToken sends STALE as the final answer, after which the client starts over without its token.
 func (r *request) rejectToken(why resume.Reason) {
 	r.answer([]byte("STALE " + why.String() + lineEnd))
 }
 
-// answerStaleIfDue gives that answer if the end of an attempt calls for it, and reports whether it did.
+// answerStaleIfDue sends STALE if the end of an attempt has made the token unusable, and reports whether it did.
 func (r *request) answerStaleIfDue() bool {
 	if r.resumable == nil || r.resumable.staleReason == resume.Accepted {
 		return false
@@ -113,7 +114,7 @@
 	return true
 }
 
-// releaseClaim reports to the validator how the attempt of a token ended, nil where there was none.
+// releaseClaim reports to the validator how the attempt with the claimed token ended; a is nil if there was no attempt.
 func (r *request) releaseClaim(a *attempt, status outcome.Status) {
 	x := r.resumable
 	if x == nil || !x.claimed {
@@ -131,8 +132,8 @@
 	x.claimed = false
 }
 
-// handleTokenRejection handles a server's answer that it does not accept the token, with its word for the reason.
-// Where there is no token the protocol does not have that answer.
+// handleTokenRejection handles STALE from a server; word is the reason. If the request has no token, or the reason is
+// unknown, the answer is a protocol error.
 func (r *request) handleTokenRejection(word []byte) {
 	why, ok := resume.ParseReason(word)
 	if r.resumable == nil || !r.resumable.claimed || !ok {
@@ -143,12 +144,12 @@
 	r.endTokenAttempt(why)
 }
 
-// endTokenAttempt ends the attempt of a token that its server can't accept.
+// endTokenAttempt ends an attempt whose server can't accept the token, for the reason why.
 func (r *request) endTokenAttempt(why resume.Reason) {
 	x := r.resumable
 	x.claimed = false
 	x.staleReason = r.proxy.resumption.tokens.RejectedByServer(x.claim, why)
-	// The request was not executed, and this says nothing of the server's health.
+	// The request was not executed, and the rejection is no evidence about the server's health.
 	r.attempt.end(outcome.Inconclusive)
 	if r.state.unanswered() {
 		r.answerStaleIfDue()
@@ -177,12 +178,13 @@
 	return true
 }
 
-// buffersPartialLines reports whether only whole lines are forwarded.
+// buffersPartialLines reports whether incomplete lines are buffered, so that only complete ones are forwarded.
 func (r *request) buffersPartialLines() bool {
 	return r.resumable.canContinue() || r.downstream.completeLinesOnly()
 }
 
-// appendToken appends a token for a client that is sent away, if it is to have one; else nothing.
+// appendToken appends a token for a client that is being moved. It appends nothing if the stream can't be continued, no
+// next server is known, or the token would be too long.
 func (r *request) appendToken(to []byte) []byte {
 	x, s := r.resumable, &r.proxy.resumption
 	if !x.canContinue() || x.nextServer == nil || s.cfg == nil {
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// saveListDelay is how long a changed list waits before it is saved; changes mostly come together.
+	// saveListDelay is the delay before a changed list is saved; changes usually come several at a time.
 	saveListDelay = 200 * monotime.Millisecond
-	// maxMachineType is the number of machine types that have no other one left.
+	// maxMachineType is the largest number of a machine type; all further types share it.
 	maxMachineType = 65535
 )
 
-// serverDirectory owns the discovery client and the server list. It reports changes to the decision core, to requests
-// that wait for a server, and to whoever saves the list.
+// serverDirectory owns the discovery client and the server list. It reports changes to the decision core, to unanswered
+// requests, to the resumption, and to Config.SaveList.
 type serverDirectory struct {
 	proxy         *Proxy
 	list          *discovery.ServerList
@@ -32,7 +32,7 @@
 	saveScheduled bool
 	zones         nameInterner
 	machineTypes  nameInterner
-	failures      int // of calls of discovery, and of established watches
+	failures      int // failed discovery calls and broken watches
 }
 
 func newServerDirectory(p *Proxy) serverDirectory {
@@ -42,15 +42,15 @@
 	return d
 }
 
-// preserveZoneIndex replaces the balancer's zone index in reloaded settings by the index that the zone has had since the
-// process started, because servers and requests already known to the core use those indexes.
+// preserveZoneIndex replaces the index of the balancer's zone in reloaded settings by the index that the zone has had
+// since the process started, because servers and requests already known to the core use the old indexes.
 func (d *serverDirectory) preserveZoneIndex(changed *settings.Settings) {
 	if home := changed.Decision.Zone; home >= 0 && home < len(changed.ZoneNames) {
 		changed.Decision.Zone = d.zones.intern(changed.ZoneNames[home])
 	}
 }
 
-// open makes the discovery client and restores the cached list.
+// open creates the discovery client and restores the cached list.
 func (d *serverDirectory) open(cfg Config) (cached discovery.Update, err error) {
 	d.client = discovery.NewClient(d.proxy.loop, cfg.Discovery, d.list, d)
 	if len(cfg.CachedList) == 0 {
@@ -71,15 +71,15 @@
 	}
 }
 
-// watchIfPushed keeps a watch where server lists are pushed. There the core never polls: an agent on this machine
-// pushes them, and watching it from the start costs nobody anything.
+// watchIfPushed starts a watch if server lists are pushed rather than polled and no watch is running. An agent on this
+// machine pushes the lists, so a permanent watch adds no load elsewhere.
 func (d *serverDirectory) watchIfPushed() {
 	if !d.proxy.cfg.Settings.Decision.PollDiscovery && !d.client.Watching() {
 		d.client.Watch()
 	}
 }
 
-// Listed is part of discovery.Watcher: the list has changed.
+// Listed is part of discovery.Watcher: the server list has been updated.
 func (d *serverDirectory) Listed(update discovery.Update) {
 	p := d.proxy
 	d.logUpdate(update)
@@ -107,7 +107,8 @@
 	}
 }
 
-// WatchChanged is part of discovery.Watcher: the subscription is in another state.
+// WatchChanged is part of discovery.Watcher: the state of the subscription has changed. reason is nil if no failure
+// caused it.
 func (d *serverDirectory) WatchChanged(before discovery.WatchState, now discovery.Status, reason error) {
 	entry := d.proxy.log.WithFields(d.statusFields(now)).WithField(logging.PreviousWatch, before.String())
 	if reason != nil {
@@ -116,7 +117,7 @@
 	entry.Info("discovery watch changed")
 }
 
-// logUpdate logs an update of the list that names servers: how many, by their new states.
+// logUpdate logs how many servers an update lists, by state. An incremental update without servers is not logged.
 func (d *serverDirectory) logUpdate(update discovery.Update) {
 	if len(update.Servers) == 0 && !update.Full {
 		return
@@ -134,7 +135,7 @@
 	}).Info("server list updated")
 }
 
-// statusFields are what is known of discovery, as fields of the log.
+// statusFields returns the state of discovery as log fields.
 func (d *serverDirectory) statusFields(status discovery.Status) logrus.Fields {
 	return logrus.Fields{
 		logging.WatchState:   status.State.String(),
@@ -144,7 +145,7 @@
 	}
 }
 
-// addStats adds what is known of discovery to the statistics.
+// addStats adds the state and the counters of discovery to the statistics.
 func (d *serverDirectory) addStats(fields logrus.Fields) {
 	status := d.client.Status()
 	maps.Copy(fields, d.statusFields(status))
@@ -152,7 +153,7 @@
 	fields[logging.DiscoveryFailures] = d.failures
 }
 
-// milliseconds converts an age for the log; -1 stays.
+// milliseconds converts an age for the log; a negative age becomes -1.
 func milliseconds(age monotime.Micros) int64 {
 	if age < 0 {
 		return -1
@@ -160,7 +161,7 @@
 	return int64(age / monotime.Millisecond)
 }
 
-// save gives the whole list to whoever keeps it.
+// save passes the whole list to Config.SaveList, if there is a list.
 func (d *serverDirectory) save() {
 	d.saveScheduled = false
 	if from, list := d.client.Snapshot(); list != nil {
@@ -168,7 +169,7 @@
 	}
 }
 
-// event is a change of the list as the decision core sees it.
+// updateEvent converts a change of the list into an event for the decision core.
 func (d *serverDirectory) updateEvent(kind decision.UpdateKind, update discovery.Update) decision.ServerListUpdate {
 	ev := decision.ServerListUpdate{Kind: kind}
 	for _, server := range update.Servers {
@@ -186,7 +187,7 @@
 	return ev
 }
 
-// entryState is the decision core's name for a state in discovery.
+// entryState converts a server's state in discovery to the decision core's.
 func entryState(state discovery.ServerState) decision.ServerState {
 	switch state {
 	case discovery.Ready:
@@ -197,7 +198,7 @@
 	return decision.Draining
 }
 
-// indexOr is the index of a name, or the given number where the name is missing.
+// indexOr returns the index of a name in names, or missing if it is not there.
 func indexOr(names []string, name string, missing int) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -7,27 +7,27 @@
 	"spurspread/internal/logging"
 )
 
-// statsInterval is how often statistics are logged.
+// statsInterval is the interval at which statistics are logged.
 const statsInterval = 5 * monotime.Second
 
-// counters count since the process started.
+// counters holds event counts since the process started.
 type counters struct {
-	accepted        int // valid first lines, those of rejected requests included
+	accepted        int // valid first lines, including those of rejected requests
 	established     int // connections that were established
 	rejected        int // requests that were rejected
 	failed          int // requests that failed
 	moved           int // connections that were moved
-	unresponsive    int // connections given up because their servers sent nothing back
-	protocolErrors  int // answers and messages that the protocol does not have
-	evicted         int // idle connections closed for want of descriptors
-	upstreamsFailed int // multiplexed upstream connections that broke or could not be opened
-	sharedFailures  int // attempts that ended by a failure which had been counted for another attempt
+	unresponsive    int // connections given up because their servers were unresponsive
+	protocolErrors  int // answers and messages that violate the protocol
+	evicted         int // idle connections closed because descriptors were short
+	upstreamsFailed int // multiplexed upstream connections that failed or could not be opened
+	sharedFailures  int // attempts ended by a failure that was already counted for another attempt
 	transferredOut  int // connections transferred to the successor
-	transferredIn   int // connections transferred from an older process
+	transferredIn   int // connections transferred from the predecessor
 	unserved        unservedCounters
 }
 
-// logStats logs the statistics, again and again.
+// logStats logs the statistics and reschedules itself.
 func (p *Proxy) logStats() {
 	p.loop.After(statsInterval, p.logStats)
 	fields := logrus.Fields{
@@ -64,7 +64,7 @@
 	fields[logging.CorrelatedFailures] = p.stats.sharedFailures
 }
 
-// queuedBytes is how many bytes wait for clients and servers to read them.
+// queuedBytes returns the number of bytes buffered for clients and servers.
 func (p *Proxy) queuedBytes() (bytes int) {
 	for r := range p.requests.all {
 		bytes += r.downstream.Pending() + len(r.partial.incomplete)
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -11,16 +11,17 @@
 	"spurspread/internal/restartproto"
 )
 
-// transferSender transfers established connections to the successor of a hot restart, as the plan decides. A connection
-// that is offered is not read until the successor has accepted it, and so has it, or declined it.
+// transferSender transfers established connections to the successor in a hot restart, as the plan decides. An offered
+// connection is not read until the successor has answered: if it accepts the connection, the successor owns it.
 type transferSender struct {
 	proxy     *Proxy
 	plan      *hotrestart.Transfer
 	link      *eventloop.Packets
-	remaining []*request // not yet looked at in this round
+	remaining []*request // requests not yet considered in this round
 }
 
-// startTransfer offers the established connections to the process that listens at the path, and moves the rest.
+// startTransfer offers the established connections to the process pid that listens at the Unix socket path, and later
+// moves those that were not transferred.
 func (d *drain) startTransfer(path string, pid int) {
 	p := d.proxy
 	t := &transferSender{proxy: p, plan: hotrestart.New(p.loop.Now(), d.duration)}
@@ -35,7 +36,8 @@
 	p.loop.After(t.plan.Deadline()-p.loop.Now(), t.moveUntransferred)
 }
 
-// offerRound offers what can be transferred now, and looks again soon: lines that are under way end.
+// offerRound offers the connections that can be transferred now, and reschedules itself: a connection in the middle of
+// a line can be transferred once the line is complete.
 func (t *transferSender) offerRound() {
 	if t.plan.Draining() {
 		return
@@ -49,10 +51,10 @@
 	t.offerRemaining()
 }
 
-// transferRoundInterval is how often connections are looked at that could not be offered.
+// transferRoundInterval is the interval at which connections that could not be offered are tried again.
 const transferRoundInterval = 20 * monotime.Millisecond
 
-// offerRemaining goes on with the round as far as the plan allows, so that a round looks at each connection once.
+// offerRemaining continues the round as far as the plan allows. A round considers each connection once.
 func (t *transferSender) offerRemaining() {
 	for len(t.remaining) > 0 && t.plan.CanOffer() {
 		r := t.remaining[0]
@@ -61,7 +63,7 @@
 	}
 }
 
-// offer offers one connection, if the plan allows, and reports whether it did.
+// offer offers one connection to the successor if the plan allows it, and reports whether it did.
 func (t *transferSender) offer(r *request) bool {
 	if r.state != stateEstablished {
 		return false
@@ -85,7 +87,8 @@
 	return true
 }
 
-// sockets are those of an established connection; false if one side is a channel.
+// sockets returns both sockets of an established connection; dedicated is false if one side is a channel of a shared
+// connection.
 func (r *request) sockets() (client, server *eventloop.Conn, dedicated bool) {
 	down, single := r.downstream.(*downstreamConn)
 	if !single {
@@ -95,12 +98,12 @@
 	return down.conn, server, dedicated
 }
 
-// nothingBuffered reports whether all that was read has been written, in both directions.
+// nothingBuffered reports whether all data read has been written, in both directions.
 func (r *request) nothingBuffered() bool {
 	return r.downstream.Pending() == 0 && r.attempt.upstream.Pending() == 0 && !r.clientStalled
 }
 
-// releaseSockets gives up the sockets of a connection that another process has, without ending the connection.
+// releaseSockets releases the sockets of a connection that another process owns, without ending the connection.
 func (r *request) releaseSockets() {
 	client, server, dedicated := r.sockets()
 	if dedicated {
@@ -109,7 +112,7 @@
 	}
 }
 
-// transferRecord is what the successor needs to know of an established connection.
+// transferRecord returns the state of an established connection for the successor.
 func (r *request) transferRecord() restartproto.ConnectionOffer {
 	now := r.proxy.loop.Now()
 	offer := restartproto.ConnectionOffer{
@@ -134,7 +137,7 @@
 
 // Packet is part of eventloop.PacketOwner: the successor's answer to an offer.
 func (t *transferSender) Packet(_ *eventloop.Packets, b []byte, fds []int) {
-	closeDescriptors(fds) // none are expected
+	closeDescriptors(fds) // answers come without descriptors
 	id, accepted, err := restartproto.DecodeAnswer(b)
 	if err != nil || !t.plan.Answered(id, accepted) {
 		t.proxy.log.WithError(err).Warn("hot restart: unexpected answer from successor")
@@ -154,7 +157,7 @@
 	}
 }
 
-// reclaim takes a connection back that the successor does not have.
+// reclaim resumes a connection that the successor has not accepted, and moves it if the plan has started draining.
 func (t *transferSender) reclaim(r *request) {
 	r.transition(stateEstablished)
 	r.readClient()
@@ -166,8 +169,8 @@
 	}
 }
 
-// Ended is part of eventloop.PacketOwner. The successor answers before it has a connection: what it has not accepted is
-// still ours.
+// Ended is part of eventloop.PacketOwner: the link to the successor is closed. The successor owns a connection only
+// after it has sent its acceptance, so all connections whose offers are unanswered still belong to this process.
 func (t *transferSender) Ended(link *eventloop.Packets) {
 	link.Close()
 	for _, id := range t.plan.LinkClosed() {
@@ -178,14 +181,14 @@
 	t.moveUntransferred()
 }
 
-// moveUntransferred moves what was not transferred, once the plan says so.
+// moveUntransferred moves the connections that were not transferred, when the plan decides to.
 func (t *transferSender) moveUntransferred() {
 	move, offersPending := t.plan.DrainRest(t.proxy.loop.Now())
 	if !move {
 		return
 	}
 	if offersPending {
-		t.link.Shut() // answers under way still count, then Ended takes the rest back
+		t.link.Shut() // answers already sent still count; Ended then reclaims the other connections
 	}
 	p := t.proxy
 	p.log.WithField(logging.TransferredOut, p.stats.transferredOut).
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -12,13 +12,13 @@
 	"spurspread/internal/restartproto"
 )
 
-// transferReceiver accepts connections that an older process transfers to this one.
+// transferReceiver accepts connections that a predecessor transfers to this process.
 type transferReceiver struct{ proxy *Proxy }
 
 // Ended is part of eventloop.PacketOwner.
 func (transferReceiver) Ended(link *eventloop.Packets) { link.Close() }
 
-// Packet is part of eventloop.PacketOwner: one offered connection, with its two sockets.
+// Packet is part of eventloop.PacketOwner: the offer of one connection, with its two sockets.
 func (t transferReceiver) Packet(link *eventloop.Packets, b []byte, fds []int) {
 	p := t.proxy
 	offer, err := restartproto.DecodeOffer(b)
@@ -35,7 +35,7 @@
 		return
 	}
 	if link.Send(restartproto.EncodeAnswer(offer.Ref, true)) != nil {
-		// The older process has it back.
+		// The acceptance was not sent: the predecessor still owns the connection.
 		p.requests.ids.Finish(offer.ID)
 		r.releaseSockets()
 		p.requests.slots.Drop(r.ref)
@@ -45,7 +45,7 @@
 	p.core.dispatch(decision.ExistingConnection{Request: r.decisionRequest(), Server: r.attempt.server.Number})
 }
 
-// accepts reports whether an offer is accepted that came with so many sockets.
+// accepts reports whether an offer is accepted that arrived with the given number of sockets.
 func (t transferReceiver) accepts(offer *restartproto.ConnectionOffer, sockets int) bool {
 	p := t.proxy
 	return hotrestart.AcceptTransfer(hotrestart.OfferedConnection{
@@ -57,8 +57,8 @@
 	})
 }
 
-// adoptConnection builds the request of an offered connection, without reading from it yet. It returns nil, with the
-// sockets closed, where that fails.
+// adoptConnection creates the request of an offered connection, without reading from it yet. On failure it closes the
+// sockets and returns nil.
 func (p *Proxy) adoptConnection(offer *restartproto.ConnectionOffer, fds []int) *request {
 	client := &downstreamConn{proxy: p}
 	r := p.transferredRequest(offer, client)
@@ -87,7 +87,7 @@
 	return r
 }
 
-// transferredRequest is the request of an offered connection, without its sockets. It is established from the start.
+// transferredRequest returns the request of an offered connection, in stateEstablished and without its sockets.
 func (p *Proxy) transferredRequest(offer *restartproto.ConnectionOffer, client *downstreamConn) *request {
 	now := p.loop.Now()
 	r := &request{
--- a/internal/proxy/unserved.go
+++ b/internal/proxy/unserved.go
@@ -13,22 +13,22 @@
 	"spurspread/internal/logging"
 )
 
-// unreadClass stands in the statistics for the class of a request whose first line was not understood.
+// unreadClass is the class in the statistics for requests whose class could not be determined.
 const unreadClass = "unread"
 
-// maxUnservedClasses bounds the classes that are counted by name, beside unreadClass: reloaded settings may bring ever
-// new ones. Further ones are counted under otherClass.
+// maxUnservedClasses limits the classes counted by name, not counting unreadClass, because every reload of the settings
+// may add new ones. Further classes are counted as otherClass.
 const (
 	maxUnservedClasses = 64
 	otherClass         = "other"
 )
 
-// unservedCounters count the final answers that the balancer itself gave, by class and cause.
+// unservedCounters counts the final answers that the balancer itself gave, by class and cause.
 type unservedCounters struct {
 	byClass map[string]*[answercause.Count]int
 }
 
-// add counts one. The class is empty where the first line was not understood.
+// add counts one answer. class is empty if it could not be determined.
 func (u *unservedCounters) add(class string, cause answercause.Cause) {
 	if class == "" {
 		class = unreadClass
@@ -47,17 +47,18 @@
 	u.byClass[class][cause]++
 }
 
-// clientFaultLogInterval is the least time between two log lines about clients that don't keep to the protocol: there
-// may be any number of them.
+// clientFaultLogInterval is the minimum interval between log messages about clients that violate the protocol, since
+// there may be any number of them.
 const clientFaultLogInterval = 1 * monotime.Second
 
-// clientFaultLog is what is needed to log few of many clients' faults.
+// clientFaultLog is the state of the rate limit for log messages about client faults.
 type clientFaultLog struct {
-	loggedAt   monotime.Micros // 0: never
-	suppressed int             // faults since then
+	loggedAt   monotime.Micros // time of the last message; 0 for none
+	suppressed int             // faults not logged since then
 }
 
-// countUnserved counts a final answer that the balancer itself gave, and logs the cause where it is the client's fault.
+// countUnserved counts a final answer that the balancer itself gave. If the cause is a fault of the client, it also
+// logs it, subject to clientFaultLogInterval.
 func (p *Proxy) countUnserved(class string, cause answercause.Cause) {
 	p.stats.unserved.add(class, cause)
 	if !cause.ClientFault() {
@@ -75,14 +76,14 @@
 	*faults = clientFaultLog{loggedAt: now}
 }
 
-// unservedCount is one counter that is not 0.
+// unservedCount is one non-zero counter.
 type unservedCount struct {
 	class string
 	cause answercause.Cause
 	count int
 }
 
-// counts returns what was counted, in the order of classes and causes.
+// counts returns the non-zero counters, sorted by class and cause.
 func (u *unservedCounters) counts() []unservedCount {
 	var all []unservedCount
 	for class, counters := range u.byClass {
@@ -98,14 +99,14 @@
 	return all
 }
 
-// addTo adds a field for each counter that is not 0.
+// addTo adds a log field for each non-zero counter.
 func (u *unservedCounters) addTo(fields logrus.Fields) {
 	for _, c := range u.counts() {
 		fields[logging.Unserved+c.cause.String()+"_"+c.class] = c.count
 	}
 }
 
-// text is all counters that are not 0, on one line.
+// text returns all non-zero counters on one line, as class/cause=count.
 func (u *unservedCounters) text() string {
 	var words []string
 	for _, c := range u.counts() {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -9,10 +9,10 @@
 	"spurspread/internal/eventloop"
 )
 
-// errNoAddress is the error of a dial to a server that is not listed, or is listed without an address.
+// errNoAddress is returned by dialServer for a server that is not listed or is listed without an address.
 var errNoAddress = errors.New("server has no address")
 
-// dialServer starts a connection to a server, for an attempt, a probe or a multiplexed connection.
+// dialServer starts connecting to a server, for an attempt, a probe or a multiplexed connection. server may be nil.
 func (p *Proxy) dialServer(server *discovery.Server, owner eventloop.Owner) (*eventloop.Conn, error) {
 	if server == nil || !server.Addr.IsValid() {
 		return nil, errNoAddress
@@ -20,7 +20,7 @@
 	return p.loop.Dial(server.Addr, owner)
 }
 
-// dialOutcome is the outcome of a dial that failed at once.
+// dialOutcome returns the outcome of an attempt or probe whose dial failed immediately.
 func dialOutcome(err error) outcome.Status {
 	return attemptoutcome.OfFailedDial(eventloop.IsResourceExhausted(err))
 }
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -10,8 +10,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// startOnMux has the attempt go over a multiplexed connection, if the pool has or opens one for its server. It returns
-// false if the attempt is to have a connection of its own.
+// startOnMux starts the attempt on a multiplexed connection to its server, as the pool decides. It returns false if the
+// server speaks plain lines only and the attempt needs a connection of its own.
 func (a *attempt) startOnMux() bool {
 	p := a.proxy
 	now := p.loop.Now()
@@ -23,7 +23,7 @@
 		a.endNextTurn(outcome.ServerFull)
 		return true
 	case upstreampool.BackingOff:
-		a.failureShared = true // the failed connection's own end was the evidence
+		a.failureShared = true // the failed connection was already counted against the server
 		a.endNextTurn(outcome.ConnectFailed)
 		return true
 	case upstreampool.Use, upstreampool.WaitForOpen:
@@ -37,7 +37,8 @@
 	return true
 }
 
-// joinMux has the attempt use the connection, at once or as soon as it is ready. c is nil if it is gone already.
+// joinMux assigns the attempt to a connection, on which it opens its channel at once or when the connection is ready. c
+// is nil if the connection has already failed.
 func (a *attempt) joinMux(c *muxUpstreamConn, kind upstreampool.Kind) {
 	if c == nil {
 		a.endNextTurn(outcome.ConnectFailed)
@@ -55,7 +56,7 @@
 	a.timer = p.loop.After(wait, func() { a.end(outcome.ConnectFailed) })
 }
 
-// openChannel opens the attempt's channel on its connection, which is ready, with the request as the data.
+// openChannel opens the attempt's channel on its connection, which must be ready, with the request as the data.
 func (a *attempt) openChannel() {
 	head, wait, tail := a.requestLine()
 	line := make([]byte, 0, len(head)+len(wait)+len(tail))
@@ -69,7 +70,7 @@
 	}
 	a.upstream = ch
 	a.connected = true
-	// What the kernel has not taken yet may still go out: only what was never opened can't have been executed.
+	// Data that the kernel has not taken yet may still be sent, so from here on the request may have been executed.
 	a.written = true
 	a.timer = a.proxy.loop.After(a.deadline-a.proxy.loop.Now(), func() { a.end(outcome.TimedOut) })
 }
@@ -80,7 +81,7 @@
 // Confirmed is part of mux.ChannelOwner: the server has accepted the request.
 func (k upstreamChannel) Confirmed(data []byte) { k.attempt.handleAnswer(bytes.Clone(data)) }
 
-// Rejected is part of mux.ChannelOwner.
+// Rejected is part of mux.ChannelOwner: the server has rejected the request, or the connection has failed.
 func (k upstreamChannel) Rejected(code uint32, description []byte) {
 	if k.attempt.muxConn.closed {
 		k.attempt.end(outcome.Reset)
@@ -89,8 +90,8 @@
 	k.attempt.handleAnswer(rejectionLine(code, description))
 }
 
-// rejectionLine is the line that a server would have sent in place of a rejection. Its description is the line, unless
-// it is missing or is one that accepts.
+// rejectionLine converts the rejection of a channel to the answer line of the plain protocol. The description is that
+// line, unless it is empty or an UP line; then the code decides between BUSY and ERR.
 func rejectionLine(code uint32, description []byte) []byte {
 	verb, _ := lineproto.ParseServerLine(description)
 	switch {
@@ -108,7 +109,8 @@
 // Flushed is part of mux.ChannelOwner.
 func (k upstreamChannel) Flushed() { k.attempt.upstreamFlushed() }
 
-// Requested is part of mux.ChannelOwner: a server that drains sends the client away.
+// Requested is part of mux.ChannelOwner. The only known request is channel.Move, by which a draining server moves its
+// client.
 func (k upstreamChannel) Requested(name, _ []byte) bool {
 	if string(name) != channel.Move {
 		return false
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -16,23 +16,24 @@
 	"spurspread/internal/mux"
 )
 
-// retireInterval is how often idle upstream connections are looked for.
+// retireInterval is the interval between checks for idle upstream connections.
 const retireInterval = monotime.Second
 
-// muxUpstreams owns the multiplexed upstream connections. How many there are, and which one an attempt takes, is
-// decided by the pool.
+// muxUpstreams owns the multiplexed upstream connections. The pool decides how many there are and which one an attempt
+// uses.
 type muxUpstreams struct {
 	proxy   *Proxy
 	pool    *upstreampool.Pool // nil until channels are turned on
 	conns   map[uint32]*muxUpstreamConn
-	idleIDs []uint32 // reused from look to look
+	idleIDs []uint32 // buffer, reused by retireIdle
 }
 
 func newMuxUpstreams(p *Proxy) muxUpstreams {
 	return muxUpstreams{proxy: p, conns: map[uint32]*muxUpstreamConn{}}
 }
 
-// open dials a connection that the pool has decided on. A failure at once is handled in a later turn.
+// open dials a connection that the pool has decided to open. An immediate failure is handled in a later turn of the
+// event loop.
 func (u *muxUpstreams) open(server *discovery.Server, id uint32) {
 	p := u.proxy
 	p.listener.evictIdle()
@@ -55,7 +56,7 @@
 	)
 }
 
-// retireIdle closes connections that have carried nothing for long.
+// retireIdle closes the connections that have had no channel for the pool's idle timeout, and reschedules itself.
 func (u *muxUpstreams) retireIdle() {
 	u.proxy.loop.After(retireInterval, u.retireIdle)
 	u.idleIDs = u.pool.IdleConnections(u.proxy.loop.Now(), u.idleIDs[:0])
@@ -68,20 +69,20 @@
 	}
 }
 
-// muxUpstreamConn is a multiplexed connection to a server. Attempts share it, with a channel each.
+// muxUpstreamConn is a multiplexed connection to a server, on which each attempt has a channel.
 type muxUpstreamConn struct {
 	proxy        *Proxy
-	id           uint32 // in the pool
+	id           uint32 // id in the pool
 	server       *discovery.Server
 	conn         *eventloop.Conn
-	mux          *mux.Conn         // nil until it is connected
-	waiting      []*attempt        // for it to be ready
-	attempts     map[*attempt]bool // all on it
-	timer        eventloop.Ref     // of its set-up, then of checkAlive
+	mux          *mux.Conn         // nil until connected
+	waiting      []*attempt        // attempts that wait until the connection is ready
+	attempts     map[*attempt]bool // all attempts on the connection, waiting ones included
+	timer        eventloop.Ref     // set-up timeout, then the next checkAlive
 	lastReceived monotime.Micros
 	lastPing     monotime.Micros
 	failure      attemptoutcome.SharedFailure
-	failing      bool // attempts end because it fails
+	failing      bool // attempts are being ended because the connection fails
 	closed       bool
 }
 
@@ -131,7 +132,7 @@
 	c.proxy.loop.After(0, func() { c.Readable(conn) })
 }
 
-// handleProtocolError handles an error of the channel protocol.
+// handleProtocolError handles an error from the channel protocol, including the server's DISCONNECT.
 func (c *muxUpstreamConn) handleProtocolError(err error) {
 	if errors.Is(err, mux.ErrNotSSH) {
 		c.revertToPlain(true)
@@ -151,8 +152,8 @@
 	c.fail(outcome.Reset, graceful)
 }
 
-// revertToPlain gives the waiting attempts connections of their own: the server does not speak channels, and no request
-// was written to it yet. confirmed is false where it might only have died.
+// revertToPlain dials connections of their own for the waiting attempts, because the server does not speak channels; no
+// request has been written to it yet. confirmed is false if the server may merely have failed.
 func (c *muxUpstreamConn) revertToPlain(confirmed bool) {
 	c.proxy.upstreams.pool.MarkPlain(c.proxy.loop.Now(), c.id, confirmed)
 	waiting := c.release()
@@ -163,7 +164,8 @@
 	}
 }
 
-// fail ends the connection and all attempts on it.
+// fail closes the connection and ends all attempts on it with status. graceful reports whether the connection ended
+// with EOF or DISCONNECT.
 func (c *muxUpstreamConn) fail(status outcome.Status, graceful bool) {
 	if c.closed {
 		return
@@ -184,7 +186,7 @@
 	}
 }
 
-// release closes the connection and returns the attempts that still waited for it.
+// release closes the connection and returns the attempts that were still waiting for it.
 func (c *muxUpstreamConn) release() []*attempt {
 	c.closed = true
 	c.proxy.loop.Cancel(&c.timer)
@@ -195,7 +197,7 @@
 	return waiting
 }
 
-// releaseAttempt takes an attempt off the connection, which ends.
+// releaseAttempt removes an attempt that is ending from the connection, and records whether its failure is shared.
 func (c *muxUpstreamConn) releaseAttempt(a *attempt) {
 	delete(c.attempts, a)
 	c.proxy.upstreams.pool.Release(c.proxy.loop.Now(), c.id)
@@ -226,18 +228,19 @@
 	}
 }
 
-// Admit is part of mux.Owner: servers open no channels.
+// Admit is part of mux.Owner. It refuses every channel, since servers may not open any.
 func (c *muxUpstreamConn) Admit([]byte) (uint32, string) { return channel.Prohibited, "ERR" }
 
-// Open is part of mux.Owner: servers open no channels.
+// Open is part of mux.Owner. It rejects every channel, since servers may not open any.
 func (c *muxUpstreamConn) Open(ch *mux.Channel, _ []byte) {
 	ch.Reject(channel.Prohibited, []byte("ERR"))
 }
 
-// Alive is part of mux.Owner.
+// Alive is part of mux.Owner. It does nothing: Readable records the arrival of any data as a sign of life.
 func (c *muxUpstreamConn) Alive() {}
 
-// checkAlive asks a server that carries channels for signs of life, and gives up one that shows none.
+// checkAlive pings a server that has channels on this connection, and fails the connection if nothing arrives. It
+// reschedules itself.
 func (c *muxUpstreamConn) checkAlive() {
 	if c.closed {
 		return
@@ -259,7 +262,7 @@
 	}
 }
 
-// failUnresponsive moves the clients of a server that sends nothing any more, and gives the connection up.
+// failUnresponsive moves the clients of a server that no longer sends anything, and fails the connection.
 func (c *muxUpstreamConn) failUnresponsive() {
 	c.proxy.stats.unresponsive++
 	c.failing = true
