--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -137,6 +137,6 @@
 	if !cfg.limits.adminAddr.IsValid() {
 		return nil
 	}
-	_, err := admin.Listen(p.loop, cfg.limits.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCall))
+	_, err := admin.Listen(p.loop, cfg.limits.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCommand))
 	return err
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -149,9 +149,9 @@
 }
 
 // recheckBeforeWrite checks whether the request may still be written; if not, it ends the attempt and returns false.
-// While the attempt was connecting, the client may have closed its connection, which this event loop turn may not have
-// read yet, or the write deadline may have passed. Changes of the server list need no check here:
-// requestTable.handleServerListUpdate ends the attempts concerned at once.
+// While the attempt was connecting, the write deadline may have passed, or the client may have closed its connection
+// and the EOF is still unread. Changes of the server list need no check here: requestTable.handleServerListUpdate ends
+// the attempts concerned at once.
 func (a *attempt) recheckBeforeWrite() bool {
 	a.request.readClient()
 	if a.ended {
@@ -164,8 +164,8 @@
 	return true
 }
 
-// requestLine returns the first line for the server, in three parts: the client's line byte for byte, with the client's
-// deadline (wait) replaced by the attempt's.
+// requestLine returns the first line for the server in three parts: the client's line byte for byte, except that wait,
+// the time left until the attempt's deadline in milliseconds, replaces the client's deadline.
 func (a *attempt) requestLine() (head, wait, tail []byte) {
 	const digits = 20 // of the largest int64
 	line, open := a.request.firstLine, &a.request.open
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -98,7 +98,7 @@
 	return false
 }
 
-// handleClientClosed handles the end of the client's side, a plain one or a reset.
+// handleClientClosed handles EOF (graceful) or a read error from the client.
 func (m *muxDownstreamConn) handleClientClosed(graceful bool) {
 	if m.closed {
 		return
@@ -116,8 +116,8 @@
 	m.conn.closeGracefully()
 }
 
-// release ends all requests on the connection, without closing it. graceful reports whether it ended with EOF or in
-// order.
+// release ends all requests on the connection, without closing its socket. graceful reports whether the connection
+// ended with EOF or DISCONNECT rather than with an error.
 func (m *muxDownstreamConn) release(graceful bool) {
 	m.closed = true
 	delete(m.conn.proxy.listener.muxConns, m)
@@ -151,20 +151,20 @@
 	m.conn.startTimer(keepalive.DownstreamCheckInterval(idle), m.checkIdle)
 }
 
-// closeIfUnused disconnects a client without requests because the balancer stops or drains.
+// closeIfUnused disconnects the client if it has no requests, because the balancer stops or is a lame duck.
 func (m *muxDownstreamConn) closeIfUnused() {
 	if m.requests == 0 && !m.closed {
 		m.disconnect("the balancer stops")
 	}
 }
 
-// Ready is part of mux.Owner.
+// Ready is part of mux.Owner. It does nothing: feed checks whether the connection is ready.
 func (m *muxDownstreamConn) Ready() {}
 
 // Alive is part of mux.Owner. It does nothing: feed records the arrival of any data as a sign of life.
 func (m *muxDownstreamConn) Alive() {}
 
-// Admit is part of mux.Owner: it decides whether the client may open a channel.
+// Admit is part of mux.Owner: it decides whether the client may open a channel. Code 0 admits it.
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
 	p := m.conn.proxy
 	cfg := p.cfg.Channels
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -31,8 +31,8 @@
 	return lifecycle.Serving
 }
 
-// handleAdminCall starts or cancels the drain of a lame duck and returns the reply.
-func (d *drain) handleAdminCall(command lifecycle.CommandKind) string {
+// handleAdminCommand starts or cancels the drain of a lame duck and returns the reply.
+func (d *drain) handleAdminCommand(command lifecycle.CommandKind) string {
 	log := d.proxy.log
 	transition := lifecycle.Apply(d.lifecycleState(), command)
 	if !transition.Changed {
@@ -50,9 +50,9 @@
 	return transition.Reply
 }
 
-// stop implements Proxy.Drain. If the process was a lame duck, connections that it still has are moved sooner than
+// shutDown implements Proxy.Drain. If the process was a lame duck, connections that it still has are moved sooner than
 // scheduled.
-func (d *drain) stop() {
+func (d *drain) shutDown() {
 	if d.stopping {
 		return
 	}
@@ -143,7 +143,7 @@
 	})
 }
 
-// answerRemaining requests the final answers of pending requests and moves the connections established in the meantime.
+// answerRemaining has all pending requests answered at once and moves the connections established in the meantime.
 func (d *drain) answerRemaining() {
 	for r := range d.proxy.requests.all {
 		if r.state == statePending {
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -13,7 +13,7 @@
 
 // adminCall makes a command of the admin listener on the loop and returns its answer.
 func (g *harness) adminCall(c lifecycle.CommandKind) (answer string) {
-	g.inLoop(func() { answer = g.proxy.HandleAdminCall(c) })
+	g.inLoop(func() { answer = g.proxy.HandleAdminCommand(c) })
 	return answer
 }
 
@@ -80,8 +80,8 @@
 	g := newHarness(t, 1, sendToFirst, nil)
 	client, server := g.establish()
 	g.inLoop(func() {
-		g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
-		g.proxy.HandleAdminCall(lifecycle.CommandRejoin)
+		g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
+		g.proxy.HandleAdminCommand(lifecycle.CommandRejoin)
 	})
 	time.Sleep(3500 * time.Millisecond) // past all that the drain had planned
 	server.say("LINE 1\r\n")
@@ -109,7 +109,7 @@
 		clients = append(clients, c)
 	}
 	g.inLoop(func() {
-		g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
+		g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
 		g.proxy.Drain()
 	})
 	for i, c := range clients {
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -84,8 +84,8 @@
 	return messagedelay.SlowLimit(objectives)
 }
 
-// report notifies the core of a server's message latency, if a report is due. The event names one of the connections
-// established there, as the core expects.
+// report notifies the core of a server's message latency, if a report is due. The event carries the id of one of the
+// connections established there.
 func (t *latencyTable) report(now monotime.Micros, number uint32, server *serverLatency, limit monotime.Micros) {
 	r := server.anyEstablished() // nil if an earlier report has moved the last one
 	latency, due := server.delay.Report(now, limit, r != nil)
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -24,7 +24,7 @@
 	return listener{proxy: p, muxConns: map[*muxDownstreamConn]bool{}}
 }
 
-// listen opens the listening socket with an address that predecessor and successor can share during a hot restart.
+// listen opens the listening socket. During a hot restart predecessor and successor listen on the same address.
 func (l *listener) listen(addr netip.AddrPort) (err error) {
 	l.socket, err = l.proxy.loop.ListenShared(addr, l.accept)
 	return err
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,6 +73,7 @@
 	return start(l, cfg, log, decision.New(cfg.Settings.Decision, cfg.Seed, l.Now()))
 }
 
+// start is New with a given decision core.
 func start(l *eventloop.Loop, cfg Config, log *logrus.Logger, core decisionCore) (*Proxy, error) {
 	p := newProxy(l, cfg, log, core)
 	p.updateBufferLimits()
@@ -116,7 +117,7 @@
 
 // Drain starts a planned stop: new requests are rejected, pending requests get their final answer, every established
 // connection is moved, and then the loop stops.
-func (p *Proxy) Drain() { p.drain.stop() }
+func (p *Proxy) Drain() { p.drain.shutDown() }
 
 // HotRestart stops like Drain, but hands over to a successor, the process pid, which listens on the same port and
 // accepts established connections at the Unix socket path. Connections that can't be transferred are moved.
@@ -125,12 +126,12 @@
 // LifecycleState returns whether the proxy is serving, a lame duck, or stopping.
 func (p *Proxy) LifecycleState() lifecycle.State { return p.drain.lifecycleState() }
 
-// HandleAdminCall carries out a command of the admin listener and returns the reply, without the line end.
-func (p *Proxy) HandleAdminCall(command lifecycle.CommandKind) string {
+// HandleAdminCommand carries out a command of the admin listener and returns the reply, without the line end.
+func (p *Proxy) HandleAdminCommand(command lifecycle.CommandKind) string {
 	if command == lifecycle.CommandUnserved {
 		return strings.TrimSpace("+OK " + p.stats.unserved.text())
 	}
-	return p.drain.handleAdminCall(command)
+	return p.drain.handleAdminCommand(command)
 }
 
 // AcceptTransfers listens at the Unix socket path for established connections that a predecessor transfers in a hot
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -30,7 +30,7 @@
 	class       int             // index in classNames, or unknownClass
 	classNames  []string        // of the settings when the request arrived
 	retryPolicy retry.Policy    // of the class, when the request arrived
-	deadline    monotime.Micros // time by which the client expects the final answer
+	deadline    monotime.Micros // time by which the client must have its final answer
 
 	attempt  *attempt // current or established attempt; nil for none
 	attempts int      // number of attempts started
@@ -162,7 +162,7 @@
 	r.expire()
 }
 
-// expire requests the final answer at once from the decision core, which decides whether the client may retry. If the
+// expire asks the decision core for the final answer at once; the core decides whether the client may retry. If the
 // core does not answer, the request fails.
 func (r *request) expire() {
 	r.proxy.core.dispatch(decision.RequestExpired{ID: uint32(r.ref)})
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -157,8 +157,8 @@
 }
 
 // checkContinuation reads the sequence number in a server's UP line for a client that takes tokens. If the client
-// presented a token and the server does not continue right after the client's cursor, the client would miss messages:
-// then it ends the attempt and returns false.
+// presented a token and the server does not continue right after the client's cursor, the client would miss messages
+// or receive some twice: then it ends the attempt and returns false.
 func (r *request) checkContinuation(up []byte) bool {
 	x := r.resumable
 	if x == nil {
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// saveListDelay is the delay before a changed list is saved; changes usually come several at a time.
+	// saveListDelay is the delay before a changed list is saved, since several changes usually arrive together.
 	saveListDelay = 200 * monotime.Millisecond
 	// maxMachineType is the largest number of a machine type; all further types share it.
 	maxMachineType = 65535
 )
 
 // serverDirectory owns the discovery client and the server list. It reports changes to the decision core, to unanswered
-// requests, to the resumption, and to Config.SaveList.
+// requests, to resumption, and to Config.SaveList.
 type serverDirectory struct {
 	proxy         *Proxy
 	list          *discovery.ServerList
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -309,9 +309,9 @@
 func TestAnswerWhileLeaving(t *testing.T) {
 	for name, leave := range map[string]func(*harness){
 		"stop":      func(g *harness) { g.proxy.Drain() },
-		"lame duck": func(g *harness) { g.proxy.HandleAdminCall(lifecycle.CommandLameDuck) },
+		"lame duck": func(g *harness) { g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck) },
 		"lame duck, then stop": func(g *harness) {
-			g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
+			g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
 			g.proxy.Drain()
 		},
 		"hand-over to nobody": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
--- a/internal/proxy/unserved_test.go
+++ b/internal/proxy/unserved_test.go
@@ -30,7 +30,7 @@
 		g.proxy.drain.active, g.proxy.drain.stopping = false, false
 		want := "+OK sync/no_capacity=1 sync/shutting_down=1 " +
 			"unread/malformed=1 unread/unknown_class=1 unread/duplicate_id=1 unread/client_too_early=1"
-		if got := g.proxy.HandleAdminCall(lifecycle.CommandUnserved); got != want {
+		if got := g.proxy.HandleAdminCommand(lifecycle.CommandUnserved); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 		fields := logrus.Fields{}
