--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// newAttempt starts an attempt, on a multiplexed connection or on a connection of its own.
+// newAttempt starts an attempt, on a multiplexed or a dedicated connection.
 func newAttempt(r *request, server *discovery.Server, limits attemptLimits) *attempt {
 	p := r.proxy
 	now := p.loop.Now()
@@ -114,7 +114,7 @@
 	})
 }
 
-// dial starts a connection of the attempt's own to the server.
+// dial starts a dedicated connection to the server.
 func (a *attempt) dial() {
 	p := a.proxy
 	p.listener.evictIdle()
--- a/internal/proxy/channel_config.go
+++ b/internal/proxy/channel_config.go
@@ -25,8 +25,8 @@
 	// SetupTimeout limits the time from the greeting until the client requests the service.
 	SetupTimeout monotime.Micros
 	// IdleTimeout is the time after which a client's connection is closed if it has no channels and nothing arrives. If
-	// it has channels, the client is pinged shortly before, and the connection closed if nothing arrives for as long
-	// again.
+	// it has channels, the client is pinged shortly before, and the connection is closed if nothing arrives within
+	// another IdleTimeout.
 	IdleTimeout monotime.Micros
 	// Pool limits the multiplexed upstream connections.
 	Pool upstreampool.Limits
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -19,6 +19,6 @@
 //   - dispatcher: the event queue of the decision core
 //
 // A downstream connection (downstreamConn), or each channel of a multiplexed one (downstreamChannel), carries one
-// request. A request has at most one attempt at a time, and an attempt uses either an upstream connection of its own or
-// a channel (upstreamChannel) of a multiplexed one. request_state.go lists the states of a request.
+// request. A request has at most one attempt at a time, and an attempt uses either a dedicated upstream connection or a
+// channel (upstreamChannel) of a multiplexed one. request_state.go lists the states of a request.
 package proxy
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -15,8 +15,8 @@
 	"spurspread/internal/lineproto"
 )
 
-// transport is one side of a request, downstream or upstream: a connection of its own or a channel of a multiplexed
-// connection. The methods have the semantics of eventloop.Conn.
+// transport is one side of a request, downstream or upstream: a dedicated connection or a channel of a multiplexed
+// one. The methods have the semantics of eventloop.Conn.
 type transport interface {
 	Read(b []byte) (int, error)
 	Write(parts ...[]byte)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -143,7 +143,7 @@
 	})
 }
 
-// answerRemaining has all pending requests answered at once and moves the connections established in the meantime.
+// answerRemaining has all pending requests answered at once and moves the connections established since it began.
 func (d *drain) answerRemaining() {
 	for r := range d.proxy.requests.all {
 		if r.state == statePending {
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -156,7 +156,7 @@
 		return
 	}
 	if r.clientStalled {
-		// The server was not read in the meantime, so the replies that are late now don't count against it.
+		// The server was not read while the client was stalled, so late replies don't count against it.
 		r.clientStalled = false
 		r.lastReply = r.proxy.loop.Now()
 		r.removeAnswered(len(r.sentAt))
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,7 +11,7 @@
 	"spurspread/internal/lineproto"
 )
 
-// healthProbe is one probe of a server, on a connection of its own. It ends exactly once and reports one result to the
+// healthProbe is one probe of a server, on a dedicated connection. It ends exactly once and reports one result to the
 // decision core.
 type healthProbe struct {
 	proxy     *Proxy
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -11,7 +11,7 @@
 )
 
 // startOnMux starts the attempt on a multiplexed connection to its server, as the pool decides. It returns false if the
-// server speaks plain lines only and the attempt needs a connection of its own.
+// server speaks plain lines only and the attempt needs a dedicated connection.
 func (a *attempt) startOnMux() bool {
 	p := a.proxy
 	now := p.loop.Now()
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -152,7 +152,7 @@
 	c.fail(outcome.Reset, graceful)
 }
 
-// revertToPlain dials connections of their own for the waiting attempts, because the server does not speak channels; no
+// revertToPlain dials a dedicated connection for each waiting attempt, because the server does not speak channels; no
 // request has been written to it yet. confirmed is false if the server may merely have failed.
 func (c *muxUpstreamConn) revertToPlain(confirmed bool) {
 	c.proxy.upstreams.pool.MarkPlain(c.proxy.loop.Now(), c.id, confirmed)
