--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -16,41 +16,42 @@
 	"spurspread/internal/token"
 )
 
-// streamIDSequence sets the random sequence of stream ids apart from others with the same seed.
+// streamIDSequence separates the random sequence of stream ids from others with the same seed.
 const streamIDSequence = 0x73747265616d
 
-// ResumeConfig has connections that are moved carry a token, with which they continue where they were;
-// docs/protocol/resume.md has the protocol. It concerns clients that ask for tokens, and nobody else.
+// ResumeConfig configures resumable streams: a client that is moved receives a token, with which it continues its
+// stream on another connection. See docs/protocol/resume.md for the protocol. It affects only clients that ask for
+// tokens.
 type ResumeConfig struct {
-	// Ring has the keys that tokens are sealed with; the deployment shares them.
-	Ring *token.Ring
-	// TokenLifetime is how long a token is valid, in milliseconds.
+	// KeyRing holds the keys that seal tokens; all balancers of the deployment share them.
+	KeyRing *token.Ring
+	// TokenLifetime is the validity period of a token, in milliseconds.
 	TokenLifetime int64
-	// ClockSkew is how far clocks may differ, in milliseconds. A larger one accepts tokens for longer.
+	// ClockSkew is the tolerated difference between clocks, in milliseconds. A larger value accepts tokens for longer.
 	ClockSkew int64
-	// MaxClaims is how many presented tokens are remembered at once, so that none is accepted twice. Beyond it tokens
-	// are rejected.
+	// MaxClaims limits the presented tokens that are remembered so that none is accepted twice. When the limit is
+	// reached, further tokens are rejected.
 	MaxClaims int
-	// DrainSpread is the time over which connections are moved off a draining server.
+	// DrainSpread is the time over which the moves of connections off a draining server are spread.
 	DrainSpread monotime.Micros
 }
 
-// resumption owns the tokens of resumable streams, and the order in which such streams are moved off draining servers.
-// What it knows of tokens outlasts a reload, also one that turns it off.
+// resumption issues and validates the tokens of resumable streams, and schedules the moves of such streams off draining
+// servers. Its record of used tokens is kept across reloads, including one that turns resumption off.
 type resumption struct {
 	proxy        *Proxy
 	cfg          *ResumeConfig
-	tokens       *resume.Validator // nil until it is turned on
+	tokens       *resume.Validator // nil until resumption is first turned on
 	drains       *drainorder.Plan
 	drainTimer   eventloop.Ref
-	due          []uint32    // reused from move to move
-	opened       token.Token // reused from token to token
+	dueIDs       []uint32    // buffer, reused by moveDueStreams
+	openedToken  token.Token // token most recently opened by openToken
 	tokensIssued int
 	resumed      int
 	streamIDs    *rand.Rand
 }
 
-// configure takes a configuration, nil for off.
+// configure applies a configuration; nil turns resumption off.
 func (s *resumption) configure(cfg *ResumeConfig, seed uint64) {
 	s.cfg = cfg
 	switch {
@@ -77,14 +78,15 @@
 	}
 }
 
-// now is the time in tokens.
+// now returns the current time in the unit of tokens.
 func (s *resumption) now() resume.UnixMillis {
 	return resume.UnixMillis(s.proxy.loop.Now() / monotime.Millisecond)
 }
 
-// openToken reads a token into s.opened and returns why it can't be accepted, Accepted where its seal holds.
+// openToken decrypts a token into s.openedToken. It returns Accepted if the seal is valid, else the reason to reject
+// the token.
 func (s *resumption) openToken(text []byte) resume.Reason {
-	err := s.cfg.Ring.Open(text, &s.opened)
+	err := s.cfg.KeyRing.Open(text, &s.openedToken)
 	switch {
 	case err == nil:
 		return resume.Accepted
@@ -96,9 +98,9 @@
 	return resume.Malformed
 }
 
-// grant is what the opened token allows.
+// grant returns the contents of openedToken for the validator.
 func (s *resumption) grant() resume.Grant {
-	t := &s.opened
+	t := &s.openedToken
 	return resume.Grant{
 		ID:              resume.ID(t.ID),
 		IssuedAt:        resume.UnixMillis(t.IssuedAt),
@@ -112,8 +114,8 @@
 	}
 }
 
-// listed is what the server list says of a token's server.
-func listed(server *discovery.Server) resume.ListedServer {
+// listedServer returns the listing of a token's server for the validator; a nil server counts as not ready.
+func listedServer(server *discovery.Server) resume.ListedServer {
 	if server == nil {
 		return resume.ListedServer{}
 	}
@@ -123,8 +125,9 @@
 	}
 }
 
-// followServerList has resumable streams moved off servers that began to drain, and no longer off those that don't.
-func (s *resumption) followServerList(update discovery.Update) {
+// handleServerListUpdate starts moving resumable streams off servers that began to drain, and stops moving them off
+// servers that are ready again or gone.
+func (s *resumption) handleServerListUpdate(update discovery.Update) {
 	if s.cfg == nil {
 		return
 	}
@@ -137,12 +140,12 @@
 			s.drains.StartDrain(s.proxy.loop.Now(), server.Number, streams, s.cfg.DrainSpread)
 		}
 	}
-	s.moveDue()
+	s.moveDueStreams()
 }
 
-// streamsAt are the resumable streams at a server.
+// streamsAt returns the resumable streams established at a server.
 func (s *resumption) streamsAt(server uint32) (streams []drainorder.Connection) {
-	for r := range s.proxy.latencies.of(server).established.each {
+	for r := range s.proxy.latencies.forServer(server).established.each {
 		if r.state == stateEstablished && r.resumable.canContinue() {
 			streams = append(streams, drainorder.Connection{ID: uint32(r.ref), Group: r.open.Group})
 		}
@@ -150,28 +153,28 @@
 	return streams
 }
 
-// joinDrain has a stream moved that is established at a server while others are moved off it.
-func (s *resumption) joinDrain(r *request) {
+// addToDrain schedules the move of a stream that was just established at a server that is being drained.
+func (s *resumption) addToDrain(r *request) {
 	if r.state != stateEstablished || !r.resumable.canContinue() {
 		return
 	}
 	if s.drains.AddConnection(s.proxy.loop.Now(), r.attempt.server.Number, uint32(r.ref)) {
-		s.moveDue()
+		s.moveDueStreams()
 	}
 }
 
-// moveDue moves the streams whose turn it is.
-func (s *resumption) moveDue() {
+// moveDueStreams moves the streams whose moves are due, and schedules itself for the next one.
+func (s *resumption) moveDueStreams() {
 	p := s.proxy
 	p.loop.Cancel(&s.drainTimer)
 	var next monotime.Micros
-	s.due, next = s.drains.Due(p.loop.Now(), s.due[:0])
-	for _, id := range s.due {
+	s.dueIDs, next = s.drains.Due(p.loop.Now(), s.dueIDs[:0])
+	for _, id := range s.dueIDs {
 		if r, ok := p.requests.get(id); ok {
-			r.moveAway(outcome.Cancelled, false)
+			r.startMove(outcome.Cancelled, false)
 		}
 	}
 	if next >= 0 {
-		s.drainTimer = p.loop.After(next-p.loop.Now(), s.moveDue)
+		s.drainTimer = p.loop.After(next-p.loop.Now(), s.moveDueStreams)
 	}
 }
