--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -134,7 +134,7 @@
 		}
 	}
 	if c.Out != "" {
-		if err := all.Keep(c.Out); err != nil {
+		if err := all.Save(c.Out); err != nil {
 			return err
 		}
 	}
--- a/cmd/spurspread/hotrestart_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -153,8 +153,8 @@
 	pairs := startServers(t, func(i int, _ string) { requests[i].Add(1) })
 	// the configuration's list is of generation 1
 	for i, state := range []string{discoveryserver.Ready, discoveryserver.Terminating} {
-		published.Set(discoveryserver.Entry{
-			ID: fmt.Sprint("toy-", 2-i), Addr: pairs[3-2*i], Zone: "here", Machine: "toy", Lifecycle: state,
+		published.Publish(discoveryserver.Entry{
+			ID: fmt.Sprint("toy-", 2-i), Addr: pairs[3-2*i], Zone: "here", MachineType: "toy", Lifecycle: state,
 			Weight: 1,
 		})
 	}
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -292,7 +292,7 @@
 	g.answered(again, true, 0, "UP r2 from=2")
 	twice, err := c.Open(trimmed(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word))
 	g.check(err)
-	g.answered(twice, false, sshchan.Failed, "STALE taken")
+	g.answered(twice, false, sshchan.ConnectFailed, "STALE taken")
 	if upstream.Err() != nil {
 		t.Error("the upstream connection ended with one of its channels:", upstream.Err())
 	}
@@ -327,9 +327,9 @@
 		g.check(err)
 		return ch
 	}
-	g.answered(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 70")
-	g.answered(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.Failed, "ERR")
-	g.answered(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.Failed, "ERR")
+	g.answered(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.ResourceShortage, "BUSY 70")
+	g.answered(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.ConnectFailed, "ERR")
+	g.answered(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.ConnectFailed, "ERR")
 	g.answered(open("PING"), false, 1, "ERR")
 	g.answered(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
 	stands := open("OPEN ID 3 c=sync,d=5000")
@@ -338,11 +338,11 @@
 	g.check(server.Confirm("UP r"))
 	g.answered(stands, true, 0, "UP r")
 	busy := open("OPEN ID 4 c=sync,d=5000")
-	g.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
-	g.answered(busy, false, sshchan.Failed, "ERR") // as this program answers an outcome
+	g.check(upstream.Accept().Refuse(sshchan.ResourceShortage, "BUSY"))
+	g.answered(busy, false, sshchan.ConnectFailed, "ERR") // as this program answers an outcome
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens were done: the bucket is empty. Later there is room for one more, and then three are held.
-	g.answered(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
+	g.answered(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.ResourceShortage, "BUSY 150")
 	if got := event[decision.AttemptEnded](g); got.Status != outcome.ServerFull {
 		t.Errorf("%+v", got)
 	}
@@ -370,15 +370,15 @@
 		"endless garbage": bytes.Repeat([]byte{0xee}, 100_000),
 	} {
 		c := g.connection()
-		_ = c.Raw(b) // it may be cut off meanwhile
+		_ = c.WriteRaw(b) // it may be cut off meanwhile
 		goodbye(what, c, "2 packet length is not one that may be")
 	}
 	c := g.connection()
-	g.check(c.Payload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
+	g.check(c.WritePayload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
 	goodbye("data on no channel", c, "2 message 94 for channel 9, which there is not")
 	c = g.connection()
-	g.check(c.Payload([]byte{21})) // NEWKEYS
-	g.check(c.Payload([]byte{200, 1, 2, 3}))
+	g.check(c.WritePayload([]byte{21})) // NEWKEYS
+	g.check(c.WritePayload([]byte{200, 1, 2, 3}))
 	ch, err := c.Open("OPEN 77 6 c=sync,d=5000")
 	g.check(err)
 	_ = ch
@@ -400,9 +400,9 @@
 	server.want("T 1\r\n")
 	server.say("OK\r\n")
 	client.want("OK\r\n")
-	for until := time.Now().Add(patience); c.Unknown() != 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); c.Unimplemented() != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d messages told to be unknown", c.Unknown())
+			t.Fatalf("%d messages told to be unknown", c.Unimplemented())
 		}
 	}
 }
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -29,8 +29,8 @@
 		g.answered(ch, true, 0, "UP r")
 		clients, servers = append(clients, g.overChannel(ch)), append(servers, g.overChannel(s))
 	}
-	clients[0].ch.Hold(true) // reads, but gives nothing back, as a reader that has stalled
-	servers[1].ch.Hold(true)
+	clients[0].ch.WithholdCredit(true) // reads, but gives nothing back, as a reader that has stalled
+	servers[1].ch.WithholdCredit(true)
 	line := strings.Repeat("x", 98) + "\r\n"
 	const lines = 20_000
 	for _, from := range []*duplex{servers[0], clients[1]} {
@@ -51,8 +51,8 @@
 			t.Fatalf("%d bytes kept, over %d", kept, most)
 		}
 	}
-	clients[0].ch.Hold(false)
-	servers[1].ch.Hold(false)
+	clients[0].ch.WithholdCredit(false)
+	servers[1].ch.WithholdCredit(false)
 	for range lines {
 		clients[0].want(line)
 		servers[1].want(line)
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -39,7 +39,7 @@
 	established        int       // connections that the client has established; more than one is a fault
 	establishedAtNodes int
 	node               string    // where the last of them was established
-	focus              bool      // Watch chose it
+	watched            bool      // Watch chose it
 	lastMessageAt      time.Time // while in focus; zero: none yet
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// Take implements recorder.Sink.
-func (c *Checker) Take(e recorder.Event) {
+// Record implements recorder.Sink.
+func (c *Checker) Record(e recorder.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.Side == recorder.Client {
@@ -86,17 +86,17 @@
 	defer c.mu.Unlock()
 	chosen := 0
 	for key, s := range c.streams {
-		s.focus = choose(key, s.node)
+		s.watched = choose(key, s.node)
 		s.lastMessageAt = time.Time{}
-		if s.focus {
+		if s.watched {
 			chosen++
 		}
 	}
 	return chosen
 }
 
-// Split returns the figures since the start or the last Split, and counts from 0 again. The state of streams remains.
-func (c *Checker) Split() Figures {
+// TakeFigures returns the figures since the start or the last TakeFigures, and counts from 0 again. The state of streams remains.
+func (c *Checker) TakeFigures() Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f := c.current
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -45,11 +45,11 @@
 		if !e.End {
 			e.Line = []byte(fields[3])
 			if n := strings.TrimPrefix(fields[3], "#"); n != fields[3] && len(n) == 1 {
-				e.Line = index.Line(nil, 5, uint64(n[0]-'0'))
+				e.Line = index.AppendMessage(nil, 5, uint64(n[0]-'0'))
 				e.Line = e.Line[:len(e.Line)-2]
 			}
 		}
-		c.Take(e)
+		c.Record(e)
 	}
 	return c
 }
@@ -123,7 +123,7 @@
 			func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 },
 		},
 	} {
-		f := observe(t, time.Now(), c.script).Split()
+		f := observe(t, time.Now(), c.script).TakeFigures()
 		if !c.want(&f) {
 			t.Errorf("%s: %+v", name, f)
 		}
@@ -139,7 +139,7 @@
 	if established, behind := c.Established(now, time.Hour); established != 1 || behind != 0 {
 		t.Errorf("%d, %d", established, behind)
 	}
-	c.Take(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
+	c.Record(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
 	if established, _ := c.Established(now, 0); established != 0 {
 		t.Error("established though it has ended")
 	}
--- a/lab/checker/client.go
+++ b/lab/checker/client.go
@@ -50,7 +50,7 @@
 
 // clientOpened notes a first line, and why the client sent it.
 func (c *Checker) clientOpened(e recorder.Event) {
-	o, err := proto.Parse(string(e.Line))
+	o, err := proto.ParseOpen(string(e.Line))
 	if err != nil {
 		return
 	}
@@ -119,7 +119,7 @@
 	if len(e.Line) == 0 || e.Line[0] != '#' {
 		return
 	}
-	n, ok := proto.Number(e.Line)
+	n, ok := proto.MessageNumber(e.Line)
 	if !ok {
 		c.current.Corrupt++
 		return
@@ -144,7 +144,7 @@
 
 // isMessage reports whether a line is the index's message of that number, and was due when it came.
 func (c *Checker) isMessage(e recorder.Event, key, n uint64) bool {
-	c.expectedLine = c.index.Line(c.expectedLine[:0], key, n)
+	c.expectedLine = c.index.AppendMessage(c.expectedLine[:0], key, n)
 	expected := bytes.TrimSuffix(c.expectedLine, []byte("\r\n"))
 	return bytes.Equal(expected, e.Line) && !c.index.Due(key, n).After(e.At)
 }
@@ -153,7 +153,7 @@
 func (c *Checker) clientMoved(e recorder.Event, k *clientConn) {
 	c.current.Moves++
 	if len(e.Line) > len(moveWord)+len(" ") {
-		c.current.Tokens++
+		c.current.TokensIssued++
 	}
 	k.lastLine = moveWord
 	if len(e.Line) == len(moveWord) {
@@ -165,13 +165,13 @@
 // recordDelay notes when a stream's next message came, and how long after it was due.
 func (c *Checker) recordDelay(s *stream, at time.Time, delay time.Duration) {
 	c.current.Delays = append(c.current.Delays, delay)
-	if !s.focus {
+	if !s.watched {
 		return
 	}
-	focus := &c.current.Focus
-	focus.Delays = append(focus.Delays, delay)
+	watched := &c.current.Watched
+	watched.Delays = append(watched.Delays, delay)
 	if !s.lastMessageAt.IsZero() {
-		focus.Gap = max(focus.Gap, at.Sub(s.lastMessageAt))
+		watched.Gap = max(watched.Gap, at.Sub(s.lastMessageAt))
 	}
 	s.lastMessageAt = at
 }
@@ -187,8 +187,8 @@
 	if s.established == 0 {
 		s.interruptedAt = e.At
 	}
-	if s.focus {
-		c.current.Focus.Ends++
+	if s.watched {
+		c.current.Watched.Ends++
 	}
 }
 
--- a/lab/checker/figures.go
+++ b/lab/checker/figures.go
@@ -15,8 +15,8 @@
 	Corrupt          int // not what the index has, or delivered before they were due
 	AnnouncedGaps    int // left out, and announced by the answer to the client's open
 	Moves            int // MOVE lines that clients read, with a token or without
-	Tokens           int // issued with MOVE
-	Accepted         int // opens with a token that were established at a node
+	TokensIssued     int // issued with MOVE
+	TokensAccepted   int // opens with a token that were established at a node
 	MaxLivePerToken  int // connections of one token at the same time
 	MaxUsesPerToken  int // connections of one token over the whole run
 	MaxLivePerStream int // connections of one stream at the same time, at all nodes
@@ -30,14 +30,14 @@
 	// Answers are the final answers that clients read to a token, by their first words.
 	Answers map[string]int
 
-	Focus         Focus
+	Watched       WatchedFigures
 	Delays        []time.Duration // of messages, from when they were due until they were read
 	Gaps          []time.Duration // without an established connection, from each end to the next UP
 	Reestablished []time.Time     // when connections were established that were not their stream's first
 }
 
-// Focus are the counts of the streams that Watch chose.
-type Focus struct {
+// WatchedFigures are the counts of the streams that Watch chose.
+type WatchedFigures struct {
 	Delays []time.Duration // of their messages
 	Gap    time.Duration   // the longest between two messages of one of them
 	Ends   int             // of their connections
@@ -60,8 +60,8 @@
 	f.Corrupt += later.Corrupt
 	f.AnnouncedGaps += later.AnnouncedGaps
 	f.Moves += later.Moves
-	f.Tokens += later.Tokens
-	f.Accepted += later.Accepted
+	f.TokensIssued += later.TokensIssued
+	f.TokensAccepted += later.TokensAccepted
 	f.SecondCopies += later.SecondCopies
 	f.MaxLivePerToken = max(f.MaxLivePerToken, later.MaxLivePerToken)
 	f.MaxUsesPerToken = max(f.MaxUsesPerToken, later.MaxUsesPerToken)
@@ -89,8 +89,8 @@
 	return sum
 }
 
-// Explain lists counted words, the most frequent first and equal ones in alphabetical order.
-func Explain(counts map[string]int) string {
+// FormatCounts lists counted words, the most frequent first and equal ones in alphabetical order.
+func FormatCounts(counts map[string]int) string {
 	var words []string
 	for word := range counts {
 		words = append(words, word)
--- a/lab/checker/node.go
+++ b/lab/checker/node.go
@@ -17,7 +17,7 @@
 }
 
 // tokenUse counts the connections that were established with one token.
-type tokenUse struct{ live, ever int }
+type tokenUse struct{ live, total int }
 
 // observeNode follows a node's side of a connection.
 func (c *Checker) observeNode(e recorder.Event) {
@@ -38,7 +38,7 @@
 
 // nodeOpened notes a first line that a node read. One without a token costs a session call.
 func (c *Checker) nodeOpened(e recorder.Event) {
-	o, err := proto.Parse(string(e.Line))
+	o, err := proto.ParseOpen(string(e.Line))
 	if err != nil {
 		return
 	}
@@ -73,10 +73,10 @@
 		c.tokens[token] = use
 	}
 	use.live++
-	use.ever++
-	c.current.Accepted++
+	use.total++
+	c.current.TokensAccepted++
 	c.current.MaxLivePerToken = max(c.current.MaxLivePerToken, use.live)
-	c.current.MaxUsesPerToken = max(c.current.MaxUsesPerToken, use.ever)
+	c.current.MaxUsesPerToken = max(c.current.MaxUsesPerToken, use.total)
 }
 
 // nodeEnded notes the end of a connection that was established at a node.
@@ -95,8 +95,8 @@
 	}
 }
 
-// Emptied is when the last connection of a node ended; zero while one is established, or if none ever was.
-func (c *Checker) Emptied(node string) time.Time {
+// EmptiedAt is when the last connection of a node ended; zero while one is established, or if none ever was.
+func (c *Checker) EmptiedAt(node string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.establishedAtNode[node] > 0 {
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -25,7 +25,7 @@
 	Owner       string
 	Link        Link               // how it reaches a balancer
 	DuplicateAt []string           // balancers; with two or more it presents each token at two of them at the same time
-	At          string             // node at which its stream already is when the run begins; "": none
+	InitialNode string             // node at which its stream already is when the run begins; "": none
 	Tokens      bool               // it takes resume tokens
 	Deadline    time.Duration      // for the answer to an open
 	Recorder    *recorder.Recorder // of its connections
@@ -108,7 +108,7 @@
 		WantsToken:     c.cfg.Tokens && c.token == "",
 	}
 	if c.opens == 1 {
-		o.At = c.cfg.At
+		o.At = c.cfg.InitialNode
 	}
 	return o
 }
@@ -224,7 +224,7 @@
 			}
 			return
 		}
-		if n, ok := proto.Number(text); ok {
+		if n, ok := proto.MessageNumber(text); ok {
 			c.cursor = n
 			c.hasCursor = true
 			continue
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -86,9 +86,9 @@
 // SharedLink reaches a balancer by channels of one connection, which is made again after it has ended. Several
 // clients may use it at the same time.
 type SharedLink struct {
-	Addr   string
-	Window uint32 // receive window of each channel, in bytes
-	OnDial func() // called for each connection made; may be nil
+	Addr        string
+	WindowBytes uint32 // receive window of each channel, in bytes
+	OnDial      func() // called for each connection made; may be nil
 
 	mu    sync.Mutex
 	conn  *sshchan.Conn
@@ -126,7 +126,7 @@
 		l.OnDial()
 	}
 	_ = raw.SetDeadline(deadline)
-	c, err := sshchan.Client(raw, l.Window)
+	c, err := sshchan.Client(raw, l.WindowBytes)
 	if err != nil {
 		_ = raw.Close()
 		return nil, err
@@ -156,13 +156,13 @@
 		return &conn{err: err}
 	}
 	k := &conn{Conn: wrap(channel), moved: channel.Moved}
-	k.AtEnd = func() {
+	k.OnEnd = func() {
 		if token, moved := channel.Moved(); moved {
-			k.Note(strings.TrimRight(wordMove+" "+token, " "), false)
+			k.RecordLine(strings.TrimRight(wordMove+" "+token, " "), false)
 		}
 	}
 	k.reader = bufio.NewReaderSize(k.Conn, maxLineBytes)
-	k.Note(text, true)
+	k.RecordLine(text, true)
 	k.awaitAnswer(ctx, channel, deadline)
 	return k
 }
@@ -177,7 +177,7 @@
 			k.err = io.ErrUnexpectedEOF
 			return
 		}
-		k.Note(answer.Line, false)
+		k.RecordLine(answer.Line, false)
 		k.answer = proto.ParseAnswer(answer.Line)
 	case <-timeout.C:
 		k.err = errNoAnswer
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -70,13 +70,13 @@
 	}
 	// It is needed for the list at the start only: a balancer that can't reach discovery continues with that list.
 	defer func() { _ = d.Discovery.Close() }()
-	d.Discovery.Set(discoveryserver.Entry{
-		ID:        NodeID(0),
-		Addr:      nodeAddr,
-		Zone:      "a",
-		Machine:   "m",
-		Lifecycle: discoveryserver.Ready,
-		Weight:    1,
+	d.Discovery.Publish(discoveryserver.Entry{
+		ID:          NodeID(0),
+		Addr:        nodeAddr,
+		Zone:        "a",
+		MachineType: "m",
+		Lifecycle:   discoveryserver.Ready,
+		Weight:      1,
 	})
 	b := &Balancer{deployment: d, listen: anyPort}
 	return b, b.Start()
@@ -144,7 +144,7 @@
 	cmd.Env = []string{
 		"GW_CONFIG=" + path,
 		"SPURSPREAD_LOG_FORMAT=json",
-		"SPURSPREAD_SITE=" + d.site,
+		"SPURSPREAD_SITE=" + d.sitePath,
 		"TMPDIR=" + tempDir,
 	}
 	return cmd, nil
@@ -218,10 +218,10 @@
 }
 
 // ResidentBytes is the resident memory of its process; see Resident.
-func (b *Balancer) ResidentBytes() float64 { return Resident(b.Pid()) }
+func (b *Balancer) ResidentBytes() float64 { return ResidentBytes(b.Pid()) }
 
-// Resident is the resident memory of a process in bytes, as the kernel reports it; 0 where it can't be read.
-func Resident(pid int) float64 {
+// ResidentBytes is the resident memory of a process in bytes, as the kernel reports it; 0 where it can't be read.
+func ResidentBytes(pid int) float64 {
 	const bytesPerKB = 1024
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/lab/deployment/config.go
+++ b/lab/deployment/config.go
@@ -37,8 +37,8 @@
 		err = d.writeKey()
 		text += `<resume><keys><key id="lab" file="key" use="mint"/></keys></resume>` + "\n"
 	}
-	d.site = filepath.Join(d.cfg.Dir, "site.xml")
-	return errors.Join(err, os.WriteFile(d.site, []byte(text+"</spurspread>\n"), secretFileMode))
+	d.sitePath = filepath.Join(d.cfg.Dir, "site.xml")
+	return errors.Join(err, os.WriteFile(d.sitePath, []byte(text+"</spurspread>\n"), secretFileMode))
 }
 
 // writeKey draws the key of resume tokens, and writes its file for the balancers.
@@ -75,7 +75,7 @@
 			"limits":    attemptLimits(),
 			"rules":     balancingRules(),
 			"request_classes": []any{
-				requestClass(IndexSync, 300*time.Millisecond, Deadline, 5),
+				requestClass(IndexSync, 300*time.Millisecond, IndexSyncDeadline, 5),
 				requestClass(MetadataWatch, 500*time.Millisecond, 2*time.Second, 1),
 			},
 			"specifics": map[string]any{
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -38,9 +38,9 @@
 
 // The request classes of the balancers, and the deadline of the first.
 const (
-	IndexSync     = "index-sync"
-	MetadataWatch = "metadata-watch"
-	Deadline      = 1200 * time.Millisecond
+	IndexSync         = "index-sync"
+	MetadataWatch     = "metadata-watch"
+	IndexSyncDeadline = 1200 * time.Millisecond
 )
 
 // Config describes a deployment. Program, Dir, Balancers, Nodes and Interval must be set.
@@ -57,7 +57,7 @@
 	RetainedMessages uint64        // messages of each stream that a node's log retains
 	MessageBytes     int           // length of a message
 	StoreRate        float64       // session calls that the store serves in a second
-	SetUp            time.Duration // a node's own work for a new connection
+	SetUpTime        time.Duration // a node's own work for a new connection
 	DrainPatience    time.Duration // from a drain until clients that take tokens are moved, too
 	DiscoveryDelay   time.Duration // from a change until discovery announces it
 	HealthCheckDelay time.Duration // from a balancer's death until the front end passes it over
@@ -67,20 +67,20 @@
 // Deployment is a running deployment. The parts may be used at any time after Start; its methods belong to one
 // goroutine.
 type Deployment struct {
-	Index     *packageindex.Index
-	Check     *checker.Checker // records what clients and nodes send and receive
-	Store     *store.Store
-	Discovery *discoveryserver.Server
-	Nodes     []*node.Node
-	Balancers []*Balancer
-	Frontend  *frontend.Frontend
-	Dials     EventTimes // connections that clients made through the front end
-	NodeDials EventTimes // connections that nodes accepted
+	Index       *packageindex.Index
+	Checker     *checker.Checker // records what clients and nodes send and receive
+	Store       *store.Store
+	Discovery   *discoveryserver.Server
+	Nodes       []*node.Node
+	Balancers   []*Balancer
+	Frontend    *frontend.Frontend
+	ClientDials EventTimes // connections that clients made through the front end
+	NodeDials   EventTimes // connections that nodes accepted
 
 	cfg      Config
 	recorder *recorder.Recorder // of all clients and nodes, for Check
 	keys     []token.Key
-	site     string // path of the site file; "": none
+	sitePath string // path of the site file; "": none
 	ctx      context.Context
 	stop     context.CancelFunc
 	clients  sync.WaitGroup
@@ -98,8 +98,8 @@
 			MessageBytes:     cfg.MessageBytes,
 		},
 	}
-	d.Check = checker.New(d.Index)
-	d.recorder = recorder.New(d.Check)
+	d.Checker = checker.New(d.Index)
+	d.recorder = recorder.New(d.Checker)
 	d.ctx, d.stop = context.WithCancel(ctx)
 	if err := d.start(); err != nil {
 		d.Stop()
@@ -125,7 +125,7 @@
 	if err = d.startBalancers(); err != nil {
 		return err
 	}
-	if d.Frontend, err = frontend.Start(d.cfg.HealthCheckDelay, d.Addrs()...); err != nil {
+	if d.Frontend, err = frontend.Start(d.cfg.HealthCheckDelay, d.BalancerAddrs()...); err != nil {
 		return err
 	}
 	return d.Await(frontendTimeout, "the balancers answer the front end", func() bool {
@@ -183,8 +183,8 @@
 		Recorder:       d.recorder,
 		Store:          d.Store.Addr(),
 		Keys:           d.keys,
-		SetUp:          d.cfg.SetUp,
-		Patience:       d.cfg.DrainPatience,
+		SetUpTime:      d.cfg.SetUpTime,
+		DrainPatience:  d.cfg.DrainPatience,
 		Fault:          d.cfg.Fault,
 		Channels:       d.cfg.Channels,
 		OnAccept:       d.NodeDials.record,
@@ -193,14 +193,14 @@
 
 // announce lists a node with a lifecycle state in discovery, and returns the change's generation.
 func (d *Deployment) announce(i int, lifecycle string) uint64 {
-	return d.Discovery.Set(discoveryserver.Entry{
-		ID:        NodeID(i),
-		Addr:      d.Nodes[i].Addr(),
-		Zone:      "a",
-		Machine:   "m",
-		Lifecycle: lifecycle,
-		Weight:    1,
-		Started:   d.Nodes[i].StartedMillis(),
+	return d.Discovery.Publish(discoveryserver.Entry{
+		ID:              NodeID(i),
+		Addr:            d.Nodes[i].Addr(),
+		Zone:            "a",
+		MachineType:     "m",
+		Lifecycle:       lifecycle,
+		Weight:          1,
+		StartedAtMillis: d.Nodes[i].StartedMillis(),
 	})
 }
 
@@ -235,7 +235,7 @@
 func (d *Deployment) StartClient(cfg client.Config) *client.Client {
 	cfg.Recorder = d.recorder
 	if cfg.Link == nil {
-		cfg.Link = client.DedicatedLink{Addr: d.Frontend.Addr(), OnDial: d.Dials.record}
+		cfg.Link = client.DedicatedLink{Addr: d.Frontend.Addr(), OnDial: d.ClientDials.record}
 	}
 	c := client.New(cfg)
 	d.clients.Add(1)
@@ -248,11 +248,11 @@
 
 // SharedLink is a multiplexed connection to the front end, for several clients.
 func (d *Deployment) SharedLink() *client.SharedLink {
-	return &client.SharedLink{Addr: d.Frontend.Addr(), Window: clientWindowBytes, OnDial: d.Dials.record}
+	return &client.SharedLink{Addr: d.Frontend.Addr(), WindowBytes: clientWindowBytes, OnDial: d.ClientDials.record}
 }
 
-// Addrs are the addresses at which the balancers listen for clients.
-func (d *Deployment) Addrs() []string {
+// BalancerAddrs are the addresses at which the balancers listen for clients.
+func (d *Deployment) BalancerAddrs() []string {
 	var out []string
 	for _, b := range d.Balancers {
 		out = append(out, b.Addr())
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -20,14 +20,14 @@
 
 // Entry is one node of the list.
 type Entry struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Machine   string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"` // milliseconds since 1970; 0: long ago
+	ID              string  `json:"instanceId"`
+	Addr            string  `json:"hostPort"`
+	Zone            string  `json:"zone"`
+	MachineType     string  `json:"machineType"`
+	Cell            int     `json:"cell"`
+	Lifecycle       string  `json:"lifecycle"`
+	Weight          float64 `json:"weight"`
+	StartedAtMillis int64   `json:"startedAtMs"` // milliseconds since 1970; 0: long ago
 }
 
 // List is the whole list, or the changes since a generation.
@@ -77,8 +77,8 @@
 // Close ends the service, with all watches.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Set publishes a node's entry after the delay, and then returns the change's generation.
-func (s *Server) Set(e Entry) uint64 {
+// Publish publishes a node's entry after the delay, and then returns the change's generation.
+func (s *Server) Publish(e Entry) uint64 {
 	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/echo/echo.go
+++ b/lab/echo/echo.go
@@ -10,8 +10,8 @@
 	"spurspread/lab/sshchan"
 )
 
-// Window is the receive window that a node grants on a channel, in bytes.
-const Window = 64 << 10
+// WindowBytes is the receive window that a node grants on a channel, in bytes.
+const WindowBytes = 64 << 10
 
 // sshPrefix begins a connection with channels.
 const sshPrefix = "SSH-"
@@ -30,7 +30,7 @@
 
 func serveConn(conn net.Conn, onOpen func(first string)) {
 	defer func() { _ = conn.Close() }()
-	reader := bufio.NewReaderSize(conn, Window)
+	reader := bufio.NewReaderSize(conn, WindowBytes)
 	prefix, _ := reader.Peek(len(sshPrefix))
 	if string(prefix) == sshPrefix {
 		serveChannels(conn, reader)
@@ -46,7 +46,7 @@
 	if _, err := reader.ReadString('\n'); err != nil {
 		return
 	}
-	channels, err := sshchan.Server(conn, reader, Window)
+	channels, err := sshchan.Server(conn, reader, WindowBytes)
 	if err != nil {
 		return
 	}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -42,7 +42,7 @@
 	Balancers        int                `xml:"balancers,attr" default:"3" min:"1" max:"16" doc:"real balancers, a process each"`
 	Nodes            int                `xml:"nodes,attr" default:"12" min:"1" max:"200" doc:"emulated index nodes"`
 	Store            xmlconfig.Rate     `xml:"store,attr" default:"80/s" doc:"calls that the session store serves"`
-	SetUp            xmlconfig.Duration `xml:"set-up,attr" default:"4ms" max:"1s" doc:"a node's own work for a connection"`
+	SetUpTime        xmlconfig.Duration `xml:"set-up,attr" default:"4ms" max:"1s" doc:"a node's own work for a connection"`
 	DrainPatience    xmlconfig.Duration `xml:"patience,attr" default:"2500ms" doc:"of a draining node with clients that take tokens"`
 	DiscoveryDelay   xmlconfig.Duration `xml:"late,attr" default:"200ms" max:"10s" doc:"how late discovery tells"`
 	HealthCheckDelay xmlconfig.Duration `xml:"notice,attr" default:"1500ms" max:"10s" doc:"how late the front sees that a balancer is dead"`
@@ -51,7 +51,7 @@
 // Load is the streams of the clients.
 type Load struct {
 	Streams              int                `xml:"streams,attr" default:"500" min:"1" max:"20000"`
-	Node                 int                `xml:"node,attr" default:"0" doc:"where all of them stand at first"`
+	InitialNode          int                `xml:"node,attr" default:"0" doc:"where all of them stand at first"`
 	Groups               int                `xml:"groups,attr" default:"50" min:"1" doc:"of streams that share their work"`
 	Interval             xmlconfig.Duration `xml:"interval,attr" default:"250ms" min:"1ms" doc:"between two messages of a stream"`
 	MessageBytes         xmlconfig.Size     `xml:"length,attr" default:"64B" min:"16B" max:"3KiB" doc:"of a message"`
@@ -111,7 +111,7 @@
 		checkIndex(f, &s.Node, e.Fleet.Nodes, "node")
 		checkIndex(f, &s.Balancer, e.Fleet.Balancers, "balancer")
 	}
-	checkIndex(f, &e.Load.Node, e.Fleet.Nodes, "node")
+	checkIndex(f, &e.Load.InitialNode, e.Fleet.Nodes, "node")
 }
 
 // checkIndex adds a fault where a field is no index below count.
@@ -215,7 +215,7 @@
 		name := string(b.Name)
 		if b.Over != "" {
 			name += "_ratio"
-			r.Ratio(name, string(b.Name), string(b.Over))
+			r.AddRatio(name, string(b.Name), string(b.Over))
 		}
 		if b.Min > 0 {
 			r.Check(name, float64(b.Min), true)
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -25,35 +25,35 @@
 }
 
 // addFigures adds what was measured to the report, each name after the prefix.
-func (pl *player) addFigures(r *report.Report, prefix string) {
-	drain := pl.drainMillis()
-	pl.balancerFigures()
-	pl.connectionFigures()
-	pl.extra["last_channel_moved_ms"] = drain
-	pl.extra["moved_late_ms"] = drain
-	pl.extra["buffered_bytes"] = pl.extra["balancer_kept"]
-	pl.extra["evidence"] = pl.extra["channels_on_broken_trunks"] - pl.extra["balancer_echoes"]
+func (pr *passRunner) addFigures(r *report.Report, prefix string) {
+	drain := pr.drainMillis()
+	pr.balancerFigures()
+	pr.connectionFigures()
+	pr.extra["last_channel_moved_ms"] = drain
+	pr.extra["moved_late_ms"] = drain
+	pr.extra["buffered_bytes"] = pr.extra["balancer_kept"]
+	pr.extra["evidence"] = pr.extra["channels_on_broken_trunks"] - pr.extra["balancer_echoes"]
 	for _, figures := range []map[string]float64{
-		pl.streamFigures(), pl.tokenFigures(), pl.timeFigures(), pl.extra,
+		pr.streamFigures(), pr.tokenFigures(), pr.timeFigures(), pr.extra,
 	} {
 		for name, v := range figures {
 			r.Figures[prefix+name] = v
 		}
 	}
 	for note, counts := range map[string]map[string]int{
-		"session calls by what came before":              pl.total.SessionOpens,
-		"clients that started over, by what came before": pl.total.StartOvers,
-		"answers to tokens":                              pl.total.Answers,
+		"session calls by what came before":              pr.total.SessionOpens,
+		"clients that started over, by what came before": pr.total.StartOvers,
+		"answers to tokens":                              pr.total.Answers,
 	} {
 		if len(counts) > 0 {
-			r.Notes[prefix+note] = checker.Explain(counts)
+			r.Notes[prefix+note] = checker.FormatCounts(counts)
 		}
 	}
 }
 
 // streamFigures are the counts of messages and moves.
-func (pl *player) streamFigures() map[string]float64 {
-	f := &pl.total
+func (pr *passRunner) streamFigures() map[string]float64 {
+	f := &pr.total
 	return map[string]float64{
 		"messages":            float64(f.Messages),
 		"lost":                float64(f.Lost),
@@ -67,13 +67,13 @@
 }
 
 // tokenFigures are the counts of resume tokens and of session calls.
-func (pl *player) tokenFigures() map[string]float64 {
-	f := &pl.total
+func (pr *passRunner) tokenFigures() map[string]float64 {
+	f := &pr.total
 	// Calls that the store served and that no first line at a node accounts for are unexplained, too.
-	unseen := max(pl.extra["store_calls"]-float64(f.SessionCalls()), 0)
+	unseen := max(pr.extra["store_calls"]-float64(f.SessionCalls()), 0)
 	return map[string]float64{
-		"tokens_given":              float64(f.Tokens),
-		"tokens_honoured":           float64(f.Accepted),
+		"tokens_given":              float64(f.TokensIssued),
+		"tokens_honoured":           float64(f.TokensAccepted),
 		"max_live_per_token":        float64(f.MaxLivePerToken),
 		"max_ever_live_per_token":   float64(f.MaxUsesPerToken),
 		"session_calls":             float64(f.SessionCalls()),
@@ -84,12 +84,12 @@
 }
 
 // timeFigures are interruptions and delays, in milliseconds, and the rate at which streams were established again.
-func (pl *player) timeFigures() map[string]float64 {
-	f := &pl.total
+func (pr *passRunner) timeFigures() map[string]float64 {
+	f := &pr.total
 	gaps := allMillis(f.Gaps)
 	delays := allMillis(f.Delays)
 	return map[string]float64{
-		"stand_again_ms":    pl.lastEstablished(f.Reestablished),
+		"stand_again_ms":    pr.lastEstablished(f.Reestablished),
 		"gap_p50_ms":        report.Quantile(gaps, 0.5),
 		"gap_p99_ms":        report.Quantile(gaps, 0.99),
 		"gap_max_ms":        report.Quantile(gaps, 1),
@@ -102,9 +102,9 @@
 
 // drainMillis is how long after discovery announced a drain the last connection left the node, in milliseconds, of
 // all drains the longest. A node that is not yet empty counts until now.
-func (pl *player) drainMillis() (longest float64) {
-	for i, announcedAt := range pl.drainAnnounced {
-		emptied := pl.deployment.Check.Emptied(deployment.NodeID(i))
+func (pr *passRunner) drainMillis() (longest float64) {
+	for i, announcedAt := range pr.drainAnnouncedAt {
+		emptied := pr.deployment.Checker.EmptiedAt(deployment.NodeID(i))
 		if emptied.IsZero() {
 			emptied = time.Now()
 		}
@@ -115,7 +115,7 @@
 
 // balancerFigures adds the greatest values that fields of the balancers' logs had. Reports keep the names that the
 // fields had in the logs of earlier programs, and such programs are measured as well.
-func (pl *player) balancerFigures() {
+func (pr *passRunner) balancerFigures() {
 	for name, field := range map[string]string{
 		"kept":          logging.QueuedBytes,
 		"promised":      logging.ReceiveWindowBytes,
@@ -125,26 +125,26 @@
 		"muxed":         logging.MuxClients,
 		"echoes":        logging.CorrelatedFailures,
 	} {
-		for _, b := range pl.deployment.Balancers {
+		for _, b := range pr.deployment.Balancers {
 			logged := max(b.MaxLogged(field), b.MaxLogged(name))
-			pl.extra["balancer_"+name] = max(pl.extra["balancer_"+name], logged)
+			pr.extra["balancer_"+name] = max(pr.extra["balancer_"+name], logged)
 		}
 	}
 }
 
 // connectionFigures counts the connections that clients and nodes made since the first fault, and right after it.
-func (pl *player) connectionFigures() {
-	d := pl.deployment
-	burstEnd := pl.firstFaultAt.Add(reconnectBurst)
-	pl.extra["client_connections"] = float64(d.Dials.Between(pl.firstFaultAt, time.Now()))
-	pl.extra["client_connections_2s"] = float64(d.Dials.Between(pl.firstFaultAt, burstEnd))
-	pl.extra["node_connections_2s"] = float64(d.NodeDials.Between(pl.firstFaultAt, burstEnd))
+func (pr *passRunner) connectionFigures() {
+	d := pr.deployment
+	burstEnd := pr.firstFaultAt.Add(reconnectBurst)
+	pr.extra["client_connections"] = float64(d.ClientDials.Between(pr.firstFaultAt, time.Now()))
+	pr.extra["client_connections_2s"] = float64(d.ClientDials.Between(pr.firstFaultAt, burstEnd))
+	pr.extra["node_connections_2s"] = float64(d.NodeDials.Between(pr.firstFaultAt, burstEnd))
 }
 
 // lastEstablished is when the last stream was established again, in milliseconds since the first fault.
-func (pl *player) lastEstablished(times []time.Time) (last float64) {
+func (pr *passRunner) lastEstablished(times []time.Time) (last float64) {
 	for _, t := range times {
-		last = max(last, millis(t.Sub(pl.firstFaultAt)))
+		last = max(last, millis(t.Sub(pr.firstFaultAt)))
 	}
 	return last
 }
--- a/lab/experiment/steps.go
+++ b/lab/experiment/steps.go
@@ -34,48 +34,48 @@
 }
 
 // runStep waits for a step's time and carries it out.
-func (pl *player) runStep(ctx context.Context, s *Step) error {
+func (pr *passRunner) runStep(ctx context.Context, s *Step) error {
 	wait := s.After.Std()
 	if s.Jitter > 0 {
-		wait += time.Duration(pl.rng.Int64N(int64(s.Jitter)))
+		wait += time.Duration(pr.rng.Int64N(int64(s.Jitter)))
 	}
 	if err := sleep(ctx, wait); err != nil {
 		return err
 	}
-	pl.logProgress("%v: %s", time.Since(pl.firstFaultAt).Round(time.Millisecond), s.Do)
+	pr.logProgress("%v: %s", time.Since(pr.firstFaultAt).Round(time.Millisecond), s.Do)
 	switch s.Do {
 	case "drain", "kill-node", "hang-node", "wake-node", "restart-node", "list-gone", "stop-reading-node",
 		"break-trunks":
-		return pl.nodeStep(s)
+		return pr.nodeStep(s)
 	case "kill-balancer", "start-balancer", "terminate-balancer", "upgrade-balancer", "lame-duck", "rejoin":
-		return pl.balancerStep(ctx, s)
+		return pr.balancerStep(ctx, s)
 	case "settle":
-		return pl.settle(s.Within.Std())
+		return pr.settle(s.Within.Std())
 	case "garbage":
-		return pl.presentGarbage(ctx, s.Duration.Std())
+		return pr.presentGarbage(ctx, s.Duration.Std())
 	case "watch":
-		return pl.measureOthers(ctx, s)
+		return pr.measureOthers(ctx, s)
 	case "hold-clients":
-		for _, c := range pl.firstClients {
+		for _, c := range pr.firstClients {
 			c.Reads.Shut()
 		}
 	case "release-clients":
-		for _, c := range pl.firstClients {
+		for _, c := range pr.firstClients {
 			c.Reads.Open()
 		}
 	case "weigh":
-		pl.measureMemory()
+		pr.measureMemory()
 	}
 	return nil
 }
 
 // nodeStep carries out a step on one node.
-func (pl *player) nodeStep(s *Step) error {
-	d := pl.deployment
+func (pr *passRunner) nodeStep(s *Step) error {
+	d := pr.deployment
 	switch s.Do {
 	case "drain":
 		announcedAt, err := d.Drain(s.Node)
-		pl.drainAnnounced[s.Node] = announcedAt
+		pr.drainAnnouncedAt[s.Node] = announcedAt
 		return err
 	case "kill-node":
 		d.KillNode(s.Node)
@@ -90,14 +90,14 @@
 	case "stop-reading-node":
 		d.Nodes[s.Node].StopReading()
 	case "break-trunks":
-		pl.extra["channels_on_broken_trunks"] += float64(d.Nodes[s.Node].ResetChannelConnections())
+		pr.extra["channels_on_broken_trunks"] += float64(d.Nodes[s.Node].ResetChannelConnections())
 	}
 	return nil
 }
 
 // balancerStep carries out a step on one balancer.
-func (pl *player) balancerStep(ctx context.Context, s *Step) error {
-	b := pl.deployment.Balancers[s.Balancer]
+func (pr *passRunner) balancerStep(ctx context.Context, s *Step) error {
+	b := pr.deployment.Balancers[s.Balancer]
 	switch s.Do {
 	case "kill-balancer":
 		b.Kill()
@@ -114,107 +114,107 @@
 		}
 		return err
 	case "lame-duck":
-		return pl.lameDuck(ctx, b)
+		return pr.lameDuck(ctx, b)
 	case "rejoin":
-		return pl.callManagement(b, "REJOIN")
+		return pr.callManagement(b, "REJOIN")
 	}
 	return nil
 }
 
 // measureMemory takes the balancers' memory with the streams established, and what each stream adds to the idle one.
-func (pl *player) measureMemory() {
-	pl.extra["loaded_mb"] = pl.residentBytes() / bytesPerMiB
-	added := pl.residentBytes() - pl.extra["idle_mb"]*bytesPerMiB
-	pl.extra["bytes_per_stream"] = added / float64(pl.experiment.Load.Streams)
+func (pr *passRunner) measureMemory() {
+	pr.extra["loaded_mb"] = pr.residentBytes() / bytesPerMiB
+	added := pr.residentBytes() - pr.extra["idle_mb"]*bytesPerMiB
+	pr.extra["bytes_per_stream"] = added / float64(pr.experiment.Load.Streams)
 }
 
 // presentGarbage measures the delay of messages for a span, and then for another of the same length during which
 // clients present garbage tokens.
-func (pl *player) presentGarbage(ctx context.Context, span time.Duration) error {
-	check := pl.deployment.Check
-	pl.total.Add(check.Split())
+func (pr *passRunner) presentGarbage(ctx context.Context, span time.Duration) error {
+	check := pr.deployment.Checker
+	pr.total.Add(check.TakeFigures())
 	time.Sleep(span)
-	before := pl.delayP99()
+	before := pr.delayP99()
 	ctx, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	var group errgroup.Group
 	var sent, answered atomic.Int64
 	for i := range garbageClients {
-		rng := rand.New(rand.NewPCG(pl.options.Seed, uint64(i)))
-		addr := pl.deployment.Frontend.Addr()
+		rng := rand.New(rand.NewPCG(pr.options.Seed, uint64(i)))
+		addr := pr.deployment.Frontend.Addr()
 		group.Go(func() error { return client.SendGarbage(ctx, addr, rng, &sent, &answered) })
 	}
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	during := pl.delayP99()
-	pl.extra["delay_p99_before_ms"] = before
-	pl.extra["delay_p99_during_ms"] = during
-	pl.extra["delay_p99_added_ms"] = during - before
-	pl.extra["garbage_per_s"] = float64(sent.Load()) / span.Seconds()
-	pl.extra["garbage_unanswered"] = float64(sent.Load() - answered.Load())
+	during := pr.delayP99()
+	pr.extra["delay_p99_before_ms"] = before
+	pr.extra["delay_p99_during_ms"] = during
+	pr.extra["delay_p99_added_ms"] = during - before
+	pr.extra["garbage_per_s"] = float64(sent.Load()) / span.Seconds()
+	pr.extra["garbage_unanswered"] = float64(sent.Load() - answered.Load())
 	return nil
 }
 
 // delayP99 is the p99 of the delays since the last split, in milliseconds; what was counted is added to the total.
-func (pl *player) delayP99() float64 {
-	f := pl.deployment.Check.Split()
-	pl.total.Add(f)
+func (pr *passRunner) delayP99() float64 {
+	f := pr.deployment.Checker.TakeFigures()
+	pr.total.Add(f)
 	return report.Quantile(allMillis(f.Delays), 0.99)
 }
 
 // callManagement makes a call of a balancer's management address, and keeps how long the slowest answer took.
-func (pl *player) callManagement(b *deployment.Balancer, call string) error {
+func (pr *passRunner) callManagement(b *deployment.Balancer, call string) error {
 	took, err := b.CallManagement(call)
-	pl.extra["call_ms_max"] = max(pl.extra["call_ms_max"], millis(took))
+	pr.extra["call_ms_max"] = max(pr.extra["call_ms_max"], millis(took))
 	return err
 }
 
 // lameDuck has a balancer move its clients away, and counts those that are moved in time. Later moves count among
 // all moves only.
-func (pl *player) lameDuck(ctx context.Context, b *deployment.Balancer) error {
-	check := pl.deployment.Check
-	pl.total.Add(check.Split())
-	if err := pl.callManagement(b, "LAMEDUCK"); err != nil {
+func (pr *passRunner) lameDuck(ctx context.Context, b *deployment.Balancer) error {
+	check := pr.deployment.Checker
+	pr.total.Add(check.TakeFigures())
+	if err := pr.callManagement(b, "LAMEDUCK"); err != nil {
 		return err
 	}
 	if err := sleep(ctx, lameDuckWindow); err != nil {
 		return err
 	}
-	f := check.Split()
-	pl.total.Add(f)
-	pl.extra["moves_in_time"] += float64(f.Moves)
+	f := check.TakeFigures()
+	pr.total.Add(f)
+	pr.extra["moves_in_time"] += float64(f.Moves)
 	return nil
 }
 
 // measureOthers measures, for a while, the streams that a step does not affect directly: all that are on other nodes
 // than the step's, or all that are not the first of their connection.
-func (pl *player) measureOthers(ctx context.Context, s *Step) error {
+func (pr *passRunner) measureOthers(ctx context.Context, s *Step) error {
 	node := deployment.NodeID(s.Node)
-	streams := pl.deployment.Check.Watch(func(key uint64, at string) bool {
+	streams := pr.deployment.Checker.Watch(func(key uint64, at string) bool {
 		if s.Others == "first" {
-			return !pl.firstStreams[key]
+			return !pr.firstStreams[key]
 		}
 		return at != node
 	})
-	pl.total.Add(pl.deployment.Check.Split())
-	w, err := pl.watch(ctx, s.Duration.Std())
+	pr.total.Add(pr.deployment.Checker.TakeFigures())
+	w, err := pr.watch(ctx, s.Duration.Std())
 	if err != nil {
 		return err
 	}
 	prefix := string(s.Prefix) + "_"
-	pl.extra[prefix+"streams"] = float64(streams)
-	pl.extra[prefix+"p99_ms"] = w.p99Millis
-	pl.extra[prefix+"p50_ms"] = w.p50Millis
-	pl.extra[prefix+"max_gap_ms"] = millis(w.gap)
+	pr.extra[prefix+"streams"] = float64(streams)
+	pr.extra[prefix+"p99_ms"] = w.p99Millis
+	pr.extra[prefix+"p50_ms"] = w.p50Millis
+	pr.extra[prefix+"max_gap_ms"] = millis(w.gap)
 	if s.Prefix != "before" {
-		pl.compareWithBefore(w)
+		pr.compareWithBefore(w)
 	}
 	return nil
 }
 
 // watched is what was measured of the watched streams.
-type watched struct {
+type watchResult struct {
 	p99Millis float64 // median of the p99s of each period
 	p50Millis float64 // median of the medians of each period
 	gap       time.Duration
@@ -223,19 +223,19 @@
 
 // watch measures the watched streams for a span. It takes the median of the quantiles of each second: a pause of the
 // machine then spoils a second or two, and not the whole figure.
-func (pl *player) watch(ctx context.Context, span time.Duration) (w watched, err error) {
+func (pr *passRunner) watch(ctx context.Context, span time.Duration) (w watchResult, err error) {
 	var p99s, medians []float64
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		if err := sleep(ctx, watchPeriod); err != nil {
 			return w, err
 		}
-		f := pl.deployment.Check.Split()
-		pl.total.Add(f)
-		delays := allMillis(f.Focus.Delays)
+		f := pr.deployment.Checker.TakeFigures()
+		pr.total.Add(f)
+		delays := allMillis(f.Watched.Delays)
 		p99s = append(p99s, report.Quantile(delays, 0.99))
 		medians = append(medians, report.Quantile(delays, 0.5))
-		w.gap = max(w.gap, f.Focus.Gap)
-		w.ends += f.Focus.Ends
+		w.gap = max(w.gap, f.Watched.Gap)
+		w.ends += f.Watched.Ends
 	}
 	w.p99Millis = report.Quantile(p99s, 0.5)
 	w.p50Millis = report.Quantile(medians, 0.5)
@@ -244,10 +244,10 @@
 
 // compareWithBefore adds the figures of siblings. Where nothing was watched before, there is no ratio, and a bound on
 // it is broken.
-func (pl *player) compareWithBefore(w watched) {
-	pl.extra["sibling_max_gap_ms"] = max(pl.extra["sibling_max_gap_ms"], millis(w.gap))
-	pl.extra["sibling_ends"] += float64(w.ends)
-	if before := pl.extra["before_p99_ms"]; before > 0 {
-		pl.extra["sibling_p99_ratio"] = max(pl.extra["sibling_p99_ratio"], w.p99Millis/before)
+func (pr *passRunner) compareWithBefore(w watchResult) {
+	pr.extra["sibling_max_gap_ms"] = max(pr.extra["sibling_max_gap_ms"], millis(w.gap))
+	pr.extra["sibling_ends"] += float64(w.ends)
+	if before := pr.extra["before_p99_ms"]; before > 0 {
+		pr.extra["sibling_p99_ratio"] = max(pr.extra["sibling_p99_ratio"], w.p99Millis/before)
 	}
 }
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -24,8 +24,8 @@
 const (
 	// streamsPerConnection channels share a connection.
 	streamsPerConnection = 8
-	// warmUpPart of the measured span is waited before it, until all clients run.
-	warmUpPart = 10
+	// warmUpDivisor of the measured span is waited before it, until all clients run.
+	warmUpDivisor = 10
 	// refusedPause is how long a client of SetUps waits after a refusal.
 	refusedPause = 20 * time.Millisecond
 	// A client of Lines opens openAttempts times, with openPause between: a balancer fills its nodes at a limited
@@ -60,13 +60,13 @@
 		return Sample{}, err
 	}
 	defer b.Kill()
-	return Lines(b.Addr(), b.Pid(), conns, span, channels)
+	return MeasureLines(b.Addr(), b.Pid(), conns, span, channels)
 }
 
-// Lines measures how many lines a running balancer forwards for conns clients, whose node echoes, during span. Each
+// MeasureLines measures how many lines a running balancer forwards for conns clients, whose node echoes, during span. Each
 // client has a connection of its own, or with channels a channel of a shared one. The first client that fails ends
 // the measurement with its error.
-func Lines(addr string, pid, conns int, span time.Duration, channels bool) (Sample, error) {
+func MeasureLines(addr string, pid, conns int, span time.Duration, channels bool) (Sample, error) {
 	clients := newLineClients(addr)
 	var shared *sshchan.Conn
 	for i := range conns {
@@ -81,8 +81,8 @@
 	}
 	clients.opened.Wait()
 	close(clients.begin)
-	time.Sleep(span / warmUpPart)
-	return countSpan(pid, span, directions, &clients.lines, clients.stop)
+	time.Sleep(span / warmUpDivisor)
+	return measureRate(pid, span, directions, &clients.lines, clients.stop)
 }
 
 // lineClients are clients that send lines, from the time when all have opened their connections.
@@ -148,8 +148,8 @@
 	}
 }
 
-// countSpan measures how much a count grows during span, each step worth weight, and then stops what is counted.
-func countSpan(pid int, span time.Duration, weight float64, count *atomic.Int64, stop func() error) (Sample, error) {
+// measureRate measures how much a count grows during span, each step worth weight, and then stops what is counted.
+func measureRate(pid int, span time.Duration, weight float64, count *atomic.Int64, stop func() error) (Sample, error) {
 	countBefore := count.Load()
 	cpuBefore := CPUTime(pid)
 	start := time.Now()
@@ -160,9 +160,9 @@
 	return Sample{PerSecond: counted / elapsed.Seconds(), PerCPU: counted / cpu.Seconds()}, stop()
 }
 
-// SetUps measures how many connections a running balancer sets up during span, for clients that each open one, close
+// MeasureSetUps measures how many connections a running balancer sets up during span, for clients that each open one, close
 // it and open the next. Refusals and errors are not counted, and not reported.
-func SetUps(addr string, pid, clients int, span time.Duration) (Sample, error) {
+func MeasureSetUps(addr string, pid, clients int, span time.Duration) (Sample, error) {
 	var established, attempts atomic.Int64
 	var running sync.WaitGroup
 	end := make(chan struct{})
@@ -182,8 +182,8 @@
 			}
 		}()
 	}
-	time.Sleep(span / warmUpPart)
-	return countSpan(pid, span, 1, &established, func() error {
+	time.Sleep(span / warmUpDivisor)
+	return measureRate(pid, span, 1, &established, func() error {
 		close(end)
 		running.Wait()
 		return nil
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sshchan.Client(conn, echo.Window)
+	return sshchan.Client(conn, echo.WindowBytes)
 }
 
 // ErrRefused is the error of a balancer that was reached, and did not establish the connection.
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -119,8 +119,8 @@
 
 // measureIdle adds the resident memory of both, and the processor time that membership has used.
 func (r *run) measureIdle(measured [variants]*procs.Proc) {
-	without := deployment.Resident(measured[withoutMembership].Pid()) / bytesPerMiB
-	with := deployment.Resident(measured[withMembership].Pid()) / bytesPerMiB
+	without := deployment.ResidentBytes(measured[withoutMembership].Pid()) / bytesPerMiB
+	with := deployment.ResidentBytes(measured[withMembership].Pid()) / bytesPerMiB
 	cpu := loadgen.CPUTime(measured[withMembership].Pid())
 	figures := r.report.Figures
 	figures["idle_cpu_ms_per_s"] = float64(cpu.Milliseconds()) / idleTime.Seconds()
@@ -138,13 +138,13 @@
 
 // measure adds a round of one variant.
 func (t *throughput) measure(variant int, p *procs.Proc) error {
-	lines, err := loadgen.Lines(p.Listen, p.Pid(), costConns, costRoundTime, false)
+	lines, err := loadgen.MeasureLines(p.Listen, p.Pid(), costConns, costRoundTime, false)
 	if err != nil {
 		return err
 	}
 	t.lines[variant] = append(t.lines[variant], lines.PerSecond)
 	t.byCPU[variant] = append(t.byCPU[variant], lines.PerCPU)
-	setUps, err := loadgen.SetUps(p.Listen, p.Pid(), costClients, costRoundTime)
+	setUps, err := loadgen.MeasureSetUps(p.Listen, p.Pid(), costClients, costRoundTime)
 	if err != nil {
 		return err
 	}
--- a/lab/members/virtual.go
+++ b/lab/members/virtual.go
@@ -52,7 +52,7 @@
 		r.report.Figures[name] = value
 	}
 	quiet := func(members int) string { return fmt.Sprintf("bytes_per_s_per_member_quiet_%d", members) }
-	r.report.Ratio("bytes_largest_over_least", quiet(sizes[len(sizes)-1]), quiet(sizes[0]))
+	r.report.AddRatio("bytes_largest_over_least", quiet(sizes[len(sizes)-1]), quiet(sizes[0]))
 	r.report.Charts = append(r.report.Charts, r.compareByLoss(), r.compareByPause())
 	return nil
 }
--- a/lab/node/claim.go
+++ b/lab/node/claim.go
@@ -31,7 +31,7 @@
 		Tenant: t.Tenant,
 		Cursor: request.Cursor,
 	}
-	log := resume.StreamLog{OldestCursor: n.cfg.Index.Floor(request.Key, now)}
+	log := resume.StreamLog{OldestCursor: n.cfg.Index.OldestCursor(request.Key, now)}
 	if n.cfg.Fault == ForgetClaims {
 		n.registry = resume.NewRegistry(n.cfg.ID, n.started, clockSkew, maxClaims)
 	}
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -21,8 +21,8 @@
 	wordErr  = "ERR"
 )
 
-// receivedLines is how many lines of the peer wait until the stream answers them.
-const receivedLines = 16
+// maxPendingLines is how many lines of the peer wait until the stream answers them.
+const maxPendingLines = 16
 
 // conn is one connection with plain lines, or one channel. A goroutine serves it, and another reads its lines.
 type conn struct {
@@ -33,7 +33,7 @@
 	peerClosed chan struct{}      // closed once the peer has ended its side
 	moveAfter  chan time.Duration // at most one wait after which the client is moved
 	request    proto.Open
-	client     string    // identifies the client whose stream it is
+	clientID   string    // identifies the client whose stream it is
 	claim      resume.ID // of its token; zero: none
 	sendBuffer []byte    // of the stream's goroutine only
 }
@@ -68,15 +68,15 @@
 		return
 	}
 	c.node.running.Pass()
-	c.recorded.Note(text, true)
+	c.recorded.RecordLine(text, true)
 	word, _, _ := strings.Cut(text, " ")
 	switch word {
 	case wordUp:
 		_ = c.channel.Confirm(text)
 	case wordBusy:
-		_ = c.channel.Refuse(sshchan.Shortage, text)
+		_ = c.channel.Refuse(sshchan.ResourceShortage, text)
 	default:
-		_ = c.channel.Refuse(sshchan.Failed, text)
+		_ = c.channel.Refuse(sshchan.ConnectFailed, text)
 	}
 }
 
@@ -87,13 +87,13 @@
 		return
 	}
 	c.node.running.Pass()
-	c.recorded.Note(wordMove, true)
+	c.recorded.RecordLine(wordMove, true)
 	_ = c.channel.Move("")
 }
 
 // serve serves a connection until its end. firstLine is a channel's; a connection with plain lines sends its own.
 func (n *Node) serve(c *conn, firstLine string) {
-	c.received = make(chan string, receivedLines)
+	c.received = make(chan string, maxPendingLines)
 	c.peerClosed = make(chan struct{})
 	c.moveAfter = make(chan time.Duration, 1)
 	if !n.add(c) {
@@ -102,7 +102,7 @@
 	}
 	defer n.remove(c)
 	if c.channel != nil {
-		c.recorded.Note(firstLine, false)
+		c.recorded.RecordLine(firstLine, false)
 		c.answerOpen(firstLine)
 		return
 	}
@@ -126,8 +126,8 @@
 func (n *Node) remove(c *conn) {
 	n.mu.Lock()
 	delete(n.conns, c)
-	if n.streams[c.client] == c {
-		delete(n.streams, c.client)
+	if n.streams[c.clientID] == c {
+		delete(n.streams, c.clientID)
 	}
 	n.mu.Unlock()
 	_ = c.recorded.Close()
@@ -154,7 +154,7 @@
 // answerOpen answers a first line, and runs the stream if it is admitted.
 func (c *conn) answerOpen(text string) {
 	var err error
-	if c.request, err = proto.Parse(text); err != nil {
+	if c.request, err = proto.ParseOpen(text); err != nil {
 		c.answer(wordErr)
 		return
 	}
@@ -181,7 +181,7 @@
 			return false
 		}
 	}
-	time.Sleep(n.cfg.SetUp)
+	time.Sleep(n.cfg.SetUpTime)
 	n.running.Pass()
 	select {
 	case <-c.peerClosed: // the client gave up, and its token can be used again
@@ -216,10 +216,10 @@
 // establish makes this the client's connection. With a token, an older connection of the same client is closed.
 func (c *conn) establish() {
 	n := c.node
-	c.client = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
+	c.clientID = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
 	n.mu.Lock()
-	older := n.streams[c.client]
-	n.streams[c.client] = c
+	older := n.streams[c.clientID]
+	n.streams[c.clientID] = c
 	if c.claim != (resume.ID{}) {
 		n.registry.Established(c.claim)
 	}
@@ -237,7 +237,7 @@
 func (c *conn) scheduleMove() {
 	wait := time.Duration(0)
 	if c.takesTokens() {
-		wait = c.node.cfg.Patience
+		wait = c.node.cfg.DrainPatience
 	}
 	select {
 	case c.moveAfter <- wait:
@@ -296,7 +296,7 @@
 	index := c.node.cfg.Index
 	key := c.request.Key
 	now := time.Now()
-	floor := index.Floor(key, now)
+	floor := index.OldestCursor(key, now)
 	head := index.Head(key, now)
 	if !c.request.HasCursor || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
@@ -331,7 +331,7 @@
 			break
 		}
 		cursor++
-		lines = index.Line(lines, key, cursor)
+		lines = index.AppendMessage(lines, key, cursor)
 	}
 	c.sendBuffer = lines
 	if len(lines) == 0 {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -28,8 +28,8 @@
 	Recorder       *recorder.Recorder // of its connections
 	Store          string             // address of the session store
 	Keys           []token.Key        // of resume tokens; none: it accepts no tokens
-	SetUp          time.Duration      // its own work for a new connection
-	Patience       time.Duration      // from a drain until clients that take tokens are moved, too
+	SetUpTime      time.Duration      // its own work for a new connection
+	DrainPatience  time.Duration      // from a drain until clients that take tokens are moved, too
 	OnAccept       func()             // called for each accepted connection; may be nil
 	Channels       bool               // it accepts multiplexed channels as well as plain lines
 	Fault          Fault              // injected, to test that a checker finds it
@@ -196,7 +196,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.channelConnections {
-		channels += c.Len()
+		channels += c.ChannelCount()
 		_ = c.Abort()
 	}
 	return channels
--- a/lab/packageindex/packageindex.go
+++ b/lab/packageindex/packageindex.go
@@ -50,8 +50,8 @@
 	return uint64(since / x.Interval)
 }
 
-// Floor is the lowest cursor after which a log can continue at now: it retains all later messages.
-func (x *Index) Floor(key uint64, now time.Time) uint64 {
+// OldestCursor is the lowest cursor after which a log can continue at now: it retains all later messages.
+func (x *Index) OldestCursor(key uint64, now time.Time) uint64 {
 	head := x.Head(key, now)
 	if head <= x.RetainedMessages {
 		return 0
@@ -59,8 +59,8 @@
 	return head - x.RetainedMessages
 }
 
-// Line appends message n of a stream to a buffer, as a node sends it, with its end.
-func (x *Index) Line(to []byte, key, n uint64) []byte {
+// AppendMessage appends message n of a stream to a buffer, as a node sends it, with its end.
+func (x *Index) AppendMessage(to []byte, key, n uint64) []byte {
 	to = append(to, '#')
 	to = strconv.AppendUint(to, n, 10)
 	to = append(to, ' ')
--- a/lab/packageindex/packageindex_test.go
+++ b/lab/packageindex/packageindex_test.go
@@ -25,14 +25,14 @@
 		if head > 0 && x.Due(key, head).After(now) || !x.Due(key, head+1).After(now) {
 			t.Fatalf("head %d: due %v, next %v, now %v", head, x.Due(key, head), x.Due(key, head+1), now)
 		}
-		if f := x.Floor(key, now); f > head || head-f > x.RetainedMessages {
+		if f := x.OldestCursor(key, now); f > head || head-f > x.RetainedMessages {
 			t.Fatalf("floor %d, head %d", f, head)
 		}
-		line := x.Line(nil, key, head)
-		if !bytes.Equal(line, x.Line(nil, key, head)) {
+		line := x.AppendMessage(nil, key, head)
+		if !bytes.Equal(line, x.AppendMessage(nil, key, head)) {
 			t.Fatalf("%q is not the same a second time", line)
 		}
-		if bytes.Equal(line, x.Line(nil, key, head+1)) || !bytes.HasSuffix(line, []byte("\r\n")) {
+		if bytes.Equal(line, x.AppendMessage(nil, key, head+1)) || !bytes.HasSuffix(line, []byte("\r\n")) {
 			t.Fatalf("%q", line)
 		}
 	})
--- a/lab/proto/proto.go
+++ b/lab/proto/proto.go
@@ -35,8 +35,8 @@
 // ErrNotOpen is the error of a line that is no first line.
 var ErrNotOpen = errors.New("no first line")
 
-// Parse reads a first line, without its end. Parameters of unknown names are skipped. The error is ErrNotOpen.
-func Parse(text string) (Open, error) {
+// ParseOpen reads a first line, without its end. Parameters of unknown names are skipped. The error is ErrNotOpen.
+func ParseOpen(text string) (Open, error) {
 	fields := strings.SplitN(text, " ", openFields)
 	if len(fields) != openFields || fields[0] != "OPEN" || fields[1] == "" {
 		return Open{}, ErrNotOpen
@@ -132,8 +132,8 @@
 	return a
 }
 
-// Number reads the number of a message, "#NUMBER TEXT"; ok is false for any other line.
-func Number(line []byte) (n uint64, ok bool) {
+// MessageNumber reads the number of a message, "#NUMBER TEXT"; ok is false for any other line.
+func MessageNumber(line []byte) (n uint64, ok bool) {
 	const shortest = len("#1 ")
 	if len(line) < shortest || line[0] != '#' {
 		return 0, false
--- a/lab/recorder/recorder.go
+++ b/lab/recorder/recorder.go
@@ -34,7 +34,7 @@
 }
 
 // Sink receives events. It is called by many goroutines, and in order for each direction of a connection.
-type Sink interface{ Take(e Event) }
+type Sink interface{ Record(e Event) }
 
 // Stream is a connection or a channel.
 type Stream interface {
@@ -71,7 +71,7 @@
 // Conn is a recorded stream. One goroutine may read while others write.
 type Conn struct {
 	Stream
-	AtEnd func() // called before the end is recorded, to Note what is known only then; may be nil
+	OnEnd func() // called before the end is recorded, to Note what is known only then; may be nil
 
 	sink     Sink
 	side     Side
@@ -106,8 +106,8 @@
 	return c.Stream.Write(b)
 }
 
-// Note records a line that crosses in another form, such as the first line in a channel's open.
-func (c *Conn) Note(text string, sent bool) { c.record([]byte(text), sent) }
+// RecordLine records a line that crosses in another form, such as the first line in a channel's open.
+func (c *Conn) RecordLine(text string, sent bool) { c.record([]byte(text), sent) }
 
 // Close records the end, and closes the stream.
 func (c *Conn) Close() error {
@@ -122,33 +122,33 @@
 }
 
 func (c *Conn) record(line []byte, sent bool) {
-	c.sink.Take(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, Sent: sent, Line: line})
+	c.sink.Record(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, Sent: sent, Line: line})
 }
 
 // recordEnd records the end once.
 func (c *Conn) recordEnd() {
 	c.endOnce.Do(func() {
-		if c.AtEnd != nil {
-			c.AtEnd()
+		if c.OnEnd != nil {
+			c.OnEnd()
 		}
-		c.sink.Take(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, End: true})
+		c.sink.Record(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, End: true})
 	})
 }
 
 // lineSplitter finds lines in bytes that come in pieces. Bytes without a line end are no line.
-type lineSplitter struct{ rest []byte }
+type lineSplitter struct{ partial []byte }
 
 func (s *lineSplitter) feed(b []byte, handle func(line []byte)) {
 	for {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			s.rest = append(s.rest, b...)
+			s.partial = append(s.partial, b...)
 			return
 		}
 		line := b[:i]
-		if len(s.rest) > 0 {
-			line = append(s.rest, line...)
-			s.rest = s.rest[:0]
+		if len(s.partial) > 0 {
+			line = append(s.partial, line...)
+			s.partial = s.partial[:0]
 		}
 		handle(bytes.TrimSuffix(line, []byte("\r")))
 		b = b[i+1:]
--- a/lab/report/chart.go
+++ b/lab/report/chart.go
@@ -23,11 +23,11 @@
 }
 
 const (
-	chartWidth  = 7 * vg.Inch
-	chartHeight = 4 * vg.Inch
-	lineWidth   = 1.5 // points
-	legendPad   = 2   // points
-	legendPart  = 5   // this part of the range of Y is added for the legend
+	chartWidth    = 7 * vg.Inch
+	chartHeight   = 4 * vg.Inch
+	lineWidth     = 1.5 // points
+	legendPadding = 2   // points
+	legendDivisor = 5   // this part of the range of Y is added for the legend
 )
 
 // palette are colours that colour-blind readers can distinguish, too (Okabe and Ito).
@@ -51,7 +51,7 @@
 	p.BackgroundColor = color.White
 	p.Legend.Top = true
 	p.Legend.Left = true
-	p.Legend.Padding = vg.Points(legendPad)
+	p.Legend.Padding = vg.Points(legendPadding)
 	p.Add(plotter.NewGrid())
 	colours := palette()
 	for i, s := range c.Series {
@@ -60,7 +60,7 @@
 		}
 	}
 	p.Y.Min = min(p.Y.Min, 0)
-	p.Y.Max += (p.Y.Max - p.Y.Min) / legendPart
+	p.Y.Max += (p.Y.Max - p.Y.Min) / legendDivisor
 	return errors.Join(
 		p.Save(chartWidth, chartHeight, base+".svg"),
 		p.Save(chartWidth, chartHeight, base+".png"),
--- a/lab/report/repeats.go
+++ b/lab/report/repeats.go
@@ -103,13 +103,13 @@
 	return least + "\t" + median + "\t" + greatest
 }
 
-// Keep writes a row for each run to a CSV file in a folder, and the first run as Report.Keep does.
-func (r Repeats) Keep(dir string) error {
+// Save writes a row for each run to a CSV file in a folder, and the first run as Report.Save does.
+func (r Repeats) Save(dir string) error {
 	if len(r) == 0 {
 		return nil
 	}
 	if len(r) == 1 {
-		return r[0].Keep(dir)
+		return r[0].Save(dir)
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
@@ -127,5 +127,5 @@
 		}
 		rows = append(rows, row)
 	}
-	return errors.Join(csv.NewWriter(f).WriteAll(rows), f.Close(), r[0].Keep(dir))
+	return errors.Join(csv.NewWriter(f).WriteAll(rows), f.Close(), r[0].Save(dir))
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -57,9 +57,9 @@
 	r.Pass = !slices.ContainsFunc(r.Bounds, func(b Bound) bool { return !b.OK })
 }
 
-// Ratio adds a figure: the quotient of two others. If the divisor was not measured or is 0 there is no such figure,
+// AddRatio adds a figure: the quotient of two others. If the divisor was not measured or is 0 there is no such figure,
 // and a bound on it is broken.
-func (r *Report) Ratio(name, dividend, divisor string) {
+func (r *Report) AddRatio(name, dividend, divisor string) {
 	if d := r.Figures[divisor]; d != 0 {
 		r.Figures[name] = r.Figures[dividend] / d
 	}
@@ -114,9 +114,9 @@
 	return os.WriteFile(path, append(text, '\n'), fileMode)
 }
 
-// Keep writes the report and its charts into a folder, which it makes, in files that begin with the experiment's
+// Save writes the report and its charts into a folder, which it makes, in files that begin with the experiment's
 // name.
-func (r *Report) Keep(dir string) error {
+func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -34,7 +34,7 @@
 	if r.Pass {
 		t.Error("a figure that was not measured passes")
 	}
-	r.Ratio("none_ratio", "honoured", "lost")
+	r.AddRatio("none_ratio", "honoured", "lost")
 	r.Check("none_ratio", 1, false)
 	if r.Bounds[len(r.Bounds)-1].OK {
 		t.Error("a ratio over 0 holds its bound")
@@ -42,7 +42,7 @@
 }
 
 // Charts without points, with one and with a gap are drawn, too.
-func TestKeepWritesFiles(t *testing.T) {
+func TestSaveWritesFiles(t *testing.T) {
 	r := testReport()
 	r.Charts = []Chart{
 		{Name: "empty", Series: []Series{{Name: "none"}}},
@@ -53,7 +53,7 @@
 		},
 	}
 	dir := t.TempDir()
-	if err := r.Keep(dir); err != nil {
+	if err := r.Save(dir); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"x-empty.svg", "x-one.png", "x-two.svg", "x.csv", "x.json"} {
@@ -68,7 +68,7 @@
 
 func TestJSON(t *testing.T) {
 	r := testReport()
-	r.Ratio("none_ratio", "honoured", "lost")
+	r.AddRatio("none_ratio", "honoured", "lost")
 	r.Check("none_ratio", 1, false)
 	path := filepath.Join(t.TempDir(), "x.json")
 	if err := r.JSON(path); err != nil {
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -77,16 +77,16 @@
 func (b *balancer) listServers(count int, addrs []netip.AddrPort) {
 	for i := range count {
 		entry := discoveryserver.Entry{
-			ID:        fmt.Sprintf("s-%08x", i+1),
-			Addr:      addrs[i%len(addrs)].String(),
-			Zone:      "a",
-			Machine:   "m",
-			Cell:      i,
-			Lifecycle: discoveryserver.Ready,
-			Weight:    1,
+			ID:          fmt.Sprintf("s-%08x", i+1),
+			Addr:        addrs[i%len(addrs)].String(),
+			Zone:        "a",
+			MachineType: "m",
+			Cell:        i,
+			Lifecycle:   discoveryserver.Ready,
+			Weight:      1,
 		}
 		b.entries = append(b.entries, entry)
-		b.discovery.Set(entry)
+		b.discovery.Publish(entry)
 	}
 }
 
@@ -130,7 +130,7 @@
 	const weightSum = 2.0001 // of the weight before and after
 	entry := &b.entries[server%len(b.entries)]
 	entry.Weight = weightSum - entry.Weight
-	b.discovery.Set(*entry)
+	b.discovery.Publish(*entry)
 }
 
 // cost is what the balancer's process uses now.
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -34,7 +34,7 @@
 	descriptors, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
 	return processCost{
 		at:          time.Now(),
-		resident:    deployment.Resident(pid),
+		resident:    deployment.ResidentBytes(pid),
 		cpu:         cpuTime(pid),
 		descriptors: len(descriptors),
 		slab:        slabBytes(),
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -218,6 +218,6 @@
 	state.lastPID = pid
 	state.lastCPU = cpu
 	if f.monitor.judging {
-		state.maxResidentMB = max(state.maxResidentMB, deployment.Resident(pid)/bytesPerMegabyte)
+		state.maxResidentMB = max(state.maxResidentMB, deployment.ResidentBytes(pid)/bytesPerMegabyte)
 	}
 }
--- a/lab/scale/sweep_test.go
+++ b/lab/scale/sweep_test.go
@@ -28,7 +28,7 @@
 		len(summary.Charts[0].Series[0].X) != 2 {
 		t.Errorf("a size that is not valid has figures: %+v", summary.Charts)
 	}
-	if err := summary.Keep(t.TempDir()); err != nil {
+	if err := summary.Save(t.TempDir()); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		usage.processes++
-		usage.residentBytes += deployment.Resident(pid)
+		usage.residentBytes += deployment.ResidentBytes(pid)
 		usage.cpu += loadgen.CPUTime(pid)
 	}
 	return usage, nil
--- a/lab/sshchan/channel.go
+++ b/lab/sshchan/channel.go
@@ -13,8 +13,8 @@
 var (
 	// errReset is the end of a channel that was closed without EOF.
 	errReset = errors.New("channel closed without its end")
-	// errData is the end of a connection with data that may not be sent.
-	errData = errors.New("DATA is malformed")
+	// errInvalidData is the end of a connection with data that may not be sent.
+	errInvalidData = errors.New("DATA is malformed")
 )
 
 // Channel is one channel, a stream of bytes without deadlines. Its methods may be called from any goroutine.
@@ -127,18 +127,18 @@
 // handleData takes bytes of the stream. It is parsed by hand, as measurements of throughput must measure the
 // balancer.
 func (ch *Channel) handleData(payload []byte) error {
-	if len(payload) < dataHeadBytes {
-		return errData
+	if len(payload) < dataHeaderBytes {
+		return errInvalidData
 	}
-	data := payload[dataHeadBytes:]
-	if int(binary.BigEndian.Uint32(payload[channelHeadBytes:])) != len(data) {
-		return errData
+	data := payload[dataHeaderBytes:]
+	if int(binary.BigEndian.Uint32(payload[channelHeaderBytes:])) != len(data) {
+		return errInvalidData
 	}
 	if uint32(len(data)) > ch.receiveWindow {
-		return fmt.Errorf("%w: %d bytes with a window of %d", errData, len(data), ch.receiveWindow)
+		return fmt.Errorf("%w: %d bytes with a window of %d", errInvalidData, len(data), ch.receiveWindow)
 	}
 	if ch.err != nil {
-		return fmt.Errorf("%w: %d bytes after %w", errData, len(data), ch.err)
+		return fmt.Errorf("%w: %d bytes after %w", errInvalidData, len(data), ch.err)
 	}
 	ch.receiveWindow -= uint32(len(data))
 	ch.received = append(ch.received, data...)
@@ -304,8 +304,8 @@
 	return *ch.moveToken, true
 }
 
-// Hold sets whether the peer is granted no more window, so that it stalls.
-func (ch *Channel) Hold(on bool) {
+// WithholdCredit sets whether the peer is granted no more window, so that it stalls.
+func (ch *Channel) WithholdCredit(on bool) {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
 	ch.withholdCredit = on
--- a/lab/sshchan/conn.go
+++ b/lab/sshchan/conn.go
@@ -21,29 +21,29 @@
 const maxWaitingOpens = 4096
 
 var (
-	errUnknownChannel = errors.New("a message for a channel that there is not")
-	errTooManyOpens   = errors.New("too many opens wait")
-	errIdentification = errors.New("not an identification")
-	errService        = errors.New("not the service ssh-connection")
-	errOpen           = errors.New("an open that may not be")
-	errPacket         = errors.New("malformed packet")
+	errUnknownChannel    = errors.New("a message for a channel that there is not")
+	errTooManyOpens      = errors.New("too many opens wait")
+	errIdentification    = errors.New("not an identification")
+	errUnexpectedService = errors.New("not the service ssh-connection")
+	errInvalidOpen       = errors.New("an open that may not be")
+	errMalformedPacket   = errors.New("malformed packet")
 )
 
 // Conn is one connection with channels, of either side. Its methods may be called from any goroutine.
 type Conn struct {
-	raw    net.Conn
-	reader *bufio.Reader
-	server bool
-	window uint32        // receive window that is granted on each channel, in bytes
-	opened chan *Channel // by the peer, for Accept
+	raw      net.Conn
+	reader   *bufio.Reader
+	server   bool
+	window   uint32        // receive window that is granted on each channel, in bytes
+	incoming chan *Channel // by the peer, for Accept
 
-	mu         sync.Mutex // of all below, of the channels, and of writing
-	writable   sync.Cond  // signals that a send window has grown, or that the connection or a channel has ended
-	channels   map[uint32]*Channel
-	lastNumber uint32 // of the channels that this side has numbered
-	err        error  // why the connection has ended
-	sendBuffer []byte // of a message with data
-	unknown    int    // messages that the peer answered by UNIMPLEMENTED
+	mu            sync.Mutex // of all below, of the channels, and of writing
+	writable      sync.Cond  // signals that a send window has grown, or that the connection or a channel has ended
+	channels      map[uint32]*Channel
+	lastNumber    uint32 // of the channels that this side has numbered
+	err           error  // why the connection has ended
+	sendBuffer    []byte // of a message with data
+	unimplemented int    // messages that the peer answered by UNIMPLEMENTED
 
 	// DisconnectReason is what DISCONNECT gave. It may be read once the connection has ended.
 	DisconnectReason string
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !strings.HasPrefix(peer, identifiedBy) {
+	if !strings.HasPrefix(peer, identificationPrefix) {
 		return nil, fmt.Errorf("%w: %q", errIdentification, peer)
 	}
 	payload, err := c.readPacket()
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("service: %w", err)
 	}
 	if accepted.Service != serviceName {
-		return nil, fmt.Errorf("%w: %q", errService, accepted.Service)
+		return nil, fmt.Errorf("%w: %q", errUnexpectedService, accepted.Service)
 	}
 	go c.readPackets()
 	return c, nil
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("service: %w", err)
 	}
 	if requested.Service != serviceName {
-		return nil, fmt.Errorf("%w: %q", errService, requested.Service)
+		return nil, fmt.Errorf("%w: %q", errUnexpectedService, requested.Service)
 	}
 	if err := c.write(ssh.Marshal(serviceAcceptMsg{serviceName})); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 		reader:   reader,
 		server:   server,
 		window:   window,
-		opened:   make(chan *Channel, maxWaitingOpens),
+		incoming: make(chan *Channel, maxWaitingOpens),
 		channels: map[uint32]*Channel{},
 	}
 	c.writable.L = &c.mu
@@ -120,14 +120,14 @@
 
 // write sends a payload as a packet. The caller holds the mutex, unless nothing else is sent yet.
 func (c *Conn) write(payload []byte) error {
-	padding := blockBytes - (headBytes+len(payload))%blockBytes
+	padding := blockBytes - (packetHeaderBytes+len(payload))%blockBytes
 	if padding < minPadding {
 		padding += blockBytes
 	}
 	if len(payload)+padding < minPacketLength-1 {
 		padding += blockBytes
 	}
-	packet := make([]byte, headBytes, headBytes+len(payload)+padding)
+	packet := make([]byte, packetHeaderBytes, packetHeaderBytes+len(payload)+padding)
 	binary.BigEndian.PutUint32(packet, uint32(1+len(payload)+padding))
 	packet[lengthBytes] = byte(padding)
 	packet = append(packet, payload...)
@@ -136,16 +136,16 @@
 	return err
 }
 
-// Raw sends bytes as they are, for tests with a peer that breaks the rules.
-func (c *Conn) Raw(b []byte) error {
+// WriteRaw sends bytes as they are, for tests with a peer that breaks the rules.
+func (c *Conn) WriteRaw(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, err := c.raw.Write(b)
 	return err
 }
 
-// Payload sends a message of any kind, for such tests.
-func (c *Conn) Payload(b []byte) error {
+// WritePayload sends a message of any kind, for such tests.
+func (c *Conn) WritePayload(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.write(b)
@@ -153,14 +153,14 @@
 
 // readPacket reads a packet, and returns its payload.
 func (c *Conn) readPacket() ([]byte, error) {
-	var head [headBytes]byte
+	var head [packetHeaderBytes]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(head[:])
 	padding := head[lengthBytes]
 	if !validPacket(length, padding) {
-		return nil, fmt.Errorf("%w: %d bytes, padding %d", errPacket, length, padding)
+		return nil, fmt.Errorf("%w: %d bytes, padding %d", errMalformedPacket, length, padding)
 	}
 	b := make([]byte, length-1)
 	if _, err := io.ReadFull(c.reader, b); err != nil {
@@ -194,7 +194,7 @@
 	}
 	c.writable.Broadcast()
 	c.mu.Unlock()
-	close(c.opened)
+	close(c.incoming)
 	_ = c.raw.Close()
 }
 
@@ -211,7 +211,7 @@
 	case numIgnore, numDebug, numRequestSuccess, numRequestFailure:
 		return nil
 	case numUnimplemented:
-		c.unknown++
+		c.unimplemented++
 		return nil
 	case numGlobalRequest:
 		return c.handleGlobalRequest(payload)
@@ -236,7 +236,7 @@
 
 // handleChannelMessage passes a message on to its channel.
 func (c *Conn) handleChannelMessage(payload []byte) error {
-	if len(payload) < channelHeadBytes {
+	if len(payload) < channelHeaderBytes {
 		return errUnknownChannel
 	}
 	ch := c.channels[binary.BigEndian.Uint32(payload[1:])]
@@ -250,17 +250,17 @@
 func (c *Conn) handleOpen(payload []byte) error {
 	var m openMsg
 	if err := ssh.Unmarshal(payload, &m); err != nil {
-		return fmt.Errorf("%w: %w", errOpen, err)
+		return fmt.Errorf("%w: %w", errInvalidOpen, err)
 	}
 	if !c.server || m.Type != channelType {
-		return fmt.Errorf("%w: of type %q", errOpen, m.Type)
+		return fmt.Errorf("%w: of type %q", errInvalidOpen, m.Type)
 	}
 	ch := c.newChannel(m.Line)
 	ch.peerNumber = m.ID
 	ch.sendWindow = m.Window
 	ch.maxPacket = m.MaxPacket
 	select {
-	case c.opened <- ch:
+	case c.incoming <- ch:
 		return nil
 	default:
 		return errTooManyOpens
@@ -300,20 +300,20 @@
 }
 
 // Accept waits for a channel that the peer opens; nil once the connection has ended.
-func (c *Conn) Accept() *Channel { return <-c.opened }
+func (c *Conn) Accept() *Channel { return <-c.incoming }
 
-// Len is the number of channels.
-func (c *Conn) Len() int {
+// ChannelCount is the number of channels.
+func (c *Conn) ChannelCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.channels)
 }
 
-// Unknown is the number of messages that the peer answered by UNIMPLEMENTED.
-func (c *Conn) Unknown() int {
+// Unimplemented is the number of messages that the peer answered by UNIMPLEMENTED.
+func (c *Conn) Unimplemented() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unknown
+	return c.unimplemented
 }
 
 // Err is why the connection has ended; nil before that.
--- a/lab/sshchan/messages.go
+++ b/lab/sshchan/messages.go
@@ -74,29 +74,29 @@
 
 // Names and codes of docs/protocol/channels.md.
 const (
-	identification   = "SSH-2.0-spurlab\r\n"
-	identifiedBy     = "SSH-2.0-" // begins the peer's identification
-	serviceName      = "ssh-connection"
-	channelType      = "stream@spurspread"
-	moveRequest      = "move@spurspread"
-	keepaliveRequest = "keepalive@spurspread"
+	identification       = "SSH-2.0-spurlab\r\n"
+	identificationPrefix = "SSH-2.0-" // begins the peer's identification
+	serviceName          = "ssh-connection"
+	channelType          = "stream@spurspread"
+	moveRequest          = "move@spurspread"
+	keepaliveRequest     = "keepalive@spurspread"
 
-	// Shortage is the code of a refusal for now.
-	Shortage uint32 = 4
-	// Failed is the code of a refusal for good.
-	Failed uint32 = 2
+	// ResourceShortage is the code of a refusal for now.
+	ResourceShortage uint32 = 4
+	// ConnectFailed is the code of a refusal for good.
+	ConnectFailed uint32 = 2
 )
 
 // Sizes of packets (RFC 4253, section 6) and messages, in bytes.
 const (
-	maxPacket        = 35_000
-	headBytes        = 5 // a packet's length and the length of its padding
-	lengthBytes      = 4
-	blockBytes       = 8 // packets are multiples of it
-	minPadding       = 4
-	minPacketLength  = 12 // as its length field has it
-	channelHeadBytes = 5  // a channel message's number and recipient
-	dataHeadBytes    = 9  // the same, and the data's length
-	maxDataBytes     = 16 << 10
-	maxChannelPacket = 32 << 10 // that is granted on a channel
+	maxPacket          = 35_000
+	packetHeaderBytes  = 5 // a packet's length and the length of its padding
+	lengthBytes        = 4
+	blockBytes         = 8 // packets are multiples of it
+	minPadding         = 4
+	minPacketLength    = 12 // as its length field has it
+	channelHeaderBytes = 5  // a channel message's number and recipient
+	dataHeaderBytes    = 9  // the same, and the data's length
+	maxDataBytes       = 16 << 10
+	maxChannelPacket   = 32 << 10 // that is granted on a channel
 )
