--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker judges a run by what crossed the sockets of clients and nodes. It is a recorder.Sink: it knows the
-// protocol's lines and the index from which messages must come, and must not know the state of the emulated clients
-// and nodes, which may be wrong. Split returns the figures of a stretch of the run.
+// Package checker checks a run by the lines that crossed the sockets of clients and nodes. A Checker is a
+// recorder.Sink. It knows the protocol's lines and the index that defines all messages. It must not know the state of
+// the emulated clients and nodes, which may be wrong. TakeFigures returns the figures of a period of the run.
 package checker
 
 import (
@@ -18,32 +18,33 @@
 	index       *packageindex.Index
 	clients     map[uint64]*clientConn
 	nodes       map[uint64]*nodeConn
-	streams     map[uint64]*stream // by their key, of which each emulated client has its own
+	streams     map[uint64]*stream // by key, which is unique for each emulated client
 	tokens      map[string]*tokenUse
-	openReasons map[string]string // why the client opened, by the id of its first line
-	// establishedAtNode and establishedByID count connections at nodes, by node and by the id of their first line.
+	openReasons map[string]string // why the client sent an open, by the open's id
+	// establishedAtNode and establishedByID count the connections that are established at nodes, by the node's name
+	// and by the id of the open.
 	establishedAtNode map[string]int
 	establishedByID   map[string]int
-	emptiedAt         map[string]time.Time // when a node's last connection ended
-	current           Figures              // since the last Split
+	emptiedAt         map[string]time.Time // when a node's last connection ended, by the node's name
+	current           Figures              // since the last TakeFigures
 	expectedLine      []byte               // buffer of isMessage
 }
 
-// stream is what the checker knows of one stream, over all its connections.
+// stream is the checker's state of one stream, over all its connections.
 type stream struct {
-	cursor             uint64    // the last message delivered
-	started            bool      // it has been established once
-	cursorUnknown      bool      // its start was not announced: its first message shows it
-	lastEnd            string    // how its last connection ended
-	interruptedAt      time.Time // zero while one is established or none has been
-	established        int       // connections that the client has established; more than one is a fault
-	establishedAtNodes int
-	node               string    // where the last of them was established
-	watched            bool      // Watch chose it
-	lastMessageAt      time.Time // while in focus; zero: none yet
+	cursor             uint64    // number of the last message delivered
+	started            bool      // it has been established at least once
+	cursorUnknown      bool      // the first answer did not give the cursor: the first message shows it
+	lastEnd            string    // how its last connection ended; "": none has ended
+	interruptedAt      time.Time // zero while a connection is established, and before the first one
+	established        int       // established connections on the client's side; more than one is a fault
+	establishedAtNodes int       // established connections on the side of nodes
+	node               string    // name of the node that established the last connection
+	watched            bool      // selected by Watch
+	lastMessageAt      time.Time // while watched; zero: none yet
 }
 
-// New returns a checker of streams from an index.
+// New returns a checker for streams whose messages are defined by an index.
 func New(index *packageindex.Index) *Checker {
 	return &Checker{
 		index:             index,
@@ -79,23 +80,25 @@
 	return s
 }
 
-// Watch has the streams that choose accepts counted in Focus from now on, in place of earlier ones: it is called with
-// a stream's key and the node where it was last established. It returns how many streams were chosen.
-func (c *Checker) Watch(choose func(key uint64, node string) bool) int {
+// Watch selects the streams that are counted in Figures.Watched from now on, and replaces an earlier selection. The
+// function is called with each stream's key and the node at which the stream was last established. Watch returns the
+// number of streams selected.
+func (c *Checker) Watch(selects func(key uint64, node string) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	chosen := 0
+	selected := 0
 	for key, s := range c.streams {
-		s.watched = choose(key, s.node)
+		s.watched = selects(key, s.node)
 		s.lastMessageAt = time.Time{}
 		if s.watched {
-			chosen++
+			selected++
 		}
 	}
-	return chosen
+	return selected
 }
 
-// TakeFigures returns the figures since the start or the last TakeFigures, and counts from 0 again. The state of streams remains.
+// TakeFigures returns the figures since the last call, or since the start, and resets them to 0. The state of the
+// streams is kept.
 func (c *Checker) TakeFigures() Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,21 +107,21 @@
 	return f
 }
 
-// Disconnected counts the streams without an established connection, by how their last one ended.
+// Disconnected returns the number of streams without an established connection, by the end of their last connection.
 func (c *Checker) Disconnected() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
 	for _, s := range c.streams {
 		if s.established <= 0 {
-			out[cmp.Or(s.lastEnd, "nothing told")]++
+			out[cmp.Or(s.lastEnd, "no end observed")]++
 		}
 	}
 	return out
 }
 
-// Established counts the streams that have an established connection, and those of all that are further behind the
-// index than slack.
+// Established returns the number of streams that have an established connection, and the number of streams, with a
+// connection or without, that have not received all messages that were due at now minus slack.
 func (c *Checker) Established(now time.Time, slack time.Duration) (established, behind int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// observe feeds a checker a script at one time: "SIDE CONN > LINE" is sent, "<" is read, and "end" is an end. #N is
-// replaced by the index's message of that number.
+// observe passes the events of a script to a new checker, all with the time now. A script has a line for each event:
+// "SIDE CONN > LINE" for a line sent, "SIDE CONN < LINE" for a line read, "SIDE CONN end" for an end. A LINE "#N" with
+// one digit is replaced by the index's message N.
 func observe(t *testing.T, now time.Time, script string) *Checker {
 	t.Helper()
 	index := testIndex(now)
@@ -40,7 +41,7 @@
 			e.Sent = true
 		case "<":
 		default:
-			t.Fatalf("%q", step)
+			t.Fatalf("unknown event in the script: %q", step)
 		}
 		if !e.End {
 			e.Line = []byte(fields[3])
@@ -54,7 +55,7 @@
 	return c
 }
 
-// What the checker must find, and what it must accept.
+// The checker must detect each fault of the protocol, and accept correct runs.
 func TestChecker(t *testing.T) {
 	const begin = `
 		c 1 > OPEN a 5 c=s,d=1,tok=ask
@@ -134,13 +135,13 @@
 	now := time.Now()
 	c := observe(t, now, "c 1 > OPEN a 5 c=s,d=1,tok=ask\nc 1 < UP r from=2")
 	if established, behind := c.Established(now, 0); established != 1 || behind != 1 {
-		t.Errorf("%d, %d", established, behind)
+		t.Errorf("%d streams established, %d behind, want 1 and 1", established, behind)
 	}
 	if established, behind := c.Established(now, time.Hour); established != 1 || behind != 0 {
-		t.Errorf("%d, %d", established, behind)
+		t.Errorf("with a slack of 1h: %d streams established, %d behind, want 1 and 0", established, behind)
 	}
 	c.Record(recorder.Event{At: now, Side: recorder.Client, Conn: '1', End: true})
 	if established, _ := c.Established(now, 0); established != 0 {
-		t.Error("established though it has ended")
+		t.Error("the stream is established although its connection has ended")
 	}
 }
--- a/lab/checker/client.go
+++ b/lab/checker/client.go
@@ -8,22 +8,22 @@
 	"spurspread/lab/recorder"
 )
 
-// moveWord begins the line by which a client is moved; a token may follow it.
+// moveWord begins the line by which a client is moved. A token may follow it.
 const moveWord = "MOVE"
 
-// AfterToken begins the reason of a client that started over though it had a token.
+// AfterToken is the prefix of reasons for opens without a token by clients that had presented a token before.
 const AfterToken = "token, then "
 
-// clientConn is a connection as its client's side shows it.
+// clientConn is the checker's state of a connection on the client's side.
 type clientConn struct {
 	key         uint64
-	hasToken    bool // its first line presented one
-	established bool
-	lost        bool   // it was established, and is no longer
+	hasToken    bool   // the open presented a token
+	established bool   // set once, and kept when the connection ends
+	lost        bool   // it was established, and has ended or was moved
 	lastLine    string // the final answer, or MOVE; "": none yet
 }
 
-// endReason is why the client opens its next connection.
+// endReason returns the reason for the client's next open, after this connection ended by what.
 func (k *clientConn) endReason(what string) string {
 	if k.hasToken {
 		return AfterToken + what
@@ -31,7 +31,7 @@
 	return what
 }
 
-// observeClient follows a client's side of a connection.
+// observeClient handles an event on the client's side of a connection.
 func (c *Checker) observeClient(e recorder.Event) {
 	k := c.clients[e.Conn]
 	switch {
@@ -48,7 +48,7 @@
 	}
 }
 
-// clientOpened notes a first line, and why the client sent it.
+// clientOpened records an open and the reason why the client sent it.
 func (c *Checker) clientOpened(e recorder.Event) {
 	o, err := proto.ParseOpen(string(e.Line))
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// clientAnswered notes the answer to a client's first line.
+// clientAnswered records the answer to a client's open.
 func (c *Checker) clientAnswered(e recorder.Event, k *clientConn) {
 	text := string(e.Line)
 	answer := proto.ParseAnswer(text)
@@ -90,7 +90,8 @@
 	c.clientEstablished(e, k, answer)
 }
 
-// clientEstablished notes that a client's connection is established, and where its stream continues.
+// clientEstablished records that a client's connection is established, and the message after which the stream
+// continues.
 func (c *Checker) clientEstablished(e recorder.Event, k *clientConn, answer proto.Answer) {
 	k.established = true
 	s := c.streamOf(k.key)
@@ -110,7 +111,8 @@
 	s.established++
 }
 
-// clientReceived notes a line that came after UP. Answers to the client's own lines are no messages.
+// clientReceived records a line that follows UP: a move, or a message. Other lines, which answer the client's own
+// lines, are ignored.
 func (c *Checker) clientReceived(e recorder.Event, k *clientConn) {
 	if bytes.HasPrefix(e.Line, []byte(moveWord)) {
 		c.clientMoved(e, k)
@@ -142,14 +144,14 @@
 	c.recordDelay(s, e.At, e.At.Sub(c.index.Due(k.key, n)))
 }
 
-// isMessage reports whether a line is the index's message of that number, and was due when it came.
+// isMessage reports whether the line of e is message n of the stream, and was due when it arrived.
 func (c *Checker) isMessage(e recorder.Event, key, n uint64) bool {
 	c.expectedLine = c.index.AppendMessage(c.expectedLine[:0], key, n)
 	expected := bytes.TrimSuffix(c.expectedLine, []byte("\r\n"))
 	return bytes.Equal(expected, e.Line) && !c.index.Due(key, n).After(e.At)
 }
 
-// clientMoved notes that a client was moved, with a token or without.
+// clientMoved records that a client was moved, with or without a token.
 func (c *Checker) clientMoved(e recorder.Event, k *clientConn) {
 	c.current.Moves++
 	if len(e.Line) > len(moveWord)+len(" ") {
@@ -162,7 +164,8 @@
 	c.connectionLost(e, k)
 }
 
-// recordDelay notes when a stream's next message came, and how long after it was due.
+// recordDelay records the delay of a stream's message since it was due, and the gap since the previous message if the
+// stream is watched.
 func (c *Checker) recordDelay(s *stream, at time.Time, delay time.Duration) {
 	c.current.Delays = append(c.current.Delays, delay)
 	if !s.watched {
@@ -176,7 +179,7 @@
 	s.lastMessageAt = at
 }
 
-// connectionLost notes once that an established connection is no longer established.
+// connectionLost records, once for each connection, that it is no longer established.
 func (c *Checker) connectionLost(e recorder.Event, k *clientConn) {
 	if !k.established || k.lost {
 		return
@@ -192,7 +195,7 @@
 	}
 }
 
-// clientEnded notes the end of a client's connection.
+// clientEnded records the end of a client's connection.
 func (c *Checker) clientEnded(e recorder.Event, k *clientConn) {
 	if k.lastLine == "" {
 		s := c.streamOf(k.key)
--- a/lab/checker/figures.go
+++ b/lab/checker/figures.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// Figures are the counts of a stretch of a run. Make them with NewFigures.
+// Figures has the counts and durations of a period of a run. Create it with NewFigures.
 type Figures struct {
 	Messages         int // delivered to clients
-	Lost             int // left out without an announcement
-	Repeated         int // delivered though the client had them
-	Corrupt          int // not what the index has, or delivered before they were due
-	AnnouncedGaps    int // left out, and announced by the answer to the client's open
+	Lost             int // messages left out without an announcement
+	Repeated         int // messages delivered that the client had already
+	Corrupt          int // messages that differ from the index, or were delivered before they were due
+	AnnouncedGaps    int // messages left out, as announced by the answer to the client's open
 	Moves            int // MOVE lines that clients read, with a token or without
-	TokensIssued     int // issued with MOVE
+	TokensIssued     int // tokens in MOVE lines
 	TokensAccepted   int // opens with a token that were established at a node
-	MaxLivePerToken  int // connections of one token at the same time
-	MaxUsesPerToken  int // connections of one token over the whole run
-	MaxLivePerStream int // connections of one stream at the same time, at all nodes
-	// SecondCopies counts first lines that were established at a node while the same line was established already.
+	MaxLivePerToken  int // most connections that one token established and that were live at the same time
+	MaxUsesPerToken  int // most connections that one token established over the whole run
+	MaxLivePerStream int // most connections of one stream at the same time, over all nodes
+	// SecondCopies counts opens that a node established while the same open was established already.
 	SecondCopies int
 
-	// SessionOpens are first lines without a token that nodes read, by why the client opened: each costs a call.
+	// SessionOpens counts opens without a token that nodes read, by the client's reason. Each costs a session call.
 	SessionOpens map[string]int
-	// StartOvers are first lines without a token that clients sent, by why.
+	// StartOvers counts opens without a token that clients sent, by the client's reason.
 	StartOvers map[string]int
-	// Answers are the final answers that clients read to a token, by their first words.
+	// Answers counts the final answers to opens with a token that clients read, by their first words.
 	Answers map[string]int
 
 	Watched       WatchedFigures
-	Delays        []time.Duration // of messages, from when they were due until they were read
-	Gaps          []time.Duration // without an established connection, from each end to the next UP
-	Reestablished []time.Time     // when connections were established that were not their stream's first
+	Delays        []time.Duration // of messages, from when they were due until clients read them
+	Gaps          []time.Duration // without an established connection, from the end of one to the next UP
+	Reestablished []time.Time     // when connections were established, except for each stream's first
 }
 
-// WatchedFigures are the counts of the streams that Watch chose.
+// WatchedFigures has the figures of the streams selected by Watch.
 type WatchedFigures struct {
 	Delays []time.Duration // of their messages
-	Gap    time.Duration   // the longest between two messages of one of them
-	Ends   int             // of their connections
+	Gap    time.Duration   // the longest time between two messages of a stream
+	Ends   int             // established connections that ended
 }
 
-// NewFigures are figures with all counts 0.
+// NewFigures returns figures with all counts 0.
 func NewFigures() Figures {
 	return Figures{
 		SessionOpens: map[string]int{},
@@ -52,7 +52,7 @@
 	}
 }
 
-// Add adds the figures of a later stretch, except for Focus, which belongs to one stretch.
+// Add adds the figures of a later period, except for Watched, which is kept for single periods only.
 func (f *Figures) Add(later Figures) {
 	f.Messages += later.Messages
 	f.Lost += later.Lost
@@ -80,7 +80,7 @@
 	}
 }
 
-// SessionCalls is the sum of SessionOpens.
+// SessionCalls returns the sum of SessionOpens.
 func (f *Figures) SessionCalls() int {
 	sum := 0
 	for _, n := range f.SessionOpens {
@@ -89,7 +89,8 @@
 	return sum
 }
 
-// FormatCounts lists counted words, the most frequent first and equal ones in alphabetical order.
+// FormatCounts returns the words with their counts as one line, the most frequent word first and words of equal counts
+// in alphabetical order.
 func FormatCounts(counts map[string]int) string {
 	var words []string
 	for word := range counts {
--- a/lab/checker/node.go
+++ b/lab/checker/node.go
@@ -8,18 +8,18 @@
 	"spurspread/lab/recorder"
 )
 
-// nodeConn is a connection as its node's side shows it.
+// nodeConn is the checker's state of a connection on the node's side.
 type nodeConn struct {
 	key         uint64
-	id          string // of its first line
-	token       string // of its first line; "": none
+	id          string // of the open
+	token       string // of the open; "": none
 	established bool
 }
 
 // tokenUse counts the connections that were established with one token.
 type tokenUse struct{ live, total int }
 
-// observeNode follows a node's side of a connection.
+// observeNode handles an event on the node's side of a connection.
 func (c *Checker) observeNode(e recorder.Event) {
 	k := c.nodes[e.Conn]
 	switch {
@@ -36,7 +36,7 @@
 	}
 }
 
-// nodeOpened notes a first line that a node read. One without a token costs a session call.
+// nodeOpened records an open that a node read. An open without a token costs a session call.
 func (c *Checker) nodeOpened(e recorder.Event) {
 	o, err := proto.ParseOpen(string(e.Line))
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// nodeEstablished notes that a connection is established at a node.
+// nodeEstablished records that a connection is established at a node.
 func (c *Checker) nodeEstablished(e recorder.Event, k *nodeConn) {
 	k.established = true
 	c.establishedAtNode[e.Name]++
@@ -65,7 +65,7 @@
 	}
 }
 
-// tokenUsed notes that a connection was established with a token.
+// tokenUsed records that a connection was established with a token.
 func (c *Checker) tokenUsed(token string) {
 	use := c.tokens[token]
 	if use == nil {
@@ -79,7 +79,7 @@
 	c.current.MaxUsesPerToken = max(c.current.MaxUsesPerToken, use.total)
 }
 
-// nodeEnded notes the end of a connection that was established at a node.
+// nodeEnded records the end of a connection that was established at a node.
 func (c *Checker) nodeEnded(e recorder.Event, k *nodeConn) {
 	c.establishedAtNode[e.Name]--
 	if c.establishedAtNode[e.Name] == 0 {
@@ -95,7 +95,8 @@
 	}
 }
 
-// EmptiedAt is when the last connection of a node ended; zero while one is established, or if none ever was.
+// EmptiedAt returns the time at which the last connection of a node ended; zero while one is established, or if none
+// has been.
 func (c *Checker) EmptiedAt(node string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,7 +1,7 @@
-// Package client is an emulated client of one stream. It opens the stream through a Link, keeps the number of the
-// last whole message that it received, and reconnects after whatever ends its connection, with a resume token if it
-// was given one. It knows the protocol of clients only: what it received is judged by the sink that observes its
-// socket.
+// Package client emulates a client of one stream. It opens the stream through a Link, keeps the number of the last
+// complete message that it received, and reconnects whenever its connection ends, with a resume token if it was given
+// one. It knows only the clients' part of the protocol and does not check what it receives: that is up to the
+// recorder's sink, which observes the client's socket.
 package client
 
 import (
@@ -23,13 +23,13 @@
 	Class       string
 	Group       string
 	Owner       string
-	Link        Link               // how it reaches a balancer
-	DuplicateAt []string           // balancers; with two or more it presents each token at two of them at the same time
-	InitialNode string             // node at which its stream already is when the run begins; "": none
-	Tokens      bool               // it takes resume tokens
-	Deadline    time.Duration      // for the answer to an open
+	Link        Link               // the connections to a balancer
+	DuplicateAt []string           // addresses of balancers; if two or more, tokens are presented at two at once
+	InitialNode string             // node that has its stream already when the run begins; "": none
+	Tokens      bool               // it asks for resume tokens
+	Deadline    time.Duration      // for the answer to an open, as sent in the open
 	Recorder    *recorder.Recorder // of its connections
-	Seed        uint64             // of its random waits and ids, together with Key
+	Seed        uint64             // of its random waits and ids, in combination with Key
 }
 
 // Bounds of the random waits between two connections.
@@ -38,14 +38,15 @@
 	reconnectMax      = 820 * time.Millisecond
 	retryMin          = 14 * time.Millisecond // after an open that failed
 	retryMax          = 110 * time.Millisecond
-	slowRetryFailures = 4                      // failures in a row, from which on it waits longer
-	slowRetryWait     = 600 * time.Millisecond // up to twice as long
+	slowRetryFailures = 4                      // after so many successive failures it waits longer
+	slowRetryWait     = 600 * time.Millisecond // lower bound of the longer wait; the upper bound is twice as long
 )
 
 const (
-	sendInterval = 2 * time.Second        // between two lines of the client on an established connection
-	answerSlack  = 200 * time.Millisecond // beyond its deadline, until it gives up an open
-	// initialTimeout bounds an open at the node where its stream already is: many of them come at once.
+	sendInterval = 2 * time.Second        // between two lines that a client sends on an established connection
+	answerSlack  = 200 * time.Millisecond // from an open's deadline until the client gives the open up
+	// initialTimeout bounds an open with an InitialNode. It is longer, as the clients send all of these opens at
+	// about the same time.
 	initialTimeout = time.Minute
 	maxLineBytes   = 8192
 )
@@ -58,19 +59,19 @@
 	wordMove  = "MOVE"
 )
 
-// Client is one emulated client. All but Reads belongs to the goroutine of Run.
+// Client is one emulated client. Only Reads may be used from other goroutines than that of Run.
 type Client struct {
-	Reads               barrier.Barrier // while it is shut, the client reads nothing from an established connection
+	Reads               barrier.Barrier // while it is shut, the client does not read from an established connection
 	cfg                 Config
 	rng                 *rand.Rand
 	cursor              uint64 // last message received; valid if hasCursor
 	hasCursor           bool
-	token               string // to be presented next; "": none
+	token               string // to be presented by the next open; "": none
 	opens               int
 	consecutiveFailures int
 }
 
-// New returns a client that connects once it is run.
+// New returns a client, which connects once Run is called.
 func New(cfg Config) *Client {
 	return &Client{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Key))}
 }
@@ -86,12 +87,12 @@
 	}
 }
 
-// randomWait draws a wait from the half-open span.
+// randomWait draws a wait of at least from and less than to.
 func (c *Client) randomWait(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)))
 }
 
-// nextOpen is the first line of the next connection; each has a new id.
+// nextOpen returns the first line of the next connection, with a new id.
 func (c *Client) nextOpen() *proto.Open {
 	c.opens++
 	o := &proto.Open{
@@ -113,7 +114,7 @@
 	return o
 }
 
-// dial opens by a link, and waits for the answer until shortly after the deadline.
+// dial opens a stream through a link, and waits for the answer until answerSlack after the deadline.
 func (c *Client) dial(ctx context.Context, link Link, o *proto.Open) *conn {
 	timeout := time.Duration(o.DeadlineMillis)*time.Millisecond + answerSlack
 	if o.At != "" {
@@ -124,15 +125,16 @@
 	})
 }
 
-// runOnce makes one connection, and reads from it until its end if it is established. It returns how long to wait
-// before the next.
+// runOnce makes one connection and, if it is established, reads from it until its end. It returns the wait before the
+// next connection.
 func (c *Client) runOnce(ctx context.Context) time.Duration {
 	k := c.connect(ctx)
 	defer k.close()
 	stop := context.AfterFunc(ctx, k.close)
 	defer stop()
 	if k.err != nil {
-		// Without an answer the token may be unused or used: the node that it names will answer that.
+		// Without an answer it is unknown whether the token was used. It is kept: when it is presented again, the
+		// node that it names answers that.
 		return c.retryWait()
 	}
 	switch k.answer.Word {
@@ -154,7 +156,7 @@
 	return c.retryWait()
 }
 
-// retryWait counts a failed open, and returns how long to wait after it.
+// retryWait counts a failed open, and returns the wait before the next one.
 func (c *Client) retryWait() time.Duration {
 	c.consecutiveFailures++
 	if c.consecutiveFailures >= slowRetryFailures {
@@ -163,7 +165,8 @@
 	return c.randomWait(retryMin, retryMax)
 }
 
-// connect opens once, or with a token at two balancers at the same time; then the better answer is kept.
+// connect opens the stream once. With a token and DuplicateAt it opens at two balancers at the same time, and returns
+// the connection with the better answer.
 func (c *Client) connect(ctx context.Context) *conn {
 	const duplicates = 2
 	if len(c.cfg.DuplicateAt) < duplicates || c.token == "" {
@@ -177,7 +180,7 @@
 	}
 	best := <-answered
 	if answerRank(best) == rankEstablished {
-		go func() { (<-answered).close() }() // the other answer does not matter any more
+		go func() { (<-answered).close() }() // the other answer no longer matters
 		return best
 	}
 	other := <-answered
@@ -188,15 +191,15 @@
 	return best
 }
 
-// Ranks of answers, the most useful to the client last.
+// Ranks of answers, in ascending order of their use for the client.
 const (
 	rankFailed = iota
-	rankBusy   // below a refusal: the other balancer's answer shows that the token may be used up
+	rankBusy   // lower than a refusal, because the refusal shows that the token may be used up
 	rankRefused
 	rankEstablished
 )
 
-// answerRank orders the answers of a client that has two.
+// answerRank returns the rank of an answer, to choose between two.
 func answerRank(k *conn) int {
 	switch {
 	case k.err != nil:
@@ -210,7 +213,8 @@
 	}
 }
 
-// readMessages reads until the connection ends or the client is moved, and meanwhile sends a line every sendInterval.
+// readMessages reads until the connection ends or the client is moved. In the meantime it sends a line every
+// sendInterval. It keeps the number of the last message, and the token of a move.
 func (c *Client) readMessages(k *conn) {
 	done := make(chan struct{})
 	defer close(done)
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// garbageTimeout bounds a connection with a garbage token, until its answer.
+	// garbageTimeout bounds the dial of a connection with a random token, and then the wait for its answer.
 	garbageTimeout = 3 * time.Second
-	// tokenPrefix is a token's version; a token without it would be refused before it is decrypted.
+	// tokenPrefix is the encoded version of tokens. A token without it would be refused before it is decrypted.
 	tokenPrefix = "AQ"
-	// tokenLetters are the letters of a token's text.
+	// tokenLetters is the alphabet of tokens.
 	tokenLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 )
 
-// SendGarbage presents random tokens, one connection after another, as fast as they are answered, until the context
-// is done. It counts the tokens that it has sent, and those that were refused as stale. An error means that it could
-// not connect.
+// SendGarbage presents random tokens on one connection after another, as fast as they are answered, until the context
+// is done. It adds the tokens that it has sent to sent, and those that were refused with STALE to answered. An error
+// means that it could not connect.
 func SendGarbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp", addr, garbageTimeout)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// garbageToken draws a text that has the length and the letters of a token.
+// garbageToken returns a random text with the length and the alphabet of a token.
 func garbageToken(rng *rand.Rand) string {
 	var text strings.Builder
 	text.WriteString(tokenPrefix)
@@ -50,7 +50,7 @@
 	return text.String()
 }
 
-// refusedAsStale opens a stream with a token, and reports whether the answer is STALE.
+// refusedAsStale opens a stream with a token on conn, and reports whether the answer is STALE.
 func refusedAsStale(conn net.Conn, id uint64, token string) bool {
 	if _, err := fmt.Fprintf(conn, "OPEN %x 7f c=index-sync,d=1200,cur=1,tok=%s\r\n", id, token); err != nil {
 		return false
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -17,24 +17,25 @@
 	"spurspread/lab/sshchan"
 )
 
-// Link is how a client reaches a balancer: by a connection of its own for each open, or by a channel of one that
-// several clients share.
+// Link opens streams at a balancer: each on its own connection (DedicatedLink), or each on a channel of one connection
+// that several clients share (SharedLink).
 type Link interface {
 	// open opens a stream, and waits for its answer until the deadline. The result is never nil; its err is set if
-	// there was no answer. The wrap function has the stream's bytes recorded.
+	// there was no answer. The stream's bytes are recorded by wrap.
 	open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn
 }
 
-// wrapper has a stream's bytes recorded.
+// wrapper returns a stream whose bytes are recorded.
 type wrapper func(recorder.Stream) *recorder.Conn
 
-// conn is a stream that was opened, and its answer.
+// conn is a stream for which an open was sent, with the answer.
 type conn struct {
 	*recorder.Conn // nil if the balancer could not be reached
 	reader         *bufio.Reader
 	answer         proto.Answer
-	err            error                             // why there is no answer
-	moved          func() (token string, moved bool) // after its end: whether it was moved without a MOVE line
+	err            error // the reason if there is no answer
+	// moved reports, after the stream's end, whether it was moved by a channel request instead of a MOVE line.
+	moved func() (token string, moved bool)
 }
 
 func (k *conn) close() {
@@ -43,7 +44,7 @@
 	}
 }
 
-// readLine reads one whole line. Half a line before the end is an error.
+// readLine reads one line and returns it without its end. A line that is cut off by the stream's end is an error.
 func (k *conn) readLine() (string, error) {
 	text, err := k.reader.ReadSlice('\n')
 	if err != nil {
@@ -52,7 +53,7 @@
 	return strings.TrimRight(string(text), "\r\n"), nil
 }
 
-// DedicatedLink reaches a balancer by a connection of its own for each open.
+// DedicatedLink makes a new connection to a balancer for each open.
 type DedicatedLink struct {
 	Addr   string
 	OnDial func() // called for each connection made; may be nil
@@ -83,8 +84,8 @@
 	return k
 }
 
-// SharedLink reaches a balancer by channels of one connection, which is made again after it has ended. Several
-// clients may use it at the same time.
+// SharedLink opens a channel for each open, on one connection that it makes again after its end. Several clients may
+// use it at the same time.
 type SharedLink struct {
 	Addr        string
 	WindowBytes uint32 // receive window of each channel, in bytes
@@ -95,8 +96,8 @@
 	group singleflight.Group
 }
 
-// connect returns the connection, and makes it if there is none or it has ended. Clients that call it meanwhile get
-// the same result.
+// connect returns the connection, and makes a new one if there is none or it has ended. Concurrent calls share one
+// attempt and its result.
 func (l *SharedLink) connect(ctx context.Context, deadline time.Time) (*sshchan.Conn, error) {
 	if c := l.Conn(); c != nil && c.Err() == nil {
 		return c, nil
@@ -136,14 +137,15 @@
 	return c, nil
 }
 
-// Conn is the present connection, which may have ended; nil before the first.
+// Conn returns the current connection, which may have ended; nil before the first one.
 func (l *SharedLink) Conn() *sshchan.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
 }
 
-var errNoAnswer = errors.New("no answer in time")
+// errNoAnswer is the error of an open that was not answered until its deadline.
+var errNoAnswer = errors.New("no answer until the deadline")
 
 func (l *SharedLink) open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn {
 	connection, err := l.connect(ctx, deadline)
@@ -187,8 +189,8 @@
 	}
 }
 
-// closeWhenAnswered closes a channel whose open was given up. It can't be closed before the peer has confirmed it
-// with its number.
+// closeWhenAnswered closes a channel whose open was given up. The channel can't be closed before the peer has confirmed
+// it and assigned its number.
 func closeWhenAnswered(channel *sshchan.Channel) {
 	if answer, ok := <-channel.Answered(); ok && answer.Up {
 		_ = channel.Close()
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -23,41 +23,42 @@
 )
 
 const (
-	// startTimeout bounds how long a process may take until it listens.
+	// startTimeout bounds the time from a process's start until it listens.
 	startTimeout = 10 * time.Second
 	// managementTimeout bounds a call of the management address.
 	managementTimeout = 3 * time.Second
-	// tailLines is how many lines of a process's log are kept for error messages.
+	// tailLines is the number of lines of a process's log that are kept for error messages.
 	tailLines = 50
-	// anyPort is the listen address of a balancer before its first start: the kernel chooses the port.
+	// anyPort is the listen address of a balancer at its first start: the kernel chooses the port.
 	anyPort = "127.0.0.1:0"
 )
 
 var (
-	// ErrStart is the error of a process that ended or did not listen within the start's time limit.
+	// ErrStart is returned for a process that ended instead of listening, or that did not listen within startTimeout.
 	ErrStart = errors.New("the balancer did not start")
-	// ErrManagement is the error of a management call that was answered with anything but +OK.
+	// ErrManagement is returned for a management call whose answer is not +OK.
 	ErrManagement = errors.New("management call refused")
 )
 
-// Balancer is one real balancer, which can be ended and started again at its address. Start, Upgrade and
-// CallManagement belong to one goroutine; the other methods may be called from any.
+// Balancer is one real balancer, which can be stopped and started again at the same address. Start, Upgrade and
+// CallManagement must be called from a single goroutine; the other methods may be called from any.
 type Balancer struct {
 	deployment     *Deployment
 	rank           int    // its index in the deployment
-	listen         string // address for clients; the same after the first start
-	managementAddr string // of the present process
-	starts         int    // processes so far
+	listen         string // address for clients, which stays the same after the first start
+	managementAddr string // of the current process
+	starts         int    // number of processes started so far
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
 	done      chan struct{} // closed when the process has ended
 	exitCode  int
-	tail      []string           // its last log lines
-	maxLogged map[string]float64 // greatest value of each numeric field of the log, over all its processes
+	tail      []string           // last log lines of the current process
+	maxLogged map[string]float64 // greatest value of each numeric log field, over all its processes
 }
 
-// StartSingle starts one balancer whose only node is at the given address. Its discovery is closed once it listens.
+// StartSingle starts one balancer whose only node is at nodeAddr. Files are written to the existing folder dir. The
+// discovery service for the balancer is closed once the balancer listens.
 func StartSingle(program, dir, nodeAddr string, channels bool) (*Balancer, error) {
 	cfg := Config{Program: program, Dir: dir, Balancers: 1, Seed: 1, Channels: channels}
 	d := &Deployment{cfg: cfg}
@@ -68,7 +69,7 @@
 	if d.Discovery, err = discoveryserver.Start(0); err != nil {
 		return nil, err
 	}
-	// It is needed for the list at the start only: a balancer that can't reach discovery continues with that list.
+	// Discovery is needed only for the list at the start: a balancer that can't reach it continues with that list.
 	defer func() { _ = d.Discovery.Close() }()
 	d.Discovery.Publish(discoveryserver.Entry{
 		ID:          NodeID(0),
@@ -82,10 +83,10 @@
 	return b, b.Start()
 }
 
-// Addr is the address at which it listens for clients.
+// Addr returns the address at which the balancer listens for clients.
 func (b *Balancer) Addr() string { return b.listen }
 
-// Start starts a process and waits until it listens. An error that wraps ErrStart has the end of the log.
+// Start starts a process and waits until it listens. An error that wraps ErrStart includes the end of the log.
 func (b *Balancer) Start() error {
 	b.starts++
 	cmd, err := b.command()
@@ -111,15 +112,15 @@
 	case b.listen = <-listens:
 		return nil
 	case <-done:
-		return fmt.Errorf("%w: balancer %d ended at its start: %v", ErrStart, b.rank, b.Tail())
+		return fmt.Errorf("%w: balancer %d ended before it listened: %v", ErrStart, b.rank, b.Tail())
 	case <-time.After(startTimeout):
 		b.Kill()
-		return fmt.Errorf("%w: balancer %d did not listen in %v: %v", ErrStart, b.rank, startTimeout, b.Tail())
+		return fmt.Errorf("%w: balancer %d did not listen within %v: %v", ErrStart, b.rank, startTimeout, b.Tail())
 	}
 }
 
-// command writes the configuration of the next process and makes its command. The process gets the environment that
-// the platform gives it, and no arguments. Each process has a management address of its own.
+// command writes the configuration of the next process and returns its command. As on the platform, the process is
+// configured by environment variables and gets no arguments. Each process has its own management address.
 func (b *Balancer) command() (*exec.Cmd, error) {
 	d := b.deployment
 	var err error
@@ -150,8 +151,8 @@
 	return cmd, nil
 }
 
-// followLog reads a process's log until its end. It sends the address at which the process listens, and closes done
-// once the process has ended.
+// followLog reads a process's log until its end. It sends the address at which the process listens on listens, and
+// closes done once the process has ended.
 func (b *Balancer) followLog(cmd *exec.Cmd, log io.Reader, listens chan<- string, done chan<- struct{}) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		b.recordLogLine(lines.Text())
@@ -159,15 +160,15 @@
 			listens <- addr
 		}
 	}
-	_ = cmd.Wait() // the process state has how it ended
+	_ = cmd.Wait() // ProcessState has the exit code
 	b.mu.Lock()
 	b.exitCode = cmd.ProcessState.ExitCode()
 	b.mu.Unlock()
 	close(done)
 }
 
-// freeAddr is an unused address that the kernel gives to no other socket before it is used: outgoing
-// connections come from 127.0.0.1, as most listeners do, and this is another of 127.0.0.0/8.
+// freeAddr returns an unused address that the kernel does not assign to another socket in the meantime: it assigns
+// ports of 127.0.0.1 to outgoing connections and most listeners, and this is another address of 127.0.0.0/8.
 func freeAddr() (string, error) {
 	ip := net.IPv4(127, byte(64+rand.IntN(128)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
@@ -177,8 +178,8 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// CallManagement makes a call of its management address, and returns how long the answer took. An answer other than
-// +OK is ErrManagement.
+// CallManagement sends a command to the management address, and returns the time until the answer. If the answer is
+// not +OK the error is ErrManagement.
 func (b *Balancer) CallManagement(call string) (time.Duration, error) {
 	began := time.Now()
 	conn, err := net.DialTimeout("tcp", b.managementAddr, managementTimeout)
@@ -197,8 +198,8 @@
 	return time.Since(began), err
 }
 
-// listenAddress is the address in the log line of a balancer that has started, "" for any other line. Lines of
-// programs from before JSON logs are read as well, as these are measured, too.
+// listenAddress returns the address from the log line by which a balancer reports that it has started, and "" for any
+// other line. It also reads the text format of versions without JSON logs, because these are measured too.
 func listenAddress(line string) string {
 	if fields := gjson.Parse(line); fields.Get("msg").Str == "started" {
 		return fields.Get("listen").Str
@@ -210,17 +211,18 @@
 	return ""
 }
 
-// MaxLogged is the greatest value that a numeric field of its log has had since its first start; 0 if it had none.
+// MaxLogged returns the greatest value that a numeric log field has had since the balancer's first start; 0 if the
+// field was not logged.
 func (b *Balancer) MaxLogged(field string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.maxLogged[field]
 }
 
-// ResidentBytes is the resident memory of its process; see Resident.
+// ResidentBytes returns the resident memory of the current process in bytes; 0 if it can't be read.
 func (b *Balancer) ResidentBytes() float64 { return ResidentBytes(b.Pid()) }
 
-// ResidentBytes is the resident memory of a process in bytes, as the kernel reports it; 0 where it can't be read.
+// ResidentBytes returns the resident memory of a process in bytes, as the kernel reports it; 0 if it can't be read.
 func ResidentBytes(pid int) float64 {
 	const bytesPerKB = 1024
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -254,14 +256,14 @@
 	}
 }
 
-// Tail is the end of the present process's log, tailLines lines at most.
+// Tail returns the last lines of the current process's log, at most tailLines.
 func (b *Balancer) Tail() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.tail)
 }
 
-// Signal sends its process a signal; one that has ended gets none.
+// Signal sends a signal to the current process. It does nothing if the process has ended or none was started.
 func (b *Balancer) Signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -270,7 +272,7 @@
 	}
 }
 
-// Pid is the process id, 0 before the first start.
+// Pid returns the id of the current process; 0 before the first start.
 func (b *Balancer) Pid() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -280,14 +282,14 @@
 	return b.cmd.Process.Pid
 }
 
-// Kill ends its process with SIGKILL, and waits for its end.
+// Kill ends the current process with SIGKILL, and waits for its end.
 func (b *Balancer) Kill() {
 	b.Signal(syscall.SIGKILL)
 	b.wait()
 }
 
-// Upgrade starts a new process on the same address while the present one runs, and once the new one listens ends the
-// old one with SIGTERM. It returns the old one's exit code.
+// Upgrade starts a new process at the same address while the current one runs. Once the new process listens, it ends
+// the old one with SIGTERM, and returns the old one's exit code.
 func (b *Balancer) Upgrade() (int, error) {
 	b.mu.Lock()
 	old := b.cmd
@@ -303,13 +305,13 @@
 	return old.ProcessState.ExitCode(), nil
 }
 
-// Terminate ends its process with SIGTERM, and returns its exit code.
+// Terminate ends the current process with SIGTERM, and returns its exit code.
 func (b *Balancer) Terminate() int {
 	b.Signal(syscall.SIGTERM)
 	return b.wait()
 }
 
-// wait waits for the end of the present process, if there is one, and returns its exit code.
+// wait waits for the end of the current process, and returns its exit code; 0 if no process was started.
 func (b *Balancer) wait() int {
 	b.mu.Lock()
 	done := b.done
--- a/lab/deployment/config.go
+++ b/lab/deployment/config.go
@@ -15,15 +15,16 @@
 const (
 	// memoryMB is a balancer's memory limit.
 	memoryMB = 192
-	// Each process of each balancer has a seed of its own: the deployment's, the balancer's rank, and its starts.
+	// Each process of each balancer has its own seed, computed from the deployment's seed, the balancer's rank, and
+	// the number of the balancer's starts.
 	seedsPerDeployment = 1000
 	seedsPerBalancer   = 100
-	// secretFileMode keeps the key and what names it readable by the owner only.
+	// secretFileMode makes the key file, and the files that refer to it, readable by the owner only.
 	secretFileMode = 0o600
 )
 
-// writeSiteFiles writes the site file, and the key file where tokens are on. With neither tokens nor channels there
-// is no site file.
+// writeSiteFiles writes the site file, and the key file if tokens are enabled. With neither tokens nor channels it
+// writes nothing.
 func (d *Deployment) writeSiteFiles() error {
 	if !d.cfg.Tokens && !d.cfg.Channels {
 		return nil
@@ -41,7 +42,7 @@
 	return errors.Join(err, os.WriteFile(d.sitePath, []byte(text+"</spurspread>\n"), secretFileMode))
 }
 
-// writeKey draws the key of resume tokens, and writes its file for the balancers.
+// writeKey generates the key for resume tokens, and writes the key file for the balancers.
 func (d *Deployment) writeKey() error {
 	var secret [32]byte
 	_, _ = rand.Read(secret[:]) // never fails
@@ -50,7 +51,7 @@
 	return os.WriteFile(path, []byte(hex.EncodeToString(secret[:])), secretFileMode)
 }
 
-// balancerConfig is the configuration that the platform would give a balancer.
+// balancerConfig returns the configuration that the platform would give a balancer.
 func (d *Deployment) balancerConfig(b *Balancer) map[string]any {
 	seed := d.cfg.Seed*seedsPerDeployment + uint64(b.rank*seedsPerBalancer+b.starts)
 	return map[string]any{
@@ -90,7 +91,7 @@
 	}
 }
 
-// attemptLimits are the platform's limits to attempts; times are in microseconds.
+// attemptLimits returns the platform's limits for attempts; times are in microseconds.
 func attemptLimits() map[string]any {
 	return map[string]any{
 		"most_tries":      4,
@@ -102,7 +103,7 @@
 	}
 }
 
-// balancingRules are the platform's settings of the decisions; times are in microseconds.
+// balancingRules returns the platform's settings for balancing decisions; times are in microseconds.
 func balancingRules() map[string]any {
 	return map[string]any{
 		"answer_slack":    8000,
@@ -115,7 +116,7 @@
 	}
 }
 
-// requestClass is the configuration of one class of streams: its latency objective, its deadline and its weight.
+// requestClass returns the configuration of one class of streams with its latency objective, deadline and weight.
 func requestClass(name string, objective, deadline time.Duration, weight float64) map[string]any {
 	return map[string]any{
 		"name":      name,
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -1,7 +1,7 @@
-// Package deployment assembles an emulated deployment on loopback: nodes, the session store, discovery, a front end,
-// and real balancers, each a process of its own. Start starts it, its methods drain, kill and restart single parts,
-// and Stop ends whatever was started. It knows how balancers are configured, started and stopped, and must not know
-// their internals: they are observed by their sockets, logs and memory only.
+// Package deployment runs an emulated deployment on loopback: nodes, the session store, discovery, a front end, and
+// real balancers, each in its own process. Start starts it, methods of Deployment drain, kill and restart single
+// parts, and Stop ends everything that was started. The package knows how balancers are configured, started and
+// stopped. It must not know their internals: they are observed only by their sockets, logs and memory.
 package deployment
 
 import (
@@ -22,21 +22,21 @@
 )
 
 const (
-	// sessionCallTimeout is how long a session call waits before it fails.
+	// sessionCallTimeout is the time that a call may wait at the session store before it fails.
 	sessionCallTimeout = 3 * time.Second
-	// frontendTimeout bounds how long the front end may take to find all balancers healthy.
+	// frontendTimeout bounds the time until the front end finds all balancers healthy.
 	frontendTimeout = 10 * time.Second
-	// announceTimeout bounds how long discovery may take to send a drain to the first balancer.
+	// announceTimeout bounds the time until discovery has sent a drain to the first balancer.
 	announceTimeout = 5 * time.Second
-	// pollInterval is the pause between two looks at an awaited condition.
+	// pollInterval is the pause between two checks of an awaited condition.
 	pollInterval = 5 * time.Millisecond
-	// indexAge is how long ago the package index began, so that streams have a backlog at the start.
+	// indexAge is the age of the package index at the start, so that streams have a backlog.
 	indexAge = time.Minute
 	// clientWindowBytes is the receive window that clients grant on each channel.
 	clientWindowBytes = 64 << 10
 )
 
-// The request classes of the balancers, and the deadline of the first.
+// The request classes of the balancers, and the deadline of IndexSync.
 const (
 	IndexSync         = "index-sync"
 	MetadataWatch     = "metadata-watch"
@@ -47,25 +47,25 @@
 type Config struct {
 	Program          string // path of the balancer's executable
 	Dir              string // an existing folder for its files
-	SeparateTempDirs bool   // each process has a TMPDIR of its own, so an upgrade has nothing to hand over by
+	SeparateTempDirs bool   // each process has its own TMPDIR, so that an upgrade can't hand connections over
 	Balancers        int
 	Nodes            int
-	Tokens           bool // the site file turns resume tokens on, and the nodes have the key
-	Channels         bool // the site file turns multiplexed channels on, and the nodes accept them
+	Tokens           bool // the site file enables resume tokens, and the nodes have the key
+	Channels         bool // the site file enables multiplexed channels, and the nodes accept them
 	Seed             uint64
 	Interval         time.Duration // between two messages of a stream
 	RetainedMessages uint64        // messages of each stream that a node's log retains
 	MessageBytes     int           // length of a message
-	StoreRate        float64       // session calls that the store serves in a second
-	SetUpTime        time.Duration // a node's own work for a new connection
-	DrainPatience    time.Duration // from a drain until clients that take tokens are moved, too
-	DiscoveryDelay   time.Duration // from a change until discovery announces it
-	HealthCheckDelay time.Duration // from a balancer's death until the front end passes it over
+	StoreRate        float64       // session calls that the store serves per second
+	SetUpTime        time.Duration // time that a node takes to set up a connection
+	DrainPatience    time.Duration // from a node's drain until it moves clients that take tokens
+	DiscoveryDelay   time.Duration // from a change until discovery publishes it
+	HealthCheckDelay time.Duration // from a balancer's death until the front end stops using it
 	Fault            node.Fault    // injected into the nodes; "": none
 }
 
-// Deployment is a running deployment. The parts may be used at any time after Start; its methods belong to one
-// goroutine.
+// Deployment is a running deployment. Its parts may be used at any time after Start; its methods must be called from a
+// single goroutine.
 type Deployment struct {
 	Index       *packageindex.Index
 	Checker     *checker.Checker // records what clients and nodes send and receive
@@ -86,8 +86,8 @@
 	clients  sync.WaitGroup
 }
 
-// Start starts all but the clients, and waits until the front end finds all balancers healthy. Once the context is
-// done, waits return its error. After an error nothing is left running.
+// Start starts all parts but the clients, and waits until the front end finds all balancers healthy. The context ends
+// the clients and, with its error, later waits. If Start returns an error nothing is left running.
 func Start(ctx context.Context, cfg Config) (*Deployment, error) {
 	d := &Deployment{
 		cfg: cfg,
@@ -128,7 +128,7 @@
 	if d.Frontend, err = frontend.Start(d.cfg.HealthCheckDelay, d.BalancerAddrs()...); err != nil {
 		return err
 	}
-	return d.Await(frontendTimeout, "the balancers answer the front end", func() bool {
+	return d.Await(frontendTimeout, "the front end finds all balancers healthy", func() bool {
 		return d.Frontend.Healthy() == d.cfg.Balancers
 	})
 }
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// Await polls a condition until it holds. After the timeout it returns an error that names the condition, after the
-// end of the deployment's context the context's error.
+// Await polls a condition until it holds. After the timeout it returns an error that names the condition, and once the
+// deployment's context is done it returns the context's error.
 func (d *Deployment) Await(timeout time.Duration, condition string, holds func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if holds() {
@@ -167,13 +167,14 @@
 			return err
 		}
 	}
-	return fmt.Errorf("after %v: not yet that %s", timeout, condition)
+	return fmt.Errorf("timeout after %v while waiting until %s", timeout, condition)
 }
 
-// NodeID is the node's id in discovery.
+// NodeID returns the id of node i in discovery.
 func NodeID(i int) string { return fmt.Sprintf("s-%08x", 0x5be2a07c+i*0x01010101) }
 
-// startNode starts a node. An empty addr gives it a port of its own; startedLongAgo makes it an established one.
+// startNode starts node i. With an empty addr the kernel chooses a port; with startedLongAgo discovery lists the node
+// as one that started long ago.
 func (d *Deployment) startNode(i int, addr string, startedLongAgo bool) (*node.Node, error) {
 	return node.Start(node.Config{
 		ID:             NodeID(i),
@@ -191,7 +192,7 @@
 	})
 }
 
-// announce lists a node with a lifecycle state in discovery, and returns the change's generation.
+// announce publishes a node with a lifecycle state in discovery, and returns the generation of the change.
 func (d *Deployment) announce(i int, lifecycle string) uint64 {
 	return d.Discovery.Publish(discoveryserver.Entry{
 		ID:              NodeID(i),
@@ -204,22 +205,24 @@
 	})
 }
 
-// Drain drains a node, as an operator would, and returns when discovery first sent it to a balancer.
+// Drain drains a node, as an operator would, and returns the time at which discovery first sent this change to a
+// balancer.
 func (d *Deployment) Drain(i int) (announcedAt time.Time, err error) {
 	d.Nodes[i].Drain()
 	generation := d.announce(i, discoveryserver.Terminating)
 	announced := func() bool { return !d.Discovery.AnnouncedAt(generation).IsZero() }
-	err = d.Await(announceTimeout, "discovery has told a balancer", announced)
+	err = d.Await(announceTimeout, "discovery has sent the drain to a balancer", announced)
 	return d.Discovery.AnnouncedAt(generation), err
 }
 
-// KillNode resets a node's connections and closes its listener. Discovery goes on listing it until ListGone.
+// KillNode resets a node's connections and closes its listener. Discovery lists the node until ListGone.
 func (d *Deployment) KillNode(i int) { d.Nodes[i].Kill() }
 
-// ListGone lists a node as gone in discovery.
+// ListGone publishes in discovery that a node is gone.
 func (d *Deployment) ListGone(i int) { d.announce(i, discoveryserver.Gone) }
 
-// RestartNode starts a killed node again under its id and address, without its former state, and lists it as ready.
+// RestartNode starts a killed node again with the same id and address, but without its former state, and publishes it
+// as ready.
 func (d *Deployment) RestartNode(i int) error {
 	n, err := d.startNode(i, d.Nodes[i].Addr(), false)
 	if err != nil {
@@ -230,8 +233,8 @@
 	return nil
 }
 
-// StartClient starts a client, which runs until Stop. Without a link in its configuration it makes
-// connections of its own to the front end.
+// StartClient starts a client, which runs until Stop. If its configuration has no link, each of its opens has a
+// dedicated connection to the front end.
 func (d *Deployment) StartClient(cfg client.Config) *client.Client {
 	cfg.Recorder = d.recorder
 	if cfg.Link == nil {
@@ -246,12 +249,12 @@
 	return c
 }
 
-// SharedLink is a multiplexed connection to the front end, for several clients.
+// SharedLink returns a multiplexed connection to the front end, for several clients.
 func (d *Deployment) SharedLink() *client.SharedLink {
 	return &client.SharedLink{Addr: d.Frontend.Addr(), WindowBytes: clientWindowBytes, OnDial: d.ClientDials.record}
 }
 
-// BalancerAddrs are the addresses at which the balancers listen for clients.
+// BalancerAddrs returns the addresses at which the balancers listen for clients.
 func (d *Deployment) BalancerAddrs() []string {
 	var out []string
 	for _, b := range d.Balancers {
@@ -260,7 +263,7 @@
 	return out
 }
 
-// Stop ends the clients and every process and listener that was started. It may follow a failed start.
+// Stop ends the clients and all processes and listeners that were started, also after a failed start.
 func (d *Deployment) Stop() {
 	d.stop()
 	d.clients.Wait()
--- a/lab/deployment/deployment_test.go
+++ b/lab/deployment/deployment_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The kernel gives a free ephemeral port to any process: an address that is in a balancer's configuration before the
-// balancer binds it must be one that the kernel does not give away.
+// A balancer's address is in its configuration before the balancer binds it. The kernel must not assign it to another
+// process in the meantime, as it may do with a free ephemeral port of 127.0.0.1.
 func TestFreeAddrIsNotEphemeral(t *testing.T) {
 	text, err := freeAddr()
 	if err != nil {
@@ -15,12 +15,12 @@
 	}
 	addr := netip.MustParseAddrPort(text)
 	ephemeral := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), addr.Port())
-	if other, err := net.Listen("tcp", ephemeral.String()); err == nil { // if it is taken already, the case is the same
+	if other, err := net.Listen("tcp", ephemeral.String()); err == nil { // an address in use already is the same case
 		defer func() { _ = other.Close() }()
 	}
 	ln, err := net.Listen("tcp", text)
 	if err != nil {
-		t.Fatalf("whoever has %v has taken the balancer's address: %v", ephemeral, err)
+		t.Fatalf("a listener on %v prevents listening on the balancer's address %s: %v", ephemeral, text, err)
 	}
 	_ = ln.Close()
 }
--- a/lab/deployment/events.go
+++ b/lab/deployment/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// EventTimes are the times at which something happened. They may be used from several goroutines.
+// EventTimes records the times of events. It may be used from several goroutines.
 type EventTimes struct {
 	mu    sync.Mutex
 	times []time.Time
@@ -17,7 +17,7 @@
 	e.times = append(e.times, time.Now())
 }
 
-// Between counts the events in the half-open span from one time to another.
+// Between returns the number of events at or after from and before to.
 func (e *EventTimes) Between(from, to time.Time) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -1,6 +1,6 @@
-// Package discoveryserver is the emulated discovery service. It publishes the list of nodes over HTTP, whole or as a
-// watch of changes, with a configurable delay, and notes when a change was first sent. Every balancer gets the same
-// list. It must not know what a balancer does with it.
+// Package discoveryserver emulates the discovery service. A Server publishes the list of nodes over HTTP, complete or
+// as a watch of changes, with a configurable delay, and records when each change was first sent. All balancers get the
+// same list. The package must not know how a balancer uses it.
 package discoveryserver
 
 import (
@@ -30,14 +30,14 @@
 	StartedAtMillis int64   `json:"startedAtMs"` // milliseconds since 1970; 0: long ago
 }
 
-// List is the whole list, or the changes since a generation.
+// List is the complete list, or the changes since a generation.
 type List struct {
 	Generation uint64  `json:"generation"` // after the changes
-	Reset      bool    `json:"reset"`      // it is the whole list
+	Reset      bool    `json:"reset"`      // the list is complete and replaces an earlier one
 	Instances  []Entry `json:"instances"`
 }
 
-// Server is the service. Its methods may be called from any goroutine.
+// Server is a discovery service. Its methods may be called from any goroutine.
 type Server struct {
 	delay time.Duration
 	http  *http.Server
@@ -49,10 +49,10 @@
 	announcedAt map[uint64]time.Time // when a generation was first sent on a watch
 }
 
-// headerTimeout bounds how long a request's header may take.
+// headerTimeout bounds the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
-// Start starts a service on loopback. A change is published after the delay.
+// Start starts a server on loopback. Changes are published after the delay.
 func Start(delay time.Duration) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,13 +71,13 @@
 	return s, nil
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends the service, with all watches.
+// Close stops the server and ends all watches.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Publish publishes a node's entry after the delay, and then returns the change's generation.
+// Publish waits for the delay, publishes a node's entry, and returns the generation of this change.
 func (s *Server) Publish(e Entry) uint64 {
 	time.Sleep(s.delay)
 	s.mu.Lock()
@@ -88,22 +88,23 @@
 	return uint64(len(s.changes))
 }
 
-// AnnouncedAt is when a change was first sent on a watch; zero if it was not yet.
+// AnnouncedAt returns the time at which a change was first sent on a watch; zero if it has not been sent.
 func (s *Server) AnnouncedAt(generation uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.announcedAt[generation]
 }
 
-// FullList is the present list, as a balancer's configuration may have it.
+// FullList returns the current list, which may also be part of a balancer's configuration.
 func (s *Server) FullList() List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changesSince(0)
 }
 
-// changesSince is what has changed after a generation, the last entry of each node only. It is the whole list,
-// without nodes that are gone, for generation 0 and for one of another service. The caller holds the mutex.
+// changesSince returns the last entry of each node that has changed after a generation. For generation 0, and for one
+// greater than the current generation, it returns the complete list without nodes that are gone. The caller holds the
+// mutex.
 func (s *Server) changesSince(generation uint64) List {
 	current := uint64(len(s.changes))
 	if generation > current {
@@ -125,7 +126,7 @@
 	return l
 }
 
-// markAnnounced notes that the generations after the first one, up to the second, are sent.
+// markAnnounced records that all changes later than the generation after, up to the generation to, have been sent.
 func (s *Server) markAnnounced(after, to uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/discoveryserver/watch.go
+++ b/lab/discoveryserver/watch.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch without changes gets an empty line.
+// heartbeatInterval is the interval of empty lines on a watch without changes.
 const heartbeatInterval = 2 * time.Second
 
-// serve answers with the whole list, or with stream=1 watches the changes after the generation index.
+// serve answers with the complete list or, with the parameter stream=1, sends changes after the generation in the
+// parameter index.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("stream") != "1" {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.FullList()) // a caller that has gone needs no list
+		_ = json.NewEncoder(w).Encode(s.FullList()) // if the caller has disconnected, it needs no list
 		return
 	}
 	generation, err := strconv.ParseUint(query.Get("index"), 10, 64)
 	if err != nil {
-		http.Error(w, "index is no number", http.StatusBadRequest)
+		http.Error(w, "index is not a number", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	s.watch(w, r, generation)
 }
 
-// watch sends a line with the changes since a generation at once and then after each change, and empty lines between,
-// until the caller has gone.
+// watch sends a line with the changes since a generation at once, and another after each change, with empty lines as
+// heartbeats in between, until the caller disconnects.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, generation uint64) {
 	for first := true; ; first = false {
 		s.mu.Lock()
@@ -38,7 +39,7 @@
 		s.mu.Unlock()
 		line := []byte{}
 		if first || l.Generation != generation {
-			line, _ = json.Marshal(l) // plain values: it can't fail
+			line, _ = json.Marshal(l) // can't fail: a List has only plain values
 		}
 		if _, err := fmt.Fprintf(w, "%s\n", line); err != nil {
 			return
--- a/lab/echo/echo.go
+++ b/lab/echo/echo.go
@@ -1,5 +1,5 @@
-// Package echo is the simplest index node: it accepts every connection and channel with UP, and sends each further
-// line back. It knows the protocol's first words only, and must not know clients, balancers or measurements.
+// Package echo is a minimal index node: it accepts every connection and channel with UP, and sends each further line
+// back. It knows only PING and the answers to a first line, and must not know clients, balancers or measurements.
 package echo
 
 import (
@@ -10,14 +10,14 @@
 	"spurspread/lab/sshchan"
 )
 
-// WindowBytes is the receive window that a node grants on a channel, in bytes.
+// WindowBytes is the receive window that the node grants on each channel.
 const WindowBytes = 64 << 10
 
-// sshPrefix begins a connection with channels.
+// sshPrefix is the beginning of a connection with channels.
 const sshPrefix = "SSH-"
 
-// Serve serves connections with plain lines and with channels until the listener is closed. onOpen, if it is not nil,
-// is called with the first line of each plain connection, by the connection's goroutine.
+// Serve serves connections with plain lines and with channels until the listener is closed. If onOpen is not nil it is
+// called with the first line of each connection with plain lines, in the connection's goroutine.
 func Serve(ln net.Listener, onOpen func(first string)) {
 	for {
 		conn, err := ln.Accept()
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveChannels accepts channels until the connection ends.
+// serveChannels accepts channels and echoes their lines until the connection ends.
 func serveChannels(conn net.Conn, reader *bufio.Reader) {
 	if _, err := reader.ReadString('\n'); err != nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// answerOpen answers the first line, a ping or an open. It reports whether the connection goes on.
+// answerOpen answers the first line, a ping or an open. It reports false if reading or writing failed.
 func answerOpen(reader *bufio.Reader, w io.Writer, onOpen func(first string)) bool {
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
@@ -74,7 +74,7 @@
 	return err == nil
 }
 
-// echoLines sends each line back until the end.
+// echoLines sends each line back until reading or writing fails.
 func echoLines(reader *bufio.Reader, w io.Writer) {
 	for {
 		line, err := reader.ReadSlice('\n')
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment runs named experiments against real balancers. An experiment's XML file gives the deployment,
-// the load, the steps with their faults and the bounds; Find or Read reads it, and Run runs its passes with a seed
-// and returns a report. Figures come from what a checker observed on the sockets of clients and nodes and from the
-// balancers' logs and memory; the package must not know a balancer's internals.
+// Package experiment runs named experiments against real balancers. An experiment's XML file specifies the
+// deployment, the load, the steps (faults, operations and measurements) and the bounds. Find or Read parses the file,
+// and Run runs its passes with a seed and returns a report. Figures come from a checker that observes the sockets of
+// clients and nodes, and from the balancers' logs and memory; the package must not know a balancer's internals.
 package experiment
 
 import (
@@ -20,15 +20,15 @@
 	"spurspread/lab/report"
 )
 
-// document is the form of an experiment's file.
+// document describes the root element of an experiment file.
 func document() xmlconfig.Document {
 	return xmlconfig.Document{Root: "experiment", Namespace: "urn:spurspread:experiment:1"}
 }
 
-// Experiment is one experiment's file.
+// Experiment is the content of one experiment file.
 type Experiment struct {
 	Name  xmlconfig.Name `xml:"name,attr" use:"required"`
-	About xmlconfig.Text `xml:"about,attr" use:"required" doc:"what it shows, in one line"`
+	About xmlconfig.Text `xml:"about,attr" use:"required" doc:"what the experiment shows, in one line"`
 
 	Fleet  Fleet  `xml:"fleet"`
 	Load   Load   `xml:"load"`
@@ -37,27 +37,27 @@
 	Bounds Bounds `xml:"bounds"`
 }
 
-// Fleet is the deployment that is emulated around the balancers.
+// Fleet describes the emulated deployment: the balancers and the services around them.
 type Fleet struct {
 	Balancers        int                `xml:"balancers,attr" default:"3" min:"1" max:"16" doc:"real balancers, a process each"`
 	Nodes            int                `xml:"nodes,attr" default:"12" min:"1" max:"200" doc:"emulated index nodes"`
-	Store            xmlconfig.Rate     `xml:"store,attr" default:"80/s" doc:"calls that the session store serves"`
-	SetUpTime        xmlconfig.Duration `xml:"set-up,attr" default:"4ms" max:"1s" doc:"a node's own work for a connection"`
-	DrainPatience    xmlconfig.Duration `xml:"patience,attr" default:"2500ms" doc:"of a draining node with clients that take tokens"`
-	DiscoveryDelay   xmlconfig.Duration `xml:"late,attr" default:"200ms" max:"10s" doc:"how late discovery tells"`
-	HealthCheckDelay xmlconfig.Duration `xml:"notice,attr" default:"1500ms" max:"10s" doc:"how late the front sees that a balancer is dead"`
+	Store            xmlconfig.Rate     `xml:"store,attr" default:"80/s" doc:"rate of calls that the session store serves"`
+	SetUpTime        xmlconfig.Duration `xml:"set-up,attr" default:"4ms" max:"1s" doc:"time that a node takes to set up a connection"`
+	DrainPatience    xmlconfig.Duration `xml:"patience,attr" default:"2500ms" doc:"time from a node's drain until it moves clients that take tokens"`
+	DiscoveryDelay   xmlconfig.Duration `xml:"late,attr" default:"200ms" max:"10s" doc:"delay until discovery publishes a change"`
+	HealthCheckDelay xmlconfig.Duration `xml:"notice,attr" default:"1500ms" max:"10s" doc:"delay until the front end stops using a dead balancer"`
 }
 
-// Load is the streams of the clients.
+// Load describes the clients' streams.
 type Load struct {
 	Streams              int                `xml:"streams,attr" default:"500" min:"1" max:"20000"`
-	InitialNode          int                `xml:"node,attr" default:"0" doc:"where all of them stand at first"`
-	Groups               int                `xml:"groups,attr" default:"50" min:"1" doc:"of streams that share their work"`
-	Interval             xmlconfig.Duration `xml:"interval,attr" default:"250ms" min:"1ms" doc:"between two messages of a stream"`
-	MessageBytes         xmlconfig.Size     `xml:"length,attr" default:"64B" min:"16B" max:"3KiB" doc:"of a message"`
-	RetainedMessages     int                `xml:"keep,attr" default:"400" min:"1" doc:"messages that a node's log keeps"`
-	Spread               bool               `xml:"spread,attr" default:"false" doc:"streams stand on all nodes in turn, and not on one"`
-	StreamsPerConnection int                `xml:"share,attr" default:"5" min:"1" max:"1000" doc:"streams on one connection, where they are channels"`
+	InitialNode          int                `xml:"node,attr" default:"0" doc:"node at which all streams are established at first"`
+	Groups               int                `xml:"groups,attr" default:"50" min:"1" doc:"number of groups of streams that share work"`
+	Interval             xmlconfig.Duration `xml:"interval,attr" default:"250ms" min:"1ms" doc:"time between two messages of a stream"`
+	MessageBytes         xmlconfig.Size     `xml:"length,attr" default:"64B" min:"16B" max:"3KiB" doc:"length of a message"`
+	RetainedMessages     int                `xml:"keep,attr" default:"400" min:"1" doc:"messages of a stream that a node's log retains"`
+	Spread               bool               `xml:"spread,attr" default:"false" doc:"streams start at all nodes in turn, instead of all at one node"`
+	StreamsPerConnection int                `xml:"share,attr" default:"5" min:"1" max:"1000" doc:"streams that share one connection, in passes with channels"`
 }
 
 // Passes are the variants in which the same steps are run, one after another.
@@ -65,47 +65,49 @@
 	Pass []*Pass `xml:"pass" least:"1" most:"8"`
 }
 
-// Pass is one variant. Figures of the first pass have plain names; those of others begin with the pass's name.
+// Pass is one variant. The figures of the first pass have plain names; those of other passes have the pass's name as
+// a prefix.
 type Pass struct {
 	Name             xmlconfig.Name `xml:"name,attr" use:"required" key:"passes"`
-	Tokens           bool           `xml:"tokens,attr" default:"false" doc:"the site file allows tokens, and clients take them"`
-	Duplicate        bool           `xml:"twice,attr" default:"false" doc:"clients present each token at two balancers at once"`
-	SeparateTempDirs bool           `xml:"apart,attr" default:"false" doc:"a balancer's processes have no TMPDIR in common, and so nothing passes to a new one"`
-	Channels         bool           `xml:"channels,attr" default:"false" doc:"clients and nodes speak multiplexed channels"`
+	Tokens           bool           `xml:"tokens,attr" default:"false" doc:"the site file enables resume tokens, and clients use them"`
+	Duplicate        bool           `xml:"twice,attr" default:"false" doc:"clients present each token at two balancers at the same time"`
+	SeparateTempDirs bool           `xml:"apart,attr" default:"false" doc:"each balancer process has its own TMPDIR, so that an old process can hand nothing over to a new one"`
+	Channels         bool           `xml:"channels,attr" default:"false" doc:"clients and nodes use multiplexed channels"`
 }
 
-// Steps are the faults, operations and measurements, in their order.
+// Steps lists the faults, operations and measurements in the order in which they are carried out.
 type Steps struct {
 	Step []*Step `xml:"step" least:"1"`
 }
 
 // Step is one fault, operation or measurement.
 type Step struct {
-	Do       string             `xml:"do,attr" use:"required" enum:"drain,kill-node,hang-node,wake-node,restart-node,list-gone,kill-balancer,start-balancer,terminate-balancer,upgrade-balancer,lame-duck,rejoin,settle,garbage,watch,hold-clients,release-clients,stop-reading-node,break-trunks,weigh" doc:"upgrade-balancer: a new process beside the old one, which is then stopped in the planned way; lame-duck, rejoin: calls of the balancer's management address, and 4 s later nobody is to be left on a lame duck; settle: until all streams stand; garbage: clients that present garbage tokens as fast as they can; watch: measure the streams beside what the step names; hold-clients: the first client of each connection reads nothing; stop-reading-node: it goes on sending; break-trunks: the node's connections with channels are reset; weigh: the balancers' memory for each stream"`
-	After    xmlconfig.Duration `xml:"after,attr" default:"0s" max:"10m" doc:"the step before"`
-	Jitter   xmlconfig.Duration `xml:"jitter,attr" default:"0s" max:"1m" doc:"and up to so much, drawn from the seed"`
+	Do       string             `xml:"do,attr" use:"required" enum:"drain,kill-node,hang-node,wake-node,restart-node,list-gone,kill-balancer,start-balancer,terminate-balancer,upgrade-balancer,lame-duck,rejoin,settle,garbage,watch,hold-clients,release-clients,stop-reading-node,break-trunks,weigh" doc:"upgrade-balancer: start a new process beside the old one, which is then stopped with SIGTERM; lame-duck, rejoin: call the balancer's management address; a lame duck should have moved all its clients 4 s later; settle: wait until all streams are established; garbage: clients present random tokens as fast as they are answered; watch: measure the streams that the step's fault does not affect directly; hold-clients: the first client of each connection stops reading; stop-reading-node: the node stops reading but goes on sending; break-trunks: reset the node's connections with channels; weigh: measure the balancers' memory for each stream"`
+	After    xmlconfig.Duration `xml:"after,attr" default:"0s" max:"10m" doc:"wait after the previous step"`
+	Jitter   xmlconfig.Duration `xml:"jitter,attr" default:"0s" max:"1m" doc:"upper bound of an additional random wait, drawn from the seed"`
 	Node     int                `xml:"node,attr" default:"0"`
 	Balancer int                `xml:"balancer,attr" default:"0"`
-	Within   xmlconfig.Duration `xml:"within,attr" default:"30s" doc:"of settle: the run is void if it takes longer"`
-	Duration xmlconfig.Duration `xml:"for,attr" default:"5s" max:"10m" doc:"of garbage: so long before it the delays of messages are measured, and so long it lasts; of watch: how long"`
-	Others   string             `xml:"beside,attr" enum:"node,first" default:"node" doc:"of watch: the streams that do not stand on the step's node, or are not the first of their connection"`
-	Prefix   xmlconfig.Name     `xml:"as,attr" default:"before" doc:"of watch: its figures begin so; others are compared with 'before'"`
+	Within   xmlconfig.Duration `xml:"within,attr" default:"30s" doc:"settle: timeout, after which the run is aborted"`
+	Duration xmlconfig.Duration `xml:"for,attr" default:"5s" max:"10m" doc:"garbage: length of the measurement before and of the one during the load with garbage tokens; watch: length of the measurement"`
+	Others   string             `xml:"beside,attr" enum:"node,first" default:"node" doc:"watch: which streams are excluded: those on the step's node, or the first stream of each connection"`
+	Prefix   xmlconfig.Name     `xml:"as,attr" default:"before" doc:"watch: prefix of its figures; those with another prefix than 'before' are compared with the latest 'before'"`
 }
 
-// Bounds are the limits that the figures must keep.
+// Bounds lists the limits that the figures must keep.
 type Bounds struct {
 	Bound []*Bound `xml:"bound" least:"1"`
 }
 
-// Bound is a limit to a figure.
+// Bound is an upper or lower limit for a figure or for a ratio of two figures.
 type Bound struct {
 	Name xmlconfig.Name   `xml:"name,attr" use:"required" key:"bounds"`
-	Max  xmlconfig.Number `xml:"most,attr" doc:"the figure may be no more"`
-	Min  xmlconfig.Number `xml:"least,attr" doc:"the figure may be no less; counts where it is not 0"`
-	Over xmlconfig.Name   `xml:"over,attr" doc:"not the figure itself, but its ratio over this one"`
+	Max  xmlconfig.Number `xml:"most,attr" doc:"upper limit of the figure; ignored if least is set"`
+	Min  xmlconfig.Number `xml:"least,attr" doc:"lower limit of the figure; 0: none"`
+	Over xmlconfig.Name   `xml:"over,attr" doc:"the limit is for the ratio of the figure to this one"`
 }
 
-// Check rejects nodes and balancers that the deployment does not have. It implements xmlconfig's check of a document.
+// Check adds an error to f for each index of a node or balancer that the deployment does not have. xmlconfig calls it
+// after parsing the file.
 func (e *Experiment) Check(f *xmlconfig.File) {
 	for _, s := range e.Steps.Step {
 		checkIndex(f, &s.Node, e.Fleet.Nodes, "node")
@@ -114,14 +116,14 @@
 	checkIndex(f, &e.Load.InitialNode, e.Fleet.Nodes, "node")
 }
 
-// checkIndex adds a fault where a field is no index below count.
+// checkIndex adds an error to f if a field is not less than count.
 func checkIndex(f *xmlconfig.File, field *int, count int, what string) {
 	if *field >= count {
 		f.AddError(field, fmt.Sprintf("write 0 to %d", count-1), "there is no %s %d", what, *field)
 	}
 }
 
-// Read parses the text of an experiment's file; name is used in errors, which are xmlconfig.FieldErrors.
+// Read parses the text of an experiment file. Errors are xmlconfig.FieldErrors, which show name as the file's name.
 func Read(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{}
 	if err := xmlconfig.Read(name, text, document(), e); err != nil {
@@ -130,11 +132,11 @@
 	return e, nil
 }
 
-// ErrUnknown is the error of Find for a name that no embedded experiment has.
-var ErrUnknown = errors.New("there is no experiment")
+// ErrUnknown is returned by Find for a name that no embedded experiment has.
+var ErrUnknown = errors.New("unknown experiment")
 
-// Find returns the embedded experiment of that name, or reads the file if the name ends in .xml. A name that is not
-// there gives ErrUnknown.
+// Find returns the embedded experiment with a name, or reads the file with that path if the name ends in .xml. For
+// any other name the error is ErrUnknown.
 func Find(name string) (*Experiment, error) {
 	if strings.HasSuffix(name, ".xml") {
 		e := &Experiment{}
@@ -142,7 +144,7 @@
 	}
 	text, err := experiments.Files.ReadFile(name + ".xml")
 	if err != nil {
-		return nil, fmt.Errorf("%w %q; there are %s", ErrUnknown, name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w %q; known are %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
 	return Read(name+".xml", text)
 }
@@ -152,7 +154,7 @@
 
 func namesIn(files embed.FS) []string {
 	var out []string
-	entries, _ := files.ReadDir(".") // embedded: it can be read
+	entries, _ := files.ReadDir(".") // the root of an embedded file system can always be read
 	for _, e := range entries {
 		if name, ok := strings.CutSuffix(path.Base(e.Name()), ".xml"); ok {
 			out = append(out, name)
@@ -162,18 +164,18 @@
 	return out
 }
 
-// Options are what a run adds to the experiment's file.
+// Options are the parameters of a run that are not in the experiment's file. Program must be set.
 type Options struct {
-	Seed     uint64     // of the player's and the clients' random draws, and of the balancers
+	Seed     uint64     // for the random draws of the steps and the clients, and for the balancers
 	Program  string     // path of the balancer's executable
-	Progress io.Writer  // receives a line for each step; nil: none
-	Command  string     // for the report: how the run was started
-	Commit   string     // for the report: what was measured
-	Fault    node.Fault // injected into the nodes, to test the checker; "": none
+	Progress io.Writer  // receives a line for each step; nil: progress is not written
+	Command  string     // command line of the run, for the report
+	Commit   string     // commit of the balancer that is measured, for the report
+	Fault    node.Fault // injected into the nodes to test the checker; "": none
 }
 
-// Run runs the passes of the experiment one after another. An error means that it could not be run; bounds that were
-// broken are in the report.
+// Run runs the passes of the experiment one after another. An error means that the experiment could not be run;
+// broken bounds are not errors, but part of the report.
 func (e *Experiment) Run(ctx context.Context, o Options) (*report.Report, error) {
 	r := &report.Report{
 		Experiment: string(e.Name),
@@ -185,15 +187,15 @@
 	}
 	gaps := report.Chart{
 		Name:  "gaps",
-		Title: string(e.Name) + ": time without a standing connection",
+		Title: string(e.Name) + ": time without an established connection",
 		X:     "streams, %",
 		Y:     "ms",
 	}
 	established := report.Chart{
 		Name:  "resumes",
-		Title: string(e.Name) + ": streams that stand again",
+		Title: string(e.Name) + ": reestablished streams",
 		X:     "s after the first fault",
-		Y:     "a second",
+		Y:     "streams per second",
 	}
 	for i, p := range e.Passes.Pass {
 		prefix := ""
@@ -209,7 +211,7 @@
 	return r, nil
 }
 
-// Check compares a report's figures with the bounds, and adds the verdicts to the report.
+// Check compares a report's figures with the bounds, and adds the results to the report.
 func (bs *Bounds) Check(r *report.Report) {
 	for _, b := range bs.Bound {
 		name := string(b.Name)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 
 var program string
 
-// TestMain builds the balancer that the experiments run.
+// TestMain builds the balancer that the tests run.
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
 		dir, err := os.MkdirTemp("", "experiment")
@@ -34,8 +34,8 @@
 	}())
 }
 
-// runSmall runs the first pass of an embedded experiment with a small fleet and load. Tests must not check figures that
-// depend on the machine's speed.
+// runSmall runs the first pass of an embedded experiment with a small fleet and a small load. Tests must not check
+// figures of its report that depend on the machine's speed.
 func runSmall(t *testing.T, name string, streams, nodes int, fault node.Fault) *report.Report {
 	t.Helper()
 	e, err := Find(name)
@@ -53,7 +53,7 @@
 	return r
 }
 
-// isExact reports whether a bound must hold however slow the machine is.
+// isExact reports whether a bound must hold regardless of the machine's speed.
 func isExact(bound string) bool {
 	return slices.Contains([]string{
 		"lost", "repeated", "corrupt", "told_gaps", "max_live_per_token", "max_ever_live_per_token",
@@ -72,13 +72,13 @@
 				}
 			}
 			if r.Figures["tokens_honoured"] == 0 {
-				t.Errorf("no token was honoured: %v", r.Notes)
+				t.Errorf("no token was accepted: %v", r.Notes)
 			}
 		})
 	}
 }
 
-// The checker must find each injected fault: else its silence would prove nothing.
+// The checker must detect each injected fault; otherwise a run without detected faults would prove nothing.
 func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault      node.Fault
@@ -94,14 +94,15 @@
 			r := runSmall(t, c.experiment, 40, 5, c.fault)
 			for _, b := range r.Bounds {
 				if b.Name == c.broken && b.OK {
-					t.Errorf("%s was not found: %v", c.fault, b.Measured)
+					t.Errorf("fault %s was not detected: %s is %v", c.fault, b.Name, b.Measured)
 				}
 			}
 		})
 	}
 }
 
-// All embedded experiments can be read, and have the names of their files.
+// All embedded experiments can be parsed, and have the names of their files. Find rejects unknown names, and Read
+// rejects indexes of nodes and balancers that are not in the fleet.
 func TestEmbedded(t *testing.T) {
 	for _, name := range Names() {
 		e, err := Find(name)
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -10,10 +10,10 @@
 	"spurspread/lab/report"
 )
 
-// reconnectBurst is how long after the first fault the connections that clients and nodes make are counted.
+// reconnectBurst is the time after the first fault within which connections count as the burst of reconnects.
 const reconnectBurst = 2 * time.Second
 
-// millis is a duration in milliseconds, in whole microseconds.
+// millis converts a duration to milliseconds, truncated to whole microseconds.
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func allMillis(durations []time.Duration) []float64 {
@@ -24,7 +24,7 @@
 	return out
 }
 
-// addFigures adds what was measured to the report, each name after the prefix.
+// addFigures adds all figures and notes of the pass to the report, and prepends the prefix to their names.
 func (pr *passRunner) addFigures(r *report.Report, prefix string) {
 	drain := pr.drainMillis()
 	pr.balancerFigures()
@@ -51,7 +51,7 @@
 	}
 }
 
-// streamFigures are the counts of messages and moves.
+// streamFigures returns the counts of messages, moves and simultaneous connections.
 func (pr *passRunner) streamFigures() map[string]float64 {
 	f := &pr.total
 	return map[string]float64{
@@ -66,10 +66,10 @@
 	}
 }
 
-// tokenFigures are the counts of resume tokens and of session calls.
+// tokenFigures returns the counts of resume tokens and of session calls.
 func (pr *passRunner) tokenFigures() map[string]float64 {
 	f := &pr.total
-	// Calls that the store served and that no first line at a node accounts for are unexplained, too.
+	// Store calls that exceed the number of opens without a token at nodes are unexplained, too.
 	unseen := max(pr.extra["store_calls"]-float64(f.SessionCalls()), 0)
 	return map[string]float64{
 		"tokens_given":              float64(f.TokensIssued),
@@ -83,7 +83,8 @@
 	}
 }
 
-// timeFigures are interruptions and delays, in milliseconds, and the rate at which streams were established again.
+// timeFigures returns the interruptions of streams and the delays of messages, in milliseconds, and the rate at which
+// streams were reestablished.
 func (pr *passRunner) timeFigures() map[string]float64 {
 	f := &pr.total
 	gaps := allMillis(f.Gaps)
@@ -100,8 +101,8 @@
 	}
 }
 
-// drainMillis is how long after discovery announced a drain the last connection left the node, in milliseconds, of
-// all drains the longest. A node that is not yet empty counts until now.
+// drainMillis returns the longest drain in milliseconds: the time from its announcement by discovery until the node's
+// last connection ended, or until now if the node still has connections. It returns 0 if no node was drained.
 func (pr *passRunner) drainMillis() (longest float64) {
 	for i, announcedAt := range pr.drainAnnouncedAt {
 		emptied := pr.deployment.Checker.EmptiedAt(deployment.NodeID(i))
@@ -113,8 +114,9 @@
 	return longest
 }
 
-// balancerFigures adds the greatest values that fields of the balancers' logs had. Reports keep the names that the
-// fields had in the logs of earlier programs, and such programs are measured as well.
+// balancerFigures adds the greatest values that fields of the balancers' logs have had. The figures keep the fields'
+// former names, and fields with these names are read as well, because earlier versions of the balancer are measured
+// too.
 func (pr *passRunner) balancerFigures() {
 	for name, field := range map[string]string{
 		"kept":          logging.QueuedBytes,
@@ -132,7 +134,8 @@
 	}
 }
 
-// connectionFigures counts the connections that clients and nodes made since the first fault, and right after it.
+// connectionFigures adds the number of connections that clients made since the first fault, and the numbers that
+// clients made and nodes accepted in the burst of reconnects right after it.
 func (pr *passRunner) connectionFigures() {
 	d := pr.deployment
 	burstEnd := pr.firstFaultAt.Add(reconnectBurst)
@@ -141,7 +144,7 @@
 	pr.extra["node_connections_2s"] = float64(d.NodeDials.Between(pr.firstFaultAt, burstEnd))
 }
 
-// lastEstablished is when the last stream was established again, in milliseconds since the first fault.
+// lastEstablished returns the latest of the given times, in milliseconds since the first fault; 0 if there are none.
 func (pr *passRunner) lastEstablished(times []time.Time) (last float64) {
 	for _, t := range times {
 		last = max(last, millis(t.Sub(pr.firstFaultAt)))
@@ -149,7 +152,7 @@
 	return last
 }
 
-// causedByMoves counts the opens whose reason was a move.
+// causedByMoves sums up the counts of opens without a token whose reason is a move or a token that was not accepted.
 func causedByMoves(counts map[string]int) (sum float64) {
 	for reason, n := range counts {
 		if strings.HasPrefix(reason, checker.AfterToken) || strings.HasPrefix(reason, "MOVE") {
@@ -159,7 +162,7 @@
 	return sum
 }
 
-// maxPerSecond is the greatest number of the given times, which are in order, that lie within one second.
+// maxPerSecond returns the greatest number of times that lie within one second. The times must be sorted.
 func maxPerSecond(times []time.Time) (most float64) {
 	for i, from := range times {
 		n := 0
--- a/lab/experiment/pass.go
+++ b/lab/experiment/pass.go
@@ -14,34 +14,37 @@
 )
 
 const (
-	// deliverySlack is how far a stream may be behind the index at the end, beyond a message's interval.
+	// deliverySlack is added to the interval between messages: a stream counts as behind at the end of a pass if it
+	// misses a message that was due for longer than their sum.
 	deliverySlack = 500 * time.Millisecond
-	// firstSettleTimeout bounds how long the streams may take to be established before the first step.
+	// firstSettleTimeout bounds the time until all streams are established before the first step.
 	firstSettleTimeout = 2 * time.Minute
-	// startBatch clients start without a pause, startPause after each batch, so that their opens are spread.
+	// Clients start in batches of startBatch, with a pause of startPause after each batch, so that their opens are
+	// spread over time.
 	startBatch = 50
 	startPause = 20 * time.Millisecond
-	// establishedBucket is the width of a bar in the chart of established streams, in seconds.
+	// establishedBucket is the width of a bucket in the chart of reestablished streams, in seconds.
 	establishedBucket = 0.1
-	// runnerStream selects the player's random sequence of a seed; other users of the seed select others.
+	// runnerStream selects the random sequence that a passRunner draws from a seed. Other users of the seed draw
+	// from other sequences.
 	runnerStream = 0x6c6162
 
 	bytesPerMiB = 1 << 20
 )
 
-// player runs one pass of an experiment against a deployment of its own. It belongs to one goroutine.
+// passRunner runs one pass of an experiment against its own deployment. It must be used by a single goroutine.
 type passRunner struct {
 	experiment       *Experiment
 	deployment       *deployment.Deployment
 	rng              *rand.Rand
 	options          Options
 	pass             *Pass
-	drainAnnouncedAt map[int]time.Time // when discovery first sent a node's drain to a balancer, by the node's index
-	firstFaultAt     time.Time         // when the steps began
-	total            checker.Figures   // of all stretches since the steps began
-	extra            map[string]float64
-	firstStreams     map[uint64]bool  // keys of the first stream of each shared connection
-	firstClients     []*client.Client // and their clients
+	drainAnnouncedAt map[int]time.Time  // when discovery first sent a node's drain to a balancer, by the node's index
+	firstFaultAt     time.Time          // when the steps began
+	total            checker.Figures    // collected from the checker since the steps began
+	extra            map[string]float64 // figures by name that are not derived from total
+	firstStreams     map[uint64]bool    // keys of the first stream of each shared connection
+	firstClients     []*client.Client   // the clients of these streams
 }
 
 // runPass starts a deployment, runs the steps of one pass on it, and adds its figures and charts to the report.
@@ -88,7 +91,7 @@
 	}
 }
 
-// deploymentConfig is the deployment that one pass of the experiment runs on.
+// deploymentConfig returns the configuration of the deployment for one pass of the experiment.
 func (e *Experiment) deploymentConfig(o Options, p *Pass, dir string) deployment.Config {
 	return deployment.Config{
 		Program:          o.Program,
@@ -111,10 +114,10 @@
 	}
 }
 
-// establishStreams starts the clients and waits until each of their streams is established. The balancers' memory
-// before it is the idle figure.
+// establishStreams measures the balancers' idle memory, then starts the clients and waits until each of their streams
+// is established.
 func (pr *passRunner) establishStreams() error {
-	pr.logProgress("%d streams come to stand", pr.experiment.Load.Streams)
+	pr.logProgress("establishing %d streams", pr.experiment.Load.Streams)
 	idle := pr.residentBytes()
 	pr.startClients()
 	if err := pr.settle(firstSettleTimeout); err != nil {
@@ -124,10 +127,10 @@
 	return nil
 }
 
-// runSteps runs the steps in their order, and collects what was measured from the first on, in total.
+// runSteps runs the steps in order, and collects the figures from the first step to the end of the pass.
 func (pr *passRunner) runSteps(ctx context.Context) error {
 	check := pr.deployment.Checker
-	check.TakeFigures() // what was counted while the streams were established is no figure of the pass
+	check.TakeFigures() // discards the figures of establishing the streams, which do not belong to the pass
 	pr.firstFaultAt = time.Now()
 	for _, s := range pr.experiment.Steps.Step {
 		if err := pr.runStep(ctx, s); err != nil {
@@ -143,7 +146,8 @@
 	return nil
 }
 
-// addToCharts adds how long streams were interrupted, and when they were established again.
+// addToCharts adds a series for this pass to each chart: the streams' interruptions, and the times at which streams
+// were reestablished.
 func (pr *passRunner) addToCharts(gaps, established *report.Chart) {
 	var establishedAt []float64
 	for _, t := range pr.total.Reestablished {
@@ -162,8 +166,8 @@
 	_, _ = fmt.Fprintf(pr.options.Progress, "%s, pass %s: %s\n", pr.experiment.Name, pr.pass.Name, text)
 }
 
-// startClients starts a client for each stream, spread over a while. With channels, StreamsPerConnection clients
-// in a row share one connection; the first of them is in firstStreams and firstClients.
+// startClients starts a client for each stream, in batches. With channels, StreamsPerConnection successive clients
+// share one connection. The first client of each connection is added to firstStreams and firstClients.
 func (pr *passRunner) startClients() {
 	load := &pr.experiment.Load
 	var link client.Link
@@ -187,7 +191,8 @@
 	}
 }
 
-// clientConfig is the client of one stream, without a link. It draws the stream's key and then its group.
+// clientConfig returns the configuration of client i, without a link. It draws the stream's key and then its group
+// from the random sequence.
 func (pr *passRunner) clientConfig(i int) client.Config {
 	load := &pr.experiment.Load
 	node := load.InitialNode
@@ -213,20 +218,21 @@
 	return cfg
 }
 
-// settle waits until all streams are established. An error names how the last connections of the others ended.
+// settle waits until all streams are established. Its timeout error lists how the last connections of the other
+// streams ended.
 func (pr *passRunner) settle(within time.Duration) error {
 	check := pr.deployment.Checker
-	err := pr.deployment.Await(within, "all streams stand", func() bool {
+	err := pr.deployment.Await(within, "all streams are established", func() bool {
 		established, _ := check.Established(time.Now(), deliverySlack)
 		return established == pr.experiment.Load.Streams
 	})
 	if err != nil {
-		err = fmt.Errorf("%w; how the others ended: %s", err, checker.FormatCounts(check.Disconnected()))
+		err = fmt.Errorf("%w; last ends of the other streams: %s", err, checker.FormatCounts(check.Disconnected()))
 	}
 	return err
 }
 
-// residentBytes is the resident memory of all balancers.
+// residentBytes returns the sum of the resident memory of all balancers, in bytes.
 func (pr *passRunner) residentBytes() float64 {
 	sum := 0.0
 	for _, b := range pr.deployment.Balancers {
--- a/lab/experiment/steps.go
+++ b/lab/experiment/steps.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// garbageClients present invalid tokens at the same time.
+	// garbageClients is the number of clients that present random tokens at the same time.
 	garbageClients = 8
-	// lameDuckWindow is how long a lame duck has to move its clients away.
+	// lameDuckWindow is the time after which a lame duck should have moved all its clients.
 	lameDuckWindow = 4 * time.Second
-	// watchPeriod is the stretch over which one p99 of delays is taken.
+	// watchPeriod is the period for which one p99 and one median of the delays are computed.
 	watchPeriod = time.Second
 )
 
-// sleep waits for a time, or until the context is done: then its error is returned.
+// sleep waits for a duration. If the context is done earlier, it returns the context's error.
 func sleep(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -33,7 +33,7 @@
 	}
 }
 
-// runStep waits for a step's time and carries it out.
+// runStep waits for a step's delay and jitter, and carries the step out.
 func (pr *passRunner) runStep(ctx context.Context, s *Step) error {
 	wait := s.After.Std()
 	if s.Jitter > 0 {
@@ -105,12 +105,12 @@
 		return b.Start()
 	case "terminate-balancer":
 		if code := b.Terminate(); code != 0 {
-			return fmt.Errorf("balancer %d ended with %d: %v", s.Balancer, code, b.Tail())
+			return fmt.Errorf("balancer %d ended with exit code %d: %v", s.Balancer, code, b.Tail())
 		}
 	case "upgrade-balancer":
 		code, err := b.Upgrade()
 		if err == nil && code != 0 {
-			err = fmt.Errorf("the old process of balancer %d ended with %d: %v", s.Balancer, code, b.Tail())
+			err = fmt.Errorf("the old process of balancer %d ended with exit code %d: %v", s.Balancer, code, b.Tail())
 		}
 		return err
 	case "lame-duck":
@@ -121,15 +121,16 @@
 	return nil
 }
 
-// measureMemory takes the balancers' memory with the streams established, and what each stream adds to the idle one.
+// measureMemory adds the balancers' present memory as a figure, and its increase for each stream since they were
+// idle.
 func (pr *passRunner) measureMemory() {
 	pr.extra["loaded_mb"] = pr.residentBytes() / bytesPerMiB
 	added := pr.residentBytes() - pr.extra["idle_mb"]*bytesPerMiB
 	pr.extra["bytes_per_stream"] = added / float64(pr.experiment.Load.Streams)
 }
 
-// presentGarbage measures the delay of messages for a span, and then for another of the same length during which
-// clients present garbage tokens.
+// presentGarbage measures the delay of messages for a span, and then for another span of the same length during which
+// clients present random tokens.
 func (pr *passRunner) presentGarbage(ctx context.Context, span time.Duration) error {
 	check := pr.deployment.Checker
 	pr.total.Add(check.TakeFigures())
@@ -156,22 +157,23 @@
 	return nil
 }
 
-// delayP99 is the p99 of the delays since the last split, in milliseconds; what was counted is added to the total.
+// delayP99 takes the checker's figures, adds them to the total, and returns the p99 of their delays in milliseconds.
 func (pr *passRunner) delayP99() float64 {
 	f := pr.deployment.Checker.TakeFigures()
 	pr.total.Add(f)
 	return report.Quantile(allMillis(f.Delays), 0.99)
 }
 
-// callManagement makes a call of a balancer's management address, and keeps how long the slowest answer took.
+// callManagement sends a command to a balancer's management address, and keeps the longest time to an answer as a
+// figure.
 func (pr *passRunner) callManagement(b *deployment.Balancer, call string) error {
 	took, err := b.CallManagement(call)
 	pr.extra["call_ms_max"] = max(pr.extra["call_ms_max"], millis(took))
 	return err
 }
 
-// lameDuck has a balancer move its clients away, and counts those that are moved in time. Later moves count among
-// all moves only.
+// lameDuck makes a balancer a lame duck, and counts the clients that are moved within lameDuckWindow. Later moves
+// count only in the total.
 func (pr *passRunner) lameDuck(ctx context.Context, b *deployment.Balancer) error {
 	check := pr.deployment.Checker
 	pr.total.Add(check.TakeFigures())
@@ -187,8 +189,8 @@
 	return nil
 }
 
-// measureOthers measures, for a while, the streams that a step does not affect directly: all that are on other nodes
-// than the step's, or all that are not the first of their connection.
+// measureOthers measures the streams that a fault does not affect directly, for the step's duration: those that are
+// not on the step's node, or those that are not the first of their connection.
 func (pr *passRunner) measureOthers(ctx context.Context, s *Step) error {
 	node := deployment.NodeID(s.Node)
 	streams := pr.deployment.Checker.Watch(func(key uint64, at string) bool {
@@ -213,16 +215,16 @@
 	return nil
 }
 
-// watched is what was measured of the watched streams.
+// watchResult has the figures of the watched streams for one watch step.
 type watchResult struct {
-	p99Millis float64 // median of the p99s of each period
-	p50Millis float64 // median of the medians of each period
-	gap       time.Duration
-	ends      int
+	p99Millis float64       // median of the p99 delays of all periods
+	p50Millis float64       // median of the median delays of all periods
+	gap       time.Duration // the longest time between two messages of a stream
+	ends      int           // established connections that ended
 }
 
-// watch measures the watched streams for a span. It takes the median of the quantiles of each second: a pause of the
-// machine then spoils a second or two, and not the whole figure.
+// watch measures the watched streams for a span. It computes the quantiles for each second and takes their median, so
+// that a pause of the machine affects one or two seconds, but not the result.
 func (pr *passRunner) watch(ctx context.Context, span time.Duration) (w watchResult, err error) {
 	var p99s, medians []float64
 	for end := time.Now().Add(span); time.Now().Before(end); {
@@ -242,8 +244,8 @@
 	return w, nil
 }
 
-// compareWithBefore adds the figures of siblings. Where nothing was watched before, there is no ratio, and a bound on
-// it is broken.
+// compareWithBefore adds the figures of siblings, the streams that the fault does not affect directly. Without a
+// preceding watch as "before" there is no ratio, so a bound on the ratio is broken.
 func (pr *passRunner) compareWithBefore(w watchResult) {
 	pr.extra["sibling_max_gap_ms"] = max(pr.extra["sibling_max_gap_ms"], millis(w.gap))
 	pr.extra["sibling_ends"] += float64(w.ends)
--- a/lab/experiments/experiments.go
+++ b/lab/experiments/experiments.go
@@ -1,9 +1,9 @@
-// Package experiments holds the kept experiments, a file each; package experiment reads and plays them.
+// Package experiments embeds the experiment files that belong to the project. Package experiment parses and runs them.
 package experiments
 
 import "embed"
 
-// Files are the experiments by their names.
+// Files contains each experiment as NAME.xml.
 //
 //go:embed *.xml
 var Files embed.FS
--- a/lab/frontend/frontend.go
+++ b/lab/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend is the emulated front end before the balancers. It gives each connection to the next balancer that
-// answers PING, and notices only after a while that one has died. It forwards bytes, ends and resets, and must not
-// read what it forwards.
+// Package frontend emulates the front end that clients connect to. A Frontend forwards each connection to the next
+// healthy balancer, one that answers PING, and stops using a dead balancer only after a delay. It forwards bytes, ends
+// and resets, and must not interpret what it forwards.
 package frontend
 
 import (
@@ -26,7 +26,7 @@
 
 	mu          sync.Mutex
 	backends    []*backend
-	nextBackend int // by round robin
+	nextBackend int // counts up; modulo the number of backends it is the index of the next one
 	conns       map[net.Conn]bool
 }
 
@@ -36,7 +36,8 @@
 	healthy bool
 }
 
-// Start starts a front end on loopback. A balancer that no longer answers is given connections for failureDelay more.
+// Start starts a front end on loopback for balancers at the given addresses. A balancer that no longer answers still
+// gets connections for failureDelay.
 func Start(failureDelay time.Duration, balancers ...string) (*Frontend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,10 +59,10 @@
 	return f, nil
 }
 
-// Addr is the address at which clients connect.
+// Addr returns the address at which the front end listens for clients.
 func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
-// Healthy is the number of balancers that are given connections.
+// Healthy returns the number of balancers that get connections.
 func (f *Frontend) Healthy() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +75,7 @@
 	return n
 }
 
-// Close ends the front end with all its connections. It may be called once.
+// Close stops the front end and closes all its connections. It may be called only once.
 func (f *Frontend) Close() error {
 	close(f.stop)
 	f.mu.Lock()
@@ -85,8 +86,8 @@
 	return f.listener.Close()
 }
 
-// checkHealth pings one balancer periodically until the front end is closed. The balancer is healthy from its first
-// answer on, and no longer once all pings of failureDelay have failed.
+// checkHealth pings one balancer periodically until the front end is closed. The balancer becomes healthy by its first
+// answer, and unhealthy once all pings have failed for failureDelay.
 func (f *Frontend) checkHealth(b *backend) {
 	var failingSince time.Time
 	for {
@@ -110,7 +111,7 @@
 	}
 }
 
-// ping reports whether a balancer answers within pingTimeout.
+// ping reports whether the balancer answers a PING. Dial and answer are bounded by pingTimeout each.
 func ping(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, pingTimeout)
 	if err != nil {
@@ -135,7 +136,7 @@
 	}
 }
 
-// nextHealthy is the address of the next healthy balancer by round robin, "" if none is.
+// nextHealthy returns the address of the next healthy balancer in round-robin order; "" if there is none.
 func (f *Frontend) nextHealthy() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +150,7 @@
 	return ""
 }
 
-// dial connects to the next healthy balancer; nil if there is none or it can't be reached.
+// dial connects to the next healthy balancer. It returns nil if there is none or it can't be reached.
 func (f *Frontend) dial() *net.TCPConn {
 	addr := f.nextHealthy()
 	if addr == "" {
@@ -162,8 +163,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// forward copies bytes both ways, and ends each side as the other was ended. Without a balancer the client's
-// connection is closed.
+// forward copies bytes in both directions, and ends each side in the way in which the other was ended. If no balancer
+// can be reached it closes the client's connection.
 func (f *Frontend) forward(client *net.TCPConn) {
 	server := f.dial()
 	if server == nil {
@@ -199,7 +200,7 @@
 	}
 }
 
-// copyBytes copies until the source ends, and then ends the destination alike: by a reset or by FIN.
+// copyBytes copies until the source ends, and then ends the destination in the same way: by a reset or by FIN.
 func copyBytes(to, from *net.TCPConn) {
 	_, err := io.Copy(to, from)
 	if errors.Is(err, syscall.ECONNRESET) {
--- a/lab/loadgen/cpu.go
+++ b/lab/loadgen/cpu.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// What proc(5) has in /proc/PID/stat, counted from the field behind the command's name.
+// Indexes of fields in /proc/PID/stat, see proc(5), counted from the first field after the command's name.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 	clockTick       = 10 * time.Millisecond // the kernel's USER_HZ is 100
 )
 
-// CPUTime is the processor time that a process has used, in user and system mode; 0 where it can't be read.
+// CPUTime returns the processor time that a process has used in user and system mode; 0 if it can't be read.
 func CPUTime(pid int) time.Duration {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -1,7 +1,7 @@
 // Package loadgen is a closed-loop load generator. Its clients send a line, wait for its echo and send the next, or
-// open and close connections, as fast as a balancer lets them; a Sample is the rate that they reached. Two programs
-// are measured by turns in one run, so that a machine that changes its speed changes both. The package must not know
-// how a balancer forwards.
+// they open and close connections, as fast as the balancer allows; a Sample is the rate that they reached. To compare
+// two versions of the balancer, callers measure them by turns in one run, so that changes of the machine's speed affect
+// both. The package must not know how a balancer forwards.
 package loadgen
 
 import (
@@ -22,27 +22,27 @@
 )
 
 const (
-	// streamsPerConnection channels share a connection.
+	// streamsPerConnection is the number of channels that share a connection.
 	streamsPerConnection = 8
-	// warmUpDivisor of the measured span is waited before it, until all clients run.
+	// The measured span divided by warmUpDivisor is the wait before it, until all clients run.
 	warmUpDivisor = 10
-	// refusedPause is how long a client of SetUps waits after a refusal.
+	// refusedPause is the pause of a client of MeasureSetUps after a refusal.
 	refusedPause = 20 * time.Millisecond
-	// A client of Lines opens openAttempts times, with openPause between: a balancer fills its nodes at a limited
-	// rate.
+	// A client of MeasureLines makes up to openAttempts attempts to open its stream, openPause apart: a balancer
+	// limits the rate of new connections to its nodes.
 	openAttempts = 200
 	openPause    = 100 * time.Millisecond
-	// directions are counted for each echoed line.
+	// directions is the number of times that an echoed line is counted: a balancer forwards the line and its echo.
 	directions = 2
 )
 
-// Sample is one measurement of one program.
+// Sample is the result of one measurement of a balancer.
 type Sample struct {
-	PerSecond float64 // lines forwarded, both ways, or connections set up
+	PerSecond float64 // lines forwarded in both directions, or connections set up, per second
 	PerCPU    float64 // the same per second of the balancer's processor time
 }
 
-// Measure starts a balancer and an echoing node, and measures Lines.
+// Measure starts a balancer from the executable program and an echoing node, and returns the result of MeasureLines.
 func Measure(program string, conns int, span time.Duration, channels bool) (Sample, error) {
 	dir, err := os.MkdirTemp("", "loadgen")
 	if err != nil {
@@ -63,9 +63,9 @@
 	return MeasureLines(b.Addr(), b.Pid(), conns, span, channels)
 }
 
-// MeasureLines measures how many lines a running balancer forwards for conns clients, whose node echoes, during span. Each
-// client has a connection of its own, or with channels a channel of a shared one. The first client that fails ends
-// the measurement with its error.
+// MeasureLines measures how many lines a running balancer, with the process id pid, forwards during span between conns
+// clients and an echoing node. Each client has its own connection, or with channels a channel of a shared connection.
+// If a client fails, MeasureLines returns the client's error.
 func MeasureLines(addr string, pid, conns int, span time.Duration, channels bool) (Sample, error) {
 	clients := newLineClients(addr)
 	var shared *sshchan.Conn
@@ -85,10 +85,10 @@
 	return measureRate(pid, span, directions, &clients.lines, clients.stop)
 }
 
-// lineClients are clients that send lines, from the time when all have opened their connections.
+// lineClients is a group of clients that begin to send lines once all of them have opened their connections.
 type lineClients struct {
 	addr    string
-	opened  sync.WaitGroup // the clients that have opened, or failed to
+	opened  sync.WaitGroup // done for each client that has opened its connection, or failed to
 	running sync.WaitGroup
 	begin   chan struct{} // closed when they may send
 	end     chan struct{} // closed when they must stop
@@ -100,7 +100,7 @@
 	return &lineClients{addr: addr, begin: make(chan struct{}), end: make(chan struct{})}
 }
 
-// start starts client i, over a channel of shared if that is set.
+// start starts client i, on a channel of shared if that is not nil.
 func (l *lineClients) start(i int, shared *sshchan.Conn) {
 	l.running.Add(1)
 	l.opened.Add(1)
@@ -112,7 +112,7 @@
 	}()
 }
 
-// stop ends the clients, and returns the error of one of them.
+// stop ends the clients, and returns the error of a client that failed; nil if none did.
 func (l *lineClients) stop() error {
 	close(l.end)
 	l.running.Wait()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// sendLines opens a connection, and then sends lines and reads their echoes.
+// sendLines opens client i's connection, and then sends lines and reads their echoes until the clients are stopped.
 func (l *lineClients) sendLines(i int, shared *sshchan.Conn) error {
 	conn, reader, err := openAdmitted(l.addr, shared, i)
 	l.opened.Done()
@@ -148,7 +148,7 @@
 	}
 }
 
-// measureRate measures how much a count grows during span, each step worth weight, and then stops what is counted.
+// measureRate measures the growth of count during span, multiplied by weight, and then stops the clients.
 func measureRate(pid int, span time.Duration, weight float64, count *atomic.Int64, stop func() error) (Sample, error) {
 	countBefore := count.Load()
 	cpuBefore := CPUTime(pid)
@@ -160,8 +160,9 @@
 	return Sample{PerSecond: counted / elapsed.Seconds(), PerCPU: counted / cpu.Seconds()}, stop()
 }
 
-// MeasureSetUps measures how many connections a running balancer sets up during span, for clients that each open one, close
-// it and open the next. Refusals and errors are not counted, and not reported.
+// MeasureSetUps measures how many connections a running balancer, with the process id pid, sets up during span for
+// clients that each open a connection, close it and open the next. Refused and failed connections are neither counted
+// nor reported.
 func MeasureSetUps(addr string, pid, clients int, span time.Duration) (Sample, error) {
 	var established, attempts atomic.Int64
 	var running sync.WaitGroup
@@ -190,7 +191,8 @@
 	})
 }
 
-// openAndClose reports whether a connection was established. It waits a little after a refusal.
+// openAndClose opens and closes a connection, and reports whether it was established. It waits for refusedPause after a
+// refusal.
 func openAndClose(addr, first string) bool {
 	conn, _, err := Open(addr, first, 0)
 	if errors.Is(err, ErrRefused) {
@@ -203,7 +205,7 @@
 	return true
 }
 
-// openLine is a first line, without its end.
+// openLine returns an OPEN line, without its end.
 func openLine(id string) string {
 	return fmt.Sprintf("OPEN %s 7f c=%s,d=1200", id, deployment.IndexSync)
 }
@@ -216,12 +218,12 @@
 	return sshchan.Client(conn, echo.WindowBytes)
 }
 
-// ErrRefused is the error of a balancer that was reached, and did not establish the connection.
-var ErrRefused = errors.New("the connection did not come to stand")
+// ErrRefused is returned if a balancer was reached but did not establish the connection.
+var ErrRefused = errors.New("connection refused by the balancer")
 
 // Open opens a connection with a first line, given without its end, and waits for the answer. The timeout bounds the
-// dial, and the time from then until the connection is closed; 0 is no bound. The error is ErrRefused if the answer
-// is not UP, or if the connection ends without one.
+// dial, and the time from then until the connection is closed; 0 means no bound. The error is ErrRefused if the answer
+// is not UP, or if the connection ends without an answer.
 func Open(addr, first string, timeout time.Duration) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -231,7 +233,7 @@
 		_ = conn.SetDeadline(time.Now().Add(timeout))
 	}
 	reader := bufio.NewReader(conn)
-	_, _ = fmt.Fprint(conn, first+"\r\n") // the read shows an error
+	_, _ = fmt.Fprint(conn, first+"\r\n") // after an error the read fails, too
 	answer, err := reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(answer, "UP ") {
 		_ = conn.Close()
@@ -240,7 +242,8 @@
 	return conn, reader, nil
 }
 
-// openAdmitted opens client i's connection, or its channel if shared is set, again and again while it is refused.
+// openAdmitted opens client i's connection, or its channel if shared is not nil. It tries again after each refusal,
+// openAttempts times in all.
 func openAdmitted(addr string, shared *sshchan.Conn, i int) (io.ReadWriteCloser, *bufio.Reader, error) {
 	for attempt := range openAttempts {
 		first := openLine(fmt.Sprintf("%x%04x", i+1, attempt))
@@ -256,7 +259,7 @@
 	return nil, nil, fmt.Errorf("connection %d, %d attempts: %w", i, openAttempts, ErrRefused)
 }
 
-// openOnce opens a channel of shared, or a connection without it.
+// openOnce opens a channel of shared, or a new connection if shared is nil.
 func openOnce(addr string, shared *sshchan.Conn, first string) (io.ReadWriteCloser, *bufio.Reader, error) {
 	if shared == nil {
 		conn, reader, err := Open(addr, first, 0)
--- a/lab/loadgen/loadgen_test.go
+++ b/lab/loadgen/loadgen_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// An answer other than UP, and an end without one, are refusals; an address without a listener is not.
+// An answer other than UP is a refusal, and so is an end without an answer. A failed dial is not.
 func TestOpen(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.91.3.7:0") // the kernel gives ports of this address to no connection
+	ln, err := net.Listen("tcp", "127.91.3.7:0") // the kernel assigns no port of this address to another connection
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/node/claim.go
+++ b/lab/node/claim.go
@@ -8,7 +8,8 @@
 	"spurspread/internal/token"
 )
 
-// claimToken checks the token of the request, and claims it for this connection. Without a token it accepts.
+// claimToken checks the token of the request, and claims it for this connection. It accepts a request without a token,
+// and any request if the node has no keys.
 func (c *conn) claimToken() resume.Reason {
 	n := c.node
 	request := &c.request
@@ -23,7 +24,8 @@
 	}
 	now := time.Now()
 	grant := grantOf(&t)
-	// The node can't parse group and owner; the balancer has compared them with the token.
+	// Group and tenant are taken from the token, as the node can't parse the request's group and owner. The balancer
+	// has already compared them with the token.
 	stream := resume.StreamRequest{
 		Class:  request.Class,
 		Key:    request.Key,
@@ -42,7 +44,7 @@
 	return reason
 }
 
-// reasonOf is the reason for which a token that could not be opened is refused.
+// reasonOf returns the reason for refusing a token that could not be opened.
 func reasonOf(err error) resume.Reason {
 	switch {
 	case errors.Is(err, token.ErrUnknownKey):
@@ -54,7 +56,7 @@
 	}
 }
 
-// grantOf is the content of a token as the registry takes it.
+// grantOf converts the content of a token to the registry's form.
 func grantOf(t *token.Token) resume.Grant {
 	return resume.Grant{
 		ID:              resume.ID(t.ID),
@@ -70,7 +72,7 @@
 	}
 }
 
-// releaseClaim gives the claim of a stream back that was not established: its token can be used again.
+// releaseClaim releases the claim of a stream that was not established, so that its token can be used again.
 func (c *conn) releaseClaim() {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// closeClaim notes in the registry that the connection for which a token was claimed has ended.
+// closeClaim records in the registry that the connection for which a token was claimed has ended.
 func (c *conn) closeClaim() {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -21,24 +21,24 @@
 	wordErr  = "ERR"
 )
 
-// maxPendingLines is how many lines of the peer wait until the stream answers them.
+// maxPendingLines is the number of lines of the peer that may wait until the stream answers them.
 const maxPendingLines = 16
 
-// conn is one connection with plain lines, or one channel. A goroutine serves it, and another reads its lines.
+// conn is one connection with plain lines, or one channel. One goroutine serves it, and another reads its lines.
 type conn struct {
 	node       *Node
-	channel    *sshchan.Channel // nil for a connection of its own
+	channel    *sshchan.Channel // nil: a connection with plain lines
 	recorded   *recorder.Conn
 	received   chan string        // lines of the peer
-	peerClosed chan struct{}      // closed once the peer has ended its side
-	moveAfter  chan time.Duration // at most one wait after which the client is moved
+	peerClosed chan struct{}      // closed once the peer has ended its side or read has given up
+	moveAfter  chan time.Duration // receives the wait after which the client is moved
 	request    proto.Open
-	clientID   string    // identifies the client whose stream it is
-	claim      resume.ID // of its token; zero: none
-	sendBuffer []byte    // of the stream's goroutine only
+	clientID   string    // identifies the client and its stream
+	claim      resume.ID // the claimed token; zero: none
+	sendBuffer []byte    // used by the serving goroutine only
 }
 
-// read passes the peer's lines on until its end, or until one has not been taken for firstLineTimeout.
+// read sends the peer's lines to received until the peer's end, or until a line has waited for firstLineTimeout.
 func (c *conn) read() {
 	defer close(c.peerClosed)
 	reader := bufio.NewReaderSize(c.recorded, maxLineBytes)
@@ -55,13 +55,13 @@
 	}
 }
 
-// write writes lines, unless the node hangs: then it waits.
+// write writes lines. While the node hangs it waits.
 func (c *conn) write(text string) {
 	c.node.running.Pass()
-	_, _ = c.recorded.Write([]byte(text)) // the reader sees an error as the connection's end
+	_, _ = c.recorded.Write([]byte(text)) // after an error the reader sees the connection's end
 }
 
-// answer answers the first line: with a line, or by confirming or refusing the channel.
+// answer sends the answer to the first line: as a line, or by confirming or refusing the channel.
 func (c *conn) answer(text string) {
 	if c.channel == nil {
 		c.write(text + "\r\n")
@@ -80,7 +80,7 @@
 	}
 }
 
-// move makes the client reconnect elsewhere.
+// move asks the client to reconnect elsewhere.
 func (c *conn) move() {
 	if c.channel == nil {
 		c.write(wordMove + "\r\n")
@@ -91,7 +91,8 @@
 	_ = c.channel.Move("")
 }
 
-// serve serves a connection until its end. firstLine is a channel's; a connection with plain lines sends its own.
+// serve serves a connection until its end. firstLine is the first line of a channel; it is read from a connection with
+// plain lines.
 func (n *Node) serve(c *conn, firstLine string) {
 	c.received = make(chan string, maxPendingLines)
 	c.peerClosed = make(chan struct{})
@@ -112,7 +113,7 @@
 	}
 }
 
-// add notes a connection; a killed node has none.
+// add registers a connection. It reports false if the node was killed.
 func (n *Node) add(c *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,8 +134,8 @@
 	_ = c.recorded.Close()
 }
 
-// awaitFirstLine answers pings until the first other line. It gives up at the connection's end, or if nothing comes
-// within firstLineTimeout.
+// awaitFirstLine answers pings and returns the first other line. ok is false if the connection ended, or if no line
+// arrived within firstLineTimeout.
 func (c *conn) awaitFirstLine() (line string, ok bool) {
 	for {
 		select {
@@ -151,7 +152,7 @@
 	}
 }
 
-// answerOpen answers a first line, and runs the stream if it is admitted.
+// answerOpen answers a first line, and serves the stream if it is admitted.
 func (c *conn) answerOpen(text string) {
 	var err error
 	if c.request, err = proto.ParseOpen(text); err != nil {
@@ -163,10 +164,10 @@
 	}
 }
 
-// takesTokens reports whether the client has a resume token or wants one.
+// takesTokens reports whether the client presented a resume token or asked for one.
 func (c *conn) takesTokens() bool { return c.request.WantsToken || c.request.Token != "" }
 
-// admit decides whether the stream is established. If it is not, the first line has been answered.
+// admit reports whether the stream is established. If it is not, admit has answered the first line.
 func (c *conn) admit() bool {
 	n := c.node
 	n.running.Pass()
@@ -184,7 +185,7 @@
 	time.Sleep(n.cfg.SetUpTime)
 	n.running.Pass()
 	select {
-	case <-c.peerClosed: // the client gave up, and its token can be used again
+	case <-c.peerClosed: // the client has given up; its claim is released below
 		refused = true
 	default:
 	}
@@ -197,15 +198,15 @@
 	return true
 }
 
-// mustRefuse reports whether the node takes no new stream: it drains, and the client was not at this node before the
-// run.
+// mustRefuse reports whether the node refuses the stream: it is draining, and the client does not say by at= that its
+// stream is at this node already.
 func (c *conn) mustRefuse() bool {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
 	return c.node.draining && c.request.At == ""
 }
 
-// callSessionStore makes the session call that a client without a token costs.
+// callSessionStore makes the session call that an open without a token requires.
 func (c *conn) callSessionStore() error {
 	timeout := min(storeTimeout, time.Duration(c.request.DeadlineMillis)*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -213,7 +214,8 @@
 	return c.node.session.Call(ctx)
 }
 
-// establish makes this the client's connection. With a token, an older connection of the same client is closed.
+// establish makes this the client's established connection. If the open has a token, an older connection of the same
+// client is closed.
 func (c *conn) establish() {
 	n := c.node
 	c.clientID = fmt.Sprintf("%x %s %s %s", c.request.Key, c.request.Class, c.request.Group, c.request.Owner)
@@ -232,8 +234,8 @@
 	}
 }
 
-// scheduleMove has the client moved: now, or after the node's patience if it takes tokens. The caller holds the
-// node's mutex.
+// scheduleMove schedules the client's move: at once, or after DrainPatience if the client takes tokens. The caller
+// holds the node's mutex.
 func (c *conn) scheduleMove() {
 	wait := time.Duration(0)
 	if c.takesTokens() {
@@ -245,8 +247,8 @@
 	}
 }
 
-// stream answers that the stream is established, sends messages when they are due, answers the peer's lines, and ends
-// when the peer ends it or the client is moved.
+// stream answers that the stream is established, sends messages when they are due, and answers the peer's lines. It
+// returns when the peer ends the stream, the client is moved, or a write fails.
 func (c *conn) stream() {
 	cursor := c.resumeCursor()
 	c.answer(c.upLine(cursor))
@@ -280,8 +282,8 @@
 	}
 }
 
-// upLine is the answer to an admitted client; one that takes tokens is given the message after which the stream
-// continues.
+// upLine returns the answer to an admitted client. For a client that takes tokens, it includes the number of the
+// message after which the stream continues.
 func (c *conn) upLine(cursor uint64) string {
 	line := fmt.Sprintf("%s %x", wordUp, c.request.Key)
 	if c.takesTokens() {
@@ -290,8 +292,9 @@
 	return line
 }
 
-// resumeCursor is the message after which the stream continues: the client's cursor, or the head of the node's copy
-// of the index if it has none. A client whose cursor is no longer retained sees it by the answer's from=.
+// resumeCursor returns the number of the message after which the stream continues: the client's cursor, or the last
+// message of the index if the client has none. If messages after the client's cursor are no longer retained, the
+// stream continues later, and the client learns that from the answer's from=.
 func (c *conn) resumeCursor() uint64 {
 	index := c.node.cfg.Index
 	key := c.request.Key
@@ -304,7 +307,7 @@
 	return max(c.request.Cursor, floor)
 }
 
-// injectFault changes the cursor of a continued stream where the node has an injected fault.
+// injectFault changes the cursor of a resumed stream if the node has the fault SkipMessage or RepeatMessage.
 func (c *conn) injectFault(cursor uint64) uint64 {
 	if c.request.Token == "" {
 		return cursor
@@ -318,8 +321,7 @@
 	return cursor
 }
 
-// sendDue sends the messages after the cursor that are due, maxBatch at most, in one write. It returns the last one's
-// number.
+// sendDue sends the messages after the cursor that are due, at most maxBatch, in one write. It returns the new cursor.
 func (c *conn) sendDue(cursor uint64) (uint64, error) {
 	index := c.node.cfg.Index
 	key := c.request.Key
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -1,7 +1,8 @@
-// Package node is an emulated index node. It accepts connections and channels on a socket, numbers the messages of
-// streams and continues them after a cursor, keeps the claims of resume tokens in the project's own registry, and
-// calls the session store for clients that have no token. Its methods drain, kill and hang it. It has the node's part
-// of docs/protocol/resume.md, and must not know balancers or the checker that observes its sockets.
+// Package node emulates an index node. A Node accepts connections and channels on a socket, sends the numbered messages
+// of streams and continues a stream after a cursor, keeps the claims of resume tokens in the registry of
+// decision/resume, and calls the session store for clients without a token. Its methods drain, kill and hang it. The
+// package implements the node's part of docs/protocol/resume.md. It must not know balancers or the checker that
+// observes its sockets.
 package node
 
 import (
@@ -22,45 +23,45 @@
 // Config describes a node. ID, Index, Recorder and Store must be set.
 type Config struct {
 	ID             string
-	Addr           string // listen address; "": a port of its own
-	StartedLongAgo bool   // it started an hour ago, and discovery lists its start as 0
+	Addr           string // listen address; "": the kernel chooses a port
+	StartedLongAgo bool   // it counts as started an hour ago, and discovery lists its start as 0
 	Index          *packageindex.Index
 	Recorder       *recorder.Recorder // of its connections
 	Store          string             // address of the session store
-	Keys           []token.Key        // of resume tokens; none: it accepts no tokens
-	SetUpTime      time.Duration      // its own work for a new connection
-	DrainPatience  time.Duration      // from a drain until clients that take tokens are moved, too
+	Keys           []token.Key        // of resume tokens; none: tokens are not checked
+	SetUpTime      time.Duration      // time that it takes to set up a connection
+	DrainPatience  time.Duration      // from a drain until clients that take tokens are moved
 	OnAccept       func()             // called for each accepted connection; may be nil
 	Channels       bool               // it accepts multiplexed channels as well as plain lines
 	Fault          Fault              // injected, to test that a checker finds it
 }
 
-// Fault is a bug that is injected on purpose.
+// Fault is a bug that is injected into a node on purpose.
 type Fault string
 
 // The faults that can be injected.
 const (
 	NoFault       Fault = ""
 	ForgetClaims  Fault = "forget-claims"  // every token is accepted, however often it is presented
-	SkipMessage   Fault = "skip-message"   // a continued stream leaves out a message
-	RepeatMessage Fault = "repeat-message" // a continued stream sends its last message again
+	SkipMessage   Fault = "skip-message"   // a resumed stream leaves out a message
+	RepeatMessage Fault = "repeat-message" // a resumed stream sends the last message before its cursor again
 )
 
 const (
-	clockSkew          = resume.UnixMillis(2000) // between the clocks of nodes, which the registry allows for
+	clockSkew          = resume.UnixMillis(2000) // difference between the clocks of nodes that the registry tolerates
 	maxClaims          = 1 << 16                 // claims that the registry keeps
-	firstLineTimeout   = 5 * time.Second         // until a connection's first line, and until a line is taken
+	firstLineTimeout   = 5 * time.Second         // bounds the wait for a first line, and a line's wait in received
 	storeTimeout       = 3 * time.Second         // of a session call, if the client's deadline is not shorter
 	maxLineBytes       = 4096
-	maxBatch           = 64        // messages that are written in one go
+	maxBatch           = 64        // messages in one write
 	channelWindowBytes = 64 << 10  // receive window that is granted on each channel
-	readBufferBytes    = 64 << 10  // of an accepted socket
+	readBufferBytes    = 64 << 10  // for an accepted socket
 	longAgo            = time.Hour // age of a node with StartedLongAgo
 	listenAttempts     = 50
 	listenPause        = 10 * time.Millisecond // between two attempts to listen
 )
 
-// sshPrefix begins a connection with multiplexed channels.
+// sshPrefix is the beginning of a connection with multiplexed channels.
 const sshPrefix = "SSH-"
 
 // Node is one running process of a node. Its methods may be called from any goroutine.
@@ -71,7 +72,7 @@
 	session  *store.Client
 	started  resume.UnixMillis
 	running  barrier.Barrier // shut while the node hangs
-	reading  barrier.Barrier // shut while the node does not read but sends
+	reading  barrier.Barrier // shut while the node sends but does not read
 
 	mu                 sync.Mutex
 	registry           *resume.Registry
@@ -82,8 +83,8 @@
 	closed             bool
 }
 
-// Start starts a node that listens at once. It fails if its address stays in use, a key is invalid, or the session
-// store does not accept a connection.
+// Start starts a node, which listens when Start returns. It fails if the address stays in use, a key is invalid, or the
+// session store can't be reached.
 func Start(cfg Config) (*Node, error) {
 	if cfg.Addr == "" {
 		cfg.Addr = "127.0.0.1:0"
@@ -119,7 +120,8 @@
 	return n, nil
 }
 
-// listen listens at an address that a killed node may have used a moment ago, and so tries for a while.
+// listen listens at an address. It tries listenAttempts times, because the address may still be in use by a node that
+// was just killed.
 func listen(addr string) (net.Listener, error) {
 	var err error
 	for range listenAttempts {
@@ -134,10 +136,10 @@
 
 func unixMillis(t time.Time) resume.UnixMillis { return resume.UnixMillis(t.UnixMilli()) }
 
-// Addr is the address at which it listens.
+// Addr returns the address at which the node listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// StartedMillis is its start as discovery lists it, in milliseconds since 1970; 0 for a node that started long ago.
+// StartedMillis returns the node's start for discovery, in milliseconds since 1970; 0 with StartedLongAgo.
 func (n *Node) StartedMillis() int64 {
 	if n.cfg.StartedLongAgo {
 		return 0
@@ -145,8 +147,8 @@
 	return int64(n.started)
 }
 
-// Drain makes it refuse new streams and move its clients away: plain ones at once, those that take tokens after its
-// patience.
+// Drain makes the node refuse new streams and move its clients away: those that take tokens after DrainPatience, all
+// others at once.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,8 +158,7 @@
 	}
 }
 
-// Kill emulates the sudden end of the process: connections are reset, and the listener is closed. A second call does
-// nothing.
+// Kill emulates a crash of the process: connections are reset, and the listener is closed. A second call does nothing.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	if n.closed {
@@ -179,10 +180,10 @@
 	n.Wake()
 }
 
-// Hang makes it do nothing at all, with all its connections open, until Wake.
+// Hang makes the node neither read nor write, with all its connections open, until Wake.
 func (n *Node) Hang() { n.running.Shut() }
 
-// StopReading makes it read nothing, while it goes on sending, until Wake.
+// StopReading makes the node stop reading, while it goes on sending, until Wake.
 func (n *Node) StopReading() { n.reading.Shut() }
 
 // Wake ends Hang and StopReading.
@@ -191,7 +192,7 @@
 	n.reading.Open()
 }
 
-// ResetChannelConnections resets its connections with channels, and returns how many channels were on them.
+// ResetChannelConnections resets the connections with channels, and returns the number of channels on them.
 func (n *Node) ResetChannelConnections() (channels int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -215,7 +216,7 @@
 	}
 }
 
-// detectProtocol serves a connection with channels or with plain lines, by its first bytes.
+// detectProtocol serves a connection with channels or with plain lines, depending on its first bytes.
 func (n *Node) detectProtocol(raw pausableConn) {
 	reader := bufio.NewReaderSize(raw, readBufferBytes)
 	if n.cfg.Channels {
@@ -228,7 +229,7 @@
 	n.serve(&conn{node: n, recorded: n.cfg.Recorder.Wrap(socket, recorder.Node, n.cfg.ID)}, "")
 }
 
-// bufferedSocket is a socket of which a buffer has read something already.
+// bufferedSocket is a socket that is read through a buffer, which may already contain bytes of it.
 type bufferedSocket struct {
 	recorder.Socket
 	reader *bufio.Reader
@@ -237,7 +238,7 @@
 // Read implements recorder.Stream.
 func (b bufferedSocket) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-// serveChannels serves the channels of a connection until it ends.
+// serveChannels serves the channels of a connection until the connection ends.
 func (n *Node) serveChannels(raw pausableConn, reader *bufio.Reader) {
 	if _, err := reader.ReadString('\n'); err != nil {
 		_ = raw.Close()
@@ -260,7 +261,7 @@
 	n.mu.Unlock()
 }
 
-// pausableConn is a socket whose reads return only while the node is neither hanging nor has stopped reading.
+// pausableConn is a socket whose reads do not return while the node hangs or has stopped reading.
 type pausableConn struct {
 	net.Conn
 	node *Node
@@ -274,5 +275,5 @@
 	return n, err
 }
 
-// SetLinger makes a close a reset.
+// SetLinger implements the setting of net.TCPConn, by which Close resets the connection.
 func (p pausableConn) SetLinger(sec int) error { return p.Conn.(*net.TCPConn).SetLinger(sec) }
--- a/lab/packageindex/packageindex_test.go
+++ b/lab/packageindex/packageindex_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Head, floor and due times agree, and a message is a function of its key and number.
+// Head, OldestCursor and Due agree with one another, and a message depends only on its key and number.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		interval := time.Duration(rapid.IntRange(1, 5_000_000).Draw(t, "interval")) * time.Microsecond
@@ -26,14 +26,14 @@
 			t.Fatalf("head %d: due %v, next %v, now %v", head, x.Due(key, head), x.Due(key, head+1), now)
 		}
 		if f := x.OldestCursor(key, now); f > head || head-f > x.RetainedMessages {
-			t.Fatalf("floor %d, head %d", f, head)
+			t.Fatalf("oldest cursor %d, head %d", f, head)
 		}
 		line := x.AppendMessage(nil, key, head)
 		if !bytes.Equal(line, x.AppendMessage(nil, key, head)) {
-			t.Fatalf("%q is not the same a second time", line)
+			t.Fatalf("message %d differs between two calls: %q", head, line)
 		}
 		if bytes.Equal(line, x.AppendMessage(nil, key, head+1)) || !bytes.HasSuffix(line, []byte("\r\n")) {
-			t.Fatalf("%q", line)
+			t.Fatalf("message %d equals the next one, or has no line end: %q", head, line)
 		}
 	})
 }
--- a/lab/proto/proto.go
+++ b/lab/proto/proto.go
@@ -1,5 +1,5 @@
-// Package proto reads and writes the lines of the stream protocol for the laboratory's emulated clients and nodes. It
-// is written from docs/protocol and must not share code with the balancer, whose parsers it tests.
+// Package proto parses and formats the lines of the stream protocol for the laboratory's emulated clients and nodes. It
+// implements docs/protocol independently and must not share code with the balancer, whose parsers it tests.
 package proto
 
 import (
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// openFields are the parts of a first line: the word, the id, the key and the parameters.
+// openFields is the number of fields of a first line: the word, the id, the key and the parameters.
 const openFields = 4
 
 // wantsTokenValue is the value of tok by which a client wants a resume token.
 const wantsTokenValue = "ask"
 
-// Open is a first line.
+// Open is the first line of a stream, "OPEN ID KEY NAME=VALUE,...".
 type Open struct {
 	ID             string
 	Key            uint64
@@ -25,17 +25,18 @@
 	Group          string // g=
 	Owner          string // owner=
 	At             string // at=, the node at which the stream is already
-	Again          bool   // again=1, the client was connected before
+	Again          bool   // again=1, the client has opened the stream before
 	WantsToken     bool   // tok=ask
 	Token          string // tok= with any other value
-	Cursor         uint64 // cur=, the last message that the client has
+	Cursor         uint64 // cur=, the number of the last message that the client has received
 	HasCursor      bool
 }
 
-// ErrNotOpen is the error of a line that is no first line.
-var ErrNotOpen = errors.New("no first line")
+// ErrNotOpen is returned for a line that is not a valid first line.
+var ErrNotOpen = errors.New("not a valid OPEN line")
 
-// ParseOpen reads a first line, without its end. Parameters of unknown names are skipped. The error is ErrNotOpen.
+// ParseOpen parses a first line, given without its end. It ignores parameters with unknown names. The error is
+// ErrNotOpen.
 func ParseOpen(text string) (Open, error) {
 	fields := strings.SplitN(text, " ", openFields)
 	if len(fields) != openFields || fields[0] != "OPEN" || fields[1] == "" {
@@ -55,7 +56,7 @@
 	return o, nil
 }
 
-// set sets the field of one parameter.
+// set sets the field for one parameter.
 func (o *Open) set(name, value string) (err error) {
 	switch name {
 	case "c":
@@ -82,7 +83,7 @@
 	return err
 }
 
-// String is the line, with its end.
+// String returns the line, with its end.
 func (o *Open) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "OPEN %s %016x c=%s,d=%d", o.ID, o.Key, o.Class, o.DeadlineMillis)
@@ -108,13 +109,13 @@
 // Answer is the answer to a first line.
 type Answer struct {
 	Word        string // UP, BUSY, STALE, ERR, ...
-	Rest        string // what follows the word
-	From        uint64 // of an UP with from=: the message after which the stream continues
-	Numbered    bool   // it has from=, and so the messages are numbered
-	RetryMillis int    // of a BUSY: how long to wait before the next attempt; 0: not given
+	Rest        string // the text after the word
+	From        uint64 // of UP with from=: the number of the message after which the stream continues
+	Numbered    bool   // UP has from=, which means that the messages are numbered
+	RetryMillis int    // of BUSY: the wait before the next attempt; 0: not given
 }
 
-// ParseAnswer reads an answer, without its end.
+// ParseAnswer parses an answer, given without its end.
 func ParseAnswer(text string) Answer {
 	const fromParameter = " from="
 	a := Answer{}
@@ -132,7 +133,7 @@
 	return a
 }
 
-// MessageNumber reads the number of a message, "#NUMBER TEXT"; ok is false for any other line.
+// MessageNumber returns the number of a message, "#NUMBER TEXT". ok is false for any other line.
 func MessageNumber(line []byte) (n uint64, ok bool) {
 	const shortest = len("#1 ")
 	if len(line) < shortest || line[0] != '#' {
--- a/lab/recorder/recorder.go
+++ b/lab/recorder/recorder.go
@@ -1,6 +1,6 @@
-// Package recorder records what crosses the sockets of emulated clients and nodes. A Recorder wraps their connections
-// and channels, and passes every line and every end to a Sink, in the order in which it was read or written. It
-// splits bytes into lines and must not know what a line means.
+// Package recorder records the lines that cross the sockets of emulated clients and nodes. A Recorder wraps their
+// connections and channels, and passes every line and every end of a connection to a Sink, in the order in which they
+// were read or written. It splits bytes into lines and must not know their meaning.
 package recorder
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Side is the party whose socket it is.
+// Side is the kind of party whose socket is recorded.
 type Side uint8
 
 // The sides.
@@ -22,28 +22,28 @@
 	Node
 )
 
-// Event is a line that crossed a socket, or the socket's end.
+// Event is a line that crossed a socket or channel, or the end of one.
 type Event struct {
 	At   time.Time
 	Side Side
 	Name string // of the party
 	Conn uint64 // identifies the connection or channel among all of the Recorder
-	Sent bool   // the party wrote the line; else it read it
-	End  bool   // the party read the end, or ended it; there is no line
-	Line []byte // without its end; valid only during the call
+	Sent bool   // the party wrote the line; otherwise it read it
+	End  bool   // the party read the end, or ended the stream itself; Line is not set
+	Line []byte // without its end; valid only during the call of Sink.Record
 }
 
-// Sink receives events. It is called by many goroutines, and in order for each direction of a connection.
+// Sink receives events. Record is called by many goroutines, but in order for each direction of a connection.
 type Sink interface{ Record(e Event) }
 
 // Stream is a connection or a channel.
 type Stream interface {
 	io.ReadWriteCloser
-	// Reset ends it so that the peer sees it broken off.
+	// Reset ends the stream so that the peer sees it aborted instead of closed.
 	Reset() error
 }
 
-// Socket is a connection as a Stream.
+// Socket adapts a connection to Stream.
 type Socket struct{ net.Conn }
 
 // Reset implements Stream.
@@ -63,7 +63,7 @@
 // New returns a recorder that passes events to a sink.
 func New(sink Sink) *Recorder { return &Recorder{sink: sink} }
 
-// Wrap records all that crosses a stream from now on, as that of the named party.
+// Wrap returns a stream that records all lines from now on, as lines of the named party.
 func (r *Recorder) Wrap(s Stream, side Side, name string) *Conn {
 	return &Conn{Stream: s, sink: r.sink, side: side, name: name, id: r.lastConn.Add(1)}
 }
@@ -71,7 +71,7 @@
 // Conn is a recorded stream. One goroutine may read while others write.
 type Conn struct {
 	Stream
-	OnEnd func() // called before the end is recorded, to Note what is known only then; may be nil
+	OnEnd func() // called before the end is recorded, so that it can call RecordLine; may be nil
 
 	sink     Sink
 	side     Side
@@ -80,10 +80,11 @@
 	received lineSplitter
 	sent     lineSplitter
 	endOnce  sync.Once
-	writeMu  sync.Mutex // keeps the order of lines in the sink that of the stream
+	writeMu  sync.Mutex // makes the order of lines in the sink the same as in the stream
 }
 
-// Read reads from the stream, and records the lines that are complete. An error other than a timeout is the end.
+// Read reads from the stream, and records the lines that are complete. An error other than a timeout is recorded as the
+// end.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Stream.Read(b)
 	c.received.feed(b[:n], func(line []byte) { c.record(line, false) })
@@ -98,7 +99,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Write records lines before it writes them: once the peer has one, the sink has seen it.
+// Write records lines before it writes them, so that the sink sees a line before the peer does.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -106,7 +107,7 @@
 	return c.Stream.Write(b)
 }
 
-// RecordLine records a line that crosses in another form, such as the first line in a channel's open.
+// RecordLine records a line that is not sent as bytes of the stream, such as the first line in a channel's open.
 func (c *Conn) RecordLine(text string, sent bool) { c.record([]byte(text), sent) }
 
 // Close records the end, and closes the stream.
@@ -115,7 +116,7 @@
 	return c.Stream.Close()
 }
 
-// Reset records the end, and ends the stream so that the peer sees it broken off.
+// Reset records the end, and resets the stream.
 func (c *Conn) Reset() error {
 	c.recordEnd()
 	return c.Stream.Reset()
@@ -125,7 +126,7 @@
 	c.sink.Record(Event{At: time.Now(), Side: c.side, Name: c.name, Conn: c.id, Sent: sent, Line: line})
 }
 
-// recordEnd records the end once.
+// recordEnd records the end, at the first call only.
 func (c *Conn) recordEnd() {
 	c.endOnce.Do(func() {
 		if c.OnEnd != nil {
@@ -135,7 +136,7 @@
 	})
 }
 
-// lineSplitter finds lines in bytes that come in pieces. Bytes without a line end are no line.
+// lineSplitter splits bytes that arrive in pieces into lines. It keeps an incomplete line until its end arrives.
 type lineSplitter struct{ partial []byte }
 
 func (s *lineSplitter) feed(b []byte, handle func(line []byte)) {
--- a/lab/report/chart.go
+++ b/lab/report/chart.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart is a picture of some series; X and Y are the labels of its axes.
+// Chart is a line chart of some series; X and Y are the labels of its axes.
 type Chart struct {
 	Name, Title, X, Y string
 	Series            []Series
@@ -27,10 +27,10 @@
 	chartHeight   = 4 * vg.Inch
 	lineWidth     = 1.5 // points
 	legendPadding = 2   // points
-	legendDivisor = 5   // this part of the range of Y is added for the legend
+	legendDivisor = 5   // the range of Y divided by it is added above for the legend
 )
 
-// palette are colours that colour-blind readers can distinguish, too (Okabe and Ito).
+// palette returns the colours of the series, which colour-blind readers can distinguish, too (Okabe and Ito).
 func palette() []color.RGBA {
 	return []color.RGBA{
 		{0, 114, 178, 255},
@@ -41,8 +41,8 @@
 	}
 }
 
-// draw writes the chart as SVG and PNG. A series without points is in the legend only; one with a single point is a
-// dot.
+// draw writes the chart to base with the endings .svg and .png. A series without points appears only in the legend; one
+// with a single point is drawn as a dot.
 func (c Chart) draw(base string) error {
 	p := plot.New()
 	p.Title.Text = c.Title
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Percentiles is the distribution of values: for each, the percentage of all that do not exceed it, and the value.
+// Percentiles returns the distribution of values as a series: X is the percentage of values that do not exceed Y.
 func Percentiles(name string, values []float64) Series {
 	s := Series{Name: name}
 	sorted := slices.Sorted(slices.Values(values))
@@ -109,7 +109,7 @@
 	return s
 }
 
-// Quantile is the value that a part q of all values, from 0 to 1, does not exceed; 0 if there are none.
+// Quantile returns the value that the fraction q of all values, from 0 to 1, does not exceed; 0 if there are no values.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -118,8 +118,8 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Counts is a histogram of times, both in seconds: for each step of time, how many fall into it, as a rate per
-// second.
+// Counts returns a histogram of times as a series: X is the start of each bin of length step, Y the number of times in
+// the bin as a rate per second. Times and step are in seconds.
 func Counts(name string, times []float64, step float64) Series {
 	s := Series{Name: name}
 	if len(times) == 0 {
--- a/lab/report/repeats.go
+++ b/lab/report/repeats.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 )
 
-// Repeats are runs of one experiment with different seeds. All have the same bounds in the same order.
+// Repeats is a list of runs of one experiment with different seeds. All have the same bounds in the same order.
 type Repeats []*Report
 
 // Pass reports whether all bounds held in all runs.
@@ -21,7 +21,7 @@
 	return !slices.ContainsFunc(r, func(run *Report) bool { return !run.Pass })
 }
 
-// values are all values of a figure, of the runs that have it.
+// values returns the values of a figure in the runs that have it.
 func (r Repeats) values(name string) []float64 {
 	var values []float64
 	for _, run := range r {
@@ -32,7 +32,7 @@
 	return values
 }
 
-// names are the names of all figures, sorted.
+// names returns the names of all figures, sorted.
 func (r Repeats) names() []string {
 	all := map[string]bool{}
 	for _, run := range r {
@@ -43,7 +43,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Table writes each figure's least, median and greatest value, and how often a bound was broken.
+// Table writes a table with the least, median and greatest value of each figure, and the number of runs that broke each
+// bound.
 func (r Repeats) Table(to io.Writer) error {
 	if len(r) == 0 {
 		return nil
@@ -64,7 +65,7 @@
 	return w.Flush()
 }
 
-// writeBounds writes a line for each bound, and returns their names.
+// writeBounds writes a line for each bound, and returns the names of the figures that have one.
 func (r Repeats) writeBounds(w *tabwriter.Writer) (bounded map[string]bool) {
 	bounded = map[string]bool{}
 	fmt.Fprint(w, "bound\tlimit\tleast\tmedian\tgreatest\tbroken\n")
@@ -94,7 +95,7 @@
 	}
 }
 
-// quantiles are the cells with a figure's least, median and greatest value.
+// quantiles returns the cells of the table with a figure's least, median and greatest value.
 func (r Repeats) quantiles(name string) string {
 	v := r.values(name)
 	least := formatNumber(Quantile(v, 0))
@@ -103,7 +104,8 @@
 	return least + "\t" + median + "\t" + greatest
 }
 
-// Save writes a row for each run to a CSV file in a folder, and the first run as Report.Save does.
+// Save writes a CSV file with a row for each run to a folder, and saves the first run by Report.Save. A single run has
+// no such CSV file.
 func (r Repeats) Save(dir string) error {
 	if len(r) == 0 {
 		return nil
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report has what an experiment measured, and writes it: as a table for people, as JSON for scripts, and as
-// CSV and charts for the records. It knows figures by their names and compares them with bounds; it must not know how
-// they were measured.
+// Package report holds the results of an experiment and writes them: as a table for people, as JSON for scripts, and
+// as CSV and charts for the records. A Report has figures by their names and compares them with bounds; the package
+// must not know how they were measured.
 package report
 
 import (
@@ -22,16 +22,16 @@
 	fileMode = 0o644
 )
 
-// Bound is a figure with its limit.
+// Bound is a figure with its limit, and the result of their comparison.
 type Bound struct {
 	Name      string  `json:"name"`
 	Limit     float64 `json:"limit"`
-	IsMinimum bool    `json:"at_least,omitempty"` // the figure may be no less than the limit; else no more
+	IsMinimum bool    `json:"at_least,omitempty"` // the limit is a lower bound; otherwise it is an upper one
 	Measured  float64 `json:"measured"`
 	OK        bool    `json:"ok"`
 }
 
-// Report is one run of an experiment. Figures must be set before it is used.
+// Report has the results of one run of an experiment. Figures must be set before its methods are called.
 type Report struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
@@ -44,8 +44,7 @@
 	Charts     []Chart            `json:"-"`
 }
 
-// Check compares a figure with its limit, adds the bound, and updates Pass. A figure that was not measured breaks its
-// bound.
+// Check compares a figure with its limit, adds the bound, and updates Pass. A missing figure breaks its bound.
 func (r *Report) Check(name string, limit float64, atLeast bool) {
 	measured, ok := r.Figures[name]
 	if atLeast {
@@ -57,15 +56,15 @@
 	r.Pass = !slices.ContainsFunc(r.Bounds, func(b Bound) bool { return !b.OK })
 }
 
-// AddRatio adds a figure: the quotient of two others. If the divisor was not measured or is 0 there is no such figure,
-// and a bound on it is broken.
+// AddRatio adds a figure, the quotient of two others. If the divisor is missing or 0 it adds none, so that a bound for
+// the ratio is broken.
 func (r *Report) AddRatio(name, dividend, divisor string) {
 	if d := r.Figures[divisor]; d != 0 {
 		r.Figures[name] = r.Figures[dividend] / d
 	}
 }
 
-// limitText is the limit with its comparison.
+// limitText returns the limit with its comparison operator.
 func (b *Bound) limitText() string {
 	if b.IsMinimum {
 		return ">= " + formatNumber(b.Limit)
@@ -73,7 +72,7 @@
 	return "<= " + formatNumber(b.Limit)
 }
 
-// Table writes the report for people.
+// Table writes the report as a table for people.
 func (r *Report) Table(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s, seed %d, commit %s\n\nbound\tlimit\tmeasured\t\n", r.Experiment, r.Seed, r.Commit)
@@ -97,7 +96,7 @@
 	return w.Flush()
 }
 
-// formatNumber writes whole numbers without decimals, and others with three.
+// formatNumber formats whole numbers without decimals, and others with three.
 func formatNumber(v float64) string {
 	if v == float64(int64(v)) {
 		return strconv.FormatInt(int64(v), 10)
@@ -105,7 +104,7 @@
 	return strconv.FormatFloat(v, 'f', 3, 64)
 }
 
-// JSON writes the report to a file, for scripts.
+// JSON writes the report as JSON to a file, for scripts.
 func (r *Report) JSON(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -114,8 +113,8 @@
 	return os.WriteFile(path, append(text, '\n'), fileMode)
 }
 
-// Save writes the report and its charts into a folder, which it makes, in files that begin with the experiment's
-// name.
+// Save writes the report as JSON and CSV, and its charts, to a folder, which it creates if necessary. The files' names
+// begin with the experiment's name.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
@@ -128,7 +127,7 @@
 	return err
 }
 
-// csv writes a row for each figure, those with bounds first.
+// csv writes the report as CSV with a row for each figure, those with bounds first.
 func (r *Report) csv(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// testReport has three figures and three bounds, of which the last is on a figure that was not measured.
+// testReport returns a report with three figures and three bounds. The last bound is for a missing figure.
 func testReport() *Report {
 	r := &Report{
 		Experiment: "x",
@@ -28,20 +28,20 @@
 	r.Check("lost", 0, false)
 	r.Check("honoured", 7, true)
 	if !r.Pass {
-		t.Error("broken though all holds")
+		t.Error("the report does not pass although all bounds hold")
 	}
 	r.Check("never measured", 5, false)
 	if r.Pass {
-		t.Error("a figure that was not measured passes")
+		t.Error("the report passes although the figure of a bound is missing")
 	}
 	r.AddRatio("none_ratio", "honoured", "lost")
 	r.Check("none_ratio", 1, false)
 	if r.Bounds[len(r.Bounds)-1].OK {
-		t.Error("a ratio over 0 holds its bound")
+		t.Error("the bound of a ratio with the divisor 0 holds")
 	}
 }
 
-// Charts without points, with one and with a gap are drawn, too.
+// Save writes all files, also with charts that have no points, a single point, or a histogram with empty bins.
 func TestSaveWritesFiles(t *testing.T) {
 	r := testReport()
 	r.Charts = []Chart{
@@ -120,6 +120,6 @@
 		}
 	}
 	if Quantile(nil, 0.5) != 0 {
-		t.Error("of nothing")
+		t.Error("the quantile of no values is not 0")
 	}
 }
--- a/lab/sshchan/channel.go
+++ b/lab/sshchan/channel.go
@@ -11,10 +11,10 @@
 )
 
 var (
-	// errReset is the end of a channel that was closed without EOF.
-	errReset = errors.New("channel closed without its end")
-	// errInvalidData is the end of a connection with data that may not be sent.
-	errInvalidData = errors.New("DATA is malformed")
+	// errReset is returned by Read after a channel was closed without EOF.
+	errReset = errors.New("channel closed without EOF")
+	// errInvalidData ends a connection whose peer sent malformed data, or data that exceeds the window or follows EOF.
+	errInvalidData = errors.New("invalid DATA message")
 )
 
 // Channel is one channel, a stream of bytes without deadlines. Its methods may be called from any goroutine.
@@ -22,36 +22,37 @@
 	Line string // its first line
 
 	conn   *Conn
-	number uint32 // by which the peer addresses it
+	number uint32 // this side's number, by which the peer addresses the channel
 	answer chan Answer
 
-	// The connection's mutex guards all below.
-	peerNumber     uint32
-	sendWindow     uint32 // bytes that the peer takes
-	maxPacket      uint32 // bytes of one message that the peer takes
-	receiveWindow  uint32 // bytes that the peer was granted and has not sent
-	received       []byte // not yet read
+	// The connection's mutex guards all fields below.
+	peerNumber     uint32 // the peer's number, by which this side addresses the channel
+	sendWindow     uint32 // bytes that the peer still accepts
+	maxPacket      uint32 // bytes that the peer accepts in one message
+	receiveWindow  uint32 // bytes that were granted to the peer and not yet received
+	received       []byte // bytes received and not yet read
 	readable       sync.Cond
-	err            error   // what Read returns after the received bytes
-	moveToken      *string // of the peer's move; nil: not moved
-	confirmed      bool    // by either side
+	err            error   // returned by Read after the received bytes
+	moveToken      *string // token of the peer's move request; nil: not moved
+	confirmed      bool    // the side that did not open the channel has confirmed it
 	answered       bool    // answer is closed
 	closeSent      bool
 	eofSent        bool
-	withholdCredit bool // no window is granted, so that the peer stalls
+	withholdCredit bool // no more window is granted, so that the peer stalls
 }
 
 // Answer is the answer to an open.
 type Answer struct {
 	Up   bool
-	Code uint32 // of a refusal: Shortage or Failed
-	Line string // of UP, or the refusal's text
+	Code uint32 // of a refusal: ResourceShortage or ConnectFailed
+	Line string // the UP line, or the text of the refusal
 }
 
-// Answered has the answer to the open; it is closed without one if the channel or the connection ends before.
+// Answered returns a channel that receives the answer to the open. It is closed without an answer if the channel or the
+// connection ends before.
 func (ch *Channel) Answered() <-chan Answer { return ch.answer }
 
-// Confirm accepts a channel that the peer has opened.
+// Confirm accepts a channel that the peer has opened, with an answer line.
 func (ch *Channel) Confirm(line string) error {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -65,7 +66,7 @@
 	}))
 }
 
-// Refuse refuses a channel that the peer has opened, with the code Shortage or Failed.
+// Refuse refuses a channel that the peer has opened. The code is ResourceShortage or ConnectFailed.
 func (ch *Channel) Refuse(code uint32, text string) error {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -74,7 +75,8 @@
 	return ch.conn.write(ssh.Marshal(failureMsg{ID: ch.peerNumber, Reason: code, Message: text}))
 }
 
-// handle handles a message for this channel. The caller holds the connection's mutex, as for the other handlers.
+// handle handles a message for this channel. An error ends the connection. The caller of this and of the other handlers
+// holds the connection's mutex.
 func (ch *Channel) handle(payload []byte) error {
 	switch payload[0] {
 	case numConfirm:
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// handleData takes bytes of the stream. It is parsed by hand, as measurements of throughput must measure the
-// balancer.
+// handleData receives bytes of the stream. It parses the message without ssh.Unmarshal, so that measurements of
+// throughput are not limited by this package instead of the balancer.
 func (ch *Channel) handleData(payload []byte) error {
 	if len(payload) < dataHeaderBytes {
 		return errInvalidData
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// handleClose answers the peer's CLOSE, unless this side has sent its own.
+// handleClose ends the channel, and answers the peer's CLOSE unless this side has already sent one.
 func (ch *Channel) handleClose() {
 	ch.finish(errReset)
 	if !ch.closeSent {
@@ -157,7 +159,7 @@
 	ch.conn.writable.Broadcast()
 }
 
-// handleRequest keeps a request to move for Moved, and refuses any request that wants a reply.
+// handleRequest keeps the token of a move request for Moved. It answers any request that wants a reply with a failure.
 func (ch *Channel) handleRequest(payload []byte) error {
 	var m requestMsg
 	if err := ssh.Unmarshal(payload, &m); err != nil {
@@ -172,7 +174,7 @@
 	return ch.conn.write(ssh.Marshal(requestFailureMsg{ch.peerNumber}))
 }
 
-// finish notes the end of what is received. The caller holds the mutex.
+// finish ends the receiving direction: after the received bytes, Read returns err. The caller holds the mutex.
 func (ch *Channel) finish(err error) {
 	if ch.err == nil {
 		ch.err = err
@@ -184,7 +186,7 @@
 	ch.readable.Broadcast()
 }
 
-// sendAnswer passes the answer to the open on, once. The caller holds the mutex.
+// sendAnswer passes the first answer to the open on to Answered. The caller holds the mutex.
 func (ch *Channel) sendAnswer(a Answer) {
 	if ch.answered {
 		return
@@ -194,7 +196,7 @@
 	close(ch.answer)
 }
 
-// Read reads the stream. At its end the error is io.EOF, and another one if it was broken off.
+// Read reads the stream. The error is io.EOF after the peer's EOF, and another one if the stream was aborted.
 func (ch *Channel) Read(b []byte) (int, error) {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -210,18 +212,18 @@
 	return n, nil
 }
 
-// grantCredit grants the peer what was read of its window, once that is half of the window.
+// grantCredit grants the peer window for the bytes that were read, once they are at least half of the window.
 func (ch *Channel) grantCredit() {
 	credit := ch.conn.window - ch.receiveWindow - uint32(len(ch.received))
 	if credit < ch.conn.window/2 || ch.withholdCredit || ch.err != nil || ch.closeSent {
 		return
 	}
 	ch.receiveWindow += credit
-	_ = ch.conn.write(ssh.Marshal(adjustMsg{ID: ch.peerNumber, Bytes: credit})) // the next read shows an error
+	_ = ch.conn.write(ssh.Marshal(adjustMsg{ID: ch.peerNumber, Bytes: credit})) // after an error reads fail, too
 }
 
-// Write sends bytes as the peer's window allows. After the end of the connection or of this side the error is
-// io.ErrClosedPipe.
+// Write sends bytes, and blocks while the peer's window is used up. Once the connection or this side of the channel has
+// ended the error is io.ErrClosedPipe.
 func (ch *Channel) Write(b []byte) (int, error) {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -244,7 +246,7 @@
 	return sent, nil
 }
 
-// sendData sends one message with data.
+// sendData sends one DATA message. The caller holds the mutex.
 func (ch *Channel) sendData(data []byte) error {
 	message := ch.conn.sendBuffer[:0]
 	message = append(message, numData)
@@ -255,7 +257,7 @@
 	return ch.conn.write(message)
 }
 
-// CloseWrite sends EOF. Before the channel is confirmed it does nothing: the peer's number is not known.
+// CloseWrite sends EOF. Before the channel is confirmed it does nothing, as the peer's number is not yet known.
 func (ch *Channel) CloseWrite() error {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -266,7 +268,8 @@
 	return ch.conn.write(ssh.Marshal(eofMsg{ch.peerNumber}))
 }
 
-// Reset sends CLOSE, which without EOF breaks the stream off. Before the channel is confirmed it does nothing.
+// Reset sends CLOSE, which aborts the stream if no EOF was sent before. Before the channel is confirmed it does
+// nothing.
 func (ch *Channel) Reset() error {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -281,12 +284,12 @@
 	return ch.conn.write(ssh.Marshal(closeMsg{ch.peerNumber}))
 }
 
-// Close ends the channel in order, by EOF and CLOSE.
+// Close ends the channel regularly, by EOF and CLOSE.
 func (ch *Channel) Close() error {
 	return errors.Join(ch.CloseWrite(), ch.Reset())
 }
 
-// Move makes the peer open a new channel elsewhere, with a token if it is not empty, and closes this one.
+// Move asks the peer to open a new channel elsewhere, with the token if it is not empty, and closes this channel.
 func (ch *Channel) Move(token string) error {
 	ch.conn.mu.Lock()
 	err := ch.conn.write(ssh.Marshal(requestMsg{ID: ch.peerNumber, Type: moveRequest, Token: token}))
@@ -294,7 +297,7 @@
 	return errors.Join(err, ch.Close())
 }
 
-// Moved reports whether the peer has moved this side, and its token.
+// Moved reports whether the peer has sent a move request, and returns the request's token.
 func (ch *Channel) Moved() (token string, moved bool) {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
@@ -304,7 +307,7 @@
 	return *ch.moveToken, true
 }
 
-// WithholdCredit sets whether the peer is granted no more window, so that it stalls.
+// WithholdCredit sets whether no more window is granted to the peer. If on, the peer stalls once its window is used up.
 func (ch *Channel) WithholdCredit(on bool) {
 	ch.conn.mu.Lock()
 	defer ch.conn.mu.Unlock()
--- a/lab/sshchan/conn.go
+++ b/lab/sshchan/conn.go
@@ -1,7 +1,7 @@
-// Package sshchan has multiplexed channels for the laboratory's clients and nodes. It is written from
-// docs/protocol/channels.md and the RFCs, with the messages of golang.org/x/crypto/ssh, and must not share code with
-// the balancer, which it tests. Calls block, and each connection has a goroutine that reads it. A peer must keep the
-// rules: a connection ends at the first message that does not.
+// Package sshchan implements multiplexed channels, in the format of SSH channels without encryption, for the
+// laboratory's clients and nodes. It follows docs/protocol/channels.md and the RFCs, encodes messages with
+// golang.org/x/crypto/ssh, and must not share code with the balancer, which it tests. Calls block, and a goroutine
+// reads each connection. A message that violates the protocol ends the connection.
 package sshchan
 
 import (
@@ -17,40 +17,40 @@
 	"golang.org/x/crypto/ssh"
 )
 
-// maxWaitingOpens channels that the peer has opened may wait for Accept.
+// maxWaitingOpens is the number of channels opened by the peer that may wait for Accept.
 const maxWaitingOpens = 4096
 
 var (
-	errUnknownChannel    = errors.New("a message for a channel that there is not")
-	errTooManyOpens      = errors.New("too many opens wait")
-	errIdentification    = errors.New("not an identification")
-	errUnexpectedService = errors.New("not the service ssh-connection")
-	errInvalidOpen       = errors.New("an open that may not be")
+	errUnknownChannel    = errors.New("message for an unknown channel")
+	errTooManyOpens      = errors.New("too many channel opens wait for Accept")
+	errIdentification    = errors.New("invalid identification line")
+	errUnexpectedService = errors.New("unexpected service, want ssh-connection")
+	errInvalidOpen       = errors.New("invalid channel open")
 	errMalformedPacket   = errors.New("malformed packet")
 )
 
-// Conn is one connection with channels, of either side. Its methods may be called from any goroutine.
+// Conn is one side of a connection with channels. Its methods may be called from any goroutine.
 type Conn struct {
 	raw      net.Conn
 	reader   *bufio.Reader
 	server   bool
 	window   uint32        // receive window that is granted on each channel, in bytes
-	incoming chan *Channel // by the peer, for Accept
+	incoming chan *Channel // opened by the peer, for Accept
 
-	mu            sync.Mutex // of all below, of the channels, and of writing
+	mu            sync.Mutex // guards all fields below, the channels' state, and writing
 	writable      sync.Cond  // signals that a send window has grown, or that the connection or a channel has ended
 	channels      map[uint32]*Channel
-	lastNumber    uint32 // of the channels that this side has numbered
-	err           error  // why the connection has ended
-	sendBuffer    []byte // of a message with data
-	unimplemented int    // messages that the peer answered by UNIMPLEMENTED
+	lastNumber    uint32 // number of the last channel created on this side
+	err           error  // the reason for the connection's end; nil before
+	sendBuffer    []byte // reused for DATA messages
+	unimplemented int    // messages that the peer answered with UNIMPLEMENTED
 
-	// DisconnectReason is what DISCONNECT gave. It may be read once the connection has ended.
+	// DisconnectReason is the code and the text of the peer's DISCONNECT. It may be read once the connection has ended.
 	DisconnectReason string
 }
 
-// Client begins a connection that was dialled, and waits until the peer accepts the service. window is the receive
-// window that it grants on each channel, in bytes.
+// Client starts the protocol on a dialled connection, and waits until the peer accepts the service. window is the
+// receive window to grant on each channel, in bytes. After an error the caller has to close raw.
 func Client(raw net.Conn, window uint32) (*Conn, error) {
 	c := newConn(raw, bufio.NewReaderSize(raw, maxPacket+len(identification)), false, window)
 	if _, err := fmt.Fprint(raw, identification); err != nil {
@@ -81,7 +81,8 @@
 	return c, nil
 }
 
-// Server continues a connection whose identification line has been read with reader. window is as for Client.
+// Server starts the protocol on an accepted connection whose identification line has already been read with reader.
+// window is as for Client. After an error the caller has to close raw.
 func Server(raw net.Conn, reader *bufio.Reader, window uint32) (*Conn, error) {
 	c := newConn(raw, reader, true, window)
 	if _, err := fmt.Fprint(raw, identification); err != nil {
@@ -118,7 +119,7 @@
 	return c
 }
 
-// write sends a payload as a packet. The caller holds the mutex, unless nothing else is sent yet.
+// write sends a payload as a packet. The caller holds the mutex, except before readPackets is started.
 func (c *Conn) write(payload []byte) error {
 	padding := blockBytes - (packetHeaderBytes+len(payload))%blockBytes
 	if padding < minPadding {
@@ -136,7 +137,7 @@
 	return err
 }
 
-// WriteRaw sends bytes as they are, for tests with a peer that breaks the rules.
+// WriteRaw sends bytes unchanged, for tests with a peer that violates the protocol.
 func (c *Conn) WriteRaw(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,14 +145,14 @@
 	return err
 }
 
-// WritePayload sends a message of any kind, for such tests.
+// WritePayload sends any payload as a packet, for tests with a peer that violates the protocol.
 func (c *Conn) WritePayload(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.write(b)
 }
 
-// readPacket reads a packet, and returns its payload.
+// readPacket reads a packet and returns its payload.
 func (c *Conn) readPacket() ([]byte, error) {
 	var head [packetHeaderBytes]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
@@ -169,8 +170,8 @@
 	return b[:len(b)-int(padding)], nil
 }
 
-// validPacket reports whether a packet may have this length, which does not count the length field itself, and this
-// padding: it has a payload, and is a multiple of blockBytes.
+// validPacket reports whether a packet may have this length field, which does not count itself, and this padding: the
+// packet must have a payload, and its total length must be a multiple of blockBytes.
 func validPacket(length uint32, padding byte) bool {
 	if length < minPacketLength || length > maxPacket-lengthBytes || (length+lengthBytes)%blockBytes != 0 {
 		return false
@@ -178,7 +179,7 @@
 	return padding >= minPadding && uint32(padding)+1 < length
 }
 
-// readPackets handles messages until the connection ends, and then ends its channels.
+// readPackets handles messages until the connection ends or one violates the protocol, and then ends all channels.
 func (c *Conn) readPackets() {
 	var err error
 	for err == nil {
@@ -205,7 +206,7 @@
 	switch payload[0] {
 	case numDisconnect:
 		var m disconnectMsg
-		_ = ssh.Unmarshal(payload, &m) // the connection ends in any case
+		_ = ssh.Unmarshal(payload, &m) // the connection ends even if the message is malformed
 		c.DisconnectReason = fmt.Sprintf("%d %s", m.Reason, m.Message)
 		return io.EOF
 	case numIgnore, numDebug, numRequestSuccess, numRequestFailure:
@@ -222,7 +223,7 @@
 	}
 }
 
-// handleGlobalRequest answers keepalives, and refuses other requests that want a reply.
+// handleGlobalRequest answers keepalives with success, and other requests with a failure, if they want a reply.
 func (c *Conn) handleGlobalRequest(payload []byte) error {
 	var m globalRequestMsg
 	if err := ssh.Unmarshal(payload, &m); err != nil || !m.WantReply {
@@ -234,7 +235,7 @@
 	return c.write([]byte{numRequestFailure})
 }
 
-// handleChannelMessage passes a message on to its channel.
+// handleChannelMessage passes a message to its channel.
 func (c *Conn) handleChannelMessage(payload []byte) error {
 	if len(payload) < channelHeaderBytes {
 		return errUnknownChannel
@@ -246,7 +247,7 @@
 	return ch.handle(payload)
 }
 
-// handleOpen makes a channel that the peer opens, for Accept. Only servers accept channels.
+// handleOpen creates a channel that the peer opens, for Accept. Only servers accept channels.
 func (c *Conn) handleOpen(payload []byte) error {
 	var m openMsg
 	if err := ssh.Unmarshal(payload, &m); err != nil {
@@ -267,7 +268,7 @@
 	}
 }
 
-// newChannel makes a channel with the next number of this side. The caller holds the mutex.
+// newChannel creates a channel with the next number of this side. The caller holds the mutex.
 func (c *Conn) newChannel(line string) *Channel {
 	c.lastNumber++
 	ch := &Channel{
@@ -282,7 +283,7 @@
 	return ch
 }
 
-// Open opens a channel with a first line. Its answer comes on Answered.
+// Open opens a channel with a first line. Channel.Answered provides the answer.
 func (c *Conn) Open(line string) (*Channel, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,34 +300,34 @@
 	}))
 }
 
-// Accept waits for a channel that the peer opens; nil once the connection has ended.
+// Accept waits for a channel that the peer opens. It returns nil once the connection has ended.
 func (c *Conn) Accept() *Channel { return <-c.incoming }
 
-// ChannelCount is the number of channels.
+// ChannelCount returns the number of channels, without those that were refused or that the peer has closed.
 func (c *Conn) ChannelCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.channels)
 }
 
-// Unimplemented is the number of messages that the peer answered by UNIMPLEMENTED.
+// Unimplemented returns the number of messages that the peer answered with UNIMPLEMENTED.
 func (c *Conn) Unimplemented() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unimplemented
 }
 
-// Err is why the connection has ended; nil before that.
+// Err returns the reason for the connection's end; nil before.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.raw.Close() }
 
-// Abort ends the connection by a reset.
+// Abort resets the connection.
 func (c *Conn) Abort() error {
 	if conn, ok := c.raw.(interface{ SetLinger(sec int) error }); ok {
 		_ = conn.SetLinger(0)
--- a/lab/sshchan/messages.go
+++ b/lab/sshchan/messages.go
@@ -1,6 +1,6 @@
 package sshchan
 
-// The messages, in the form of golang.org/x/crypto/ssh.
+// The messages, with the struct tags of golang.org/x/crypto/ssh.
 type (
 	disconnectMsg struct {
 		Reason            uint32 `sshtype:"1"`
@@ -53,7 +53,7 @@
 	}
 )
 
-// The messages' numbers (RFC 4250, section 4.1.2).
+// The numbers of the messages (RFC 4250, section 4.1.2).
 const (
 	numDisconnect     = 1
 	numIgnore         = 2
@@ -72,31 +72,31 @@
 	numRequest        = 98
 )
 
-// Names and codes of docs/protocol/channels.md.
+// Names and codes from docs/protocol/channels.md.
 const (
 	identification       = "SSH-2.0-spurlab\r\n"
-	identificationPrefix = "SSH-2.0-" // begins the peer's identification
+	identificationPrefix = "SSH-2.0-" // beginning of a valid identification line
 	serviceName          = "ssh-connection"
 	channelType          = "stream@spurspread"
 	moveRequest          = "move@spurspread"
 	keepaliveRequest     = "keepalive@spurspread"
 
-	// ResourceShortage is the code of a refusal for now.
+	// ResourceShortage is the code of a refusal after which the client may try again.
 	ResourceShortage uint32 = 4
-	// ConnectFailed is the code of a refusal for good.
+	// ConnectFailed is the code of a final refusal.
 	ConnectFailed uint32 = 2
 )
 
 // Sizes of packets (RFC 4253, section 6) and messages, in bytes.
 const (
 	maxPacket          = 35_000
-	packetHeaderBytes  = 5 // a packet's length and the length of its padding
+	packetHeaderBytes  = 5 // the length of a packet, and the length of its padding
 	lengthBytes        = 4
-	blockBytes         = 8 // packets are multiples of it
+	blockBytes         = 8 // the total length of a packet is a multiple of it
 	minPadding         = 4
-	minPacketLength    = 12 // as its length field has it
-	channelHeaderBytes = 5  // a channel message's number and recipient
-	dataHeaderBytes    = 9  // the same, and the data's length
+	minPacketLength    = 12 // minimum of the length field, which does not count itself
+	channelHeaderBytes = 5  // the message number and recipient of a channel message
+	dataHeaderBytes    = 9  // the message number, the recipient and the data's length of a DATA message
 	maxDataBytes       = 16 << 10
-	maxChannelPacket   = 32 << 10 // that is granted on a channel
+	maxChannelPacket   = 32 << 10 // maximum size of a message that this side accepts on a channel
 )
--- a/lab/store/client.go
+++ b/lab/store/client.go
@@ -11,19 +11,20 @@
 )
 
 var (
-	// ErrClosed is the error of a call after the connection has ended.
-	ErrClosed = errors.New("the session store is gone")
-	// ErrFailed is the error of a call that the store did not serve.
-	ErrFailed = errors.New("the session store failed the call")
+	// ErrClosed is returned for calls after the connection has ended.
+	ErrClosed = errors.New("connection to the session store closed")
+	// ErrFailed is returned for calls that the store did not serve, and for calls that were pending when the
+	// connection ended.
+	ErrFailed = errors.New("the session store did not serve the call")
 )
 
-// Client calls a store over one connection, for any number of goroutines.
+// Client calls a store over one connection. Its methods may be called from any goroutine.
 type Client struct {
 	conn net.Conn
 
 	mu      sync.Mutex
 	lastID  int
-	pending map[string]chan bool // by id: receives whether the call was served; nil once the connection has ended
+	pending map[string]chan bool // by call id: receives true if the call was served; nil once the connection has ended
 }
 
 // Dial connects to a store.
@@ -37,10 +38,10 @@
 	return c, nil
 }
 
-// Close ends the connection; pending calls fail.
+// Close closes the connection; pending calls fail.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// read passes answers to the calls until the connection ends.
+// read passes answers on to the pending calls until the connection ends.
 func (c *Client) read() {
 	for lines := bufio.NewScanner(c.conn); lines.Scan(); {
 		word, id, _ := strings.Cut(lines.Text(), " ")
@@ -59,8 +60,8 @@
 	c.pending = nil
 }
 
-// Call makes one call and waits until it is served. Otherwise the error is ErrFailed, ErrClosed, the context's, or
-// that of the connection.
+// Call makes one call and waits until it is served. If it is not served, the error is ErrFailed, ErrClosed, the
+// context's error, or an error of the connection.
 func (c *Client) Call(ctx context.Context) error {
 	done, err := c.send()
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// send sends a call, and returns where its result comes.
+// send sends a call, and returns the channel that receives true if the call was served, and false if not.
 func (c *Client) send() (done chan bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the emulated session store, a service that index nodes call for each new stream without a resume
-// token. It serves calls one after another at a given rate, and fails those that would wait too long. Its protocol is
-// lines over TCP: "CALL ID" is answered by "OK ID" or "NO ID". It must not know what a call is for.
+// Package store emulates the session store, a service that index nodes call for each new stream without a resume
+// token. A Store serves calls one after another at a given rate, and fails those that would wait too long. The protocol
+// is lines over TCP: "CALL ID" is answered by "OK ID" or "NO ID". The package must not know the purpose of calls.
 package store
 
 import (
@@ -23,18 +23,18 @@
 // Store is the service. Its methods may be called from any goroutine.
 type Store struct {
 	listener    net.Listener
-	serviceTime time.Duration // of a call
-	maxWait     time.Duration
+	serviceTime time.Duration // of one call
+	maxWait     time.Duration // calls that would wait longer fail
 	calls       atomic.Int64
 	failed      atomic.Int64
 
 	mu     sync.Mutex
-	freeAt time.Time // when the calls that were accepted are done
+	freeAt time.Time // when all admitted calls will be done
 	conns  map[net.Conn]bool
 }
 
-// Start starts a store on loopback that serves callsPerSecond. A call that would wait for more than maxWait fails,
-// once maxWait has passed.
+// Start starts a store on loopback that serves callsPerSecond. A call that would wait for more than maxWait is answered
+// as failed after maxWait.
 func Start(callsPerSecond float64, maxWait time.Duration) (*Store, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,13 +50,13 @@
 	return s, nil
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address at which the store listens.
 func (s *Store) Addr() string { return s.listener.Addr().String() }
 
-// Calls is how many calls came in, and how many of them failed.
+// Calls returns the number of calls received, and the number of those that failed.
 func (s *Store) Calls() (all, failed int) { return int(s.calls.Load()), int(s.failed.Load()) }
 
-// Close ends the service with all its connections.
+// Close stops the store and closes all its connections.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,13 +79,13 @@
 	}
 }
 
-// serve answers a connection's calls until it ends or sends any other line.
+// serve answers the calls of a connection until it ends, or sends a line that is not a call.
 func (s *Store) serve(conn net.Conn) {
 	var writing sync.Mutex
 	answer := func(word, id string) {
 		writing.Lock()
 		defer writing.Unlock()
-		_, _ = fmt.Fprintf(conn, "%s %s\n", word, id) // a caller that has gone needs no answer
+		_, _ = fmt.Fprintf(conn, "%s %s\n", word, id) // if the caller has disconnected, it needs no answer
 	}
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		id, ok := strings.CutPrefix(lines.Text(), callPrefix)
@@ -106,8 +106,8 @@
 	_ = conn.Close()
 }
 
-// admit decides whether a call is served: unless it would wait for more than maxWait until it begins. It returns how
-// long until the call is done.
+// admit admits a call, unless it would wait for more than maxWait until its service begins. For an admitted call it
+// returns the time until the call is done.
 func (s *Store) admit(now time.Time) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
