--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -35,7 +35,7 @@
 	cursor             uint64    // number of the last message delivered
 	started            bool      // it has been established at least once
 	cursorUnknown      bool      // the first answer did not give the cursor: the first message shows it
-	lastEnd            string    // how its last connection ended; "": none has ended
+	lastEnd            string    // how a connection last ended, as the reason for the next open; "": unknown
 	interruptedAt      time.Time // zero while a connection is established, and before the first one
 	established        int       // established connections on the client's side; more than one is a fault
 	establishedAtNodes int       // established connections on the side of nodes
@@ -107,7 +107,7 @@
 	return f
 }
 
-// Disconnected returns the number of streams without an established connection, by the end of their last connection.
+// Disconnected counts the streams without an established connection, grouped by how their last connection ended.
 func (c *Checker) Disconnected() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -23,9 +23,9 @@
 	Class       string
 	Group       string
 	Owner       string
-	Link        Link               // the connections to a balancer
+	Link        Link               // opens the stream at a balancer
 	DuplicateAt []string           // addresses of balancers; if two or more, tokens are presented at two at once
-	InitialNode string             // node that has its stream already when the run begins; "": none
+	InitialNode string             // node at which its stream is already when the run begins; "": none
 	Tokens      bool               // it asks for resume tokens
 	Deadline    time.Duration      // for the answer to an open, as sent in the open
 	Recorder    *recorder.Recorder // of its connections
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -68,7 +68,7 @@
 // single goroutine.
 type Deployment struct {
 	Index       *packageindex.Index
-	Checker     *checker.Checker // records what clients and nodes send and receive
+	Checker     *checker.Checker // checks the lines that clients and nodes send and receive
 	Store       *store.Store
 	Discovery   *discoveryserver.Server
 	Nodes       []*node.Node
@@ -78,7 +78,7 @@
 	NodeDials   EventTimes // connections that nodes accepted
 
 	cfg      Config
-	recorder *recorder.Recorder // of all clients and nodes, for Check
+	recorder *recorder.Recorder // of all clients and nodes, with Checker as its sink
 	keys     []token.Key
 	sitePath string // path of the site file; "": none
 	ctx      context.Context
@@ -86,8 +86,8 @@
 	clients  sync.WaitGroup
 }
 
-// Start starts all parts but the clients, and waits until the front end finds all balancers healthy. The context ends
-// the clients and, with its error, later waits. If Start returns an error nothing is left running.
+// Start starts all parts but the clients, and waits until the front end finds all balancers healthy. Once the context
+// is done, the clients end and Await returns the context's error. If Start fails it leaves nothing running.
 func Start(ctx context.Context, cfg Config) (*Deployment, error) {
 	d := &Deployment{
 		cfg: cfg,
--- a/lab/discoveryserver/discoveryserver.go
+++ b/lab/discoveryserver/discoveryserver.go
@@ -103,8 +103,8 @@
 }
 
 // changesSince returns the last entry of each node that has changed after a generation. For generation 0, and for one
-// greater than the current generation, it returns the complete list without nodes that are gone. The caller holds the
-// mutex.
+// greater than the current generation, which must come from another server, it returns the complete list without nodes
+// that are gone. The caller holds the mutex.
 func (s *Server) changesSince(generation uint64) List {
 	current := uint64(len(s.changes))
 	if generation > current {
--- a/lab/loadgen/loadgen.go
+++ b/lab/loadgen/loadgen.go
@@ -1,7 +1,7 @@
 // Package loadgen is a closed-loop load generator. Its clients send a line, wait for its echo and send the next, or
-// they open and close connections, as fast as the balancer allows; a Sample is the rate that they reached. To compare
-// two versions of the balancer, callers measure them by turns in one run, so that changes of the machine's speed affect
-// both. The package must not know how a balancer forwards.
+// they open and close connections, as fast as the balancer allows. A Sample is the rate that they reached. To compare
+// two versions of the balancer, callers measure them alternately in one run, so that changes of the machine's speed
+// affect both. The package must not know how a balancer forwards.
 package loadgen
 
 import (
@@ -24,7 +24,7 @@
 const (
 	// streamsPerConnection is the number of channels that share a connection.
 	streamsPerConnection = 8
-	// The measured span divided by warmUpDivisor is the wait before it, until all clients run.
+	// The warm-up before a measurement, in which all clients begin, lasts for the measured span over warmUpDivisor.
 	warmUpDivisor = 10
 	// refusedPause is the pause of a client of MeasureSetUps after a refusal.
 	refusedPause = 20 * time.Millisecond
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -91,8 +91,8 @@
 	_ = c.channel.Move("")
 }
 
-// serve serves a connection until its end. firstLine is the first line of a channel; it is read from a connection with
-// plain lines.
+// serve serves a connection or channel until its end. firstLine is the first line of a channel; a connection with plain
+// lines sends it as its first line other than PING.
 func (n *Node) serve(c *conn, firstLine string) {
 	c.received = make(chan string, maxPendingLines)
 	c.peerClosed = make(chan struct{})
@@ -299,12 +299,12 @@
 	index := c.node.cfg.Index
 	key := c.request.Key
 	now := time.Now()
-	floor := index.OldestCursor(key, now)
+	oldest := index.OldestCursor(key, now)
 	head := index.Head(key, now)
 	if !c.request.HasCursor || c.request.Cursor == 0 && c.request.WantsToken {
 		return head
 	}
-	return max(c.request.Cursor, floor)
+	return max(c.request.Cursor, oldest)
 }
 
 // injectFault changes the cursor of a resumed stream if the node has the fault SkipMessage or RepeatMessage.
--- a/lab/report/chart.go
+++ b/lab/report/chart.go
@@ -27,7 +27,7 @@
 	chartHeight   = 4 * vg.Inch
 	lineWidth     = 1.5 // points
 	legendPadding = 2   // points
-	legendDivisor = 5   // the range of Y divided by it is added above for the legend
+	legendDivisor = 5   // 1/legendDivisor of the range of Y is added at the top for the legend
 )
 
 // palette returns the colours of the series, which colour-blind readers can distinguish, too (Okabe and Ito).
--- a/lab/sshchan/channel.go
+++ b/lab/sshchan/channel.go
@@ -17,7 +17,8 @@
 	errInvalidData = errors.New("invalid DATA message")
 )
 
-// Channel is one channel, a stream of bytes without deadlines. Its methods may be called from any goroutine.
+// Channel is one channel of a connection: a stream of bytes without deadlines. Its methods may be called from any
+// goroutine.
 type Channel struct {
 	Line string // its first line
 
@@ -48,8 +49,8 @@
 	Line string // the UP line, or the text of the refusal
 }
 
-// Answered returns a channel that receives the answer to the open. It is closed without an answer if the channel or the
-// connection ends before.
+// Answered returns a Go channel that receives the answer to the open. It is closed without an answer if the SSH channel
+// or the connection ends before.
 func (ch *Channel) Answered() <-chan Answer { return ch.answer }
 
 // Confirm accepts a channel that the peer has opened, with an answer line.
