--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -27,13 +27,13 @@
 
 // Watcher receives what a Client learns. Its methods are called on the event loop, and may call the Client.
 type Watcher interface {
-	// Listed brings an update that has been applied to the server list.
-	Listed(update Update)
+	// ListUpdated brings an update that has been applied to the server list.
+	ListUpdated(update Update)
 	// Failed reports that a call failed or that the watch ended, with the reason.
 	Failed(reason error)
-	// WatchChanged reports a new state of the subscription and the one before it, with the reason if a failure is the
+	// WatchStateChanged reports a new state of the subscription and the one before it, with the reason if a failure is the
 	// cause, else nil. It comes before Listed or Failed of the same event, and must not call the Client but for Status.
-	WatchChanged(before WatchState, now Status, reason error)
+	WatchStateChanged(before WatchState, now Status, reason error)
 }
 
 // Client watches or fetches the server list. All of its methods must be called on the event loop.
@@ -157,7 +157,7 @@
 		d.establish(c)
 		d.reportState(nil)
 	}
-	d.watcher.Listed(update)
+	d.watcher.ListUpdated(update)
 	return nil
 }
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,7 +23,7 @@
 	return recordingWatcher{make(chan string, 100), make(chan string, 100)}
 }
 
-func (w recordingWatcher) Listed(c Update) {
+func (w recordingWatcher) ListUpdated(c Update) {
 	text := fmt.Sprint(c.Generation)
 	for _, e := range c.Servers {
 		text += " " + e.ID
@@ -33,7 +33,7 @@
 
 func (w recordingWatcher) Failed(error) { w.events <- "failed" }
 
-func (w recordingWatcher) WatchChanged(before WatchState, now Status, _ error) {
+func (w recordingWatcher) WatchStateChanged(before WatchState, now Status, _ error) {
 	w.states <- fmt.Sprintf("%v->%v", before, now.State)
 }
 
@@ -334,7 +334,7 @@
 	}
 	got := make(chan Status)
 	l.Post(func() { got <- d.Status() })
-	if s := <-got; s.State != WatchNone || s.Generation != 42 || s.Calls != 2 || s.ListAge < 0 || s.Silence < 0 {
+	if s := <-got; s.State != WatchNone || s.Generation != 42 || s.Calls != 2 || s.ListAge < 0 || s.LastByteAge < 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/discovery/status.go
+++ b/internal/discovery/status.go
@@ -32,21 +32,21 @@
 
 // Status is what a Client knows of discovery at one time. Ages are in microseconds; -1 where nothing has come yet.
 type Status struct {
-	State      WatchState
-	Generation uint64           // of the list in use
-	ListAge    eventloop.Micros // since the last object, from discovery
-	Silence    eventloop.Micros // since the last byte of any call, heartbeats included
-	Calls      int              // made so far, of watches and whole lists
+	State       WatchState
+	Generation  uint64           // of the list in use
+	ListAge     eventloop.Micros // since the last object, from discovery
+	LastByteAge eventloop.Micros // since the last byte of any call, heartbeats included
+	Calls       int              // made so far, of watches and whole lists
 }
 
 // Status returns what is known now.
 func (d *Client) Status() Status {
 	return Status{
-		State:      d.watchState(),
-		Generation: d.generation,
-		ListAge:    d.age(d.lastObjectAt),
-		Silence:    d.age(d.lastByteAt),
-		Calls:      d.calls,
+		State:       d.watchState(),
+		Generation:  d.generation,
+		ListAge:     d.age(d.lastObjectAt),
+		LastByteAge: d.age(d.lastByteAt),
+		Calls:       d.calls,
 	}
 }
 
@@ -78,6 +78,6 @@
 	before := d.reportedState
 	d.reportedState = d.watchState()
 	if before != d.reportedState {
-		d.watcher.WatchChanged(before, d.Status(), reason)
+		d.watcher.WatchStateChanged(before, d.Status(), reason)
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -201,8 +201,8 @@
 // Pending returns how many bytes wait for the kernel to take them.
 func (c *Conn) Pending() int { return len(c.pending) }
 
-// Broken reports whether a write failed: what that call was given, and what was pending, was not sent.
-func (c *Conn) Broken() bool { return c.failed != nil }
+// WriteFailed reports whether a write failed: what that call was given, and what was pending, was not sent.
+func (c *Conn) WriteFailed() bool { return c.failed != nil }
 
 // CloseWrite ends the sending side once all that is pending is out; the peer sees a plain end.
 func (c *Conn) CloseWrite() {
--- a/internal/eventloop/datagrams.go
+++ b/internal/eventloop/datagrams.go
@@ -14,8 +14,8 @@
 // turnDatagrams are taken in one turn; the rest waits for the next, so that a flood leaves the loop to others.
 const turnDatagrams = 64
 
-// Datagrams is a socket on which datagrams come and go, of UDP over IPv4 or IPv6.
-type Datagrams struct {
+// DatagramSocket is a socket on which datagrams come and go, of UDP over IPv4 or IPv6.
+type DatagramSocket struct {
 	l    *Loop
 	fd   int
 	ref  Ref
@@ -25,13 +25,13 @@
 
 // ListenDatagrams binds an address, in place of a process before this one where that shares it, too. take is given each
 // datagram; its bytes are good until it returns.
-func (l *Loop) ListenDatagrams(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (*Datagrams, error) {
+func (l *Loop) ListenDatagrams(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	sa, family := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: socket: %w", err)
 	}
-	d := &Datagrams{l: l, fd: fd, take: take}
+	d := &DatagramSocket{l: l, fd: fd, take: take}
 	// So that a new process can bind beside the one that it follows.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sa)
@@ -47,7 +47,7 @@
 }
 
 // Addr is where the socket is bound.
-func (d *Datagrams) Addr() netip.AddrPort {
+func (d *DatagramSocket) Addr() netip.AddrPort {
 	sa, err := unix.Getsockname(d.fd)
 	if err != nil {
 		return netip.AddrPort{}
@@ -66,7 +66,7 @@
 }
 
 // ready takes what has come; epoll is level-triggered here, so that the rest waits for the next turn.
-func (d *Datagrams) ready(uint32) {
+func (d *DatagramSocket) ready(uint32) {
 	for range turnDatagrams {
 		if d.fd < 0 {
 			return
@@ -83,7 +83,7 @@
 }
 
 // Send sends a datagram. It never waits; what the kernel does not take is lost, as any may be.
-func (d *Datagrams) Send(to netip.AddrPort, b []byte) {
+func (d *DatagramSocket) Send(to netip.AddrPort, b []byte) {
 	if d.fd >= 0 {
 		sa, _ := sockaddr(to)
 		_ = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, sa)
@@ -91,7 +91,7 @@
 }
 
 // Close frees the socket.
-func (d *Datagrams) Close() {
+func (d *DatagramSocket) Close() {
 	if d.fd < 0 {
 		return
 	}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -64,8 +64,8 @@
 
 func (l *Loop) tick() { l.now = l.wall + Micros(time.Since(l.start).Microseconds()) }
 
-// Descriptors returns how many sockets are open.
-func (l *Loop) Descriptors() int { return l.open }
+// OpenSockets returns how many sockets are open.
+func (l *Loop) OpenSockets() int { return l.open }
 
 // After calls due once the delay has passed, in a later turn of the loop.
 func (l *Loop) After(delay Micros, due func()) Ref { return l.deadlines.set(l.now+max(delay, 0), due) }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -125,9 +125,9 @@
 	return false
 }
 
-// Shut takes in all that waits in the queue and then stops listening: a listener that is closed resets what it had
+// DrainAndClose takes in all that waits in the queue and then stops listening: a listener that is closed resets what it had
 // queued, and while another process listens on the same port nothing more comes here.
-func (ln *Listener) Shut() {
+func (ln *Listener) DrainAndClose() {
 	for !ln.acceptSome(backlog) {
 	}
 	ln.Close()
--- a/internal/eventloop/packets.go
+++ b/internal/eventloop/packets.go
@@ -19,14 +19,14 @@
 type PacketOwner interface {
 	// Packet takes one packet and the descriptors beside it, which are the owner's from then on. The bytes are only
 	// good until it returns.
-	Packet(p *Packets, b []byte, fds []int)
+	Packet(p *PacketConn, b []byte, fds []int)
 	// Ended is called once, when the peer has gone; the Packets can only be closed then.
-	Ended(p *Packets)
+	Ended(p *PacketConn)
 }
 
-// Packets is a connection between two processes of one user on this machine, on which whole packets come, each with
+// PacketConn is a connection between two processes of one user on this machine, on which whole packets come, each with
 // descriptors beside it.
-type Packets struct {
+type PacketConn struct {
 	l     *Loop
 	fd    int
 	ref   Ref
@@ -38,12 +38,12 @@
 	l      *Loop
 	fd     int
 	ref    Ref
-	accept func(*Packets) PacketOwner
+	accept func(*PacketConn) PacketOwner
 }
 
 // ListenPackets listens at path, in place of whoever did before: the socket is bound beside it and renamed over it.
 // accept may return nil to refuse a connection. Only processes of the same user get as far as accept.
-func (l *Loop) ListenPackets(path string, accept func(*Packets) PacketOwner) (*PacketListener, error) {
+func (l *Loop) ListenPackets(path string, accept func(*PacketConn) PacketOwner) (*PacketListener, error) {
 	dir, fd, err := packetSocket(path)
 	if err != nil {
 		return nil, fmt.Errorf("packets: %s: %w", path, err)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return
 	}
-	p := &Packets{l: ln.l, fd: fd}
+	p := &PacketConn{l: ln.l, fd: fd}
 	if pid, ok := p.peer(); !ok || pid <= 0 {
 		_ = unix.Close(fd)
 		return
@@ -108,13 +108,13 @@
 }
 
 // DialPackets connects to the process that listens at path, which must be pid and of the same user.
-func (l *Loop) DialPackets(path string, pid int, owner PacketOwner) (*Packets, error) {
+func (l *Loop) DialPackets(path string, pid int, owner PacketOwner) (*PacketConn, error) {
 	dir, fd, err := packetSocket(path)
 	if err != nil {
 		return nil, fmt.Errorf("packets: %s: %w", path, err)
 	}
 	defer func() { _ = unix.Close(dir) }()
-	p := &Packets{l: l, fd: fd, owner: owner}
+	p := &PacketConn{l: l, fd: fd, owner: owner}
 	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: within(dir, filepath.Base(path))}); err == nil {
 		if got, ok := p.peer(); !ok || got != pid {
 			err = fmt.Errorf("process %d listens there, not %d", got, pid)
@@ -129,7 +129,7 @@
 }
 
 // peer is the process on the other side, and whether it is of this one's user.
-func (p *Packets) peer() (pid int, ok bool) {
+func (p *PacketConn) peer() (pid int, ok bool) {
 	c, err := unix.GetsockoptUcred(p.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return 0, false
@@ -137,7 +137,7 @@
 	return int(c.Pid), int(c.Uid) == os.Geteuid()
 }
 
-func (p *Packets) register() (err error) {
+func (p *PacketConn) register() (err error) {
 	if p.ref, err = p.l.add(p.fd, p, unix.EPOLLIN|unix.EPOLLRDHUP); err == nil {
 		p.l.open++
 	}
@@ -145,7 +145,7 @@
 }
 
 // ready takes one packet; epoll is level-triggered here, so that the rest waits for the next turn.
-func (p *Packets) ready(uint32) {
+func (p *PacketConn) ready(uint32) {
 	var buf [MaxPacket + 1]byte
 	oob := make([]byte, unix.CmsgSpace(maxPassed*4))
 	n, on, flags, _, err := unix.Recvmsg(p.fd, buf[:], oob, unix.MSG_CMSG_CLOEXEC)
@@ -186,7 +186,7 @@
 
 // Send sends a packet with copies of the connections' descriptors beside it. It never waits: unix.EAGAIN says that the
 // peer has not yet taken what it was sent, any other error that it has gone.
-func (p *Packets) Send(b []byte, conns ...*Conn) error {
+func (p *PacketConn) Send(b []byte, conns ...*Conn) error {
 	if p.fd < 0 {
 		return unix.EBADF
 	}
@@ -201,16 +201,16 @@
 	return unix.Sendmsg(p.fd, b, oob, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 }
 
-// Shut ends the connection in both directions: what the peer has not sent yet can't be sent any more. What has come
+// Shutdown ends the connection in both directions: what the peer has not sent yet can't be sent any more. What has come
 // already is still handed to the owner, then Ended.
-func (p *Packets) Shut() {
+func (p *PacketConn) Shutdown() {
 	if p.fd >= 0 {
 		_ = unix.Shutdown(p.fd, unix.SHUT_RDWR)
 	}
 }
 
 // Close frees the socket at once.
-func (p *Packets) Close() {
+func (p *PacketConn) Close() {
 	if p == nil || p.fd < 0 {
 		return
 	}
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -18,11 +18,11 @@
 	ended int
 }
 
-func (b *box) Packet(_ *Packets, text []byte, fds []int) {
+func (b *box) Packet(_ *PacketConn, text []byte, fds []int) {
 	b.texts, b.fds = append(b.texts, string(text)), append(b.fds, fds...)
 }
 
-func (b *box) Ended(p *Packets) {
+func (b *box) Ended(p *PacketConn) {
 	b.ended++
 	p.Close()
 }
@@ -48,10 +48,10 @@
 }
 
 // linked returns the dialling end of a connection for packets at path, and what comes to the listening one.
-func linked(t *testing.T, l *Loop, path string) (near *Packets, farBox *box) {
+func linked(t *testing.T, l *Loop, path string) (near *PacketConn, farBox *box) {
 	t.Helper()
 	farBox = &box{}
-	if _, err := l.ListenPackets(path, func(*Packets) PacketOwner { return farBox }); err != nil {
+	if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { return farBox }); err != nil {
 		t.Fatal(err)
 	}
 	near, err := l.DialPackets(path, os.Getpid(), &box{})
@@ -141,9 +141,9 @@
 func TestShutRefusesLateAnswers(t *testing.T) {
 	l := newLoop(t)
 	nearBox := &box{}
-	var far *Packets
+	var far *PacketConn
 	path := filepath.Join(t.TempDir(), "s.sock")
-	if _, err := l.ListenPackets(path, func(p *Packets) PacketOwner {
+	if _, err := l.ListenPackets(path, func(p *PacketConn) PacketOwner {
 		far = p
 		return &box{}
 	}); err != nil {
@@ -157,7 +157,7 @@
 	if err := far.Send([]byte("in time")); err != nil {
 		t.Fatal(err)
 	}
-	near.Shut()
+	near.Shutdown()
 	if err := far.Send([]byte("late")); !errors.Is(err, unix.EPIPE) {
 		t.Errorf("a late answer: %v", err)
 	}
@@ -178,7 +178,7 @@
 	}
 	heard := 0
 	for i := range 2 {
-		if _, err := l.ListenPackets(path, func(*Packets) PacketOwner { heard = i + 1; return nil }); err != nil {
+		if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { heard = i + 1; return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/eventloop/shut_test.go
+++ b/internal/eventloop/shut_test.go
@@ -43,15 +43,15 @@
 		defer func() { _ = c.Close() }()
 		clients = append(clients, c)
 	}
-	ln.Shut()
+	ln.DrainAndClose()
 	for i, c := range clients {
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a fault ends the test
 		if got, err := bufio.NewReader(c).ReadString('\n'); got != "hi\n" {
 			t.Fatalf("client %d: %q, %v", i, got, err)
 		}
 	}
-	if len(taken) != queued || l.Descriptors() != queued {
-		t.Errorf("took %d, %d descriptors open", len(taken), l.Descriptors())
+	if len(taken) != queued || l.OpenSockets() != queued {
+		t.Errorf("took %d, %d descriptors open", len(taken), l.OpenSockets())
 	}
 	for _, c := range taken {
 		c.Close()
--- a/internal/mux/budget.go
+++ b/internal/mux/budget.go
@@ -19,5 +19,5 @@
 	return uint32(min(int64(want), max(left, int64(b.Floor))))
 }
 
-// Promised returns how many bytes peers may send now without a further grant, plus what is buffered of theirs.
-func (b *Budget) Promised() int64 { return b.promised }
+// Committed returns how many bytes peers may send now without a further grant, plus what is buffered of theirs.
+func (b *Budget) Committed() int64 { return b.promised }
--- a/internal/mux/channel.go
+++ b/internal/mux/channel.go
@@ -43,8 +43,8 @@
 	finalRequestData   []byte
 }
 
-// Own sets who is notified of a channel that the peer has opened.
-func (ch *Channel) Own(o ChannelOwner) { ch.owner = o }
+// SetOwner sets who is notified of a channel that the peer has opened.
+func (ch *Channel) SetOwner(o ChannelOwner) { ch.owner = o }
 
 // Confirm accepts a channel that the peer has opened.
 func (ch *Channel) Confirm(data []byte) {
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -30,8 +30,8 @@
 	Admit(kind []byte) (code uint32, why string)
 	// Open is called for a channel that the peer opens. The owner answers with Confirm or Reject, now or later.
 	Open(ch *Channel, data []byte)
-	// Alive is called when a Ping was answered.
-	Alive()
+	// PingAnswered is called when a Ping was answered.
+	PingAnswered()
 }
 
 // ChannelOwner is notified of what happens to a channel. It may close the channel in any of these calls.
@@ -269,7 +269,7 @@
 			return newProtocolError("a reply that nobody asked for")
 		}
 		c.unansweredPings--
-		c.owner.Alive()
+		c.owner.PingAnswered()
 		return nil
 	case channel.Open:
 		c.opened(m)
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -48,8 +48,8 @@
 	streams []*stream
 }
 
-func (e *end) Ready() { e.ready = true }
-func (e *end) Alive() { e.alive++ }
+func (e *end) Ready()        { e.ready = true }
+func (e *end) PingAnswered() { e.alive++ }
 func (e *end) Admit([]byte) (uint32, string) {
 	return channel.NoResources, e.bar
 }
@@ -57,7 +57,7 @@
 func (e *end) Open(ch *Channel, data []byte) {
 	s := &stream{e: e, ch: ch, opened: string(data)}
 	e.streams = append(e.streams, s)
-	ch.Own(s)
+	ch.SetOwner(s)
 }
 
 // stream owns one channel and writes down what happens to it.
@@ -178,7 +178,7 @@
 	if string(b.got) != "T 1\r\n" || !errors.Is(b.end, io.EOF) || string(a.got) != "OK\r\n" || a.end != nil {
 		t.Fatalf("%q %v, %q %v", b.got, b.end, a.got, a.end)
 	}
-	b.ch.End(channel.Move, channel.AppendString(nil, []byte("T")))
+	b.ch.CloseAfterFlush(channel.Move, channel.AppendString(nil, []byte("T")))
 	flow(t, client, server)
 	if !errors.Is(a.end, io.EOF) || len(a.requests) != 1 || client.c.Len()+server.c.Len() != 0 {
 		t.Fatalf("%v, %q, %d left", a.end, a.requests, client.c.Len()+server.c.Len())
@@ -473,7 +473,7 @@
 	server.c.cfg.Budget.Limit = 50_000
 	openAll(t, client, server, 300)
 	flow(t, client, server)
-	if p := server.c.cfg.Budget.Promised(); p > 50_000+300*64 {
+	if p := server.c.cfg.Budget.Committed(); p > 50_000+300*64 {
 		t.Errorf("%d promised", p)
 	}
 	if first, last := client.streams[0].ch.sendWindow, client.streams[299].ch.sendWindow; first < 3000 || last != 64 {
@@ -488,7 +488,7 @@
 	client.c.Lost(true)
 	server.streams[0].ch.Close()
 	for _, e := range []*end{client, server} {
-		if p := e.c.cfg.Budget.Promised(); p != 0 || e.c.Len() != 0 {
+		if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
 			t.Errorf("%s: %d promised, %d channels", e.name, p, e.c.Len())
 		}
 	}
@@ -562,7 +562,7 @@
 		}
 		flow(t, m.client, m.server)
 		for _, e := range []*end{m.client, m.server} {
-			if p := e.c.cfg.Budget.Promised(); p != 0 || e.c.Len() != 0 {
+			if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
 				t.Fatalf("%s: %d promised, %d channels left", e.name, p, e.c.Len())
 			}
 		}
@@ -601,15 +601,15 @@
 		"end": func(t *rapid.T) {
 			s := m.pick(t, m.all())
 			if s.ch.state == established && s.ch.owner != nil {
-				s.ch.End("", nil)
+				s.ch.CloseAfterFlush("", nil)
 			}
 		},
 		"close": func(t *rapid.T) { m.pick(t, m.all()).ch.Close() },
 		"ping":  func(t *rapid.T) { m.client.c.Ping() },
 		"": func(t *rapid.T) {
 			for _, e := range []*end{m.client, m.server} {
-				if e.c.cfg.Budget.Promised() < 0 {
-					t.Fatalf("%s: promised %d", e.name, e.c.cfg.Budget.Promised())
+				if e.c.cfg.Budget.Committed() < 0 {
+					t.Fatalf("%s: promised %d", e.name, e.c.cfg.Budget.Committed())
 				}
 			}
 		},
@@ -651,7 +651,7 @@
 	server.streams[0].ch.Confirm(nil)
 	flow(t, client, server)
 	sink := &sinkOwner{ch: server.streams[0].ch}
-	server.streams[0].ch.Own(sink)
+	server.streams[0].ch.SetOwner(sink)
 	line := []byte("#17 0123456789abcdef0123456789abcdef\r\n")
 	client.wire.kept = make([]byte, 0, 1<<20)
 	server.wire.kept = make([]byte, 0, 1<<20)
@@ -735,8 +735,8 @@
 		for _, s := range e.streams {
 			s.ch.Close()
 		}
-		if e.c.Len() != 0 || e.c.cfg.Budget.Promised() != 0 {
-			t.Errorf("%d channels left, %d promised", e.c.Len(), e.c.cfg.Budget.Promised())
+		if e.c.Len() != 0 || e.c.cfg.Budget.Committed() != 0 {
+			t.Errorf("%d channels left, %d promised", e.c.Len(), e.c.cfg.Budget.Committed())
 		}
 	})
 }
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -126,9 +126,9 @@
 	ch.finish()
 }
 
-// End ends both sides once the buffer is sent; a request with a name, if one is given, goes out before the end. The
+// CloseAfterFlush ends both sides once the buffer is sent; a request with a name, if one is given, goes out before the end. The
 // owner is not notified any more.
-func (ch *Channel) End(name string, data []byte) {
+func (ch *Channel) CloseAfterFlush(name string, data []byte) {
 	ch.eof, ch.closeAfterEOF, ch.owner = true, true, nil
 	ch.finalRequest, ch.finalRequestData = name, data
 	ch.finish()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -142,7 +142,7 @@
 		return
 	}
 	conn.Write(a.requestLine())
-	a.written = conn.Pending() == 0 && !conn.Broken()
+	a.written = conn.Pending() == 0 && !conn.WriteFailed()
 	a.awaitAnswer()
 }
 
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -175,7 +175,7 @@
 	client.say("T 1\r\n")
 	server.want("T 1\r\n")
 	evicted, open := 0, 0
-	g.inLoop(func() { evicted, open = g.proxy.stats.evicted, g.loop.Descriptors() })
+	g.inLoop(func() { evicted, open = g.proxy.stats.evicted, g.loop.OpenSockets() })
 	if evicted < 30 || open > 40 {
 		t.Errorf("%d evicted, %d descriptors", evicted, open)
 	}
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -158,8 +158,8 @@
 // Ready is part of mux.Owner.
 func (m *muxDownstreamConn) Ready() {}
 
-// Alive is part of mux.Owner: whatever arrives is a sign of life.
-func (m *muxDownstreamConn) Alive() {}
+// PingAnswered is part of mux.Owner: whatever arrives is a sign of life.
+func (m *muxDownstreamConn) PingAnswered() {}
 
 // Admit is part of mux.Owner: the client is about to open a channel.
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
@@ -189,7 +189,7 @@
 	k := &downstreamChannel{conn: m, Channel: ch}
 	m.requests++
 	p.listener.idle.remove(m.conn)
-	ch.Own(k)
+	ch.SetOwner(k)
 	if r := p.openRequest(k, line[:len(text)], line, m.conn.rejectOnly); r.state != stateClosed {
 		k.request = r
 	}
@@ -292,7 +292,7 @@
 		name, data = channel.Move, channel.AppendString(nil, k.moveToken)
 	}
 	ch := k.Channel
-	ch.End(name, data)
+	ch.CloseAfterFlush(name, data)
 	if ch.Pending() > 0 {
 		k.conn.conn.proxy.loop.After(timeouts.Linger, ch.Close)
 	}
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -119,7 +119,7 @@
 	server.say("still there\r\n")
 	served.want("still there\r\n")
 	g.inLoop(func() {
-		if n := g.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
+		if n := g.loop.OpenSockets(); n > 64-overload.ReservedDescriptors {
 			t.Errorf("%d descriptors", n)
 		}
 	})
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -78,7 +78,7 @@
 		return
 	}
 	l.closed = true
-	l.socket.Shut()
+	l.socket.DrainAndClose()
 	if l.proxy.drain.stopping && !l.proxy.drain.handingOver {
 		l.closeIdle(l.proxy.drain.idleAge())
 	}
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -179,8 +179,8 @@
 					),
 				)
 				g.check(err)
-				before := g.loop.Descriptors()
-				if g.proxy.servers.Listed(c); g.loop.Descriptors() > before {
+				before := g.loop.OpenSockets()
+				if g.proxy.servers.ListUpdated(c); g.loop.OpenSockets() > before {
 					t.Error("its server is connected to")
 				}
 			})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -137,7 +137,7 @@
 func (p *Proxy) AcceptTransfers(path string) error {
 	_, err := p.loop.ListenPackets(
 		path,
-		func(*eventloop.Packets) eventloop.PacketOwner { return transferReceiver{p} },
+		func(*eventloop.PacketConn) eventloop.PacketOwner { return transferReceiver{p} },
 	)
 	return err
 }
@@ -202,5 +202,5 @@
 
 // descriptorsShort reports whether the process comes near its limit of descriptors.
 func (p *Proxy) descriptorsShort() bool {
-	return overload.DescriptorsShort(p.loop.Descriptors(), p.cfg.MaxDescriptors)
+	return overload.DescriptorsShort(p.loop.OpenSockets(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -125,7 +125,7 @@
 			[]byte(`{"generation":2,"instances":[` + listEntry("late", addr, "Terminating") + `]}`),
 		)
 		if err == nil {
-			g.proxy.servers.Listed(c)
+			g.proxy.servers.ListUpdated(c)
 		}
 	})
 	server := g.acceptUpstream(0)
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -32,7 +32,7 @@
 				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
 				c, err := g.proxy.servers.list.Apply([]byte(list))
 				g.check(err)
-				g.proxy.servers.Listed(c)
+				g.proxy.servers.ListUpdated(c)
 			})
 			g.outcome(outcome.Inconclusive, false)
 			g.noRequest()
@@ -57,7 +57,7 @@
 			),
 		)
 		g.check(err)
-		g.proxy.servers.Listed(c)
+		g.proxy.servers.ListUpdated(c)
 	})
 	g.acceptUpstream(0).line()
 }
@@ -78,7 +78,7 @@
 			g.inLoop(func() {
 				c, err := g.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
 				g.check(err)
-				g.proxy.servers.Listed(c)
+				g.proxy.servers.ListUpdated(c)
 				server.say("UP r1\r\n")
 			})
 			client.want("UP r1\r\n")
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -102,7 +102,7 @@
 			[]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`),
 		)
 		if err == nil {
-			g.proxy.servers.Listed(c)
+			g.proxy.servers.ListUpdated(c)
 		}
 	})
 }
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Listed is part of discovery.Watcher: the list has changed.
-func (d *serverDirectory) Listed(update discovery.Update) {
+// ListUpdated is part of discovery.Watcher: the list has changed.
+func (d *serverDirectory) ListUpdated(update discovery.Update) {
 	p := d.proxy
 	d.logUpdate(update)
 	kind := decision.UpdateDelta
@@ -107,8 +107,8 @@
 	}
 }
 
-// WatchChanged is part of discovery.Watcher: the subscription is in another state.
-func (d *serverDirectory) WatchChanged(before discovery.WatchState, now discovery.Status, reason error) {
+// WatchStateChanged is part of discovery.Watcher: the subscription is in another state.
+func (d *serverDirectory) WatchStateChanged(before discovery.WatchState, now discovery.Status, reason error) {
 	entry := d.proxy.log.WithFields(d.statusFields(now)).WithField(logging.PreviousWatch, before.String())
 	if reason != nil {
 		entry = entry.WithError(reason)
@@ -140,7 +140,7 @@
 		logging.WatchState:   status.State.String(),
 		logging.Generation:   status.Generation,
 		logging.ListAge:      milliseconds(status.ListAge),
-		logging.WatchSilence: milliseconds(status.Silence),
+		logging.WatchSilence: milliseconds(status.LastByteAge),
 	}
 }
 
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -28,7 +28,7 @@
 		} {
 			c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
 			g.check(err)
-			g.proxy.servers.Listed(c)
+			g.proxy.servers.ListUpdated(c)
 		}
 	})
 	got := <-kept
@@ -46,7 +46,7 @@
 			}
 		}
 		g.proxy.servers.client.ChangeAddress(g.proxy.cfg.Discovery)
-		g.proxy.servers.Listed(discovery.Update{})
+		g.proxy.servers.ListUpdated(discovery.Update{})
 		g.proxy.servers.save()
 	})
 	g.inLoop(func() {})
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -32,7 +32,7 @@
 	p.loop.After(statsInterval, p.logStats)
 	fields := logrus.Fields{
 		logging.Connections:    p.requests.len(),
-		logging.Sockets:        p.loop.Descriptors(),
+		logging.Sockets:        p.loop.OpenSockets(),
 		logging.Accepted:       p.stats.accepted,
 		logging.Established:    p.stats.established,
 		logging.Rejected:       p.stats.rejected,
@@ -58,7 +58,7 @@
 	fields[logging.MuxClients] = len(p.listener.muxed)
 	fields[logging.MuxUpstreams] = connections
 	fields[logging.UpstreamChannels] = channels
-	fields[logging.ReceiveWindowBytes] = p.buffers.windows.Promised()
+	fields[logging.ReceiveWindowBytes] = p.buffers.windows.Committed()
 	fields[logging.QueuedBytes] = p.queuedBytes()
 	fields[logging.MuxUpstreamsFailed] = p.stats.upstreamsFailed
 	fields[logging.CorrelatedFailures] = p.stats.sharedFailures
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -16,7 +16,7 @@
 type transferSender struct {
 	proxy     *Proxy
 	plan      *hotrestart.Transfer
-	link      *eventloop.Packets
+	link      *eventloop.PacketConn
 	remaining []*request // not yet looked at in this round
 }
 
@@ -133,12 +133,12 @@
 }
 
 // Packet is part of eventloop.PacketOwner: the successor's answer to an offer.
-func (t *transferSender) Packet(_ *eventloop.Packets, b []byte, fds []int) {
+func (t *transferSender) Packet(_ *eventloop.PacketConn, b []byte, fds []int) {
 	closeDescriptors(fds) // none are expected
 	id, accepted, err := restartproto.DecodeAnswer(b)
 	if err != nil || !t.plan.Answered(id, accepted) {
 		t.proxy.log.WithError(err).Warn("hot restart: unexpected answer from successor")
-		t.link.Shut()
+		t.link.Shutdown()
 		return
 	}
 	r, _ := t.proxy.requests.get(id)
@@ -168,7 +168,7 @@
 
 // Ended is part of eventloop.PacketOwner. The successor answers before it has a connection: what it has not accepted is
 // still ours.
-func (t *transferSender) Ended(link *eventloop.Packets) {
+func (t *transferSender) Ended(link *eventloop.PacketConn) {
 	link.Close()
 	for _, id := range t.plan.LinkClosed() {
 		if r, ok := t.proxy.requests.get(id); ok {
@@ -185,7 +185,7 @@
 		return
 	}
 	if offersPending {
-		t.link.Shut() // answers under way still count, then Ended takes the rest back
+		t.link.Shutdown() // answers under way still count, then Ended takes the rest back
 	}
 	p := t.proxy
 	p.log.WithField(logging.TransferredOut, p.stats.transferredOut).
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -16,10 +16,10 @@
 type transferReceiver struct{ proxy *Proxy }
 
 // Ended is part of eventloop.PacketOwner.
-func (transferReceiver) Ended(link *eventloop.Packets) { link.Close() }
+func (transferReceiver) Ended(link *eventloop.PacketConn) { link.Close() }
 
 // Packet is part of eventloop.PacketOwner: one offered connection, with its two sockets.
-func (t transferReceiver) Packet(link *eventloop.Packets, b []byte, fds []int) {
+func (t transferReceiver) Packet(link *eventloop.PacketConn, b []byte, fds []int) {
 	p := t.proxy
 	offer, err := restartproto.DecodeOffer(b)
 	if err != nil || !t.accepts(&offer, len(fds)) {
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -172,14 +172,14 @@
 			return path, os.Getpid()
 		}},
 		{name: "a successor that never answers", peer: silentSuccessor(nil)},
-		{name: "a successor that dies", peer: silentSuccessor(func(link *eventloop.Packets) { link.Close() })},
+		{name: "a successor that dies", peer: silentSuccessor(func(link *eventloop.PacketConn) { link.Close() })},
 		{
 			name: "a successor that talks nonsense",
-			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) }),
+			peer: silentSuccessor(func(link *eventloop.PacketConn) { _ = link.Send([]byte("yes")) }),
 		},
 		{
 			name: "a successor that takes another",
-			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
+			peer: silentSuccessor(func(link *eventloop.PacketConn) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
 		},
 		{name: "a line under way", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
@@ -279,13 +279,13 @@
 }
 
 // silentSuccessor is a process that takes offers and answers in its own way, or not at all.
-func silentSuccessor(answer func(*eventloop.Packets)) func(*harness) (string, int) {
+func silentSuccessor(answer func(*eventloop.PacketConn)) func(*harness) (string, int) {
 	return func(g *harness) (string, int) {
 		path := filepath.Join(g.t.TempDir(), "mute.sock")
 		g.inLoop(func() {
 			_, err := g.loop.ListenPackets(
 				path,
-				func(*eventloop.Packets) eventloop.PacketOwner { return scriptedSuccessor{answer} },
+				func(*eventloop.PacketConn) eventloop.PacketOwner { return scriptedSuccessor{answer} },
 			)
 			g.check(err)
 		})
@@ -293,10 +293,10 @@
 	}
 }
 
-type scriptedSuccessor struct{ answer func(*eventloop.Packets) }
+type scriptedSuccessor struct{ answer func(*eventloop.PacketConn) }
 
-func (scriptedSuccessor) Ended(link *eventloop.Packets) { link.Close() }
-func (d scriptedSuccessor) Packet(link *eventloop.Packets, _ []byte, fds []int) {
+func (scriptedSuccessor) Ended(link *eventloop.PacketConn) { link.Close() }
+func (d scriptedSuccessor) Packet(link *eventloop.PacketConn, _ []byte, fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
@@ -314,7 +314,7 @@
 	packet, err := good.Encode()
 	g.check(err)
 	answers := make(chan string, 1)
-	var link *eventloop.Packets
+	var link *eventloop.PacketConn
 	g.inLoop(func() {
 		link, err = g.loop.DialPackets(path, os.Getpid(), packetRecorder(answers))
 		g.check(err)
@@ -368,8 +368,8 @@
 
 type packetRecorder chan string
 
-func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
-func (h packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
+func (packetRecorder) Ended(link *eventloop.PacketConn)                    { link.Close() }
+func (h packetRecorder) Packet(_ *eventloop.PacketConn, b []byte, _ []int) { h <- string(b) }
 
 // onlyRequest is the one request there is, read on the loop.
 func (g *harness) onlyRequest() (s *request) {
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -233,8 +233,8 @@
 	ch.Reject(channel.Prohibited, []byte("ERR"))
 }
 
-// Alive is part of mux.Owner.
-func (c *muxUpstreamConn) Alive() {}
+// PingAnswered is part of mux.Owner.
+func (c *muxUpstreamConn) PingAnswered() {}
 
 // checkAlive asks a server that carries channels for signs of life, and gives up one that shows none.
 func (c *muxUpstreamConn) checkAlive() {
