--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -7,37 +7,38 @@
 	"spurspread/internal/peer/packet"
 )
 
-// Config is what a member of a fleet is started with.
+// Config configures a Host.
 type Config struct {
-	// Name identifies the member in the fleet, at most packet.MaxName bytes. Of two processes with one name the later
-	// one is the member. It is needed.
+	// Name identifies the member in the fleet. It is required and at most packet.MaxName bytes long. If two processes
+	// have the same name, the one that started later is the member.
 	Name string
-	// Listen is the address to bind. With port 0 the system chooses one.
+	// Listen is the address to bind. With port 0 the kernel chooses the port.
 	Listen netip.AddrPort
-	// Advertise is the address that others are given; the one that is bound where it is not valid.
+	// Advertise is the address that other members are told. If it is not valid, the bound address is used.
 	Advertise netip.AddrPort
-	// Seeds are addresses by which the fleet is found; with zones, of members of any zone. The first member needs
-	// none.
+	// Seeds are addresses of members through which to join the fleet; with zones, members of any zone. The first member
+	// of a fleet needs none.
 	Seeds []netip.AddrPort
-	// Keyring seals and opens datagrams. It is needed.
+	// Keyring encrypts and decrypts datagrams. It is required.
 	Keyring *packet.Keyring
-	// RandomSeed determines random choices, and tells two processes apart that start in the same microsecond.
+	// RandomSeed seeds the random choices. Its lowest bits also distinguish two processes that start in the same
+	// microsecond.
 	RandomSeed uint64
-	// AddressOverrides has the addresses at which members are reached from here, by name, where those are not the
-	// ones that they advertise.
+	// AddressOverrides maps names of members to the addresses at which this process reaches them, where these differ
+	// from the advertised ones.
 	AddressOverrides map[string]netip.AddrPort
-	// Site is where this member is; the zero Site in a fleet without zones.
+	// Site is this member's region and zone; the zero Site in a fleet without zones.
 	Site zonedirectory.Site
-	// ExpectedMembers is the size of the fleet by its settings: with zones, what the rate divisor begins at.
+	// ExpectedMembers is the configured size of the fleet. With zones, it is the initial rate divisor.
 	ExpectedMembers int
-	// Rank replaces the order of a zone's members that chooses its delegates. The default is that of package
-	// zonedirectory; a laboratory plants a fault here.
+	// Rank replaces the ranking of a zone's members by which its delegates are chosen. nil means the ranking of package
+	// zonedirectory; the laboratory sets it to inject a fault.
 	Rank func(of zonedirectory.ID, id zonedirectory.MemberID) uint64
-	// OnTick is called at each tick with the number by which the fleet's budgets are divided, rounded up, and this
-	// member's position among all: by id, with zones by zone first. nil is allowed.
+	// OnTick, if not nil, is called at each tick with the rate divisor, rounded up, and this member's position in the
+	// fleet (see Host.Position).
 	OnTick func(members, position int)
-	// OpenSocket binds a socket, whose datagrams it hands to receive. The default is the event loop's own; a
-	// laboratory puts links that fail before it.
+	// OpenSocket binds a socket and passes each datagram that it receives to receive. nil means a UDP socket on the
+	// event loop; the laboratory replaces it to simulate faulty links.
 	OpenSocket func(addr netip.AddrPort, receive func(from netip.AddrPort, datagram []byte)) (Socket, error)
 }
 
--- a/internal/peer/counts.go
+++ b/internal/peer/counts.go
@@ -1,29 +1,29 @@
 package peer
 
-// Counts are what has happened since the start. Scripts read the JSON names.
+// Counts holds event counts since the start of the process. Scripts depend on the JSON names.
 type Counts struct {
 	Sent      int64 `json:"Sent"`      // datagrams
-	SentBytes int64 `json:"SentBytes"` // sealed
-	// Received are the datagrams whose message was handed on.
+	SentBytes int64 `json:"SentBytes"` // including the encryption overhead
+	// Received counts datagrams whose message was passed to membership or the zone directory.
 	Received int64 `json:"Taken"`
-	// Suppressed messages were not sent for want of budget.
+	// Suppressed counts messages that were not sent because the budget was used up.
 	Suppressed int64 `json:"Saved"`
 	Malformed  int64 `json:"Malformed"`
-	// Forged datagrams have a broken seal, or one of a key that is not listed.
+	// Forged counts datagrams that failed authentication or were encrypted with an unknown key.
 	Forged   int64 `json:"Forged"`
 	Replayed int64 `json:"Replayed"`
-	// Dropped datagrams were not opened: more arrived than are opened in a second.
+	// Dropped counts datagrams that were discarded without decryption, because they exceeded the limit per second.
 	Dropped int64 `json:"Lost"`
-	// Pauses are those of this process.
+	// Pauses counts pauses of this process.
 	Pauses int64 `json:"Pauses"`
-	// FailureReports are those of this member about others.
+	// FailureReports counts reports by this member that another member has failed.
 	FailureReports int64 `json:"Accusations"`
-	// OtherVersion datagrams have another version of the encoding, as those of members with zones have for one
-	// without.
+	// OtherVersion counts datagrams with another version of the encoding. Members with zones and members without them
+	// use different versions.
 	OtherVersion int64 `json:"OtherVersion,omitempty"`
 }
 
-// Counts returns what has happened so far.
+// Counts returns the counts so far.
 func (h *Host) Counts() Counts {
 	counts := h.counts
 	counts.Suppressed = int64(h.fleet.Suppressed)
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,8 +1,9 @@
-// Package peer is one member of a fleet on the network: it carries the messages of package membership, and with zones
-// those of package zonedirectory, in datagrams on the program's event loop. It owns sockets, timers, seals and the
-// addresses of members, and bounds what a flood of datagrams costs. It must not decide what a message means or who is
-// in the fleet: it hands each datagram that is authentic, meant for this process and new to these packages, and sends
-// what they return.
+// Package peer connects this process to the other members of its fleet. It exchanges the messages of package
+// membership, and in a fleet with zones also those of package zonedirectory, as encrypted UDP datagrams on the
+// program's event loop.
 //
-// Start joins the fleet; the Host is used on its event loop only.
+// Start joins the fleet and returns a Host, which may be used only on its event loop. The package owns the sockets,
+// timers, keys and known addresses of members, and limits the cost of a datagram flood. It does not interpret messages
+// or decide who is in the fleet: it passes each datagram that is authentic, addressed to this process and not a replay
+// to those two packages, and sends the messages that they return.
 package peer
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -16,10 +16,10 @@
 	"spurspread/internal/peer/packet"
 )
 
-// instanceSeedBits is how many bits of the random seed are the lowest ones of an instance.
+// instanceSeedBits is the number of low bits of an instance that are taken from the random seed.
 const instanceSeedBits = 12
 
-// Host is this process's part in the fleet.
+// Host is this process as a member of the fleet. Its methods must be called on the event loop.
 type Host struct {
 	loop   *eventloop.Loop
 	log    *logrus.Logger
@@ -32,37 +32,37 @@
 	closed bool
 	counts Counts
 
-	// takeoverSocket is the one at which an earlier process of this name is looked for, nil where it is not.
+	// takeoverSocket is used to find an earlier process with this name; nil while none is being looked for.
 	takeoverSocket Socket
 
-	// position is this member's in its own zone, as of a revision of the view.
+	// position is this member's position in its own zone, computed at positionRevision of the view.
 	position         int
 	positionRevision uint64
 
-	// What is known of other members.
-	instances        map[membership.ID]uint64         // their processes
-	memberAt         map[netip.AddrPort]membership.ID // by the addresses from which they have sent
+	// State of other members.
+	instances        map[membership.ID]uint64         // instance of each member's process
+	memberAt         map[netip.AddrPort]membership.ID // by sent-from, advertised and overriding address
 	addressOverrides map[membership.ID]netip.AddrPort
 
-	// What bounds and filters received datagrams.
+	// Limits and filters for received datagrams.
 	admission     admission
 	replayWindows map[processKey]*packet.ReplayWindow
-	lastHello     map[netip.AddrPort]monotime.Micros // when an address was last sent one
+	lastHello     map[netip.AddrPort]monotime.Micros // when each address was last sent a Hello
 
-	// What is sent.
-	counter   uint64 // of datagrams
+	// State of the sender.
+	counter   uint64 // of datagrams sent
 	plaintext []byte
 	sealed    []byte
 }
 
-// NameID returns the id of a member by its name.
+// NameID returns the ID of the member with the given name.
 func NameID(name string) membership.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return membership.ID(max(h.Sum64(), 1))
 }
 
-// Start joins the fleet. It returns an error where the address can't be bound.
+// Start joins the fleet. It returns an error if the address can't be bound.
 func Start(loop *eventloop.Loop, cfg Config, log *logrus.Logger) (*Host, error) {
 	if cfg.OpenSocket == nil {
 		cfg.OpenSocket = func(addr netip.AddrPort, receive func(netip.AddrPort, []byte)) (Socket, error) {
@@ -96,7 +96,7 @@
 	return h, nil
 }
 
-// join begins membership of the fleet, with zones that of the zone and its directory.
+// join creates the membership state, and with zones also the zone directory.
 func (h *Host) join() {
 	now := h.loop.Now()
 	seedBits := h.cfg.RandomSeed & (1<<instanceSeedBits - 1)
@@ -104,7 +104,7 @@
 		ID:   NameID(h.cfg.Name),
 		Name: h.cfg.Name,
 		Addr: h.advertisedAddr(),
-		// A later process has a greater instance, as far as the clock is right.
+		// A process that starts later has a greater instance if the clock is right.
 		Instance: uint64(now)<<instanceSeedBits | seedBits,
 	}
 	h.fleet = membership.New(membership.Config{
@@ -118,7 +118,8 @@
 	h.zones = h.startZones()
 }
 
-// advertisedAddr is the address that others are given, in the form that datagrams have.
+// advertisedAddr returns the address that other members are told, in the form that datagrams carry: without an IPv6
+// zone, and IPv4 where it is IPv4-mapped.
 func (h *Host) advertisedAddr() netip.AddrPort {
 	addr := h.cfg.Advertise
 	if !addr.IsValid() {
@@ -127,7 +128,7 @@
 	return netip.AddrPortFrom(addr.Addr().Unmap().WithZone(""), addr.Port())
 }
 
-// tick runs what is due, every membership.TickInterval.
+// tick advances membership and the zone directory, every membership.TickInterval.
 func (h *Host) tick() {
 	h.timer = h.loop.After(membership.TickInterval, h.tick)
 	now := h.loop.Now()
@@ -146,14 +147,14 @@
 	}
 }
 
-// Leave announces the departure of this member to the fleet. It stays a member until Close.
+// Leave announces to the fleet that this member is leaving. It keeps running until Close.
 func (h *Host) Leave() {
 	now := h.loop.Now()
 	h.dispatch(h.fleet.Leave(now))
 	h.tickZones(now)
 }
 
-// Close ends the member without an announcement.
+// Close stops the member without announcing it.
 func (h *Host) Close() {
 	h.loop.Cancel(&h.timer)
 	h.closed = true
@@ -161,28 +162,29 @@
 	h.socket.Close()
 }
 
-// Addr is where the member listens.
+// Addr returns the address that the member is bound to.
 func (h *Host) Addr() netip.AddrPort { return h.socket.Addr() }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the seed addresses.
 func (h *Host) SetSeeds(addrs []netip.AddrPort) {
 	if h.zones.enabled() {
-		h.zones.directory.SetSeeds(addrs) // membership gets some of them at each tick
+		h.zones.directory.SetSeeds(addrs) // tick passes some of them on to membership
 		return
 	}
 	h.fleet.SetSeeds(addrs)
 }
 
-// SetKeyring replaces the keys that seal and open datagrams.
+// SetKeyring replaces the keys that encrypt and decrypt datagrams.
 func (h *Host) SetKeyring(keyring *packet.Keyring) { h.cfg.Keyring = keyring }
 
-// View lists the members of the fleet as this one sees it; with zones, those of its own zone.
+// View returns the members of the fleet as this member sees them; with zones, only those of its own zone.
 func (h *Host) View() []membership.Member { return h.fleet.View(h.loop.Now()) }
 
 // Unhealthy reports whether this member has reason to doubt its own observations.
 func (h *Host) Unhealthy() bool { return h.fleet.Unhealthy(h.loop.Now()) }
 
-// RateDivisor is by how much a budget of the whole fleet is divided to have this member's part, 1 at least.
+// RateDivisor returns the number, at least 1, by which a budget of the whole fleet is divided to get this member's
+// share.
 func (h *Host) RateDivisor() float64 {
 	if h.zones.enabled() {
 		return h.zones.directory.RateDivisor()
@@ -190,7 +192,7 @@
 	return h.fleet.RateDivisor()
 }
 
-// Live is how many members are there, in all zones that somebody reaches.
+// Live returns the number of live members, in all zones that are reachable from some zone.
 func (h *Host) Live() int {
 	if h.zones.enabled() {
 		return h.zones.directory.Live()
@@ -198,7 +200,7 @@
 	return h.fleet.Live()
 }
 
-// Known is how many members there are or were lately, in all zones.
+// Known returns the number of members that are live or were recently, in all zones.
 func (h *Host) Known() int {
 	if h.zones.enabled() {
 		return h.zones.directory.Known()
@@ -206,10 +208,11 @@
 	return h.fleet.Known()
 }
 
-// Site is where this member is; the zero Site in a fleet without zones.
+// Site returns this member's region and zone; the zero Site in a fleet without zones.
 func (h *Host) Site() zonedirectory.Site { return h.cfg.Site }
 
-// Position is this member's position among the live ones of the fleet, by zone where there are zones, and by id.
+// Position returns this member's position among the live members of the fleet, ordered by zone (if there are zones) and
+// then by ID.
 func (h *Host) Position() int {
 	if h.zones.enabled() {
 		return h.zones.directory.Position()
@@ -217,7 +220,8 @@
 	return h.positionInZone()
 }
 
-// positionInZone is counted again only where the view has changed: that visits each member.
+// positionInZone returns this member's position in its own zone. It is recomputed only after a change of the view,
+// since that visits every member.
 func (h *Host) positionInZone() int {
 	if revision := h.fleet.Revision(); revision != h.positionRevision {
 		h.position = h.fleet.Position()
--- a/internal/peer/host_test.go
+++ b/internal/peer/host_test.go
@@ -15,10 +15,10 @@
 	"spurspread/internal/peer/packet"
 )
 
-// patience bounds every wait; nothing is proved by its passing.
-const patience = 30 * time.Second
+// waitTimeout limits every wait. It is generous: only a fault makes a test wait for so long.
+const waitTimeout = 30 * time.Second
 
-// harness runs hosts on one event loop.
+// harness runs several Hosts on one event loop.
 type harness struct {
 	t    *testing.T
 	loop *eventloop.Loop
@@ -42,7 +42,7 @@
 	return &harness{t, loop}
 }
 
-// do runs f on the loop and waits for it.
+// do runs f on the event loop and waits until it has returned.
 func (s *harness) do(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
@@ -85,7 +85,7 @@
 	return h
 }
 
-// pair starts two members that know each other.
+// pair starts two members and waits until they know each other.
 func (s *harness) pair() (a, b *Host) {
 	s.t.Helper()
 	a = s.host("a", 1)
@@ -96,21 +96,21 @@
 	return a, b
 }
 
-// await polls until a condition holds.
+// await polls until a condition holds, and fails the test after waitTimeout.
 func (s *harness) await(what string, holds func() bool) {
 	s.t.Helper()
-	for late := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		held := false
-		if s.do(func() { held = holds() }); held {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
+		done := false
+		if s.do(func() { done = holds() }); done {
 			return
 		}
-		if time.Now().After(late) {
-			s.t.Fatalf("not within %v: %s", patience, what)
+		if time.Now().After(deadline) {
+			s.t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// sees reports whether a member is in a host's view in this state.
+// sees reports whether a host's view lists a member in the given state.
 func sees(h *Host, name string, state membership.State) bool {
 	for _, m := range h.View() {
 		if m.Name == name && m.State == state {
@@ -120,13 +120,13 @@
 	return false
 }
 
-// Members with one key find each other by one seed, though another one is not there. A member with another key is
-// received by nobody, and its datagrams are counted.
+// Members with the same key find each other through a single reachable seed; an unreachable second seed does no harm.
+// Datagrams of a member with another key are rejected and counted.
 func TestJoin(t *testing.T) {
 	s := newHarness(t)
-	nobody := netip.MustParseAddrPort("127.0.0.1:9")
+	unreachable := netip.MustParseAddrPort("127.0.0.1:9")
 	a := s.host("a", 1)
-	b := s.host("b", 1, nobody, a.Addr())
+	b := s.host("b", 1, unreachable, a.Addr())
 	c := s.host("c", 1, a.Addr())
 	s.host("other key", 2, a.Addr())
 	s.await("all three know each other", func() bool {
@@ -136,34 +136,35 @@
 	s.await("datagrams with another key are counted", func() bool { return a.Counts().Forged > 0 })
 	s.do(func() {
 		if len(a.View()) != 3 {
-			t.Errorf("%d members", len(a.View()))
+			t.Errorf("%d members in the view, want 3", len(a.View()))
 		}
 		b.Leave()
 	})
 	s.await(
-		"a member that leaves announces it",
+		"a leaving member announces it",
 		func() bool { return sees(a, "b", membership.Left) && sees(c, "b", membership.Left) },
 	)
 }
 
-// A new process at the address of an earlier one takes over, wherever the kernel delivers the datagrams of others.
+// A new process with the name and address of an earlier one replaces it as the member, whichever of the two processes
+// the kernel delivers the datagrams of other members to.
 func TestTakeover(t *testing.T) {
 	s := newHarness(t)
 	a, b := s.pair()
 	next := s.hostAt(b.Addr(), "b", 1, a.Addr())
-	s.await("the earlier process yields", func() bool { return b.fleet.Superseded() })
+	s.await("the earlier process ends its membership", func() bool { return b.fleet.Superseded() })
 	s.await(
 		"the new process is the member",
 		func() bool { return sees(next, "a", membership.Alive) && sees(a, "b", membership.Alive) },
 	)
 	s.do(func() {
 		if next.fleet.Superseded() {
-			t.Error("the later process has yielded")
+			t.Error("the later process has ended its membership")
 		}
 	})
 }
 
-// A member that has only a withdrawn key is not received; with the new one it is again.
+// Datagrams encrypted with a withdrawn key are rejected, until their sender gets the new key.
 func TestSetKeyring(t *testing.T) {
 	s := newHarness(t)
 	a, b := s.pair()
@@ -176,15 +177,15 @@
 	s.await("datagrams with the old key are rejected", func() bool { return a.Counts().Forged > 0 })
 	s.do(func() {
 		if n := a.Counts(); n.Received != received {
-			t.Errorf("%d datagrams with a withdrawn key are received", n.Received-received)
+			t.Errorf("%d datagrams with a withdrawn key were accepted", n.Received-received)
 		}
 		b.SetKeyring(newKeyring(t, 2))
 	})
-	s.await("datagrams with the new key are received", func() bool { return a.Counts().Received > received })
+	s.await("datagrams with the new key are accepted", func() bool { return a.Counts().Received > received })
 }
 
-// A flood from unknown addresses is dropped unread beyond what is opened in a second, and members are received
-// meanwhile.
+// Of a flood from an unknown address, datagrams over the limit per second are dropped without decryption. Datagrams of
+// members are still received during the flood.
 func TestFlood(t *testing.T) {
 	s := newHarness(t)
 	a, _ := s.pair()
@@ -196,7 +197,7 @@
 	var received int64
 	s.do(func() { received = a.Counts().Received })
 	garbage := bytes.Repeat([]byte{7}, 400)
-	s.await("garbage is dropped unread", func() bool {
+	s.await("garbage is dropped without decryption", func() bool {
 		for range 200 {
 			_, _ = c.Write(garbage)
 		}
@@ -204,8 +205,8 @@
 	})
 	s.do(func() {
 		if n := a.Counts(); n.Forged > n.Dropped {
-			t.Errorf("of a flood %d were opened, and %d not", n.Forged, n.Dropped)
+			t.Errorf("of a flood, %d datagrams were decrypted and only %d dropped", n.Forged, n.Dropped)
 		}
 	})
-	s.await("members are received meanwhile", func() bool { return a.Counts().Received > received+4 })
+	s.await("members are received during the flood", func() bool { return a.Counts().Received > received+4 })
 }
--- a/internal/peer/packet/datagram.go
+++ b/internal/peer/packet/datagram.go
@@ -9,45 +9,45 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// The versions of the encoding.
+// Versions of the encoding.
 const (
-	versionFlat  = 1 // of a fleet without zones
-	versionZones = 2
+	versionFlat  = 1 // a fleet without zones
+	versionZones = 2 // a fleet with zones
 )
 
 const (
-	// MaxName is how long a member's name may be, in bytes.
+	// MaxName is the maximum length of a member's name, in bytes.
 	MaxName = 40
-	// MaxPlaintext bounds an encoding, in bytes: a datagram fits one Ethernet frame.
+	// MaxPlaintext is the maximum length of an encoding, in bytes. With it a datagram fits one Ethernet frame.
 	MaxPlaintext = 1300
-	// Hello is a kind of message of its own, after those of package membership: its envelope says which process of
-	// a name the sender is, to one that does not know it yet. The rest counts for nothing.
+	// Hello is an additional kind of message, numbered after those of package membership. It tells the receiver the
+	// instance of the sender's process. Only its envelope and sender fields have a meaning.
 	Hello = membership.SyncEntries + 1
 )
 
-// Why a datagram is rejected. Receiving it again brings the same error.
+// Reasons to reject a datagram. They depend only on its bytes and the keyring.
 var (
-	// ErrMalformed is returned for what is not an encoding of a message, or has a length that no datagram has.
+	// ErrMalformed is returned for bytes that are no valid encoding of a message, and for an invalid length.
 	ErrMalformed = errors.New("malformed datagram")
-	// ErrUnknownVersion is returned for an encoding of a version that is not known here.
-	ErrUnknownVersion = errors.New("unknown version of the datagram encoding")
-	// ErrUnknownKey is returned for a datagram that is sealed with a key that is not in the keyring.
-	ErrUnknownKey = errors.New("datagram is sealed with a key that is not listed")
-	// ErrForged is returned for a datagram that was not sealed with the key that it names, or was altered.
-	ErrForged = errors.New("seal of the datagram is broken")
+	// ErrUnknownVersion is returned for an unknown version of the encoding.
+	ErrUnknownVersion = errors.New("unknown datagram encoding version")
+	// ErrUnknownKey is returned for a datagram that names a key that is not in the keyring.
+	ErrUnknownKey = errors.New("datagram is encrypted with an unknown key")
+	// ErrForged is returned for a datagram that was not encrypted with the key that it names, or was altered.
+	ErrForged = errors.New("datagram failed authentication")
 )
 
-// Envelope is what every datagram carries beside its message.
+// Envelope holds the fields that every datagram carries in addition to its message.
 type Envelope struct {
-	// ReceiverInstance is the process that the datagram is for, 0 where that is not known.
+	// ReceiverInstance is the instance of the process that the datagram is addressed to, 0 if unknown.
 	ReceiverInstance uint64
 	// Counter numbers the datagrams of the sender's process, from 1.
 	Counter uint64
-	// Addr is where the sender is reached.
+	// Addr is the address at which the sender can be reached.
 	Addr netip.AddrPort
-	// Zone is the sender's, 0 in a fleet without zones.
+	// Zone is the sender's zone, 0 in a fleet without zones.
 	Zone zonedirectory.ID
-	// DirectoryDigest is that of all items of the sender's directory, 0 in a fleet without zones.
+	// DirectoryDigest is the digest of all items of the sender's directory, 0 in a fleet without zones.
 	DirectoryDigest uint64
 }
 
@@ -58,14 +58,15 @@
 	return versionZones
 }
 
-// Datagram is a decoded one: a message between directories where Directory is not nil, otherwise one of membership.
+// Datagram is a decoded datagram. It carries a directory message if Directory is not nil, otherwise a membership
+// message.
 type Datagram struct {
 	Envelope
 	Membership membership.Message
 	Directory  *zonedirectory.Message
 }
 
-// From is the member that the datagram says it is from.
+// From returns the ID of the member that the datagram claims to be from.
 func (d *Datagram) From() membership.ID {
 	if d.Directory != nil {
 		return membership.ID(d.Directory.From)
@@ -73,7 +74,7 @@
 	return d.Membership.From
 }
 
-// Instance is that of the sender's process.
+// Instance returns the instance of the sender's process.
 func (d *Datagram) Instance() uint64 {
 	if d.Directory != nil {
 		return d.Directory.Instance
@@ -81,11 +82,11 @@
 	return d.Membership.Instance
 }
 
-// IsHello reports whether the message is a Hello.
+// IsHello reports whether the datagram is a Hello.
 func (d *Datagram) IsHello() bool { return d.Directory == nil && d.Membership.Kind == Hello }
 
-// Decode reads what Encode and EncodeDirectory have written, and nothing else. The datagram keeps nothing of b.
-// Errors are ErrMalformed and ErrUnknownVersion.
+// Decode decodes a datagram's content. It accepts only encodings that Encode or EncodeDirectory produce, and keeps no
+// reference to b. It returns ErrMalformed or ErrUnknownVersion.
 func Decode(b []byte) (Datagram, error) {
 	if len(b) == 0 || len(b) > MaxPlaintext {
 		return Datagram{}, ErrMalformed
@@ -110,7 +111,7 @@
 	return d, nil
 }
 
-// appendPrefix appends the version, the kind, and whom the datagram is for and from.
+// appendPrefix appends the version, the kind, the receiver's instance, the counter and the sender's ID.
 func appendPrefix(b []byte, e *Envelope, kind byte, from membership.ID) []byte {
 	b = append(b, e.version(), kind)
 	b = binary.BigEndian.AppendUint64(b, e.ReceiverInstance)
@@ -118,7 +119,7 @@
 	return binary.BigEndian.AppendUint64(b, uint64(from))
 }
 
-// appendSender appends the sender's instance, its address, and with zones its zone.
+// appendSender appends the sender's instance and address, and with zones its zone and directory digest.
 func appendSender(b []byte, e *Envelope, instance uint64) []byte {
 	b = binary.BigEndian.AppendUint64(b, instance)
 	b = appendAddr(b, e.Addr)
@@ -129,7 +130,7 @@
 	return binary.BigEndian.AppendUint64(b, e.DirectoryDigest)
 }
 
-// sender reads the sender's address, and with zones its zone.
+// sender reads the sender's address, and with zones its zone and directory digest.
 func (r *reader) sender(e *Envelope, version byte) {
 	e.Addr = r.addr()
 	if version == versionFlat {
@@ -137,10 +138,10 @@
 	}
 	e.Zone = zonedirectory.ID(r.u64())
 	e.DirectoryDigest = r.u64()
-	r.reject(e.Zone == 0)
+	r.rejectIf(e.Zone == 0)
 }
 
-// typicalAddr is an address as long as most are.
+// typicalAddr returns an address of typical encoded length, for size estimates.
 func typicalAddr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([ipv4Bytes]byte{127, 0, 0, 1}), 1)
 }
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -7,18 +7,18 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// maxSummaryMembers bounds the members of a zone in a summary; package zonedirectory accepts no more.
+// maxSummaryMembers is the maximum number of members in a zone's summary; package zonedirectory accepts no more.
 const maxSummaryMembers = 1 << 20
 
-// The kinds of items, by their first byte.
+// Kinds of directory items; the first byte of an encoded item.
 const (
 	itemSummary = 1 + iota
 	itemObservation
 	itemRecord
 )
 
-// EncodeDirectory appends a message between directories to b; e.Zone is not 0. Items that would make it longer than
-// MaxPlaintext are left out: the receiver finds by the sender's digest that they are missing.
+// EncodeDirectory appends the encoding of a directory message to b. e.Zone must not be 0. Items from the first one that
+// would exceed MaxPlaintext on are omitted: the receiver detects by the sender's digest that some are missing.
 func EncodeDirectory(b []byte, e Envelope, m *zonedirectory.Message) []byte {
 	start := len(b)
 	b = appendPrefix(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
@@ -41,7 +41,7 @@
 	return b
 }
 
-// appendItems appends the number of items and as many of them as fit the message that began at start.
+// appendItems appends the number of items and the items, as many as fit into the message that starts at b[start].
 func appendItems(b []byte, start int, items []zonedirectory.Item) []byte {
 	countAt := len(b)
 	b = append(b, 0)
@@ -104,7 +104,7 @@
 	return b
 }
 
-// directoryMessage reads a message between directories from its sender on.
+// directoryMessage reads the rest of a directory message, beginning with the sender's ID.
 func (r *reader) directoryMessage(d *Datagram, version byte, kind zonedirectory.Kind) {
 	m := &zonedirectory.Message{Kind: kind}
 	d.Directory = m
@@ -124,7 +124,7 @@
 		}
 		m.Items = append(m.Items, r.item())
 	}
-	r.reject(version != versionZones || kind > zonedirectory.SyncVersions)
+	r.rejectIf(version != versionZones || kind > zonedirectory.SyncVersions)
 }
 
 func (r *reader) itemVersion() zonedirectory.ItemVersion {
@@ -148,24 +148,24 @@
 	s := &zonedirectory.Summary{}
 	s.Site.Region = r.text(zonedirectory.MaxName)
 	s.Site.Zone = r.text(zonedirectory.MaxName)
-	r.reject(s.Site.Zone == "")
+	r.rejectIf(s.Site.Zone == "")
 	s.Version = r.uvarint()
 	s.Issuer = zonedirectory.MemberID(r.u64())
 	s.Live = r.memberCount()
 	s.Known = r.memberCount()
 	for range r.boundedCount(zonedirectory.MaxContacts) {
 		contact := zonedirectory.Contact{ID: zonedirectory.MemberID(r.u64()), Addr: r.addr()}
-		r.reject(!contact.Addr.IsValid())
+		r.rejectIf(!contact.Addr.IsValid())
 		s.Contacts = append(s.Contacts, contact)
 	}
 	s.Unreachable = r.zoneIDs()
 	return s
 }
 
-// memberCount reads how many members a zone has, maxSummaryMembers at most.
+// memberCount reads a number of members, at most maxSummaryMembers.
 func (r *reader) memberCount() int {
 	count := r.uvarint()
-	r.reject(count > maxSummaryMembers)
+	r.rejectIf(count > maxSummaryMembers)
 	return int(min(count, maxSummaryMembers))
 }
 
@@ -183,7 +183,7 @@
 	record.Name = r.text(zonedirectory.MaxName)
 	record.Version = r.uvarint()
 	record.Value = r.text(zonedirectory.MaxValue)
-	r.reject(record.Name == "")
+	r.rejectIf(record.Name == "")
 	return record
 }
 
@@ -195,7 +195,7 @@
 	return zones
 }
 
-// SealedDirectorySize is how long the datagram of a message between directories is, sealed, in bytes.
+// SealedDirectorySize returns the length of the encrypted datagram of a directory message, in bytes.
 func SealedDirectorySize(m *zonedirectory.Message) int {
 	return len(EncodeDirectory(nil, Envelope{Addr: typicalAddr(), Zone: 1}, m)) + Overhead
 }
--- a/internal/peer/packet/directory_golden_test.go
+++ b/internal/peer/packet/directory_golden_test.go
@@ -8,7 +8,7 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// The exact bytes of messages between directories, which other versions of the program read.
+// Directory messages are encoded to exactly these bytes, which other versions of the program decode.
 func TestDirectoryStableForm(t *testing.T) {
 	full := fullMessage()
 	versions := full
--- a/internal/peer/packet/directory_test.go
+++ b/internal/peer/packet/directory_test.go
@@ -11,7 +11,7 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// fullMessage has one item of each kind, and a version.
+// fullMessage returns a message with one item of each kind and one version.
 func fullMessage() zonedirectory.Message {
 	contact := zonedirectory.Contact{ID: 7, Addr: netip.MustParseAddrPort("10.0.0.4:7946")}
 	summary := &zonedirectory.Summary{
@@ -124,7 +124,7 @@
 	return m
 }
 
-// A message between directories that is encoded is decoded to the same, without the last items where they don't fit.
+// Decoding an encoded directory message yields the same message, except for items at the end that do not fit.
 func TestDirectoryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		e := drawEnvelope(r, true)
@@ -135,8 +135,8 @@
 			r.Fatalf("%d bytes, %v", len(b), err)
 		}
 		if n := len(got.Directory.Items); n < len(m.Items) {
-			if one := appendItem(nil, &m.Items[n]); len(b)+len(one) <= MaxPlaintext {
-				r.Fatalf("an item of %d bytes is left out of a message of %d", len(one), len(b))
+			if omitted := appendItem(nil, &m.Items[n]); len(b)+len(omitted) <= MaxPlaintext {
+				r.Fatalf("an item of %d bytes is omitted from a message of %d", len(omitted), len(b))
 			}
 			if m.Items = m.Items[:n]; n == 0 {
 				m.Items = nil
@@ -146,13 +146,13 @@
 	})
 }
 
-// A full set of versions and the longest summary each fit one datagram.
+// A message with the maximum number of versions fits into one datagram, and so does one with the longest summary.
 func TestDirectoryMessagesFit(t *testing.T) {
 	m := zonedirectory.Message{Kind: zonedirectory.SyncVersions}
 	for range zonedirectory.MaxVersions {
 		m.Versions = append(m.Versions, zonedirectory.ItemVersion{Key: 1 << 63, Version: 1 << 63, Checksum: 1 << 31})
 	}
-	long := zonedirectory.Summary{
+	large := zonedirectory.Summary{
 		Site: zonedirectory.Site{
 			Region: strings.Repeat("r", zonedirectory.MaxName),
 			Zone:   strings.Repeat("z", zonedirectory.MaxName),
@@ -163,28 +163,28 @@
 		Unreachable: make([]zonedirectory.ID, zonedirectory.MaxZones),
 	}
 	for range zonedirectory.MaxContacts {
-		long.Contacts = append(long.Contacts, zonedirectory.Contact{Addr: netip.MustParseAddrPort("[fd00::1]:7946")})
+		large.Contacts = append(large.Contacts, zonedirectory.Contact{Addr: netip.MustParseAddrPort("[fd00::1]:7946")})
 	}
-	update := zonedirectory.Message{Kind: zonedirectory.Update, Items: []zonedirectory.Item{{Summary: &long}}}
+	update := zonedirectory.Message{Kind: zonedirectory.Update, Items: []zonedirectory.Item{{Summary: &large}}}
 	e := Envelope{Zone: 1, Addr: netip.MustParseAddrPort("[fd00::1]:7946")}
-	for _, one := range []*zonedirectory.Message{&m, &update} {
-		b := EncodeDirectory(nil, e, one)
+	for _, message := range []*zonedirectory.Message{&m, &update} {
+		b := EncodeDirectory(nil, e, message)
 		if d, err := Decode(b); err != nil || len(b) > MaxPlaintext ||
-			len(d.Directory.Versions) != len(one.Versions) ||
-			len(d.Directory.Items) != len(one.Items) {
+			len(d.Directory.Versions) != len(message.Versions) ||
+			len(d.Directory.Items) != len(message.Items) {
 			t.Errorf("%d bytes, %v, %+v", len(b), err, d.Directory)
 		}
 	}
 }
 
-// What no member with zones sends is rejected.
+// Decode rejects directory messages that no member sends: with missing fields, an unknown kind, or another version.
 func TestDirectoryRejected(t *testing.T) {
 	e := Envelope{ReceiverInstance: 1, Zone: 4}
 	for name, change := range map[string]func(*zonedirectory.Message){
-		"no zone's name":   func(m *zonedirectory.Message) { m.Items[0].Summary.Site.Zone = "" },
-		"no record's name": func(m *zonedirectory.Message) { m.Items[2].Record.Name = "" },
-		"no address":       func(m *zonedirectory.Message) { m.Items[0].Summary.Contacts[0].Addr = netip.AddrPort{} },
-		"no such kind":     func(m *zonedirectory.Message) { m.Kind = zonedirectory.SyncVersions + 1 },
+		"no zone name":   func(m *zonedirectory.Message) { m.Items[0].Summary.Site.Zone = "" },
+		"no record name": func(m *zonedirectory.Message) { m.Items[2].Record.Name = "" },
+		"no address":     func(m *zonedirectory.Message) { m.Items[0].Summary.Contacts[0].Addr = netip.AddrPort{} },
+		"unknown kind":   func(m *zonedirectory.Message) { m.Kind = zonedirectory.SyncVersions + 1 },
 	} {
 		m := fullMessage()
 		change(&m)
@@ -196,10 +196,10 @@
 	b := EncodeDirectory(nil, e, &m)
 	b[0] = versionFlat
 	if _, err := Decode(b); !errors.Is(err, ErrMalformed) {
-		t.Errorf("between directories without zones: %v", err)
+		t.Errorf("a directory message in the version without zones: %v", err)
 	}
 	b[0] = versionZones + 1
 	if _, err := Decode(b); !errors.Is(err, ErrUnknownVersion) {
-		t.Errorf("of a later version: %v", err)
+		t.Errorf("a later version: %v", err)
 	}
 }
--- a/internal/peer/packet/golden_test.go
+++ b/internal/peer/packet/golden_test.go
@@ -10,7 +10,7 @@
 	"spurspread/decision/membership"
 )
 
-// goldenMessages are those of a fleet without zones, by their names in testdata/version1.txt.
+// goldenMessages returns the messages encoded in testdata/version1.txt, of a fleet without zones, by name.
 func goldenMessages() map[string]membership.Message {
 	sums := make([]uint32, membership.SyncBuckets)
 	for i := range sums {
@@ -57,8 +57,8 @@
 	}
 }
 
-// The datagrams of a fleet without zones stay those of the program before there were zones, byte for byte: that
-// program has written testdata/version1.txt.
+// The datagrams of a fleet without zones are byte for byte those of the program from before zones were introduced,
+// which wrote testdata/version1.txt.
 func TestVersionOneIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/version1.txt")
 	if err != nil {
--- a/internal/peer/packet/keyring.go
+++ b/internal/peer/packet/keyring.go
@@ -12,26 +12,27 @@
 
 const (
 	keyIDSize = 4
-	// Overhead is how many bytes a sealed datagram has beside its content.
+	// Overhead is the number of bytes by which an encrypted datagram is longer than its content.
 	Overhead = keyIDSize + chacha20poly1305.NonceSizeX + chacha20poly1305.Overhead
 )
 
-// Why keys are not a keyring.
+// Errors of NewKeyring.
 var (
-	// ErrDuplicateKey is returned for two keys that are the same.
+	// ErrDuplicateKey is returned if two keys are equal.
 	ErrDuplicateKey = errors.New("packet: a key is listed twice")
-	// ErrPrimaryKey is returned where not exactly one key is the primary one.
-	ErrPrimaryKey = errors.New("packet: exactly one key has to seal")
+	// ErrPrimaryKey is returned unless exactly one key is primary.
+	ErrPrimaryKey = errors.New("packet: exactly one key must be primary")
 )
 
-// Key is one of a fleet's keys. The primary one seals; all of them open.
+// Key is one of a fleet's keys. The primary key encrypts; every key decrypts.
 type Key struct {
 	Secret  [chacha20poly1305.KeySize]byte
 	Primary bool
 }
 
-// Keyring seals and opens datagrams with XChaCha20-Poly1305. A datagram is the first bytes of the key's SHA-256, a
-// random nonce, and the sealed content, with the key's bytes as additional data. It is for one goroutine.
+// Keyring encrypts and decrypts datagrams with XChaCha20-Poly1305. A datagram consists of a key ID (the first bytes of
+// the key's SHA-256), a random nonce and the ciphertext; the key ID is authenticated as additional data. A Keyring must
+// not be used concurrently.
 type Keyring struct {
 	keys    []keyringEntry
 	primary int // index in keys
@@ -43,7 +44,7 @@
 	aead cipher.AEAD
 }
 
-// NewKeyring returns a keyring of these keys. Errors are ErrDuplicateKey and ErrPrimaryKey.
+// NewKeyring returns a keyring of the given keys, or an error that wraps ErrDuplicateKey or ErrPrimaryKey.
 func NewKeyring(keys []Key) (*Keyring, error) {
 	const none = -1
 	r := &Keyring{primary: none, buf: make([]byte, 0, MaxPlaintext)}
@@ -60,12 +61,12 @@
 			continue
 		}
 		if r.primary != none {
-			return nil, fmt.Errorf("%w: keys %d and %d do", ErrPrimaryKey, r.primary+1, i+1)
+			return nil, fmt.Errorf("%w: keys %d and %d are", ErrPrimaryKey, r.primary+1, i+1)
 		}
 		r.primary = i
 	}
 	if r.primary == none {
-		return nil, fmt.Errorf("%w: none of %d does", ErrPrimaryKey, len(keys))
+		return nil, fmt.Errorf("%w: none of %d is", ErrPrimaryKey, len(keys))
 	}
 	return r, nil
 }
@@ -79,7 +80,7 @@
 	return keyringEntry{id: [keyIDSize]byte(hash[:]), aead: aead}, nil
 }
 
-// find returns the key with an id, nil where there is none.
+// find returns the key with the given ID, nil if there is none.
 func (r *Keyring) find(id [keyIDSize]byte) *keyringEntry {
 	for i := range r.keys {
 		if r.keys[i].id == id {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Seal appends a datagram with this content to dst.
+// Seal encrypts plaintext with the primary key and appends the datagram to dst.
 func (r *Keyring) Seal(dst, plaintext []byte) []byte {
 	key := &r.keys[r.primary]
 	start := len(dst)
@@ -100,8 +101,8 @@
 	return key.aead.Seal(dst, nonce, plaintext, dst[start:start+keyIDSize])
 }
 
-// Open returns a datagram's content, which is valid until the next call. Errors are ErrMalformed, ErrUnknownKey and
-// ErrForged.
+// Open decrypts a datagram and returns its content, which is valid until the next call. It returns ErrMalformed,
+// ErrUnknownKey or ErrForged.
 func (r *Keyring) Open(datagram []byte) ([]byte, error) {
 	if len(datagram) <= Overhead || len(datagram) > MaxPlaintext+Overhead {
 		return nil, ErrMalformed
--- a/internal/peer/packet/keyring_test.go
+++ b/internal/peer/packet/keyring_test.go
@@ -19,7 +19,7 @@
 	return r
 }
 
-// All keys of a ring open; a withdrawn key, a changed bit and a wrong length are rejected with different errors.
+// Every key of a keyring decrypts. A withdrawn key, an altered bit and an invalid length are rejected.
 func TestSeal(t *testing.T) {
 	oldRing := newKeyring(t, key(1, true))
 	bothRing := newKeyring(t, key(1, false), key(2, true))
@@ -35,7 +35,7 @@
 		altered := bytes.Clone(sealed)
 		altered[i] ^= 1
 		if _, err := bothRing.Open(altered); err == nil {
-			t.Fatalf("opens with byte %d changed", i)
+			t.Fatalf("a datagram with byte %d altered is decrypted", i)
 		}
 	}
 	for _, length := range []int{0, Overhead, MaxPlaintext + Overhead + 1} {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A keyring has one primary key, and no key twice.
+// NewKeyring rejects keys without exactly one primary key, and equal keys.
 func TestInvalidKeyrings(t *testing.T) {
 	for _, c := range []struct {
 		keys []Key
@@ -62,7 +62,7 @@
 	}
 }
 
-// A counter is accepted once, in any order within the window, and never behind it; compared with a plain set.
+// A counter is accepted once, in any order within the window, and never below the window. The model is a set.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var w ReplayWindow
@@ -71,7 +71,7 @@
 			counter := uint64(rapid.IntRange(0, 3000).Draw(r, "counter"))
 			want := counter > 0 && !seen[counter] && counter+ReplayWindowSize > highest
 			if got := w.Accept(counter); got != want {
-				r.Fatalf("%d after %d at most: %v, want %v", counter, highest, got, want)
+				r.Fatalf("counter %d with %d as the highest before: %v, want %v", counter, highest, got, want)
 			}
 			if want {
 				seen[counter] = true
--- a/internal/peer/packet/membership.go
+++ b/internal/peer/packet/membership.go
@@ -6,14 +6,15 @@
 	"spurspread/decision/membership"
 )
 
-// The flags beside an update's state.
+// Flags in the byte of an update's state.
 const (
 	updateHasReporter    = 0x10
 	updateHasDescription = 0x20
 	updateFlags          = updateHasReporter | updateHasDescription
 )
 
-// Encode appends a message of membership to b. Updates that would make it longer than MaxPlaintext are left out.
+// Encode appends the encoding of a membership message to b. Updates from the first one that would exceed MaxPlaintext
+// on are omitted.
 func Encode(b []byte, e Envelope, m *membership.Message) []byte {
 	start := len(b)
 	b = appendPrefix(b, &e, byte(m.Kind), m.From)
@@ -33,7 +34,7 @@
 	return appendUpdates(b, start, m.Updates)
 }
 
-// appendUpdates appends the number of updates and as many of them as fit the message that began at start.
+// appendUpdates appends the number of updates and the updates, as many as fit into the message that starts at b[start].
 func appendUpdates(b []byte, start int, updates []membership.Update) []byte {
 	countAt := len(b)
 	b = append(b, 0)
@@ -70,7 +71,7 @@
 	return appendString(b, u.Name, MaxName)
 }
 
-// membershipMessage reads a message of membership from its sender on.
+// membershipMessage reads the rest of a membership message, beginning with the sender's ID.
 func (r *reader) membershipMessage(d *Datagram, version byte, kind membership.Kind) {
 	m := &d.Membership
 	m.Kind = kind
@@ -87,10 +88,10 @@
 	m.Digest = r.u64()
 	m.BucketSums = r.bucketSums()
 	m.Updates = r.updates()
-	r.reject(len(m.Updates) > membership.MaxUpdates || m.Kind == 0)
+	r.rejectIf(len(m.Updates) > membership.MaxUpdates || m.Kind == 0)
 }
 
-// state accepts the states that a byte may be.
+// state converts a byte to a member's state; an unknown one makes the encoding malformed.
 func (r *reader) state(b byte) membership.State {
 	if membership.State(b) > membership.Left {
 		r.malformed = true
@@ -99,7 +100,7 @@
 	return membership.State(b)
 }
 
-// bucketSums reads the sums of all buckets, or none.
+// bucketSums reads the sums of all buckets, or no sums.
 func (r *reader) bucketSums() []uint32 {
 	var sums []uint32
 	switch r.u8() {
@@ -125,7 +126,8 @@
 	return updates
 }
 
-// update accepts one form of an update only: what its flags announce is not empty.
+// update reads an update. A reporter or description that is flagged but empty is malformed, so that an update has one
+// encoding only.
 func (r *reader) update() membership.Update {
 	var u membership.Update
 	head := r.u8()
@@ -134,7 +136,7 @@
 	u.Incarnation = r.uvarint()
 	if head&updateHasReporter != 0 {
 		u.ReportedBy = membership.ID(r.u64())
-		r.reject(u.ReportedBy == 0)
+		r.rejectIf(u.ReportedBy == 0)
 	}
 	if head&updateHasDescription == 0 {
 		return u
@@ -142,12 +144,12 @@
 	u.Instance = r.u64()
 	u.Addr = r.addr()
 	u.Name = r.text(MaxName)
-	r.reject(u.Instance == 0 && !u.Addr.IsValid() && u.Name == "")
+	r.rejectIf(u.Instance == 0 && !u.Addr.IsValid() && u.Name == "")
 	return u
 }
 
-// SealedSize is how long the datagram of a message of membership is in a fleet without zones, sealed, in bytes. With
-// zones it is 16 more.
+// SealedSize returns the length of the encrypted datagram of a membership message in a fleet without zones, in bytes.
+// With zones it is 16 bytes longer.
 func SealedSize(m *membership.Message) int {
 	return len(Encode(nil, Envelope{Addr: typicalAddr()}, m)) + Overhead
 }
--- a/internal/peer/packet/membership_test.go
+++ b/internal/peer/packet/membership_test.go
@@ -69,7 +69,7 @@
 	return e
 }
 
-// What is encoded is decoded to the same.
+// Decoding an encoded membership message yields the same message.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		e, m := drawMessage(r)
@@ -78,7 +78,7 @@
 	})
 }
 
-// checkDecode fails where an encoding is not decoded to want, or a truncated or lengthened form of it is accepted.
+// checkDecode fails unless b is decoded to want, and a truncated and a lengthened form of b are rejected.
 func checkDecode(r *rapid.T, b []byte, want Datagram) {
 	got, err := Decode(b)
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -88,21 +88,21 @@
 		r.Fatal("a truncated message is accepted")
 	}
 	if _, err := Decode(append(bytes.Clone(b), 0)); err == nil {
-		r.Fatal("a byte more is accepted")
+		r.Fatal("a message with a trailing byte is accepted")
 	}
 }
 
-// Updates that do not fit are left out; a message is never too long.
+// Updates that do not fit are omitted, so that an encoded message never exceeds MaxPlaintext.
 func TestEncodingIsBounded(t *testing.T) {
 	m := membership.Message{Kind: membership.SyncEntries, BucketSums: make([]uint32, membership.SyncBuckets)}
-	long := membership.Update{
+	longest := membership.Update{
 		State:       membership.Alive,
 		Incarnation: 1 << 62,
 		Addr:        netip.AddrPortFrom(netip.AddrFrom16([16]byte{0x20, 1}), 1),
 		Name:        string(bytes.Repeat([]byte("x"), 3*MaxName)),
 	}
 	for range membership.MaxUpdates {
-		m.Updates = append(m.Updates, long)
+		m.Updates = append(m.Updates, longest)
 	}
 	b := Encode(nil, Envelope{}, &m)
 	d, err := Decode(b)
@@ -112,6 +112,7 @@
 	}
 }
 
+// Every content that Decode accepts is what encoding its result yields.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(nil, Envelope{ReceiverInstance: 1, Counter: 2}, &membership.Message{Kind: membership.Ping, Seq: 3}))
 	f.Add(Encode(nil, Envelope{Zone: 4, DirectoryDigest: 5}, &membership.Message{
@@ -130,7 +131,7 @@
 			again = EncodeDirectory(nil, d.Envelope, d.Directory)
 		}
 		if !bytes.Equal(again, b) {
-			t.Fatalf("%x decodes, and encodes to %x", b, again)
+			t.Fatalf("%x is decoded, but its result is encoded to %x", b, again)
 		}
 	})
 }
--- a/internal/peer/packet/reader.go
+++ b/internal/peer/packet/reader.go
@@ -8,23 +8,23 @@
 const (
 	ipv4Bytes = 4
 	ipv6Bytes = 16
-	// maxFieldBytes is the longest field of a fixed length.
+	// maxFieldBytes is the length of the longest field of fixed length.
 	maxFieldBytes = 16
 
 	flagReply = 1
 )
 
-// reader reads an encoding field by field. Once something is malformed, what it returns means nothing.
+// reader decodes a datagram field by field. Once malformed is set, the values that it returns are meaningless.
 type reader struct {
 	rest      []byte
 	malformed bool
 }
 
-// reject makes the encoding malformed where a condition holds.
-func (r *reader) reject(condition bool) { r.malformed = r.malformed || condition }
+// rejectIf marks the encoding as malformed if the condition holds.
+func (r *reader) rejectIf(condition bool) { r.malformed = r.malformed || condition }
 
-// take returns the next n bytes.
-func (r *reader) take(n int) []byte {
+// next returns the next n bytes. After a malformed field it returns at most maxFieldBytes zero bytes.
+func (r *reader) next(n int) []byte {
 	if r.malformed || n > len(r.rest) {
 		r.malformed = true
 		return make([]byte, min(n, maxFieldBytes))
@@ -34,12 +34,12 @@
 	return field
 }
 
-func (r *reader) u8() byte    { return r.take(1)[0] }
-func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
-func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
-func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *reader) u8() byte    { return r.next(1)[0] }
+func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.next(2)) }
+func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
+func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
-// uvarint accepts the shortest form only, so that a message has one encoding.
+// uvarint reads a varint. It accepts only the shortest form, so that a message has one encoding.
 func (r *reader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 || n > 1 && r.rest[n-1] == 0 {
@@ -50,7 +50,7 @@
 	return v
 }
 
-// boundedCount reads a number of elements, 0 where there are more than may be.
+// boundedCount reads a number of elements in one byte. It returns 0 if the number exceeds limit, which is malformed.
 func (r *reader) boundedCount(limit int) int {
 	n := int(r.u8())
 	if n > limit {
@@ -60,7 +60,7 @@
 	return n
 }
 
-func (r *reader) text(limit int) string { return string(r.take(r.boundedCount(limit))) }
+func (r *reader) text(limit int) string { return string(r.next(r.boundedCount(limit))) }
 
 func appendString(b []byte, s string, limit int) []byte {
 	s = s[:min(len(s), limit)]
@@ -68,10 +68,10 @@
 	return append(b, s...)
 }
 
-// replyFlag reads the byte of flags; there is only one.
+// replyFlag reads the flags byte; flagReply is the only flag.
 func (r *reader) replyFlag() bool {
 	flags := r.u8()
-	r.reject(flags > flagReply)
+	r.rejectIf(flags > flagReply)
 	return flags == flagReply
 }
 
@@ -91,8 +91,8 @@
 		r.malformed = true
 		return netip.AddrPort{}
 	}
-	ip, _ := netip.AddrFromSlice(r.take(length))
-	r.reject(ip.Is4In6())
+	ip, _ := netip.AddrFromSlice(r.next(length))
+	r.rejectIf(ip.Is4In6())
 	return netip.AddrPortFrom(ip, r.u16())
 }
 
--- a/internal/peer/packet/replay.go
+++ b/internal/peer/packet/replay.go
@@ -1,21 +1,21 @@
 package packet
 
 const (
-	// ReplayWindowSize is by how much a datagram's counter may be behind the highest one: datagrams that were
-	// reordered more than that are lost.
+	// ReplayWindowSize is the number of counters in the window. A datagram whose counter is this much or more below the
+	// highest one received is rejected, even if it was only delayed.
 	ReplayWindowSize = 1024
 
 	wordBits = 64
 )
 
-// ReplayWindow remembers which counters of one sender were received.
+// ReplayWindow records which datagram counters of one sender were received. The zero value is empty.
 type ReplayWindow struct {
-	highest uint64 // all that are ReplayWindowSize or more behind count as received
+	highest uint64 // counters that are ReplayWindowSize or more below it count as received
 	seen    [ReplayWindowSize / wordBits]uint64
 }
 
-// Accept decides whether a datagram with this counter is new, and remembers it. One that is behind the window may
-// have been received, and is not.
+// Accept reports whether a datagram with this counter is new, and records the counter. A counter below the window is
+// rejected, since it may have been received.
 func (w *ReplayWindow) Accept(counter uint64) bool {
 	if counter == 0 || counter+ReplayWindowSize <= w.highest {
 		return false
@@ -30,7 +30,7 @@
 	return true
 }
 
-// advance moves the window so that a counter is in it.
+// advance moves the window up so that it contains the counter.
 func (w *ReplayWindow) advance(counter uint64) {
 	if w.highest < counter && counter-w.highest > ReplayWindowSize {
 		*w = ReplayWindow{highest: counter}
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxSenders bounds the processes and addresses of which something is remembered.
+	// maxSenders limits the number of processes and addresses that state is kept for.
 	maxSenders = 2 * membership.MaxMembers
-	// maxAddresses bounds the addresses at which members are known: each has up to two.
+	// maxAddresses limits the number of known addresses of members: each member has up to two.
 	maxAddresses = 2 * maxSenders
-	// helloInterval is how often, at most, one address is sent a Hello.
+	// helloInterval is the minimum time between two Hellos to the same address.
 	helloInterval = 200 * monotime.Millisecond
 
-	// How many datagrams are opened in an admissionWindow: of addresses that have sent authentic ones, and of others.
-	// More are dropped unread: to open one takes some microseconds.
+	// Limits on the number of datagrams decrypted in an admissionWindow, from addresses that have sent authentic
+	// datagrams and from others. Datagrams over the limit are dropped, since decryption takes some microseconds each.
 	maxKnownPerSecond   = 4000
 	maxUnknownPerSecond = 400
 	admissionWindow     = 1 * monotime.Second
 )
 
-// receive takes a datagram from the socket.
+// receive handles a datagram from the socket.
 func (h *Host) receive(from netip.AddrPort, sealed []byte) {
 	if !h.admission.admit(h.loop.Now(), from) {
 		h.counts.Dropped++
@@ -49,7 +49,7 @@
 	}
 }
 
-// admission bounds what a flood of datagrams costs.
+// admission limits the number of datagrams that are decrypted, and so the cost of a flood.
 type admission struct {
 	known         map[netip.AddrPort]bool // addresses that have sent authentic datagrams
 	windowStart   monotime.Micros
@@ -57,8 +57,8 @@
 	unknownOpened int
 }
 
-// admit decides whether a datagram from an address is opened: maxKnownPerSecond of known ones and maxUnknownPerSecond
-// of others are. So a flood of strangers does not shut out members.
+// admit reports whether a datagram from an address is to be decrypted: up to maxKnownPerSecond from known addresses and
+// maxUnknownPerSecond from others. With separate limits, a flood from unknown addresses does not shut out members.
 func (a *admission) admit(now monotime.Micros, from netip.AddrPort) bool {
 	if now-a.windowStart >= admissionWindow {
 		a.windowStart = now
@@ -81,15 +81,16 @@
 	instance uint64
 }
 
-// acceptFresh decides whether a datagram is handed on: it is meant for this process and was not received before. One
-// for an earlier process, or for an unknown one, may have been recorded: its sender is sent a Hello, and sends its
-// message again.
+// acceptFresh reports whether a datagram is addressed to this process and was not received before. A datagram addressed
+// to another instance, or to none, may be a replay: its sender is sent a Hello, from which it learns this instance, and
+// sends its message again.
 func (h *Host) acceptFresh(from netip.AddrPort, d *packet.Datagram) bool {
 	if d.ReceiverInstance != h.self.Instance {
 		if !d.IsHello() {
 			h.sendHello(from, d.From())
 		}
-		// A recorded Hello does little harm: until the next one this process addresses an instance that is gone.
+		// A replayed Hello does little harm: until the sender's next Hello, this process addresses its datagrams to an
+		// instance that no longer exists.
 		return d.IsHello() && d.ReceiverInstance == 0
 	}
 	if !h.replayWindow(processKey{id: d.From(), instance: d.Instance()}).Accept(d.Counter) {
@@ -100,11 +101,12 @@
 	return true
 }
 
+// replayWindow returns the replay window of a process, and creates it if there is none.
 func (h *Host) replayWindow(key processKey) *packet.ReplayWindow {
 	window := h.replayWindows[key]
 	if window == nil {
 		if len(h.replayWindows) >= maxSenders {
-			clear(h.replayWindows) // replayed datagrams are accepted once more, and say nothing new
+			clear(h.replayWindows) // a replay may then be accepted once more, but carries nothing new
 		}
 		window = &packet.ReplayWindow{}
 		h.replayWindows[key] = window
@@ -112,7 +114,7 @@
 	return window
 }
 
-// sendHello sends a member a Hello, at most every helloInterval.
+// sendHello sends a Hello to a member, unless its address was sent one within helloInterval.
 func (h *Host) sendHello(to netip.AddrPort, id membership.ID) {
 	now := h.loop.Now()
 	if now-h.lastHello[to] < helloInterval {
@@ -125,9 +127,9 @@
 	h.socket.Send(h.overrideAddr(to, id), h.sealHello(0))
 }
 
-// deliver hands the message of a fresh datagram on.
+// deliver passes on the message of an accepted datagram.
 func (h *Host) deliver(from netip.AddrPort, d *packet.Datagram) {
-	h.noteAddress(from, d.Addr, d.From())
+	h.learnAddress(from, d.Addr, d.From())
 	if d.IsHello() {
 		h.instances[d.From()] = d.Instance()
 		return
@@ -141,15 +143,15 @@
 	h.deliverToFleet(from, d)
 }
 
-// deliverToFleet hands a message of membership on, if it is of the own zone.
+// deliverToFleet passes a membership message to membership if it comes from this member's own zone.
 func (h *Host) deliverToFleet(from netip.AddrPort, d *packet.Datagram) {
 	if d.Directory == nil && d.Zone == h.zones.own {
 		h.dispatch(h.fleet.Receive(h.loop.Now(), from, d.Membership))
 	}
 }
 
-// noteAddress remembers at which addresses a member is.
-func (h *Host) noteAddress(from, advertised netip.AddrPort, id membership.ID) {
+// learnAddress stores the addresses of a member: the one that it has sent from and, if valid, the advertised one.
+func (h *Host) learnAddress(from, advertised netip.AddrPort, id membership.ID) {
 	if len(h.memberAt) > maxAddresses {
 		clear(h.memberAt)
 	}
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -10,7 +10,7 @@
 	"spurspread/internal/peer/packet"
 )
 
-// dispatch sends the messages of membership, and logs what has changed.
+// dispatch sends messages of membership and logs state changes of members.
 func (h *Host) dispatch(out []membership.Outgoing, changes []membership.StateChange) {
 	for _, c := range changes {
 		h.log.WithFields(logrus.Fields{
@@ -31,7 +31,8 @@
 	h.sendSealed(to)
 }
 
-// resolve returns where a member is reached, and who is at an address where that is not given but known.
+// resolve returns the address at which to reach a member, and the member's ID. If id is 0, it is looked up by the
+// address, and stays 0 if the address is unknown.
 func (h *Host) resolve(to netip.AddrPort, id membership.ID) (netip.AddrPort, membership.ID) {
 	if id == 0 {
 		id = h.memberAt[to]
@@ -39,7 +40,7 @@
 	return h.overrideAddr(to, id), id
 }
 
-// overrideAddr returns the address at which a member is reached from here, addr where there is no other.
+// overrideAddr returns the configured address of a member, or addr if there is none.
 func (h *Host) overrideAddr(addr netip.AddrPort, id membership.ID) netip.AddrPort {
 	if override, found := h.addressOverrides[id]; found {
 		return override
@@ -47,7 +48,7 @@
 	return addr
 }
 
-// nextEnvelope is that of the next datagram, for a process with this instance, 0 where that is not known.
+// nextEnvelope returns the envelope of the next datagram, for the process with this instance; 0 if that is unknown.
 func (h *Host) nextEnvelope(receiverInstance uint64) packet.Envelope {
 	h.counter++
 	e := packet.Envelope{
@@ -62,7 +63,7 @@
 	return e
 }
 
-// sendSealed seals what is in plaintext and sends it.
+// sendSealed encrypts h.plaintext and sends it.
 func (h *Host) sendSealed(to netip.AddrPort) {
 	h.sealed = h.cfg.Keyring.Seal(h.sealed[:0], h.plaintext)
 	h.counts.Sent++
@@ -70,8 +71,8 @@
 	h.socket.Send(to, h.sealed)
 }
 
-// sealHello returns a datagram that says which process of its name this is, for one with this instance, 0 where that
-// is not known. It is valid until the next one is sealed.
+// sealHello returns an encrypted Hello, which tells the receiver this process's instance. receiverInstance is 0 if it
+// is unknown. The result is valid until the next datagram is encrypted.
 func (h *Host) sealHello(receiverInstance uint64) []byte {
 	hello := membership.Message{Kind: packet.Hello, From: h.self.ID, Instance: h.self.Instance}
 	h.plaintext = packet.Encode(h.plaintext[:0], h.nextEnvelope(receiverInstance), &hello)
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// takeoverAttempts is how often an earlier process of this name is looked for, takeoverInterval the time between
-	// two attempts. Each reaches it with one chance in two, if there is one.
+	// takeoverAttempts is the number of attempts to reach an earlier process with this name, and takeoverInterval the
+	// time between them. Each attempt reaches it with probability 1/2, if it exists.
 	takeoverAttempts = 20
 	takeoverInterval = 100 * monotime.Millisecond
 )
 
-// handleDuplicate takes a datagram of another process with this name. A later one that knows this process takes over;
-// all others are sent a Hello.
+// handleDuplicate handles a datagram from a process with this member's name. A Hello that is not addressed to this
+// instance is answered with one. A Hello that is addressed to this instance ends its membership if the sender's
+// instance is later. Any other message goes to membership.
 func (h *Host) handleDuplicate(from netip.AddrPort, d *packet.Datagram) {
 	switch {
-	case d.Instance() == h.self.Instance: // this process's own, see requestTakeover
+	case d.Instance() == h.self.Instance: // sent by this process itself, see requestTakeover
 	case !d.IsHello():
 		h.deliverToFleet(from, d)
 	case d.ReceiverInstance != h.self.Instance:
@@ -28,10 +29,11 @@
 	}
 }
 
-// requestTakeover looks for an earlier process at this address, as there is in an upgrade, and has it yield. While
-// both are bound, the kernel deals out datagrams by where they come from, and those of other members may all reach
-// the earlier one. So it is sent a Hello from a new port each time, until one has reached it. It answers with its own
-// instance; the Hello that is then meant for it has it yield.
+// requestTakeover looks for an earlier process at this address, which exists during an upgrade, and makes it end its
+// membership. While both processes are bound to the address, the kernel chooses between them by a datagram's source
+// address, and the datagrams of all other members may go to the earlier one. Each attempt therefore sends a Hello from
+// a new port, until one reaches the earlier process. That process answers with its instance, and a second Hello,
+// addressed to that instance, makes it end its membership.
 func (h *Host) requestTakeover(attempts int) {
 	h.closeTakeoverSocket()
 	if attempts == 0 || h.closed || h.fleet.Superseded() {
@@ -40,14 +42,14 @@
 	own := h.socket.Addr()
 	socket, err := h.cfg.OpenSocket(netip.AddrPortFrom(own.Addr(), 0), h.receiveTakeover)
 	if err != nil {
-		return // without a free descriptor the earlier process stays until it is stopped
+		return // out of descriptors: the earlier process remains until it is stopped
 	}
 	h.takeoverSocket = socket
 	socket.Send(own, h.sealHello(0))
 	h.loop.After(takeoverInterval, func() { h.requestTakeover(attempts - 1) })
 }
 
-// receiveTakeover has an earlier process that has answered yield.
+// receiveTakeover handles the answer of an earlier process: it sends the Hello that ends that process's membership.
 func (h *Host) receiveTakeover(from netip.AddrPort, sealed []byte) {
 	plaintext, err := h.cfg.Keyring.Open(sealed)
 	if err != nil {
--- a/internal/peer/zones.go
+++ b/internal/peer/zones.go
@@ -13,22 +13,22 @@
 	"spurspread/internal/peer/packet"
 )
 
-// ErrNoZones is returned where a record is published in a fleet without zones: records spread from zone to zone.
+// ErrNoZones is returned by Publish in a fleet without zones: records are distributed by the zone directory.
 var ErrNoZones = errors.New("the fleet has no zones")
 
 const (
-	// zoneLogInterval is how often zones are searched for a change of state to be logged.
+	// zoneLogInterval is the time between two checks of all zones for state changes to log.
 	zoneLogInterval = 1 * monotime.Second
-	// maxLoggedStates bounds the zones whose state is remembered for that.
+	// maxLoggedStates limits the number of zones whose last logged state is kept.
 	maxLoggedStates = 2 * zonedirectory.MaxZones
 )
 
-// zones is what a host has of its fleet's zones; all of it is zero in a fleet without zones.
+// zones is a Host's state for a fleet with zones; the zero value in a fleet without them.
 type zones struct {
 	directory    *zonedirectory.Directory
 	own          zonedirectory.ID
-	local        zonedirectory.LocalZone // as the directory received it last
-	localSent    bool                    // that it did
+	local        zonedirectory.LocalZone // as last passed to the directory
+	localSent    bool                    // whether local was passed to the directory at all
 	loggedStates map[zonedirectory.ID]zonedirectory.Reachability
 	nextLogAt    monotime.Micros
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// Zones lists all zones that are known, this member's first; none in a fleet without zones.
+// Zones returns all known zones, this member's own first; nil in a fleet without zones.
 func (h *Host) Zones() []zonedirectory.View {
 	if !h.zones.enabled() {
 		return nil
@@ -69,7 +69,7 @@
 	return h.zones.directory.Views()
 }
 
-// Records lists all records by their names; none in a fleet without zones.
+// Records returns all records, ordered by name; nil in a fleet without zones.
 func (h *Host) Records() []zonedirectory.Record {
 	if !h.zones.enabled() {
 		return nil
@@ -77,7 +77,7 @@
 	return h.zones.directory.Records()
 }
 
-// Publish begins to spread a new value of a record to all members. Errors are ErrNoZones and those of
+// Publish starts to distribute a new value of a record to all members. It returns ErrNoZones or an error of
 // zonedirectory.Directory.Publish.
 func (h *Host) Publish(name, value string) (zonedirectory.Record, error) {
 	if !h.zones.enabled() {
@@ -86,7 +86,7 @@
 	return h.zones.directory.Publish(h.loop.Now(), name, value)
 }
 
-// tickZones runs what is due between zones.
+// tickZones advances the zone directory, if there is one.
 func (h *Host) tickZones(now monotime.Micros) {
 	if !h.zones.enabled() {
 		return
@@ -101,8 +101,8 @@
 	}
 }
 
-// localView is the view of the own zone for the directory; nil where nothing has changed. Members are listed only
-// with a new revision of the view.
+// localView returns the state of this member's own zone for the directory, or nil if it has not changed since the last
+// call. The list of members is rebuilt only for a new revision of the view.
 func (h *Host) localView(now monotime.Micros) *zonedirectory.LocalZone {
 	local := &h.zones.local
 	revision, unhealthy := h.fleet.Revision(), h.fleet.Unhealthy(now)
@@ -129,20 +129,22 @@
 	members := make([]zonedirectory.Member, len(alive))
 	for i, m := range alive {
 		members[i] = zonedirectory.Member{ID: zonedirectory.MemberID(m.ID), Addr: m.Addr}
-		h.noteInstance(m)
+		h.learnInstance(m)
 	}
 	return members
 }
 
-// noteInstance takes a member's instance from the view where it has sent nothing itself: items go to members that
-// this one has never received, and would be lost the first time.
-func (h *Host) noteInstance(m membership.Self) {
+// learnInstance stores a member's instance from the view if the member itself has not sent one. Directory items are
+// also sent to members that this one has never heard from, and the first datagram without the right instance is not
+// accepted.
+func (h *Host) learnInstance(m membership.Self) {
 	if m.ID != h.self.ID && h.instances[m.ID] == 0 {
 		h.instances[m.ID] = m.Instance
 	}
 }
 
-// deliverToDirectory hands a message between directories on, or what any other datagram says of its sender's zone.
+// deliverToDirectory passes a directory message to the zone directory. Of any other datagram it passes on the sender's
+// zone and directory digest.
 func (h *Host) deliverToDirectory(from netip.AddrPort, d *packet.Datagram) {
 	if !h.zones.enabled() {
 		return
@@ -156,7 +158,7 @@
 	h.dispatchDirectory(h.zones.directory.ObserveDatagram(now, from, id, d.Zone, d.DirectoryDigest))
 }
 
-// dispatchDirectory sends the messages of the directory.
+// dispatchDirectory sends messages of the zone directory.
 func (h *Host) dispatchDirectory(out []zonedirectory.Outgoing) {
 	for i := range out {
 		to, receiver := h.resolve(out[i].To, membership.ID(out[i].Receiver))
@@ -166,10 +168,10 @@
 	}
 }
 
-// logZoneChanges logs each zone that is new or has another state.
+// logZoneChanges logs each zone that is new or has changed its state.
 func (h *Host) logZoneChanges() {
 	if len(h.zones.loggedStates) > maxLoggedStates {
-		clear(h.zones.loggedStates) // of zones that were forgotten long ago
+		clear(h.zones.loggedStates) // most are of zones that the directory has long forgotten
 	}
 	for _, v := range h.zones.directory.Views() {
 		id := v.Site.ID()
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -16,8 +16,8 @@
 	west = zonedirectory.Site{Region: "west", Zone: "west-1"}
 )
 
-// inZone starts a member of a zone.
-func (s *harness) inZone(name string, site zonedirectory.Site, seeds ...netip.AddrPort) *Host {
+// startInZone starts a member of a zone.
+func (s *harness) startInZone(name string, site zonedirectory.Site, seeds ...netip.AddrPort) *Host {
 	s.t.Helper()
 	return s.start(s.config(name, site, seeds...))
 }
@@ -35,15 +35,15 @@
 	}
 }
 
-// A member with zones and one without have two versions of the encoding: each counts the datagrams of the other, and
-// receives none of them.
+// A member with zones and one without use different versions of the encoding: each counts the other's datagrams as
+// OtherVersion and accepts none of them.
 func TestOtherVersion(t *testing.T) {
 	s := newHarness(t)
 	flat := s.host("flat", 1)
-	zoned := s.inZone("zoned", east, flat.Addr())
+	zoned := s.startInZone("zoned", east, flat.Addr())
 	s.do(func() { flat.SetSeeds([]netip.AddrPort{zoned.Addr()}) })
 	s.await(
-		"both count the other",
+		"both count the other's datagrams",
 		func() bool { return flat.Counts().OtherVersion > 1 && zoned.Counts().OtherVersion > 1 },
 	)
 	s.do(func() {
@@ -55,8 +55,8 @@
 	})
 }
 
-// Before it has found another member, one with zones divides rates by the fleet that the settings expect, and one
-// without zones by 1.
+// Before a member has found another one, its rate divisor is the configured size of the fleet with zones, and 1 without
+// zones.
 func TestDivisorBeforeJoining(t *testing.T) {
 	s := newHarness(t)
 	for _, c := range []struct {
@@ -73,14 +73,14 @@
 		s.start(cfg)
 		s.do(func() {
 			if first != c.want {
-				t.Errorf("in %v the fleet has %d members at first, want %d", c.site, first, c.want)
+				t.Errorf("site %v: the first rate divisor is %d, want %d", c.site, first, c.want)
 			}
 		})
 	}
 }
 
-// zoneOf is what a member sees of a zone, nil where it doesn't know it.
-func zoneOf(h *Host, site zonedirectory.Site) *zonedirectory.View {
+// zoneView returns a host's view of a zone, nil if it does not know the zone.
+func zoneView(h *Host, site zonedirectory.Site) *zonedirectory.View {
 	for _, v := range h.Zones() {
 		if v.Site == site {
 			return &v
@@ -89,25 +89,27 @@
 	return nil
 }
 
-// pairs starts two members in each of two zones, all of them with one seed, a member in the other zone than most.
-func (s *harness) pairs() (all []*Host) {
+// twoZones starts two members in each of two zones, with the first member as the only seed, and waits until all know
+// each other.
+func (s *harness) twoZones() (all []*Host) {
 	s.t.Helper()
-	first := s.inZone("e0", east)
+	first := s.startInZone("e0", east)
 	all = append(all, first)
-	for _, one := range []struct {
+	for _, member := range []struct {
 		name string
 		site zonedirectory.Site
 	}{{"e1", east}, {"w0", west}, {"w1", west}} {
-		all = append(all, s.inZone(one.name, one.site, first.Addr()))
+		all = append(all, s.startInZone(member.name, member.site, first.Addr()))
 	}
-	s.await("two zones of two know each other", func() bool { return allKnow(all, 2, 4) })
+	s.await("two zones of two members each know each other", func() bool { return allKnow(all, 2, 4) })
 	return all
 }
 
-// allKnow reports whether each has so many members in its view and reaches both zones, with so many in all.
+// allKnow reports whether every host has the given number of members in its view and of live members in the fleet, and
+// reaches both zones.
 func allKnow(all []*Host, view, live int) bool {
 	for _, h := range all {
-		e, w := zoneOf(h, east), zoneOf(h, west)
+		e, w := zoneView(h, east), zoneView(h, west)
 		if len(h.View()) != view || h.Live() != live || e == nil || w == nil || e.State != zonedirectory.Reachable ||
 			w.State != zonedirectory.Reachable {
 			return false
@@ -116,13 +118,13 @@
 	return true
 }
 
-// Two zones of two members find each other by one seed, which for one zone is in the other. Views end at the zone,
-// and each position in the fleet is taken once. A record that is published in one zone is read in the other, and the
-// newest is kept. A zone whose members leave announces it, and they no longer count.
+// Two zones of two members find each other through a single seed in one of the zones. A view lists only members of the
+// own zone, and positions in the fleet are unique. A record published in one zone reaches the other, and a newer value
+// replaces it. When all members of a zone leave, the zone is reported as left and its members no longer count.
 func TestTwoZones(t *testing.T) {
 	s := newHarness(t)
-	all := s.pairs()
-	s.await("each position is taken once", func() bool {
+	all := s.twoZones()
+	s.await("positions are unique", func() bool {
 		var taken [4]bool
 		for _, h := range all {
 			taken[min(h.Position(), 3)] = true
@@ -132,7 +134,7 @@
 	s.do(func() {
 		for _, h := range all {
 			if h.Known() != 4 || h.RateDivisor() != 4 {
-				t.Errorf("%d known, divided by %v", h.Known(), h.RateDivisor())
+				t.Errorf("known %d, rate divisor %v, want 4 and 4", h.Known(), h.RateDivisor())
 			}
 		}
 	})
@@ -152,18 +154,18 @@
 				t.Error(err)
 			}
 		})
-		s.await("a record is everywhere: "+value, has(value))
+		s.await("the record reaches all members: "+value, has(value))
 	}
 	s.do(func() {
 		if _, err := all[0].Publish("", "x"); err == nil {
-			t.Error("a record without a name is published")
+			t.Error("a record without a name was published")
 		}
 		all[2].Leave()
 		all[3].Leave()
 	})
 	s.await("the zone has left", func() bool {
 		for _, h := range all[:2] {
-			if w := zoneOf(h, west); w == nil || w.State != zonedirectory.Left || h.Live() != 2 {
+			if w := zoneView(h, west); w == nil || w.State != zonedirectory.Left || h.Live() != 2 {
 				return false
 			}
 		}
@@ -171,30 +173,30 @@
 	})
 }
 
-// The directory receives the view of the own zone where something has changed, and only then. The instances of
-// members that were never received are then known from the view.
+// localView returns the state of the own zone only after a change, and learns the instances of members that have not
+// sent a datagram from the view.
 func TestLocalViewFollowsChanges(t *testing.T) {
 	s := newHarness(t)
-	all := s.pairs()
+	all := s.twoZones()
 	s.do(func() {
 		h, other := all[0], all[1].self
 		if h.localView(s.loop.Now()); h.localView(s.loop.Now()) != nil {
-			t.Error("nothing has changed, and the view is handed on again")
+			t.Error("localView returns a state although nothing has changed")
 		}
 		delete(h.instances, other.ID)
 		h.zones.localSent = false
 		l := h.localView(s.loop.Now())
 		if l == nil || len(l.Members) != 2 || l.Live != 2 || h.instances[other.ID] != other.Instance {
-			t.Errorf("%+v, instance %d of %d", l, h.instances[other.ID], other.Instance)
+			t.Errorf("%+v, instance %d, want %d", l, h.instances[other.ID], other.Instance)
 		}
 	})
 }
 
-// Two members of one zone, whose only seed is in another zone, find each other through it.
+// Two members of one zone find each other through their only seed, which is in another zone.
 func TestJoinThroughAnotherZone(t *testing.T) {
 	s := newHarness(t)
-	w := s.inZone("w0", west)
-	a, b := s.inZone("e0", east, w.Addr()), s.inZone("e1", east, w.Addr())
+	w := s.startInZone("w0", west)
+	a, b := s.startInZone("e0", east, w.Addr()), s.startInZone("e1", east, w.Addr())
 	s.await(
 		"both know each other",
 		func() bool { return sees(a, "e1", membership.Alive) && sees(b, "e0", membership.Alive) },
@@ -206,11 +208,11 @@
 	})
 }
 
-// A member without zones has none of what belongs to them.
+// A member without zones has no zones and no records, and can't publish.
 func TestWithoutZones(t *testing.T) {
 	s := newHarness(t)
 	a, b := s.pair()
-	s.await("rates are divided by both", func() bool { return a.RateDivisor() == 2 })
+	s.await("both count in the rate divisor", func() bool { return a.RateDivisor() == 2 })
 	s.do(func() {
 		if _, err := a.Publish("limits", "one"); !errors.Is(err, ErrNoZones) {
 			t.Error(err)
@@ -222,37 +224,37 @@
 	})
 }
 
-// Replayed datagrams of directories are counted, and change nothing.
+// Replayed directory datagrams are counted as such, and have no other effect.
 func TestDirectoryReplays(t *testing.T) {
 	s := newHarness(t)
 	type datagram struct {
 		from netip.AddrPort
 		b    []byte
 	}
-	var kept []datagram
+	var received []datagram
 	var replay func(from netip.AddrPort, b []byte)
 	cfg := s.config("e0", east)
 	cfg.OpenSocket = func(addr netip.AddrPort, receive func(netip.AddrPort, []byte)) (Socket, error) {
 		if replay != nil {
-			return s.loop.ListenDatagrams(addr, receive) // by which it looks for an earlier process
+			return s.loop.ListenDatagrams(addr, receive) // the takeover socket
 		}
 		replay = receive
 		return s.loop.ListenDatagrams(addr, func(from netip.AddrPort, b []byte) {
-			kept = append(kept, datagram{from, bytes.Clone(b)})
+			received = append(received, datagram{from, bytes.Clone(b)})
 			receive(from, b)
 		})
 	}
 	a := s.start(cfg)
-	b := s.inZone("w0", west, a.Addr())
+	b := s.startInZone("w0", west, a.Addr())
 	keyring := newKeyring(t, 1)
-	// ofDirectory picks the datagrams between directories that are for this process.
-	ofDirectory := func() []datagram {
+	// directoryDatagrams returns the received directory datagrams that are addressed to this process.
+	directoryDatagrams := func() []datagram {
 		var out []datagram
-		for _, one := range kept {
-			if plain, err := keyring.Open(one.b); err == nil {
+		for _, candidate := range received {
+			if plain, err := keyring.Open(candidate.b); err == nil {
 				if d, err := packet.Decode(plain); err == nil && d.Directory != nil &&
 					d.ReceiverInstance == a.self.Instance {
-					out = append(out, one)
+					out = append(out, candidate)
 				}
 			}
 		}
@@ -260,16 +262,18 @@
 	}
 	s.await(
 		"directories have exchanged messages",
-		func() bool { return len(ofDirectory()) >= 3 && zoneOf(a, west) != nil && zoneOf(b, east) != nil },
+		func() bool {
+			return len(directoryDatagrams()) >= 3 && zoneView(a, west) != nil && zoneView(b, east) != nil
+		},
 	)
 	s.do(func() {
-		before, sent := a.Counts(), ofDirectory()
-		for _, one := range sent {
-			replay(one.from, one.b)
+		before, sent := a.Counts(), directoryDatagrams()
+		for _, d := range sent {
+			replay(d.from, d.b)
 		}
 		if now := a.Counts(); now.Received != before.Received || now.Replayed != before.Replayed+int64(len(sent)) ||
 			now.Sent != before.Sent {
-			t.Errorf("%d sent again: %+v, before %+v", len(sent), now, before)
+			t.Errorf("after %d replays: %+v, before: %+v", len(sent), now, before)
 		}
 	})
 }
