--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,31 +9,32 @@
 	"spurspread/internal/eventloop"
 )
 
-// callState is where a call is in its life:
+// callState is the state of a call:
 //
 //	callFetching ---------------------> callClosed
 //	callSubscribing --> callWatching --> callClosed
 //
-// A call is closed by its only object, its failure, or its client. Nothing is received or reported after that.
+// A call is closed when a fetch has received its object, when it fails, or by its client. A closed call receives and
+// reports nothing.
 type callState uint8
 
 const (
-	callFetching    callState = iota // waits for the one object of a fetch
+	callFetching    callState = iota // a fetch, which waits for its only object
 	callSubscribing                  // a watch that waits for its first object: the client's pendingWatch
-	callWatching                     // a watch that has brought an object: the client's watch
+	callWatching                     // a watch that has received an object: the client's watch
 	callClosed
 )
 
-// call is one HTTP call on a connection of its own. It implements eventloop.Owner.
+// call is one HTTP call, on its own connection. It implements eventloop.Owner.
 type call struct {
 	client   *Client
 	state    callState
 	conn     *eventloop.Conn
 	response responseParser
-	object   []byte // what has come of the object under way
+	object   []byte // received part of the current object
 	nesting  nestingScanner
-	scanned  int   // bytes of object that nesting has seen
-	err      error // what was wrong with the body
+	scanned  int   // number of bytes of object that nesting has scanned
+	err      error // error in the body
 	timer    eventloop.Ref
 }
 
@@ -43,10 +44,11 @@
 	return c
 }
 
-// isWatch reports whether the call is a watch that is not closed: its answer brings any number of objects.
+// isWatch reports whether the call is an open watch, whose response carries any number of objects.
 func (c *call) isWatch() bool { return c.state == callSubscribing || c.state == callWatching }
 
-// start connects and sends the request. A failure is reported in a later turn of the loop, never to the caller.
+// start connects and sends the request. A failure is reported in a later turn of the event loop, even if it is known at
+// once.
 func (c *call) start(target string) {
 	c.client.calls++
 	c.setTimeout(callTimeout)
@@ -60,7 +62,7 @@
 	conn.Write([]byte("GET "+target+" HTTP/1.1\r\nHost: "), []byte(c.client.addr.String()), []byte("\r\n\r\n"))
 }
 
-// setTimeout has the call fail after span, instead of any time set before.
+// setTimeout makes the call fail with ErrTimeout after span. It replaces the timeout set before.
 func (c *call) setTimeout(span eventloop.Micros) {
 	c.client.loop.Cancel(&c.timer)
 	c.timer = c.client.loop.After(span, func() { c.fail(ErrTimeout) })
@@ -84,7 +86,7 @@
 		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case errors.Is(err, io.EOF) && !c.isWatch() && c.response.completeAtEOF():
-			c.complete()
+			c.completeFetch()
 			return
 		case err != nil:
 			c.fail(err)
@@ -95,7 +97,7 @@
 	}
 }
 
-// receive parses bytes of the answer. What they bring may close the call.
+// receive parses bytes of the response. Handling them may close the call.
 func (c *call) receive(b []byte) {
 	err := c.response.feed(b)
 	if err == nil {
@@ -109,18 +111,19 @@
 	case c.isWatch():
 		c.fail(ErrWatchEnded)
 	default:
-		c.complete()
+		c.completeFetch()
 	}
 }
 
-// receiveBody takes bytes of the answer's body: of a fetch one object in all, of a watch objects that end with a line.
+// receiveBody handles bytes of the response body. The body of a fetch is one object; in that of a watch, each object
+// ends at the end of a line.
 func (c *call) receiveBody(b []byte) {
 	for len(b) > 0 && c.err == nil && c.state != callClosed {
 		lineEnd := bytes.IndexByte(b, '\n')
 		if !c.isWatch() || lineEnd < 0 {
 			c.object = append(c.object, b...)
 			if len(c.object) > maxObjectBytes {
-				c.err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, maxObjectBytes)
+				c.err = fmt.Errorf("%w: longer than %d bytes", ErrTooLarge, maxObjectBytes)
 			}
 			return
 		}
@@ -130,23 +133,23 @@
 	}
 }
 
-// endLine looks at a watch's object after each of its lines, and hands it on once it is complete. One that has grown
-// too large is handed on as it is, and found malformed.
+// endLine is called after each line of a watch. It passes on the current object once that is complete. An incomplete
+// object over maxObjectBytes is passed on as well, and found malformed.
 func (c *call) endLine() {
 	open := c.nesting.feed(c.object[c.scanned:])
 	if open && len(c.object) <= maxObjectBytes {
-		c.scanned = len(c.object) // an object may be indented, over many lines
+		c.scanned = len(c.object) // an indented object spans several lines
 		return
 	}
 	c.nesting = nestingScanner{}
 	c.scanned = 0
-	// A complete object or an empty line shows that discovery is alive; a line within an object does not, nor does an
-	// empty line before the first object.
+	// A complete object or an empty line (a heartbeat) restarts the timeout. A line within an object does not, nor does
+	// an empty line before the first object.
 	if c.state == callWatching {
 		c.setTimeout(watchIdleTimeout)
 	}
 	if text := bytes.TrimSpace(c.object); len(text) > 0 {
-		c.err = c.client.received(c, text)
+		c.err = c.client.applyObject(c, text)
 		if c.err == nil {
 			c.setTimeout(watchIdleTimeout)
 		}
@@ -154,23 +157,23 @@
 	c.object = c.object[:0]
 }
 
-// complete hands on the object of a fetch.
-func (c *call) complete() {
-	if err := c.client.received(c, c.object); err != nil {
+// completeFetch passes on the object of a fetch and closes the call.
+func (c *call) completeFetch() {
+	if err := c.client.applyObject(c, c.object); err != nil {
 		c.fail(err)
 		return
 	}
 	c.close()
 }
 
-// fail closes the call and has its client deal with the reason; nothing happens where it is closed already.
+// fail closes the call and passes the reason to its client. If the call is closed already, it does nothing.
 func (c *call) fail(reason error) {
 	if c.state == callClosed {
 		return
 	}
-	was := c.state
+	previous := c.state
 	c.close()
-	c.client.failed(was, reason)
+	c.client.handleFailure(previous, reason)
 }
 
 func (c *call) close() {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,57 +11,59 @@
 	targetsPath    = "/api/targets"
 	readBufferSize = 16 << 10 // bytes
 
-	// callTimeout is for a call's first object. Discovery serves calls one after another and rejects those that waited
-	// for a second; one that does not answer at all is given up soon enough for another before a change is due.
+	// callTimeout limits the wait for a call's first object. Discovery serves one call at a time and rejects a call
+	// that has waited for 1 s, so that it has answered by then if it works. The timeout leaves time for another call
+	// before a change has to take effect.
 	callTimeout eventloop.Micros = 1_500_000
-	// heartbeatInterval is how often an idle watch carries an empty line.
+	// heartbeatInterval is the time between the empty lines that discovery sends on an idle watch.
 	heartbeatInterval eventloop.Micros = 2_000_000
-	// watchIdleTimeout ends a watch without object or heartbeat.
+	// watchIdleTimeout limits the time without an object or heartbeat on an established watch.
 	watchIdleTimeout = heartbeatInterval + 800_000
-	// addressChangeWindow is for how long failed calls at a new address are retried here: what is published there has
-	// to take effect 4 s after the address was given, and the user's own polling intervals are longer.
+	// addressChangeWindow is the time after a change of address in which the client itself retries failed watches: the
+	// list published at the new address has to take effect within 4 s, and the caller's polling intervals are longer.
 	addressChangeWindow eventloop.Micros = 4_000_000
-	// addressChangeRetryDelay is the pause before such a retry.
+	// addressChangeRetryDelay is the delay before such a retry.
 	addressChangeRetryDelay eventloop.Micros = 150_000
 )
 
-// Watcher receives what a Client learns. Its methods are called on the event loop, and may call the Client.
+// Watcher is notified of updates and failures. Its methods are called on the event loop, and may call the Client unless
+// stated otherwise.
 type Watcher interface {
-	// ListUpdated brings an update that has been applied to the server list.
+	// ListUpdated reports an update, after it has been applied to the server list.
 	ListUpdated(update Update)
-	// Failed reports that a call failed or that the watch ended, with the reason.
+	// Failed reports that a call has failed or that the watch has ended, with the reason.
 	Failed(reason error)
-	// WatchStateChanged reports a new state of the subscription and the one before it, with the reason if a failure is the
-	// cause, else nil. It comes before Listed or Failed of the same event, and must not call the Client but for Status.
+	// WatchStateChanged reports a change of the subscription's state. reason is the failure that caused it, or nil. It
+	// is called before Listed or Failed of the same event, and may call only the Client's Status method.
 	WatchStateChanged(before WatchState, now Status, reason error)
 }
 
-// Client watches or fetches the server list. All of its methods must be called on the event loop.
+// Client watches or fetches the server list. Its methods must be called on the event loop.
 type Client struct {
 	loop       *eventloop.Loop
 	addr       netip.AddrPort
 	list       *ServerList
 	watcher    Watcher
-	generation uint64 // version of the list, as counted by the discovery that published it
+	generation uint64 // version of the list, assigned by the discovery service that published it
 
-	watch        *call // the established watch; nil where there is none
-	pendingWatch *call // a watch without its first object; nil where there is none
+	watch        *call // the established watch; nil if there is none
+	pendingWatch *call // a watch that has not received its first object; nil if there is none
 
-	// addressChanged is set from a change of address until the first object comes from there: till then the list, its
-	// generation and the established watch are those of the address before.
+	// addressChanged is true from a change of address until the first object arrives from the new one. Until then the
+	// list, its generation and the established watch are those of the previous address.
 	addressChanged bool
-	retryUntil     eventloop.Micros // until when a failed watch at a changed address is retried
+	retryUntil     eventloop.Micros // end of the addressChangeWindow
 	retryTimer     eventloop.Ref
 
-	calls         int              // made so far
-	reportedState WatchState       // the last one that the watcher was told
-	lastObjectAt  eventloop.Micros // 0: none has come
-	lastByteAt    eventloop.Micros // of any call; 0: none has come
+	calls         int              // number of calls made
+	reportedState WatchState       // last state reported to the watcher
+	lastObjectAt  eventloop.Micros // 0: none received yet
+	lastByteAt    eventloop.Micros // of any call; 0: none received yet
 
 	readBuffer []byte
 }
 
-// NewClient returns a client that makes no call yet.
+// NewClient returns a client. It makes no call before Watch or Fetch.
 func NewClient(loop *eventloop.Loop, addr netip.AddrPort, list *ServerList, watcher Watcher) *Client {
 	return &Client{
 		loop:       loop,
@@ -72,15 +74,15 @@
 	}
 }
 
-// Restore applies a list that was stored before the process started. It returns ErrMalformedList where it can't.
+// Restore applies a list that an earlier process has stored. It returns ErrMalformedList if the list can't be parsed.
 func (d *Client) Restore(text []byte) (Update, error) {
 	update, err := d.list.Apply(text)
 	d.generation = update.Generation
 	return update, err
 }
 
-// Snapshot is the current list in discovery's own JSON form, with the address that published it. The text is nil from
-// a change of address until the new one has answered: the generation that the list would have there is not known.
+// Snapshot returns the current list in discovery's JSON format and the address that published it. From a change of
+// address until the new address has answered, the JSON is nil: the list's generation there is not known yet.
 func (d *Client) Snapshot() (netip.AddrPort, []byte) {
 	if d.addressChanged {
 		return d.addr, nil
@@ -88,8 +90,8 @@
 	return d.addr, d.list.Snapshot(d.generation)
 }
 
-// Watch subscribes to changes. Where a watch is established already it stays until the new one has brought its first
-// object, so that no change falls between them.
+// Watch subscribes to changes. An established watch continues until the new one has received its first object, so that
+// no change is missed in between.
 func (d *Client) Watch() {
 	if d.pendingWatch != nil {
 		d.pendingWatch.close()
@@ -101,8 +103,8 @@
 	d.reportState(nil)
 }
 
-// resumeGeneration is the generation after which a new watch starts; 0 requests the full list. Generations of another
-// address mean nothing to this one.
+// resumeGeneration returns the generation after which a new watch is to continue; 0 requests the full list. It is 0
+// after a change of address, since each discovery service numbers its generations independently.
 func (d *Client) resumeGeneration() uint64 {
 	if d.addressChanged {
 		return 0
@@ -110,11 +112,11 @@
 	return d.generation
 }
 
-// Watching reports whether a watch is established, pending or about to be retried.
+// Watching reports whether a watch is established, pending or scheduled for a retry.
 func (d *Client) Watching() bool { return d.watch != nil || d.pendingWatch != nil || d.retryTimer != 0 }
 
-// ChangeAddress watches another address from now on. The list stays as it is, and so does the watch at the old
-// address, until the new one has brought its full list or the old one ends the watch.
+// ChangeAddress starts a watch at another address. The list, and the watch at the old address unless it ends, are kept
+// until the full list has arrived from the new address.
 func (d *Client) ChangeAddress(addr netip.AddrPort) {
 	d.addr = addr
 	d.addressChanged = true
@@ -122,7 +124,7 @@
 	d.Watch()
 }
 
-// StopWatching ends the subscription.
+// StopWatching closes the established and the pending watch, and cancels a scheduled retry.
 func (d *Client) StopWatching() {
 	d.loop.Cancel(&d.retryTimer)
 	for _, c := range []*call{d.watch, d.pendingWatch} {
@@ -135,17 +137,17 @@
 	d.reportState(nil)
 }
 
-// Fetch requests the full list once.
+// Fetch requests the full list once, independently of a watch.
 func (d *Client) Fetch() { newCall(d, callFetching).start(targetsPath) }
 
-// received applies one object that c brought. The first object of a pending watch makes it the established one.
-func (d *Client) received(c *call, text []byte) error {
+// applyObject applies one object received by c. The first object of a pending watch makes it the established watch.
+func (d *Client) applyObject(c *call, text []byte) error {
 	first := c.state == callSubscribing
 	switch {
 	case first && d.addressChanged:
 		d.addressChanged = false
 	case d.watch != nil && d.watch != c:
-		text = d.skipIfBehind(text)
+		text = d.skipIfOutdated(text)
 	}
 	update, err := d.list.Apply(text)
 	if err != nil {
@@ -161,9 +163,9 @@
 	return nil
 }
 
-// skipIfBehind replaces an object that is older than the list by an empty one of the list's generation: while one
-// watch is established, another call may be answered from before that watch's last object.
-func (d *Client) skipIfBehind(text []byte) []byte {
+// skipIfOutdated replaces an object that is older than the list by an empty update of the list's generation. While one
+// watch is established, the response to another call may be older than that watch's last object.
+func (d *Client) skipIfOutdated(text []byte) []byte {
 	generation, err := parseGeneration(text)
 	if err == nil && generation < d.generation {
 		return fmt.Appendf(nil, `{"generation":%d}`, d.generation)
@@ -171,7 +173,7 @@
 	return text
 }
 
-// establish puts c in the place of the watch before it.
+// establish makes c the established watch and closes the previous one.
 func (d *Client) establish(c *call) {
 	if d.watch != nil {
 		d.watch.close()
@@ -181,9 +183,9 @@
 	d.pendingWatch = nil
 }
 
-// failed handles the failure of a call that was in the given state. A failure is reported, unless another watch is on
-// its way: then that one's outcome counts.
-func (d *Client) failed(state callState, reason error) {
+// handleFailure handles the failure of a call that was in the given state. The failure is reported to the watcher,
+// unless another watch is pending or scheduled: then only the outcome of that one is.
+func (d *Client) handleFailure(state callState, reason error) {
 	switch state {
 	case callWatching:
 		d.watch = nil
@@ -203,8 +205,8 @@
 	d.watcher.Failed(reason)
 }
 
-// retriesChangedAddress decides that a failed watch is retried without reporting it: while a changed address has not
-// answered, for addressChangeWindow after the change.
+// retriesChangedAddress reports whether a failed watch is retried without reporting the failure: after a change of
+// address, for addressChangeWindow and until the new address has answered.
 func (d *Client) retriesChangedAddress() bool {
 	return d.addressChanged && d.loop.Now() < d.retryUntil
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,8 +12,8 @@
 	"spurspread/internal/eventloop"
 )
 
-// recordingWatcher is a Watcher that records a text for each update or failure.
-// Its states are the transitions of the subscription, which only some tests read.
+// recordingWatcher is a Watcher that sends a text for each update or failure to events, and one for each change of the
+// subscription's state to states. Only some tests read states.
 type recordingWatcher struct {
 	events chan string
 	states chan string
@@ -45,18 +45,18 @@
 			t.Fatalf("reported %q, want %q", got, text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%q is not reported", text)
+		t.Fatalf("not reported: %q", text)
 	}
 }
 
-// fakeDiscovery is a listener at which a test answers the client's calls.
+// fakeDiscovery is a listener on which a test answers the client's calls.
 type fakeDiscovery struct {
 	*net.TCPListener
 	t *testing.T
 }
 
-// call accepts the next call, checks its request and answers it.
-func (f fakeDiscovery) call(request, answer string) net.Conn {
+// call accepts the next call, checks its request target and answers it.
+func (f fakeDiscovery) call(target, answer string) net.Conn {
 	f.t.Helper()
 	_ = f.SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := f.Accept()
@@ -66,8 +66,8 @@
 	f.t.Cleanup(func() { _ = c.Close() })
 	buf := make([]byte, 1000)
 	n, _ := c.Read(buf)
-	if want := "GET " + request + " HTTP/1.1\r\nHost: " + f.Addr().String() + "\r\n\r\n"; string(buf[:n]) != want {
-		f.t.Fatalf("request %q, want %q", buf[:n], request)
+	if want := "GET " + target + " HTTP/1.1\r\nHost: " + f.Addr().String() + "\r\n\r\n"; string(buf[:n]) != want {
+		f.t.Fatalf("request %q, want target %q", buf[:n], target)
 	}
 	_, _ = c.Write([]byte(answer))
 	return c
@@ -89,6 +89,7 @@
 
 func (f fakeDiscovery) addr() netip.AddrPort { return netip.MustParseAddrPort(f.Addr().String()) }
 
+// start starts a fake discovery service and a client of it, on a running event loop.
 func start(t *testing.T) (fakeDiscovery, recordingWatcher, *eventloop.Loop, *Client) {
 	t.Helper()
 	f := newFakeDiscovery(t)
@@ -109,8 +110,9 @@
 	return f, w, l, d
 }
 
-// watching is start with an established watch that has brought the full list; conn is discovery's end of it.
-func watching(t *testing.T) (f fakeDiscovery, w recordingWatcher, l *eventloop.Loop, d *Client, conn net.Conn) {
+// startWatching is start with an established watch that has received the full list. conn is discovery's end of the
+// watch.
+func startWatching(t *testing.T) (f fakeDiscovery, w recordingWatcher, l *eventloop.Loop, d *Client, conn net.Conn) {
 	t.Helper()
 	f, w, l, d = start(t)
 	l.Post(d.Watch)
@@ -119,37 +121,38 @@
 	return f, w, l, d, conn
 }
 
-// A new watch continues from the generation held, and the established one stays until the new one has answered.
+// A new watch continues from the list's generation. The established watch continues until the new one has received an
+// object, so that no update is missed.
 func TestNewWatchLeavesNoGap(t *testing.T) {
-	f, w, l, d, first := watching(t)
+	f, w, l, d, first := startWatching(t)
 	l.Post(d.Watch)
 	second := f.call("/api/targets?stream=1&index=41", "")
-	_, _ = first.Write([]byte(chunk("") + chunk(`{"generation":43,"instances":[`+two+`]}`)))
-	w.want(t, "43 s2") // the established one still counts
-	_, _ = second.Write([]byte(watchHead + chunk(`{"generation":42,"instances":[`+one+`]}`)))
-	w.want(t, "43") // older than the list: an answer that changes nothing
+	_, _ = first.Write([]byte(chunk("") + chunk(`{"generation":43,"instances":[`+server2+`]}`)))
+	w.want(t, "43 s2") // from the established watch
+	_, _ = second.Write([]byte(watchHead + chunk(`{"generation":42,"instances":[`+server1+`]}`)))
+	w.want(t, "43") // an object older than the list changes nothing
 	if n, err := first.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Fatal("the old watch is not closed")
 	}
-	_, _ = second.Write([]byte(chunk(`{"generation":44,"instances":[` + one + `]}`)))
+	_, _ = second.Write([]byte(chunk(`{"generation":44,"instances":[` + server1 + `]}`)))
 	w.want(t, "44 s1")
 	_ = second.Close()
 	w.want(t, "failed")
 }
 
-// A new address, whose generations are its own, gets a request for the full list, retried where it fails. Until it has
-// answered, updates from the old one count; the end of that watch is no failure.
+// After a change of address the client requests the full list, since generations differ, and retries a failed request.
+// Until the new address has answered, updates from the old one are applied, and the end of the old watch is no failure.
 func TestChangeAddress(t *testing.T) {
-	_, w, l, d, old := watching(t)
+	_, w, l, d, old := startWatching(t)
 	next := newFakeDiscovery(t)
 	l.Post(func() { d.ChangeAddress(next.addr()) })
 	next.call("/api/targets?stream=1&index=0", "HTTP/1.1 503 Busy\r\n\r\n")
-	_, _ = old.Write([]byte(chunk(`{"generation":43,"instances":[` + two + `]}`)))
+	_, _ = old.Write([]byte(chunk(`{"generation":43,"instances":[` + server2 + `]}`)))
 	w.want(t, "43 s2")
 	_ = old.Close()
 	live := next.call("/api/targets?stream=1&index=0", watchHead+chunk(strings.Replace(fullList, "41", "7", 1)))
 	w.want(t, "7 s1 s2")
-	_, _ = live.Write([]byte(chunk(`{"generation":8,"instances":[` + one + `]}`)))
+	_, _ = live.Write([]byte(chunk(`{"generation":8,"instances":[` + server1 + `]}`)))
 	w.want(t, "8 s1")
 	_ = live.Close()
 	w.want(t, "failed")
@@ -157,7 +160,7 @@
 	next.call("/api/targets?stream=1&index=8", "")
 }
 
-// A call that is rejected, or a watch that breaks or brings what can't be parsed, is reported as one failure.
+// A rejected call, a watch that ends and a malformed response are each reported as one failure.
 func TestFailures(t *testing.T) {
 	for name, answer := range map[string]string{
 		"503": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "garbage": "\x00\xff\r\n\r\n\r\n\r\n",
@@ -182,21 +185,21 @@
 	w.want(t, "failed")
 }
 
-// A watch without heartbeats fails, though its connection is open.
+// A watch without heartbeats fails, even while its connection is open.
 func TestSilentWatchFails(t *testing.T) {
-	_, w, _, _, _ := watching(t)
+	_, w, _, _, _ := startWatching(t)
 	w.want(t, "failed")
 }
 
-// indentedObject is an object as some services print it, with all that could be mistaken for its end.
+// indentedObject is an indented object whose text contains everything that could be mistaken for its end.
 const indentedObject = "{\n  \"generation\": 41,\n  \"reset\": true,\n\n  \"note\": \"}]\\\" {\",\n" +
 	"  \"instances\": [\n    " +
-	one + ",\n    " + two + "\n  ]\n}"
+	server1 + ",\n    " + server2 + "\n  ]\n}"
 
-// Objects on a watch may span lines, with empty ones between and within, however their bytes are split.
+// Objects on a watch may span lines, with empty lines between and within them, and arrive in parts of any size.
 func TestIndentedObjectsOnAWatch(t *testing.T) {
 	withCRLF := strings.ReplaceAll(indentedObject, "\n", "\r\n")
-	text := indentedObject + "\n\n" + `{"generation":42,"instances":[` + one + "]}\n" + withCRLF + "\r\n"
+	text := indentedObject + "\n\n" + `{"generation":42,"instances":[` + server1 + "]}\n" + withCRLF + "\r\n"
 	for step := 1; step <= len(text); step++ {
 		c, w := newPendingWatch(t)
 		for at := 0; at < len(text); at += step {
@@ -211,7 +214,7 @@
 	}
 }
 
-// newPendingWatch is a watch without an answer; it has no connection.
+// newPendingWatch returns a watch that has received no response. It has no connection.
 func newPendingWatch(t *testing.T) (*call, recordingWatcher) {
 	t.Helper()
 	l, err := eventloop.New()
@@ -225,13 +228,13 @@
 	return d.pendingWatch, w
 }
 
-// An object that never ends is bounded, also where it comes in short lines.
+// An object that never ends fails the watch at maxObjectBytes, also if it consists of short lines.
 func TestObjectWithoutEnd(t *testing.T) {
 	c, _ := newPendingWatch(t)
 	c.receiveBody([]byte("{\n"))
 	for part := []byte(strings.Repeat("1", 1000) + "\n"); c.err == nil; c.receiveBody(part) {
 		if len(c.object) > maxObjectBytes+2000 {
-			t.Fatalf("%d bytes are kept", len(c.object))
+			t.Fatalf("%d bytes are buffered", len(c.object))
 		}
 	}
 	if !errors.Is(c.err, ErrMalformedList) {
@@ -244,12 +247,12 @@
 	}
 }
 
-// A watch that keeps sending but never completes an object fails like one that is silent, and what it sends is
-// bounded.
+// A watch that keeps sending but never completes an object fails like a silent one, or as soon as the object is too
+// large.
 func TestWatchWithoutEnd(t *testing.T) {
 	for name, c := range map[string]struct {
-		part string
-		rest time.Duration
+		part  string
+		pause time.Duration // after each part
 	}{
 		"line by line":  {`"x": 1,`, 200 * time.Millisecond},
 		"at full speed": {strings.Repeat("x", 1<<20), 0},
@@ -264,41 +267,42 @@
 				if _, err := conn.Write([]byte(chunk(c.part))); err != nil {
 					break // the client has closed it
 				}
-				if sent == 64 { // twelve seconds, or sixteen times what an object may hold
+				if sent == 64 { // twelve seconds, or sixteen times maxObjectBytes
 					t.Fatal("the watch is not closed")
 				}
-				time.Sleep(c.rest)
+				time.Sleep(c.pause)
 			}
 			w.want(t, "failed")
 		})
 	}
 }
 
-// A new watch that is silent, too, fails by a timeout of its own, and so does one that answers without an object.
+// After a silent watch has failed, a new watch that is silent too fails by its own timeout, and so does one that sends
+// heartbeats but no object.
 func TestNewWatchSilentToo(t *testing.T) {
-	f, w, l, d, _ := watching(t)
+	f, w, l, d, _ := startWatching(t)
 	w.want(t, "failed")
 	l.Post(d.Watch)
 	second := f.call("/api/targets?stream=1&index=41", watchHead)
-	for sent := 0; ; sent++ { // heartbeats alone must not keep an old list for ever
+	for sent := 0; ; sent++ { // heartbeats alone must not keep an outdated list in use forever
 		if _, err := second.Write([]byte(chunk(""))); err != nil {
 			break
 		}
 		if sent == 60 {
-			t.Fatal("a watch that brings no list is not closed")
+			t.Fatal("a watch without an object is not closed")
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	w.want(t, "failed")
 	l.Post(d.Watch)
-	f.call("/api/targets?stream=1&index=41", watchHead+chunk(`{"generation":43,"instances":[`+two+`]}`))
+	f.call("/api/targets?stream=1&index=41", watchHead+chunk(`{"generation":43,"instances":[`+server2+`]}`))
 	w.want(t, "43 s2")
 }
 
-// A change of address while the watch is silent, and another before the new address has answered: only the last
-// counts, and its generations are its own though they are lower.
+// After two changes of address, the second before the first new address has answered, only the last address is used.
+// Its list is applied although its generations are lower than those of the first address.
 func TestChangeAddressTwice(t *testing.T) {
-	_, w, l, d, _ := watching(t)
+	_, w, l, d, _ := startWatching(t)
 	second, third := newFakeDiscovery(t), newFakeDiscovery(t)
 	l.Post(func() { d.ChangeAddress(second.addr()) })
 	late := second.call("/api/targets?stream=1&index=0", "")
@@ -308,18 +312,19 @@
 	}
 	live := third.call(
 		"/api/targets?stream=1&index=0",
-		watchHead+chunk(`{"generation":3,"reset":true,"instances":[`+two+`]}`),
+		watchHead+chunk(`{"generation":3,"reset":true,"instances":[`+server2+`]}`),
 	)
 	w.want(t, "3 s2")
-	_, _ = live.Write([]byte(chunk(`{"generation":4,"instances":[` + one + `]}`)))
+	_, _ = live.Write([]byte(chunk(`{"generation":4,"instances":[` + server1 + `]}`)))
 	w.want(t, "4 s1")
 }
 
-// The states of a subscription and what is known of the list, from the first request to the end of the watch.
+// Each change of the subscription's state is reported, from the first request to the end of the watch, and Status
+// returns the resulting status.
 func TestWatchStatesAreReported(t *testing.T) {
-	f, w, l, d, conn := watching(t)
+	f, w, l, d, conn := startWatching(t)
 	l.Post(d.Watch)
-	second := f.call("/api/targets?stream=1&index=41", watchHead+chunk(`{"generation":42,"instances":[`+one+`]}`))
+	second := f.call("/api/targets?stream=1&index=41", watchHead+chunk(`{"generation":42,"instances":[`+server1+`]}`))
 	w.want(t, "42 s1")
 	_ = conn.Close()
 	_ = second.Close()
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -2,18 +2,19 @@
 
 import "errors"
 
-// Why a call failed, as reported to Watcher.Failed, beside errors of the connection itself.
+// Errors reported to Watcher.Failed, in addition to errors of the connection.
 var (
-	// ErrTimeout reports a call without an answer, or a watch without a heartbeat, in time.
+	// ErrTimeout means that a call was not answered in time, or that a watch had no object or heartbeat for too long.
 	ErrTimeout = errors.New("discovery: no answer in time")
-	// ErrStatus reports an HTTP status other than 200.
+	// ErrStatus means an HTTP status other than 200.
 	ErrStatus = errors.New("discovery: call rejected")
-	// ErrMalformedResponse reports an answer that is not the HTTP/1.1 that is understood here.
+	// ErrMalformedResponse means a response that is not valid HTTP/1.1, or uses a feature that the parser does not
+	// support.
 	ErrMalformedResponse = errors.New("discovery: malformed HTTP response")
-	// ErrTooLarge reports an object over 4 MiB.
+	// ErrTooLarge means an object over 4 MiB.
 	ErrTooLarge = errors.New("discovery: object too large")
-	// ErrWatchEnded reports a watch that discovery ended in good order.
+	// ErrWatchEnded means that discovery has ended the response of a watch normally.
 	ErrWatchEnded = errors.New("discovery: watch ended")
-	// ErrMalformedList reports an object that can't be read as a server list; the list stays as it was.
+	// ErrMalformedList means an object that can't be parsed as a server list. The list is not changed.
 	ErrMalformedList = errors.New("discovery's list is malformed")
 )
--- a/internal/discovery/json.go
+++ b/internal/discovery/json.go
@@ -8,14 +8,14 @@
 	"github.com/tidwall/gjson"
 )
 
-// Discovery's words for a server's state.
+// Values of the lifecycle field.
 const (
 	lifecycleReady       = "Ready"
 	lifecycleTerminating = "Terminating"
 	lifecycleGone        = "Gone"
 )
 
-// serverJSON is a server in discovery's form.
+// serverJSON is a server in discovery's JSON format.
 type serverJSON struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -27,21 +27,21 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// updateJSON is a full list in discovery's form.
+// updateJSON is a full list in discovery's JSON format.
 type updateJSON struct {
 	Generation uint64       `json:"generation"`
-	Reset      bool         `json:"reset"` // the list is full
+	Reset      bool         `json:"reset"` // whether Instances is the full list
 	Instances  []serverJSON `json:"instances"`
 }
 
-// parsedUpdate is one of discovery's objects.
+// parsedUpdate is a parsed object from discovery.
 type parsedUpdate struct {
 	generation uint64
 	full       bool
-	servers    []Server // without their numbers
+	servers    []Server // without numbers
 }
 
-// parseUpdate reads one of discovery's objects. Unknown fields are ignored.
+// parseUpdate parses an object from discovery. Unknown fields are ignored.
 func parseUpdate(text []byte) (parsedUpdate, error) {
 	root := gjson.ParseBytes(text)
 	if !gjson.ValidBytes(text) || !root.IsObject() {
@@ -66,7 +66,7 @@
 	return update, nil
 }
 
-// parseGeneration reads only an object's generation.
+// parseGeneration parses only the generation of an object.
 func parseGeneration(text []byte) (uint64, error) {
 	generation := gjson.GetBytes(text, "generation")
 	if generation.Type != gjson.Number {
@@ -75,7 +75,8 @@
 	return generation.Uint(), nil
 }
 
-// parseServer reads one server. An address that can't be read is none: the server is listed, and can't be connected to.
+// parseServer parses one server. If its address can't be parsed, the server is listed without a valid address and can't
+// be connected to.
 func parseServer(item gjson.Result) (Server, error) {
 	id := item.Get("instanceId")
 	if id.Type != gjson.String || id.Str == "" {
@@ -118,7 +119,8 @@
 	return Ready, false
 }
 
-// Snapshot is the list as discovery would publish it at a generation, without servers that are gone.
+// Snapshot returns the full list in discovery's JSON format, with the given generation and without servers that are
+// gone.
 func (l *ServerList) Snapshot(generation uint64) []byte {
 	full := updateJSON{Generation: generation, Reset: true, Instances: []serverJSON{}}
 	for _, server := range l.servers {
@@ -130,7 +132,7 @@
 	return text
 }
 
-// toJSON is a server that is not gone in discovery's form.
+// toJSON converts a server, which must not be Gone, to discovery's JSON format.
 func (s *Server) toJSON() serverJSON {
 	lifecycle := lifecycleReady
 	if s.State == Terminating {
--- a/internal/discovery/nesting.go
+++ b/internal/discovery/nesting.go
@@ -1,12 +1,13 @@
 package discovery
 
-// nestingScanner counts how deep in braces and brackets a JSON text is, to find the end of an object that spans lines.
+// nestingScanner tracks the nesting depth of braces and brackets in JSON text, to find the end of an object that spans
+// several lines.
 type nestingScanner struct {
 	depth             int
 	inString, escaped bool
 }
 
-// feed scans further bytes and reports whether the object is still open behind them.
+// feed scans the next bytes and reports whether the object is still open after them.
 func (n *nestingScanner) feed(b []byte) (open bool) {
 	for _, c := range b {
 		switch {
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxHeadBytes   = 4096    // of the response's head, and of a chunk's size line
-	maxObjectBytes = 4 << 20 // of one JSON object; some ten thousand servers
+	maxHeadBytes   = 4096    // limit for the response head, a chunk's size line and a trailer line
+	maxObjectBytes = 4 << 20 // limit for one JSON object; enough for about ten thousand servers
 
 	headEnd = "\r\n\r\n"
 
-	// untilEOF is the length of a body that lasts until the connection ends.
+	// untilEOF stands for the length of a body that ends with the connection.
 	untilEOF = -1
 )
 
-// parseState is which part of a response comes next.
+// parseState is the part of a response that is parsed next.
 type parseState uint8
 
 const (
@@ -26,21 +26,21 @@
 	stateChunk
 	stateChunkEnd
 	stateTrailer
-	stateBody // a body that is not in chunks
+	stateBody // a body without chunked encoding
 	stateComplete
 )
 
-// responseParser parses one HTTP/1.1 response, however its bytes are split, and hands on the bytes of its body. It
-// understands what discovery sends: a body in chunks, of a known length, or until the connection ends.
+// responseParser parses one HTTP/1.1 response incrementally, in parts of any size, and passes on the bytes of its body.
+// The body may be chunked, have a content length, or end with the connection.
 type responseParser struct {
 	state     parseState
-	line      []byte       // what has come of the head, or of the line of a chunk's size or trailer
-	remaining int          // bytes of the chunk or body still to come, or untilEOF
+	line      []byte       // received part of the head, or of a chunk size or trailer line
+	remaining int          // bytes left of the chunk or body, or untilEOF
 	onBody    func([]byte) // called with each part of the body
 }
 
-// feed parses further bytes. What follows a complete response is ignored. It returns ErrStatus or
-// ErrMalformedResponse, after which the parser must not be used.
+// feed parses the next bytes. Bytes after a complete response are ignored. After an error, which wraps ErrStatus or
+// ErrMalformedResponse, the parser must not be used any more.
 func (r *responseParser) feed(b []byte) error {
 	for len(b) > 0 && r.state != stateComplete {
 		var err error
@@ -71,7 +71,7 @@
 	end := bytes.Index(r.line, []byte(headEnd))
 	if end < 0 {
 		if len(r.line) >= maxHeadBytes {
-			return nil, malformed("head over %d bytes", maxHeadBytes)
+			return nil, malformed("head longer than %d bytes", maxHeadBytes)
 		}
 		return nil, nil
 	}
@@ -82,7 +82,7 @@
 	return b[end+len(headEnd)-before:], nil
 }
 
-// feedLine takes the line before a chunk, or one of the trailer.
+// feedLine parses part of a chunk size line or trailer line.
 func (r *responseParser) feedLine(b []byte) ([]byte, error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -91,7 +91,7 @@
 		r.line = append(r.line, b[:end]...)
 	}
 	if len(r.line) > maxHeadBytes {
-		return nil, malformed("chunk line over %d bytes", maxHeadBytes)
+		return nil, malformed("chunk line longer than %d bytes", maxHeadBytes)
 	}
 	if end < 0 {
 		return nil, nil
@@ -103,14 +103,14 @@
 	return b[end+1:], nil
 }
 
-// feedChunkEnd takes a byte of the line end behind a chunk.
+// feedChunkEnd parses one byte of the line end after a chunk.
 func (r *responseParser) feedChunkEnd(b []byte) ([]byte, error) {
 	switch b[0] {
 	case '\n':
 		r.state = stateChunkSize
 	case '\r':
 	default:
-		return nil, malformed("byte %q behind a chunk", b[0])
+		return nil, malformed("unexpected byte %q after a chunk", b[0])
 	}
 	return b[1:], nil
 }
@@ -128,7 +128,7 @@
 	return b[len(part):]
 }
 
-// endBody follows the last byte of a chunk, or of a body of known length.
+// endBody is called after the last byte of a chunk, or of a body with a content length.
 func (r *responseParser) endBody() {
 	if r.state == stateChunk {
 		r.state = stateChunkEnd
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// parseField reads the header fields that determine the body's length.
+// parseField parses a header field, if it determines the length of the body.
 func (r *responseParser) parseField(name, value string) error {
 	switch name {
 	case "transfer-encoding":
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// parseLine reads the line before a chunk, or one of the trailer, which ends with an empty line.
+// parseLine parses a chunk size line, or a line of the trailer, which ends with an empty line.
 func (r *responseParser) parseLine(text string) error {
 	if r.state == stateTrailer {
 		if text == "" {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// completeAtEOF reports whether the response is complete where the connection ends now.
+// completeAtEOF reports whether the response is complete if the connection ends now.
 func (r *responseParser) completeAtEOF() bool {
 	return r.state == stateComplete || r.state == stateBody && r.remaining == untilEOF
 }
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// However the bytes of a response are split, its body comes out complete.
+// The body is passed on completely, whatever the sizes of the parts in which a response arrives.
 func TestResponseSplits(t *testing.T) {
 	for name, c := range map[string]struct{ in, body string }{
 		"chunked": {
@@ -31,6 +31,7 @@
 	}
 }
 
+// Responses that are malformed, or have another status than 200, are rejected.
 func TestResponseMalformed(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for in, want := range map[string]error{
--- a/internal/discovery/serverlist.go
+++ b/internal/discovery/serverlist.go
@@ -2,38 +2,38 @@
 
 import "net/netip"
 
-// ServerState is a server's state as discovery lists it.
+// ServerState is the state of a server according to discovery.
 type ServerState uint8
 
-// The listed states.
+// States of a server.
 const (
-	Ready       ServerState = iota // takes new connections
-	Terminating                    // keeps its connections for a while, takes no new ones
-	Gone                           // not listed any more
+	Ready       ServerState = iota // accepts new connections
+	Terminating                    // keeps its connections for a while, but accepts no new ones
+	Gone                           // no longer listed
 )
 
-// Server is one server that connections can be made to.
+// Server describes one server.
 type Server struct {
-	Number        uint32         // its index in the list; stays for as long as the process runs
-	ID            string         // its instance id
-	Addr          netip.AddrPort // not valid where the published one could not be read
+	Number        uint32         // index in the ServerList; does not change while the process runs
+	ID            string         // instance ID
+	Addr          netip.AddrPort // not valid if the published address could not be parsed
 	Zone          string
 	MachineType   string
 	Cell          uint64
 	State         ServerState
 	Weight        float64
-	StartedMillis int64 // when it started, Unix milliseconds; 0: in the distant past
+	StartedMillis int64 // start time, Unix milliseconds; 0 means long ago
 }
 
-// Update is one change of the list.
+// Update is one update of the list.
 type Update struct {
-	Generation uint64    // version of the list behind it
-	Full       bool      // the update names all servers: others are gone
-	Servers    []*Server // as they are behind the update
+	Generation uint64    // version of the list after the update
+	Full       bool      // whether the update lists all servers: all others are gone
+	Servers    []*Server // the updated servers, in their state after the update
 }
 
-// ServerList is all servers that were ever named to this process. A server keeps its number and its address in memory
-// when it changes, and none is removed: its State becomes Gone.
+// ServerList holds every server that was ever listed to this process. A server that changes keeps its number and its
+// *Server. No server is removed from the list: it becomes Gone instead.
 type ServerList struct {
 	servers []*Server // by number
 	byID    map[string]*Server
@@ -42,10 +42,10 @@
 // NewServerList returns an empty list.
 func NewServerList() *ServerList { return &ServerList{byID: map[string]*Server{}} }
 
-// ByID finds a server by its instance id; nil where there is none.
+// ByID returns the server with the given instance ID, nil if there is none.
 func (l *ServerList) ByID(id []byte) *Server { return l.byID[string(id)] }
 
-// ByNumber finds a server by its number; nil where there is none.
+// ByNumber returns the server with the given number, nil if there is none.
 func (l *ServerList) ByNumber(number uint32) *Server {
 	if int(number) >= len(l.servers) {
 		return nil
@@ -53,7 +53,7 @@
 	return l.servers[number]
 }
 
-// Apply parses one of discovery's JSON objects and applies it. Where it returns ErrMalformedList nothing is changed.
+// Apply parses a JSON object from discovery and applies it. If it returns ErrMalformedList, nothing has changed.
 func (l *ServerList) Apply(text []byte) (Update, error) {
 	parsed, err := parseUpdate(text)
 	if err != nil {
@@ -71,15 +71,15 @@
 	return update, nil
 }
 
-// put adds or replaces one server, by its id, and returns its place in the list.
+// put adds a server, or replaces the one with its ID, and returns the entry in the list.
 func (l *ServerList) put(server Server) *Server {
-	place := l.byID[server.ID]
-	if place == nil {
-		place = &Server{Number: uint32(len(l.servers))}
-		l.servers = append(l.servers, place)
-		l.byID[server.ID] = place
+	entry := l.byID[server.ID]
+	if entry == nil {
+		entry = &Server{Number: uint32(len(l.servers))}
+		l.servers = append(l.servers, entry)
+		l.byID[server.ID] = entry
 	}
-	server.Number = place.Number
-	*place = server
-	return place
+	server.Number = entry.Number
+	*entry = server
+	return entry
 }
--- a/internal/discovery/serverlist_test.go
+++ b/internal/discovery/serverlist_test.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	one = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,` +
+	server1 = `{"instanceId":"s1","hostPort":"127.0.0.1:1","zone":"a","machineType":"m2","cell":3,` +
 		`"lifecycle":"Ready","weight":1.5,"startedAtMs":7}`
-	two      = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
-	fullList = `{"generation":41,"reset":true,"instances":[` + one + `,` + two + `]}`
+	server2  = `{"instanceId":"s2","hostPort":"nowhere","lifecycle":"Terminating"}`
+	fullList = `{"generation":41,"reset":true,"instances":[` + server1 + `,` + server2 + `]}`
 )
 
+// A full update replaces the list, a snapshot restores it, and a malformed update changes nothing.
 func TestServerList(t *testing.T) {
 	list := NewServerList()
 	c, err := list.Apply([]byte(fullList))
@@ -32,9 +33,9 @@
 		*restored.ByNumber(0) != want || *restored.ByNumber(1) != *list.ByNumber(1) {
 		t.Errorf("restored from %s, %v", list.Snapshot(41), err)
 	}
-	if _, err = list.Apply([]byte(`{"generation":42,"reset":true,"instances":[` + one + `]}`)); err != nil ||
+	if _, err = list.Apply([]byte(`{"generation":42,"reset":true,"instances":[` + server1 + `]}`)); err != nil ||
 		list.ByNumber(1).State != Gone || list.ByNumber(0).State != Ready || list.ByNumber(2) != nil {
-		t.Errorf("a full list removes what it lacks: %+v, %v", list.ByNumber(1), err)
+		t.Errorf("after a full list without server 1: %+v, %v", list.ByNumber(1), err)
 	}
 	for _, bad := range []string{
 		"", "[]", "{", `{"instances":[]}`, `{"generation":1,"instances":7}`,
--- a/internal/discovery/status.go
+++ b/internal/discovery/status.go
@@ -2,20 +2,21 @@
 
 import "spurspread/internal/eventloop"
 
-// WatchState is where a Client's subscription stands. A watch goes from WatchSubscribing to WatchEstablished, or, where
-// one is established already, from WatchRenewing to WatchEstablished; its failure leaves what is left without it.
+// WatchState is the state of a Client's subscription. A new watch leads from WatchSubscribing to WatchEstablished, or,
+// while another one is established, from WatchRenewing to WatchEstablished. If a watch fails, the state is determined
+// by the remaining one, if any.
 type WatchState uint8
 
-// The states of a subscription.
+// States of a subscription.
 const (
-	WatchNone        WatchState = iota // nothing is requested
-	WatchSubscribing                   // requested, without its first object
-	WatchEstablished                   // has brought an object
-	WatchRenewing                      // established, and a new one is requested that has not brought its first object
-	WatchRetrying                      // failed at a changed address, to be requested again shortly
+	WatchNone        WatchState = iota // no watch
+	WatchSubscribing                   // a watch is requested and has not received its first object
+	WatchEstablished                   // a watch has received an object
+	WatchRenewing                      // a watch is established, and its replacement has not received an object yet
+	WatchRetrying                      // the watch failed at a changed address and is about to be requested again
 )
 
-// String is the state's name in the log.
+// String returns the name of the state as it is logged.
 func (s WatchState) String() string {
 	switch s {
 	case WatchSubscribing:
@@ -30,16 +31,16 @@
 	return "none"
 }
 
-// Status is what a Client knows of discovery at one time. Ages are in microseconds; -1 where nothing has come yet.
+// Status describes a Client's subscription and list. Ages are -1 if nothing has been received yet.
 type Status struct {
 	State       WatchState
-	Generation  uint64           // of the list in use
-	ListAge     eventloop.Micros // since the last object, from discovery
-	LastByteAge eventloop.Micros // since the last byte of any call, heartbeats included
-	Calls       int              // made so far, of watches and whole lists
+	Generation  uint64           // of the current list
+	ListAge     eventloop.Micros // since the last object
+	LastByteAge eventloop.Micros // since the last byte of any call, including heartbeats
+	Calls       int              // number of watches and fetches started
 }
 
-// Status returns what is known now.
+// Status returns the current status.
 func (d *Client) Status() Status {
 	return Status{
 		State:       d.watchState(),
@@ -50,7 +51,7 @@
 	}
 }
 
-// age is how long ago a time was, -1 for 0.
+// age returns the time since at, or -1 if at is 0.
 func (d *Client) age(at eventloop.Micros) eventloop.Micros {
 	if at == 0 {
 		return -1
@@ -72,8 +73,8 @@
 	return WatchNone
 }
 
-// reportState tells the watcher the state of the subscription where it has changed, with the reason if that was a
-// failure. Neither state may be final: whoever is told of a failure may subscribe again.
+// reportState reports the state of the subscription to the watcher if it has changed; reason is the failure that caused
+// the change, or nil. The state may change again at once: a watcher that is told of a failure may subscribe again.
 func (d *Client) reportState(reason error) {
 	before := d.reportedState
 	d.reportedState = d.watchState()
