--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrAgain is returned by Conn.Read when a socket has nothing to read now; Owner.Readable is called when it has.
+// ErrAgain is returned by Conn.Read if there is nothing to read now. Owner.Readable is called when there is.
 var ErrAgain = errors.New("nothing to read now")
 
-// IsResourceExhausted reports whether a call failed for want of a local resource (descriptors, memory, ports), which
-// says nothing of the peer.
+// IsResourceExhausted reports whether a call failed because a local resource (descriptors, memory, ports) was
+// exhausted. Such an error says nothing about the peer.
 func IsResourceExhausted(err error) bool {
 	for _, e := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
@@ -23,28 +23,28 @@
 	return false
 }
 
-// Owner is notified of what happens to a Conn. It may close the Conn in any of these calls, and must not block.
+// Owner is notified of the events of a Conn. Its methods may close the Conn, and must not block.
 type Owner interface {
-	// Connected is called when a Dial has ended; after an error the Conn can only be closed.
+	// Connected is called when a Dial has succeeded or failed. After an error the Conn can only be closed.
 	Connected(c *Conn, err error)
-	// Readable is called when bytes, an end or an error may be read. It is edge-triggered: the owner reads until
-	// ErrAgain, at once or later.
+	// Readable is called when data, the end of the stream or an error may be read. It is edge-triggered: the owner has
+	// to read until ErrAgain, at once or later.
 	Readable(c *Conn)
-	// Flushed is called when all that Pending had counted was written.
+	// Flushed is called when all pending bytes have been written (see Conn.Pending).
 	Flushed(c *Conn)
 }
 
-// Conn is a stream socket that never blocks. It is registered edge-triggered once, for both directions, so that
-// neither back pressure nor a half-closed peer costs a further epoll call or spins the loop.
+// Conn is a non-blocking stream socket. It is registered with epoll once, edge-triggered and for both directions, so
+// that neither back pressure nor a half-closed peer needs another epoll call or makes the loop spin.
 type Conn struct {
 	l          *Loop
 	fd         int
 	ref        Ref
 	owner      Owner
 	connecting bool
-	closing    bool   // the sending side ends once pending is written
-	failed     error  // a write failed; the next read reports it
-	pending    []byte // taken by Write but not yet by the kernel
+	closing    bool   // the sending side is shut down once pending is written
+	writeErr   error  // error of a write, which a later Read reports
+	pending    []byte // passed to Write, not yet accepted by the kernel
 }
 
 func sockaddr(a netip.AddrPort) (unix.Sockaddr, int) {
@@ -62,8 +62,9 @@
 	return fd, nil
 }
 
+// adopt registers a connected or connecting socket and returns its Conn. On an error it closes the socket.
 func (l *Loop) adopt(fd int, owner Owner, connecting bool) (*Conn, error) {
-	// Lines are short and answered at once: Nagle's delay would count against their aim.
+	// Lines are short and answered at once: the delay of Nagle's algorithm would add to their latency.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &Conn{l: l, fd: fd, owner: owner, connecting: connecting}
 	ref, err := l.add(fd, c, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP|unix.EPOLLET)
@@ -71,11 +72,11 @@
 		return nil, errors.Join(err, unix.Close(fd))
 	}
 	c.ref = ref
-	l.open++
+	l.openSockets++
 	return c, nil
 }
 
-// Dial starts a connection. A failure that is known at once is returned, any other one is passed to Owner.Connected.
+// Dial starts to connect. A failure that is known at once is returned, a later one is passed to Owner.Connected.
 func (l *Loop) Dial(to netip.AddrPort, owner Owner) (*Conn, error) {
 	sa, family := sockaddr(to)
 	fd, err := l.socket(family)
@@ -88,7 +89,7 @@
 	return l.adopt(fd, owner, true)
 }
 
-func (c *Conn) ready(events uint32) {
+func (c *Conn) handleEvents(events uint32) {
 	if c.connecting {
 		if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) == 0 {
 			return
@@ -106,7 +107,7 @@
 	}
 	if events&unix.EPOLLOUT != 0 && len(c.pending) > 0 {
 		c.flush()
-		if c.fd >= 0 && len(c.pending) == 0 && c.failed == nil {
+		if c.fd >= 0 && len(c.pending) == 0 && c.writeErr == nil {
 			c.owner.Flushed(c)
 		}
 	}
@@ -115,21 +116,21 @@
 	}
 }
 
-// CheckConnected checks whether a connection that is coming up has done so by now, its event still unread, and if so
-// notifies the owner. Deadlines of a turn run before the next turn's events: without it, a loop that was delayed would
-// take every connection for one that never came up.
+// CheckConnected checks whether a pending Dial has completed although its event was not handled yet, and if so notifies
+// the owner. It is for a connect timeout: since the deadlines of a turn run before the events of the next turn, after a
+// delay of the loop every pending connection would otherwise time out, including those that are established.
 func (c *Conn) CheckConnected() {
 	if c.fd < 0 || !c.connecting {
 		return
 	}
 	poll := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLOUT}}
 	if n, err := unix.Poll(poll, 0); n == 1 && err == nil {
-		c.ready(uint32(poll[0].Revents)) // the bits are those of epoll
+		c.handleEvents(uint32(poll[0].Revents)) // the bits are those of epoll
 	}
 }
 
-// Read reads what was received. It returns ErrAgain where there is nothing yet, io.EOF at the peer's end, else the
-// socket's error or that of an earlier write.
+// Read reads received bytes. It returns ErrAgain if there are none yet, io.EOF after the peer has closed its sending
+// side, or the error of the socket or of an earlier write.
 func (c *Conn) Read(buf []byte) (int, error) {
 	for {
 		n, err := unix.Read(c.fd, buf)
@@ -139,8 +140,8 @@
 		case err == nil:
 			return 0, io.EOF
 		case errors.Is(err, unix.EAGAIN):
-			if c.failed != nil {
-				return 0, c.failed
+			if c.writeErr != nil {
+				return 0, c.writeErr
 			}
 			return 0, ErrAgain
 		case !errors.Is(err, unix.EINTR):
@@ -149,10 +150,10 @@
 	}
 }
 
-// Write sends the parts with one gathered write and keeps what the kernel does not take, in order. The caller
-// bounds what is kept by looking at Pending. An error shows at the next Read.
+// Write sends the parts in one gathered write and buffers the bytes that the kernel does not accept. The caller has to
+// limit that buffer, by checking Pending. An error is reported by a later Read.
 func (c *Conn) Write(parts ...[]byte) {
-	if c.fd < 0 || c.closing || c.failed != nil {
+	if c.fd < 0 || c.closing || c.writeErr != nil {
 		return
 	}
 	sent := 0
@@ -163,7 +164,7 @@
 				continue
 			}
 			if err != nil && !errors.Is(err, unix.EAGAIN) {
-				c.failed = err
+				c.writeErr = err
 				return
 			}
 			sent = max(n, 0)
@@ -177,6 +178,7 @@
 	}
 }
 
+// flush writes pending bytes until the kernel accepts no more.
 func (c *Conn) flush() {
 	for len(c.pending) > 0 {
 		n, err := unix.Write(c.fd, c.pending)
@@ -187,24 +189,25 @@
 			return
 		}
 		if err != nil {
-			c.failed, c.pending = err, nil
+			c.writeErr, c.pending = err, nil
 			return
 		}
 		c.pending = c.pending[n:]
 	}
-	c.pending = nil // an idle connection holds no buffer
+	c.pending = nil // so that an idle connection holds no buffer
 	if c.closing {
 		c.shutdown()
 	}
 }
 
-// Pending returns how many bytes wait for the kernel to take them.
+// Pending returns the number of bytes that were passed to Write and not yet accepted by the kernel.
 func (c *Conn) Pending() int { return len(c.pending) }
 
-// WriteFailed reports whether a write failed: what that call was given, and what was pending, was not sent.
-func (c *Conn) WriteFailed() bool { return c.failed != nil }
+// WriteFailed reports whether a write has failed. The bytes passed to that Write, and those that were pending, were not
+// sent.
+func (c *Conn) WriteFailed() bool { return c.writeErr != nil }
 
-// CloseWrite ends the sending side once all that is pending is out; the peer sees a plain end.
+// CloseWrite shuts down the sending side once all pending bytes are sent. The peer sees the end of the stream.
 func (c *Conn) CloseWrite() {
 	if c.fd < 0 || c.closing {
 		return
@@ -217,18 +220,18 @@
 
 func (c *Conn) shutdown() { _ = unix.Shutdown(c.fd, unix.SHUT_WR) }
 
-// Close frees the socket at once; what is pending is lost.
+// Close closes the socket at once and discards pending bytes. It does nothing if c is nil or closed.
 func (c *Conn) Close() {
 	if c == nil || c.fd < 0 {
 		return
 	}
-	c.l.fds.Drop(c.ref)
-	_ = unix.Close(c.fd) // which takes it out of epoll, too
-	c.l.open--
+	c.l.handlers.Drop(c.ref)
+	_ = unix.Close(c.fd) // also removes it from epoll
+	c.l.openSockets--
 	c.fd, c.pending = -1, nil
 }
 
-// Reset closes the socket so that the peer sees a reset.
+// Reset closes the socket and sends the peer a TCP reset.
 func (c *Conn) Reset() {
 	if c != nil && c.fd >= 0 {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
--- a/internal/eventloop/datagrams.go
+++ b/internal/eventloop/datagrams.go
@@ -8,31 +8,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxDatagram is how long a datagram may be, in bytes; a longer one is dropped.
+// MaxDatagram is the maximum length of a datagram, in bytes; a longer one is dropped.
 const MaxDatagram = 1472
 
-// turnDatagrams are taken in one turn; the rest waits for the next, so that a flood leaves the loop to others.
-const turnDatagrams = 64
+// datagramsPerTurn is the maximum number of datagrams received in one turn, so that a flood does not starve other
+// events.
+const datagramsPerTurn = 64
 
-// DatagramSocket is a socket on which datagrams come and go, of UDP over IPv4 or IPv6.
+// DatagramSocket sends and receives UDP datagrams, over IPv4 or IPv6.
 type DatagramSocket struct {
 	l    *Loop
 	fd   int
 	ref  Ref
-	take func(from netip.AddrPort, b []byte)
+	recv func(from netip.AddrPort, b []byte)
 	buf  [MaxDatagram + 1]byte
 }
 
-// ListenDatagrams binds an address, in place of a process before this one where that shares it, too. take is given each
-// datagram; its bytes are good until it returns.
-func (l *Loop) ListenDatagrams(addr netip.AddrPort, take func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
+// ListenDatagrams binds an address, which an earlier process may share (SO_REUSEPORT). recv is called for each
+// datagram; b is valid until it returns.
+func (l *Loop) ListenDatagrams(addr netip.AddrPort, recv func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	sa, family := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: socket: %w", err)
 	}
-	d := &DatagramSocket{l: l, fd: fd, take: take}
-	// So that a new process can bind beside the one that it follows.
+	d := &DatagramSocket{l: l, fd: fd, recv: recv}
+	// SO_REUSEPORT allows a new process to bind the address while its predecessor still uses it.
 	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil {
 		err = unix.Bind(fd, sa)
 	}
@@ -42,11 +43,11 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("datagrams at %s: %w", addr, err), unix.Close(fd))
 	}
-	l.open++
+	l.openSockets++
 	return d, nil
 }
 
-// Addr is where the socket is bound.
+// Addr returns the bound address; the zero value on an error.
 func (d *DatagramSocket) Addr() netip.AddrPort {
 	sa, err := unix.Getsockname(d.fd)
 	if err != nil {
@@ -65,9 +66,10 @@
 	return netip.AddrPort{}
 }
 
-// ready takes what has come; epoll is level-triggered here, so that the rest waits for the next turn.
-func (d *DatagramSocket) ready(uint32) {
-	for range turnDatagrams {
+// handleEvents receives up to datagramsPerTurn datagrams. The socket is registered level-triggered: any further
+// datagrams are received in the next turn.
+func (d *DatagramSocket) handleEvents(uint32) {
+	for range datagramsPerTurn {
 		if d.fd < 0 {
 			return
 		}
@@ -76,13 +78,13 @@
 			return
 		}
 		if err != nil || n > MaxDatagram || from == nil {
-			continue // an error that an earlier datagram brought back says nothing that silence does not
+			continue // ICMP errors of datagrams sent earlier are ignored: senders notice missing answers anyway
 		}
-		d.take(addrPort(from), d.buf[:n])
+		d.recv(addrPort(from), d.buf[:n])
 	}
 }
 
-// Send sends a datagram. It never waits; what the kernel does not take is lost, as any may be.
+// Send sends a datagram without waiting. It drops the datagram if the kernel does not accept it, or after Close.
 func (d *DatagramSocket) Send(to netip.AddrPort, b []byte) {
 	if d.fd >= 0 {
 		sa, _ := sockaddr(to)
@@ -90,13 +92,13 @@
 	}
 }
 
-// Close frees the socket.
+// Close closes the socket. A second call does nothing.
 func (d *DatagramSocket) Close() {
 	if d.fd < 0 {
 		return
 	}
-	d.l.fds.Drop(d.ref)
+	d.l.handlers.Drop(d.ref)
 	_ = unix.Close(d.fd)
-	d.l.open--
+	d.l.openSockets--
 	d.fd = -1
 }
--- a/internal/eventloop/deadlines.go
+++ b/internal/eventloop/deadlines.go
@@ -6,17 +6,18 @@
 	"spurspread/decision/monotime"
 )
 
-// Micros is a point in time or a span, in microseconds.
+// Micros is a point in time or a duration, in microseconds.
 type Micros = monotime.Micros
 
 type deadline struct {
-	at  Micros
-	seq uint64 // deadlines of one moment fall due in the order in which they were set
-	due func()
-	pos int // in the heap
-	ref Ref
+	at        Micros
+	seq       uint64 // deadlines at the same time run in the order in which they were set
+	callback  func()
+	heapIndex int
+	ref       Ref
 }
 
+// deadlineHeap implements heap.Interface, with the earliest deadline first.
 type deadlineHeap []*deadline
 
 func (h deadlineHeap) Len() int { return len(h) }
@@ -26,12 +27,12 @@
 
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *deadlineHeap) Push(x any) {
 	d := x.(*deadline)
-	d.pos = len(*h)
+	d.heapIndex = len(*h)
 	*h = append(*h, d)
 }
 
@@ -43,16 +44,16 @@
 	return d
 }
 
-// deadlines holds all that falls due, in one heap.
+// deadlines holds all pending deadlines, in one heap. Refs into slots identify them.
 type deadlines struct {
 	heap  deadlineHeap
 	slots Slots[*deadline]
 	seq   uint64
 }
 
-func (d *deadlines) set(at Micros, due func()) Ref {
+func (d *deadlines) set(at Micros, callback func()) Ref {
 	d.seq++
-	e := &deadline{at: at, seq: d.seq, due: due}
+	e := &deadline{at: at, seq: d.seq, callback: callback}
 	e.ref = d.slots.Put(e)
 	heap.Push(&d.heap, e)
 	return e.ref
@@ -60,12 +61,12 @@
 
 func (d *deadlines) cancel(r Ref) {
 	if e, ok := d.slots.Get(r); ok {
-		heap.Remove(&d.heap, e.pos)
+		heap.Remove(&d.heap, e.heapIndex)
 		d.slots.Drop(r)
 	}
 }
 
-// next returns when the first deadline falls due, and false where there is none.
+// next returns the time of the earliest deadline, and false if there is none.
 func (d *deadlines) next() (Micros, bool) {
 	if len(d.heap) == 0 {
 		return 0, false
@@ -73,12 +74,12 @@
 	return d.heap[0].at, true
 }
 
-// run calls all that is due at now. What is set meanwhile waits for the next turn, so that a deadline which sets
-// itself again at once can't keep the sockets waiting.
+// run calls the callbacks of all deadlines up to now. Deadlines that are set during these calls wait for the next turn,
+// so that a callback that sets a deadline for now again can't starve the sockets.
 func (d *deadlines) run(now Micros) {
 	for limit := d.seq; len(d.heap) > 0 && d.heap[0].at <= now && d.heap[0].seq <= limit; {
 		e := heap.Pop(&d.heap).(*deadline)
 		d.slots.Drop(e.ref)
-		e.due()
+		e.callback()
 	}
 }
--- a/internal/eventloop/shut_test.go
+++ b/internal/eventloop/drain_test.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-type greeter struct{}
+// noopOwner ignores all events.
+type noopOwner struct{}
 
-func (greeter) Connected(*Conn, error) {}
-func (greeter) Readable(*Conn)         {}
-func (greeter) Flushed(*Conn)          {}
+func (noopOwner) Connected(*Conn, error) {}
+func (noopOwner) Readable(*Conn)         {}
+func (noopOwner) Flushed(*Conn)          {}
 
-// Shut takes in every connection that the kernel had queued before it stops listening; none of them is reset.
-func TestShutTakesInWhatIsQueued(t *testing.T) {
+// DrainAndClose accepts every connection in the kernel's queue before it closes the listener; none of them is reset.
+func TestDrainAndCloseAcceptsQueued(t *testing.T) {
 	const queued = 200
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	var taken []*Conn
+	var accepted []*Conn
 	ln, err := l.ListenShared(netip.MustParseAddrPort("127.0.0.1:0"), func(adopt func(Owner) (*Conn, error)) {
-		c, err := adopt(greeter{})
+		c, err := adopt(noopOwner{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Write([]byte("hi\n"))
-		taken = append(taken, c)
+		accepted = append(accepted, c)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var clients []net.Conn
-	for range queued { // the loop does not run: all wait in the queue
+	for range queued { // the loop does not run: all stay in the queue
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -45,15 +46,15 @@
 	}
 	ln.DrainAndClose()
 	for i, c := range clients {
-		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a fault ends the test
+		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only to end the test on a failure
 		if got, err := bufio.NewReader(c).ReadString('\n'); got != "hi\n" {
 			t.Fatalf("client %d: %q, %v", i, got, err)
 		}
 	}
-	if len(taken) != queued || l.OpenSockets() != queued {
-		t.Errorf("took %d, %d descriptors open", len(taken), l.OpenSockets())
+	if len(accepted) != queued || l.OpenSockets() != queued {
+		t.Errorf("accepted %d, %d sockets open", len(accepted), l.OpenSockets())
 	}
-	for _, c := range taken {
+	for _, c := range accepted {
 		c.Close()
 	}
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,9 +1,12 @@
-// Package eventloop runs a process's network I/O on one goroutine: an edge-triggered epoll loop over numbered slots,
-// one heap of all deadlines, stream sockets with gathered writes, datagrams, and packets that carry descriptors between
-// processes of one user.
+// Package eventloop runs the network I/O of a process on one goroutine, with epoll.
 //
-// Everything but Loop.Post is called on the loop's goroutine only, and nothing blocks. Owners (Owner, PacketOwner) are
-// called from Loop.Run, one at a time. The package knows no protocol and decides nothing.
+// A Loop dispatches socket events, timers and functions posted by other goroutines. Conn is a non-blocking stream
+// socket (edge-triggered, with gathered writes), Listener accepts connections, DatagramSocket sends and receives UDP
+// datagrams, and PacketConn transfers packets and file descriptors between processes of the same user. Refs into a
+// Slots table identify sockets and timers.
+//
+// Only Loop.Post may be called from other goroutines, and nothing blocks. Owners (Owner, PacketOwner) are called from
+// Loop.Run, one at a time. The package implements no application protocol and no policy.
 package eventloop
 
 import (
@@ -17,106 +20,110 @@
 	"spurspread/decision/monotime"
 )
 
-// ready is what a slot of the epoll table holds.
-type ready interface{ ready(events uint32) }
+// eventHandler handles the epoll events of one registered file descriptor.
+type eventHandler interface{ handleEvents(events uint32) }
 
-// Loop waits for sockets, deadlines and posted calls. Only Post may be called from other goroutines.
+// Loop is an event loop over sockets, timers and posted functions. Only Post may be called from other goroutines.
 type Loop struct {
-	epoll     int
-	wake      int // an eventfd
-	fds       Slots[ready]
-	deadlines deadlines
-	start     time.Time
-	wall      Micros
-	now       Micros
-	open      int // descriptors of sockets held
-	stopped   bool
+	epollFD     int
+	wakeFD      int // an eventfd, which Post writes to
+	handlers    Slots[eventHandler]
+	deadlines   deadlines
+	startTime   time.Time
+	startMicros Micros // wall time of startTime
+	now         Micros
+	openSockets int
+	stopped     bool
 
 	mu     sync.Mutex
 	posted []func()
 }
 
-// New returns a loop that holds an epoll instance and an eventfd.
+// New returns a loop. It holds two file descriptors, an epoll instance and an eventfd, until Close.
 func New() (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), unix.Close(ep))
+		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), unix.Close(epollFD))
 	}
 	start := time.Now()
-	l := &Loop{epoll: ep, wake: wake, start: start, wall: Micros(start.UnixMicro())}
-	l.now = l.wall
-	if _, err := l.add(wake, waker{l}, unix.EPOLLIN); err != nil {
+	l := &Loop{epollFD: epollFD, wakeFD: wakeFD, startTime: start, startMicros: Micros(start.UnixMicro())}
+	l.now = l.startMicros
+	if _, err := l.add(wakeFD, waker{l}, unix.EPOLLIN); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
 	return l, nil
 }
 
-// Close frees what the loop itself holds; sockets are their owners' to close.
-func (l *Loop) Close() error { return errors.Join(unix.Close(l.wake), unix.Close(l.epoll)) }
+// Close closes the loop's own file descriptors. It does not close sockets.
+func (l *Loop) Close() error { return errors.Join(unix.Close(l.wakeFD), unix.Close(l.epollFD)) }
 
-// Now is the wall time at the start of the process advanced by the monotonic clock, so that it agrees with the
-// other machines' clocks but never jumps. It does not advance while one event is handled.
+// Now returns the current time: the wall time at New, advanced by the monotonic clock. It is comparable with the clocks
+// of other machines, but never jumps. It is constant while one event is handled.
 func (l *Loop) Now() Micros { return l.now }
 
-func (l *Loop) tick() { l.now = l.wall + Micros(time.Since(l.start).Microseconds()) }
+func (l *Loop) updateNow() { l.now = l.startMicros + Micros(time.Since(l.startTime).Microseconds()) }
 
-// OpenSockets returns how many sockets are open.
-func (l *Loop) OpenSockets() int { return l.open }
+// OpenSockets returns the number of open sockets, including listeners.
+func (l *Loop) OpenSockets() int { return l.openSockets }
 
-// After calls due once the delay has passed, in a later turn of the loop.
-func (l *Loop) After(delay Micros, due func()) Ref { return l.deadlines.set(l.now+max(delay, 0), due) }
+// After schedules callback to be called once the delay has passed, in a later turn of the loop.
+func (l *Loop) After(delay Micros, callback func()) Ref {
+	return l.deadlines.set(l.now+max(delay, 0), callback)
+}
 
-// Cancel takes back a deadline and clears its Ref; one that was due already is ignored.
+// Cancel cancels a call scheduled with After and clears its Ref. It does nothing if the call was made already.
 func (l *Loop) Cancel(r *Ref) {
 	l.deadlines.cancel(*r)
 	*r = 0
 }
 
-// Post has the loop call f soon, from whatever goroutine it comes.
+// Post makes the loop call f soon. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	// A full counter wakes the loop just as well, so the error says nothing.
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	// The error is ignored: the write fails if the counter is at its maximum, which wakes the loop as well.
+	_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// Stop ends Run after the present turn.
+// Stop makes Run return after the current turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// eventsPerTurn bounds how many sockets' events one turn handles before deadlines are looked at again.
+// eventsPerTurn is the maximum number of sockets whose events are handled in one turn, before deadlines are checked
+// again.
 const eventsPerTurn = 256
 
-// maxSleep bounds one wait for events.
+// maxSleep is the longest wait for events.
 const maxSleep = 60_000 // milliseconds
 
-// Run runs the loop until Stop. It returns an error only if epoll itself fails.
+// Run runs the loop until Stop. It returns an error only if waiting for events fails.
 func (l *Loop) Run() error {
 	events := make([]unix.EpollEvent, eventsPerTurn)
 	for !l.stopped {
-		l.tick()
-		n, err := unix.EpollWait(l.epoll, events, l.wait())
+		l.updateNow()
+		n, err := unix.EpollWait(l.epollFD, events, l.epollTimeout())
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
 		for i := range max(n, 0) {
-			l.tick()
-			if r, ok := l.fds.Get(Ref(events[i].Fd)); ok {
-				r.ready(events[i].Events)
+			l.updateNow()
+			if handler, ok := l.handlers.Get(Ref(events[i].Fd)); ok {
+				handler.handleEvents(events[i].Events)
 			}
 		}
-		l.tick()
+		l.updateNow()
 		l.deadlines.run(l.now)
 	}
 	return nil
 }
 
-// wait returns how long epoll may sleep, in milliseconds, rounded up; -1 without a deadline.
-func (l *Loop) wait() int {
+// epollTimeout returns the time until the next deadline in milliseconds, rounded up and at most maxSleep; -1, which
+// means no timeout, if there is no deadline.
+func (l *Loop) epollTimeout() int {
 	at, ok := l.deadlines.next()
 	if !ok {
 		return -1
@@ -124,24 +131,27 @@
 	return int(min(max((at-l.now+monotime.Millisecond-1)/monotime.Millisecond, 0), maxSleep))
 }
 
-func (l *Loop) add(fd int, r ready, events uint32) (Ref, error) {
-	ref := l.fds.Put(r)
+// add registers a file descriptor with epoll. Its events are passed to handler until the Ref is dropped from
+// l.handlers.
+func (l *Loop) add(fd int, handler eventHandler, events uint32) (Ref, error) {
+	ref := l.handlers.Put(handler)
 	if ref == 0 {
 		return 0, unix.EMFILE
 	}
 	ev := unix.EpollEvent{Events: events, Fd: int32(ref)}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
-		l.fds.Drop(ref)
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+		l.handlers.Drop(ref)
 		return 0, fmt.Errorf("epoll add: %w", err)
 	}
 	return ref, nil
 }
 
+// waker calls the posted functions when the eventfd is readable.
 type waker struct{ l *Loop }
 
-func (w waker) ready(uint32) {
+func (w waker) handleEvents(uint32) {
 	var count [8]byte
-	_, _ = unix.Read(w.l.wake, count[:])
+	_, _ = unix.Read(w.l.wakeFD, count[:])
 	w.l.mu.Lock()
 	calls := w.l.posted
 	w.l.posted = nil
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -8,27 +8,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// What still carries the Ref of an earlier use of a slot finds nothing.
+// A Ref of an earlier use of a slot is not found.
 func TestStaleRefFindsNothing(t *testing.T) {
 	var s Slots[int]
-	old := s.Put(1)
-	s.Drop(old)
+	stale := s.Put(1)
+	s.Drop(stale)
 	for i := range 5000 {
 		r := s.Put(i)
-		if _, ok := s.Get(old); ok && i < 4000 || r == 0 {
-			t.Fatalf("use %d: a stale Ref found something, or %d is no Ref", i, r)
+		if _, ok := s.Get(stale); ok && i < 4000 || r == 0 {
+			t.Fatalf("use %d: a stale Ref is found, or the new Ref %d is zero", i, r)
 		}
 		s.Drop(r)
-		s.Drop(r) // twice does nothing
+		s.Drop(r) // a second time does nothing
 	}
-	if s.Len() != 0 || len(s.cells) > 100 {
-		t.Fatalf("%d in use, %d cells", s.Len(), len(s.cells))
+	if s.Len() != 0 || len(s.slots) > 100 {
+		t.Fatalf("%d in use, %d slots", s.Len(), len(s.slots))
 	}
 	if _, ok := s.Get(0); ok {
-		t.Fatal("the zero Ref found something")
+		t.Fatal("the zero Ref is found")
 	}
 }
 
+// All yields the used slots in order, also if slots are freed during the iteration.
 func TestSlotsAll(t *testing.T) {
 	var s Slots[int]
 	refs := []Ref{s.Put(0), s.Put(1), s.Put(2)}
@@ -36,29 +37,30 @@
 	var got []int
 	for r, v := range s.All {
 		got = append(got, v)
-		s.Drop(r) // the table may change meanwhile
+		s.Drop(r)
 	}
 	if !slices.Equal(got, []int{0, 2}) || s.Len() != 0 {
 		t.Fatalf("%v, %d left", got, s.Len())
 	}
 }
 
+// Deadlines run ordered by time, then in the order in which they were set; cancelled ones do not run.
 func TestDeadlines(t *testing.T) {
 	var d deadlines
 	var got []int
-	note := func(i int) func() { return func() { got = append(got, i) } }
-	d.set(30, note(3))
-	d.set(10, note(1))
-	gone := d.set(20, note(9))
-	d.set(10, note(2))
-	d.cancel(gone)
-	d.cancel(gone)
+	record := func(i int) func() { return func() { got = append(got, i) } }
+	d.set(30, record(3))
+	d.set(10, record(1))
+	cancelled := d.set(20, record(9))
+	d.set(10, record(2))
+	d.cancel(cancelled)
+	d.cancel(cancelled)
 	if at, ok := d.next(); !ok || at != 10 {
 		t.Fatalf("next %d, %v", at, ok)
 	}
 	d.run(10)
-	// One that sets itself again at once waits for the next turn.
-	d.set(10, func() { d.set(10, note(7)) })
+	// A deadline that is set by a callback runs in the next turn, even if it is due already.
+	d.set(10, func() { d.set(10, record(7)) })
 	d.run(25)
 	if !slices.Equal(got, []int{1, 2}) {
 		t.Fatalf("%v", got)
@@ -69,16 +71,17 @@
 	}
 }
 
-// Out of descriptors the listener pauses, as its queue stays readable and would spin the loop, and then goes on.
+// A listener that runs out of descriptors pauses, since it stays readable and would make the loop spin, and then
+// resumes.
 func TestListenerSurvivesEMFILE(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	taken := 0
+	accepted := 0
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(func(Owner) (*Conn, error)) {
-		taken++
+		accepted++
 		l.Stop()
 	})
 	if err != nil {
@@ -94,21 +97,21 @@
 	if err := unix.Connect(fd, sa); err != nil && err != unix.EINPROGRESS {
 		t.Fatal(err)
 	}
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	var previous unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: was.Max}); err != nil {
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: previous.Max}); err != nil {
 		t.Fatal(err)
 	}
-	ln.ready(0)
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	ln.handleEvents(0)
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if taken != 0 || ln.retry == 0 {
-		t.Fatalf("took %d, retry %d", taken, ln.retry)
+	if accepted != 0 || ln.resumeTimer == 0 {
+		t.Fatalf("accepted %d, resume timer %d", accepted, ln.resumeTimer)
 	}
-	if err := l.Run(); err != nil || taken != 1 {
-		t.Fatalf("%v, took %d", err, taken)
+	if err := l.Run(); err != nil || accepted != 1 {
+		t.Fatalf("%v, accepted %d", err, accepted)
 	}
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -10,32 +10,33 @@
 	"spurspread/decision/monotime"
 )
 
-// Listener accepts connections on one address.
+// Listener accepts TCP connections on one address.
 type Listener struct {
-	l      *Loop
-	fd     int
-	ref    Ref
-	accept func(adopt func(Owner) (*Conn, error))
-	retry  Ref
+	l           *Loop
+	fd          int
+	ref         Ref
+	accept      func(adopt func(Owner) (*Conn, error))
+	resumeTimer Ref // set while accepting is paused
 }
 
-// backlog is the most connections that the kernel queues for a listener.
+// backlog is the maximum number of connections in the kernel's accept queue of a listener.
 const backlog = 4096
 
-// acceptPause is how long a listener that found no free descriptor leaves the queue alone.
+// acceptPause is the time for which a listener stops accepting after it has run out of descriptors.
 const acceptPause = 20 * monotime.Millisecond
 
-// acceptsPerTurn bounds how many connections one turn of the loop accepts, so that a burst does not delay the others.
+// acceptsPerTurn is the maximum number of connections accepted in one turn of the loop, so that a burst of connections
+// does not delay other events.
 const acceptsPerTurn = 64
 
-// Listen binds addr, also while connections of an earlier process linger on it. accept is called for each
-// connection and must adopt it, or it is closed.
+// Listen starts to listen on addr, even if connections of an earlier process still linger on it (SO_REUSEADDR). accept
+// is called for each connection, and has to call adopt to keep it: otherwise the connection is closed.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(adopt func(Owner) (*Conn, error))) (*Listener, error) {
 	return l.listen(addr, false, accept)
 }
 
-// ListenShared is Listen for an address that other processes of the same user may bind too while this one listens
-// (SO_REUSEPORT): the kernel spreads new connections over all of them.
+// ListenShared is like Listen, but allows other processes of the same user to listen on the address at the same time
+// (SO_REUSEPORT). The kernel distributes new connections among them.
 func (l *Loop) ListenShared(addr netip.AddrPort, accept func(adopt func(Owner) (*Conn, error))) (*Listener, error) {
 	return l.listen(addr, true, accept)
 }
@@ -54,17 +55,17 @@
 	if err := ln.bind(sa, shared); err != nil {
 		return nil, errors.Join(fmt.Errorf("listen on %s: %w", addr, err), unix.Close(fd))
 	}
-	l.open++
+	l.openSockets++
 	return ln, nil
 }
 
-// bind has the socket listen on an address and registers it with the loop.
+// bind makes the socket listen on an address and registers it with the loop.
 func (ln *Listener) bind(sa unix.Sockaddr, shared bool) error {
 	if err := unix.SetsockoptInt(ln.fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
 	if shared {
-		// A new version listens beside the old one until the old one has gone.
+		// During an upgrade the old and the new process listen at the same time.
 		if err := unix.SetsockoptInt(ln.fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
 			return err
 		}
@@ -80,7 +81,7 @@
 	return err
 }
 
-// Addr is the address that was bound.
+// Addr returns the bound address; the zero value on an error.
 func (ln *Listener) Addr() netip.AddrPort {
 	sa, err := unix.Getsockname(ln.fd)
 	if err != nil {
@@ -95,10 +96,10 @@
 	return netip.AddrPort{}
 }
 
-func (ln *Listener) ready(uint32) { ln.acceptSome(acceptsPerTurn) }
+func (ln *Listener) handleEvents(uint32) { ln.acceptSome(acceptsPerTurn) }
 
-// acceptSome accepts up to n connections and reports whether the queue is empty now, or can't be emptied for want of
-// descriptors.
+// acceptSome accepts up to n connections. It reports whether the queue is empty, or can't be emptied because there are
+// no free descriptors.
 func (ln *Listener) acceptSome(n int) (empty bool) {
 	for range n {
 		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -107,11 +108,11 @@
 		case errors.Is(err, unix.EAGAIN):
 			return true
 		case IsResourceExhausted(err):
-			// The queue stays readable: without a pause the loop would spin until a descriptor is free.
+			// The listener stays readable: without a pause the loop would spin until a descriptor is free.
 			ln.pause()
 			return true
 		default:
-			continue // that client has gone again
+			continue // the client has already disconnected
 		}
 		adopted := false
 		ln.accept(func(o Owner) (*Conn, error) {
@@ -125,31 +126,32 @@
 	return false
 }
 
-// DrainAndClose takes in all that waits in the queue and then stops listening: a listener that is closed resets what it had
-// queued, and while another process listens on the same port nothing more comes here.
+// DrainAndClose accepts all connections in the queue and closes the listener. Just closing it would reset the queued
+// connections. It is meant for a listener that shares its address with another process, which gets all new connections.
 func (ln *Listener) DrainAndClose() {
 	for !ln.acceptSome(backlog) {
 	}
 	ln.Close()
 }
 
+// pause stops accepting for acceptPause.
 func (ln *Listener) pause() {
-	if ln.retry != 0 {
+	if ln.resumeTimer != 0 {
 		return
 	}
 	ev := unix.EpollEvent{Fd: int32(ln.ref)}
-	_ = unix.EpollCtl(ln.l.epoll, unix.EPOLL_CTL_MOD, ln.fd, &ev)
-	ln.retry = ln.l.After(acceptPause, func() {
-		ln.retry = 0
+	_ = unix.EpollCtl(ln.l.epollFD, unix.EPOLL_CTL_MOD, ln.fd, &ev)
+	ln.resumeTimer = ln.l.After(acceptPause, func() {
+		ln.resumeTimer = 0
 		ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(ln.ref)}
-		_ = unix.EpollCtl(ln.l.epoll, unix.EPOLL_CTL_MOD, ln.fd, &ev)
+		_ = unix.EpollCtl(ln.l.epollFD, unix.EPOLL_CTL_MOD, ln.fd, &ev)
 	})
 }
 
 // Close stops listening.
 func (ln *Listener) Close() {
-	ln.l.Cancel(&ln.retry)
-	ln.l.fds.Drop(ln.ref)
+	ln.l.Cancel(&ln.resumeTimer)
+	ln.l.handlers.Drop(ln.ref)
 	_ = unix.Close(ln.fd)
-	ln.l.open--
+	ln.l.openSockets--
 }
--- a/internal/eventloop/packets.go
+++ b/internal/eventloop/packets.go
@@ -9,23 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxPacket is how long a packet may be, in bytes; a longer one is not taken.
+// MaxPacket is the maximum length of a packet, in bytes; a longer one ends the connection.
 const MaxPacket = 8 << 10
 
-// maxPassed is how many descriptors come beside one packet.
-const maxPassed = 2
+// maxPassedFDs is the maximum number of file descriptors that accompany one packet.
+const maxPassedFDs = 2
 
-// PacketOwner is notified of what happens to a Packets. It may close it in any of these calls.
+// PacketOwner is notified of the events of a PacketConn. Its methods may close the PacketConn.
 type PacketOwner interface {
-	// Packet takes one packet and the descriptors beside it, which are the owner's from then on. The bytes are only
-	// good until it returns.
+	// Packet is called for each packet, with the file descriptors that accompany it. The owner has to close these. b is
+	// valid until Packet returns.
 	Packet(p *PacketConn, b []byte, fds []int)
-	// Ended is called once, when the peer has gone; the Packets can only be closed then.
+	// Ended is called when the peer has closed the connection or sent an invalid packet. The PacketConn can only be
+	// closed then.
 	Ended(p *PacketConn)
 }
 
-// PacketConn is a connection between two processes of one user on this machine, on which whole packets come, each with
-// descriptors beside it.
+// PacketConn is a connection between two processes of the same user on this machine. It transfers packets, each with
+// optional file descriptors.
 type PacketConn struct {
 	l     *Loop
 	fd    int
@@ -33,7 +34,7 @@
 	owner PacketOwner
 }
 
-// PacketListener takes such connections at a path.
+// PacketListener accepts PacketConns at a path.
 type PacketListener struct {
 	l      *Loop
 	fd     int
@@ -41,8 +42,9 @@
 	accept func(*PacketConn) PacketOwner
 }
 
-// ListenPackets listens at path, in place of whoever did before: the socket is bound beside it and renamed over it.
-// accept may return nil to refuse a connection. Only processes of the same user get as far as accept.
+// ListenPackets listens on a Unix socket at path. It replaces an earlier listener there: the socket is bound under a
+// temporary name and then renamed to path. accept is called for each connection from a process of the same user; it
+// returns the connection's owner, or nil to reject the connection.
 func (l *Loop) ListenPackets(path string, accept func(*PacketConn) PacketOwner) (*PacketListener, error) {
 	dir, fd, err := packetSocket(path)
 	if err != nil {
@@ -50,28 +52,28 @@
 	}
 	defer func() { _ = unix.Close(dir) }()
 	ln := &PacketListener{l: l, fd: fd, accept: accept}
-	fresh := fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid())
-	_ = unix.Unlinkat(dir, fresh, 0) // of a process with the same id that was killed in between
-	err = unix.Bind(fd, &unix.SockaddrUnix{Name: within(dir, fresh)})
+	tempName := fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid())
+	_ = unix.Unlinkat(dir, tempName, 0) // left by a killed process with the same process ID
+	err = unix.Bind(fd, &unix.SockaddrUnix{Name: procFDPath(dir, tempName)})
 	if err == nil {
-		// Nobody can connect before Listen.
-		err = errors.Join(unix.Fchmodat(dir, fresh, 0o600, 0), unix.Listen(fd, 1))
+		// The mode is set before Listen, so that no other user can connect.
+		err = errors.Join(unix.Fchmodat(dir, tempName, 0o600, 0), unix.Listen(fd, 1))
 	}
 	if err == nil {
-		err = unix.Renameat(dir, fresh, dir, filepath.Base(path))
+		err = unix.Renameat(dir, tempName, dir, filepath.Base(path))
 	}
 	if err == nil {
 		ln.ref, err = l.add(fd, ln, unix.EPOLLIN)
 	}
 	if err != nil {
-		_ = unix.Unlinkat(dir, fresh, 0)
+		_ = unix.Unlinkat(dir, tempName, 0)
 		return nil, errors.Join(fmt.Errorf("packets: listen at %s: %w", path, err), unix.Close(fd))
 	}
-	l.open++
+	l.openSockets++
 	return ln, nil
 }
 
-// packetSocket opens the path's directory and a socket, neither of which it leaves open on an error.
+// packetSocket opens the directory of path and creates a socket. On an error it leaves neither open.
 func packetSocket(path string) (dir, fd int, err error) {
 	if dir, err = unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0); err != nil {
 		return -1, -1, err
@@ -82,16 +84,17 @@
 	return dir, fd, nil
 }
 
-// within is a name in a directory that is open, however long the directory's own path is: an address holds 107 bytes.
-func within(dir int, name string) string { return fmt.Sprintf("/proc/self/fd/%d/%s", dir, name) }
+// procFDPath returns a path of a file in an open directory. It is short however long the directory's own path is: a
+// Unix socket address holds 107 bytes.
+func procFDPath(dir int, name string) string { return fmt.Sprintf("/proc/self/fd/%d/%s", dir, name) }
 
-func (ln *PacketListener) ready(uint32) {
+func (ln *PacketListener) handleEvents(uint32) {
 	fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
 	}
 	p := &PacketConn{l: ln.l, fd: fd}
-	if pid, ok := p.peer(); !ok || pid <= 0 {
+	if pid, ok := p.peerProcess(); !ok || pid <= 0 {
 		_ = unix.Close(fd)
 		return
 	}
@@ -100,14 +103,15 @@
 	}
 }
 
-// Close stops listening; the path is left, since another process may listen there by now.
+// Close stops listening. It does not remove the path, since another process may listen there by now.
 func (ln *PacketListener) Close() {
-	ln.l.fds.Drop(ln.ref)
+	ln.l.handlers.Drop(ln.ref)
 	_ = unix.Close(ln.fd)
-	ln.l.open--
+	ln.l.openSockets--
 }
 
-// DialPackets connects to the process that listens at path, which must be pid and of the same user.
+// DialPackets connects to the process that listens at path. It fails unless that process has the ID pid and the same
+// user.
 func (l *Loop) DialPackets(path string, pid int, owner PacketOwner) (*PacketConn, error) {
 	dir, fd, err := packetSocket(path)
 	if err != nil {
@@ -115,8 +119,8 @@
 	}
 	defer func() { _ = unix.Close(dir) }()
 	p := &PacketConn{l: l, fd: fd, owner: owner}
-	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: within(dir, filepath.Base(path))}); err == nil {
-		if got, ok := p.peer(); !ok || got != pid {
+	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: procFDPath(dir, filepath.Base(path))}); err == nil {
+		if got, ok := p.peerProcess(); !ok || got != pid {
 			err = fmt.Errorf("process %d listens there, not %d", got, pid)
 		} else {
 			err = p.register()
@@ -128,8 +132,8 @@
 	return p, nil
 }
 
-// peer is the process on the other side, and whether it is of this one's user.
-func (p *PacketConn) peer() (pid int, ok bool) {
+// peerProcess returns the ID of the peer's process, and whether that process has the same user as this one.
+func (p *PacketConn) peerProcess() (pid int, ok bool) {
 	c, err := unix.GetsockoptUcred(p.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return 0, false
@@ -137,17 +141,19 @@
 	return int(c.Pid), int(c.Uid) == os.Geteuid()
 }
 
+// register registers the socket with the loop.
 func (p *PacketConn) register() (err error) {
 	if p.ref, err = p.l.add(p.fd, p, unix.EPOLLIN|unix.EPOLLRDHUP); err == nil {
-		p.l.open++
+		p.l.openSockets++
 	}
 	return err
 }
 
-// ready takes one packet; epoll is level-triggered here, so that the rest waits for the next turn.
-func (p *PacketConn) ready(uint32) {
+// handleEvents receives one packet. The socket is registered level-triggered: further packets are received in later
+// turns.
+func (p *PacketConn) handleEvents(uint32) {
 	var buf [MaxPacket + 1]byte
-	oob := make([]byte, unix.CmsgSpace(maxPassed*4))
+	oob := make([]byte, unix.CmsgSpace(maxPassedFDs*4))
 	n, on, flags, _, err := unix.Recvmsg(p.fd, buf[:], oob, unix.MSG_CMSG_CLOEXEC)
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 		return
@@ -156,16 +162,17 @@
 		p.owner.Ended(p)
 		return
 	}
-	fds := passed(oob[:on])
+	fds := parsePassedFDs(oob[:on])
 	if n > MaxPacket || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
 		closeAll(fds)
-		p.owner.Ended(p) // it speaks something else
+		p.owner.Ended(p) // not a packet of this protocol
 		return
 	}
 	p.owner.Packet(p, buf[:n], fds)
 }
 
-func passed(oob []byte) (fds []int) {
+// parsePassedFDs returns the file descriptors in a control message.
+func parsePassedFDs(oob []byte) (fds []int) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
@@ -184,8 +191,8 @@
 	}
 }
 
-// Send sends a packet with copies of the connections' descriptors beside it. It never waits: unix.EAGAIN says that the
-// peer has not yet taken what it was sent, any other error that it has gone.
+// Send sends a packet with copies of the file descriptors of conns, without waiting. unix.EAGAIN means that the peer
+// has not yet received earlier packets, any other error that the connection has ended.
 func (p *PacketConn) Send(b []byte, conns ...*Conn) error {
 	if p.fd < 0 {
 		return unix.EBADF
@@ -201,26 +208,26 @@
 	return unix.Sendmsg(p.fd, b, oob, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 }
 
-// Shutdown ends the connection in both directions: what the peer has not sent yet can't be sent any more. What has come
-// already is still handed to the owner, then Ended.
+// Shutdown shuts down both directions, so that the peer can send nothing more. Packets that have already arrived are
+// still passed to the owner, followed by Ended.
 func (p *PacketConn) Shutdown() {
 	if p.fd >= 0 {
 		_ = unix.Shutdown(p.fd, unix.SHUT_RDWR)
 	}
 }
 
-// Close frees the socket at once.
+// Close closes the socket at once. It does nothing if p is nil or closed.
 func (p *PacketConn) Close() {
 	if p == nil || p.fd < 0 {
 		return
 	}
-	p.l.fds.Drop(p.ref)
+	p.l.handlers.Drop(p.ref)
 	_ = unix.Close(p.fd)
-	p.l.open--
+	p.l.openSockets--
 	p.fd = -1
 }
 
-// Adopt takes over a stream socket that another process passed on. On an error the descriptor is closed.
+// Adopt returns a Conn for a stream socket received from another process. On an error it closes fd.
 func (l *Loop) Adopt(fd int, owner Owner) (*Conn, error) {
 	if kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil || kind != unix.SOCK_STREAM {
 		return nil, errors.Join(errors.New("not a stream socket"), unix.Close(fd))
@@ -231,11 +238,11 @@
 	return l.adopt(fd, owner, false)
 }
 
-// Release gives a socket up without ending the connection, for a process that has it, too. Closing alone would leave
-// it in this process's epoll, which knows it until the last process has closed it.
+// Release closes this process's descriptor of a socket that was passed to another process, without ending the
+// connection. Close alone would not do: epoll reports events of a socket until every process has closed it.
 func (c *Conn) Release() {
 	if c.fd >= 0 {
-		_ = unix.EpollCtl(c.l.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
+		_ = unix.EpollCtl(c.l.epollFD, unix.EPOLL_CTL_DEL, c.fd, nil)
 	}
 	c.Close()
 }
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -11,24 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// box keeps what came.
-type box struct {
+// packetRecorder records received packets and file descriptors.
+type packetRecorder struct {
 	texts []string
 	fds   []int
 	ended int
 }
 
-func (b *box) Packet(_ *PacketConn, text []byte, fds []int) {
-	b.texts, b.fds = append(b.texts, string(text)), append(b.fds, fds...)
+func (r *packetRecorder) Packet(_ *PacketConn, text []byte, fds []int) {
+	r.texts, r.fds = append(r.texts, string(text)), append(r.fds, fds...)
 }
 
-func (b *box) Ended(p *PacketConn) {
-	b.ended++
+func (r *packetRecorder) Ended(p *PacketConn) {
+	r.ended++
 	p.Close()
 }
 
-// turn has the loop take what is there now.
-func (l *Loop) turn(t *testing.T) {
+// runTurn makes the loop handle the events that are pending now.
+func (l *Loop) runTurn(t *testing.T) {
 	t.Helper()
 	l.After(0, l.Stop)
 	l.stopped = false
@@ -47,33 +47,33 @@
 	return l
 }
 
-// linked returns the dialling end of a connection for packets at path, and what comes to the listening one.
-func linked(t *testing.T, l *Loop, path string) (near *PacketConn, farBox *box) {
+// connectPackets returns the dialling end of a connection at path, and the recorder of the accepting end.
+func connectPackets(t *testing.T, l *Loop, path string) (near *PacketConn, far *packetRecorder) {
 	t.Helper()
-	farBox = &box{}
-	if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { return farBox }); err != nil {
+	far = &packetRecorder{}
+	if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { return far }); err != nil {
 		t.Fatal(err)
 	}
-	near, err := l.DialPackets(path, os.Getpid(), &box{})
+	near, err := l.DialPackets(path, os.Getpid(), &packetRecorder{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
-	return near, farBox
+	l.runTurn(t)
+	return near, far
 }
 
-// A socket that was passed on and released is the other process's alone: this loop hears no more of it, also while the
-// other has it open, and the connection has not ended.
-func TestReleasedSocketIsHeardNoMore(t *testing.T) {
+// After a socket was passed to another process and released, this loop receives no more of its events, even while the
+// other process keeps it open. The connection does not end.
+func TestReleaseStopsEvents(t *testing.T) {
 	l := newLoop(t)
-	deep := filepath.Join(t.TempDir(), strings.Repeat("deep", 40)) // an address alone can't hold the path
+	deep := filepath.Join(t.TempDir(), strings.Repeat("deep", 40)) // too long for a Unix socket address
 	if err := os.Mkdir(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	near, far := linked(t, l, filepath.Join(deep, "s.sock"))
+	near, far := connectPackets(t, l, filepath.Join(deep, "s.sock"))
 	var served *Conn
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(adopt func(Owner) (*Conn, error)) {
-		served, _ = adopt(greeter{})
+		served, _ = adopt(noopOwner{})
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -86,11 +86,11 @@
 	if err := unix.Connect(fd, sa); err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
+	l.runTurn(t)
 	if err := near.Send([]byte("take it"), served); err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
+	l.runTurn(t)
 	if len(far.fds) != 1 || far.texts[0] != "take it" {
 		t.Fatalf("%+v", far)
 	}
@@ -99,61 +99,62 @@
 	if _, err := unix.Write(fd, []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := unix.EpollWait(l.epoll, events, 50); n != 0 || err != nil {
-		t.Errorf("%d events of what was released, %v", n, err)
+	if n, err := unix.EpollWait(l.epollFD, events, 50); n != 0 || err != nil {
+		t.Errorf("%d events of the released socket, %v", n, err)
 	}
-	taken, err := l.Adopt(far.fds[0], greeter{})
+	adopted, err := l.Adopt(far.fds[0], noopOwner{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var buf [16]byte
-	if n, err := taken.Read(buf[:]); string(buf[:n]) != "hello" {
+	if n, err := adopted.Read(buf[:]); string(buf[:n]) != "hello" {
 		t.Errorf("%q, %v", buf[:n], err)
 	}
-	taken.Close()
+	adopted.Close()
 	_ = unix.Close(fd)
 }
 
-// What is too long or no packet of ours ends the connection, and no descriptor beside it stays open.
+// A packet over MaxPacket ends the connection, and Adopt rejects a file descriptor that is no stream socket.
 func TestPacketsAreBounded(t *testing.T) {
 	l := newLoop(t)
-	near, far := linked(t, l, filepath.Join(t.TempDir(), "s.sock"))
+	near, far := connectPackets(t, l, filepath.Join(t.TempDir(), "s.sock"))
 	if err := near.Send(make([]byte, MaxPacket)); err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
+	l.runTurn(t)
 	if len(far.texts) != 1 || len(far.texts[0]) != MaxPacket || far.ended != 0 {
 		t.Errorf("%d packets, %d ends", len(far.texts), far.ended)
 	}
 	if err := near.Send(make([]byte, MaxPacket+1)); err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
+	l.runTurn(t)
 	if len(far.texts) != 1 || far.ended != 1 {
 		t.Errorf("%d packets, %d ends", len(far.texts), far.ended)
 	}
-	if _, err := l.Adopt(l.wake, greeter{}); err == nil {
-		t.Error("an eventfd passed for a stream socket")
+	if _, err := l.Adopt(l.wakeFD, noopOwner{}); err == nil {
+		t.Error("an eventfd was adopted as a stream socket")
 	}
 }
 
-// Once shut, the peer's word no longer comes, and it learns so by its own send: who says yes too late does not have it.
-func TestShutRefusesLateAnswers(t *testing.T) {
+// After Shutdown the peer's sends fail, so that it knows that an answer sent too late was not received. Packets sent
+// before still arrive.
+func TestShutdownRejectsLateSends(t *testing.T) {
 	l := newLoop(t)
-	nearBox := &box{}
+	received := &packetRecorder{}
 	var far *PacketConn
 	path := filepath.Join(t.TempDir(), "s.sock")
 	if _, err := l.ListenPackets(path, func(p *PacketConn) PacketOwner {
 		far = p
-		return &box{}
+		return &packetRecorder{}
 	}); err != nil {
 		t.Fatal(err)
 	}
-	near, err := l.DialPackets(path, os.Getpid(), nearBox)
+	near, err := l.DialPackets(path, os.Getpid(), received)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.turn(t)
+	l.runTurn(t)
 	if err := far.Send([]byte("in time")); err != nil {
 		t.Fatal(err)
 	}
@@ -162,40 +163,40 @@
 		t.Errorf("a late answer: %v", err)
 	}
 	for range 4 {
-		l.turn(t)
+		l.runTurn(t)
 	}
-	if len(nearBox.texts) != 1 || nearBox.texts[0] != "in time" || nearBox.ended != 1 {
-		t.Errorf("%+v", nearBox)
+	if len(received.texts) != 1 || received.texts[0] != "in time" || received.ended != 1 {
+		t.Errorf("%+v", received)
 	}
 }
 
-// Only the process that is meant answers at the path, and a listener takes the place of an earlier one.
-func TestWhoListens(t *testing.T) {
+// DialPackets fails unless the expected process listens at the path, and a new listener replaces an earlier one there.
+func TestPacketListenerIdentity(t *testing.T) {
 	l := newLoop(t)
 	path := filepath.Join(t.TempDir(), "s.sock")
-	if _, err := l.DialPackets(path, os.Getpid(), &box{}); err == nil {
-		t.Error("nobody listens")
+	if _, err := l.DialPackets(path, os.Getpid(), &packetRecorder{}); err == nil {
+		t.Error("connected without a listener")
 	}
-	heard := 0
+	accepted := 0
 	for i := range 2 {
-		if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { heard = i + 1; return nil }); err != nil {
+		if _, err := l.ListenPackets(path, func(*PacketConn) PacketOwner { accepted = i + 1; return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := l.DialPackets(path, 1, &box{}); err == nil || !strings.Contains(err.Error(), "not 1") {
+	if _, err := l.DialPackets(path, 1, &packetRecorder{}); err == nil || !strings.Contains(err.Error(), "not 1") {
 		t.Errorf("another process: %v", err)
 	}
-	l.turn(t)
-	if heard != 2 {
-		t.Errorf("listener %d heard it", heard)
+	l.runTurn(t)
+	if accepted != 2 {
+		t.Errorf("accepted by listener %d, want 2", accepted)
 	}
-	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+	if leftovers, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".*")); len(leftovers) > 0 {
+		t.Errorf("temporary files left: %v", leftovers)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
 	if _, err := l.ListenPackets(filepath.Join(path, "none", "s"), nil); err == nil {
-		t.Error("listened where there is no directory")
+		t.Error("listening in a directory that does not exist")
 	}
 }
--- a/internal/eventloop/scale_bench_test.go
+++ b/internal/eventloop/scale_bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// benchSizes are the numbers of entries over which a cost is looked at.
+// benchSizes are the numbers of entries for which the cost is measured.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// A deadline is set and taken back by each set-up, some four times, while all others stay.
+// Each set-up sets and cancels a deadline about four times, while all other deadlines stay.
 func BenchmarkDeadlineSetAndCancel(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// A slot is taken and freed by each connection, while all others stay.
+// Each connection takes and frees a slot, while all other slots stay in use.
 func BenchmarkSlotPutAndDrop(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/eventloop/slots.go
+++ b/internal/eventloop/slots.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// Ref names one use of one slot: the index in the lower bits, the slot's generation above them. No slot starts
-// at generation 0, so the zero Ref names nothing.
+// Ref identifies one use of a slot in a Slots table. Its lower bits are the slot's index, the others the slot's
+// generation. Generations start at 1, so the zero Ref is never valid.
 type Ref uint32
 
 const (
@@ -21,64 +21,66 @@
 	used bool
 }
 
-// Slots is a table of numbered slots. A slot's generation rises with each use, so that whatever still carries
-// the Ref of an earlier use (an event of the same epoll batch, a timer) finds nothing.
+// Slots is a table of values addressed by Refs. A slot gets a new generation with each use, so that a Ref of an earlier
+// use, for example in an event of the same epoll batch or in a timer, is recognised as stale. The zero value is an
+// empty table.
 type Slots[T any] struct {
-	cells []slot[T]
-	free  []int // oldest first: a slot rests as long as can be before it is used again
+	slots []slot[T]
+	free  []int // the slot that was freed first is reused first, to delay the reuse of a generation
 	count int
 }
 
-// Put stores v in a free slot. It returns the zero Ref when the table is full.
+// Put stores v in a free slot. It returns the zero Ref if the table is full.
 func (t *Slots[T]) Put(v T) Ref {
-	// A few free slots are kept resting, or a lone busy one would run through its generations.
-	const resting = 64
-	i := len(t.cells)
+	// At least this many free slots are kept unused, unless the table is full. With fewer, a single slot in frequent
+	// use would soon repeat its generations.
+	const minFree = 64
+	i := len(t.slots)
 	switch {
-	case len(t.free) > resting || i == maxSlots && len(t.free) > 0:
+	case len(t.free) > minFree || i == maxSlots && len(t.free) > 0:
 		i = t.free[0]
 		t.free = t.free[1:]
 	case i == maxSlots:
 		return 0
 	default:
-		t.cells = append(t.cells, slot[T]{})
+		t.slots = append(t.slots, slot[T]{})
 	}
-	c := &t.cells[i]
-	if c.gen++; c.gen > maxGen {
-		c.gen = 1
+	s := &t.slots[i]
+	if s.gen++; s.gen > maxGen {
+		s.gen = 1
 	}
-	c.v, c.used = v, true
+	s.v, s.used = v, true
 	t.count++
-	return makeRef(i, c.gen)
+	return makeRef(i, s.gen)
 }
 
-// Get returns what r names, if that use of the slot has not ended.
+// Get returns the value that r refers to. ok is false if r is stale or zero.
 func (t *Slots[T]) Get(r Ref) (v T, ok bool) {
-	if i := r.index(); i < len(t.cells) && t.cells[i].used && t.cells[i].gen == r.gen() {
-		return t.cells[i].v, true
+	if i := r.index(); i < len(t.slots) && t.slots[i].used && t.slots[i].gen == r.gen() {
+		return t.slots[i].v, true
 	}
 	return v, false
 }
 
-// Drop frees the slot that r names; a stale r does nothing.
+// Drop frees the slot that r refers to. It does nothing if r is stale or zero.
 func (t *Slots[T]) Drop(r Ref) {
 	if _, ok := t.Get(r); !ok {
 		return
 	}
-	var none T
-	c := &t.cells[r.index()]
-	c.v, c.used = none, false
+	var zero T
+	s := &t.slots[r.index()]
+	s.v, s.used = zero, false
 	t.free = append(t.free, r.index())
 	t.count--
 }
 
-// Len returns how many slots are in use.
+// Len returns the number of slots in use.
 func (t *Slots[T]) Len() int { return t.count }
 
-// All yields what is in use, in the order of the slots. The table may change meanwhile.
+// All iterates over the slots in use, ordered by index. The table may be changed during the iteration.
 func (t *Slots[T]) All(yield func(Ref, T) bool) {
-	for i := 0; i < len(t.cells); i++ {
-		if c := t.cells[i]; c.used && !yield(makeRef(i, c.gen), c.v) {
+	for i := 0; i < len(t.slots); i++ {
+		if s := t.slots[i]; s.used && !yield(makeRef(i, s.gen), s.v) {
 			return
 		}
 	}
