--- a/internal/mux/channel.go
+++ b/internal/mux/channel.go
@@ -5,45 +5,46 @@
 	"spurspread/internal/eventloop"
 )
 
+// channelState is the state of a channel with respect to its OPEN.
 type channelState uint8
 
 const (
-	openReceived channelState = iota // the peer has sent OPEN; not answered
-	openSent                         // OPEN was sent; the peer has not answered
+	openReceived channelState = iota // the peer has sent OPEN, which is not answered yet
+	openSent                         // OPEN was sent, and the peer has not answered yet
 	established
-	abandoned // closed here before the peer has answered
+	abandoned // rejected by either side, or closed here before the peer has answered
 )
 
-// Channel is one multiplexed channel. Its methods have the contracts of those of eventloop.Conn with the same names, so
-// that a caller can use either.
+// Channel is one multiplexed channel. Methods that have the same name as one of eventloop.Conn have the same contract,
+// so that a caller can use either type.
 type Channel struct {
 	conn    *Conn
 	owner   ChannelOwner
-	localID eventloop.Ref // the number under which the peer addresses it
-	peerID  uint32        // the number under which the peer is addressed
+	localID eventloop.Ref // channel number in messages from the peer
+	peerID  uint32        // channel number in messages to the peer
 	state   channelState
 	next    *Channel // in the connection's queue for turns
-	queued  bool     // in that queue
+	queued  bool     // whether the channel is in that queue
 
-	sendWindow    uint32 // bytes that the peer still takes
-	maxSendPacket uint32 // bytes that the peer takes in one message
-	sendBuffer    []byte // taken by Write, not sent yet
-	flushWanted   bool   // the owner has seen Pending above 0: Flushed is due once the buffer is empty
+	sendWindow    uint32 // bytes that may still be sent to the peer
+	maxSendPacket uint32 // maximum number of data bytes in one message to the peer
+	sendBuffer    []byte // passed to Write, not sent yet
+	flushWanted   bool   // the owner has seen Pending above 0: Flushed is called once the buffer is empty
 
-	receiveWindow uint32 // bytes granted to the peer and not used
-	receiveBuffer []byte // received and not read by the owner
-	packetData    []byte // of the packet that is being handled
+	receiveWindow uint32 // bytes that the peer may still send
+	receiveBuffer []byte // received, not read by the owner yet
+	packetData    []byte // unread data of the packet that is being handled
 
-	eof                bool // EOF is due once sendBuffer is empty
-	closeAfterEOF      bool // CLOSE follows that EOF
+	eof                bool // EOF is to be sent once sendBuffer is empty
+	closeAfterEOF      bool // CLOSE is to be sent after that EOF
 	sentEOF, sentClose bool
 	peerEOF, peerClose bool
 	answered           bool   // the peer has answered OPEN
-	finalRequest       string // name of the request that goes out before EOF; "" for none
+	finalRequest       string // name of a request to be sent before EOF; "" for none
 	finalRequestData   []byte
 }
 
-// SetOwner sets who is notified of a channel that the peer has opened.
+// SetOwner sets the owner of a channel that the peer has opened.
 func (ch *Channel) SetOwner(o ChannelOwner) { ch.owner = o }
 
 // Confirm accepts a channel that the peer has opened.
@@ -59,7 +60,7 @@
 	})
 }
 
-// Reject refuses a channel that the peer has opened, with a code of RFC 4254 and a description.
+// Reject rejects a channel that the peer has opened, with a code of RFC 4254 and a description.
 func (ch *Channel) Reject(code uint32, description []byte) {
 	if ch.state != openReceived {
 		return
@@ -71,25 +72,25 @@
 	ch.conn.channels.Drop(ch.localID)
 }
 
-// drop frees the channel's number once both sides have closed it.
+// drop frees the channel's number and returns its window to the budget. The channel must have ended on both sides.
 func (ch *Channel) drop() {
-	ch.conn.cfg.Budget.promised -= int64(ch.receiveWindow)
+	ch.conn.cfg.Budget.committed -= int64(ch.receiveWindow)
 	ch.receiveWindow = 0
 	ch.conn.channels.Drop(ch.localID)
 }
 
-// lost handles the end of the whole connection; plain reports whether it ended in order.
-func (ch *Channel) lost(plain bool) {
+// connectionLost ends the channel after the connection has ended; orderly tells whether that ended normally.
+func (ch *Channel) connectionLost(orderly bool) {
 	o := ch.owner
-	refused := ch.state == openSent
-	ch.peerEOF, ch.peerClose = ch.peerEOF || plain, true
+	unanswered := ch.state == openSent
+	ch.peerEOF, ch.peerClose = ch.peerEOF || orderly, true
 	ch.sendBuffer = nil
 	ch.drop()
 	if o == nil {
 		ch.discardUnread()
 		return
 	}
-	if refused {
+	if unanswered {
 		ch.owner = nil
 		o.Rejected(0, nil)
 		return
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -1,10 +1,10 @@
-// Package mux is the state machine of one connection that carries multiplexed channels (SSH's connection protocol, see
-// internal/channel), as client or server: which channels there are, flow control and fair turns among them, and which
-// messages of a peer are protocol errors.
+// Package mux implements one connection that carries multiplexed channels, as client or server, with the messages of
+// the SSH connection protocol (see internal/channel). It manages the channels and their flow control, shares the
+// connection fairly among them, and detects protocol errors of the peer.
 //
-// Received bytes go in by Conn.Feed, bytes to send go out by a Wire. It has no sockets and no clock, knows nothing of
-// what the channels carry, and is used from one goroutine: owners are called from within Feed, Flushed and Lost, and
-// nothing blocks.
+// Received bytes are passed to Conn.Feed, and bytes to send are written to a Wire. The package uses no sockets and no
+// clock and does not interpret the data on channels. A Conn must be used from one goroutine only; nothing blocks, and
+// owners are called from Feed, Flushed and Lost.
 package mux
 
 import (
@@ -15,69 +15,75 @@
 	"spurspread/internal/eventloop"
 )
 
-// Wire is what a connection writes to, without blocking. Pending returns how many written bytes it still buffers.
+// Wire is the transport that a connection writes to. Write does not block; Pending returns the number of written bytes
+// that are still buffered.
 type Wire interface {
 	Write(parts ...[]byte)
 	Pending() int
 }
 
-// Owner is notified of what concerns the connection as a whole. It may close any channel in these calls.
+// Owner is notified of the events of a connection as a whole. Its methods may close any channel.
 type Owner interface {
-	// Ready is called on a client once the peer has accepted the service: channels may be opened.
+	// Ready is called on a client when the peer has accepted the service. From then on channels may be opened.
 	Ready()
-	// Admit decides whether one more channel may be opened now. If why is not "", the peer is sent an open failure with
-	// it and the code (of RFC 4254). No state is kept for the channel yet.
-	Admit(kind []byte) (code uint32, why string)
-	// Open is called for a channel that the peer opens. The owner answers with Confirm or Reject, now or later.
+	// Admit decides whether the peer may open another channel now. If reason is not empty, the channel is rejected with
+	// this reason and code (of RFC 4254). No state is allocated for the channel before.
+	Admit(kind []byte) (code uint32, reason string)
+	// Open is called for a channel that the peer opens. The owner calls Confirm or Reject on it, now or later.
 	Open(ch *Channel, data []byte)
-	// PingAnswered is called when a Ping was answered.
+	// PingAnswered is called when the peer has answered a Ping.
 	PingAnswered()
 }
 
-// ChannelOwner is notified of what happens to a channel. It may close the channel in any of these calls.
+// ChannelOwner is notified of the events of a channel. Its methods may close the channel.
 type ChannelOwner interface {
-	// Confirmed is called when the peer has confirmed a channel that was opened here; data is what it sent with it.
+	// Confirmed is called when the peer has confirmed a channel that was opened here, with the data of the
+	// confirmation.
 	Confirmed(data []byte)
-	// Rejected is called when the peer has refused it, or the connection is lost before an answer. The channel is gone.
+	// Rejected is called when the peer has rejected the channel, or the connection was lost before an answer (code 0).
+	// The channel must not be used any more.
 	Rejected(code uint32, description []byte)
-	// Readable is called when bytes or an end were received. The owner reads until eventloop.ErrAgain, now or later.
+	// Readable is called when data or the end of the channel was received. The owner has to read until
+	// eventloop.ErrAgain, now or later.
 	Readable()
-	// Flushed is called when all that Pending had counted was sent.
+	// Flushed is called when all buffered bytes were sent, if the owner has seen a Pending above 0.
 	Flushed()
-	// Requested is called for a request of the peer's, and returns whether it is known.
+	// Requested is called for a request on the channel, and reports whether the request is known.
 	Requested(name, data []byte) bool
 }
 
 // Config configures a connection.
 type Config struct {
-	Server      bool    // the role; a client opens channels, a server only confirms or rejects them
-	Version     string  // of the program, for the identification line
-	MaxChannels int     // channels at once
-	Window      uint32  // bytes granted to the peer on each channel at most; the budget may grant less
+	Server      bool    // role: a client opens channels, a server only confirms or rejects them
+	Version     string  // program version in the identification line
+	MaxChannels int     // maximum number of channels at a time
+	Window      uint32  // maximum receive window per channel, in bytes; the budget may allow less
 	Budget      *Budget // shared by all connections of the process
 }
 
 const (
-	// sendHighWaterMark is how many bytes may wait on the wire before channels queue for turns: enough to keep it busy.
+	// sendHighWaterMark is the number of pending bytes on the wire from which on channels queue for a turn. It is
+	// enough to keep the wire busy.
 	sendHighWaterMark = 64 << 10
-	// turnBytes is how many bytes one channel sends before the next has its turn.
+	// turnBytes is the maximum number of bytes that a channel sends in one turn.
 	turnBytes = 8 << 10
-	// maxUnreadReplies is how many bytes may wait on the wire of a peer that sends requests and does not read replies.
+	// maxUnreadReplies is the maximum number of bytes that may be pending on the wire after a message of the peer was
+	// handled. Beyond it, the peer is taken to send requests without reading the replies.
 	maxUnreadReplies = 512 << 10
-	// minPeerPacket is how many bytes a peer must accept in one message.
+	// minPeerPacket is the smallest maximum packet size, in bytes, that a peer may announce.
 	minPeerPacket = 16
 )
 
-// ErrDisconnected is returned by Feed when the peer has ended the connection with DISCONNECT.
+// ErrDisconnected is returned by Feed if the peer has ended the connection with DISCONNECT.
 var ErrDisconnected = errors.New("peer has disconnected")
 
-// ErrNotSSH is returned by Feed when the peer's identification is not that of the protocol.
-var ErrNotSSH = errors.New("peer does not speak channels")
+// ErrNotSSH is returned by Feed if the peer has not sent a valid SSH identification line.
+var ErrNotSSH = errors.New("peer sent no valid SSH identification line")
 
-// errClosed is returned by Channel.Read when the channel was closed without EOF, as a connection that was reset.
-var errClosed = errors.New("channel closed without its end")
+// errClosed is returned by Channel.Read if the channel was closed without EOF. It corresponds to a connection reset.
+var errClosed = errors.New("channel closed without EOF")
 
-// protocolError is a violation of the protocol by the peer. It is sent in DISCONNECT, and the connection ends.
+// protocolError is a violation of the protocol by the peer. Its code and text are sent to the peer in DISCONNECT.
 type protocolError struct {
 	code uint32
 	text string
@@ -89,37 +95,38 @@
 	return protocolError{channel.ProtocolError, fmt.Sprintf(format, args...)}
 }
 
+// connectionStage is the stage of a connection. A connection passes through the stages in this order.
 type connectionStage uint8
 
 const (
-	identifying     connectionStage = iota // the peer's identification line has not come
-	agreeingService                        // identified; the service is not accepted yet
+	identifying     connectionStage = iota // the peer's identification line has not arrived
+	awaitingService                        // identified; the service is not accepted yet
 	running                                // channels may be opened
-	finished                               // by DISCONNECT, a protocol error or a lost connection
+	finished                               // ended by DISCONNECT, a protocol error or a lost connection
 )
 
-// Conn is one connection. New makes one.
+// Conn is one connection with multiplexed channels. It is created by New.
 type Conn struct {
 	cfg             Config
 	wire            Wire
 	owner           Owner
 	stage           connectionStage
-	buf             []byte // the start of a packet that is not complete
+	buf             []byte // the received part of an incomplete packet
 	packetsReceived uint32
 	channels        eventloop.Slots[*Channel]
-	turnHead        *Channel // queue of the channels that wait for a turn
+	turnHead        *Channel // first and last channel in the queue for turns
 	turnTail        *Channel
-	pumping         bool // pump is running further up the stack
+	pumping         bool // whether pump is on the call stack
 	unansweredPings int
 
-	// Scratch, kept so that nothing is allocated for each packet.
+	// Scratch space, kept to avoid allocations per packet.
 	msg   channel.Message
 	out   []byte
 	head  channel.Head
 	parts [][]byte
 }
 
-// New returns a connection. A client identifies itself at once; a server once the client has.
+// New returns a connection. A client sends its identification line at once, a server when it has received the client's.
 func New(w Wire, cfg Config, o Owner) *Conn {
 	c := &Conn{cfg: cfg, wire: w, owner: o}
 	if !cfg.Server {
@@ -131,13 +138,13 @@
 
 func (c *Conn) identify() { c.wire.Write([]byte("SSH-2.0-spurspread_" + c.cfg.Version + "\r\n")) }
 
-// Len returns the number of channels, those that wait for the peer's CLOSE included.
+// Len returns the number of channels, including those that wait for the peer's CLOSE.
 func (c *Conn) Len() int { return c.channels.Len() }
 
-// Identified reports whether the peer has identified itself as a speaker of the protocol.
-func (c *Conn) Identified() bool { return c.stage == agreeingService || c.stage == running }
+// Identified reports whether the peer has sent a valid identification line and the connection has not ended.
+func (c *Conn) Identified() bool { return c.stage == awaitingService || c.stage == running }
 
-// Ready reports whether channels may be opened: identification and service are agreed on.
+// Ready reports whether channels may be opened: the service is accepted and the connection has not ended.
 func (c *Conn) Ready() bool { return c.stage == running }
 
 func (c *Conn) send(m *channel.Message) {
@@ -145,8 +152,7 @@
 	c.wire.Write(c.out)
 }
 
-// Ping sends a keepalive request; Owner.Alive is called when it is answered. Before the service is agreed on it
-// does nothing.
+// Ping sends a keepalive request; Owner.PingAnswered is called when it is answered. Ping does nothing unless Ready.
 func (c *Conn) Ping() {
 	if c.stage == running {
 		c.unansweredPings++
@@ -154,7 +160,8 @@
 	}
 }
 
-// Disconnect tells the peer why the connection ends. The caller then closes it and calls Lost.
+// Disconnect sends DISCONNECT with a code of RFC 4253 and a text. The caller then has to close the connection and call
+// Lost.
 func (c *Conn) Disconnect(code uint32, text string) {
 	if c.stage != finished {
 		c.send(&channel.Message{Type: channel.Disconnect, Code: code, Data: []byte(text)})
@@ -162,11 +169,11 @@
 	}
 }
 
-// Feed handles received bytes. After an error (ErrDisconnected, ErrNotSSH or a violation of the protocol, which the
-// peer has been sent) the caller closes the connection and calls Lost.
+// Feed handles received bytes. After an error (ErrDisconnected, ErrNotSSH or a protocol error, of which the peer has
+// been informed) the caller has to close the connection and call Lost.
 func (c *Conn) Feed(b []byte) error {
-	kept := len(c.buf) > 0
-	if kept {
+	buffered := len(c.buf) > 0
+	if buffered {
 		c.buf = append(c.buf, b...)
 		b = c.buf
 	}
@@ -176,7 +183,7 @@
 			err = protocolError{channel.TooMany, "asks and does not read"}
 		}
 		if err != nil {
-			c.reject(err)
+			c.endWithError(err)
 			return err
 		}
 		if n == 0 {
@@ -186,8 +193,8 @@
 	}
 	switch {
 	case len(b) == 0 || c.stage == finished:
-		c.buf = nil // an idle connection holds no buffer
-	case kept:
+		c.buf = nil // so that an idle connection holds no buffer
+	case buffered:
 		c.buf = c.buf[:copy(c.buf, b)]
 	default:
 		c.buf = append([]byte(nil), b...)
@@ -195,7 +202,8 @@
 	return nil
 }
 
-func (c *Conn) reject(err error) {
+// endWithError ends the connection. The peer is sent DISCONNECT, unless it has sent one itself or does not speak SSH.
+func (c *Conn) endWithError(err error) {
 	var p protocolError
 	switch {
 	case errors.As(err, &p):
@@ -207,7 +215,7 @@
 	c.stage, c.buf = finished, nil
 }
 
-// step handles one identification line or packet at the start of b, and returns its length; 0 while it is incomplete.
+// step handles the identification line or packet at the start of b. It returns its length, 0 if it is incomplete.
 func (c *Conn) step(b []byte) (int, error) {
 	if c.stage == identifying {
 		_, n, err := channel.SplitIdentification(b)
@@ -215,7 +223,7 @@
 			return 0, ErrNotSSH
 		}
 		if n > 0 {
-			c.stage = agreeingService
+			c.stage = awaitingService
 			if c.cfg.Server {
 				c.identify()
 			}
@@ -231,20 +239,20 @@
 	if err := channel.Parse(payload, &c.msg); err != nil {
 		return 0, err
 	}
-	return n, c.take(&c.msg, seq)
+	return n, c.handleMessage(&c.msg, seq)
 }
 
-// take handles one message, the seq-th that was received.
-func (c *Conn) take(m *channel.Message, seq uint32) error {
+// handleMessage handles a message. seq is its number among those received, from 0.
+func (c *Conn) handleMessage(m *channel.Message, seq uint32) error {
 	switch m.Type {
 	case channel.Disconnect:
 		return ErrDisconnected
 	case channel.Ignore, channel.Debug, channel.Unimplemented:
 		return nil
 	case channel.ServiceRequest:
-		return c.serve(m)
+		return c.handleServiceRequest(m)
 	case channel.ServiceAccept:
-		if c.cfg.Server || c.stage != agreeingService {
+		if c.cfg.Server || c.stage != awaitingService {
 			return newProtocolError("SERVICE_ACCEPT that nobody asked for")
 		}
 		c.stage = running
@@ -262,7 +270,7 @@
 	}
 	switch m.Type {
 	case channel.GlobalRequest:
-		c.global(m)
+		c.handleGlobalRequest(m)
 		return nil
 	case channel.RequestSuccess, channel.RequestFailure:
 		if c.unansweredPings == 0 {
@@ -272,17 +280,18 @@
 		c.owner.PingAnswered()
 		return nil
 	case channel.Open:
-		c.opened(m)
+		c.handleOpen(m)
 		return nil
 	}
 	ch, ok := c.channels.Get(eventloop.Ref(m.Channel))
 	if !ok {
 		return newProtocolError("message %d for channel %d, which there is not", m.Type, m.Channel)
 	}
-	return ch.take(m)
+	return ch.handleMessage(m)
 }
 
-func (c *Conn) serve(m *channel.Message) error {
+// handleServiceRequest accepts the one service that there is.
+func (c *Conn) handleServiceRequest(m *channel.Message) error {
 	if !c.cfg.Server {
 		return newProtocolError("SERVICE_REQUEST of a server")
 	}
@@ -294,8 +303,8 @@
 	return nil
 }
 
-// global answers a global request at once, so that replies keep the order of the requests.
-func (c *Conn) global(m *channel.Message) {
+// handleGlobalRequest answers a global request at once, so that the replies are in the order of the requests.
+func (c *Conn) handleGlobalRequest(m *channel.Message) {
 	if !m.WantReply {
 		return
 	}
@@ -306,26 +315,27 @@
 	c.send(&channel.Message{Type: reply})
 }
 
-// opened handles an OPEN of the peer: it checks the limits, asks the owner, and refuses or hands the channel over.
-func (c *Conn) opened(m *channel.Message) {
-	code, why := uint32(0), ""
+// handleOpen handles an OPEN of the peer. It checks the limits and asks the owner, and either rejects the channel or
+// passes it to the owner.
+func (c *Conn) handleOpen(m *channel.Message) {
+	code, reason := uint32(0), ""
 	switch {
 	case !c.cfg.Server:
-		code, why = channel.Prohibited, "ERR"
+		code, reason = channel.Prohibited, "ERR"
 	case string(m.Name) != channel.Stream:
-		code, why = channel.UnknownKind, "ERR"
+		code, reason = channel.UnknownKind, "ERR"
 	case m.MaxPacket < minPeerPacket:
-		code, why = channel.Prohibited, "ERR"
+		code, reason = channel.Prohibited, "ERR"
 	case c.channels.Len() >= c.cfg.MaxChannels:
-		code, why = channel.NoResources, "BUSY"
+		code, reason = channel.NoResources, "BUSY"
 	}
-	if why == "" || code == channel.NoResources {
-		if over, more := c.owner.Admit(m.Name); more != "" {
-			code, why = over, more
+	if reason == "" || code == channel.NoResources {
+		if ownerCode, ownerReason := c.owner.Admit(m.Name); ownerReason != "" {
+			code, reason = ownerCode, ownerReason
 		}
 	}
-	if why != "" {
-		c.send(&channel.Message{Type: channel.OpenFailure, Channel: m.Channel, Code: code, Data: []byte(why)})
+	if reason != "" {
+		c.send(&channel.Message{Type: channel.OpenFailure, Channel: m.Channel, Code: code, Data: []byte(reason)})
 		return
 	}
 	ch := &Channel{conn: c, peerID: m.Channel, sendWindow: m.Window, maxSendPacket: m.MaxPacket, state: openReceived}
@@ -333,7 +343,8 @@
 	c.owner.Open(ch, m.Data)
 }
 
-// Open opens a channel to the peer; o is notified of its answer. It returns nil where no more channels may be opened.
+// Open opens a channel to the peer; o is notified of the answer. It returns nil if the connection is not ready or has
+// reached its maximum number of channels.
 func (c *Conn) Open(data []byte, o ChannelOwner) *Channel {
 	if c.stage != running || c.channels.Len() >= c.cfg.MaxChannels {
 		return nil
@@ -350,20 +361,20 @@
 	return ch
 }
 
-// Lost ends all channels of a connection that is gone; plain reports whether it ended in order. Each owner is notified
-// once.
-func (c *Conn) Lost(plain bool) {
+// Lost ends all channels after the connection has ended. orderly tells whether it ended normally; its channels then
+// read EOF instead of an error. The owner of each channel is notified once.
+func (c *Conn) Lost(orderly bool) {
 	c.stage = finished
 	c.turnHead, c.turnTail = nil, nil
 	for _, ch := range c.channels.All {
-		ch.lost(plain)
+		ch.connectionLost(orderly)
 	}
 }
 
-// Flushed is called by the caller when the wire has sent what was pending.
+// Flushed has to be called when the wire has sent all pending bytes. It gives waiting channels their turns.
 func (c *Conn) Flushed() { c.pump() }
 
-// queue appends a channel to those that wait for a turn.
+// queue appends a channel to the queue for turns, unless it is in it.
 func (c *Conn) queue(ch *Channel) {
 	if ch.queued {
 		return
@@ -377,7 +388,7 @@
 	c.turnTail = ch
 }
 
-// pump gives channels their turns, one packet each, while the wire is below its high-water mark.
+// pump gives queued channels their turns, one packet each, while the wire is below its high-water mark.
 func (c *Conn) pump() {
 	if c.pumping || c.stage == finished {
 		return
@@ -389,7 +400,7 @@
 			c.turnTail = nil
 		}
 		ch.queued = false
-		ch.turn()
+		ch.sendTurn()
 	}
 	c.pumping = false
 }
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -15,59 +15,59 @@
 	"spurspread/internal/eventloop"
 )
 
-// pipe is a wire whose far end takes bytes when it is told to.
+// pipe is a Wire that buffers the written bytes until the test takes them.
 type pipe struct {
-	kept []byte
-	sent int
+	buffered []byte
+	sent     int
 }
 
 func (p *pipe) Write(parts ...[]byte) {
 	for _, b := range parts {
-		p.kept = append(p.kept, b...)
+		p.buffered = append(p.buffered, b...)
 		p.sent += len(b)
 	}
 }
 
-func (p *pipe) Pending() int { return len(p.kept) }
+func (p *pipe) Pending() int { return len(p.buffered) }
 
 func (p *pipe) take(n int) []byte {
-	n = min(n, len(p.kept))
-	b := bytes.Clone(p.kept[:n])
-	p.kept = p.kept[n:]
+	n = min(n, len(p.buffered))
+	b := bytes.Clone(p.buffered[:n])
+	p.buffered = p.buffered[n:]
 	return b
 }
 
-// end is one side of a connection, and the owner of its channels.
-type end struct {
-	name    string
-	c       *Conn
-	wire    *pipe
-	ready   bool
-	alive   int
-	bar     string // Admit's answer
-	streams []*stream
+// side is one side of a connection, and the owner of that side's connection.
+type side struct {
+	name         string
+	c            *Conn
+	wire         *pipe
+	ready        bool
+	alive        int
+	rejectReason string // the reason that Admit returns
+	streams      []*stream
 }
 
-func (e *end) Ready()        { e.ready = true }
-func (e *end) PingAnswered() { e.alive++ }
-func (e *end) Admit([]byte) (uint32, string) {
-	return channel.NoResources, e.bar
+func (e *side) Ready()        { e.ready = true }
+func (e *side) PingAnswered() { e.alive++ }
+func (e *side) Admit([]byte) (uint32, string) {
+	return channel.NoResources, e.rejectReason
 }
 
-func (e *end) Open(ch *Channel, data []byte) {
+func (e *side) Open(ch *Channel, data []byte) {
 	s := &stream{e: e, ch: ch, opened: string(data)}
 	e.streams = append(e.streams, s)
 	ch.SetOwner(s)
 }
 
-// stream owns one channel and writes down what happens to it.
+// stream owns one channel and records its events.
 type stream struct {
-	e         *end
+	e         *side
 	ch        *Channel
 	opened    string
 	confirmed string
-	refused   string
-	stalled   bool // does not read
+	rejected  string
+	stalled   bool // whether it has stopped reading
 	sent, got []byte
 	end       error
 	requests  []string
@@ -75,7 +75,7 @@
 }
 
 func (s *stream) Confirmed(data []byte)             { s.confirmed = "yes " + string(data) }
-func (s *stream) Rejected(code uint32, text []byte) { s.refused = fmt.Sprintf("%d %s", code, text) }
+func (s *stream) Rejected(code uint32, text []byte) { s.rejected = fmt.Sprintf("%d %s", code, text) }
 func (s *stream) Flushed()                          { s.flushed++ }
 func (s *stream) Requested(name, data []byte) bool {
 	s.requests = append(s.requests, string(name)+" "+string(data))
@@ -99,15 +99,15 @@
 	s.ch.Write(b)
 }
 
-// couple makes a client and a server whose wires lead to one another.
-func couple(window uint32, most int) (client, server *end) {
-	client, server = &end{name: "client", wire: &pipe{}}, &end{name: "server", wire: &pipe{}}
+// newPair returns a client and a server for exchange to connect.
+func newPair(window uint32, maxChannels int) (client, server *side) {
+	client, server = &side{name: "client", wire: &pipe{}}, &side{name: "server", wire: &pipe{}}
 	server.c = New(
 		server.wire,
 		Config{
 			Server:      true,
 			Version:     "1",
-			MaxChannels: most,
+			MaxChannels: maxChannels,
 			Window:      window,
 			Budget:      &Budget{Limit: 1 << 30, Floor: 64},
 		},
@@ -115,16 +115,16 @@
 	)
 	client.c = New(
 		client.wire,
-		Config{Version: "1", MaxChannels: most, Window: window, Budget: &Budget{Limit: 1 << 30, Floor: 64}},
+		Config{Version: "1", MaxChannels: maxChannels, Window: window, Budget: &Budget{Limit: 1 << 30, Floor: 64}},
 		client,
 	)
 	return client, server
 }
 
-// flow passes bytes both ways until there are none.
-func flow(t interface{ Fatalf(string, ...any) }, a, b *end) {
+// exchange passes bytes in both directions until none are pending.
+func exchange(t interface{ Fatalf(string, ...any) }, a, b *side) {
 	for a.wire.Pending()+b.wire.Pending() > 0 {
-		for _, x := range [][2]*end{{a, b}, {b, a}} {
+		for _, x := range [][2]*side{{a, b}, {b, a}} {
 			if err := x[1].c.Feed(x[0].wire.take(1 << 20)); err != nil {
 				t.Fatalf("%s: %v", x[1].name, err)
 			}
@@ -133,78 +133,80 @@
 	}
 }
 
-func (e *end) open(line string) *stream {
+func (e *side) open(line string) *stream {
 	s := &stream{e: e}
 	s.ch = e.c.Open([]byte(line), s)
 	e.streams = append(e.streams, s)
 	return s
 }
 
-// openAll opens n channels and has the server confirm each. What the confirmations say has yet to flow.
-func openAll(t interface{ Fatalf(string, ...any) }, client, server *end, n int) {
-	flow(t, client, server)
+// openAll opens n channels and makes the server confirm them. The confirmations are still pending on the wire.
+func openAll(t interface{ Fatalf(string, ...any) }, client, server *side, n int) {
+	exchange(t, client, server)
 	for range n {
 		client.open("OPEN")
 	}
-	flow(t, client, server)
+	exchange(t, client, server)
 	for _, s := range server.streams {
 		s.ch.Confirm([]byte("UP"))
 	}
 }
 
+// A channel is opened, used and ended in each way: by EOF in one direction, by CloseAfterFlush, by a rejection, by a
+// close without EOF, and by a close before the answer.
 func TestOpenAndEnds(t *testing.T) {
-	client, server := couple(1000, 10)
-	flow(t, client, server)
+	client, server := newPair(1000, 10)
+	exchange(t, client, server)
 	if !client.ready {
 		t.Fatal("not ready")
 	}
 	a := client.open("OPEN 1")
-	flow(t, client, server)
+	exchange(t, client, server)
 	b := server.streams[0]
 	if line, err := channel.String([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
 		t.Fatalf("%q, %v", b.opened, err)
 	}
 	b.ch.Confirm([]byte("UP r"))
-	flow(t, client, server)
+	exchange(t, client, server)
 	if a.confirmed != "yes UP r" {
 		t.Fatalf("%q", a.confirmed)
 	}
-	// An end one way, with data the other.
+	// EOF in one direction, and data after it in the other.
 	a.write([]byte("T 1\r\n"))
 	a.ch.CloseWrite()
-	flow(t, client, server)
+	exchange(t, client, server)
 	b.write([]byte("OK\r\n"))
-	flow(t, client, server)
+	exchange(t, client, server)
 	if string(b.got) != "T 1\r\n" || !errors.Is(b.end, io.EOF) || string(a.got) != "OK\r\n" || a.end != nil {
 		t.Fatalf("%q %v, %q %v", b.got, b.end, a.got, a.end)
 	}
 	b.ch.CloseAfterFlush(channel.Move, channel.AppendString(nil, []byte("T")))
-	flow(t, client, server)
+	exchange(t, client, server)
 	if !errors.Is(a.end, io.EOF) || len(a.requests) != 1 || client.c.Len()+server.c.Len() != 0 {
 		t.Fatalf("%v, %q, %d left", a.end, a.requests, client.c.Len()+server.c.Len())
 	}
-	// A refusal, a close without an end, and one before the answer.
+	// A rejection, a close without EOF, and a close before the answer.
 	r, d, g := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
 	g.ch.Close()
-	flow(t, client, server)
+	exchange(t, client, server)
 	server.streams[1].ch.Reject(channel.NoResources, []byte("BUSY 70"))
 	server.streams[2].ch.Confirm(nil)
 	server.streams[3].ch.Confirm(nil)
-	flow(t, client, server)
+	exchange(t, client, server)
 	server.streams[2].ch.Reset()
-	flow(t, client, server)
-	if r.refused != "4 BUSY 70" || d.end == nil || errors.Is(d.end, io.EOF) || server.streams[3].end == nil ||
+	exchange(t, client, server)
+	if r.rejected != "4 BUSY 70" || d.end == nil || errors.Is(d.end, io.EOF) || server.streams[3].end == nil ||
 		errors.Is(server.streams[3].end, io.EOF) {
-		t.Errorf("%q, %v, %v", r.refused, d.end, server.streams[3].end)
+		t.Errorf("%q, %v, %v", r.rejected, d.end, server.streams[3].end)
 	}
 	client.c.Ping()
-	flow(t, client, server)
+	exchange(t, client, server)
 	if client.alive != 1 || client.c.Len()+server.c.Len() != 0 {
 		t.Errorf("alive %d, %d left", client.alive, client.c.Len()+server.c.Len())
 	}
 }
 
-// What a peer may not do ends the connection with DISCONNECT; what is only unknown does not.
+// A protocol error of the peer ends the connection with DISCONNECT; a message of an unknown type does not.
 func TestBadPeers(t *testing.T) {
 	msg := func(m channel.Message) []byte { return channel.Append(nil, &m) }
 	name := func(s string) []byte { return []byte(s) }
@@ -219,88 +221,88 @@
 			Data:      channel.AppendString(nil, []byte("OPEN")),
 		},
 	)
-	const num = 1 << 20 // the first channel's
-	on := func(m channel.Message) []byte { m.Channel = num; return msg(m) }
-	type say = [][]byte
+	const firstID = 1 << 20 // number of the first channel
+	on := func(m channel.Message) []byte { m.Channel = firstID; return msg(m) }
+	type input = [][]byte // messages; nil stands for a confirmation of the first channel
 	for what, c := range map[string]struct {
-		say  say
-		want string // of DISCONNECT; none: it goes on
+		input input
+		want  string // part of the error's text; empty if the connection is to continue
 	}{
-		"all well":                   {say{service, open}, ""},
-		"an open before the service": {say{open}, "message 90 before the service was asked for"},
-		"another service": {say{msg(channel.Message{
+		"valid messages":             {input{service, open}, ""},
+		"an open before the service": {input{open}, "message 90 before the service was asked for"},
+		"another service": {input{msg(channel.Message{
 			Type: channel.ServiceRequest,
 			Name: name("ssh-userauth"),
 		})}, "the only service is ssh-connection"},
-		"an accept": {say{msg(channel.Message{
+		"an unrequested accept": {input{msg(channel.Message{
 			Type: channel.ServiceAccept,
 			Name: name(channel.Service),
 		})}, "SERVICE_ACCEPT that nobody asked for"},
-		"a length of 0":    {say{service, {0, 0, 0, 0, 4, 0, 0, 0}}, "packet length is not one that may be"},
-		"a length of 1":    {say{service, {0, 0, 0, 1, 4, 0, 0, 0}}, "packet length is not one that may be"},
-		"a length of 2^31": {say{service, {0x80, 0, 0, 0, 4}}, "packet length is not one that may be"},
-		"padding":          {say{service, {0, 0, 0, 12, 200, 0, 0, 0}}, "padding is wrong"},
+		"a length of 0":    {input{service, {0, 0, 0, 0, 4, 0, 0, 0}}, "packet length is not one that may be"},
+		"a length of 1":    {input{service, {0, 0, 0, 1, 4, 0, 0, 0}}, "packet length is not one that may be"},
+		"a length of 2^31": {input{service, {0x80, 0, 0, 0, 4}}, "packet length is not one that may be"},
+		"padding":          {input{service, {0, 0, 0, 12, 200, 0, 0, 0}}, "padding is wrong"},
 		"a plain line": {
-			say{service, []byte("OPEN 1 2 c=x,d=1\r\n")},
+			input{service, []byte("OPEN 1 2 c=x,d=1\r\n")},
 			"packet length is not one that may be",
 		},
-		"a message that is cut off": {say{service, packet(90, 0, 0, 0, 200)}, "message is cut off"},
-		"a message with more":       {say{service, packet(96, 0, 0, 0, 1, 9)}, "message has bytes behind its end"},
-		"an unknown message":        {say{service, packet(20, 1, 2, 3), packet(200)}, ""},
-		"a channel that is not": {
-			say{service, msg(channel.Message{Type: channel.EOF, Channel: 5})},
+		"a truncated message":       {input{service, packet(90, 0, 0, 0, 200)}, "message is cut off"},
+		"a message with more bytes": {input{service, packet(96, 0, 0, 0, 1, 9)}, "message has bytes behind its end"},
+		"an unknown message":        {input{service, packet(20, 1, 2, 3), packet(200)}, ""},
+		"an unknown channel": {
+			input{service, msg(channel.Message{Type: channel.EOF, Channel: 5})},
 			"message 96 for channel 5, which there is not",
 		},
-		"a channel not open yet": {
-			say{service, open, on(channel.Message{Type: channel.Data, Data: name("x")})},
+		"a channel that is not confirmed": {
+			input{service, open, on(channel.Message{Type: channel.Data, Data: name("x")})},
 			"which is not open",
 		},
-		"a confirmation": {
-			say{service, open, on(channel.Message{Type: channel.OpenConfirm})},
+		"an unrequested confirmation": {
+			input{service, open, on(channel.Message{Type: channel.OpenConfirm})},
 			"which was not asked for",
 		},
-		"a reply": {
-			say{service, msg(channel.Message{Type: channel.RequestSuccess})},
+		"an unrequested reply": {
+			input{service, msg(channel.Message{Type: channel.RequestSuccess})},
 			"a reply that nobody asked for",
 		},
-		"goodbye": {
-			say{service, msg(channel.Message{Type: channel.Disconnect, Code: 11})},
+		"a disconnect": {
+			input{service, msg(channel.Message{Type: channel.Disconnect, Code: 11})},
 			"peer has disconnected",
 		},
-		"window overrun": {say{
+		"window overrun": {input{
 			service, open, nil,
 			on(channel.Message{Type: channel.Data, Data: make([]byte, 201)}),
 		}, "sends 201 bytes with a window of 200"},
-		"window used": {say{
+		"window used": {input{
 			service, open, nil,
 			on(channel.Message{Type: channel.Data, Data: make([]byte, 200)}),
 		}, ""},
-		"window overflow": {say{
+		"window overflow": {input{
 			service, open, nil,
 			on(channel.Message{Type: channel.WindowAdjust, Window: 1<<32 - 1}),
 		}, "overflows"},
-		"data after EOF": {say{
+		"data after EOF": {input{
 			service, open, nil, on(channel.Message{Type: channel.EOF}),
 			on(channel.Message{Type: channel.Data, Data: name("x")}),
 		}, "data after EOF"},
-		"EOF twice": {say{
+		"EOF twice": {input{
 			service, open, nil, on(channel.Message{Type: channel.EOF}),
 			on(channel.Message{Type: channel.EOF}),
 		}, "EOF twice"},
-		"data after CLOSE": {say{
+		"data after CLOSE": {input{
 			service, open, nil, on(channel.Message{Type: channel.Close}),
 			on(channel.Message{Type: channel.Data, Data: name("x")}),
 		}, "which there is not"},
-		"CLOSE twice": {say{
+		"CLOSE twice": {input{
 			service, open, nil, on(channel.Message{Type: channel.Close}),
 			on(channel.Message{Type: channel.Close}),
 		}, "which there is not"},
-		"stderr": {say{
+		"stderr": {input{
 			service, open, nil,
 			on(channel.Message{Type: channel.ExtendedData, Code: 1, Data: name("x")}),
 		}, ""},
 	} {
-		e := &end{wire: &pipe{}}
+		e := &side{wire: &pipe{}}
 		e.c = New(
 			e.wire,
 			Config{
@@ -313,7 +315,7 @@
 			e,
 		)
 		err := e.c.Feed([]byte("SSH-2.0-test\r\n"))
-		for _, b := range c.say {
+		for _, b := range c.input {
 			if b == nil {
 				e.streams[0].ch.Confirm(nil)
 				continue
@@ -326,23 +328,24 @@
 			t.Errorf("%s: %v, want %q", what, err, c.want)
 			continue
 		}
-		if c.want != "" && what != "goodbye" && !bytes.Contains(e.wire.kept, []byte(err.Error())) {
-			t.Errorf("%s: the peer was not told", what)
+		if c.want != "" && what != "a disconnect" && !bytes.Contains(e.wire.buffered, []byte(err.Error())) {
+			t.Errorf("%s: the peer was not sent the error", what)
 		}
 		if c.want != "" && e.c.Feed([]byte("more")) != nil {
-			t.Errorf("%s: goes on after its end", what)
+			t.Errorf("%s: the connection continues after its end", what)
 		}
 	}
 }
 
+// packet returns a packet with the given payload.
 func packet(payload ...byte) []byte {
 	b, at := channel.Begin(nil)
 	return channel.End(append(b, payload...), at)
 }
 
-// An unknown message is told by its number in the order of all; requests are answered in their order.
+// The answer to an unknown message carries its sequence number, and requests are answered in order.
 func TestReplies(t *testing.T) {
-	e := &end{wire: &pipe{}}
+	e := &side{wire: &pipe{}}
 	e.c = New(
 		e.wire,
 		Config{Server: true, Version: "1", MaxChannels: 2, Window: 200, Budget: &Budget{Limit: 1 << 20, Floor: 64}},
@@ -353,14 +356,14 @@
 	in = append(in, "SSH-2.0-test\r\n"...)
 	add(channel.Message{Type: channel.ServiceRequest, Name: []byte(channel.Service)})
 	in = append(in, packet(150)...)
-	openWith := func(kind string, most uint32) {
+	openWith := func(kind string, maxPacket uint32) {
 		add(
 			channel.Message{
 				Type:      channel.Open,
 				Name:      []byte(kind),
 				Channel:   3,
 				Window:    9,
-				MaxPacket: most,
+				MaxPacket: maxPacket,
 				Data:      channel.AppendString(nil, []byte("OPEN")),
 			},
 		)
@@ -373,7 +376,7 @@
 	openWith(channel.Stream, 3)
 	openWith(channel.Stream, 100)
 	openWith(channel.Stream, 100)
-	for len(in) > 0 { // in pieces of any size
+	for len(in) > 0 { // in parts of random size
 		n := min(len(in), 1+rand.IntN(40))
 		if err := e.c.Feed(in[:n]); err != nil {
 			t.Fatal(err)
@@ -381,18 +384,18 @@
 		in = in[n:]
 	}
 	e.streams[0].ch.Confirm([]byte("UP"))
-	const num = 1 << 20
+	const firstID = 1 << 20
 	for _, name := range []string{channel.Move, "x"} {
 		if err := e.c.Feed(channel.Append(nil, &channel.Message{
-			Type: channel.Request, Channel: num,
+			Type: channel.Request, Channel: firstID,
 			Name: []byte(name), WantReply: true,
 		})); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got []string
-	_, n, _ := channel.SplitIdentification(e.wire.kept)
-	for b := e.wire.kept[n:]; len(b) > 0; {
+	_, n, _ := channel.SplitIdentification(e.wire.buffered)
+	for b := e.wire.buffered[n:]; len(b) > 0; {
 		payload, n, err := channel.SplitPacket(b)
 		if err != nil || n == 0 {
 			t.Fatal(n, err)
@@ -410,49 +413,49 @@
 	}
 }
 
-// A peer that does not read one channel stops that one only, and the others have their turns.
+// If the peer does not read one channel, only that channel stalls. With a full wire, channels take turns.
 func TestFairTurns(t *testing.T) {
-	client, server := couple(20_000, 10)
+	client, server := newPair(20_000, 10)
 	openAll(t, client, server, 3)
-	flow(t, client, server)
+	exchange(t, client, server)
 	client.streams[0].stalled = true
 	for _, s := range server.streams {
 		s.write(bytes.Repeat([]byte("x"), 100_000))
 	}
-	flow(t, client, server)
+	exchange(t, client, server)
 	if got := len(client.streams[0].ch.receiveBuffer); got == 0 || got > 20_000 {
-		t.Errorf("%d bytes kept of the stalled channel", got)
+		t.Errorf("%d bytes of the stalled channel buffered", got)
 	}
 	if server.streams[0].ch.Pending() != 80_000 {
-		t.Errorf("%d wait at the sender", server.streams[0].ch.Pending())
+		t.Errorf("%d bytes pending at the sender", server.streams[0].ch.Pending())
 	}
 	for i, s := range client.streams[1:] {
 		if len(s.got) != 100_000 || server.streams[1+i].ch.Pending() != 0 {
-			t.Errorf("channel %d: %d came", 1+i, len(s.got))
+			t.Errorf("channel %d: %d bytes received", 1+i, len(s.got))
 		}
 	}
 	client.streams[0].stalled = false
 	client.streams[0].Readable()
-	flow(t, client, server)
+	exchange(t, client, server)
 	if len(client.streams[0].got) != 100_000 || server.streams[0].flushed == 0 {
-		t.Errorf("after the stall: %d came, flushed %d times", len(client.streams[0].got), server.streams[0].flushed)
+		t.Errorf("after the stall: %d bytes, flushed %d times", len(client.streams[0].got), server.streams[0].flushed)
 	}
-	room := server.streams[1].ch.sendWindow
+	before := server.streams[1].ch.sendWindow
 	adjust := channel.Append(
 		nil,
 		&channel.Message{Type: channel.WindowAdjust, Channel: uint32(server.streams[1].ch.localID), Window: 5},
 	)
-	if err := server.c.Feed(adjust); err != nil || server.streams[1].ch.sendWindow != room+5 {
-		t.Errorf("%v, a window of %d and 5 more is %d", err, room, server.streams[1].ch.sendWindow)
+	if err := server.c.Feed(adjust); err != nil || server.streams[1].ch.sendWindow != before+5 {
+		t.Errorf("%v, a window of %d enlarged by 5 is %d", err, before, server.streams[1].ch.sendWindow)
 	}
-	// With the wire full, one packet each.
+	// With the wire full, each channel sends one packet in turn.
 	server.wire.Write(make([]byte, sendHighWaterMark))
 	for _, s := range server.streams {
 		s.ch.Write(bytes.Repeat([]byte("y"), 3*turnBytes))
 	}
-	server.wire.kept = nil
+	server.wire.buffered = nil
 	server.c.Flushed()
-	for b, last := server.wire.kept, uint32(0); len(b) > 0; {
+	for b, last := server.wire.buffered, uint32(0); len(b) > 0; {
 		payload, n, err := channel.SplitPacket(b)
 		var m channel.Message
 		if err != nil || channel.Parse(payload, &m) != nil {
@@ -462,72 +465,72 @@
 			t.Errorf("channel %d had two turns in a row", last)
 		}
 		if b, last = b[n:], m.Channel; len(m.Data) > turnBytes {
-			t.Errorf("a turn of %d", len(m.Data))
+			t.Errorf("a turn of %d bytes", len(m.Data))
 		}
 	}
 }
 
-// The less there is left of the budget, the smaller the windows; none is smaller than the floor, and all is given back.
+// The less is left of the budget, the smaller the windows, but none is smaller than Floor. At the end everything has
+// been returned to the budget.
 func TestBudget(t *testing.T) {
-	client, server := couple(10_000, 1000)
+	client, server := newPair(10_000, 1000)
 	server.c.cfg.Budget.Limit = 50_000
 	openAll(t, client, server, 300)
-	flow(t, client, server)
+	exchange(t, client, server)
 	if p := server.c.cfg.Budget.Committed(); p > 50_000+300*64 {
-		t.Errorf("%d promised", p)
+		t.Errorf("%d bytes committed", p)
 	}
 	if first, last := client.streams[0].ch.sendWindow, client.streams[299].ch.sendWindow; first < 3000 || last != 64 {
 		t.Errorf("windows of %d and %d", first, last)
 	}
 	server.streams[0].stalled = true
 	client.streams[0].write(make([]byte, 3000))
-	flow(t, client, server)
+	exchange(t, client, server)
 	client.c.Disconnect(11, "enough")
 	_ = server.c.Feed(client.wire.take(1 << 20))
 	server.c.Lost(true)
 	client.c.Lost(true)
 	server.streams[0].ch.Close()
-	for _, e := range []*end{client, server} {
+	for _, e := range []*side{client, server} {
 		if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
-			t.Errorf("%s: %d promised, %d channels", e.name, p, e.c.Len())
+			t.Errorf("%s: %d bytes committed, %d channels", e.name, p, e.c.Len())
 		}
 	}
 }
 
-// A peer that asks and does not read what it is answered is not answered for ever.
-func TestAsksAndDoesNotRead(t *testing.T) {
-	client, server := couple(1000, 2)
-	flow(t, client, server)
-	ask := channel.Append(nil, &channel.Message{Type: channel.GlobalRequest, Name: []byte("x"), WantReply: true})
+// A peer that sends requests and does not read the replies is disconnected after maxUnreadReplies.
+func TestUnreadReplies(t *testing.T) {
+	client, server := newPair(1000, 2)
+	exchange(t, client, server)
+	request := channel.Append(nil, &channel.Message{Type: channel.GlobalRequest, Name: []byte("x"), WantReply: true})
 	for range 100_000 {
-		if err := server.c.Feed(ask); err != nil {
+		if err := server.c.Feed(request); err != nil {
 			if server.wire.Pending() > maxUnreadReplies+1000 {
-				t.Errorf("%d bytes kept", server.wire.Pending())
+				t.Errorf("%d bytes buffered", server.wire.Pending())
 			}
 			return
 		}
 	}
-	t.Error("never ends")
+	t.Error("the connection does not end")
 }
 
-// run drives two sides with whatever rapid draws; what was written on a channel comes whole and in order, as far as
-// the other side reads it, and nothing is kept once all has ended.
-type run struct {
-	client, server *end
+// randomRun performs random actions, drawn by rapid, on the two sides of a connection.
+type randomRun struct {
+	client, server *side
 }
 
-func (m *run) pick(t *rapid.T, of []*stream) *stream {
+func (m *randomRun) pick(t *rapid.T, of []*stream) *stream {
 	if len(of) == 0 {
 		t.Skip()
 	}
 	return rapid.SampledFrom(of).Draw(t, "channel")
 }
 
-func (m *run) all() []*stream {
+func (m *randomRun) all() []*stream {
 	return append(append([]*stream(nil), m.client.streams...), m.server.streams...)
 }
 
-func (m *run) pass(t *rapid.T, from, to *end) {
+func (m *randomRun) pass(t *rapid.T, from, to *side) {
 	n := rapid.IntRange(1, 5000).Draw(t, "bytes")
 	if err := to.c.Feed(from.wire.take(n)); err != nil {
 		t.Fatalf("%s: %v", to.name, err)
@@ -537,41 +540,43 @@
 	}
 }
 
-// live tells that a channel may still be used by its owner.
-func (s *stream) live() bool {
+// writable reports whether the owner may still write to the channel.
+func (s *stream) writable() bool {
 	return s.ch != nil && s.ch.owner != nil && s.ch.state == established && !s.ch.eof
 }
 
+// Whatever the order of events, the data written on a channel arrives completely and in order as far as the other side
+// reads it, and nothing is left of channels and budget once all channels are closed.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &run{}
-		m.client, m.server = couple(uint32(rapid.IntRange(1, 3000).Draw(t, "window")), 30)
+		m := &randomRun{}
+		m.client, m.server = newPair(uint32(rapid.IntRange(1, 3000).Draw(t, "window")), 30)
 		openAll(t, m.client, m.server, 3)
 		actions := m.actions()
-		for range 6 { // a run of rapid's own length is over before windows have come round
+		for range 6 { // one Repeat of rapid is too short for a window to be used up and granted again
 			t.Repeat(actions)
 		}
 		for _, s := range m.all() {
 			s.stalled = false
 			s.Readable()
 		}
-		flow(t, m.client, m.server)
+		exchange(t, m.client, m.server)
 		m.checkArrived(t)
 		for _, s := range m.all() {
 			s.ch.Close()
 		}
-		flow(t, m.client, m.server)
-		for _, e := range []*end{m.client, m.server} {
+		exchange(t, m.client, m.server)
+		for _, e := range []*side{m.client, m.server} {
 			if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
-				t.Fatalf("%s: %d promised, %d channels left", e.name, p, e.c.Len())
+				t.Fatalf("%s: %d bytes committed, %d channels left", e.name, p, e.c.Len())
 			}
 		}
 	})
 }
 
-// actions are what may happen to the two sides, by name; the one without a name is checked after each.
-func (m *run) actions() map[string]func(*rapid.T) {
-	mark := byte(0) // of the bytes of one write
+// actions returns the actions of a random run by name. The one with an empty name is a check after each action.
+func (m *randomRun) actions() map[string]func(*rapid.T) {
+	fill := byte(0) // another value in each write
 	return map[string]func(*rapid.T){
 		"up":   func(t *rapid.T) { m.pass(t, m.client, m.server) },
 		"down": func(t *rapid.T) { m.pass(t, m.server, m.client) },
@@ -584,17 +589,17 @@
 		"refuse":  func(t *rapid.T) { m.pick(t, m.server.streams).ch.Reject(1, []byte("ERR")) },
 		"write": func(t *rapid.T) {
 			s := m.pick(t, m.all())
-			if !s.live() {
+			if !s.writable() {
 				t.Skip()
 			}
-			mark++
-			s.write(bytes.Repeat([]byte{mark}, rapid.IntRange(1, 4000).Draw(t, "n")))
+			fill++
+			s.write(bytes.Repeat([]byte{fill}, rapid.IntRange(1, 4000).Draw(t, "n")))
 		},
 		"stall": func(t *rapid.T) { m.pick(t, m.all()).stalled = true },
 		"read":  func(t *rapid.T) { s := m.pick(t, m.all()); s.stalled = false; s.Readable() },
 		"eof": func(t *rapid.T) {
 			s := m.pick(t, m.all())
-			if s.live() {
+			if s.writable() {
 				s.ch.CloseWrite()
 			}
 		},
@@ -607,65 +612,67 @@
 		"close": func(t *rapid.T) { m.pick(t, m.all()).ch.Close() },
 		"ping":  func(t *rapid.T) { m.client.c.Ping() },
 		"": func(t *rapid.T) {
-			for _, e := range []*end{m.client, m.server} {
+			for _, e := range []*side{m.client, m.server} {
 				if e.c.cfg.Budget.Committed() < 0 {
-					t.Fatalf("%s: promised %d", e.name, e.c.cfg.Budget.Committed())
+					t.Fatalf("%s: %d bytes committed", e.name, e.c.cfg.Budget.Committed())
 				}
 			}
 		},
 	}
 }
 
-// checkArrived holds, of each channel and way, what came against what was written. Nothing may be under way.
-func (m *run) checkArrived(t *rapid.T) {
+// checkArrived compares the data read with the data written, for each channel and direction. Nothing may be pending on
+// the wires.
+func (m *randomRun) checkArrived(t *rapid.T) {
 	pairs := map[string]*stream{}
 	for _, s := range m.server.streams {
 		pairs[fmt.Sprint(s.ch.peerID)] = s
 	}
 	for _, a := range m.client.streams {
 		if b := pairs[fmt.Sprint(uint32(a.ch.localID))]; b != nil {
-			checkWay(t, a, b, a.ch.state == established)
-			checkWay(t, b, a, a.ch.state == established)
+			checkDirection(t, a, b, a.ch.state == established)
+			checkDirection(t, b, a, a.ch.state == established)
 		}
 	}
 }
 
-// checkWay holds what came to one side of a channel against what the other wrote: a part from its beginning, and
-// all of it where the channel stands on both sides.
-func checkWay(t *rapid.T, from, to *stream, stands bool) {
+// checkDirection compares the data read on one side of a channel with the data written on the other: it has to be a
+// prefix of that, and all of it if the channel is open on both sides.
+func checkDirection(t *rapid.T, from, to *stream, established bool) {
 	if !bytes.HasPrefix(from.sent, to.got) {
-		t.Fatalf("%s sent %d bytes, and %d others came", from.e.name, len(from.sent), len(to.got))
+		t.Fatalf("%s sent %d bytes, and the %d bytes received differ", from.e.name, len(from.sent), len(to.got))
 	}
-	open := stands && from.ch.owner != nil && to.ch.owner != nil && !from.ch.sentClose && !to.ch.sentClose
+	open := established && from.ch.owner != nil && to.ch.owner != nil && !from.ch.sentClose && !to.ch.sentClose
 	if open && len(from.sent) != len(to.got) {
-		t.Fatalf("%s sent %d bytes, %d came: a window was not given back", from.e.name, len(from.sent), len(to.got))
+		t.Fatalf("%s sent %d bytes, %d received: a window was not restored", from.e.name, len(from.sent), len(to.got))
 	}
 }
 
-// Data that passes costs no allocation.
+// Sending and receiving data allocates no memory.
 func TestDataAllocatesNothing(t *testing.T) {
-	client, server := couple(1<<20, 10)
-	flow(t, client, server)
+	client, server := newPair(1<<20, 10)
+	exchange(t, client, server)
 	a := client.open("OPEN")
-	flow(t, client, server)
+	exchange(t, client, server)
 	server.streams[0].ch.Confirm(nil)
-	flow(t, client, server)
+	exchange(t, client, server)
 	sink := &sinkOwner{ch: server.streams[0].ch}
 	server.streams[0].ch.SetOwner(sink)
 	line := []byte("#17 0123456789abcdef0123456789abcdef\r\n")
-	client.wire.kept = make([]byte, 0, 1<<20)
-	server.wire.kept = make([]byte, 0, 1<<20)
+	client.wire.buffered = make([]byte, 0, 1<<20)
+	server.wire.buffered = make([]byte, 0, 1<<20)
 	if n := testing.AllocsPerRun(1000, func() {
 		a.ch.Write(line)
-		if err := server.c.Feed(client.wire.kept); err != nil {
+		if err := server.c.Feed(client.wire.buffered); err != nil {
 			t.Fatal(err)
 		}
-		client.wire.kept = client.wire.kept[:0]
+		client.wire.buffered = client.wire.buffered[:0]
 	}); n > 0 {
-		t.Errorf("%v allocations a line", n)
+		t.Errorf("%v allocations per line", n)
 	}
 }
 
+// sinkOwner reads all data and discards it.
 type sinkOwner struct {
 	ch *Channel
 	b  [4096]byte
@@ -683,7 +690,7 @@
 	}
 }
 
-// Whatever a peer sends, a server ends or goes on; it does not fall over.
+// Whatever bytes a peer sends, the server does not panic, and no channel or part of the budget is left at the end.
 func FuzzFeed(f *testing.F) {
 	service := channel.Append(nil, &channel.Message{Type: channel.ServiceRequest, Name: []byte(channel.Service)})
 	f.Add(
@@ -702,7 +709,7 @@
 	)
 	f.Add(channel.Append(nil, &channel.Message{Type: channel.Close, Channel: 1 << 20}))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		e := &end{wire: &pipe{}}
+		e := &side{wire: &pipe{}}
 		e.c = New(
 			e.wire,
 			Config{
@@ -736,7 +743,7 @@
 			s.ch.Close()
 		}
 		if e.c.Len() != 0 || e.c.cfg.Budget.Committed() != 0 {
-			t.Errorf("%d channels left, %d promised", e.c.Len(), e.c.cfg.Budget.Committed())
+			t.Errorf("%d channels left, %d bytes committed", e.c.Len(), e.c.cfg.Budget.Committed())
 		}
 	})
 }
--- a/internal/mux/receive.go
+++ b/internal/mux/receive.go
@@ -8,8 +8,8 @@
 	"spurspread/internal/eventloop"
 )
 
-// Read reads what was received. It returns eventloop.ErrAgain where there is nothing yet, io.EOF at the peer's end, and
-// errClosed where the peer has closed without one.
+// Read reads received data. It returns eventloop.ErrAgain if there is none yet, io.EOF after the peer's EOF, and
+// errClosed if the peer has closed the channel without EOF.
 func (ch *Channel) Read(b []byte) (int, error) {
 	n := copy(b, ch.receiveBuffer)
 	if ch.receiveBuffer = ch.receiveBuffer[n:]; len(ch.receiveBuffer) == 0 {
@@ -31,16 +31,16 @@
 	return 0, eventloop.ErrAgain
 }
 
-// grant widens the window of the peer by n bytes.
+// grant enlarges the receive window by n bytes. The caller tells the peer.
 func (ch *Channel) grant(n uint32) {
 	ch.receiveWindow += n
-	ch.conn.cfg.Budget.promised += int64(n)
+	ch.conn.cfg.Budget.committed += int64(n)
 }
 
-// consumed returns n read bytes to the budget, and grants the peer as much again once the grant is worth a message:
-// when at most half of the window is left.
+// consumed returns n read bytes to the budget. If at most half of the window is left, it sends the peer a grant that
+// restores the window; at more than half, a grant is not worth a message.
 func (ch *Channel) consumed(n int) {
-	ch.conn.cfg.Budget.promised -= int64(n)
+	ch.conn.cfg.Budget.committed -= int64(n)
 	if ch.state != established || ch.peerEOF || ch.peerClose || ch.sentClose || ch.conn.stage == finished {
 		return
 	}
@@ -53,17 +53,17 @@
 	ch.conn.send(&channel.Message{Type: channel.WindowAdjust, Channel: ch.peerID, Window: target - outstanding})
 }
 
-// discardUnread drops what was received and will not be read, and returns its bytes to the budget.
+// discardUnread discards received data that will not be read, and returns its bytes to the budget.
 func (ch *Channel) discardUnread() {
-	ch.conn.cfg.Budget.promised -= int64(len(ch.receiveBuffer) + len(ch.packetData))
+	ch.conn.cfg.Budget.committed -= int64(len(ch.receiveBuffer) + len(ch.packetData))
 	ch.receiveBuffer = nil
 }
 
-// take handles a message for this channel.
-func (ch *Channel) take(m *channel.Message) error {
+// handleMessage handles a message for this channel.
+func (ch *Channel) handleMessage(m *channel.Message) error {
 	switch m.Type {
 	case channel.OpenConfirm, channel.OpenFailure:
-		return ch.answer(m)
+		return ch.handleOpenReply(m)
 	}
 	if ch.state != established {
 		return newProtocolError("message %d for channel %d, which is not open", m.Type, m.Channel)
@@ -73,9 +73,9 @@
 	}
 	switch m.Type {
 	case channel.WindowAdjust:
-		return ch.adjustWindow(m)
+		return ch.handleWindowAdjust(m)
 	case channel.Data, channel.ExtendedData:
-		return ch.data(m)
+		return ch.handleData(m)
 	case channel.EOF:
 		if ch.peerEOF {
 			return newProtocolError("EOF twice on channel %d", m.Channel)
@@ -83,27 +83,27 @@
 		ch.peerEOF = true
 		ch.notifyReadable()
 	case channel.Close:
-		ch.closed()
+		ch.handleClose()
 	case channel.Request:
-		ch.request(m)
+		ch.handleRequest(m)
 	}
 	return nil
 }
 
-// adjustWindow handles a grant of the peer's.
-func (ch *Channel) adjustWindow(m *channel.Message) error {
+// handleWindowAdjust handles a WINDOW_ADJUST of the peer.
+func (ch *Channel) handleWindowAdjust(m *channel.Message) error {
 	if uint64(ch.sendWindow)+uint64(m.Window) > math.MaxUint32 {
 		return newProtocolError("window of channel %d overflows", m.Channel)
 	}
 	ch.sendWindow += m.Window
 	if len(ch.sendBuffer) > 0 && ch.sendWindow > 0 {
-		ch.ready()
+		ch.schedule()
 	}
 	return nil
 }
 
-// request hands a request of the peer's to the owner, and replies where the peer wants it.
-func (ch *Channel) request(m *channel.Message) {
+// handleRequest passes a request of the peer to the owner, and replies if the peer wants a reply.
+func (ch *Channel) handleRequest(m *channel.Message) {
 	known := ch.owner != nil && !ch.sentClose && ch.owner.Requested(m.Name, m.Data)
 	if !m.WantReply || ch.sentClose {
 		return
@@ -115,8 +115,8 @@
 	ch.conn.send(&channel.Message{Type: reply, Channel: ch.peerID})
 }
 
-// answer handles the peer's answer to a channel that was opened here.
-func (ch *Channel) answer(m *channel.Message) error {
+// handleOpenReply handles the peer's answer to a channel that was opened here.
+func (ch *Channel) handleOpenReply(m *channel.Message) error {
 	if ch.state != openSent && ch.state != abandoned || ch.answered {
 		return newProtocolError("an answer to channel %d, which was not asked for", m.Channel)
 	}
@@ -130,12 +130,12 @@
 		}
 		return nil
 	}
-	gone := ch.state == abandoned
+	closedHere := ch.state == abandoned
 	ch.state, ch.peerID, ch.sendWindow, ch.maxSendPacket = established, m.Sender, m.Window, m.MaxPacket
 	if m.MaxPacket < minPeerPacket {
 		return newProtocolError("channel %d takes no message", m.Channel)
 	}
-	if gone {
+	if closedHere {
 		ch.sendClose()
 	} else if ch.owner != nil {
 		ch.owner.Confirmed(m.Data)
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// data handles received bytes; those that nobody reads are granted again at once.
-func (ch *Channel) data(m *channel.Message) error {
+// handleData handles received data. Data that no owner will read counts as consumed at once.
+func (ch *Channel) handleData(m *channel.Message) error {
 	n := uint32(len(m.Data))
 	switch {
 	case ch.peerEOF:
@@ -156,7 +156,7 @@
 	}
 	ch.receiveWindow -= n
 	if ch.sentClose || m.Type == channel.ExtendedData {
-		ch.consumed(int(n)) // for nobody
+		ch.consumed(int(n)) // discarded
 		return nil
 	}
 	ch.packetData = m.Data
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// closed handles the peer's CLOSE. It is answered at once, unless the owner still has bytes to read.
-func (ch *Channel) closed() {
+// handleClose handles the peer's CLOSE. It is answered at once, unless the owner still has data to read.
+func (ch *Channel) handleClose() {
 	ch.peerClose = true
 	if ch.sentClose {
 		ch.drop()
@@ -177,12 +177,12 @@
 	}
 	ch.notifyReadable()
 	if len(ch.receiveBuffer) > 0 {
-		return // its owner has not read all yet; it will close the channel
+		return // the owner closes the channel when it has read all data
 	}
 	ch.sendClose()
 }
 
-// notifyReadable tells the owner, if there is one, that bytes or an end can be read.
+// notifyReadable notifies the owner, if there is one, that data or the end of the channel can be read.
 func (ch *Channel) notifyReadable() {
 	if ch.owner != nil {
 		ch.owner.Readable()
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -2,8 +2,8 @@
 
 import "spurspread/internal/channel"
 
-// Write sends the parts as far as the peer's window allows, and buffers the rest in order. The caller bounds the buffer
-// by looking at Pending. On a channel that is not established, or whose sending side has ended, it does nothing.
+// Write sends the parts as far as the peer's window allows, and buffers the rest. The caller has to limit the buffer,
+// by checking Pending. On a channel that is not established, or whose sending side has ended, Write does nothing.
 func (ch *Channel) Write(parts ...[]byte) {
 	if ch.state != established || ch.eof || ch.sentClose || ch.conn.stage == finished {
 		return
@@ -15,27 +15,27 @@
 	if n == 0 {
 		return
 	}
-	if ch.sendsAtOnce(n) {
+	if ch.canSendNow(n) {
 		ch.sendData(n, parts...)
 		return
 	}
 	for _, p := range parts {
 		ch.sendBuffer = append(ch.sendBuffer, p...)
 	}
-	ch.ready()
+	ch.schedule()
 }
 
-// sendsAtOnce reports whether n bytes may go out as one packet without waiting for a turn: nothing is buffered before
-// them, they fit the peer's limits, and no other channel waits for the wire.
-func (ch *Channel) sendsAtOnce(n int) bool {
+// canSendNow reports whether n bytes can be sent as one packet without waiting for a turn: the buffer is empty, they
+// are within the peer's limits, and no other channel waits for a turn.
+func (ch *Channel) canSendNow(n int) bool {
 	return len(ch.sendBuffer) == 0 &&
 		n <= int(min(ch.sendWindow, ch.maxSendPacket, turnBytes)) &&
 		ch.conn.turnHead == nil &&
 		ch.conn.wire.Pending() < sendHighWaterMark
 }
 
-// sendData sends one packet with the parts, without copying them. What it hands to the wire lies in the connection:
-// arguments of an interface call would be allocated anew each time.
+// sendData sends the parts, n bytes in all, in one packet and without copying them. The slice and the header passed to
+// the wire are fields of the connection, since the arguments of an interface call would be allocated at each call.
 func (ch *Channel) sendData(n int, parts ...[]byte) {
 	c := ch.conn
 	pad := channel.DataHead(&c.head, ch.peerID, n)
@@ -45,17 +45,17 @@
 	clear(c.parts)
 }
 
-// ready queues the channel for a turn if it has something to send and the peer's window is open.
-func (ch *Channel) ready() {
+// schedule queues the channel for a turn, unless it has to wait for the peer's window.
+func (ch *Channel) schedule() {
 	if len(ch.sendBuffer) > 0 && ch.sendWindow == 0 {
-		return // WINDOW_ADJUST brings it back
+		return // the peer's WINDOW_ADJUST schedules it again
 	}
 	ch.conn.queue(ch)
 	ch.conn.pump()
 }
 
-// turn sends one packet, and the ends that are due once the buffer is empty.
-func (ch *Channel) turn() {
+// sendTurn sends one packet, and if the buffer is empty then, EOF and CLOSE as far as they are due.
+func (ch *Channel) sendTurn() {
 	if ch.sentClose || ch.state != established {
 		return
 	}
@@ -69,16 +69,16 @@
 		}
 		return
 	}
-	ch.sendBuffer = nil // an idle channel holds no buffer
-	ch.finish()
+	ch.sendBuffer = nil // so that an idle channel holds no buffer
+	ch.sendDueEnds()
 	if ch.flushWanted && ch.owner != nil && !ch.sentClose {
 		ch.flushWanted = false
 		ch.owner.Flushed()
 	}
 }
 
-// finish sends the ends that are due.
-func (ch *Channel) finish() {
+// sendDueEnds sends EOF and CLOSE as far as they are due. It does nothing before the buffer is empty.
+func (ch *Channel) sendDueEnds() {
 	if !ch.eof || len(ch.sendBuffer) > 0 || ch.state != established || ch.sentClose {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// sendClose sends CLOSE once and drops what is buffered in both directions.
+// sendClose sends CLOSE, unless it was sent, and discards the buffers of both directions.
 func (ch *Channel) sendClose() {
 	if ch.sentClose {
 		return
@@ -112,7 +112,8 @@
 	}
 }
 
-// Pending returns how many bytes wait for the peer's window. The owner's Flushed is called once there are none.
+// Pending returns the number of buffered bytes that are not sent yet. If it is above 0, the owner's Flushed is called
+// once they are sent.
 func (ch *Channel) Pending() int {
 	if len(ch.sendBuffer) > 0 {
 		ch.flushWanted = true
@@ -120,24 +121,25 @@
 	return len(ch.sendBuffer)
 }
 
-// CloseWrite ends the sending side once the buffer is sent.
+// CloseWrite ends the sending side with EOF once the buffer is sent.
 func (ch *Channel) CloseWrite() {
 	ch.eof = true
-	ch.finish()
+	ch.sendDueEnds()
 }
 
-// CloseAfterFlush ends both sides once the buffer is sent; a request with a name, if one is given, goes out before the end. The
-// owner is not notified any more.
+// CloseAfterFlush closes the channel in order, with EOF and CLOSE, once the buffer is sent. If name is not empty, a
+// request with this name and data is sent before EOF. The owner is not notified any more.
 func (ch *Channel) CloseAfterFlush(name string, data []byte) {
 	ch.eof, ch.closeAfterEOF, ch.owner = true, true, nil
 	ch.finalRequest, ch.finalRequestData = name, data
-	ch.finish()
+	ch.sendDueEnds()
 	if ch.peerClose && ch.conn.stage != finished && !ch.sentClose {
-		ch.sendClose() // nobody is there to take what is pending
+		ch.sendClose() // the peer has closed the channel and does not read pending data
 	}
 }
 
-// Close ends the channel at once, without EOF: what is buffered is lost. The owner is not notified any more.
+// Close closes the channel at once, without EOF, and discards buffered data. The owner is not notified any more. Close
+// does nothing if ch is nil.
 func (ch *Channel) Close() {
 	if ch == nil {
 		return
@@ -147,16 +149,16 @@
 	case openReceived:
 		ch.Reject(channel.ConnectError, []byte("ERR"))
 	case openSent:
-		ch.state = abandoned // closed as soon as the peer has told its number
+		ch.state = abandoned // CLOSE is sent when the peer's confirmation has told its channel number
 	case established:
 		ch.sendClose()
 	}
 }
 
-// Reset is Close: the peer sees CLOSE without EOF before it.
+// Reset is the same as Close: the peer receives CLOSE without EOF.
 func (ch *Channel) Reset() { ch.Close() }
 
-// Request sends a request that wants no reply. It goes out before data that is still buffered.
+// Request sends a request that wants no reply. It is sent before data that is still buffered.
 func (ch *Channel) Request(name string, data []byte) {
 	if ch.state == established && !ch.sentClose && ch.conn.stage != finished {
 		ch.conn.send(&channel.Message{Type: channel.Request, Channel: ch.peerID, Name: []byte(name), Data: data})
