--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,8 +12,8 @@
 	readBufferSize = 16 << 10 // bytes
 
 	// callTimeout limits the wait for a call's first object. Discovery serves one call at a time and rejects a call
-	// that has waited for 1 s, so that it has answered by then if it works. The timeout leaves time for another call
-	// before a change has to take effect.
+	// that has waited for 1 s, so that it answers within this time if it works. After a timeout there is still time for
+	// another call before a change has to take effect.
 	callTimeout eventloop.Micros = 1_500_000
 	// heartbeatInterval is the time between the empty lines that discovery sends on an idle watch.
 	heartbeatInterval eventloop.Micros = 2_000_000
@@ -34,7 +34,7 @@
 	// Failed reports that a call has failed or that the watch has ended, with the reason.
 	Failed(reason error)
 	// WatchStateChanged reports a change of the subscription's state. reason is the failure that caused it, or nil. It
-	// is called before Listed or Failed of the same event, and may call only the Client's Status method.
+	// is called before ListUpdated or Failed of the same event, and may call only the Client's Status method.
 	WatchStateChanged(before WatchState, now Status, reason error)
 }
 
@@ -184,7 +184,7 @@
 }
 
 // handleFailure handles the failure of a call that was in the given state. The failure is reported to the watcher,
-// unless another watch is pending or scheduled: then only the outcome of that one is.
+// unless another watch is pending or scheduled: then only the outcome of that one is reported.
 func (d *Client) handleFailure(state callState, reason error) {
 	switch state {
 	case callWatching:
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -110,8 +110,8 @@
 	return f, w, l, d
 }
 
-// startWatching is start with an established watch that has received the full list. conn is discovery's end of the
-// watch.
+// startWatching is like start, but also establishes a watch, which has received the full list. conn is discovery's end
+// of the watch.
 func startWatching(t *testing.T) (f fakeDiscovery, w recordingWatcher, l *eventloop.Loop, d *Client, conn net.Conn) {
 	t.Helper()
 	f, w, l, d = start(t)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -75,7 +75,7 @@
 	return l.deadlines.set(l.now+max(delay, 0), callback)
 }
 
-// Cancel cancels a call scheduled with After and clears its Ref. It does nothing if the call was made already.
+// Cancel cancels a call scheduled with After and clears its Ref. If the call was made already, it only clears the Ref.
 func (l *Loop) Cancel(r *Ref) {
 	l.deadlines.cancel(*r)
 	*r = 0
--- a/internal/mux/channel.go
+++ b/internal/mux/channel.go
@@ -35,7 +35,7 @@
 	receiveBuffer []byte // received, not read by the owner yet
 	packetData    []byte // unread data of the packet that is being handled
 
-	eof                bool // EOF is to be sent once sendBuffer is empty
+	eofRequested       bool // EOF is to be sent once sendBuffer is empty
 	closeAfterEOF      bool // CLOSE is to be sent after that EOF
 	sentEOF, sentClose bool
 	peerEOF, peerClose bool
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -62,7 +62,7 @@
 }
 
 const (
-	// sendHighWaterMark is the number of pending bytes on the wire from which on channels queue for a turn. It is
+	// sendHighWaterMark is the number of pending bytes on the wire above which channels have to wait for a turn. It is
 	// enough to keep the wire busy.
 	sendHighWaterMark = 64 << 10
 	// turnBytes is the maximum number of bytes that a channel sends in one turn.
@@ -290,7 +290,7 @@
 	return ch.handleMessage(m)
 }
 
-// handleServiceRequest accepts the one service that there is.
+// handleServiceRequest accepts channel.Service, the only service.
 func (c *Conn) handleServiceRequest(m *channel.Message) error {
 	if !c.cfg.Server {
 		return newProtocolError("SERVICE_REQUEST of a server")
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -99,7 +99,7 @@
 	s.ch.Write(b)
 }
 
-// newPair returns a client and a server for exchange to connect.
+// newPair returns a client and a server; exchange passes bytes between them.
 func newPair(window uint32, maxChannels int) (client, server *side) {
 	client, server = &side{name: "client", wire: &pipe{}}, &side{name: "server", wire: &pipe{}}
 	server.c = New(
@@ -542,7 +542,7 @@
 
 // writable reports whether the owner may still write to the channel.
 func (s *stream) writable() bool {
-	return s.ch != nil && s.ch.owner != nil && s.ch.state == established && !s.ch.eof
+	return s.ch != nil && s.ch.owner != nil && s.ch.state == established && !s.ch.eofRequested
 }
 
 // Whatever the order of events, the data written on a channel arrives completely and in order as far as the other side
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -5,7 +5,7 @@
 // Write sends the parts as far as the peer's window allows, and buffers the rest. The caller has to limit the buffer,
 // by checking Pending. On a channel that is not established, or whose sending side has ended, Write does nothing.
 func (ch *Channel) Write(parts ...[]byte) {
-	if ch.state != established || ch.eof || ch.sentClose || ch.conn.stage == finished {
+	if ch.state != established || ch.eofRequested || ch.sentClose || ch.conn.stage == finished {
 		return
 	}
 	n := 0
@@ -79,7 +79,7 @@
 
 // sendDueEnds sends EOF and CLOSE as far as they are due. It does nothing before the buffer is empty.
 func (ch *Channel) sendDueEnds() {
-	if !ch.eof || len(ch.sendBuffer) > 0 || ch.state != established || ch.sentClose {
+	if !ch.eofRequested || len(ch.sendBuffer) > 0 || ch.state != established || ch.sentClose {
 		return
 	}
 	if !ch.sentEOF {
@@ -123,14 +123,14 @@
 
 // CloseWrite ends the sending side with EOF once the buffer is sent.
 func (ch *Channel) CloseWrite() {
-	ch.eof = true
+	ch.eofRequested = true
 	ch.sendDueEnds()
 }
 
 // CloseAfterFlush closes the channel in order, with EOF and CLOSE, once the buffer is sent. If name is not empty, a
 // request with this name and data is sent before EOF. The owner is not notified any more.
 func (ch *Channel) CloseAfterFlush(name string, data []byte) {
-	ch.eof, ch.closeAfterEOF, ch.owner = true, true, nil
+	ch.eofRequested, ch.closeAfterEOF, ch.owner = true, true, nil
 	ch.finalRequest, ch.finalRequestData = name, data
 	ch.sendDueEnds()
 	if ch.peerClose && ch.conn.stage != finished && !ch.sentClose {
@@ -144,7 +144,7 @@
 	if ch == nil {
 		return
 	}
-	ch.owner, ch.eof = nil, true
+	ch.owner, ch.eofRequested = nil, true
 	switch ch.state {
 	case openReceived:
 		ch.Reject(channel.ConnectError, []byte("ERR"))
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -41,7 +41,7 @@
 
 	// State of other members.
 	instances        map[membership.ID]uint64         // instance of each member's process
-	memberAt         map[netip.AddrPort]membership.ID // by sent-from, advertised and overriding address
+	memberAt         map[netip.AddrPort]membership.ID // by source, advertised and override address
 	addressOverrides map[membership.ID]netip.AddrPort
 
 	// Limits and filters for received datagrams.
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -17,8 +17,9 @@
 	itemRecord
 )
 
-// EncodeDirectory appends the encoding of a directory message to b. e.Zone must not be 0. Items from the first one that
-// would exceed MaxPlaintext on are omitted: the receiver detects by the sender's digest that some are missing.
+// EncodeDirectory appends the encoding of a directory message to b. e.Zone must not be 0. The first item that does not
+// fit into MaxPlaintext and all later ones are omitted: the receiver detects by the sender's digest that some are
+// missing.
 func EncodeDirectory(b []byte, e Envelope, m *zonedirectory.Message) []byte {
 	start := len(b)
 	b = appendPrefix(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
@@ -41,7 +42,7 @@
 	return b
 }
 
-// appendItems appends the number of items and the items, as many as fit into the message that starts at b[start].
+// appendItems appends a count and as many items as fit into the message that starts at b[start].
 func appendItems(b []byte, start int, items []zonedirectory.Item) []byte {
 	countAt := len(b)
 	b = append(b, 0)
--- a/internal/peer/packet/membership.go
+++ b/internal/peer/packet/membership.go
@@ -13,8 +13,8 @@
 	updateFlags          = updateHasReporter | updateHasDescription
 )
 
-// Encode appends the encoding of a membership message to b. Updates from the first one that would exceed MaxPlaintext
-// on are omitted.
+// Encode appends the encoding of a membership message to b. The first update that does not fit into MaxPlaintext and
+// all later ones are omitted.
 func Encode(b []byte, e Envelope, m *membership.Message) []byte {
 	start := len(b)
 	b = appendPrefix(b, &e, byte(m.Kind), m.From)
@@ -34,7 +34,7 @@
 	return appendUpdates(b, start, m.Updates)
 }
 
-// appendUpdates appends the number of updates and the updates, as many as fit into the message that starts at b[start].
+// appendUpdates appends a count and as many updates as fit into the message that starts at b[start].
 func appendUpdates(b []byte, start int, updates []membership.Update) []byte {
 	countAt := len(b)
 	b = append(b, 0)
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -51,10 +51,10 @@
 
 // admission limits the number of datagrams that are decrypted, and so the cost of a flood.
 type admission struct {
-	known         map[netip.AddrPort]bool // addresses that have sent authentic datagrams
-	windowStart   monotime.Micros
-	knownOpened   int // in this window
-	unknownOpened int
+	known        map[netip.AddrPort]bool // addresses that have sent authentic datagrams
+	windowStart  monotime.Micros
+	knownCount   int // in this window
+	unknownCount int
 }
 
 // admit reports whether a datagram from an address is to be decrypted: up to maxKnownPerSecond from known addresses and
@@ -62,17 +62,17 @@
 func (a *admission) admit(now monotime.Micros, from netip.AddrPort) bool {
 	if now-a.windowStart >= admissionWindow {
 		a.windowStart = now
-		a.knownOpened, a.unknownOpened = 0, 0
+		a.knownCount, a.unknownCount = 0, 0
 		if len(a.known) > maxSenders {
 			clear(a.known)
 		}
 	}
 	if a.known[from] {
-		a.knownOpened++
-		return a.knownOpened <= maxKnownPerSecond
+		a.knownCount++
+		return a.knownCount <= maxKnownPerSecond
 	}
-	a.unknownOpened++
-	return a.unknownOpened <= maxUnknownPerSecond
+	a.unknownCount++
+	return a.unknownCount <= maxUnknownPerSecond
 }
 
 // processKey identifies one process of a member.
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// localView returns the state of the own zone only after a change, and learns the instances of members that have not
-// sent a datagram from the view.
+// localView returns the state of the own zone only after a change. From the view, it learns the instances of members
+// that have sent no datagram.
 func TestLocalViewFollowsChanges(t *testing.T) {
 	s := newHarness(t)
 	all := s.twoZones()
