--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -25,7 +25,7 @@
 	callClosed
 )
 
-// call is one HTTP call, on its own connection. It implements eventloop.Owner.
+// call is a single HTTP request with its response, on its own connection. It implements eventloop.Owner.
 type call struct {
 	client   *Client
 	state    callState
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -141,7 +141,8 @@
 }
 
 // After a change of address the client requests the full list, since generations differ, and retries a failed request.
-// Until the new address has answered, updates from the old one are applied, and the end of the old watch is no failure.
+// Until the new address has answered, updates from the old one are applied, and the end of the old watch is not
+// reported as a failure.
 func TestChangeAddress(t *testing.T) {
 	_, w, l, d, old := startWatching(t)
 	next := newFakeDiscovery(t)
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -114,7 +114,7 @@
 	_ = unix.Close(fd)
 }
 
-// A packet over MaxPacket ends the connection, and Adopt rejects a file descriptor that is no stream socket.
+// A packet over MaxPacket ends the connection, and Adopt rejects a file descriptor that is not a stream socket.
 func TestPacketsAreBounded(t *testing.T) {
 	l := newLoop(t)
 	near, far := connectPackets(t, l, filepath.Join(t.TempDir(), "s.sock"))
--- a/internal/mux/budget.go
+++ b/internal/mux/budget.go
@@ -9,10 +9,10 @@
 	committed int64
 }
 
-// grantDivisor limits one grant to this fraction, a sixteenth, of what is left of the budget.
+// grantDivisor limits a window to this fraction, a sixteenth, of the remaining budget.
 const grantDivisor = 16
 
-// target returns the size that a channel's window should have now: the part of the budget given by grantDivisor, but at
+// target returns the size that a channel's window should have now: the remaining budget divided by grantDivisor, but at
 // least Floor and at most want.
 func (b *Budget) target(want uint32) uint32 {
 	left := max(b.Limit-b.committed, 0) / grantDivisor
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -39,17 +39,17 @@
 
 // side is one side of a connection, and the owner of that side's connection.
 type side struct {
-	name         string
-	c            *Conn
-	wire         *pipe
-	ready        bool
-	alive        int
-	rejectReason string // the reason that Admit returns
-	streams      []*stream
+	name          string
+	c             *Conn
+	wire          *pipe
+	ready         bool
+	pingsAnswered int
+	rejectReason  string // the reason that Admit returns
+	streams       []*stream
 }
 
 func (e *side) Ready()        { e.ready = true }
-func (e *side) PingAnswered() { e.alive++ }
+func (e *side) PingAnswered() { e.pingsAnswered++ }
 func (e *side) Admit([]byte) (uint32, string) {
 	return channel.NoResources, e.rejectReason
 }
@@ -186,8 +186,8 @@
 		t.Fatalf("%v, %q, %d left", a.end, a.requests, client.c.Len()+server.c.Len())
 	}
 	// A rejection, a close without EOF, and a close before the answer.
-	r, d, g := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
-	g.ch.Close()
+	rejected, reset, closed := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
+	closed.ch.Close()
 	exchange(t, client, server)
 	server.streams[1].ch.Reject(channel.NoResources, []byte("BUSY 70"))
 	server.streams[2].ch.Confirm(nil)
@@ -195,14 +195,15 @@
 	exchange(t, client, server)
 	server.streams[2].ch.Reset()
 	exchange(t, client, server)
-	if r.rejected != "4 BUSY 70" || d.end == nil || errors.Is(d.end, io.EOF) || server.streams[3].end == nil ||
+	if rejected.rejected != "4 BUSY 70" || reset.end == nil || errors.Is(reset.end, io.EOF) ||
+		server.streams[3].end == nil ||
 		errors.Is(server.streams[3].end, io.EOF) {
-		t.Errorf("%q, %v, %v", r.rejected, d.end, server.streams[3].end)
+		t.Errorf("%q, %v, %v", rejected.rejected, reset.end, server.streams[3].end)
 	}
 	client.c.Ping()
 	exchange(t, client, server)
-	if client.alive != 1 || client.c.Len()+server.c.Len() != 0 {
-		t.Errorf("alive %d, %d left", client.alive, client.c.Len()+server.c.Len())
+	if client.pingsAnswered != 1 || client.c.Len()+server.c.Len() != 0 {
+		t.Errorf("%d pings answered, %d channels left", client.pingsAnswered, client.c.Len()+server.c.Len())
 	}
 }
 
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -14,7 +14,7 @@
 	Name string
 	// Listen is the address to bind. With port 0 the kernel chooses the port.
 	Listen netip.AddrPort
-	// Advertise is the address that other members are told. If it is not valid, the bound address is used.
+	// Advertise is the address that is announced to other members. If it is not valid, the bound address is used.
 	Advertise netip.AddrPort
 	// Seeds are addresses of members through which to join the fleet; with zones, members of any zone. The first member
 	// of a fleet needs none.
--- a/internal/peer/counts.go
+++ b/internal/peer/counts.go
@@ -9,7 +9,7 @@
 	// Suppressed counts messages that were not sent because the budget was used up.
 	Suppressed int64 `json:"Saved"`
 	Malformed  int64 `json:"Malformed"`
-	// Forged counts datagrams that failed authentication or were encrypted with an unknown key.
+	// Forged counts datagrams that can't be decrypted: not authentic, with an unknown key, or of invalid length.
 	Forged   int64 `json:"Forged"`
 	Replayed int64 `json:"Replayed"`
 	// Dropped counts datagrams that were discarded without decryption, because they exceeded the limit per second.
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -118,8 +118,8 @@
 	h.zones = h.startZones()
 }
 
-// advertisedAddr returns the address that other members are told, in the form that datagrams carry: without an IPv6
-// zone, and IPv4 where it is IPv4-mapped.
+// advertisedAddr returns the address that is announced to other members, in the form that datagrams carry: without an
+// IPv6 zone, and IPv4 where it is IPv4-mapped.
 func (h *Host) advertisedAddr() netip.AddrPort {
 	addr := h.cfg.Advertise
 	if !addr.IsValid() {
@@ -177,7 +177,7 @@
 // SetKeyring replaces the keys that encrypt and decrypt datagrams.
 func (h *Host) SetKeyring(keyring *packet.Keyring) { h.cfg.Keyring = keyring }
 
-// View returns the members of the fleet as this member sees them; with zones, only those of its own zone.
+// View returns this member's view of the fleet; with zones, the members of its own zone only.
 func (h *Host) View() []membership.Member { return h.fleet.View(h.loop.Now()) }
 
 // Unhealthy reports whether this member has reason to doubt its own observations.
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -81,9 +81,9 @@
 	instance uint64
 }
 
-// acceptFresh reports whether a datagram is addressed to this process and was not received before. A datagram addressed
-// to another instance, or to none, may be a replay: its sender is sent a Hello, from which it learns this instance, and
-// sends its message again.
+// acceptFresh reports whether a datagram is addressed to this process and was not received before, or is a Hello that
+// is addressed to no instance. Any other datagram that is not addressed to this instance may be a replay: its sender is
+// sent a Hello, from which it learns this instance, and sends its message again.
 func (h *Host) acceptFresh(from netip.AddrPort, d *packet.Datagram) bool {
 	if d.ReceiverInstance != h.self.Instance {
 		if !d.IsHello() {
