--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -179,7 +179,9 @@
 		},
 		{
 			name: "a successor that takes another",
-			peer: silentSuccessor(func(link *eventloop.PacketConn) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
+			peer: silentSuccessor(
+				func(link *eventloop.PacketConn) { _ = link.Send(restartproto.EncodeAnswer(7, true)) },
+			),
 		},
 		{name: "a line under way", peer: func(g *harness) (string, int) {
 			_, path := g.successor()
