--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -120,7 +120,7 @@
 		"in pieces": func(g *harness) []*peer {
 			p := g.client(openLine[:20])
 			g.until(func() bool {
-				return g.idle(overload.Silent) == 1 && len(g.firstIdle().firstLine) == 20
+				return g.idle(overload.NoRequest) == 1 && len(g.firstIdle().firstLine) == 20
 			})
 			g.inLoop(g.proxy.Drain)
 			p.say(openLine[20:30])
@@ -170,8 +170,8 @@
 			g.waitRead()
 			g.inLoop(func() {
 				g.proxy.Drain()
-				g.proxy.drain.began -= drainschedule.MinDuration + drainschedule.CheckInterval
-				g.proxy.drain.check()
+				g.proxy.drain.startedAt -= drainschedule.MinDuration + drainschedule.CheckInterval
+				g.proxy.drain.checkFinished()
 				p.say(openLine)
 			})
 			return []*peer{p}
@@ -251,12 +251,12 @@
 	var began eventloop.Micros
 	g.inLoop(func() {
 		g.proxy.Drain()
-		began = g.proxy.drain.began
+		began = g.proxy.drain.startedAt
 	})
 	g.inLoop(func() {
 		g.proxy.Drain()
 		g.proxy.HotRestart("nowhere", 1)
-		if d := g.proxy.drain; d.began != began || d.handingOver || d.generation != 1 {
+		if d := g.proxy.drain; d.startedAt != began || d.handingOver || d.generation != 1 {
 			t.Errorf("%+v", d)
 		}
 	})
@@ -309,9 +309,9 @@
 func TestAnswerWhileLeaving(t *testing.T) {
 	for name, leave := range map[string]func(*harness){
 		"stop":      func(g *harness) { g.proxy.Drain() },
-		"lame duck": func(g *harness) { g.proxy.HandleAdminCall(lifecycle.CommandLameDuck) },
+		"lame duck": func(g *harness) { g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck) },
 		"lame duck, then stop": func(g *harness) {
-			g.proxy.HandleAdminCall(lifecycle.CommandLameDuck)
+			g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
 			g.proxy.Drain()
 		},
 		"hand-over to nobody": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -16,23 +16,24 @@
 	"spurspread/internal/mux"
 )
 
-// retireInterval is how often idle upstream connections are looked for.
+// retireInterval is the interval between checks for idle upstream connections.
 const retireInterval = monotime.Second
 
-// muxUpstreams owns the multiplexed upstream connections. How many there are, and which one an attempt takes, is
-// decided by the pool.
+// muxUpstreams owns the multiplexed upstream connections. The pool decides how many there are and which one an attempt
+// uses.
 type muxUpstreams struct {
-	proxy *Proxy
-	pool  *upstreampool.Pool // nil until channels are turned on
-	conns map[uint32]*muxUpstreamConn
-	idle  []uint32 // reused from look to look
+	proxy   *Proxy
+	pool    *upstreampool.Pool // nil until channels are turned on
+	conns   map[uint32]*muxUpstreamConn
+	idleIDs []uint32 // buffer, reused by retireIdle
 }
 
 func newMuxUpstreams(p *Proxy) muxUpstreams {
 	return muxUpstreams{proxy: p, conns: map[uint32]*muxUpstreamConn{}}
 }
 
-// open dials a connection that the pool has decided on. A failure at once is handled in a later turn.
+// open dials a connection that the pool has decided to open. An immediate failure is handled in a later turn of the
+// event loop.
 func (u *muxUpstreams) open(server *discovery.Server, id uint32) {
 	p := u.proxy
 	p.listener.evictIdle()
@@ -55,11 +56,11 @@
 	)
 }
 
-// retireIdle closes connections that have carried nothing for long.
+// retireIdle closes the connections that have had no channel for the pool's idle timeout, and reschedules itself.
 func (u *muxUpstreams) retireIdle() {
 	u.proxy.loop.After(retireInterval, u.retireIdle)
-	u.idle = u.pool.IdleConnections(u.proxy.loop.Now(), u.idle[:0])
-	for _, id := range u.idle {
+	u.idleIDs = u.pool.IdleConnections(u.proxy.loop.Now(), u.idleIDs[:0])
+	for _, id := range u.idleIDs {
 		if c := u.conns[id]; c != nil && !c.closed {
 			c.mux.Disconnect(channel.ByApplication, "idle")
 			u.pool.Closed(id)
@@ -68,20 +69,20 @@
 	}
 }
 
-// muxUpstreamConn is a multiplexed connection to a server. Attempts share it, with a channel each.
+// muxUpstreamConn is a multiplexed connection to a server, on which each attempt has a channel.
 type muxUpstreamConn struct {
 	proxy        *Proxy
-	id           uint32 // in the pool
+	id           uint32 // id in the pool
 	server       *discovery.Server
 	conn         *eventloop.Conn
-	mux          *mux.Conn         // nil until it is connected
-	waiting      []*attempt        // for it to be ready
-	attempts     map[*attempt]bool // all on it
-	timer        eventloop.Ref     // of its set-up, then of checkAlive
+	mux          *mux.Conn         // nil until connected
+	waiting      []*attempt        // attempts that wait until the connection is ready
+	attempts     map[*attempt]bool // all attempts on the connection, waiting ones included
+	timer        eventloop.Ref     // set-up timeout, then the next checkAlive
 	lastReceived monotime.Micros
 	lastPing     monotime.Micros
 	failure      attemptoutcome.SharedFailure
-	failing      bool // attempts end because it fails
+	failing      bool // attempts are being ended because the connection fails
 	closed       bool
 }
 
@@ -119,20 +120,20 @@
 			return
 		}
 		if err != nil {
-			c.connectionEnded(errors.Is(err, io.EOF))
+			c.handleConnectionClosed(errors.Is(err, io.EOF))
 			return
 		}
 		c.lastReceived = c.proxy.loop.Now()
 		if err := c.mux.Feed(buffer[:n]); err != nil {
-			c.protocolEnded(err)
+			c.handleProtocolError(err)
 			return
 		}
 	}
 	c.proxy.loop.After(0, func() { c.Readable(conn) })
 }
 
-// protocolEnded handles an error of the channel protocol.
-func (c *muxUpstreamConn) protocolEnded(err error) {
+// handleProtocolError handles an error from the channel protocol, including the server's DISCONNECT.
+func (c *muxUpstreamConn) handleProtocolError(err error) {
 	if errors.Is(err, mux.ErrNotSSH) {
 		c.revertToPlain(true)
 		return
@@ -140,18 +141,19 @@
 	c.fail(outcome.Reset, errors.Is(err, mux.ErrDisconnected))
 }
 
-// connectionEnded handles the end of the connection. A server that ends it before it has identified itself speaks plain
-// lines; it may reset it, for it has not read what it does not understand.
-func (c *muxUpstreamConn) connectionEnded(plain bool) {
+// handleConnectionClosed handles EOF (graceful) or a read error. A server that closes the connection before it has sent
+// its identification speaks plain lines; the close may be a reset, since the server has not read the bytes that it does
+// not understand.
+func (c *muxUpstreamConn) handleConnectionClosed(graceful bool) {
 	if !c.mux.Identified() {
-		c.revertToPlain(plain)
+		c.revertToPlain(graceful)
 		return
 	}
-	c.fail(outcome.Reset, plain)
+	c.fail(outcome.Reset, graceful)
 }
 
-// revertToPlain gives the waiting attempts connections of their own: the server does not speak channels, and no request
-// was written to it yet. confirmed is false where it might only have died.
+// revertToPlain dials a dedicated connection for each waiting attempt, because the server does not speak channels; no
+// request has been written to it yet. confirmed is false if the server may merely have failed.
 func (c *muxUpstreamConn) revertToPlain(confirmed bool) {
 	c.proxy.upstreams.pool.MarkPlain(c.proxy.loop.Now(), c.id, confirmed)
 	waiting := c.release()
@@ -162,8 +164,9 @@
 	}
 }
 
-// fail ends the connection and all attempts on it.
-func (c *muxUpstreamConn) fail(status outcome.Status, plain bool) {
+// fail closes the connection and ends all attempts on it with status. graceful reports whether the connection ended
+// with EOF or DISCONNECT.
+func (c *muxUpstreamConn) fail(status outcome.Status, graceful bool) {
 	if c.closed {
 		return
 	}
@@ -179,11 +182,11 @@
 		a.end(attemptoutcome.OfWaiting(status))
 	}
 	if c.mux != nil {
-		c.mux.Lost(plain)
+		c.mux.Lost(graceful)
 	}
 }
 
-// release closes the connection and returns the attempts that still waited for it.
+// release closes the connection and returns the attempts that were still waiting for it.
 func (c *muxUpstreamConn) release() []*attempt {
 	c.closed = true
 	c.proxy.loop.Cancel(&c.timer)
@@ -194,7 +197,7 @@
 	return waiting
 }
 
-// releaseAttempt takes an attempt off the connection, which ends.
+// releaseAttempt removes an attempt that is ending from the connection, and records whether its failure is shared.
 func (c *muxUpstreamConn) releaseAttempt(a *attempt) {
 	delete(c.attempts, a)
 	c.proxy.upstreams.pool.Release(c.proxy.loop.Now(), c.id)
@@ -219,24 +222,25 @@
 			continue
 		}
 		p.loop.Cancel(&a.timer)
-		if a.mayWrite() {
+		if a.recheckBeforeWrite() {
 			a.openChannel()
 		}
 	}
 }
 
-// Admit is part of mux.Owner: servers open no channels.
+// Admit is part of mux.Owner. It refuses every channel, since servers may not open any.
 func (c *muxUpstreamConn) Admit([]byte) (uint32, string) { return channel.Prohibited, "ERR" }
 
-// Open is part of mux.Owner: servers open no channels.
+// Open is part of mux.Owner. It rejects every channel, since servers may not open any.
 func (c *muxUpstreamConn) Open(ch *mux.Channel, _ []byte) {
 	ch.Reject(channel.Prohibited, []byte("ERR"))
 }
 
-// PingAnswered is part of mux.Owner.
+// PingAnswered is part of mux.Owner. It does nothing: Readable records the arrival of any data as a sign of life.
 func (c *muxUpstreamConn) PingAnswered() {}
 
-// checkAlive asks a server that carries channels for signs of life, and gives up one that shows none.
+// checkAlive pings a server that has channels on this connection, and fails the connection if nothing arrives. It
+// reschedules itself.
 func (c *muxUpstreamConn) checkAlive() {
 	if c.closed {
 		return
@@ -250,7 +254,7 @@
 	}
 	switch keepalive.Upstream(now, c.lastReceived, c.lastPing) {
 	case keepalive.Close:
-		c.failSilent()
+		c.failUnresponsive()
 	case keepalive.Ping:
 		c.lastPing = now
 		c.mux.Ping()
@@ -258,13 +262,13 @@
 	}
 }
 
-// failSilent moves the clients of a server that sends nothing any more, and gives the connection up.
-func (c *muxUpstreamConn) failSilent() {
-	c.proxy.stats.silent++
+// failUnresponsive moves the clients of a server that no longer sends anything, and fails the connection.
+func (c *muxUpstreamConn) failUnresponsive() {
+	c.proxy.stats.unresponsive++
 	c.failing = true
 	for a := range c.attempts {
 		if a.request.state == stateEstablished {
-			a.request.moveAway(outcome.Reset, false)
+			a.request.startMove(outcome.Reset, false)
 		}
 	}
 	c.failing = false
