--- a/cmd/spurspread/adminclient.go
+++ b/cmd/spurspread/adminclient.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// adminTimeout bounds the connection to an admin address, and again the command with its reply.
+// adminTimeout bounds connecting to an admin address and, separately, the command with its reply.
 const adminTimeout = 5 * time.Second
 
-// callAdmin sends a command to an admin address, and returns what its reply has behind +OK. Any other reply is an error
-// that quotes it.
+// callAdmin sends a command to an admin address and returns the text that follows +OK in the reply. Any other reply is
+// an error that quotes it.
 func callAdmin(addr, command string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
@@ -27,12 +27,12 @@
 	}
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
-		return "", fmt.Errorf("%s gave no whole answer: %w", addr, err)
+		return "", fmt.Errorf("read the reply of %s: %w", addr, err)
 	}
 	line = strings.TrimSpace(line)
 	reply, ok := strings.CutPrefix(line, "+OK ")
 	if !ok {
-		return "", fmt.Errorf("%s answered %q", addr, line)
+		return "", fmt.Errorf("%s answered %q, want +OK", addr, line)
 	}
 	return reply, nil
 }
--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -19,49 +19,50 @@
 )
 
 const (
-	// maxConfigBytes bounds the configuration file, with its list of some thousands of servers.
+	// maxConfigBytes bounds the configuration file, which includes a list of some thousands of servers.
 	maxConfigBytes = 64 << 20
 
 	bytesPerMB = 1 << 20
 
-	// The garbage collector works harder from this part of the memory limit on. The rest is for stacks, the binary and
-	// the kernel's buffers.
-	heapPart, heapParts = 5, 8
+	// The Go runtime's soft memory limit as a fraction of the platform's limit. Near it the garbage collector runs more
+	// often. The rest is for stacks, the binary and the kernel's buffers.
+	memoryLimitNumerator, memoryLimitDenominator = 5, 8
 )
 
 var errNoConfig = errors.New("GW_CONFIG names no configuration file")
 
-// configuration is what both files and the environment say.
+// configuration holds the settings from the configuration file, the site file and the environment.
 type configuration struct {
-	proxy  proxy.Config
-	limits limits
-	site   *siteconfig.Site // empty where no site file is named
-	member *peer.Config     // nil where membership is off
+	proxy   proxy.Config
+	process processConfig
+	site    *siteconfig.Site // empty if there is no site file
+	member  *peer.Config     // nil if membership is off
 }
 
-// limits are what the process may use, and what the platform calls it. 0 is no limit.
-type limits struct {
+// processConfig holds the limits of the process, where 0 is no limit, its admin address, and its name on the platform.
+type processConfig struct {
 	cores     float64
 	memoryMB  int64
 	sockets   int
-	adminAddr netip.AddrPort // not valid where there is no admin listener
+	adminAddr netip.AddrPort // invalid if there is no admin listener
 	name      string
 }
 
-// environmentMemoryLimit is the collector's limit that the process was started with, in bytes: that of GOMEMLIMIT.
+// environmentMemoryLimit is the Go runtime's memory limit at the start of the process, in bytes: that of GOMEMLIMIT.
 var environmentMemoryLimit = debug.SetMemoryLimit(-1)
 
-// limitMemory sets the collector's limit to the platform's or, where that gives none, to environmentMemoryLimit.
-func (lim limits) limitMemory() {
+// limitMemory derives the Go runtime's memory limit from that of the platform; without one it restores
+// environmentMemoryLimit.
+func (process processConfig) limitMemory() {
 	limit := environmentMemoryLimit
-	if lim.memoryMB > 0 {
-		limit = lim.memoryMB * bytesPerMB * heapPart / heapParts
+	if process.memoryMB > 0 {
+		limit = process.memoryMB * bytesPerMB * memoryLimitNumerator / memoryLimitDenominator
 	}
 	debug.SetMemoryLimit(limit)
 }
 
-// load reads the platform's configuration and the site file.
-func (c *serve) load(getenv func(string) string) (configuration, error) {
+// load reads the platform's configuration file and, if one is given, the site file.
+func (c *serveCmd) load(getenv func(string) string) (configuration, error) {
 	cfg, err := c.loadPlatformConfig(getenv)
 	if err != nil {
 		return configuration{}, err
@@ -77,14 +78,15 @@
 	if cfg.proxy.Resume, err = resumeConfig(cfg.site); err != nil {
 		return configuration{}, err
 	}
-	if cfg.member, err = peerConfig(cfg.site, cfg.limits.name, cfg.proxy.Seed); err != nil {
+	if cfg.member, err = peerConfig(cfg.site, cfg.process.name, cfg.proxy.Seed); err != nil {
 		return configuration{}, err
 	}
 	return cfg, nil
 }
 
-// loadPlatformConfig reads the platform's configuration file. Where it lacks an address, the environment has it.
-func (c *serve) loadPlatformConfig(getenv func(string) string) (configuration, error) {
+// loadPlatformConfig reads the platform's configuration file. GW_LISTEN and GW_DISCOVERY stand in for addresses that it
+// lacks.
+func (c *serveCmd) loadPlatformConfig(getenv func(string) string) (configuration, error) {
 	root, err := readConfig(c.Config)
 	if err != nil {
 		return configuration{}, err
@@ -103,15 +105,15 @@
 		return configuration{}, err
 	}
 	cfg.proxy.CachedList = []byte(root.Get("known").Raw)
-	if cfg.limits, err = limitSettings(root, getenv); err != nil {
+	if cfg.process, err = parseProcessConfig(root, getenv); err != nil {
 		return configuration{}, err
 	}
-	cfg.proxy.MaxDescriptors = cfg.limits.sockets
-	cfg.proxy.MemoryLimit = cfg.limits.memoryMB * bytesPerMB
+	cfg.proxy.MaxDescriptors = cfg.process.sockets
+	cfg.proxy.MemoryLimit = cfg.process.memoryMB * bytesPerMB
 	return cfg, nil
 }
 
-// readConfig reads the JSON object in a file.
+// readConfig reads a file that contains one JSON object.
 func readConfig(path string) (gjson.Result, error) {
 	if path == "" {
 		return gjson.Result{}, errNoConfig
@@ -136,11 +138,12 @@
 	defer func() { _ = file.Close() }()
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err == nil && len(text) > maxConfigBytes {
-		err = fmt.Errorf("%s has over %d bytes", path, maxConfigBytes)
+		err = fmt.Errorf("%s is longer than %d bytes", path, maxConfigBytes)
 	}
 	return text, err
 }
 
+// addressSetting parses the address at key, or fallback if the configuration has none.
 func addressSetting(root gjson.Result, key, fallback string) (netip.AddrPort, error) {
 	text := cmp.Or(root.Get(key).String(), fallback)
 	addr, err := netip.ParseAddrPort(text)
@@ -150,7 +153,7 @@
 	return addr, nil
 }
 
-// seedSetting reads the seed of the balancer's random choices; 0 where there is none.
+// seedSetting reads the seed of the balancer's random choices, a hexadecimal number; 0 if there is none.
 func seedSetting(root gjson.Result) (uint64, error) {
 	text := root.Get("seed")
 	if !text.Exists() {
@@ -158,15 +161,15 @@
 	}
 	seed, err := strconv.ParseUint(text.String(), 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("configuration: seed %q is not hexadecimal", text.String())
+		return 0, fmt.Errorf("configuration: seed %q is not hexadecimal, or has more than 64 bits", text.String())
 	}
 	return seed, nil
 }
 
-// limitSettings reads the limits. For the admin address, GW_MGMT comes before the file, so that a new process beside
-// the old one with the same file can have its own.
-func limitSettings(root gjson.Result, getenv func(string) string) (limits, error) {
-	lim := limits{
+// parseProcessConfig reads the limits, the name and the admin address. GW_MGMT overrides the admin address in the file,
+// so that a successor with the same file can have an address of its own.
+func parseProcessConfig(root gjson.Result, getenv func(string) string) (processConfig, error) {
+	process := processConfig{
 		cores:    root.Get("limits.cores").Float(),
 		memoryMB: root.Get("limits.memory_mb").Int(),
 		sockets:  int(root.Get("limits.sockets").Int()),
@@ -174,11 +177,11 @@
 	}
 	text := cmp.Or(getenv("GW_MGMT"), root.Get("mgmt").String())
 	if text == "" {
-		return lim, nil
+		return process, nil
 	}
 	var err error
-	if lim.adminAddr, err = netip.ParseAddrPort(text); err != nil {
-		return lim, fmt.Errorf("management address %q is not an address and port", text)
+	if process.adminAddr, err = netip.ParseAddrPort(text); err != nil {
+		return process, fmt.Errorf("management address %q is not an address and port", text)
 	}
-	return lim, nil
+	return process, nil
 }
--- a/cmd/spurspread/goroutines_test.go
+++ b/cmd/spurspread/goroutines_test.go
@@ -15,7 +15,7 @@
 	"spurspread/internal/siteconfig"
 )
 
-// The owner of a goroutine ends it and waits for it.
+// stop returns only after the goroutines of the signal handler have ended.
 func TestSignalHandlerEnds(t *testing.T) {
 	h := startSignalHandler(nil, make(chan os.Signal))
 	h.stop()
@@ -26,8 +26,8 @@
 	}
 }
 
-// A disk that never answers does not hold up the end of the process.
-func TestServerListWriterEndsBesideAWriteThatDoesNot(t *testing.T) {
+// A write that never returns, as on a disk that does not respond, does not block close and so the shutdown.
+func TestServerListWriterCloseWithBlockedWrite(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
 	log := logrus.New()
@@ -50,11 +50,11 @@
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("close waits for the write")
+		t.Fatal("close is blocked by the write")
 	}
 }
 
-// Seeds that can't be looked up are left out, and the lookups end with their context.
+// Seeds that can't be looked up are left out of the report, and close ends the lookups.
 func TestResolveSeedsEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	seeds := []*siteconfig.Seed{{Address: "127.0.0.1:7946"}, {Address: "no port"}, {Address: "[::1]:7947"}}
@@ -68,10 +68,10 @@
 	select {
 	case got := <-reports:
 		if !slices.Equal(got, want) {
-			t.Errorf("%v; want %v", got, want)
+			t.Errorf("seeds resolved to %v, want %v", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no report")
+		t.Fatal("no addresses reported within 10 s")
 	}
 	f.close()
 	select {
@@ -79,5 +79,5 @@
 	default:
 		t.Error("the goroutine has not ended")
 	}
-	(*fleetMember)(nil).close() // a process without membership
+	(*fleetMember)(nil).close() // as in a process without membership
 }
--- a/cmd/spurspread/hotrestart.go
+++ b/cmd/spurspread/hotrestart.go
@@ -15,17 +15,18 @@
 	"spurspread/internal/restartproto"
 )
 
-// noProcess is no process id.
-const noProcess = 0
+// noPID stands for the absence of a process; no process has this ID.
+const noPID = 0
 
-// setRestartPaths sets the paths by which processes on the same listen address find each other.
+// setRestartPaths derives from the listen address the paths by which processes that serve it find each other.
 func (p *balancerProcess) setRestartPaths() {
 	p.announcementPath = restartproto.AnnouncementPath(os.TempDir(), p.listenAddr)
 	p.transferSocketPath = restartproto.SocketPath(os.TempDir(), p.listenAddr)
 }
 
-// announce lets an older process on the same address know that this one serves. What fails is logged and changes
-// nothing else. The socket comes before the announcement, since its readers connect to the socket.
+// announce tells an older process on the same address that this one serves. Failures are logged only: the process
+// serves all the same. The socket is opened before the announcement is written, because processes that read the
+// announcement connect to the socket.
 func (p *balancerProcess) announce() {
 	if err := p.proxy.AcceptTransfers(p.transferSocketPath); err != nil {
 		p.log.WithError(err).Warn("hot restart: can't accept connections from an older process")
@@ -41,8 +42,8 @@
 	p.log.WithField(logging.Listen, p.listenAddr).Info("started")
 }
 
-// withdraw removes the announcement and the socket, unless a successor has replaced them: no other process may take
-// this one for its successor.
+// withdraw removes the announcement and the socket, so that no other process takes this one for its successor. Those of
+// a successor stay.
 func (p *balancerProcess) withdraw() {
 	announcement, err := restartproto.ReadAnnouncement(p.announcementPath)
 	if err == nil && announcement.PID == os.Getpid() {
@@ -51,23 +52,23 @@
 	}
 }
 
-// successorPID is the process that has been started beside this one to replace it, or noProcess.
+// successorPID returns the ID of the process that has been started to replace this one, or noPID if there is none.
 func (p *balancerProcess) successorPID() int {
 	announcement, err := restartproto.ReadAnnouncement(p.announcementPath)
 	if err != nil || !restartproto.IsSuccessor(announcement, os.Getpid(), p.listenAddr, processAlive) {
-		return noProcess
+		return noPID
 	}
 	return announcement.PID
 }
 
-// processAlive reports whether there is a process with the id, whoever owns it.
+// processAlive reports whether a process with this ID exists, of any user.
 func processAlive(pid int) bool {
 	err := unix.Kill(pid, 0)
 	return err == nil || errors.Is(err, unix.EPERM)
 }
 
-// inheritServerList has the process start from the server list of the one that still serves the same address, if that
-// is newer than the list in the configuration. A list that can't be used is ignored.
+// inheritServerList replaces the server list in the configuration by the one that the process still serving the same
+// address has stored, if that is newer. A stored list that can't be used is ignored.
 func inheritServerList(cfg *proxy.Config, log *logrus.Logger) {
 	stored, err := restartproto.ReadServerList(restartproto.ServerListPath(os.TempDir(), cfg.Listen))
 	if err != nil || !restartproto.CanInherit(stored, os.Getpid(), cfg.Listen, cfg.Discovery, processAlive) {
@@ -82,8 +83,8 @@
 		Info("hot restart: server list taken over from the running process")
 }
 
-// newerThanConfigured reports whether update has a later generation than the list in the configuration, which has
-// generation 0 where there is none.
+// newerThanConfigured reports whether update has a higher generation than the list in the configuration; an absent list
+// counts as generation 0.
 func newerThanConfigured(update discovery.Update, configured []byte) bool {
 	return update.Generation > gjson.GetBytes(configured, "generation").Uint()
 }
--- a/cmd/spurspread/hotrestart_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -18,20 +18,20 @@
 	"spurspread/lab/discoveryserver"
 )
 
-// clientStream is a client with an established connection, to a server that echoes its lines.
+// clientStream is a client with a connection to the balancer, in front of a server that echoes lines.
 type clientStream struct {
 	c    net.Conn
 	in   *bufio.Reader
-	sent int // lines
+	sent int // number of lines sent
 }
 
-// open connects and sends a request; it returns the reply line.
+// open connects and sends a request of a class, and returns the reply line. The stream is nil if connecting fails.
 func open(addr, class string, id int) (*clientStream, string, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, "", err
 	}
-	_ = c.SetDeadline(time.Now().Add(60 * time.Second)) // only so that a fault ends the test
+	_ = c.SetDeadline(time.Now().Add(60 * time.Second)) // a hang fails the test
 	s := &clientStream{c: c, in: bufio.NewReader(c)}
 	if _, err := fmt.Fprintf(c, "OPEN %08x 7f3a c=%s,d=1200\r\n", id, class); err != nil {
 		return s, "", err
@@ -40,7 +40,7 @@
 	return s, answer, err
 }
 
-// exchange sends one line and reads its echo.
+// exchange sends the next line and checks its echo.
 func (s *clientStream) exchange() error {
 	s.sent++
 	text := fmt.Sprintf("line %d\r\n", s.sent)
@@ -49,26 +49,26 @@
 	}
 	got, err := s.in.ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("%q came back for %q: %w", got, text, err)
+		return fmt.Errorf("echo of %q is %q: %w", text, got, err)
 	}
 	if got != text {
-		return fmt.Errorf("%q came back for %q", got, text)
+		return fmt.Errorf("echo of %q is %q", text, got)
 	}
 	return nil
 }
 
-// Under a steady load, established connections continue through an upgrade unharmed, and every client that connects
-// meanwhile gets a reply, from one process or the other.
+// During a hot restart under load, established connections continue without interruption, and every client that
+// connects gets a reply, from the old process or the new one.
 func TestUpgradeUnderLoad(t *testing.T) {
 	const established = 24
-	silent, clients := listener(t), freePort(t)
-	var requested sync.Map // ids of requests since the upgrade began
+	silentDiscovery, clients := listener(t), freePort(t)
+	var requested sync.Map // IDs of requests since the hot restart began
 	var counting atomic.Bool
-	path, _ := configured(t, append(startServers(t, func(_ int, first string) {
+	path, _ := writeConfig(t, append(startServers(t, func(_ int, first string) {
 		if counting.Load() {
 			requested.Store(strings.Fields(first)[1], true)
 		}
-	}), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
+	}), "127.0.0.1:8081", clients, "127.0.0.1:8500", silentDiscovery.Addr().String())...)
 	tmp := "TMPDIR=" + t.TempDir()
 	old := start(t, "GW_CONFIG="+path, tmp)
 	var streams []*clientStream
@@ -99,7 +99,7 @@
 		for id := 1000; !stop.Load(); id++ {
 			s, answer, err := open(clients, "index-sync", id)
 			if answer != "UP 1\r\n" && !strings.HasPrefix(answer, "BUSY") {
-				t.Errorf("a client that connected meanwhile: %q, %v", answer, err)
+				t.Errorf("client that connected during the hot restart: %q, %v", answer, err)
 			}
 			if s != nil {
 				_ = s.c.Close()
@@ -123,10 +123,10 @@
 	t.Logf("%d rounds, %d new clients", rounds.Load(), newClients)
 	for i := range established {
 		if _, again := requested.Load(fmt.Sprintf("%08x", i)); again {
-			t.Errorf("stream %d has sent its request again", i)
+			t.Errorf("request of stream %d reached a server again", i)
 		}
 	}
-	// They are the new process's now: it moves them all when it stops.
+	// The connections are now those of the new process, which moves them all when it stops.
 	if err := next.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// A new process that starts while discovery is down starts from the old one's server list, and not from the older one
-// in its configuration: no new connection goes to a server that drains.
+// A new process that starts while discovery is down uses the old process's server list instead of the older one in its
+// configuration, so that no new connection goes to a draining server.
 func TestNewProcessInheritsServerList(t *testing.T) {
 	published, err := discoveryserver.Start(0)
 	if err != nil {
@@ -151,14 +151,14 @@
 	clients := freePort(t)
 	var requests [2]atomic.Int64
 	pairs := startServers(t, func(i int, _ string) { requests[i].Add(1) })
-	// the configuration's list is of generation 1
+	// the list in the configuration has generation 1
 	for i, state := range []string{discoveryserver.Ready, discoveryserver.Terminating} {
 		published.Set(discoveryserver.Entry{
 			ID: fmt.Sprint("toy-", 2-i), Addr: pairs[3-2*i], Zone: "here", Machine: "toy", Lifecycle: state,
 			Weight: 1,
 		})
 	}
-	path, _ := configured(t, append(pairs, "127.0.0.1:8081", clients, "127.0.0.1:8500", published.Addr())...)
+	path, _ := writeConfig(t, append(pairs, "127.0.0.1:8081", clients, "127.0.0.1:8500", published.Addr())...)
 	dir := t.TempDir()
 	old := start(t, "GW_CONFIG="+path, "TMPDIR="+dir)
 	stored := restartproto.ServerListPath(dir, netip.MustParseAddrPort(clients))
@@ -167,7 +167,7 @@
 			strings.Contains(string(l.Snapshot), discoveryserver.Terminating) {
 			break
 		} else if time.Now().After(until) {
-			t.Fatalf("no list was stored: %v", err)
+			t.Fatalf("no list with a draining server was stored within 30 s: %v", err)
 		}
 	}
 	if err := published.Close(); err != nil {
@@ -188,7 +188,8 @@
 		_ = s.c.Close()
 	}
 	if requests[0].Load() != 0 || requests[1].Load() < 16 {
-		t.Errorf("%d went to the server that drains, %d to the other", requests[0].Load(), requests[1].Load())
+		t.Errorf("%d requests went to the draining server, %d to the other; want 0 and at least 16",
+			requests[0].Load(), requests[1].Load())
 	}
 	if err := next.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -197,6 +198,6 @@
 		t.Errorf("the new process ended with %v", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 0 {
-		t.Errorf("files are left: %v", left)
+		t.Errorf("files left after both processes ended: %v", left)
 	}
 }
--- a/cmd/spurspread/idle_test.go
+++ b/cmd/spurspread/idle_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// descriptors is the number of descriptors that the process has open, from /proc.
+// descriptors returns the number of open descriptors of the process, from /proc.
 func (p *process) descriptors() int {
 	p.t.Helper()
-	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return len(held)
+	return len(entries)
 }
 
-// Idle clients, three times as many as the program may have descriptors, connect while discovery is down. The program
-// never has more descriptors than it may; requests reach servers all the same, and discovery is called once it is up.
+// Three times as many idle clients as the descriptor limit connect while discovery is down. The program stays within
+// the limit, requests still reach servers, and discovery is called once it is up.
 func TestManyIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 160
-	clients, away := freePort(t), freePort(t)
-	path, _ := configured(t, append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", away,
+	clients, discoveryAddr := freePort(t), freePort(t)
+	path, _ := writeConfig(t, append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", discoveryAddr,
 		`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, limit))...)
 	p := start(t, "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	peak := 0
@@ -35,7 +35,7 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 		if i%2 == 0 {
-			_, _ = c.Write([]byte("PING\r\n")) // it may be closed before that
+			_, _ = c.Write([]byte("PING\r\n")) // the balancer may have closed it already
 		}
 		peak = max(peak, p.descriptors())
 	}
@@ -48,15 +48,15 @@
 		peak = max(peak, p.descriptors())
 	}
 	if peak > limit || peak < limit*3/4 {
-		t.Errorf("%d descriptors open, %d allowed; idle clients should have filled most of them", peak, limit)
+		t.Errorf("at most %d descriptors open, want no more than the limit of %d, and at least 3/4 of it", peak, limit)
 	}
-	ln, err := net.Listen("tcp", away)
+	ln, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // only so that a fault ends the test
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // a hang fails the test
 	if request := acceptDiscoveryRequest(t, ln.(*net.TCPListener)); !strings.HasPrefix(request, "GET ") {
-		t.Errorf("request %q", request)
+		t.Errorf("first line of the call to discovery: %q, want GET", request)
 	}
 }
--- a/cmd/spurspread/limits_test.go
+++ b/cmd/spurspread/limits_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A memory limit that is taken out of the configuration no longer holds after the reload.
-func TestMemoryLimitIsTakenBack(t *testing.T) {
+// Without a memory limit, as after a reload that removes it, the limit from the start of the process applies again.
+func TestMemoryLimitIsRestored(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
-	limits{memoryMB: 64}.limitMemory()
+	processConfig{memoryMB: 64}.limitMemory()
 	if got := debug.SetMemoryLimit(-1); got != 40<<20 {
-		t.Errorf("%d bytes of 64 MB", got)
+		t.Errorf("limit of %d bytes for 64 MB, want 40 MB", got)
 	}
-	limits{}.limitMemory()
+	processConfig{}.limitMemory()
 	if got := debug.SetMemoryLimit(-1); got != before {
-		t.Errorf("%d bytes without a limit, %d at the start", got, before)
+		t.Errorf("limit of %d bytes without a configured one, want the %d of the start", got, before)
 	}
 }
--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -16,28 +16,28 @@
 const (
 	exitOK     = iota
 	exitFailed // the command failed; a line on standard error says why
-	exitUsage  // the command line can't be understood
+	exitUsage  // the command line is invalid
 )
 
 const (
-	notExited = -1  // no exit code
-	helpWidth = 100 // columns
+	notExited = -1  // kong has not asked to exit
+	helpWidth = 100 // greatest width of help texts, in columns
 )
 
-// cli is the command line. Without a command, as the platform starts it, it serves.
+// cli defines the command line. The platform starts the program without a command, which serves.
 type cli struct {
-	Serve serve `cmd:"" default:"withargs" help:"Serve as a balancer until SIGTERM; what is done without a command."`
+	Serve serveCmd `cmd:"" default:"withargs" help:"Serve as a balancer until SIGTERM (the default command)."`
 
-	Site    siteCmds   `cmd:"" help:"Look after site files."`
-	Token   tokenCmds  `cmd:"" help:"Look after resume tokens and their keys."`
+	Site    siteCmds   `cmd:"" help:"Check site files and print their schema."`
+	Token   tokenCmds  `cmd:"" help:"Inspect resume tokens and create keys."`
 	Members membersCmd `cmd:"" help:"Show the fleet of balancers as one member sees it."`
 	Record  recordCmd  `cmd:"" help:"Publish a small named value to the whole fleet of balancers."`
 	Version versionCmd `cmd:"" help:"Print the version and how it was built."`
 
-	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"How log lines are written: text or json."`
+	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"Format of log lines: text or json."`
 }
 
-// streams are a command's environment and output.
+// streams are the environment variables, output streams and log format of a command.
 type streams struct {
 	getenv   func(string) string
 	out, err io.Writer
@@ -48,7 +48,7 @@
 	os.Exit(run(os.Args[1:], &streams{getenv: os.Getenv, out: os.Stdout, err: os.Stderr}))
 }
 
-// run carries out a command line and returns the exit code.
+// run parses and executes a command line, and returns the exit code.
 func run(args []string, s *streams) int {
 	var c cli
 	exited := notExited
@@ -57,13 +57,13 @@
 		kong.Name("spurspread"),
 		kong.Writers(s.out, s.err),
 		kong.Description(
-			"A balancer for long-lived connections.\n\nWithout a command it serves, told by GW_CONFIG's file.",
+			"A balancer for long-lived connections.\n\nWithout a command it serves, configured by GW_CONFIG's file.",
 		),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
 		kong.Exit(func(code int) { exited = code }),
 	)
 	if err != nil {
-		panic(err) // a tag of cli is wrong
+		panic(err) // a struct tag of cli is invalid
 	}
 	ctx, err := parser.Parse(args)
 	if exited != notExited { // --help has been printed
@@ -81,13 +81,13 @@
 	return exitOK
 }
 
-// oneLine is the text of joined errors on one line.
+// oneLine returns the text of err, such as of joined errors, on one line.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
 // versionCmd prints how the program was built.
 type versionCmd struct{}
 
-// Run prints the version and revision that the linker has recorded.
+// Run prints the version and the revision that are recorded in the binary.
 func (versionCmd) Run(s *streams) error {
 	revision, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -104,7 +104,7 @@
 	return err
 }
 
-// version is the module version that the linker has recorded; "devel" for a build that is no release.
+// version returns the module version that is recorded in the binary, or "devel" if the build is not of a release.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" || strings.HasPrefix(info.Main.Version, "(") {
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -19,18 +19,19 @@
 	"spurspread/lab/echo"
 )
 
-const example = "../../example/config.json"
+const exampleConfig = "../../example/config.json"
 
-// env is a configuration file with one text replaced, as the process would find it.
-func env(t *testing.T, old, new string) func(string) string {
+// configEnv writes the example configuration with the first occurrence of old replaced, and returns a getenv whose
+// GW_CONFIG names the file.
+func configEnv(t *testing.T, old, new string) func(string) string {
 	t.Helper()
-	text, err := os.ReadFile(example)
+	text, err := os.ReadFile(exampleConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := strings.Replace(string(text), old, new, 1)
 	if old != "" && changed == string(text) {
-		t.Fatalf("the example has no %q", old)
+		t.Fatalf("the example configuration does not contain %q", old)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
@@ -39,10 +40,11 @@
 	return func(name string) string { return map[string]string{"GW_CONFIG": path}[name] }
 }
 
-// configured writes the example with pairs of texts replaced, and returns its path and text.
-func configured(t *testing.T, pairs ...string) (path, text string) {
+// writeConfig writes the example configuration with each first text of pairs replaced by the second, and returns its
+// path and text.
+func writeConfig(t *testing.T, pairs ...string) (path, text string) {
 	t.Helper()
-	path = env(t, "", "")("GW_CONFIG")
+	path = configEnv(t, "", "")("GW_CONFIG")
 	was, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +56,8 @@
 	return path, text
 }
 
-// startServers starts servers in place of the example's, and returns the pairs of texts that put them into its
-// configuration. onRequest is called with the number of the server and the first line of each connection.
+// startServers starts two echoing servers and returns the pairs of texts by which writeConfig puts their addresses into
+// the configuration. onRequest, unless nil, is called with a server's number and the first line of each request.
 func startServers(t *testing.T, onRequest func(server int, first string)) (pairs []string) {
 	t.Helper()
 	for i, at := range []string{"127.0.0.1:9001", "127.0.0.1:9002"} {
@@ -71,7 +73,7 @@
 	return pairs
 }
 
-// withAdminAddr is getenv with $GW_MGMT set.
+// withAdminAddr returns getenv with GW_MGMT set to addr.
 func withAdminAddr(getenv func(string) string, addr string) func(string) string {
 	return func(name string) string {
 		if name == "GW_MGMT" {
@@ -81,23 +83,23 @@
 	}
 }
 
-// What is wrong with a configuration is printed on one line.
+// Every fault of a configuration ends the program with exit code 1 and one line on standard error.
 func TestBadConfiguration(t *testing.T) {
-	t.Setenv("TMPDIR", t.TempDir()) // a list that another process stored there would take the place of the bad one
-	anyPort := env(t, "127.0.0.1:8081", "127.0.0.1:0")
+	t.Setenv("TMPDIR", t.TempDir()) // else a list that another process stored there might replace the invalid one
+	anyPort := configEnv(t, "127.0.0.1:8081", "127.0.0.1:0")
 	for want, getenv := range map[string]func(string) string{
 		"GW_CONFIG names no":                 func(string) string { return "" },
 		"no such file":                       func(string) string { return "/nowhere/config.json" },
-		"is not a JSON object":               env(t, "{", "["),
-		`listen "nowhere" is not an address`: env(t, "127.0.0.1:8081", "nowhere"),
-		`discovery "" is not an address`:     env(t, `"discovery": "127.0.0.1:8500"`, `"discovery": ""`),
-		`seed "zz" is not hexadecimal`:       env(t, "8c1f30d27a5be964", "zz"),
-		"settings: not a JSON object":        env(t, `"settings": {`, `"other": {`),
-		"rules.cold: missing; rules.drain_grace: missing": env(t,
+		"is not a JSON object":               configEnv(t, "{", "["),
+		`listen "nowhere" is not an address`: configEnv(t, "127.0.0.1:8081", "nowhere"),
+		`discovery "" is not an address`:     configEnv(t, `"discovery": "127.0.0.1:8500"`, `"discovery": ""`),
+		`seed "zz" is not hexadecimal`:       configEnv(t, "8c1f30d27a5be964", "zz"),
+		"settings: not a JSON object":        configEnv(t, `"settings": {`, `"other": {`),
+		"rules.cold: missing; rules.drain_grace: missing": configEnv(t,
 			`"cold": 23000000, "cold_from": 0.13, "drain_grace"`, `"cold_from": 0.1, "x"`),
-		"rules.cold: missing":                          env(t, `"cold": 23000000`, `"warm": 1`),
-		"known: discovery's list is":                   env(t, `"generation": 1`, `"generation": "x"`),
-		"listen on 192.0.2.1:8081":                     env(t, "127.0.0.1:8081", "192.0.2.1:8081"),
+		"rules.cold: missing":                          configEnv(t, `"cold": 23000000`, `"warm": 1`),
+		"known: discovery's list is":                   configEnv(t, `"generation": 1`, `"generation": "x"`),
+		"listen on 192.0.2.1:8081":                     configEnv(t, "127.0.0.1:8081", "192.0.2.1:8081"),
 		"management address: listen on 192.0.2.1:9901": withAdminAddr(anyPort, "192.0.2.1:9901"),
 		`management address "9901" is not an address`:  withAdminAddr(anyPort, "9901"),
 	} {
@@ -112,7 +114,7 @@
 	}
 }
 
-// TestMain lets the tests start this binary as the program itself.
+// TestMain runs the program instead of the tests in processes that the tests start from this binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPURSPREAD_TEST_AS_MAIN") != "" {
 		main()
@@ -133,7 +135,7 @@
 	return ln
 }
 
-// acceptDiscoveryRequest accepts the next call to discovery and returns its first line.
+// acceptDiscoveryRequest accepts the next call to discovery, and returns its first line without replying.
 func acceptDiscoveryRequest(t *testing.T, ln *net.TCPListener) string {
 	t.Helper()
 	c, err := ln.Accept()
@@ -145,13 +147,14 @@
 	return text
 }
 
-// The program reloads on SIGHUP without interruption, with a good file and a bad one, and ends with 0 on SIGTERM.
+// The program serves without interruption through reloads by SIGHUP, of valid and of invalid files, and exits with 0 on
+// SIGTERM.
 func TestSignals(t *testing.T) {
 	oldDiscovery, newDiscovery := listener(t), listener(t)
 	free := listener(t)
 	addr := free.Addr().String()
 	_ = free.Close()
-	path := env(t, "127.0.0.1:8081", addr)("GW_CONFIG")
+	path := configEnv(t, "127.0.0.1:8081", addr)("GW_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -207,13 +210,13 @@
 	logged("reload rejected, nothing changed: configuration: discovery")
 	answers()
 	write(newDiscovery.Addr().String())
-	useKey("three") // which does not exist: neither file changes anything
+	useKey("three") // which does not exist: nothing changes, though the configuration file is valid
 	signal(unix.SIGHUP)
 	logged("reload rejected, nothing changed: " + siteFile + ":1: key@file: can't be read: no such file")
 	answers()
 	useKey("two")
 	signal(unix.SIGHUP)
-	// Generations of the new address may be its own, so the full list is requested.
+	// Another discovery may count generations of its own, so the full list is requested.
 	if got := acceptDiscoveryRequest(t, newDiscovery); !strings.Contains(got, "index=0 ") {
 		t.Errorf("request %q", got)
 	}
@@ -229,7 +232,7 @@
 	}
 }
 
-// command runs one command line and returns its exit code and output.
+// command runs one command line in this process and returns its exit code and output.
 func command(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -237,7 +240,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// Usage has its own exit code, help shows examples, and a fault of a file is reported with its line.
+// Usage errors have their own exit code, help shows examples, and a fault in a file is reported with its line.
 func TestCommandLine(t *testing.T) {
 	t.Setenv("GW_CONFIG", "")
 	t.Setenv("SPURSPREAD_SITE", "")
@@ -279,7 +282,7 @@
 	}
 }
 
-// A new key can be used by a site file, and tokens sealed with it can be inspected.
+// A new key can be used in a site file, tokens sealed with it can be inspected, and altered ones are rejected.
 func TestInspect(t *testing.T) {
 	dir := t.TempDir()
 	if code, _, errOut := command(t, "token", "key", filepath.Join(dir, "key")); code != exitOK {
@@ -304,7 +307,7 @@
 		!strings.Contains(out, "server   s1, started long ago") {
 		t.Errorf("%d, %q, %q", code, out, errOut)
 	}
-	// Another letter of the same alphabet: with any other byte it would not be decoded.
+	// Replaced by a letter of the base64 alphabet, so that decoding succeeds and the seal is what fails.
 	if text[70] != 'A' {
 		text[70] = 'A'
 	} else {
@@ -316,13 +319,14 @@
 	}
 }
 
-// process is this binary run as the program, as the platform starts it; the test reads its log.
+// process is the program as the platform starts it, run from this binary. The test reads its log.
 type process struct {
 	t   *testing.T
 	cmd *exec.Cmd
 	log *bufio.Scanner
 }
 
+// start starts the program with only these environment variables, and waits until it serves.
 func start(t *testing.T, env ...string) *process {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -340,7 +344,7 @@
 	return p
 }
 
-// logged reads the log until a line contains text, and returns the line; the process must not end before.
+// logged reads the log until a line contains text, and returns that line. If the process ends before, the test fails.
 func (p *process) logged(text string) string {
 	p.t.Helper()
 	for p.log.Scan() {
@@ -352,7 +356,7 @@
 	return ""
 }
 
-// exchangeLine sends one line to addr and returns the reply line, or the text of the error.
+// exchangeLine sends one line to addr and returns the reply line, or the text of an error.
 func exchangeLine(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -360,7 +364,7 @@
 		return err.Error()
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a fault ends the test
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second)) // a hang fails the test
 	if _, err := c.Write([]byte(line)); err != nil {
 		return err.Error()
 	}
@@ -379,9 +383,9 @@
 	return addr
 }
 
-// Balancers that share a $TMPDIR but serve different addresses are not successors of one another.
+// A balancer with the same $TMPDIR but another listen address is not taken for a successor.
 func TestNoHotRestartBetweenAddresses(t *testing.T) {
-	path, tmp := env(t, "127.0.0.1:8081", "127.0.0.1:0")("GW_CONFIG"), "TMPDIR="+t.TempDir()
+	path, tmp := configEnv(t, "127.0.0.1:8081", "127.0.0.1:0")("GW_CONFIG"), "TMPDIR="+t.TempDir()
 	first := start(t, "GW_CONFIG="+path, tmp)
 	start(t, "GW_CONFIG="+path, tmp)
 	if err := first.cmd.Process.Signal(unix.SIGTERM); err != nil {
@@ -397,12 +401,12 @@
 	}
 }
 
-// A new process beside the old one: its PING is answered when it serves; at SIGTERM the old one's listener closes, and
-// from then on every new client reaches the new one, also where the old one was killed in between.
+// A successor answers PING on its admin address once it serves. After SIGTERM the old process closes its listener, so
+// that every new client reaches the successor, also if the old process is killed at that moment.
 func TestHotRestart(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		clients, discovery := freePort(t), listener(t)
-		path, _ := configured(t, "127.0.0.1:8081", clients, "127.0.0.1:8500", discovery.Addr().String())
+		path, _ := writeConfig(t, "127.0.0.1:8081", clients, "127.0.0.1:8500", discovery.Addr().String())
 		tmp := t.TempDir()
 		oldAdmin, newAdmin := freePort(t), freePort(t)
 		old := start(t, "GW_CONFIG="+path, "GW_MGMT="+oldAdmin, "TMPDIR="+tmp)
@@ -422,7 +426,7 @@
 		} else {
 			old.logged("hot restart: successor accepts new clients")
 		}
-		// If the old one were still listening, about half of these would reach it and be rejected.
+		// If the old process were still listening, about half of these would reach it and be rejected.
 		for i := range 40 {
 			if got := exchangeLine(t, clients, "PING\r\n"); got != "PONG" {
 				t.Fatalf("killed %v, client %d after the hot restart: %q", kill, i, got)
--- a/cmd/spurspread/member.go
+++ b/cmd/spurspread/member.go
@@ -16,19 +16,19 @@
 	"spurspread/internal/siteconfig"
 )
 
-// joinSettleTime is in which a new member has mostly found the others.
+// joinSettleTime is the time in which a new member has usually found the others.
 const joinSettleTime = 5 * time.Second
 
-// fleetMember is this process as a member of the fleet of balancers. All methods may be called on nil, which is a
-// process without membership.
+// fleetMember is this process as a member of the fleet of balancers. In a process without membership it is nil; all
+// methods that other types call accept nil.
 type fleetMember struct {
 	host      *peer.Host
-	rack      string             // shown only
-	stopSeeds context.CancelFunc // ends the goroutine that looks up seeds
-	seedsDone chan struct{}      // closed when it has ended
+	rack      string             // reported only
+	stopSeeds context.CancelFunc // stops the goroutine that looks up seeds
+	seedsDone chan struct{}      // closed when that goroutine has ended
 }
 
-// joinFleet starts membership on the loop, and the goroutine that looks up the addresses of seeds.
+// joinFleet starts membership on the event loop, and the goroutine that looks up the addresses of seeds.
 func joinFleet(
 	loop *eventloop.Loop, cfg *peer.Config, site *siteconfig.Membership, log *logrus.Logger,
 ) (*fleetMember, error) {
@@ -36,15 +36,15 @@
 	if err != nil {
 		return nil, err
 	}
-	// Reading the files and finding the others takes some two megabytes and pages of the program that are not needed
-	// again.
+	// Reading the files and finding the others uses about two megabytes, and pages of the program file, that are not
+	// needed again.
 	loop.After(eventloop.Micros(joinSettleTime.Microseconds()), func() {
 		debug.FreeOSMemory()
 		releasePages()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fleetMember{host: host, rack: string(site.Rack), stopSeeds: cancel, seedsDone: make(chan struct{})}
-	go func() { // owned by f: close ends it and waits for it
+	go func() { // owned by f: close stops it and waits for it
 		defer close(f.seedsDone)
 		resolveSeeds(ctx, site.Seeds.Seed, func(addrs []netip.AddrPort) {
 			loop.Post(func() { host.SetSeeds(addrs) })
@@ -53,7 +53,7 @@
 	return f, nil
 }
 
-// leave announces to the fleet that this member leaves.
+// leave announces to the fleet that this member leaves, and stops the lookup of seeds.
 func (f *fleetMember) leave() {
 	if f != nil {
 		f.host.Leave()
@@ -61,7 +61,7 @@
 	}
 }
 
-// close ends the lookup of seeds, and waits for that at most stopTimeout.
+// close stops the lookup of seeds, and waits at most stopTimeout until it has ended.
 func (f *fleetMember) close() {
 	if f != nil {
 		f.stopSeeds()
@@ -69,15 +69,15 @@
 	}
 }
 
-// rotateKeys uses the keys of a site file that has been reloaded. All other settings of the fleet stay until the
-// process ends.
+// rotateKeys applies the keys of a reloaded site file. All other membership settings stay as they were at the start of
+// the process.
 func (f *fleetMember) rotateKeys(cfg *peer.Config) {
 	if f != nil && cfg != nil {
 		f.host.SetKeyring(cfg.Keyring)
 	}
 }
 
-// handleAdmin answers the commands about the fleet, and hands on all others.
+// handleAdmin returns a handler that answers the admin commands about the fleet and passes all others to next.
 func (f *fleetMember) handleAdmin(next func(lifecycle.CommandKind) string) func(lifecycle.Command) string {
 	return func(command lifecycle.Command) string {
 		switch {
@@ -90,7 +90,7 @@
 	}
 }
 
-// replyMembers is the reply to MEMBERS.
+// replyMembers returns the reply to the admin command MEMBERS.
 func (f *fleetMember) replyMembers() string {
 	text, err := json.Marshal(f.report())
 	if err != nil {
@@ -99,7 +99,7 @@
 	return "+OK " + string(text)
 }
 
-// replyRecord publishes a record, and is the reply to RECORD.
+// replyRecord publishes a record, and returns the reply to the admin command RECORD.
 func (f *fleetMember) replyRecord(name, value string) string {
 	record, err := f.host.Publish(name, value)
 	if err != nil {
--- a/cmd/spurspread/memberconfig.go
+++ b/cmd/spurspread/memberconfig.go
@@ -12,8 +12,8 @@
 	"spurspread/internal/xmlconfig"
 )
 
-// peerConfig is the configuration of a member; nil where membership is off. The platform's name of the balancer stands
-// in for a member name that the site file does not give.
+// peerConfig returns the membership configuration, or nil if membership is off. name is the platform's name of the
+// balancer, and is used if the site file gives no member name.
 func peerConfig(site *siteconfig.Site, name string, seed uint64) (*peer.Config, error) {
 	fleet := site.Membership
 	if fleet == nil {
@@ -21,8 +21,8 @@
 	}
 	cfg := &peer.Config{Name: cmp.Or(string(fleet.Member), name), RandomSeed: seed}
 	if cfg.Name == "" || len(cfg.Name) > packet.MaxName {
-		return nil, fmt.Errorf("fleet: a member's name of 1 to %d characters is needed, not %q",
-			packet.MaxName, cfg.Name)
+		return nil, fmt.Errorf("fleet: member name %q does not have 1 to %d characters",
+			cfg.Name, packet.MaxName)
 	}
 	var err error
 	if cfg.Keyring, err = memberKeyring(fleet.Keys); err != nil {
@@ -51,11 +51,11 @@
 	return packet.NewKeyring(ring)
 }
 
-// memberAddress parses an address of the site file; what names it in an error.
-func memberAddress(what string, text xmlconfig.Address) (netip.AddrPort, error) {
+// memberAddress parses an address of the site file. An error begins with label, which names the attribute.
+func memberAddress(label string, text xmlconfig.Address) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(string(text))
 	if err != nil {
-		return addr, fmt.Errorf("fleet: %s%q is not an address and port", what, text)
+		return addr, fmt.Errorf("fleet: %s%q is not an address and port", label, text)
 	}
 	return addr, nil
 }
@@ -75,14 +75,14 @@
 	return addrs, nil
 }
 
-// localSite is the region and zone of this member; the zero Site where the site file names no zone.
+// localSite returns the region and zone of this member, or the zero Site if the site file names no zone.
 func localSite(fleet *siteconfig.Membership) (zonedirectory.Site, error) {
 	for _, name := range []string{string(fleet.Region), string(fleet.Zone)} {
 		if len(name) <= zonedirectory.MaxName {
 			continue
 		}
 		return zonedirectory.Site{}, fmt.Errorf(
-			"fleet: %q is longer than the %d characters that a region or zone may have", name, zonedirectory.MaxName)
+			"fleet: region or zone %q is longer than %d characters", name, zonedirectory.MaxName)
 	}
 	return zonedirectory.Site{Region: string(fleet.Region), Zone: string(fleet.Zone)}, nil
 }
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -17,22 +17,22 @@
 const columnGap = 2
 
 type membersCmd struct {
-	Mgmt string `required:"" env:"GW_MGMT" placeholder:"ADDRESS" help:"The management address of the member that is asked."`
-	JSON bool   `name:"json" help:"Print what the member answers."`
+	Mgmt string `required:"" env:"GW_MGMT" placeholder:"ADDRESS" help:"The management address of the member to ask."`
+	JSON bool   `name:"json" help:"Print the member's reply as it is, in JSON."`
 }
 
 // Help is shown below the command's own line.
 func (membersCmd) Help() string {
-	return "Asks one member for the fleet as it sees it: state, since when, incarnation, when it was last heard, " +
-		"round trip and the\nparts of pings and answers that are lost. A member that doubts itself says so: " +
-		"it was paused, or hears nobody. In a fleet with\nzones these are the members of its own zone; " +
-		"a line for each zone, and the records, follow." + `
+	return "Asks one member for its view of the fleet: the state of each member and its age, the incarnation, the " +
+		"time since\nthe last message, the round trip, and the share of pings and replies that got lost. " +
+		"A member whose own view is\nunreliable, because it was paused or receives nothing, says so first. " +
+		"In a fleet with zones the members are those of\nits own zone; a line for each zone and the records follow." + `
 
 Example:
   spurspread members --mgmt 127.0.0.1:9901`
 }
 
-// Run prints the report of a member.
+// Run asks a member for its report and prints it.
 func (c membersCmd) Run(s *streams) error {
 	reply, err := callAdmin(c.Mgmt, "MEMBERS")
 	if err != nil {
@@ -44,10 +44,10 @@
 	}
 	var report membersReport
 	if err := json.Unmarshal([]byte(reply), &report); err != nil {
-		return fmt.Errorf("%s answered something else than a view: %w", c.Mgmt, err)
+		return fmt.Errorf("decode the member report from %s: %w", c.Mgmt, err)
 	}
 	if report.Degraded {
-		_, _ = fmt.Fprintln(s.out, "this member doubts itself: it was paused, or hears nobody")
+		_, _ = fmt.Fprintln(s.out, "this member's view is unreliable: it was paused, or receives nothing")
 	}
 	if err := report.printMembers(s.out); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return table.Flush()
 }
 
-// printZones prints the zones and records; nothing where there are no zones.
+// printZones prints the zones and records; nothing in a fleet without zones.
 func (r *membersReport) printZones(out io.Writer) error {
 	if r.ZonesReport == nil {
 		return nil
@@ -103,31 +103,32 @@
 	return tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 }
 
-func percent(part float64) float64 { return 100 * part }
+func percent(fraction float64) float64 { return 100 * fraction }
 
 func ageText(millis int64) string {
 	return (time.Duration(millis) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
 type recordCmd struct {
-	Name  string `arg:"" help:"What the record is called, 1 to 32 characters without blanks."`
-	Value string `arg:"" help:"Its new value, at most 64 characters."`
+	Name  string `arg:"" help:"The record's name, 1 to 32 characters without blanks."`
+	Value string `arg:"" help:"The new value, 1 to 64 characters."`
 	Mgmt  string `required:"" env:"GW_MGMT" placeholder:"ADDRESS" help:"The management address of a member; any will do."`
 }
 
 // Help is shown below the command's own line.
 func (recordCmd) Help() string {
-	return "Publishes a new value of a record through one member; it spreads to all members of all zones " +
-		"that can be reached, and the\nnewest version wins. Prints that version. 'spurspread members' shows " +
-		"which version a member has. Nothing acts on records yet." + `
+	return "Publishes a new value of a record through one member, and prints its version. The record spreads to all " +
+		"members of\nall zones that can be reached; the newest version wins. 'spurspread members' shows " +
+		"which version a member has.\nNothing acts on records yet." + `
 
 Example:
   spurspread record limits 7 --mgmt 127.0.0.1:9901`
 }
 
-// errInvalidRecord rejects a record before it is sent.
+// errInvalidRecord reports a record that the admin command can't carry; it is not sent.
 var errInvalidRecord = errors.New(
-	"a record's name has 1 to 32 characters without blanks, its value 1 to 64, all printable ASCII",
+	"invalid record: the name must have 1 to 32 characters without blanks, and the value 1 to 64 without blanks " +
+		"at its ends, all printable ASCII",
 )
 
 // Run has a member publish the record, and prints its version.
@@ -143,8 +144,8 @@
 	return err
 }
 
-// validRecord reports whether a record fits the admin command: the name is one word, and the value, which may have
-// blanks within, neither begins nor ends with one.
+// validRecord reports whether the admin command can carry a record: the name must be one word, and the value may
+// contain blanks but neither begin nor end with one.
 func validRecord(name, value string) bool {
 	if !isPrintable(name, zonedirectory.MaxName) || strings.Contains(name, " ") {
 		return false
@@ -152,7 +153,7 @@
 	return isPrintable(value, zonedirectory.MaxValue) && strings.TrimSpace(value) == value
 }
 
-// isPrintable reports whether text has 1 to maxBytes characters, all printable ASCII.
+// isPrintable reports whether text consists of 1 to maxBytes printable ASCII characters.
 func isPrintable(text string, maxBytes int) bool {
 	for _, c := range []byte(text) {
 		if c < ' ' || c > '~' {
--- a/cmd/spurspread/memberscmd_test.go
+++ b/cmd/spurspread/memberscmd_test.go
@@ -11,7 +11,7 @@
 	"spurspread/internal/siteconfig"
 )
 
-// fakeAdmin stands in for a member's admin address: it replies to one command, which it sends to the channel.
+// fakeAdmin is a server for one admin command: it sends the command to the channel and answers with reply.
 func fakeAdmin(t *testing.T, reply string) (addr string, command <-chan string) {
 	t.Helper()
 	ln := listener(t)
@@ -30,12 +30,13 @@
 	return ln.Addr().String(), commands
 }
 
-// withoutZones is the report of a member in a fleet without zones, byte for byte.
+// withoutZones is the exact report of a member in a fleet without zones.
 const withoutZones = `{"doubts":false,"divisor":1,"members":[{"name":"a","addr":"10.0.0.4:7946","state":"alive",` +
 	`"incarnation":5,"since_ms":0,"heard_ms":0,"rtt_us":0,"lost_out":0,"lost_in":0}],"counts":{"Sent":0,` +
 	`"SentBytes":0,"Taken":0,"Saved":0,"Malformed":0,"Forged":0,"Replayed":0,"Lost":0,"Pauses":0,"Accusations":0}}`
 
-// The report of a member in a fleet without zones has none of their fields; printed, it ends with the members.
+// The report of a member in a fleet without zones has no fields about zones, and its printed form ends with the
+// members.
 func TestMembersWithoutZones(t *testing.T) {
 	var v membersReport
 	if err := json.Unmarshal([]byte(withoutZones), &v); err != nil || v.ZonesReport != nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// A record is published by one command; an invalid one is not sent.
+// The command record sends a valid record to the admin address, and rejects an invalid one without sending it.
 func TestRecordCommand(t *testing.T) {
 	addr, sent := fakeAdmin(t, "+OK 17")
 	code, out, errOut := command(t, "record", "limits", "two words", "--mgmt", addr)
@@ -101,7 +102,7 @@
 	}
 }
 
-// The example site file turns on everything, a zone included, and can be used once its keys are made.
+// The example site file names a zone, and is valid once its keys are created.
 func TestExampleHasAZone(t *testing.T) {
 	text, err := os.ReadFile("../../example/site.xml")
 	if err != nil {
@@ -123,7 +124,7 @@
 	}
 }
 
-// The name of a zone is bounded by what datagrams carry.
+// Names of zones that are too long for datagrams are rejected.
 func TestLocalSite(t *testing.T) {
 	if at, err := localSite(&siteconfig.Membership{Region: "east", Zone: "east-1"}); err != nil ||
 		at.Region != "east" ||
@@ -131,6 +132,6 @@
 		t.Errorf("%+v, %v", at, err)
 	}
 	if _, err := localSite(&siteconfig.Membership{Zone: "a-name-that-has-more-than-32-bytes"}); err == nil {
-		t.Error("a zone's name that no datagram can carry is accepted")
+		t.Error("a zone name that is too long for datagrams was accepted")
 	}
 }
--- a/cmd/spurspread/membersreport.go
+++ b/cmd/spurspread/membersreport.go
@@ -10,18 +10,18 @@
 	"spurspread/internal/peer"
 )
 
-// membersReport is the reply to the admin command MEMBERS: the fleet as one member sees it. The first member is that
-// member itself. Times are ages in milliseconds; 0 where there is none.
+// membersReport is the reply to the admin command MEMBERS: the fleet as one member sees it. The first of Members is
+// that member itself. Times are ages in milliseconds; 0 if the time is unknown.
 type membersReport struct {
-	Degraded bool           `json:"doubts"`  // this member's own view is not reliable at present
-	Divisor  float64        `json:"divisor"` // by which rates are divided that the whole fleet shares
+	Degraded bool           `json:"doubts"`  // this member's own view is unreliable at present
+	Divisor  float64        `json:"divisor"` // this member divides the rates that the fleet shares by it
 	Members  []memberReport `json:"members"`
 	Counts   peer.Counts    `json:"counts"`
 	Rack     string         `json:"rack,omitempty"`
 	*ZonesReport
 }
 
-// memberReport is one member.
+// memberReport is the state of one member.
 type memberReport struct {
 	Name               string  `json:"name"`
 	Addr               string  `json:"addr"`
@@ -30,22 +30,22 @@
 	SinceMillis        int64   `json:"since_ms"`
 	LastReceivedMillis int64   `json:"heard_ms"`
 	RTTMicros          int64   `json:"rtt_us"`
-	LostOut            float64 `json:"lost_out"` // part of pings that got lost, 0 to 1
-	LostIn             float64 `json:"lost_in"`  // part of their answers that got lost, 0 to 1
+	LostOut            float64 `json:"lost_out"` // share of pings that got lost, 0 to 1
+	LostIn             float64 `json:"lost_in"`  // share of replies to pings that got lost, 0 to 1
 }
 
-// ZonesReport is the part of the report that only a fleet with zones has. It is exported for the JSON decoder, which
-// can't set an embedded pointer to an unexported type.
+// ZonesReport is the part of the report that only a fleet with zones has. It is exported because the JSON decoder can't
+// set an embedded pointer to an unexported type.
 type ZonesReport struct {
 	Zone    string         `json:"zone"`
 	Region  string         `json:"region"`
-	Live    int            `json:"live"`  // members in all zones
-	Known   int            `json:"known"` // members in all zones, with those that are down
+	Live    int            `json:"live"`  // live members in all zones
+	Known   int            `json:"known"` // members in all zones, including those that are down
 	Zones   []zoneReport   `json:"zones"`
 	Records []recordReport `json:"records"`
 }
 
-// zoneReport is one zone. Delegates are names where they are known, as those of the own zone are, else addresses.
+// zoneReport is the state of one zone. Delegates are given by name if it is known, as in the own zone, else by address.
 type zoneReport struct {
 	Region      string   `json:"region"`
 	Zone        string   `json:"zone"`
@@ -58,14 +58,14 @@
 	SinceMillis int64    `json:"since_ms"`
 }
 
-// recordReport is one record.
+// recordReport is one published record.
 type recordReport struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 	Value   string `json:"value"`
 }
 
-// report is the fleet as this member sees it.
+// report returns the fleet as this member sees it.
 func (f *fleetMember) report() membersReport {
 	now := time.Now()
 	report := membersReport{
@@ -95,7 +95,7 @@
 	}
 }
 
-// ageMillis is how many milliseconds before now a time of the event loop is; 0 where it is none.
+// ageMillis returns how long before now a time of the event loop was, in milliseconds; 0 if at is not set.
 func ageMillis(at monotime.Micros, now time.Time) int64 {
 	if at <= 0 {
 		return 0
@@ -103,7 +103,7 @@
 	return now.UnixMilli() - int64(at/1000)
 }
 
-// zonesReport is the zones' part of the report; nil in a fleet without zones.
+// zonesReport returns the part of the report about zones and records, or nil in a fleet without zones.
 func (f *fleetMember) zonesReport(now time.Time) *ZonesReport {
 	views := f.host.Zones()
 	if views == nil {
--- a/cmd/spurspread/pages.go
+++ b/cmd/spurspread/pages.go
@@ -10,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// releasePages gives the pages of the program's own file back to the kernel: a third of them is used at the start only
-// and would stay resident. Pages that are used again are read from the file again. Where it fails, only memory is lost.
+// releasePages returns the memory pages that are mapped from the program's own file to the kernel: a third of them is
+// used at the start only and would stay resident. Pages that are used later are read from the file again. Failures are
+// ignored: the pages stay resident.
 func releasePages() {
 	maps, err := os.Open("/proc/self/maps")
 	if err != nil {
@@ -30,8 +31,8 @@
 }
 
 // readOnlyPages parses a line of /proc/self/maps, such as
-// "00400000-0062e000 r-xp 00000000 fe:00 9978145    /path". It returns the mapped memory where the line is about the
-// program's file and the memory can't have been written to.
+// "00400000-0062e000 r-xp 00000000 fe:00 9978145    /path". It returns the mapped memory if it is a mapping of the
+// program's file that is not writable; else ok is false.
 func readOnlyPages(line, program string) (pages []byte, ok bool) {
 	fields := strings.Fields(line)
 	if len(fields) != 6 || fields[5] != program {
--- a/cmd/spurspread/reload_test.go
+++ b/cmd/spurspread/reload_test.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Whatever is wrong with a file at SIGHUP, all old settings stay in force; one line names the file and the fault. A
-// good file after them replaces all settings, and established connections continue.
+// A reload of an invalid file, whatever its fault, changes no setting, and one log line names the file and the fault. A
+// valid file then replaces all settings, and established connections continue.
 func TestReloadSettings(t *testing.T) {
-	clients, silent := freePort(t), listener(t)
-	path, good := configured(
+	clients, silentDiscovery := freePort(t), listener(t)
+	path, good := writeConfig(
 		t,
-		append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", silent.Addr().String())...)
+		append(startServers(t, nil), "127.0.0.1:8081", clients, "127.0.0.1:8500", silentDiscovery.Addr().String())...)
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -35,7 +35,7 @@
 	if got != "UP 1\r\n" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	// Each of these files has the class renamed, too, which shows whether it was used in part.
+	// In each of these files the class is renamed, too, which shows whether a file was applied in part.
 	renamed := strings.Replace(good, `"index-sync"`, `"renamed"`, 1)
 	for _, c := range []struct{ name, text, fault string }{
 		{"empty", "", "is not a JSON object"},
@@ -55,7 +55,7 @@
 		{"an unknown effect", strings.Replace(renamed, `"read_like"`, `"sometimes"`, 1), "request_classes.0.effect"},
 	} {
 		if c.text == renamed {
-			t.Fatalf("%s: nothing is wrong with it", c.name)
+			t.Fatalf("%s: the text does not differ from the valid file", c.name)
 		}
 		write(c.text)
 		if err := p.cmd.Process.Signal(unix.SIGHUP); err != nil {
@@ -63,10 +63,10 @@
 		}
 		if line := p.logged("reload rejected, nothing changed"); !strings.Contains(line, c.fault) ||
 			!strings.Contains(line, path) {
-			t.Errorf("%s: the log has %q", c.name, line)
+			t.Errorf("%s: the log has %q, want the file and %q", c.name, line, c.fault)
 		}
 		if old, fresh := answer("index-sync"), answer("renamed"); old != "UP 1\r\n" || fresh != "ERR\r\n" {
-			t.Errorf("%s: the old class is answered %q, the file's %q", c.name, old, fresh)
+			t.Errorf("%s: the old class got the reply %q, the renamed class %q", c.name, old, fresh)
 		}
 	}
 	write(renamed)
@@ -75,16 +75,16 @@
 	}
 	p.logged("settings changed")
 	if old, fresh := answer("index-sync"), answer("renamed"); old != "ERR\r\n" || fresh != "UP 1\r\n" {
-		t.Errorf("reloaded: the old class is answered %q, the file's %q", old, fresh)
+		t.Errorf("reloaded: the old class got the reply %q, the renamed class %q", old, fresh)
 	}
 	if err := established.exchange(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A reload whose file never answers does not keep the process from ending when it is told to.
-func TestStopBehindAReloadThatHangs(t *testing.T) {
-	path, _ := configured(t, "127.0.0.1:8081", freePort(t), "127.0.0.1:8500", listener(t).Addr().String())
+// A reload that blocks in reading its file, here a FIFO, does not keep SIGTERM from ending the process.
+func TestStopDuringBlockedReload(t *testing.T) {
+	path, _ := writeConfig(t, "127.0.0.1:8081", freePort(t), "127.0.0.1:8500", listener(t).Addr().String())
 	p := start(t, "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -92,15 +92,15 @@
 	if err := unix.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	hangs := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() }) // only so that a fault ends the test
-	defer hangs.Stop()
+	watchdog := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() }) // a hang fails the test
+	defer watchdog.Stop()
 	signal := func(s unix.Signal) {
 		if err := p.cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	signal(unix.SIGHUP)
-	for { // the reload has opened the file once it can be opened for writing; then it waits for what is written
+	for { // a FIFO can be opened for writing once the reload has opened it, which then waits for data
 		writer, err := unix.Open(path, unix.O_WRONLY|unix.O_NONBLOCK, 0)
 		if err == nil {
 			defer func() { _ = unix.Close(writer) }()
--- a/cmd/spurspread/seeds.go
+++ b/cmd/spurspread/seeds.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// seedLookupInterval is how often the names of seeds are looked up: addresses change.
+	// seedLookupInterval is the pause between lookups of the seeds' names, whose addresses may change.
 	seedLookupInterval = 30 * time.Second
-	// seedLookupTimeout bounds one lookup.
+	// seedLookupTimeout bounds the lookup of one host name.
 	seedLookupTimeout = 5 * time.Second
 )
 
-// resolveSeeds looks up the addresses of all seeds, reports them, and repeats that until ctx is done.
+// resolveSeeds looks up the addresses of all seeds and reports them, every seedLookupInterval until ctx is done.
 func resolveSeeds(ctx context.Context, seeds []*siteconfig.Seed, report func([]netip.AddrPort)) {
 	for {
 		var all []netip.AddrPort
@@ -32,7 +32,7 @@
 	}
 }
 
-// resolveSeed is the addresses of one seed, a host and port; none where they can't be looked up now.
+// resolveSeed returns the addresses of one seed, which is a host and a port; none if the lookup fails.
 func resolveSeed(ctx context.Context, seed string) []netip.AddrPort {
 	host, service, err := net.SplitHostPort(seed)
 	if err != nil {
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// maxPendingSignals bounds signals that come while one is handled; further ones are lost.
+	// maxPendingSignals bounds the signals that wait while one is handled; further ones are lost.
 	maxPendingSignals = 16
-	// stopTimeout is how long the end of the process waits for a goroutine that has been asked to end: one that is in
-	// a read of a file or in a lookup may not return in time.
+	// stopTimeout bounds the wait at shutdown for a goroutine that has been told to stop, which may be blocked in
+	// reading a file or in a lookup.
 	stopTimeout = 100 * time.Millisecond
 )
 
-// serve is the command that runs a balancer.
-type serve struct {
-	Config string `env:"GW_CONFIG" placeholder:"FILE" help:"The platform's configuration (JSON)."`
-	Site   string `env:"SPURSPREAD_SITE" placeholder:"FILE" help:"Our own settings (XML); all that they turn on is off without."`
+// serveCmd is the command serve, which runs a balancer.
+type serveCmd struct {
+	Config string `env:"GW_CONFIG" placeholder:"FILE" help:"The platform's configuration file (JSON)."`
+	Site   string `env:"SPURSPREAD_SITE" placeholder:"FILE" help:"The site file (XML); the features that it turns on are off without it."`
 }
 
 // Help is shown below the command's own line.
-func (serve) Help() string {
-	return `Reads the configuration, listens and serves until SIGTERM, which moves every client and exits with 0.
-SIGHUP reads both files again; what can't be used changes nothing.
+func (serveCmd) Help() string {
+	return `Reads the configuration and serves until SIGTERM; then moves every client and exits with 0.
+SIGHUP reads both files again; if either is invalid, all settings stay as they are.
 
 Example:
   GW_CONFIG=example/config.json spurspread serve --site example/site.xml`
 }
 
-// Run serves until SIGTERM or SIGINT has ended the loop.
-func (c *serve) Run(s *streams) error {
-	// Registered before all else and until the end: unhandled, a SIGHUP would end the process, and a SIGTERM cut off
-	// its clients.
+// Run serves until SIGTERM or SIGINT has stopped the event loop.
+func (c *serveCmd) Run(s *streams) error {
+	// Signals are handled from before the first step until after the last: an unhandled SIGHUP would kill the process,
+	// and an unhandled SIGTERM would cut off its clients.
 	signals := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(signals, unix.SIGTERM, unix.SIGINT, unix.SIGHUP)
 	defer signal.Stop(signals)
@@ -52,8 +52,8 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(1, int(cfg.limits.cores)))
-	cfg.limits.limitMemory()
+	runtime.GOMAXPROCS(max(1, int(cfg.process.cores)))
+	cfg.process.limitMemory()
 
 	logOutput := logging.NewAsyncWriter(s.err)
 	defer logOutput.Close()
@@ -68,22 +68,22 @@
 	return p.run(cfg, signals)
 }
 
-// balancerProcess is a balancer at work: the event loop, and what runs on it.
+// balancerProcess is a running balancer: the event loop and the components that use it.
 type balancerProcess struct {
-	command *serve // names the files that SIGHUP reads again
+	command *serveCmd // has the paths of the files that SIGHUP reloads
 	getenv  func(string) string
 	log     *logrus.Logger
 	loop    *eventloop.Loop
 	proxy   *proxy.Proxy
-	member  *fleetMember // nil where membership is off
+	member  *fleetMember // nil if membership is off
 	lists   *serverListWriter
 
-	listenAddr         netip.AddrPort // the address that was bound for clients
+	listenAddr         netip.AddrPort // the bound address for clients
 	announcementPath   string
 	transferSocketPath string
 }
 
-// run starts all parts, serves until the loop is stopped, and ends all parts.
+// run starts all components, serves until the event loop is stopped, and shuts the components down.
 func (p *balancerProcess) run(cfg configuration, signals <-chan os.Signal) (err error) {
 	if p.loop, err = eventloop.New(); err != nil {
 		return err
@@ -107,20 +107,20 @@
 	return p.loop.Run()
 }
 
-// startProxy listens for clients, and begins to store the server lists from discovery.
+// startProxy listens for clients, and starts to store the server lists from discovery.
 func (p *balancerProcess) startProxy(cfg configuration) error {
 	var err error
 	if p.proxy, err = proxy.New(p.loop, cfg.proxy, p.log); err != nil {
 		return err
 	}
-	// The address that was bound names the files: one with port 0 in the configuration may be many balancers'.
+	// The files are named after the bound address: several balancers may have the same one with port 0 configured.
 	p.listenAddr = p.proxy.Addr()
 	p.setRestartPaths()
 	p.lists.start(p.listenAddr)
 	return nil
 }
 
-// startMember joins the fleet, where membership is on.
+// startMember joins the fleet, if membership is on.
 func (p *balancerProcess) startMember(cfg configuration) error {
 	if cfg.member == nil {
 		return nil
@@ -132,11 +132,11 @@
 	return err
 }
 
-// startAdmin listens for admin commands, where there is an address for them.
+// startAdmin listens for admin commands, if an address for them is configured.
 func (p *balancerProcess) startAdmin(cfg configuration) error {
-	if !cfg.limits.adminAddr.IsValid() {
+	if !cfg.process.adminAddr.IsValid() {
 		return nil
 	}
-	_, err := admin.Listen(p.loop, cfg.limits.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCall))
+	_, err := admin.Listen(p.loop, cfg.process.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCall))
 	return err
 }
--- a/cmd/spurspread/serverlistwriter.go
+++ b/cmd/spurspread/serverlistwriter.go
@@ -11,19 +11,19 @@
 )
 
 // serverListWriter stores the server lists from discovery in a file, for a process that is started to replace this one.
-// It writes on a goroutine of its own, so that the event loop never waits for the disk. Of lists that come faster than
-// they are written only the last is.
+// It writes on a goroutine of its own, so that the event loop never waits for the disk. A list that arrives while
+// another is being written replaces the one that waits.
 type serverListWriter struct {
 	log      *logrus.Logger
 	write    func(path string, list restartproto.ServerList) error
-	pending  chan restartproto.ServerList // the next one to write; holds at most one
+	pending  chan restartproto.ServerList // the next list to write; buffers at most one
 	done     chan struct{}                // closed when the goroutine has ended
-	path     string                       // empty until start
-	template restartproto.ServerList      // what all lists of this process have in common
+	path     string                       // empty before start
+	template restartproto.ServerList      // the fields that all lists of this process share
 }
 
-// writerEndTimeout is for how long close waits for the last write. The process has its time to end from the platform,
-// and a disk that doesn't answer must not use it up.
+// writerEndTimeout bounds how long close waits for the last write. The platform limits the time for shutdown, which a
+// disk that doesn't respond must not use up.
 const writerEndTimeout = 300 * time.Millisecond
 
 func newServerListWriter(log *logrus.Logger) *serverListWriter {
@@ -35,13 +35,14 @@
 	}
 }
 
-// start begins to write the file for a listen address; a list that was saved before is written now.
+// start starts to write the file for a listen address. A list that was saved before is written now.
 func (w *serverListWriter) start(listen netip.AddrPort) {
 	w.path = restartproto.ServerListPath(os.TempDir(), listen)
 	w.template = restartproto.ServerList{PID: os.Getpid(), Listen: listen.String()}
-	go w.run() // owned by w: close ends it and waits for it, if the disk lets it
+	go w.run() // owned by w: close stops it and waits for it, but not for a blocked write
 }
 
+// run writes lists until close, then removes the file. Only the first failure is logged.
 func (w *serverListWriter) run() {
 	defer close(w.done)
 	logged := false
@@ -55,8 +56,9 @@
 	w.removeFile()
 }
 
-// save has a list written that the discovery at the given address published. It never blocks. Only the event loop's
-// goroutine may call it: nobody else may put a list in behind the one that is taken out.
+// save queues a list that the discovery at this address has published, in place of one that waits. It never blocks.
+// Only the event loop's goroutine may call it: a second caller could fill the queue between the two steps of the first,
+// which would then block.
 func (w *serverListWriter) save(discovery netip.AddrPort, snapshot []byte) {
 	list := w.template
 	list.Discovery = discovery.String()
@@ -68,8 +70,8 @@
 	w.pending <- list
 }
 
-// close has the pending list written and the file removed, and waits for both, at most writerEndTimeout. A write that
-// takes longer is abandoned with its goroutine, which ends with the process.
+// close lets the goroutine write the pending list and remove the file, and waits for that at most writerEndTimeout. A
+// goroutine that takes longer is left to end with the process.
 func (w *serverListWriter) close() {
 	close(w.pending)
 	if w.path == "" {
@@ -78,11 +80,11 @@
 	select {
 	case <-w.done:
 	case <-time.After(writerEndTimeout):
-		w.log.Warn("hot restart: server list still being stored at the end, left as it is")
+		w.log.Warn("hot restart: storing the server list timed out, its file may be left behind")
 	}
 }
 
-// removeFile removes the file, unless another process has replaced it: a process that is started later must not use it.
+// removeFile removes the file, so that no process that is started later uses it; a file of another process stays.
 func (w *serverListWriter) removeFile() {
 	stored, err := restartproto.ReadServerList(w.path)
 	if err == nil && stored.PID == os.Getpid() {
--- a/cmd/spurspread/signals.go
+++ b/cmd/spurspread/signals.go
@@ -10,15 +10,15 @@
 	"spurspread/internal/logging"
 )
 
-// signalHandler handles signals on a goroutine of its own, and reloads on another one: reading files would block the
-// event loop, and a file system that does not answer must not keep the process from being told to stop.
+// signalHandler handles signals on one goroutine and reloads on another: reading files would block the event loop, and
+// a file system that does not respond must not delay a signal that stops the process.
 type signalHandler struct {
-	reloadDue chan struct{} // holds one: further SIGHUPs that come during a reload are answered by one more
+	reloadDue chan struct{} // buffers one: all SIGHUPs during a reload cause one more reload
 	stopping  chan struct{} // closed by stop
 	done      chan struct{} // closed when both goroutines have ended
 }
 
-// startSignalHandler handles signals for p until stop.
+// startSignalHandler starts to handle signals for p, until stop.
 func startSignalHandler(p *balancerProcess, signals <-chan os.Signal) *signalHandler {
 	h := &signalHandler{
 		reloadDue: make(chan struct{}, 1),
@@ -26,7 +26,7 @@
 		done:      make(chan struct{}),
 	}
 	var running sync.WaitGroup
-	running.Go(func() { h.handleSignals(p, signals) }) // owned by h, as is the next: stop ends them and waits for them
+	running.Go(func() { h.handleSignals(p, signals) }) // owned by h, as is the next: stop ends both and waits
 	running.Go(func() { h.handleReloads(p) })
 	go func() {
 		running.Wait()
@@ -35,7 +35,7 @@
 	return h
 }
 
-// handleSignals takes signals until stop. A SIGHUP is a reload; any other one stops the process.
+// handleSignals receives signals until stop. SIGHUP schedules a reload; any other signal stops the process.
 func (h *signalHandler) handleSignals(p *balancerProcess, signals <-chan os.Signal) {
 	for {
 		select {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleReloads reloads whenever that is due, one after another, until stop.
+// handleReloads carries out scheduled reloads, one at a time, until stop.
 func (h *signalHandler) handleReloads(p *balancerProcess) {
 	for {
 		select {
@@ -66,13 +66,13 @@
 	}
 }
 
-// stop ends the goroutines and waits for them, at most stopTimeout.
+// stop ends both goroutines, and waits for them at most stopTimeout.
 func (h *signalHandler) stop() {
 	close(h.stopping)
 	waitWithTimeout(h.done, stopTimeout)
 }
 
-// waitWithTimeout waits until done is closed, but not longer than limit.
+// waitWithTimeout waits until done is closed, at most for limit.
 func waitWithTimeout(done <-chan struct{}, limit time.Duration) {
 	select {
 	case <-done:
@@ -80,9 +80,9 @@
 	}
 }
 
-// stop stops the process: by a hot restart where another process serves the same address already, else by draining.
+// stop shuts the process down: by a hot restart if a successor serves the same address already, else by draining.
 func (p *balancerProcess) stop() {
-	if pid := p.successorPID(); pid != noProcess {
+	if pid := p.successorPID(); pid != noPID {
 		p.loop.Post(func() { p.proxy.HotRestart(p.transferSocketPath, pid) })
 		return
 	}
@@ -92,14 +92,14 @@
 	})
 }
 
-// reload reads all files again. Where one of them can't be used, nothing changes.
+// reload reads both files again and applies them; if either is invalid, nothing changes.
 func (p *balancerProcess) reload() {
 	cfg, err := p.command.load(p.getenv)
 	if err != nil {
 		p.log.WithField(logging.File, p.command.Config).Error("reload rejected, nothing changed: ", oneLine(err))
 		return
 	}
-	cfg.limits.limitMemory()
+	cfg.process.limitMemory()
 	p.loop.Post(func() {
 		p.proxy.Reload(cfg.proxy)
 		p.member.rotateKeys(cfg.member)
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -8,9 +8,9 @@
 	"spurspread/internal/xmlconfig"
 )
 
-// siteCmds are the commands about site files.
+// siteCmds are the subcommands of site.
 type siteCmds struct {
-	Check  siteCheck  `cmd:"" help:"Check a site file, with the secrets that it names."`
+	Check  siteCheck  `cmd:"" help:"Check a site file and the key files that it names."`
 	Schema siteSchema `cmd:"" help:"Print the schema of site files (XSD 1.0)."`
 }
 
@@ -20,23 +20,23 @@
 
 // Help is shown below the command's own line.
 func (siteCheck) Help() string {
-	return "Tells all that is wrong with the file at once, a line each: file, line, element, " +
-		`what is wrong, how to mend it.
-Exits with 1 if anything is.
+	return "Reports all faults of the file at once, one per line: file, line, element, " +
+		`fault, and how to correct it.
+Exits with 1 if there are any.
 
 Example:
   spurspread site check deploy/spurspread.xml`
 }
 
-// placeholderName stands in for the platform's name of the balancer, which a check does not know.
+// placeholderName replaces the platform's name of the balancer, which is not known during a check.
 const placeholderName = "a-member"
 
-// Run checks the file as serve does, and prints what it turns on.
+// Run checks the file as serve does, and prints the features that it turns on.
 func (c siteCheck) Run(s *streams) error {
 	site, err := siteconfig.Load(c.File)
 	if err != nil {
 		_, _ = fmt.Fprintln(s.err, err)
-		return fmt.Errorf("%s can't be used", c.File)
+		return fmt.Errorf("site file %s can't be used", c.File)
 	}
 	if _, err := resumeConfig(site); err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return err
 }
 
-// summary is what a site file turns on.
+// summary describes the features that a site file turns on.
 func summary(s *siteconfig.Site) string {
 	var on []string
 	if s.Resume != nil {
@@ -61,7 +61,7 @@
 				"membership at %s with %d seeds%s",
 				s.Membership.Listen,
 				len(s.Membership.Seeds.Seed),
-				placement(s.Membership),
+				locationText(s.Membership),
 			),
 		)
 	}
@@ -74,14 +74,14 @@
 	return strings.Join(on, "; ")
 }
 
-// placement is the region, zone and rack of a member, as far as they are given.
-func placement(f *siteconfig.Membership) (text string) {
+// locationText describes the region, zone and rack of a member, as far as they are given.
+func locationText(f *siteconfig.Membership) (text string) {
 	for _, part := range []struct {
-		what string
-		name xmlconfig.Name
+		label string
+		name  xmlconfig.Name
 	}{{"region", f.Region}, {"zone", f.Zone}, {"rack", f.Rack}} {
 		if part.name != "" {
-			text += fmt.Sprintf(", %s %s", part.what, part.name)
+			text += fmt.Sprintf(", %s %s", part.label, part.name)
 		}
 	}
 	return text
--- a/cmd/spurspread/siteconfig.go
+++ b/cmd/spurspread/siteconfig.go
@@ -8,7 +8,7 @@
 	"spurspread/internal/token"
 )
 
-// resumeConfig is the proxy's configuration of resume tokens; nil where they are off.
+// resumeConfig returns the proxy's configuration of resume tokens, or nil if they are off.
 func resumeConfig(site *siteconfig.Site) (*proxy.ResumeConfig, error) {
 	r := site.Resume
 	if r == nil {
@@ -35,7 +35,7 @@
 	return token.NewRing(ring)
 }
 
-// channelsConfig is the proxy's configuration of multiplexed channels; nil where they are off.
+// channelsConfig returns the proxy's configuration of multiplexed channels, or nil if they are off.
 func channelsConfig(site *siteconfig.Site) *proxy.ChannelConfig {
 	c := site.Channels
 	if c == nil {
@@ -54,6 +54,7 @@
 	}
 }
 
+// poolLimits returns the limits of the pool of connections to servers; pool may be nil, for the defaults.
 func poolLimits(pool *siteconfig.UpstreamPool) upstreampool.Limits {
 	if pool == nil {
 		pool = siteconfig.DefaultUpstreamPool()
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -14,26 +14,26 @@
 	"spurspread/internal/token"
 )
 
-// tokenCmds are the commands about resume tokens.
+// tokenCmds are the subcommands of token.
 type tokenCmds struct {
-	Inspect tokenInspect `cmd:"" help:"Tell what a resume token says, and whether its seal holds."`
-	Key     tokenKey     `cmd:"" help:"Make a new key for resume tokens."`
+	Inspect tokenInspect `cmd:"" help:"Verify a resume token and print its fields."`
+	Key     tokenKey     `cmd:"" help:"Create a new key for resume tokens or membership."`
 }
 
 type tokenInspect struct {
 	Site  string `required:"" env:"SPURSPREAD_SITE" placeholder:"FILE" help:"The site file that names the keys."`
-	Token string `arg:"" help:"The token, as it stood behind MOVE or tok=."`
+	Token string `arg:"" help:"The token, as it follows MOVE or tok=."`
 }
 
 // Help is shown below the command's own line.
 func (tokenInspect) Help() string {
-	return `Opens the token with the site's keys and prints what it says. Exits with 1 if it does not open.
+	return `Opens the token with the site's keys and prints its fields. Exits with 1 if it can't be opened.
 
 Example:
   spurspread token inspect --site /etc/spurspread/site.xml AZx3...`
 }
 
-// Run prints the fields of the token, a line each.
+// Run opens the token and prints its fields, one per line.
 func (c tokenInspect) Run(s *streams) error {
 	site, err := siteconfig.Load(c.Site)
 	if err != nil {
@@ -48,12 +48,12 @@
 	}
 	var t token.Token
 	if err := ring.Open([]byte(c.Token), &t); err != nil {
-		return fmt.Errorf("the token does not open: %w", err)
+		return fmt.Errorf("open token: %w", err)
 	}
 	return printToken(s.out, &t)
 }
 
-// printToken prints the fields of a token. Scripts read the names.
+// printToken prints the fields of a token. Scripts depend on the names.
 func printToken(out io.Writer, t *token.Token) error {
 	started := "long ago"
 	if t.ServerStarted != 0 {
@@ -80,12 +80,12 @@
 	return err
 }
 
-// timestamp is a time in Unix milliseconds as text.
+// timestamp formats a time in Unix milliseconds.
 func timestamp(millis int64) string {
 	return time.UnixMilli(millis).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// expiryText is how long it is until a time.
+// expiryText formats the time left until at, such as "in 40s", or returns "expired".
 func expiryText(at time.Time) string {
 	if left := time.Until(at).Round(time.Second); left > 0 {
 		return fmt.Sprintf("in %v", left)
@@ -99,9 +99,10 @@
 
 // Help is shown below the command's own line.
 func (tokenKey) Help() string {
-	return "Writes 32 random bytes in hexadecimal to a new file that nobody else may read. " +
-		`Balancers and index nodes need
-the same file. To rotate: list the new key as "accept" everywhere, then as "mint", then remove the old one.
+	return "Writes 32 random bytes in hexadecimal to a new file that only its owner may access. " +
+		`All balancers, and for
+resume tokens all index nodes, need the same file. To rotate keys: list the new key as "accept" everywhere, then as
+"mint", then remove the old one.
 
 Example:
   spurspread token key /etc/spurspread/key-2`
