--- a/cmd/spurspread-sim/host.go
+++ b/cmd/spurspread-sim/host.go
@@ -9,22 +9,22 @@
 	"spurspread/internal/simwire"
 )
 
-// Errors of a stream whose records do not fit each other.
+// Errors of records that refer to something that no earlier record has set up.
 var (
-	errNoInstance = errors.New("no instance was named before it")
-	errNotStarted = errors.New("was not started")
-	errNoList     = errors.New("was never sent")
+	errNoInstance = errors.New("no instance selected before this record")
+	errNotStarted = errors.New("not started")
+	errNoList     = errors.New("not defined")
 )
 
-// host has the balancers by instance, and the server lists that records refer to.
+// host contains the balancers by instance, and the server lists that records refer to by number.
 type host struct {
 	balancers map[uint16]*decision.Balancer
 	lists     [simwire.MaxLists]serverList
 	reply     simwire.Reply
-	actions   []decision.Action // of the selected instance, not in the reply yet
+	actions   []decision.Action // of the selected instance, not yet added to reply
 }
 
-// serverList is a list that the simulator may have defined.
+// serverList is one of the lists that the simulator can define.
 type serverList struct {
 	defined bool
 	entries []decision.ServerEntry
@@ -32,7 +32,8 @@
 
 func newHost() *host { return &host{balancers: map[uint16]*decision.Balancer{}} }
 
-// handleBatch handles the records in order, and collects the actions in the reply, instance by instance.
+// handleBatch handles the records of a batch in order, and collects the resulting actions in h.reply, grouped by
+// instance.
 func (h *host) handleBatch(b simwire.Batch) error {
 	h.reply.Begin(b.Sequence)
 	h.actions = h.actions[:0]
@@ -66,14 +67,14 @@
 	return h.flush(instance)
 }
 
-// flush adds an instance's actions to the reply.
+// flush adds the collected actions to the reply, as those of instance.
 func (h *host) flush(instance uint16) error {
 	err := h.reply.Add(instance, h.actions)
 	h.actions = h.actions[:0]
 	return err
 }
 
-// handleRecord handles a record for an instance.
+// handleRecord handles a record that is for an instance.
 func (h *host) handleRecord(instance uint16, now decision.Micros, record simwire.Record) error {
 	switch record.Kind {
 	case simwire.Start:
@@ -86,7 +87,7 @@
 	}
 	balancer := h.balancers[instance]
 	if balancer == nil {
-		return fmt.Errorf("instance %d %w", instance, errNotStarted)
+		return fmt.Errorf("instance %d: %w", instance, errNotStarted)
 	}
 	event := record.Event
 	if record.Kind == simwire.ListUpdate {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// start gives the instance a new balancer. What an earlier one has decided in this batch is dropped.
+// start creates a balancer for the instance. Actions of an earlier balancer that are not yet in the reply are dropped.
 func (h *host) start(instance uint16, now decision.Micros, record simwire.Record) error {
 	s, err := settings.ParseText(record.Text)
 	if err != nil {
@@ -110,13 +111,14 @@
 	return nil
 }
 
-// stop removes the instance's balancer. What it has decided in this batch is dropped.
+// stop removes the instance's balancer. Its actions that are not yet in the reply are dropped.
 func (h *host) stop(instance uint16) {
 	delete(h.balancers, instance)
 	h.actions = h.actions[:0]
 }
 
-// listUpdate is the event by which an instance receives a list; without entries where discovery has failed.
+// listUpdate returns the event that gives a list to an instance. The event has no entries if it reports a failure of
+// discovery.
 func (h *host) listUpdate(record simwire.Record) (decision.Event, error) {
 	update := decision.ServerListUpdate{Kind: record.ListKind}
 	if record.ListKind == decision.UpdateFailed {
@@ -124,7 +126,7 @@
 	}
 	list := h.lists[record.ListNumber]
 	if !list.defined {
-		return nil, fmt.Errorf("list %d %w", record.ListNumber, errNoList)
+		return nil, fmt.Errorf("list %d: %w", record.ListNumber, errNoList)
 	}
 	update.Entries = list.entries
 	return update, nil
--- a/cmd/spurspread-sim/main.go
+++ b/cmd/spurspread-sim/main.go
@@ -1,7 +1,7 @@
 // Command spurspread-sim hosts balancers for the simulator: it reads batches of events from standard input and writes
-// one reply for each to standard output (package simwire). Each instance has a balancer of its own, and nothing is
-// shared between them but the server lists that the simulator defines. There is no clock and no socket: time comes with
-// the batches. A stream that breaks the form ends the program with exit code 1 and a line on standard error.
+// one reply for each to standard output (package simwire). Each instance has its own balancer; the instances share only
+// the server lists that the simulator defines. The program uses no clock and no sockets: each batch carries the time.
+// Malformed input ends the program with exit code 1 and a line on standard error.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"spurspread/internal/simwire"
 )
 
-// bufferSize is that of input and output each, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// run answers batches until the end of the input.
+// run reads batches and writes their replies until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost()
 	reader := simwire.NewReader(bufio.NewReaderSize(in, bufferSize))
@@ -46,7 +46,7 @@
 	}
 }
 
-// writeReply writes a reply at once: the simulator waits for it.
+// writeReply writes and flushes a reply, which the simulator waits for.
 func writeReply(writer *bufio.Writer, reply *simwire.Reply) error {
 	if _, err := writer.Write(reply.Bytes()); err != nil {
 		return err
--- a/cmd/spurspread-sim/main_test.go
+++ b/cmd/spurspread-sim/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const profile = `balancers=1
+const settingsText = `balancers=1
 rank=0
 zone=0
 dcs=a
@@ -26,7 +26,7 @@
 
 var le = binary.LittleEndian
 
-// record builds an event record from its code and fields, padded to its size.
+// record encodes an event record: its code and fields, padded with zeros to 40 bytes.
 func record(code uint16, fields ...any) []byte {
 	b := le.AppendUint16(nil, code)
 	for _, f := range fields {
@@ -35,7 +35,7 @@
 	return append(b, make([]byte, 40-len(b))...)
 }
 
-// batch builds a frame from records and a tail.
+// batch encodes a batch of records and a tail.
 func batch(seq uint32, now uint64, tail []byte, recs ...[]byte) []byte {
 	body := append(bytes.Join(recs, nil), tail...)
 	out, _ := binary.Append(nil, le, []uint32{seq, uint32(12 + len(body)), uint32(len(recs))})
@@ -43,30 +43,31 @@
 	return append(out, body...)
 }
 
-// target selects an instance.
-func target(instance uint16) []byte { return record(1120, instance) }
+// forInstance encodes the record that selects an instance for the records that follow.
+func forInstance(instance uint16) []byte { return record(1120, instance) }
 
-// startBatch is the first batch: it starts the instances with one ready server, number 77.
+// startBatch encodes the first batch: it starts the instances, and gives each a list of one ready server, number 77.
 func startBatch(instances ...uint16) []byte {
 	entry, _ := binary.Append(nil, le, uint32(77))
 	entry = append(entry, 0, 0, 0, 2)
 	entry = append(entry, make([]byte, 14)...)
-	recs := [][]byte{record(1090, uint8(0), uint32(len(profile)), uint32(1))}
+	recs := [][]byte{record(1090, uint8(0), uint32(len(settingsText)), uint32(1))}
 	for _, instance := range instances {
 		recs = append(
 			recs,
-			target(instance),
-			record(1000, uint64(instance), uint32(0), uint32(len(profile))),
+			forInstance(instance),
+			record(1000, uint64(instance), uint32(0), uint32(len(settingsText))),
 			record(1110, uint8(0), uint8(2), uint64(1)),
 		)
 	}
-	return batch(1, 1000000, append([]byte(profile), entry...), recs...)
+	return batch(1, 1000000, append([]byte(settingsText), entry...), recs...)
 }
 
-// request is a request with 1.2 s left.
+// request encodes a request with a deadline in 1.2 s.
 func request(id uint32) []byte { return record(1080, id, uint32(1200000)) }
 
-// actions lists the codes of a reply and the instance of each, and returns what follows the reply.
+// actions decodes a reply: it returns the code and the instance of each action, and the bytes that follow the reply.
+// Records that select an instance (1120) are not listed.
 func actions(t *testing.T, out []byte) (codes, instances []uint16, rest []byte) {
 	t.Helper()
 	n := le.Uint32(out[8:])
@@ -94,7 +95,7 @@
 }
 
 func TestTwoInstances(t *testing.T) {
-	in := append(startBatch(4, 9), batch(2, 1001000, nil, target(4), request(1), target(9), request(2))...)
+	in := append(startBatch(4, 9), batch(2, 1001000, nil, forInstance(4), request(1), forInstance(9), request(2))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -102,49 +103,50 @@
 	_, _, rest := actions(t, out.Bytes())
 	codes, instances, rest := actions(t, rest)
 	if len(rest) != 0 || count(codes, 1040) != 2 || instances[0] != 4 || instances[len(instances)-1] != 9 {
-		t.Fatalf("codes %v of %v, %d bytes left", codes, instances, len(rest))
+		t.Fatalf("codes %v of instances %v, %d bytes left over", codes, instances, len(rest))
 	}
 }
 
-func TestStopForgets(t *testing.T) {
-	in := append(startBatch(4), batch(2, 1001000, nil, target(4), request(1), record(1040))...)
+func TestStopDiscardsActions(t *testing.T) {
+	in := append(startBatch(4), batch(2, 1001000, nil, forInstance(4), request(1), record(1040))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	_, _, rest := actions(t, out.Bytes())
 	if codes, _, _ := actions(t, rest); len(codes) != 0 {
-		t.Fatalf("a stopped instance has actions: %v", codes)
+		t.Fatalf("actions of a stopped instance: %v", codes)
 	}
-	err := run(bytes.NewReader(append(in, batch(3, 1002000, nil, target(4), request(2))...)), &out)
-	if err == nil || !strings.Contains(err.Error(), "instance 4 was not started") {
-		t.Fatalf("after it was stopped: %v", err)
+	err := run(bytes.NewReader(append(in, batch(3, 1002000, nil, forInstance(4), request(2))...)), &out)
+	if err == nil || !strings.Contains(err.Error(), "instance 4: not started") {
+		t.Fatalf("request to a stopped instance: %v", err)
 	}
 }
 
-func TestMessages(t *testing.T) {
+func TestErrorMessages(t *testing.T) {
 	for want, in := range map[string][]byte{
-		"no instance was named": batch(1, 1, nil, request(1)),
-		"list 3 was never sent": append(startBatch(4),
-			batch(2, 1000001, nil, target(4), record(1110, uint8(3), uint8(1)))...),
-		"instance 4: settings": batch(1, 1, []byte("rank=0"), target(4), record(1000, uint64(1), uint32(0), uint32(6))),
-		"no such event":        batch(1, 1, nil, target(4), record(7)),
-		"header cut short":     {1, 2, 3},
+		"no instance selected before this record": batch(1, 1, nil, request(1)),
+		"list 3: not defined": append(startBatch(4),
+			batch(2, 1000001, nil, forInstance(4), record(1110, uint8(3), uint8(1)))...),
+		"instance 4: settings": batch(1, 1, []byte("rank=0"), forInstance(4),
+			record(1000, uint64(1), uint32(0), uint32(6))),
+		"no such event":    batch(1, 1, nil, forInstance(4), record(7)),
+		"header cut short": {1, 2, 3},
 	} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 }
 
-// An instance has the same actions alone in a host as beside another.
+// An instance decides the same alone in a host as with another instance beside it.
 func TestSplitHosts(t *testing.T) {
 	simulate := func(instances ...uint16) []byte {
 		in := startBatch(instances...)
 		for i := range uint32(50) {
 			var recs [][]byte
 			for _, instance := range instances {
-				recs = append(recs, target(instance), request(i*100+uint32(instance)))
+				recs = append(recs, forInstance(instance), request(i*100+uint32(instance)))
 			}
 			in = append(in, batch(2+i, 1001000+uint64(i)*1000, nil, recs...)...)
 		}
@@ -164,14 +166,14 @@
 				of9 = append(of9, c)
 			}
 		}
-		if string(le16(of9)) != string(le16(codesAlone)) {
-			t.Fatalf("%v beside another, %v alone", of9, codesAlone)
+		if string(encodeUint16s(of9)) != string(encodeUint16s(codesAlone)) {
+			t.Fatalf("codes %v with another instance, %v alone", of9, codesAlone)
 		}
 		both, alone = restBoth, restAlone
 	}
 }
 
-func le16(v []uint16) []byte {
+func encodeUint16s(v []uint16) []byte {
 	b, _ := binary.Append(nil, le, v)
 	return b
 }
