--- a/cmd/spurspread-lab/main.go
+++ b/cmd/spurspread-lab/main.go
@@ -1,6 +1,6 @@
-// Command spurspread-lab is the laboratory: it runs experiments on an emulated deployment, on loopback, against real
-// balancers, and measures balancers and members beside them. It has the command line, and must have nothing else:
-// what is run and how it is judged is in the packages of lab.
+// Command spurspread-lab is the laboratory: it runs experiments with real balancers in an emulated deployment on
+// loopback, simulates members of a fleet in virtual time, and compares the throughput of balancers. The package must
+// contain only the command line; the experiments and the checks of their results are in the packages of lab.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK = iota
 	exitFailed
@@ -22,32 +22,33 @@
 // helpWidth is the greatest width of help texts, in columns.
 const helpWidth = 100
 
+// cli defines the command line.
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Play an experiment; exits with 0 only if all its bounds hold."`
-	List    listCmd    `cmd:"" help:"List the experiments."`
-	Virtual virtualCmd `cmd:"" help:"Play members of a fleet in virtual time, on many seeds; exits with 0 only if all bounds hold."`
-	Lines   linesCmd   `cmd:"" help:"Measure how many lines two balancers pass on, in turn."`
-	Hollow  hollowCmd  `cmd:"" name:"hollow-members" hidden:"" help:"Be hollow members of a scale run, which starts this."`
+	Run     runCmd           `cmd:"" help:"Run an experiment; exits with 0 only if all its bounds hold."`
+	List    listCmd          `cmd:"" help:"List the experiments."`
+	Virtual virtualCmd       `cmd:"" help:"Simulate members of a fleet in virtual time, on many seeds; exits with 0 only if all bounds hold."`
+	Lines   linesCmd         `cmd:"" help:"Compare how many lines two balancers forward."`
+	Hollow  hollowMembersCmd `cmd:"" name:"hollow-members" hidden:"" help:"Run hollow members of a scale run; the scale run starts this process itself."`
 }
 
-// streams are where commands write.
+// streams are the output streams of a command.
 type streams struct{ out, err io.Writer }
 
-// errBoundBroken is the error of a run that broke a bound; the table that was printed shows which.
+// errBoundBroken reports a run in which a bound does not hold; the printed results show which.
 var errBoundBroken = errors.New("a bound does not hold")
 
 func main() { os.Exit(run(os.Args[1:], &streams{os.Stdout, os.Stderr})) }
 
-// run runs the command that the arguments name, and returns the exit code.
+// run parses and executes a command line, and returns the exit code.
 func run(args []string, s *streams) int {
 	var c cli
-	exitCode := -1 // of help, which is printed while the arguments are parsed
+	exitCode := -1 // kong sets it after printing help, which it does while parsing
 	parser, err := kong.New(&c, kong.Name("spurspread-lab"), kong.Writers(s.out, s.err),
-		kong.Description("The laboratory of spurspread: emulated deployments, on loopback, with real balancers."),
+		kong.Description("The laboratory of spurspread: experiments with real balancers on loopback."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
 		kong.Exit(func(code int) { exitCode = code }))
 	if err != nil {
-		panic(err) // the tags of cli are wrong
+		panic(err) // a struct tag of cli is invalid
 	}
 	ctx, err := parser.Parse(args)
 	if exitCode >= 0 {
--- a/cmd/spurspread-lab/program.go
+++ b/cmd/spurspread-lab/program.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// balancerProgram is the path of the balancer: the one that was given, or the one beside this program.
+// balancerProgram returns the path of the balancer program: named, or if that is empty the file spurspread beside this
+// program.
 func balancerProgram(named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -20,25 +21,25 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "spurspread")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no balancer beside this program (%w); build it with make, or name it", err)
+		return "", fmt.Errorf("no balancer program beside this one: %w; build it with make, or give its path", err)
 	}
 	return path, nil
 }
 
-// revisionDigits of a revision are shown.
+// revisionDigits is the number of digits of a revision that reports show.
 const revisionDigits = 10
 
-// commit is the revision from which the program was built, or if the builder did not note it, that of the checkout in
-// which it runs; with a plus if files were changed since.
+// commit returns the revision that this program was built from or, if the build did not record it, the revision of the
+// checkout in the working directory. A plus is appended if files differ from the revision.
 func commit() string {
-	if revision := builtFrom(); revision != "" {
+	if revision := buildRevision(); revision != "" {
 		return revision
 	}
-	return checkedOut()
+	return checkoutRevision()
 }
 
-// builtFrom is the revision that the builder noted, "" if it did not.
-func builtFrom() string {
+// buildRevision returns the revision that the build recorded, "" if there is none.
+func buildRevision() string {
 	var revision, changed string
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
@@ -56,8 +57,8 @@
 	return revision + changed
 }
 
-// checkedOut is the revision of the checkout in the present folder, "unknown" if there is none.
-func checkedOut() string {
+// checkoutRevision returns the revision of the checkout in the working directory, "unknown" if it is not one.
+func checkoutRevision() string {
 	changed := ""
 	head, err := exec.Command("git", "rev-parse", fmt.Sprint("--short=", revisionDigits), "HEAD").Output()
 	if err != nil {
--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -19,7 +19,7 @@
 // listCmd lists the experiments.
 type listCmd struct{}
 
-// Run prints the names of all experiments, with what each shows.
+// Run prints the name of each experiment and what it shows.
 func (listCmd) Run(s *streams) error {
 	for _, name := range slices.Concat(experiment.Names(), members.Names(), scaleNames()) {
 		_, about, err := find(name)
@@ -33,12 +33,12 @@
 	return nil
 }
 
-// runner is an experiment of any kind.
+// runner is an experiment of any kind: of one deployment, of members, or a scale run.
 type runner interface {
 	Run(ctx context.Context, o experiment.Options) (*report.Report, error)
 }
 
-// find returns an experiment of any kind by its name, and what it shows.
+// find returns the experiment of this name, of any kind, and what it shows.
 func find(name string) (e runner, about string, err error) {
 	if slices.Contains(members.Names(), name) {
 		t, err := members.Find(name)
@@ -59,34 +59,34 @@
 
 // runCmd runs one experiment.
 type runCmd struct {
-	Name       string `arg:"" help:"The experiment, see spurspread-lab list; or a file (.xml) of one's own."`
-	Seed       uint64 `default:"1" help:"Draws arrivals, ids and the times of faults."`
-	Repeat     int    `default:"1" help:"Play it so often, each time with the next seed."`
-	Jobs       int    `default:"1" help:"Play so many at once."`
-	JSON       string `name:"json" placeholder:"FILE" help:"Where to write the report for scripts."`
-	Out        string `placeholder:"DIR" help:"Where to keep the report: JSON, CSV and charts."`
-	Spurspread string `placeholder:"FILE" help:"The balancer's program; beside this one if not given."`
-	Quiet      bool   `help:"Print the table only."`
-	Plant      string `enum:",forget-claims,skip-message,repeat-message,no-delegate,every-delegate,wrong-summary" default:"" placeholder:"FAULT" help:"Plant a fault, to see that the checker finds it. In nodes: forget-claims, skip-message or repeat-message. In hollow members of scale runs: no-delegate, every-delegate or wrong-summary."`
+	Name       string `arg:"" help:"The name of an experiment, see spurspread-lab list, or the path of an experiment file (.xml)."`
+	Seed       uint64 `default:"1" help:"The seed that arrivals, IDs and the times of faults are drawn from."`
+	Repeat     int    `default:"1" help:"Number of runs, each with the next seed."`
+	Jobs       int    `default:"1" help:"Number of runs at the same time."`
+	JSON       string `name:"json" placeholder:"FILE" help:"Write the report of the first run to this file (JSON)."`
+	Out        string `placeholder:"DIR" help:"Write the reports to this directory: JSON, CSV and charts."`
+	Spurspread string `placeholder:"FILE" help:"The balancer program; by default the one beside this program."`
+	Quiet      bool   `help:"Do not print progress."`
+	Fault      string `name:"plant" enum:",forget-claims,skip-message,repeat-message,no-delegate,every-delegate,wrong-summary" default:"" placeholder:"FAULT" help:"Inject a fault, to test that the checks detect it. In nodes: forget-claims, skip-message or repeat-message. In hollow members of scale runs: no-delegate, every-delegate or wrong-summary."`
 	scaleFlags `group:"Scale runs (scale-...)"`
 }
 
-// Help is the command's long help.
+// Help returns the command's long help text.
 func (runCmd) Help() string {
-	return "Plays the experiment once, on loopback, with balancers as processes of their own, and prints a " +
-		"table of its bounds\n" + `and figures. The bounds hold for any seed.
+	return "Runs the experiment on loopback, with each balancer as a process, and prints a table of its bounds and " +
+		"figures.\n" + `The bounds must hold for any seed.
 
 Example:
   spurspread-lab run token-drain --seed 7 --out /tmp/token-drain`
 }
 
-// Run runs the experiment with each seed, and writes the report. A broken bound is errBoundBroken.
+// Run runs the experiment with each seed, and writes the report. It returns errBoundBroken if a bound does not hold.
 func (c *runCmd) Run(s *streams) error {
 	e, _, err := find(c.Name)
 	if err != nil {
 		return err
 	}
-	if err := c.give(e, c.Name, c.Plant); err != nil {
+	if err := c.applyTo(e, c.Name, c.Fault); err != nil {
 		return err
 	}
 	program, err := balancerProgram(c.Spurspread)
@@ -95,7 +95,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), unix.SIGINT, unix.SIGTERM)
 	defer stop()
-	o := experiment.Options{Program: program, Commit: commit(), Fault: node.Fault(c.Plant)}
+	o := experiment.Options{Program: program, Commit: commit(), Fault: node.Fault(c.Fault)}
 	if !c.Quiet {
 		o.Progress = s.err
 	}
@@ -106,7 +106,7 @@
 	return c.writeReport(s, all)
 }
 
-// runRepeats runs the experiment with each seed, Jobs at the same time.
+// runRepeats runs the experiment with each seed, at most Jobs at the same time.
 func (c *runCmd) runRepeats(ctx context.Context, e runner, o experiment.Options) (report.Repeats, error) {
 	all := make(report.Repeats, max(c.Repeat, 1))
 	group, ctx := errgroup.WithContext(ctx)
@@ -114,7 +114,7 @@
 	for i := range all {
 		one := o
 		one.Seed = c.Seed + uint64(i)
-		one.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, one.Seed, c.asWritten())
+		one.Command = fmt.Sprintf("bin/spurspread-lab run %s --seed %d%s", c.Name, one.Seed, c.commandLine())
 		group.Go(func() (err error) {
 			all[i], err = e.Run(ctx, one)
 			return err
@@ -123,7 +123,7 @@
 	return all, group.Wait()
 }
 
-// writeReport prints the table, and writes the files that were asked for.
+// writeReport prints the table and writes the requested files. It returns errBoundBroken if a bound does not hold.
 func (c *runCmd) writeReport(s *streams, all report.Repeats) error {
 	if err := writeTable(s.out, all); err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// writeTable prints the report of one run, or the summary of several.
+// writeTable prints the report if there is one run, and else the summary of all.
 func writeTable(to io.Writer, all report.Repeats) error {
 	if len(all) == 1 {
 		return all[0].Table(to)
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -13,32 +13,32 @@
 	"spurspread/lab/scale/connections"
 )
 
-// scaleRuns are the runs that take the flags of a scale run.
+// scaleRuns returns the runs that accept the flags of scale runs.
 func scaleRuns() []scale.Experiment {
-	return []scale.Experiment{scale.Rest, scale.Region, ofConnections}
+	return []scale.Experiment{scale.Rest, scale.Region, connectionsRun}
 }
 
-// ofConnections is the scale run of one balancer. None of the flags of a fleet applies to it, and its package
-// imports none of package scale.
-var ofConnections = scale.Experiment{
+// connectionsRun is the scale run of one balancer with many connections. It ignores the flags, which are about a fleet;
+// its package does not import package scale.
+var connectionsRun = scale.Experiment{
 	Name: connections.Name, About: connections.About,
 	Execute: func(ctx context.Context, o scale.Options) (*report.Report, error) {
 		return connections.Run(ctx, o.Options)
 	},
 }
 
-// scaleFlags are the flags of scale runs.
+// scaleFlags are the flags that only scale runs accept.
 type scaleFlags struct {
-	Members   int           `help:"Balancers of the fleet, real ones among them; 0: each of the run's sizes in turn."`
-	Regions   int           `help:"Regions that zones are laid out in; 0: the run's own number."`
-	Zones     int           `help:"Zones of all regions together; 0: the run's own number."`
-	Flat      bool          `help:"One membership for all, without zones."`
-	Loss      float64       `help:"Part of the datagrams between regions that is lost for the whole run, such as 0.05."`
-	Partition time.Duration `name:"cut" help:"How long each cut lasts; 0: as long as the bounds ask for."`
+	Members   int           `help:"Number of balancers of the fleet, including real ones; 0: each of the run's sizes in turn."`
+	Regions   int           `help:"Number of regions; 0: the run's default."`
+	Zones     int           `help:"Number of zones in all regions together; 0: the run's default."`
+	Flat      bool          `help:"One membership of all balancers, without zones."`
+	Loss      float64       `help:"Share of the datagrams between regions that is lost during the whole run, such as 0.05."`
+	Partition time.Duration `name:"cut" help:"Duration of each partition; 0: as long as the bounds require."`
 }
 
-// asWritten are the flags that were given as on the command line, each with a blank before it.
-func (f scaleFlags) asWritten() (out string) {
+// commandLine returns the flags with non-zero values as on a command line, each after a blank.
+func (f scaleFlags) commandLine() (out string) {
 	for _, flag := range []struct {
 		name  string
 		value int
@@ -63,33 +63,34 @@
 	return out
 }
 
-// give hands the flags to a scale run. What only such runs know is refused for others, and the other way round.
-func (f scaleFlags) give(e runner, name, plant string) error {
-	ofScale := slices.Contains(scale.InjectedFaults, scale.InjectedFault(plant))
-	s, is := e.(*scaleRun)
+// applyTo sets the flags of the experiment e if it is a scale run. It returns an error if e is none but flags are
+// given, if the fault can't be injected in experiments of its kind, or if a flag's value is out of range.
+func (f scaleFlags) applyTo(e runner, name, fault string) error {
+	isScaleFault := slices.Contains(scale.InjectedFaults, scale.InjectedFault(fault))
+	s, isScaleRun := e.(*scaleRun)
 	switch {
-	case !is && f != (scaleFlags{}):
+	case !isScaleRun && f != (scaleFlags{}):
 		return fmt.Errorf(
-			"%s is no scale run: --members, --regions, --zones, --flat, --loss and --cut say nothing to it",
+			"%s is not a scale run; only these accept --members, --regions, --zones, --flat, --loss and --cut",
 			name,
 		)
-	case plant != "" && is != ofScale:
-		return fmt.Errorf("%s has no fault %s to plant", name, plant)
+	case fault != "" && isScaleRun != isScaleFault:
+		return fmt.Errorf("experiment %s does not support --plant %s", name, fault)
 	case f.Loss < 0 || f.Loss >= 1:
-		return fmt.Errorf("--loss %v is no part: 0 to 1, less than 1", f.Loss)
-	case is:
+		return fmt.Errorf("--loss %v is out of range: want at least 0 and less than 1", f.Loss)
+	case isScaleRun:
 		s.scaleFlags = f
 	}
 	return nil
 }
 
-// scaleRun is a scale run with its flags, as an experiment of any kind.
+// scaleRun is a scale run with its flags. It implements runner.
 type scaleRun struct {
 	scale.Experiment
 	scaleFlags
 }
 
-// Run plays it.
+// Run executes the scale run with its flags.
 func (s *scaleRun) Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
 	return s.Execute(
 		ctx,
@@ -105,7 +106,7 @@
 	)
 }
 
-// scaleNames are the names of the scale runs.
+// scaleNames returns the names of the scale runs.
 func scaleNames() (names []string) {
 	for _, e := range scaleRuns() {
 		names = append(names, e.Name)
@@ -113,7 +114,7 @@
 	return names
 }
 
-// findScale returns the scale run of that name, nil if there is none.
+// findScale returns the scale run of this name, or nil if there is none.
 func findScale(name string) *scaleRun {
 	for _, e := range scaleRuns() {
 		if e.Name == name {
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// hollowCmd is the process of hollow members that a scale run starts.
-type hollowCmd struct{}
+// hollowMembersCmd is the command of the processes of hollow members that a scale run starts.
+type hollowMembersCmd struct{}
 
-// Run runs hollow members as the commands on standard input have it.
-func (hollowCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
+// Run runs hollow members, controlled by commands on standard input.
+func (hollowMembersCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
--- a/cmd/spurspread-lab/virtual.go
+++ b/cmd/spurspread-lab/virtual.go
@@ -15,30 +15,31 @@
 	"spurspread/lab/simulation"
 )
 
-// virtualCmd runs scripts of faults on members in virtual time.
+// virtualCmd simulates members in virtual time while scripts of faults are applied to them.
 type virtualCmd struct {
-	Script  string `arg:"" optional:"" help:"What is done to the members; every script in turn if none is named."`
-	Members int    `default:"0" help:"How many there are; 3 to 24, by seed, if not given."`
-	Seed    uint64 `default:"1" help:"The first seed."`
-	Repeat  int    `default:"1" help:"Play each script so often, each time with the next seed."`
-	Jobs    int    `default:"4" help:"Play so many at once."`
-	Plant   string `placeholder:"FAULT" help:"Plant a fault in the members, to see that the checker finds it: same-incarnation, blind-to-pauses or one-observer."`
-	Way     string `placeholder:"WAY" help:"Play a way that was not taken: heartbeats, phi or swim."`
-	Log     bool   `help:"Tell what is done, and what is found."`
-	Out     string `placeholder:"FILE" help:"Where to write a row for each play (CSV)."`
+	Script   string `arg:"" optional:"" help:"The script of faults to apply to the members; by default all scripts in turn."`
+	Members  int    `default:"0" help:"Number of members; 0: 3 to 24, by seed."`
+	Seed     uint64 `default:"1" help:"The seed of the first run."`
+	Repeat   int    `default:"1" help:"Number of runs of each script, each with the next seed."`
+	Jobs     int    `default:"4" help:"Number of runs at the same time."`
+	Fault    string `name:"plant" placeholder:"FAULT" help:"Inject a fault in the members, to test that the checks detect it: same-incarnation, blind-to-pauses or one-observer."`
+	Detector string `name:"way" placeholder:"WAY" help:"Use another failure detector instead of the balancer's: heartbeats, phi or swim."`
+	Log      bool   `help:"Print the actions of the scripts and the findings."`
+	Out      string `placeholder:"FILE" help:"Write a row for each run to this file (CSV)."`
 }
 
-// Help is the command's long help.
+// Help returns the command's long help text.
 func (virtualCmd) Help() string {
-	return "Plays the deciders of many members in virtual time: the same seed brings the same events, and the " +
-		"same hash of them. Each play\n" + `that breaks a bound is told with the command that plays it again.
+	return "Simulates the membership protocol of many members in virtual time. The same seed gives the same events, " +
+		"and the\nsame hash of them. " + `For each bound that does not hold, prints the command that repeats the run.
 
 Examples:
   spurspread-lab virtual loss --members 24 --seed 4 --log
   spurspread-lab virtual --repeat 200`
 }
 
-// Run runs the scripts, and prints the broken bounds and a row for each script. A broken bound is errBoundBroken.
+// Run runs the scripts, and prints the bounds that do not hold and a line for each script. It returns errBoundBroken if
+// a bound does not hold.
 func (c *virtualCmd) Run(s *streams) error {
 	scripts := scenario.Names()
 	if c.Script != "" {
@@ -59,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		broken += printBroken(s.out, results)
+		broken += printBrokenBounds(s.out, results)
 		if _, err := fmt.Fprintln(s.out, summary(script, results)); err != nil {
 			return err
 		}
@@ -76,31 +77,32 @@
 	return nil
 }
 
-// seedsOfMembers is how many members are the seeds of the others.
-const seedsOfMembers = 3
+// seedMembers is the number of members that the others join by.
+const seedMembers = 3
 
-// builder makes the members: those of the project or of another algorithm, with a fault if one is named.
+// builder returns the function that creates members: the balancer's, or those of the named failure detector, with the
+// named fault.
 func (c *virtualCmd) builder() (build detectorBuilder, err error) {
-	build = simulation.Members(seedsOfMembers)
-	if c.Way != "" {
-		build = simulation.Alternatives()[c.Way]
+	build = simulation.Members(seedMembers)
+	if c.Detector != "" {
+		build = simulation.Alternatives()[c.Detector]
 		if build == nil {
-			return nil, fmt.Errorf("no way %q", c.Way)
+			return nil, fmt.Errorf("--way %q is not heartbeats, phi or swim", c.Detector)
 		}
 	}
-	if c.Plant == "" {
+	if c.Fault == "" {
 		return build, nil
 	}
-	if simulation.Faults()[c.Plant] == nil {
-		return nil, fmt.Errorf("no fault %q", c.Plant)
+	if simulation.Faults()[c.Fault] == nil {
+		return nil, fmt.Errorf("--plant %q is not same-incarnation, blind-to-pauses or one-observer", c.Fault)
 	}
-	return simulation.WithFault(c.Plant, build), nil
+	return simulation.WithFault(c.Fault, build), nil
 }
 
-// detectorBuilder makes member i of a cluster, for its start of this number.
+// detectorBuilder creates the failure detector of member i of a cluster, for the start of this number.
 type detectorBuilder = func(w *simulation.Cluster, i, start int) simulation.Detector
 
-// runRepeats runs one script with each seed, Jobs at the same time.
+// runRepeats runs one script with each seed, at most Jobs at the same time. log may be nil.
 func (c *virtualCmd) runRepeats(
 	script string, build detectorBuilder, log func(string, ...any),
 ) ([]*scenario.Result, error) {
@@ -118,7 +120,7 @@
 	return results, group.Wait()
 }
 
-// membersFor is the number of members: the one that was given, or one by the seed.
+// membersFor returns the number of members: the given one, or else one that depends on the seed.
 func (c *virtualCmd) membersFor(seed uint64) int {
 	if c.Members != 0 {
 		return c.Members
@@ -127,19 +129,20 @@
 	return sizes[seed%uint64(len(sizes))]
 }
 
-// printBroken prints a line for each broken bound, with the command that repeats its run, and returns their number.
-func printBroken(to io.Writer, results []*scenario.Result) (broken int) {
+// printBrokenBounds prints a line for each bound that does not hold, with the command that repeats its run, and returns
+// their number.
+func printBrokenBounds(to io.Writer, results []*scenario.Result) (broken int) {
 	for _, r := range results {
 		for _, bound := range r.Broken() {
 			broken++
-			_, _ = fmt.Fprintf(to, "%s, %d members: %s; again: bin/spurspread-lab virtual %s --members %d --seed %d\n",
+			_, _ = fmt.Fprintf(to, "%s, %d members: %s; repeat: bin/spurspread-lab virtual %s --members %d --seed %d\n",
 				r.Scenario, r.Members, bound, r.Scenario, r.Members, r.Seed)
 		}
 	}
 	return broken
 }
 
-// summary is a line on all runs of a script.
+// summary returns a line about all runs of a script.
 func summary(script string, results []*scenario.Result) string {
 	var bytes, detections []float64
 	for _, r := range results {
@@ -147,8 +150,8 @@
 		detections = append(detections, r.DetectionQuantile(0.99).Seconds())
 	}
 	return fmt.Sprintf(
-		"%-10s %d plays; bytes a second and member %.0f, at most %.0f; crashes seen (p99 of a play) after %.2f s, "+
-			"at most %.2f s; hash of the first %s",
+		"%-10s %d runs; bytes/s per member: median %.0f, max %.0f; crash detection (p99 of a run): median %.2f s, "+
+			"max %.2f s; hash of the first run %s",
 		script, len(results), report.Quantile(bytes, 0.5), report.Quantile(bytes, 1),
 		report.Quantile(detections, 0.5), report.Quantile(detections, 1), results[0].Hash,
 	)
@@ -160,11 +163,11 @@
 	if err != nil {
 		return err
 	}
-	head := []string{"script", "members", "seed", "hash"}
+	header := []string{"script", "members", "seed", "hash"}
 	for _, figure := range results[0].Figures() {
-		head = append(head, figure.Name)
+		header = append(header, figure.Name)
 	}
-	rows := [][]string{head}
+	rows := [][]string{header}
 	for _, r := range results {
 		row := []string{r.Scenario, strconv.Itoa(r.Members), strconv.FormatUint(r.Seed, 10), r.Hash}
 		for _, figure := range r.Figures() {
