--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -1,4 +1,4 @@
-// Package example has nothing but this test: the commands of its page work as they stand there.
+// Package example contains only this test, which checks that the commands of README.md work as printed there.
 package example
 
 import (
@@ -16,11 +16,11 @@
 	"time"
 )
 
-// patience bounds every wait; no test relies on its passing.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait; the test fails if it expires.
+const waitTimeout = 60 * time.Second
 
-// commands are the indented blocks of the page.
-func commands(t *testing.T) []string {
+// readmeCommands returns the indented blocks of README.md, without their indentation.
+func readmeCommands(t *testing.T) []string {
 	t.Helper()
 	page, err := os.ReadFile("README.md")
 	if err != nil {
@@ -33,19 +33,19 @@
 	return blocks
 }
 
-// installation is a target of the Makefile that runs, in a process group of its own.
-type installation struct {
+// makeProcess is a running make of one target, with its children, in a process group of its own.
+type makeProcess struct {
 	t       *testing.T
 	group   int
-	printed chan string
+	printed chan string // receives the whole output when all processes of the group have ended
 }
 
-// startMake runs a target of the Makefile until an address accepts connections.
-func startMake(t *testing.T, target, addr string) *installation {
+// startMake starts a target of the Makefile, and returns when addr accepts connections.
+func startMake(t *testing.T, target, addr string) *makeProcess {
 	t.Helper()
 	if conn, err := net.Dial("tcp", addr); err == nil {
 		_ = conn.Close()
-		t.Fatalf("something listens at %s already", addr)
+		t.Fatalf("another process listens on %s", addr)
 	}
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -54,13 +54,13 @@
 	command := exec.Command("make", target)
 	command.Dir = ".."
 	command.Stdout, command.Stderr = write, write
-	command.Env = append(os.Environ(), "TMPDIR="+t.TempDir()) // other tests read what a balancer stores there
+	command.Env = append(os.Environ(), "TMPDIR="+t.TempDir()) // the balancer stores files there
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	_ = write.Close()
-	run := &installation{t, command.Process.Pid, make(chan string, 1)}
+	run := &makeProcess{t, command.Process.Pid, make(chan string, 1)}
 	go func() {
 		text, _ := io.ReadAll(read)
 		run.printed <- string(text)
@@ -69,32 +69,32 @@
 		_ = syscall.Kill(-command.Process.Pid, syscall.SIGKILL)
 		_ = command.Wait()
 	})
-	for late := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", addr); err == nil {
 			_ = conn.Close()
 			return run
 		}
-		if time.Now().After(late) {
-			t.Fatalf("nothing listens at %s", addr)
+		if time.Now().After(deadline) {
+			t.Fatalf("make %s: nothing listens on %s", target, addr)
 		}
 	}
 }
 
-// stop interrupts the group, as Ctrl-C does, and returns all that was printed.
-func (run *installation) stop() string {
+// stop interrupts the process group, as Ctrl-C does, and returns its whole output.
+func (run *makeProcess) stop() string {
 	run.t.Helper()
 	_ = syscall.Kill(-run.group, syscall.SIGINT)
 	select {
 	case text := <-run.printed:
 		return text
-	case <-time.After(patience):
-		run.t.Fatal("make does not end")
+	case <-time.After(waitTimeout):
+		run.t.Fatal("make has not ended after SIGINT")
 		return ""
 	}
 }
 
-// endToy ends the toy of the group, and waits until it is gone or a zombie.
-func (run *installation) endToy() {
+// stopToy terminates the toy process of the group, and waits until it is gone or a zombie.
+func (run *makeProcess) stopToy() {
 	run.t.Helper()
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range stats {
@@ -111,10 +111,10 @@
 		}
 		return
 	}
-	run.t.Fatal("there is no toy")
+	run.t.Fatal("no toy process in the process group")
 }
 
-// shell runs commands in one bash, as a reader would, and hands on what they print line by line.
+// shell runs commands in one bash process, as a reader of the README would, and sends each printed line to lines.
 type shell struct {
 	t     *testing.T
 	input io.Writer
@@ -140,7 +140,7 @@
 	return s
 }
 
-// Write takes what is printed: each command prints one whole line at once.
+// Write sends the printed lines to lines. It relies on each command printing complete lines in one write.
 func (s *shell) Write(b []byte) (int, error) {
 	for _, line := range bytes.Split(bytes.TrimRight(b, "\n"), []byte("\n")) {
 		s.lines <- strings.TrimRight(string(line), "\r")
@@ -148,7 +148,7 @@
 	return len(b), nil
 }
 
-// run types a block of the page.
+// run enters a block of commands.
 func (s *shell) run(block string) {
 	s.t.Helper()
 	if _, err := io.WriteString(s.input, block); err != nil {
@@ -156,45 +156,46 @@
 	}
 }
 
-func (s *shell) want(beginning string) {
+// expectLine fails the test unless the next printed line has this beginning.
+func (s *shell) expectLine(beginning string) {
 	s.t.Helper()
 	select {
 	case line := <-s.lines:
 		if !strings.HasPrefix(line, beginning) {
 			s.t.Fatalf("printed %q, want %q", line, beginning)
 		}
-	case <-time.After(patience):
-		s.t.Fatalf("nothing printed, want %q", beginning)
+	case <-time.After(waitTimeout):
+		s.t.Fatalf("no line printed, want %q", beginning)
 	}
 }
 
-// A reader who types the page's commands sees what it says, and Ctrl-C ends all without a complaint.
-func TestCommandsOfThePage(t *testing.T) {
-	blocks := commands(t)
+// The commands of README.md print what it says, and Ctrl-C ends all processes without an error message.
+func TestREADMECommands(t *testing.T) {
+	blocks := readmeCommands(t)
 	if len(blocks) != 3 {
-		t.Fatalf("the page has %d blocks of commands", len(blocks))
+		t.Fatalf("README.md has %d blocks of commands, want 3", len(blocks))
 	}
 	reader := newShell(t)
 	run := startMake(t, "run", "127.0.0.1:8081")
 	reader.run(blocks[0])
-	reader.want("UP toy-")
-	reader.want("hello")
+	reader.expectLine("UP toy-")
+	reader.expectLine("hello")
 	reader.run("exec 6<>/dev/tcp/127.0.0.1/8081; printf 'HELLO\\r\\n' >&6; head -n 1 <&6\n")
-	reader.want("ERR")
+	reader.expectLine("ERR")
 	reader.run(blocks[1])
 	printed := run.stop()
-	reader.want("MOVE")
+	reader.expectLine("MOVE")
 	for _, want := range []string{"msg=drained", `msg="client rejected" cause=malformed`} {
 		if !strings.Contains(printed, want) {
-			t.Errorf("the log has no %s: %s", want, printed)
+			t.Errorf("the output does not contain %s: %s", want, printed)
 		}
 	}
 	run = startMake(t, "run-pushed", "127.0.0.1:8082")
 	reader.run(blocks[2])
-	reader.want("UP toy-")
-	reader.want("UP toy-")
-	run.endToy()
+	reader.expectLine("UP toy-")
+	reader.expectLine("UP toy-")
+	run.stopToy()
 	if printed = run.stop(); strings.Contains(printed, "No such process") {
-		t.Errorf("at the end: %s", printed)
+		t.Errorf("Ctrl-C after the toy has ended: want no error message, got %s", printed)
 	}
 }
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch without changes gets a line: an empty one, or the list if weights fall with
-// use.
+// heartbeatInterval is the time without changes after which a watch gets a line: an empty one or, if weights depend on
+// load and so may differ, the list.
 const heartbeatInterval = time.Second
 
-// discovery is an HTTP service that lists the nodes; watches get the whole list whenever one of them has changed.
+// discovery is an HTTP service that lists the nodes. A watch gets the whole list whenever a node starts to drain.
 type discovery struct {
 	nodes  []*node
-	pushed bool // nodes are listed with weights that fall with use
+	pushed bool // the weights in the list fall with the number of connections
 
 	mu         sync.Mutex
 	generation int
 	changed    chan struct{} // closed by the next change
 }
 
-// notifyWatches sends the list to all watches.
+// notifyWatches starts a new generation of the list, which all watches then send.
 func (d *discovery) notifyWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,7 +31,7 @@
 	d.changed = make(chan struct{})
 }
 
-// render is the list as text, and a channel that its next change closes.
+// render returns the list as JSON, and a channel that is closed when the next generation starts.
 func (d *discovery) render() (text string, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +44,8 @@
 	return text, d.changed
 }
 
-// ServeHTTP answers GET /api/targets with the list, or with stream set watches it until the caller has gone.
+// ServeHTTP answers GET /api/targets with the list. With the parameter stream it is a watch, which sends the list and
+// its changes until the client disconnects.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy is two index nodes and discovery for them, enough to try the balancer by hand. Typing a node's number
-// (1 or 2) makes it drain. With --pushed the nodes report the loads of connections, answer STATS with a load report,
-// and are listed with weights that fall with use, by an agent that pushes the list.
+// Command toy runs two index nodes, and discovery for them, to try the balancer by hand. Entering a node's number (1 or
+// 2) makes that node drain. With --pushed the nodes send the load of each connection and answer STATS with a load
+// report, and discovery acts as an agent that pushes lists in which weights fall with use.
 package main
 
 import (
@@ -16,9 +16,9 @@
 )
 
 func main() {
-	pushed := flag.Bool("pushed", false, "nodes that tell their load, with a list that is pushed")
-	nodes := flag.String("nodes", "127.0.0.1:9001,127.0.0.1:9002", "where the nodes listen")
-	list := flag.String("discovery", "127.0.0.1:8500", "where discovery, or its agent, listens")
+	pushed := flag.Bool("pushed", false, "nodes report load, and a pushed list has weights that fall with use")
+	nodes := flag.String("nodes", "127.0.0.1:9001,127.0.0.1:9002", "comma-separated listen addresses of the nodes")
+	list := flag.String("discovery", "127.0.0.1:8500", "listen address of discovery, or of its agent")
 	flag.Parse()
 	var listeners []net.Listener
 	for _, addr := range strings.Split(*nodes, ",") {
@@ -29,7 +29,7 @@
 	log.Fatal(http.Serve(listen(*list), d))
 }
 
-// listen listens at an address, and ends the program if it can't.
+// listen listens on an address, and exits the program on an error.
 func listen(addr string) net.Listener {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return ln
 }
 
-// startNodes starts a node at each listener, and returns their discovery.
+// startNodes starts a node on each listener, and returns the discovery that lists them.
 func startNodes(listeners []net.Listener, pushed bool) *discovery {
 	d := &discovery{pushed: pushed, generation: 1, changed: make(chan struct{})}
 	for i, ln := range listeners {
@@ -54,7 +54,7 @@
 	return d
 }
 
-// drainOnInput drains the node of each number that is read, until the input ends.
+// drainOnInput reads lines until the input ends, and drains the node whose number a line has. It ignores other lines.
 func (d *discovery) drainOnInput(in io.Reader) {
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		number, err := strconv.Atoi(strings.TrimSpace(lines.Text()))
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	cores = 2.0 // of a node
-	// coreLoad is the load that one core serves, in microseconds of work in a second.
-	coreLoad = 1_000_000.0
+	// cores is the number of cores of a node.
+	cores = 2.0
+	// coreCapacity is the load that one core can serve, in microseconds of work per second.
+	coreCapacity = 1_000_000.0
 	// defaultLoad is the load of a connection whose OPEN has no hint, in the same unit.
 	defaultLoad = 50_000.0
 )
 
-// node is one toy server.
+// node is one server, which echoes lines.
 type node struct {
 	name, addr  string
-	reportsLoad bool // it sends the loads of connections, and answers STATS
+	reportsLoad bool // sends the load of each connection, and answers STATS
 
 	mu       sync.Mutex
 	draining bool
-	loads    map[net.Conn]float64 // of the established connections
+	loads    map[net.Conn]float64 // by established connection, in microseconds of work per second
 }
 
 // accept serves connections until the listener is closed.
@@ -43,8 +44,8 @@
 	}
 }
 
-// serve answers PING and STATS until the first other line, and then serves the stream that an OPEN begins. Any other
-// line ends the connection.
+// serve answers PING and, if the node reports load, STATS, until OPEN begins a stream. Any other line is answered
+// SYNTAX and ends the connection.
 func (n *node) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	lines := bufio.NewScanner(c)
@@ -54,7 +55,7 @@
 		case verb == "PING":
 			writeLine(c, "PONG")
 		case verb == "STATS" && n.reportsLoad:
-			writeLine(c, n.report())
+			writeLine(c, n.statsReply())
 		case verb == "OPEN":
 			n.serveStream(c, lines, expectedLoad(rest))
 			return
@@ -65,8 +66,8 @@
 	}
 }
 
-// serveStream refuses the stream while the node drains, and else sends every line back. A client's "work N" sets the
-// load of its connection, if loads are reported.
+// serveStream rejects the stream if the node drains, and else echoes every line. The line "work N" sets the load of the
+// connection if the node reports load.
 func (n *node) serveStream(c net.Conn, lines *bufio.Scanner, load float64) {
 	if !n.admit(c, load) {
 		writeLine(c, "BUSY")
@@ -83,10 +84,11 @@
 	}
 }
 
-// writeLine writes a line. An error shows at the next read.
+// writeLine writes a line. It ignores errors: the next read fails, too.
 func writeLine(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%s\r\n", text) }
 
-// expectedLoad is the load in the hint of an OPEN line, h=, in microseconds of work in a second.
+// expectedLoad returns the load hint (h=) among the parameters of OPEN, in microseconds of work per second, or
+// defaultLoad if there is none.
 func expectedLoad(open string) float64 {
 	parameters := open[strings.LastIndexByte(open, ' ')+1:]
 	for _, pair := range strings.Split(parameters, ",") {
@@ -97,16 +99,16 @@
 	return defaultLoad
 }
 
-// parseLoad is a load of 0 or more, or the given one for any other text.
-func parseLoad(text string, otherwise float64) float64 {
+// parseLoad parses a load of 0 or more, and returns fallback for any other text.
+func parseLoad(text string, fallback float64) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0) {
-		return otherwise
+		return fallback
 	}
 	return v
 }
 
-// reportLoad sets a connection's load, and sends it on the connection.
+// reportLoad sets a connection's load and sends it to the balancer, if the node reports load.
 func (n *node) reportLoad(c net.Conn, load float64) {
 	if !n.reportsLoad {
 		return
@@ -117,18 +119,19 @@
 	writeLine(c, fmt.Sprintf("LOAD %.0f", load))
 }
 
-// report is the answer to STATS: no queue, and as x0 the load over what the cores serve.
-func (n *node) report() string {
+// statsReply returns the answer to STATS, a load report. Its column x0 is the utilization: the sum of all loads over
+// the capacity of the cores.
+func (n *node) statsReply() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 0.0
 	for _, load := range n.loads {
 		sum += load
 	}
-	return fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f", sum/(cores*coreLoad))
+	return fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f", sum/(cores*coreCapacity))
 }
 
-// admit adds a connection with its load, unless the node drains.
+// admit adds a connection with its load, and returns true; it returns false if the node drains.
 func (n *node) admit(c net.Conn, load float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,7 +148,7 @@
 	delete(n.loads, c)
 }
 
-// drain moves and closes all connections, and refuses new ones from now on.
+// drain makes the node reject new streams, and sends MOVE to all established connections and closes them.
 func (n *node) drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,7 +159,7 @@
 	}
 }
 
-// entry is the node as discovery lists it.
+// entry returns the node's entry in the list of discovery, in JSON.
 func (n *node) entry() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -14,17 +14,18 @@
 	"time"
 )
 
-// awaitTimeout bounds every wait; its length is no part of what is tested.
+// awaitTimeout bounds every wait; the tests do not depend on its length.
 const awaitTimeout = 15 * time.Second
 
-// installation is one of the example's: two nodes and discovery, with a balancer's process in front of them.
+// installation is one of the example's installations: a balancer process in front of two nodes, and discovery.
 type installation struct {
 	t    *testing.T
 	d    *discovery
 	addr string // address for clients
 }
 
-// install starts the program with an example's configuration, at addresses that are free here.
+// install starts nodes, discovery and the balancer program with an example's configuration. ports are those in the
+// configuration for clients, discovery and the two nodes; free ones take their place.
 func install(t *testing.T, program, config string, pushed bool, ports [4]string) *installation {
 	t.Helper()
 	var nodes []net.Listener
@@ -53,7 +54,7 @@
 	for i, addr := range addrs {
 		documented := "127.0.0.1:" + ports[i]
 		if !strings.Contains(string(text), documented) {
-			t.Fatalf("%s does not have %s", config, documented)
+			t.Fatalf("%s does not contain %s", config, documented)
 		}
 		replacements = append(replacements, documented, addr)
 	}
@@ -68,7 +69,7 @@
 	})
 	for end := time.Now().Add(awaitTimeout); in.request("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never ready")
+			t.Fatal("the balancer did not answer PING in time")
 		}
 	}
 	return in
@@ -81,7 +82,7 @@
 	}
 }
 
-// request sends one line on a connection of its own, and returns the answer, "" if none comes.
+// request sends one line on a new connection and returns the answer, "" if there is none.
 func (in *installation) request(text string) string {
 	c, err := net.Dial("tcp", in.addr)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return strings.TrimSpace(answer)
 }
 
-// client is an established connection.
+// client is a client with an established connection to a node.
 type client struct {
 	installation *installation
 	conn         net.Conn
@@ -102,7 +103,7 @@
 	node         string
 }
 
-// open establishes a connection.
+// open establishes a connection for a request of a class; more is appended to the request's parameters.
 func (in *installation) open(id int, class, more string) *client {
 	in.t.Helper()
 	c, err := net.Dial("tcp", in.addr)
@@ -114,7 +115,7 @@
 	up := p.readLine()
 	name, ok := strings.CutPrefix(up, "UP ")
 	if !ok {
-		in.t.Fatalf("%q for id %x", up, id)
+		in.t.Fatalf("answer %q to the request with ID %x, want UP", up, id)
 	}
 	p.node = name
 	return p
@@ -127,15 +128,15 @@
 	return strings.TrimSpace(text)
 }
 
-// awaitLine reads until a line comes.
+// awaitLine reads lines until one is want.
 func (p *client) awaitLine(want string) {
 	p.installation.t.Helper()
 	for p.readLine() != want {
 	}
 }
 
-// One binary serves both installations, by their settings alone: lines are forwarded, clients leave a node that
-// drains, and if loads are reported a server with a high load gets no new connections.
+// One binary serves both installations, which differ in their settings only. Lines are forwarded, a draining node loses
+// its clients and gets no new ones, and, where nodes report load, a node with a high load gets no new connections.
 func TestBothInstallations(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurspread")
 	if out, err := exec.Command("go", "build", "-o", program,
@@ -162,7 +163,7 @@
 			byNode[p.node] = p
 		}
 		if len(byNode) < 2 {
-			t.Fatalf("%s: all on one node: %v", class, byNode)
+			t.Fatalf("%s: all of 100 connections went to one node: %v", class, byNode)
 		}
 		in.d.nodes[0].drain()
 		in.d.notifyWatches()
@@ -171,7 +172,7 @@
 		byNode["toy-2"].awaitLine("still there")
 		for i := range 20 {
 			if p := in.open(2000+i, class, ",h=1000"); p.node != "toy-2" {
-				t.Fatalf("%s: connection %d went to %s, which drains", class, i, p.node)
+				t.Fatalf("%s: connection %d went to the draining node %s", class, i, p.node)
 			}
 		}
 	}
