--- a/decision/placement_bench_test.go
+++ b/decision/placement_bench_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// BenchmarkHeldRequest is what one more look at a request costs that is held, by what it is held for and how many
-// servers there are.
+// BenchmarkHeldRequest measures the placement of a held request, by the reason for which it is held and the number of
+// servers.
 func BenchmarkHeldRequest(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		hold func(*Balancer)
 	}{
-		{"setup-limit", func(bal *Balancer) { bal.setups.Limit = 0 }},
+		{"setup-limit", func(bal *Balancer) { bal.setupLimiter.Limit = 0 }},
 		{"no-tokens", func(bal *Balancer) {
 			for _, s := range bal.servers {
 				s.budget.Tokens, s.budget.RefilledAt = 0, start+sec
