--- a/cmd/spurspread-lab/lines.go
+++ b/cmd/spurspread-lab/lines.go
@@ -12,14 +12,14 @@
 type linesCmd struct {
 	Old    string        `placeholder:"FILE" help:"The balancer program to compare with; without it, channels are compared with plain connections."`
 	New    string        `placeholder:"FILE" help:"The balancer program; by default the one beside this program."`
-	Rounds int           `default:"10" help:"Measurements of each."`
-	Conns  int           `default:"32" help:"Client connections."`
+	Rounds int           `default:"10" help:"Number of rounds, each of one measurement of both."`
+	Conns  int           `default:"32" help:"Number of client connections."`
 	Span   time.Duration `default:"2s" help:"Duration of each measurement."`
 }
 
 // Help returns the command's long help text.
 func (linesCmd) Help() string {
-	return `Measures two balancer programs by turns, or one with plain connections and with channels.
+	return `Measures two balancer programs alternately, or one program with plain connections and with channels.
 
 Examples:
   spurspread-lab lines --old /tmp/spurspread.before --rounds 10
@@ -79,8 +79,8 @@
 func (c *linesCmd) measureRound(round int, variants [2]variant) (samples [2]loadgen.Sample, err error) {
 	for turn := range variants {
 		i := (round + turn) % len(variants)
-		m := variants[i]
-		samples[i], err = loadgen.Measure(m.program, c.Conns, c.Span, m.channels)
+		v := variants[i]
+		samples[i], err = loadgen.Measure(v.program, c.Conns, c.Span, v.channels)
 		if err != nil {
 			return samples, err
 		}
--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// runner is an experiment of any kind: of one deployment, of members, or a scale run.
+// runner is an experiment of any kind: of package experiment, of package members, or a scale run.
 type runner interface {
 	Run(ctx context.Context, o experiment.Options) (*report.Report, error)
 }
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// hollowMembersCmd is the command of the processes of hollow members that a scale run starts.
+// hollowMembersCmd is the command that a scale run starts processes of hollow members with; see package scale.
 type hollowMembersCmd struct{}
 
 // Run runs hollow members, controlled by commands on standard input.
--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -84,7 +84,7 @@
 	return cfg, nil
 }
 
-// loadPlatformConfig reads the platform's configuration file. GW_LISTEN and GW_DISCOVERY stand in for addresses that it
+// loadPlatformConfig reads the platform's configuration file. GW_LISTEN and GW_DISCOVERY supply the addresses that it
 // lacks.
 func (c *serveCmd) loadPlatformConfig(getenv func(string) string) (configuration, error) {
 	root, err := readConfig(c.Config)
--- a/cmd/spurspread/hotrestart.go
+++ b/cmd/spurspread/hotrestart.go
@@ -67,7 +67,7 @@
 	return err == nil || errors.Is(err, unix.EPERM)
 }
 
-// inheritServerList replaces the server list in the configuration by the one that the process still serving the same
+// inheritServerList replaces the server list in the configuration with the one that the process still serving the same
 // address has stored, if that is newer. A stored list that can't be used is ignored.
 func inheritServerList(cfg *proxy.Config, log *logrus.Logger) {
 	stored, err := restartproto.ReadServerList(restartproto.ServerListPath(os.TempDir(), cfg.Listen))
--- a/cmd/spurspread/hotrestart_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	_ = c.SetDeadline(time.Now().Add(60 * time.Second)) // a hang fails the test
+	_ = c.SetDeadline(time.Now().Add(60 * time.Second)) // so that a hang fails the test
 	s := &clientStream{c: c, in: bufio.NewReader(c)}
 	if _, err := fmt.Fprintf(c, "OPEN %08x 7f3a c=%s,d=1200\r\n", id, class); err != nil {
 		return s, "", err
--- a/cmd/spurspread/idle_test.go
+++ b/cmd/spurspread/idle_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // a hang fails the test
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(60 * time.Second)) // so that a hang fails the test
 	if request := acceptDiscoveryRequest(t, ln.(*net.TCPListener)); !strings.HasPrefix(request, "GET ") {
 		t.Errorf("first line of the call to discovery: %q, want GET", request)
 	}
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -123,7 +123,7 @@
 	os.Exit(m.Run())
 }
 
-// listener stands in for a discovery that accepts connections but sends nothing.
+// listener listens on a free loopback port, for instance as a discovery that never replies. Accept fails after 10 s.
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -364,7 +364,7 @@
 		return err.Error()
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second)) // a hang fails the test
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second)) // so that a hang fails the test
 	if _, err := c.Write([]byte(line)); err != nil {
 		return err.Error()
 	}
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -16,12 +16,13 @@
 // columnGap is the space between the columns of tables, in characters.
 const columnGap = 2
 
+// membersCmd is the command members, which prints a member's view of the fleet.
 type membersCmd struct {
 	Mgmt string `required:"" env:"GW_MGMT" placeholder:"ADDRESS" help:"The management address of the member to ask."`
 	JSON bool   `name:"json" help:"Print the member's reply as it is, in JSON."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (membersCmd) Help() string {
 	return "Asks one member for its view of the fleet: the state of each member and its age, the incarnation, the " +
 		"time since\nthe last message, the round trip, and the share of pings and replies that got lost. " +
@@ -109,13 +110,14 @@
 	return (time.Duration(millis) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
+// recordCmd is the command record, which publishes a record through a member.
 type recordCmd struct {
 	Name  string `arg:"" help:"The record's name, 1 to 32 characters without blanks."`
 	Value string `arg:"" help:"The new value, 1 to 64 characters."`
 	Mgmt  string `required:"" env:"GW_MGMT" placeholder:"ADDRESS" help:"The management address of a member; any will do."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (recordCmd) Help() string {
 	return "Publishes a new value of a record through one member, and prints its version. The record spreads to all " +
 		"members of\nall zones that can be reached; the newest version wins. 'spurspread members' shows " +
--- a/cmd/spurspread/membersreport.go
+++ b/cmd/spurspread/membersreport.go
@@ -14,7 +14,7 @@
 // that member itself. Times are ages in milliseconds; 0 if the time is unknown.
 type membersReport struct {
 	Degraded bool           `json:"doubts"`  // this member's own view is unreliable at present
-	Divisor  float64        `json:"divisor"` // this member divides the rates that the fleet shares by it
+	Divisor  float64        `json:"divisor"` // of the rates that the whole fleet shares
 	Members  []memberReport `json:"members"`
 	Counts   peer.Counts    `json:"counts"`
 	Rack     string         `json:"rack,omitempty"`
--- a/cmd/spurspread/pages.go
+++ b/cmd/spurspread/pages.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// releasePages returns the memory pages that are mapped from the program's own file to the kernel: a third of them is
+// releasePages lets the kernel drop the memory pages that are mapped from the program's own file: a third of them is
 // used at the start only and would stay resident. Pages that are used later are read from the file again. Failures are
-// ignored: the pages stay resident.
+// ignored, since the pages then merely stay resident.
 func releasePages() {
 	maps, err := os.Open("/proc/self/maps")
 	if err != nil {
--- a/cmd/spurspread/reload_test.go
+++ b/cmd/spurspread/reload_test.go
@@ -92,7 +92,7 @@
 	if err := unix.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	watchdog := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() }) // a hang fails the test
+	watchdog := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() }) // so that a hang fails the test
 	defer watchdog.Stop()
 	signal := func(s unix.Signal) {
 		if err := p.cmd.Process.Signal(s); err != nil {
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -31,7 +31,7 @@
 	Site   string `env:"SPURSPREAD_SITE" placeholder:"FILE" help:"The site file (XML); the features that it turns on are off without it."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (serveCmd) Help() string {
 	return `Reads the configuration and serves until SIGTERM; then moves every client and exits with 0.
 SIGHUP reads both files again; if either is invalid, all settings stay as they are.
@@ -42,8 +42,8 @@
 
 // Run serves until SIGTERM or SIGINT has stopped the event loop.
 func (c *serveCmd) Run(s *streams) error {
-	// Signals are handled from before the first step until after the last: an unhandled SIGHUP would kill the process,
-	// and an unhandled SIGTERM would cut off its clients.
+	// Signals are caught from before the first step until after the last: an uncaught SIGHUP would kill the process,
+	// and an uncaught SIGTERM would cut off its clients.
 	signals := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(signals, unix.SIGTERM, unix.SIGINT, unix.SIGHUP)
 	defer signal.Stop(signals)
@@ -113,7 +113,8 @@
 	if p.proxy, err = proxy.New(p.loop, cfg.proxy, p.log); err != nil {
 		return err
 	}
-	// The files are named after the bound address: several balancers may have the same one with port 0 configured.
+	// The files are named after the bound address: with port 0 in the configuration, several balancers may have the
+	// same configured one.
 	p.listenAddr = p.proxy.Addr()
 	p.setRestartPaths()
 	p.lists.start(p.listenAddr)
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -14,11 +14,12 @@
 	Schema siteSchema `cmd:"" help:"Print the schema of site files (XSD 1.0)."`
 }
 
+// siteCheck is the command site check.
 type siteCheck struct {
 	File string `arg:"" help:"The site file (XML)."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (siteCheck) Help() string {
 	return "Reports all faults of the file at once, one per line: file, line, element, " +
 		`fault, and how to correct it.
@@ -87,9 +88,10 @@
 	return text
 }
 
+// siteSchema is the command site schema.
 type siteSchema struct{}
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (siteSchema) Help() string {
 	return `Example:
   spurspread site schema > spurspread.xsd && xmllint --noout --schema spurspread.xsd my-site.xml`
--- a/cmd/spurspread/stopsoak_test.go
+++ b/cmd/spurspread/stopsoak_test.go
@@ -108,7 +108,7 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(30 * time.Second)) // a hang fails the test
+	_ = conn.SetDeadline(time.Now().Add(30 * time.Second)) // so that a hang fails the test
 	for _, piece := range n.pieces {
 		time.Sleep(n.pause)
 		if _, err := conn.Write([]byte(piece)); err != nil {
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -20,12 +20,13 @@
 	Key     tokenKey     `cmd:"" help:"Create a new key for resume tokens or membership."`
 }
 
+// tokenInspect is the command token inspect.
 type tokenInspect struct {
 	Site  string `required:"" env:"SPURSPREAD_SITE" placeholder:"FILE" help:"The site file that names the keys."`
 	Token string `arg:"" help:"The token, as it follows MOVE or tok=."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (tokenInspect) Help() string {
 	return `Opens the token with the site's keys and prints its fields. Exits with 1 if it can't be opened.
 
@@ -93,11 +94,12 @@
 	return "expired"
 }
 
+// tokenKey is the command token key.
 type tokenKey struct {
 	File string `arg:"" help:"The file to write; it must not exist yet."`
 }
 
-// Help is shown below the command's own line.
+// Help returns the text that --help shows below the command's summary.
 func (tokenKey) Help() string {
 	return "Writes 32 random bytes in hexadecimal to a new file that only its owner may access. " +
 		`All balancers, and for
@@ -111,7 +113,7 @@
 // Run writes a random key to a new file.
 func (c tokenKey) Run(s *streams) error {
 	secret := make([]byte, siteconfig.SecretSize)
-	_, _ = rand.Read(secret) // documented never to fail
+	_, _ = rand.Read(secret) // never returns an error
 	file, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -175,25 +175,25 @@
 	if len(blocks) != 3 {
 		t.Fatalf("README.md has %d blocks of commands, want 3", len(blocks))
 	}
-	reader := newShell(t)
+	sh := newShell(t)
 	run := startMake(t, "run", "127.0.0.1:8081")
-	reader.run(blocks[0])
-	reader.expectLine("UP toy-")
-	reader.expectLine("hello")
-	reader.run("exec 6<>/dev/tcp/127.0.0.1/8081; printf 'HELLO\\r\\n' >&6; head -n 1 <&6\n")
-	reader.expectLine("ERR")
-	reader.run(blocks[1])
+	sh.run(blocks[0])
+	sh.expectLine("UP toy-")
+	sh.expectLine("hello")
+	sh.run("exec 6<>/dev/tcp/127.0.0.1/8081; printf 'HELLO\\r\\n' >&6; head -n 1 <&6\n")
+	sh.expectLine("ERR")
+	sh.run(blocks[1])
 	printed := run.stop()
-	reader.expectLine("MOVE")
+	sh.expectLine("MOVE")
 	for _, want := range []string{"msg=drained", `msg="client rejected" cause=malformed`} {
 		if !strings.Contains(printed, want) {
 			t.Errorf("the output does not contain %s: %s", want, printed)
 		}
 	}
 	run = startMake(t, "run-pushed", "127.0.0.1:8082")
-	reader.run(blocks[2])
-	reader.expectLine("UP toy-")
-	reader.expectLine("UP toy-")
+	sh.run(blocks[2])
+	sh.expectLine("UP toy-")
+	sh.expectLine("UP toy-")
 	run.stopToy()
 	if printed = run.stop(); strings.Contains(printed, "No such process") {
 		t.Errorf("Ctrl-C after the toy has ended: want no error message, got %s", printed)
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// heartbeatInterval is the time without changes after which a watch gets a line: an empty one or, if weights depend on
-// load and so may differ, the list.
+// heartbeatInterval is the time without changes after which a watch gets a line: an empty one, or the list if weights
+// fall with use and so may have changed.
 const heartbeatInterval = time.Second
 
 // discovery is an HTTP service that lists the nodes. A watch gets the whole list whenever a node starts to drain.
--- a/example/toy/node.go
+++ b/example/toy/node.go
@@ -30,7 +30,7 @@
 	loads    map[net.Conn]float64 // by established connection, in microseconds of work per second
 }
 
-// accept serves connections until the listener is closed.
+// accept serves connections until the listener is closed. Any other error exits the program.
 func (n *node) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
