--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -138,6 +138,6 @@
 	if !cfg.process.adminAddr.IsValid() {
 		return nil
 	}
-	_, err := admin.Listen(p.loop, cfg.process.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCall))
+	_, err := admin.Listen(p.loop, cfg.process.adminAddr, p.member.handleAdmin(p.proxy.HandleAdminCommand))
 	return err
 }
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -13,40 +13,40 @@
 	return ConnectionState{AtLineBoundary: true, NothingBuffered: true, OwnsSockets: true}
 }
 
-// transferModel is what a transfer must agree with.
+// transferModel is the expected state of a transfer.
 type transferModel struct {
-	transfer *Transfer
-	now      monotime.Micros
-	deadline monotime.Micros
-	pending  map[uint32]bool
-	given    map[uint32]bool // the successor's
-	declined map[uint32]bool
-	linked   bool
-	draining bool
+	transfer    *Transfer
+	now         monotime.Micros
+	deadline    monotime.Micros
+	pending     map[uint32]bool
+	transferred map[uint32]bool // connections that the successor owns
+	declined    map[uint32]bool
+	linked      bool
+	draining    bool
 }
 
 func newTransferModel(longestDeadline monotime.Micros) *transferModel {
 	return &transferModel{
-		transfer: New(0, longestDeadline),
-		deadline: min(OfferPeriod, longestDeadline/2),
-		pending:  map[uint32]bool{},
-		given:    map[uint32]bool{},
-		declined: map[uint32]bool{},
-		linked:   true,
+		transfer:    New(0, longestDeadline),
+		deadline:    min(OfferPeriod, longestDeadline/2),
+		pending:     map[uint32]bool{},
+		transferred: map[uint32]bool{},
+		declined:    map[uint32]bool{},
+		linked:      true,
 	}
 }
 
-// drawID draws one of a few connections, so that several things happen to each.
+// drawID draws one of a few connections, so that several events happen to each.
 func drawID(t *rapid.T) uint32 { return uint32(rapid.IntRange(0, 5).Draw(t, "id")) }
 
 func (m *transferModel) offer(t *rapid.T, id uint32, state ConnectionState) {
-	if m.given[id] {
-		return // it is the successor's
+	if m.transferred[id] {
+		return // the successor owns it
 	}
 	free := !m.pending[id] && !m.declined[id]
 	want := m.linked && state == transferableState() && free && len(m.pending) < MaxPendingOffers
 	if got := m.transfer.Offer(id, state); got != want {
-		t.Fatalf("%d offered: %v, want %v", id, got, want)
+		t.Fatalf("connection %d offered: %v, want %v", id, got, want)
 	}
 	if want {
 		m.pending[id] = true
@@ -77,11 +77,11 @@
 func (m *transferModel) answer(t *rapid.T) {
 	id, accepted := drawID(t), rapid.Bool().Draw(t, "accepted")
 	if got := m.transfer.Answered(id, accepted); got != m.pending[id] {
-		t.Fatalf("an answer for %d is expected: %v", id, got)
+		t.Fatalf("answer for connection %d was accepted: %v", id, got)
 	}
 	if m.pending[id] {
 		delete(m.pending, id)
-		m.given[id] = accepted
+		m.transferred[id] = accepted
 		m.declined[id] = !accepted
 	}
 }
@@ -90,11 +90,11 @@
 	returned := m.transfer.LinkClosed()
 	m.linked = false
 	if len(returned) != len(m.pending) || !slices.IsSorted(returned) {
-		t.Fatalf("%v returned of %v", returned, m.pending)
+		t.Fatalf("connections %v returned, pending %v", returned, m.pending)
 	}
 	for _, id := range returned {
-		if !m.pending[id] || m.given[id] {
-			t.Fatalf("%d returned", id)
+		if !m.pending[id] || m.transferred[id] {
+			t.Fatalf("connection %d returned, but was not pending", id)
 		}
 		m.declined[id] = true
 	}
@@ -105,20 +105,20 @@
 	m.now += monotime.Micros(rapid.Int64Range(0, int64(OfferPeriod)).Draw(t, "wait"))
 }
 
-func (m *transferModel) drainRest(t *rapid.T) {
-	drain, closeLink := m.transfer.DrainRest(m.now)
+func (m *transferModel) drainRemaining(t *rapid.T) {
+	drain, closeLink := m.transfer.DrainRemaining(m.now)
 	want := !m.draining && (!m.linked || m.now >= m.deadline)
 	if drain != want || closeLink != (want && len(m.pending) > 0) {
 		t.Fatalf("at %d: drain %v, close the link %v", m.now, drain, closeLink)
 	}
 	m.draining = m.draining || drain
 	if m.transfer.Draining() != m.draining {
-		t.Fatal("draining")
+		t.Fatal("Draining differs from the model")
 	}
 }
 
-// Whatever comes in whatever order, each connection has one owner, few offers are pending at once, and what is left is
-// drained once.
+// Whatever events come in whatever order, each connection has one owner, few offers are pending at once, and draining
+// starts once.
 func TestOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTransferModel(monotime.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "longest deadline")))
@@ -129,18 +129,18 @@
 			"answer":     m.answer,
 			"close link": m.closeLink,
 			"wait":       m.wait,
-			"drain rest": m.drainRest,
+			"drain rest": m.drainRemaining,
 		})
 	})
 }
 
-// Each reason alone keeps a connection from being offered.
+// Each of these reasons alone prevents a connection from being offered.
 func TestNotTransferable(t *testing.T) {
 	for name, change := range map[string]func(*ConnectionState){
-		"in a line": func(s *ConnectionState) { s.AtLineBoundary = false },
-		"buffered":  func(s *ConnectionState) { s.NothingBuffered = false },
-		"a channel": func(s *ConnectionState) { s.OwnsSockets = false },
-		"pinned":    func(s *ConnectionState) { s.PinnedToProcess = true },
+		"in the middle of a line": func(s *ConnectionState) { s.AtLineBoundary = false },
+		"buffered":                func(s *ConnectionState) { s.NothingBuffered = false },
+		"uses a channel":          func(s *ConnectionState) { s.OwnsSockets = false },
+		"pinned":                  func(s *ConnectionState) { s.PinnedToProcess = true },
 	} {
 		s := transferableState()
 		if change(&s); New(0, OfferPeriod).Offer(1, s) {
@@ -149,19 +149,19 @@
 	}
 }
 
-// Each reason alone keeps an offer from being accepted.
+// Each of these reasons alone prevents an offer from being accepted.
 func TestNotAccepted(t *testing.T) {
 	good := OfferedConnection{Sockets: 2, ServerListed: true, IDUnused: true}
 	if !AcceptTransfer(good) {
-		t.Error("not accepted without a reason")
+		t.Error("good offer not accepted")
 	}
 	for name, change := range map[string]func(*OfferedConnection){
-		"one socket":        func(c *OfferedConnection) { c.Sockets = 1 },
-		"three sockets":     func(c *OfferedConnection) { c.Sockets = 3 },
-		"unknown server":    func(c *OfferedConnection) { c.ServerListed = false },
-		"an id seen before": func(c *OfferedConnection) { c.IDUnused = false },
-		"draining":          func(c *OfferedConnection) { c.Draining = true },
-		"few descriptors":   func(c *OfferedConnection) { c.DescriptorsShort = true },
+		"one socket":      func(c *OfferedConnection) { c.Sockets = 1 },
+		"three sockets":   func(c *OfferedConnection) { c.Sockets = 3 },
+		"unknown server":  func(c *OfferedConnection) { c.ServerListed = false },
+		"id seen before":  func(c *OfferedConnection) { c.IDUnused = false },
+		"draining":        func(c *OfferedConnection) { c.Draining = true },
+		"few descriptors": func(c *OfferedConnection) { c.DescriptorsShort = true },
 	} {
 		c := good
 		if change(&c); AcceptTransfer(c) {
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	tick    = 250 * ms // a balancer calls PollDue so often, a quarter more or less
-	maxWait = second   // discovery answers 503 to a call that has waited for so long
-	// Discovery does not work any more on a call that has waited for longer; until then a rejected call is work, too.
-	lostWork = 3 * second
+	tick    = 250 * ms // interval between calls of PollDue, varied by a quarter
+	maxWait = second   // discovery answers 503 to a call that has waited this long
+	// Discovery drops a call that has waited this long. Until then, a rejected call costs it work, too.
+	abandonTimeout = 3 * second
 )
 
 // discoveryService serves one call after another, and rejects a call after maxWait.
 type discoveryService struct {
 	callTime monotime.Micros
-	freeAt   monotime.Micros // when it is done with the calls that wait
+	freeAt   monotime.Micros // when it has finished the waiting calls
 }
 
-// call returns when the answer arrives, and whether it is the list.
+// call returns when the answer arrives, and whether the answer is the list.
 func (s *discoveryService) call(now monotime.Micros) (at monotime.Micros, listed bool) {
 	begin := max(now, s.freeAt)
-	if begin-now < lostWork {
+	if begin-now < abandonTimeout {
 		s.freeAt = begin + s.callTime
 	}
 	if done := begin + s.callTime; done-now <= maxWait {
@@ -32,27 +32,28 @@
 	return now + maxWait, false
 }
 
-// outage is a time in which balancers lose their watches and may not reach discovery.
+// outage is a time in which balancers lose their watches and may be unable to reach discovery.
 type outage struct {
-	// Discovery is away for so long; 0: all watches fall silent as it begins, and nothing else is wrong.
-	span   monotime.Micros
-	silent bool // calls meanwhile time out, else they are rejected at once
+	// span is the time for which discovery is unavailable. With 0, all watches stop receiving data as the outage
+	// begins, and discovery stays available.
+	span         monotime.Micros
+	callsTimeOut bool // calls during the outage time out; otherwise they are rejected at once
 }
 
 // balancer is one balancer of a fleet in virtual time.
 type balancer struct {
 	Schedule
-	noticesAt monotime.Micros // when it notices that its watch is broken; 0: it has
+	noticesAt monotime.Micros // when it notices that its watch is broken; 0: already noticed
 	checksAt  monotime.Micros // when it calls PollDue next
-	answerAt  monotime.Micros // when the call in flight ends; 0: there is none
-	listed    bool            // that call ends with the list
-	informed  bool            // it has the list again
+	answerAt  monotime.Micros // when the call in flight ends; 0: no call in flight
+	listed    bool            // the call in flight ends with the list
+	hasList   bool            // it has the list again
 }
 
-// result is what a fleet does from an outage's end on.
+// result is the behaviour of a fleet from the end of an outage on.
 type result struct {
-	last  monotime.Micros         // until the last balancer has the list; -1 where some never had it
-	calls map[monotime.Micros]int // that reached discovery, by second
+	last  monotime.Micros         // time until the last balancer has the list; -1 if some never get it
+	calls map[monotime.Micros]int // calls that reached discovery, by second
 }
 
 // largest returns the largest number of calls in a second.
@@ -63,15 +64,17 @@
 	return most
 }
 
-// fleet is a fleet's size, what a call costs discovery, and for how long balancers may act on an older list.
+// fleet is the number of balancers, the time that a call takes discovery, and the time for which balancers may act on
+// an older list.
 type fleet struct {
 	n        int
 	callTime monotime.Micros
 	grace    monotime.Micros
 }
 
-// play has all of a fleet lose their watches at once, and plays until all have the list again, or for a limit.
-func (f fleet) play(o outage, limit monotime.Micros, seed uint64) result {
+// simulate has all balancers of a fleet lose their watches at once, and runs until all have the list again, or up to
+// limit after the outage.
+func (f fleet) simulate(o outage, limit monotime.Micros, seed uint64) result {
 	begin := monotime.Micros(start)
 	run := &outageRun{
 		outage:  o,
@@ -95,7 +98,7 @@
 	return run.result
 }
 
-// outageRun is one play of a fleet's outage.
+// outageRun is one simulation of a fleet's outage.
 type outageRun struct {
 	outage  outage
 	end     monotime.Micros
@@ -126,7 +129,7 @@
 	return balancers
 }
 
-// step does what a balancer does now, and reports whether it has just got the list.
+// step runs a balancer at the present time, and reports whether it has just received the list.
 func (run *outageRun) step(b *balancer, now monotime.Micros) (gotList bool) {
 	if b.noticesAt > 0 && now >= b.noticesAt {
 		b.noticesAt = 0
@@ -137,13 +140,13 @@
 		gotList = b.listed
 		if gotList {
 			b.Answered(now)
-			b.informed = true
+			b.hasList = true
 			run.result.last = now - run.end
 		} else {
 			b.Failed(now)
 		}
 	}
-	if b.informed || now < b.checksAt {
+	if b.hasList || now < b.checksAt {
 		return gotList
 	}
 	b.checksAt = now + tick*3/4 + run.jitter(tick/2)
@@ -158,28 +161,28 @@
 	case now >= run.end:
 		b.answerAt, b.listed = run.service.call(now)
 		run.result.calls[(now-run.end)/second]++
-	case run.outage.silent:
+	case run.outage.callsTimeOut:
 		b.answerAt, b.listed = now+callTimeout, false
 	default:
 		b.answerAt, b.listed = now+ms, false
 	}
 }
 
-// graces are the shortest that a deployment at hand gives, and a common one.
+// graces returns the shortest grace that a known deployment sets, and a common one.
 func graces() []monotime.Micros { return []monotime.Micros{300 * ms, 2500 * ms} }
 
-// However many balancers there are, however long discovery was away and however calls ended meanwhile: each has the
-// list before it must stop acting on the one before, where discovery can serve so many calls at all.
+// For any number of balancers, any length of the outage and any way in which calls ended during it: each balancer has
+// the list before it must stop acting on the older one, provided that discovery can serve that many calls at all.
 func TestInformedInTimeAfterAnOutage(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
 			for _, o := range []outage{{8 * second, false}, {8 * second, true}, {100 * second, true}} {
 				f := fleet{n, min(2500*ms/monotime.Micros(n), 200*ms), grace}
-				r := f.play(o, 60*second, uint64(n))
-				t.Logf("%d balancers, grace %d ms, %+v: the last is informed after %d ms, at most %d calls a second",
+				r := f.simulate(o, 60*second, uint64(n))
+				t.Logf("%d balancers, grace %d ms, %+v: the last has the list after %d ms, at most %d calls a second",
 					n, grace/ms, o, r.last/ms, r.largest())
 				if most := listDeadline + grace - latenessMargin; r.last < 0 || r.last > most {
-					t.Errorf("%d balancers, grace %d ms, %+v: informed after %d ms, not within %d",
+					t.Errorf("%d balancers, grace %d ms, %+v: has the list after %d ms, not within %d",
 						n, grace/ms, o, r.last/ms, most/ms)
 				}
 			}
@@ -187,36 +190,36 @@
 	}
 }
 
-// The same where discovery is there, and all open watches fall silent at once.
+// The same if discovery is available, and all open watches stop receiving data at once.
 func TestInformedInTimeAfterSilence(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
 			f := fleet{n, min(1500*ms/monotime.Micros(n), 200*ms), grace}
-			r := f.play(outage{}, 60*second, uint64(n))
-			t.Logf("%d balancers, grace %d ms: the last is informed after %d ms, at most %d calls a second",
+			r := f.simulate(outage{}, 60*second, uint64(n))
+			t.Logf("%d balancers, grace %d ms: the last has the list after %d ms, at most %d calls a second",
 				n, grace/ms, r.last/ms, r.largest())
 			if most := listDeadline + grace; r.last < 0 || r.last > most {
-				t.Errorf("%d balancers, grace %d ms: informed after %d ms, not within %d",
+				t.Errorf("%d balancers, grace %d ms: has the list after %d ms, not within %d",
 					n, grace/ms, r.last/ms, most/ms)
 			}
 		}
 	}
 }
 
-// Where discovery can't answer all in time, the fleet spreads its calls further, so that all are informed in the end:
-// within a small multiple of what the answers take one after another.
+// If discovery can't answer all balancers in time, the fleet spreads its calls further, so that all balancers have the
+// list in the end: within a small multiple of the time that the answers take one after another.
 func TestLargeFleetBacksOff(t *testing.T) {
 	for _, c := range []struct{ n, rate int }{{30, 3}, {80, 5}, {300, 10}, {300, 35}, {1500, 100}, {1500, 300}} {
 		for _, grace := range graces() {
 			f := fleet{c.n, second / monotime.Micros(c.rate), grace}
 			shortest := f.callTime * monotime.Micros(c.n)
-			r := f.play(outage{8 * second, true}, 400*second, uint64(c.n))
+			r := f.simulate(outage{8 * second, true}, 400*second, uint64(c.n))
 			t.Logf("%d balancers, %d answers a second, grace %d ms: "+
-				"the last is informed after %d ms, %d at best; calls by second %d %d %d %d %d %d",
+				"the last has the list after %d ms, %d at best; calls by second %d %d %d %d %d %d",
 				c.n, c.rate, grace/ms, r.last/ms, shortest/ms,
 				r.calls[0], r.calls[1], r.calls[2], r.calls[3], r.calls[4], r.calls[5])
 			if r.last < 0 || r.last > 8*shortest {
-				t.Errorf("%d balancers, %d answers a second: informed after %d ms, %d at best",
+				t.Errorf("%d balancers, %d answers a second: has the list after %d ms, %d at best",
 					c.n, c.rate, r.last/ms, shortest/ms)
 			}
 		}
