--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -19,7 +19,7 @@
 // listCmd lists the experiments.
 type listCmd struct{}
 
-// Run prints the name of each experiment and what it shows.
+// Run prints the name and the description of each experiment.
 func (listCmd) Run(s *streams) error {
 	for _, name := range slices.Concat(experiment.Names(), members.Names(), scaleNames()) {
 		_, about, err := find(name)
@@ -38,7 +38,7 @@
 	Run(ctx context.Context, o experiment.Options) (*report.Report, error)
 }
 
-// find returns the experiment of this name, of any kind, and what it shows.
+// find returns the experiment with this name, of any kind, and its description.
 func find(name string) (e runner, about string, err error) {
 	if slices.Contains(members.Names(), name) {
 		t, err := members.Find(name)
--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -35,16 +35,16 @@
 type configuration struct {
 	proxy   proxy.Config
 	process processConfig
-	site    *siteconfig.Site // empty if there is no site file
+	site    *siteconfig.Site // empty without a site file
 	member  *peer.Config     // nil if membership is off
 }
 
-// processConfig holds the limits of the process, where 0 is no limit, its admin address, and its name on the platform.
+// processConfig holds the limits of the process (0: unlimited), its admin address, and its name on the platform.
 type processConfig struct {
 	cores     float64
 	memoryMB  int64
 	sockets   int
-	adminAddr netip.AddrPort // invalid if there is no admin listener
+	adminAddr netip.AddrPort // invalid without an admin listener
 	name      string
 }
 
@@ -167,7 +167,7 @@
 }
 
 // parseProcessConfig reads the limits, the name and the admin address. GW_MGMT overrides the admin address in the file,
-// so that a successor with the same file can have an address of its own.
+// so that a successor with the same file can use another one.
 func parseProcessConfig(root gjson.Result, getenv func(string) string) (processConfig, error) {
 	process := processConfig{
 		cores:    root.Get("limits.cores").Float(),
--- a/cmd/spurspread/idle_test.go
+++ b/cmd/spurspread/idle_test.go
@@ -19,8 +19,8 @@
 	return len(entries)
 }
 
-// Three times as many idle clients as the descriptor limit connect while discovery is down. The program stays within
-// the limit, requests still reach servers, and discovery is called once it is up.
+// While discovery is down, idle clients connect, three times the descriptor limit. The program stays within the limit,
+// requests still reach servers, and discovery is called once it is up.
 func TestManyIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 160
 	clients, discoveryAddr := freePort(t), freePort(t)
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -216,7 +216,7 @@
 	answers()
 	useKey("two")
 	signal(unix.SIGHUP)
-	// Another discovery may count generations of its own, so the full list is requested.
+	// Generations of one discovery mean nothing to another, so the full list is requested.
 	if got := acceptDiscoveryRequest(t, newDiscovery); !strings.Contains(got, "index=0 ") {
 		t.Errorf("request %q", got)
 	}
--- a/cmd/spurspread/memberconfig.go
+++ b/cmd/spurspread/memberconfig.go
@@ -13,7 +13,7 @@
 )
 
 // peerConfig returns the membership configuration, or nil if membership is off. name is the platform's name of the
-// balancer, and is used if the site file gives no member name.
+// balancer, and is the default for the member name in the site file.
 func peerConfig(site *siteconfig.Site, name string, seed uint64) (*peer.Config, error) {
 	fleet := site.Membership
 	if fleet == nil {
--- a/cmd/spurspread/serverlistwriter.go
+++ b/cmd/spurspread/serverlistwriter.go
@@ -11,7 +11,7 @@
 )
 
 // serverListWriter stores the server lists from discovery in a file, for a process that is started to replace this one.
-// It writes on a goroutine of its own, so that the event loop never waits for the disk. A list that arrives while
+// It writes on a separate goroutine, so that the event loop never waits for the disk. A list that arrives while
 // another is being written replaces the one that waits.
 type serverListWriter struct {
 	log      *logrus.Logger
--- a/cmd/spurspread/stopsoak_test.go
+++ b/cmd/spurspread/stopsoak_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// connect connects and sends the request in its pieces. A refused connection is no violation; on an accepted one the
+// connect connects and sends the request in its pieces. A connection may be refused, but on an accepted one the
 // request must be read and answered.
 func (n lateClient) connect(name, addr string, v *violations) {
 	time.Sleep(n.after)
@@ -181,7 +181,7 @@
 	return v.all
 }
 
-// Shutdowns with busy and idle connections, clients that connect meanwhile and send their request in pieces, and
+// Shutdowns with busy and idle connections, clients that connect late and send their request in pieces, and
 // repeated signals: each request gets an answer, no established connection ends without MOVE, and the process ends in
 // time.
 func TestStopSoak(t *testing.T) {
--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -33,7 +33,7 @@
 	return blocks
 }
 
-// makeProcess is a running make of one target, with its children, in a process group of its own.
+// makeProcess is a running make of one target. It and its children are one process group.
 type makeProcess struct {
 	t       *testing.T
 	group   int
@@ -93,7 +93,7 @@
 	}
 }
 
-// stopToy terminates the toy process of the group, and waits until it is gone or a zombie.
+// stopToy terminates the toy process of the group, and waits until it has exited (gone, or a zombie).
 func (run *makeProcess) stopToy() {
 	run.t.Helper()
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
--- a/example/toy/discovery.go
+++ b/example/toy/discovery.go
@@ -12,7 +12,7 @@
 // fall with use and so may have changed.
 const heartbeatInterval = time.Second
 
-// discovery is an HTTP service that lists the nodes. A watch gets the whole list whenever a node starts to drain.
+// discovery is an HTTP service that lists the nodes. When a node starts to drain, all watches get the whole list.
 type discovery struct {
 	nodes  []*node
 	pushed bool // the weights in the list fall with the number of connections
