--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -16,7 +16,7 @@
 type transferSender struct {
 	proxy     *Proxy
 	plan      *hotrestart.Transfer
-	link      *eventloop.Packets
+	link      *eventloop.PacketConn
 	remaining []*request // requests not yet considered in this round
 }
 
@@ -136,12 +136,12 @@
 }
 
 // Packet is part of eventloop.PacketOwner: the successor's answer to an offer.
-func (t *transferSender) Packet(_ *eventloop.Packets, b []byte, fds []int) {
+func (t *transferSender) Packet(_ *eventloop.PacketConn, b []byte, fds []int) {
 	closeDescriptors(fds) // answers come without descriptors
 	id, accepted, err := restartproto.DecodeAnswer(b)
 	if err != nil || !t.plan.Answered(id, accepted) {
 		t.proxy.log.WithError(err).Warn("hot restart: unexpected answer from successor")
-		t.link.Shut()
+		t.link.Shutdown()
 		return
 	}
 	r, _ := t.proxy.requests.get(id)
@@ -171,7 +171,7 @@
 
 // Ended is part of eventloop.PacketOwner: the link to the successor is closed. The successor owns a connection only
 // after it has sent its acceptance, so all connections whose offers are unanswered still belong to this process.
-func (t *transferSender) Ended(link *eventloop.Packets) {
+func (t *transferSender) Ended(link *eventloop.PacketConn) {
 	link.Close()
 	for _, id := range t.plan.LinkClosed() {
 		if r, ok := t.proxy.requests.get(id); ok {
@@ -188,7 +188,7 @@
 		return
 	}
 	if offersPending {
-		t.link.Shut() // answers already sent still count; Ended then reclaims the other connections
+		t.link.Shutdown() // answers already sent still count; Ended then reclaims the other connections
 	}
 	p := t.proxy
 	p.log.WithField(logging.TransferredOut, p.stats.transferredOut).
