--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -127,4 +127,4 @@
 type hollowCmd struct{}
 
 // Run runs hollow members as the commands on standard input have it.
-func (hollowCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
+func (hollowCmd) Run(s *streams) error { return scale.RunStubMembers(os.Stdin, s.out) }
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -168,11 +168,11 @@
 	t.Helper()
 	dir = t.TempDir()
 	f = Fits{
-		Size:    "members",
-		Target:  1500,
-		HeldOut: 850,
-		Lines:   []string{"bytes", "false_dead"},
-		From:    writeReports(t, dir, 60, 300, 600, 850, 1500),
+		Size:     "members",
+		Target:   1500,
+		HeldOut:  850,
+		Lines:    []string{"bytes", "false_dead"},
+		RunFiles: writeReports(t, dir, 60, 300, 600, 850, 1500),
 	}
 	if err := f.Compute(dir); err != nil {
 		t.Fatal(err)
@@ -195,14 +195,14 @@
 			t.Errorf("%s is %v, %v wanted", name, got, want)
 		}
 	}
-	if f.Refused["false_dead"] == "" {
+	if f.Rejected["false_dead"] == "" {
 		t.Errorf("a line through zeros: %+v", f)
 	}
 	if f.Commit != "c1" {
 		t.Errorf("commit %q", f.Commit)
 	}
 	f.ExcludedSizes = []float64{600}
-	if err := f.Compute(dir); err != nil || f.Refused["bytes"] == "" {
+	if err := f.Compute(dir); err != nil || f.Rejected["bytes"] == "" {
 		t.Errorf("a line through three sizes: %+v, %v", f.Figures, err)
 	}
 }
@@ -281,9 +281,9 @@
 		r := report.Report{Seed: seed, Figures: map[string]float64{
 			"n02000_mb": 6, "n05000_mb": 15, "mb_at_10000": 30, "mb_at_20000": 60,
 			"mb_at_500": 99, "p99_ms": 4,
-		}, Notes: map[string]string{notValidNote: "500: late", notValidNote + "_at_500": "late"}}
-		f.From = append(f.From, fmt.Sprintf("%d.json", seed))
-		if err := r.JSON(filepath.Join(dir, f.From[seed])); err != nil {
+		}, Notes: map[string]string{invalidNote: "500: late", invalidNote + "_at_500": "late"}}
+		f.RunFiles = append(f.RunFiles, fmt.Sprintf("%d.json", seed))
+		if err := r.JSON(filepath.Join(dir, f.RunFiles[seed])); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -300,7 +300,7 @@
 	dir := t.TempDir()
 	r := report.Report{
 		Figures: map[string]float64{"members": 60, "bytes": 1},
-		Notes:   map[string]string{notValidNote: "loops ran late"},
+		Notes:   map[string]string{invalidNote: "loops ran late"},
 	}
 	if err := r.JSON(filepath.Join(dir, "a.json")); err != nil {
 		t.Fatal(err)
@@ -312,7 +312,9 @@
 	if v, err := Find(runs, "bytes"); err == nil {
 		t.Errorf("found %v", v)
 	}
-	if err := (&Fits{Size: "members", Lines: []string{"bytes"}, From: []string{"a.json"}}).Compute(dir); err == nil {
+	if err := (&Fits{
+		Size: "members", Lines: []string{"bytes"}, RunFiles: []string{"a.json"},
+	}).Compute(dir); err == nil {
 		t.Error("fitted")
 	}
 }
@@ -321,7 +323,7 @@
 func TestJoin(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
-	for i, note := range []map[string]string{nil, {notValidNote: "loops ran late"}} {
+	for i, note := range []map[string]string{nil, {invalidNote: "loops ran late"}} {
 		r := report.Report{
 			Command: fmt.Sprint("run ", i),
 			Seed:    uint64(i),
--- a/lab/capacity/fits.go
+++ b/lab/capacity/fits.go
@@ -33,9 +33,9 @@
 	ExcludedSizes []float64          `json:"without,omitempty"`
 	Required      map[string]string  `json:"only,omitempty"` // figures or words that a run has to have
 	Lines         []string           `json:"lines"`          // names of the figures
-	From          []string           `json:"from"`           // files in the folder of this one
+	RunFiles      []string           `json:"from"`           // files in the folder of this one
 	Figures       map[string]float64 `json:"figures"`
-	Refused       map[string]string  `json:"refused,omitempty"` // of Lines, those that can't be fitted, and why
+	Rejected      map[string]string  `json:"refused,omitempty"` // of Lines, those that can't be fitted, and why
 }
 
 // ErrNoRuns is the error of Compute if no run is valid and has what is required.
@@ -45,7 +45,7 @@
 // no error.
 func (f *Fits) Compute(dir string) error {
 	var runs []Run
-	for _, file := range f.From {
+	for _, file := range f.RunFiles {
 		stored, err := Read(filepath.Join(dir, file))
 		if err != nil {
 			return err
@@ -60,10 +60,10 @@
 	}
 	f.Commit = commitsOf(runs)
 	f.Figures = map[string]float64{}
-	f.Refused = map[string]string{}
+	f.Rejected = map[string]string{}
 	for _, name := range f.Lines {
 		if err := f.fitLine(name, runs); err != nil {
-			f.Refused[name] = err.Error()
+			f.Rejected[name] = err.Error()
 		}
 	}
 	return nil
@@ -71,16 +71,16 @@
 
 // A run of several sizes names its figures by size: n02000_mb_idle, or control_memory_mb_at_600.
 var (
-	sizeBefore = regexp.MustCompile(`^[a-z](\d+)_(.+)$`)
-	sizeAfter  = regexp.MustCompile(`^(.+)_at_(\d+)$`)
+	sizePrefixPattern = regexp.MustCompile(`^[a-z](\d+)_(.+)$`)
+	sizeSuffixPattern = regexp.MustCompile(`^(.+)_at_(\d+)$`)
 )
 
 // sizeInName splits such a name.
 func sizeInName(name string) (size, figure string, ok bool) {
-	if m := sizeBefore.FindStringSubmatch(name); m != nil {
+	if m := sizePrefixPattern.FindStringSubmatch(name); m != nil {
 		return m[1], m[2], true
 	}
-	if m := sizeAfter.FindStringSubmatch(name); m != nil {
+	if m := sizeSuffixPattern.FindStringSubmatch(name); m != nil {
 		return m[2], m[1], true
 	}
 	return "", "", false
@@ -98,17 +98,17 @@
 			continue
 		}
 		if _, ok := runs[size]; !ok {
-			runs[size] = f.emptyRun(r, size)
+			runs[size] = f.runOfSize(r, size)
 		}
 		runs[size].Figures[figure] = v
 	}
 	return slices.Collect(maps.Values(runs))
 }
 
-// emptyRun is the part of a run that has one size, without figures but the size.
-func (f *Fits) emptyRun(r Run, size string) Run {
+// runOfSize is the part of a run that has one size, without figures but the size.
+func (f *Fits) runOfSize(r Run, size string) Run {
 	part := r
-	part.NotValid = r.Words[notValidNote+"_at_"+size]
+	part.InvalidReason = r.Labels[invalidNote+"_at_"+size]
 	part.Figures = map[string]float64{}
 	part.Figures[f.Size], _ = strconv.ParseFloat(size, 64) // digits: it can't fail
 	return part
@@ -121,7 +121,7 @@
 			return false
 		}
 	}
-	return r.NotValid == ""
+	return r.InvalidReason == ""
 }
 
 // commitsOf are those of the runs, each once.
@@ -205,8 +205,8 @@
 var ErrChanged = errors.New("not what is computed again")
 
 const (
-	maxRelativeError = 1e-6 // between a stored figure and the one that is computed again
-	smallestFigure   = 1e-9 // below it the error is not relative
+	maxRelativeError  = 1e-6 // between a stored figure and the one that is computed again
+	relativeThreshold = 1e-9 // below it the error is not relative
 )
 
 // CheckFits computes stored lines again. Other figures are ErrChanged.
@@ -230,7 +230,7 @@
 	}
 	for name, v := range computed.Figures {
 		before, ok := stored.Figures[name]
-		tolerance := maxRelativeError * math.Max(math.Abs(v), smallestFigure)
+		tolerance := maxRelativeError * math.Max(math.Abs(v), relativeThreshold)
 		if !ok || math.Abs(v-before) > tolerance {
 			return fmt.Errorf("%s: %w: %s is %v, and now %v", file, ErrChanged, name, before, v)
 		}
--- a/lab/capacity/formula.go
+++ b/lab/capacity/formula.go
@@ -36,9 +36,9 @@
 }
 
 var (
-	namePattern   = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
-	numberPattern = regexp.MustCompile(`-?\d[\d,]*(\.\d+)?(e\d+)?`)
-	thousands     = regexp.MustCompile(`(\d),(\d{3})\b`)
+	namePattern      = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	numberPattern    = regexp.MustCompile(`-?\d[\d,]*(\.\d+)?(e\d+)?`)
+	thousandsPattern = regexp.MustCompile(`(\d),(\d{3})\b`)
 )
 
 // check checks one formula, and keeps the name that it gives. It returns the formula's last value.
@@ -148,10 +148,10 @@
 	return function(values...), nil
 }
 
-// withoutThousands removes the commas between thousands.
+// withoutThousands removes the commas between thousandsPattern.
 func withoutThousands(text string) string {
-	for thousands.MatchString(text) {
-		text = thousands.ReplaceAllString(text, "$1$2")
+	for thousandsPattern.MatchString(text) {
+		text = thousandsPattern.ReplaceAllString(text, "$1$2")
 	}
 	return text
 }
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -142,10 +142,10 @@
 		c.basis = -1
 		return
 	}
-	cells := cellsOf(line)
+	cells := splitCells(line)
 	switch {
 	case c.basis < 0:
-		c.tableHead(cells)
+		c.startTable(cells)
 	case strings.HasPrefix(cells[0], "---"):
 	case c.basis >= len(cells):
 		c.addProblem("no cell for the basis")
@@ -154,7 +154,7 @@
 	}
 }
 
-func cellsOf(row string) []string {
+func splitCells(row string) []string {
 	cells := strings.Split(strings.Trim(strings.TrimSpace(row), "|"), "|")
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
@@ -181,8 +181,8 @@
 	}
 }
 
-// tableHead takes the first row of a table.
-func (c *pageChecker) tableHead(cells []string) {
+// startTable takes the first row of a table.
+func (c *pageChecker) startTable(cells []string) {
 	c.basis = slices.Index(cells, basisColumn)
 	c.columns = nil
 	for i, cell := range cells {
--- a/lab/capacity/page/main.go
+++ b/lab/capacity/page/main.go
@@ -88,7 +88,7 @@
 		if filepath.Dir(run) != dir {
 			return fmt.Errorf("%s is not kept beside %s", run, c.Out)
 		}
-		f.From = append(f.From, filepath.Base(run))
+		f.RunFiles = append(f.RunFiles, filepath.Base(run))
 	}
 	if err := f.Compute(dir); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	}
 	fmt.Fprintf(w, "figure\t%s\n", strings.Join(columns, "\t"))
 	for _, name := range f.Lines {
-		if reason := f.Refused[name]; reason != "" {
+		if reason := f.Rejected[name]; reason != "" {
 			fmt.Fprintf(w, "%s\tno line: %s\n", name, reason)
 			continue
 		}
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// notValidNote is the note of a report by which its harness marks its figures as not to be used.
-	notValidNote = "not valid"
-	fileMode     = 0o644
+	// invalidNote is the note of a report by which its harness marks its figures as not to be used.
+	invalidNote = "not valid"
+	fileMode    = 0o644
 )
 
 // errNoRun is the error of a result without a run.
@@ -30,12 +30,12 @@
 
 // Run is one run of a stored result: its figures, and its words, as the experiment's name and the notes.
 type Run struct {
-	Command  string
-	Commit   string
-	Seed     uint64
-	Figures  map[string]float64
-	Words    map[string]string
-	NotValid string // why its figures must not be used, such as a harness that was short of processor time; "": valid
+	Command       string
+	Commit        string
+	Seed          uint64
+	Figures       map[string]float64
+	Labels        map[string]string
+	InvalidReason string // why its figures must not be used, such as a harness short of processor time; "": valid
 }
 
 // Read reads a stored result: the JSON of one report or of a list of them, or the CSV of one report (name and
@@ -73,8 +73,8 @@
 	return all, err
 }
 
-// ErrTwice is the error of Join for a command that is given twice: its run would count twice.
-var ErrTwice = errors.New("is given twice")
+// ErrDuplicateRun is the error of Join for a command that is given twice: its run would count twice.
+var ErrDuplicateRun = errors.New("is given twice")
 
 // Join writes the reports of several files to one file, as a list. Each report must have a command of its own.
 func Join(out string, files []string) error {
@@ -91,7 +91,7 @@
 		}
 		for _, r := range reports {
 			if seen[r.Command] {
-				return fmt.Errorf("%s: %q %w", file, r.Command, ErrTwice)
+				return fmt.Errorf("%s: %q %w", file, r.Command, ErrDuplicateRun)
 			}
 			seen[r.Command] = true
 		}
@@ -114,12 +114,12 @@
 		words := map[string]string{"experiment": r.Experiment}
 		maps.Copy(words, r.Notes)
 		runs = append(runs, Run{
-			Command:  r.Command,
-			Commit:   r.Commit,
-			Seed:     r.Seed,
-			Figures:  r.Figures,
-			Words:    words,
-			NotValid: r.Notes[notValidNote],
+			Command:       r.Command,
+			Commit:        r.Commit,
+			Seed:          r.Seed,
+			Figures:       r.Figures,
+			Labels:        words,
+			InvalidReason: r.Notes[invalidNote],
 		})
 	}
 	return runs, nil
@@ -151,7 +151,7 @@
 
 // readPairs is the run that has values by their names. A value that is no number is a word.
 func readPairs(names, values []string) Run {
-	r := Run{Figures: map[string]float64{}, Words: map[string]string{}}
+	r := Run{Figures: map[string]float64{}, Labels: map[string]string{}}
 	for i, name := range names[:min(len(names), len(values))] {
 		v, err := strconv.ParseFloat(values[i], 64)
 		switch {
@@ -162,7 +162,7 @@
 		case name == "seed":
 			r.Seed, _ = strconv.ParseUint(values[i], 10, 64) // not a number: 0
 		case err != nil:
-			r.Words[name] = values[i]
+			r.Labels[name] = values[i]
 		default:
 			r.Figures[name] = v
 		}
@@ -179,7 +179,7 @@
 		wanted, err := strconv.ParseFloat(value, 64)
 		return err == nil && v == wanted
 	}
-	return r.Words[name] == value
+	return r.Labels[name] == value
 }
 
 // ErrNotFound is the error of Find if no valid run has the figure.
@@ -193,7 +193,7 @@
 	conditions := parts[1:]
 	var found []float64
 	for _, r := range runs {
-		if v, ok := r.Figures[name]; ok && r.NotValid == "" && r.hasAll(conditions) {
+		if v, ok := r.Figures[name]; ok && r.InvalidReason == "" && r.hasAll(conditions) {
 			found = append(found, v)
 		}
 	}
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -13,7 +13,7 @@
 	digitsPerGroup    = 3 // between commas
 )
 
-// formatNumber writes a figure with three significant digits at least, and commas between thousands.
+// formatNumber writes a figure with three significant digits at least, and commas between thousandsPattern.
 func formatNumber(v float64) string {
 	decimals := 0
 	if v != 0 {
@@ -31,15 +31,15 @@
 	return whole + "." + fraction
 }
 
-// measuredCell is a figure as the page has it: a link to the stored result.
-func measuredCell(v float64, file, name string) string {
+// linkCell is a figure as the page has it: a link to the stored result.
+func linkCell(v float64, file, name string) string {
 	return fmt.Sprintf("[%s](results/%s#%s)", formatNumber(v), file, name)
 }
 
 // Cell is a figure of a stored result as the page has it, by its reference, see Find.
 func Cell(runs []Run, file, reference string) (string, error) {
 	v, err := Find(runs, reference)
-	return measuredCell(v, file, reference), err
+	return linkCell(v, file, reference), err
 }
 
 // emptyCell is the cell of a figure that there is not.
@@ -50,7 +50,7 @@
 // measured there, limit, ratio, basis.
 func (f *Fits) Rows(file string, limits map[string]float64) (rows []string) {
 	for _, name := range f.Lines {
-		if reason := f.Refused[name]; reason != "" {
+		if reason := f.Rejected[name]; reason != "" {
 			row := fmt.Sprintf("| `%s` | - | - | - | - | - | - | - | - | not measured: %s |", name, reason)
 			rows = append(rows, row)
 			continue
@@ -84,7 +84,7 @@
 	if !ok {
 		return emptyCell
 	}
-	return measuredCell(v, file, name)
+	return linkCell(v, file, name)
 }
 
 // limitCells are a line's limit, and the ratio of the line at the target over it, computed with the numbers shown.
--- a/lab/scale/bounds.go
+++ b/lab/scale/bounds.go
@@ -8,10 +8,10 @@
 	"spurspread/lab/report"
 )
 
-// Limits of a valid run. Beyond them the hollow members had too little processor time: what members do 50 ms apart,
+// Limits of a valid run. Beyond them the stub members had too little processor time: what members do 50 ms apart,
 // and wait 150 ms for, would be measured wrongly.
 const (
-	maxLagP99Millis = 20   // 99th percentile of how late timers of hollow members fired, milliseconds
+	maxLagP99Millis = 20   // 99th percentile of how late timers of stub members fired, milliseconds
 	maxLagMillis    = 250  // the latest timer, milliseconds
 	maxCoreShare    = 0.85 // share of all cores that the run's processes used
 )
@@ -49,10 +49,10 @@
 	coreShare := figures["harness_core_share"]
 	switch {
 	case lagP99 > maxLagP99Millis:
-		return fmt.Sprintf("1 in 100 timers of hollow members came %.0f ms late or later, over %d",
+		return fmt.Sprintf("1 in 100 timers of stub members came %.0f ms late or later, over %d",
 			lagP99, maxLagP99Millis)
 	case maxLag > maxLagMillis:
-		return fmt.Sprintf("a timer of a hollow member came %.0f ms late, over %d", maxLag, maxLagMillis)
+		return fmt.Sprintf("a timer of a stub member came %.0f ms late, over %d", maxLag, maxLagMillis)
 	case coreShare > maxCoreShare:
 		return fmt.Sprintf("the run took %.2f of all cores, over %.2f", coreShare, maxCoreShare)
 	}
--- a/lab/scale/bounds_test.go
+++ b/lab/scale/bounds_test.go
@@ -34,7 +34,7 @@
 }
 
 // What is sent to a member that was killed is not counted as its cost.
-func TestRanEndsWithTheKill(t *testing.T) {
+func TestRunningSpanEndsAtKill(t *testing.T) {
 	r := &run{killedAt: map[int]int64{3: 500}}
 	whole := span{100, 1000}
 	if got := r.runningSpan(3, whole); got != (span{100, 500}) {
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -13,10 +13,10 @@
 // The request classes of clients: one as the platform has it, and one whose deadline is so long that its clients can
 // be measured while they wait.
 const (
-	ordinaryClass    = "index-sync"
-	ordinaryDeadline = 1200 * time.Millisecond
-	patientClass     = "patient"
-	patientDeadline  = 20 * time.Second
+	ordinaryClass     = "index-sync"
+	ordinaryDeadline  = 1200 * time.Millisecond
+	longDeadlineClass = "patient"
+	longDeadline      = 20 * time.Second
 )
 
 // Modes in which a balancer connects clients with servers, as the settings name them.
@@ -104,7 +104,7 @@
 	settings["rank"] = 0
 	settings["request_classes"] = []any{
 		classSettings(ordinaryClass, ordinaryDeadline),
-		classSettings(patientClass, patientDeadline),
+		classSettings(longDeadlineClass, longDeadline),
 	}
 	settings["specifics"] = map[string]any{
 		"mode":        mode,
--- a/lab/scale/connections/client.go
+++ b/lab/scale/connections/client.go
@@ -57,7 +57,8 @@
 		return
 	}
 	c.state = requested
-	line := fmt.Sprintf("OPEN %x %x c=%s,d=%d\r\n", g.totals.ids.Add(1), g.rng.Uint64(), g.class, g.deadlineMillis)
+	line := fmt.Sprintf("OPEN %x %x c=%s,d=%d\r\n",
+		g.totals.requestIDs.Add(1), g.rng.Uint64(), g.class, g.deadlineMillis)
 	c.conn.Write([]byte(line))
 }
 
@@ -82,7 +83,7 @@
 			return
 		}
 		if err != nil {
-			c.generator.totals.ended.Add(1)
+			c.generator.totals.closed.Add(1)
 			c.disconnect()
 			c.retryAfter(retryDelay)
 			return
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -50,7 +50,7 @@
 		listeners:     16,
 		loops:         2,
 		setUpRate:     3000,
-		lineRates:     []float64{restRate, commonRate, 10000, 20000, 30000, 40000, 50000, 60000, 80000, 100000},
+		lineRates:     []float64{baselineRate, referenceRate, 10000, 20000, 30000, 40000, 50000, 60000, 80000, 100000},
 		stepTime:      time.Second,
 		restTime:      2 * time.Second,
 		churnTime:     1500 * time.Millisecond,
@@ -59,17 +59,17 @@
 }
 
 const (
-	// restRate is the rate of the first step: so few lines that none waits for another.
-	restRate = 500
-	// commonRate is a rate that is sustained at all sizes; the cost of a line is compared at it.
-	commonRate = 5000
+	// baselineRate is the rate of the first step: so few lines that none waits for another.
+	baselineRate = 500
+	// referenceRate is a rate that is sustained at all sizes; the cost of a line is compared at it.
+	referenceRate = 5000
 	// spareDescriptors are those that the harness and the balancer need besides the measured connections: listeners,
 	// discovery, clients that churn, and connections that have ended and are not closed yet.
 	spareDescriptors = 400
 	// A balancer reserves this part of its descriptors, and some more, for set-ups (internal/proxy): with fewer left
 	// it closes idle connections and rejects new ones.
-	reservedPart = 16
-	reservedMore = 16
+	reservedDivisor = 16
+	reservedExtra   = 16
 	// descriptorsPerConnection is how many an established connection takes of the balancer, and of the harness.
 	descriptorsPerConnection = 2
 	// maxWait bounds waits; what has not happened by then is visible in the figures.
@@ -137,7 +137,7 @@
 // maxEstablished is how many connections may be established at once by a limit of descriptors, which is the same for
 // the balancer and the harness.
 func maxEstablished(descriptors int) int {
-	ofBalancer := descriptors - descriptors/reservedPart - reservedMore - spareDescriptors
+	ofBalancer := descriptors - descriptors/reservedDivisor - reservedExtra - spareDescriptors
 	ofHarness := descriptors - spareDescriptors
 	return min(ofBalancer/descriptorsPerConnection, ofHarness/descriptorsPerConnection)
 }
--- a/lab/scale/connections/connections_test.go
+++ b/lab/scale/connections/connections_test.go
@@ -31,7 +31,7 @@
 		listeners:     4,
 		loops:         2,
 		setUpRate:     500,
-		lineRates:     []float64{restRate},
+		lineRates:     []float64{baselineRate},
 		stepTime:      300 * time.Millisecond,
 		restTime:      100 * time.Millisecond,
 		churnTime:     300 * time.Millisecond,
--- a/lab/scale/connections/established.go
+++ b/lab/scale/connections/established.go
@@ -20,8 +20,8 @@
 	reconnectedShare = 0.9
 	// churningClients is how many set-ups are under way while they are counted without a pause.
 	churningClients = 32
-	// churnWarmUpPart of the churn time passes before set-ups are counted.
-	churnWarmUpPart = 10
+	// churnWarmUpDivisor of the churn time passes before set-ups are counted.
+	churnWarmUpDivisor = 10
 )
 
 // measureEstablished measures established connections: their set-up, their rest, lines on them, and reconnects.
@@ -49,7 +49,7 @@
 	r.logProgress("%d connections come to stand", m.size)
 	r.load.clear(b.addr, ordinaryClass, ordinaryDeadline)
 	r.load.setRetrying()
-	time.Sleep(startRest)
+	time.Sleep(startSettleTime)
 	before := b.cost()
 	m.figures["mb_idle"] = before.resident / bytesPerMegabyte
 	r.load.add(m.size, r.plan.setUpRate, true)
@@ -58,7 +58,7 @@
 			r.load.totals.established.Load(), b.proc.Tail())
 	}
 	after := b.cost()
-	counted := r.load.take()
+	counted := r.load.takeCounts()
 	rejected := float64(r.load.totals.rejected.Swap(0))
 	m.figures["set_up_p99_ms"] = report.Quantile(counted.delayMillis, 0.99)
 	m.figures["set_up_late_p99_ms"] = report.Quantile(counted.sendLag, 0.99)
@@ -114,7 +114,7 @@
 		r.note(m, "wave", "%d stood before it", totals.established.Load())
 	}
 	r.logProgress("%d clients come again within %v", m.size, reconnectSpan)
-	r.load.take()
+	r.load.takeCounts()
 	r.takeLag()
 	totals.rejected.Store(0)
 	begin := b.cost()
@@ -128,7 +128,7 @@
 	}
 	m.figures["wave_missing"] = float64(m.size - int(totals.established.Load()))
 	end := b.cost()
-	counted := r.load.take()
+	counted := r.load.takeCounts()
 	m.figures["us_per_reconnect"] = microsPerItem(end.cpu-begin.cpu, m.size)
 	m.figures["wave_cpu_share"] = end.coreShareSince(begin)
 	m.figures["wave_refused"] = float64(totals.rejected.Swap(0))
@@ -143,7 +143,7 @@
 // measureChurn has further clients set up connections and close them, as fast as the balancer lets them.
 func (r *run) measureChurn(b *balancer, m *measurement) error {
 	r.load.startChurn(churningClients)
-	time.Sleep(r.plan.churnTime / churnWarmUpPart)
+	time.Sleep(r.plan.churnTime / churnWarmUpDivisor)
 	begin := b.cost()
 	setUpsBefore := r.load.totals.setUps.Load()
 	time.Sleep(r.plan.churnTime)
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -9,26 +9,26 @@
 	"spurspread/lab/report"
 )
 
-// line is a straight line, fitted to a cost by the number of connections.
-type line struct {
+// fittedLine is a straight line, fitted to a cost by the number of connections.
+type fittedLine struct {
 	intercept float64
 	slope     float64
 	residual  float64 // the largest distance of a point, as a part of the line's value there
 	growth    float64 // the line's value at the largest number over that at the smallest; 0 where that is not over 0
 }
 
-// minLinePoints is the number of points that a line needs at least.
-const minLinePoints = 4
+// minFitPoints is the number of points that a line needs at least.
+const minFitPoints = 4
 
 // fitLine fits a line by least squares to points in ascending order. ok is false for too few points, or all at one
 // number.
-func fitLine(x, y []float64) (fitted line, ok bool) {
-	if len(x) < minLinePoints {
-		return line{}, false
+func fitLine(x, y []float64) (fitted fittedLine, ok bool) {
+	if len(x) < minFitPoints {
+		return fittedLine{}, false
 	}
 	fitted.intercept, fitted.slope = stat.LinearRegression(x, y, nil, false)
 	if math.IsNaN(fitted.slope) || math.IsInf(fitted.slope, 0) {
-		return line{}, false
+		return fittedLine{}, false
 	}
 	for i := range x {
 		if value := fitted.at(x[i]); value != 0 {
@@ -42,7 +42,7 @@
 }
 
 // at is the line's value.
-func (l line) at(x float64) float64 { return l.intercept + l.slope*x }
+func (l fittedLine) at(x float64) float64 { return l.intercept + l.slope*x }
 
 // series is a figure by the number of connections, scaled by a factor. Sizes without the figure are left out.
 func (r *run) series(figure string, factor float64) report.Series {
@@ -57,8 +57,8 @@
 	return s
 }
 
-// slopes are the figures whose slope is the cost of one connection.
-var slopes = []struct {
+// slopeFigures are the figures whose slope is the cost of one connection.
+var slopeFigures = []struct {
 	figure string
 	name   string  // of the slope, with its unit
 	factor float64 // from the figure's unit to the slope's, for one connection
@@ -82,8 +82,8 @@
 	"p99_ms_at_rest",
 }
 
-// largestCounts are the figures whose largest value of all sizes is reported.
-var largestCounts = []string{
+// maxFigures are the figures whose largest value of all sizes is reported.
+var maxFigures = []string{
 	"p99_ms_at_rest",
 	"lost_at_rest",
 	"wave_missing",
@@ -93,8 +93,8 @@
 	"cpu_share_idle",
 }
 
-// smallestCounts are the figures whose smallest value of all sizes is reported.
-var smallestCounts = []string{"borne_lines_per_s"}
+// minFigures are the figures whose smallest value of all sizes is reported.
+var minFigures = []string{"borne_lines_per_s"}
 
 // recordFigures records the figures of all sizes, their charts and bounds.
 func (r *run) recordFigures() {
@@ -104,21 +104,21 @@
 			r.report.Figures[fmt.Sprintf("n%05d_%s", m.size, name)] = value
 		}
 	}
-	r.recordLines()
-	for _, figure := range largestCounts {
+	r.recordFits()
+	for _, figure := range maxFigures {
 		r.recordExtreme(figure, 1)
 	}
-	for _, figure := range smallestCounts {
+	for _, figure := range minFigures {
 		r.recordExtreme(figure, 0)
 	}
 	r.report.Charts = r.charts()
 	r.checkBounds()
 }
 
-// recordLines records the slopes of costs, and how much costs grow that should be constant.
-func (r *run) recordLines() {
+// recordFits records the slopeFigures of costs, and how much costs grow that should be constant.
+func (r *run) recordFits() {
 	figures := r.report.Figures
-	for _, slope := range slopes {
+	for _, slope := range slopeFigures {
 		s := r.series(slope.figure, slope.factor)
 		if fitted, ok := fitLine(s.X, s.Y); ok {
 			figures[slope.name] = fitted.slope
--- a/lab/scale/connections/generator.go
+++ b/lab/scale/connections/generator.go
@@ -21,12 +21,12 @@
 
 // totals are the counts over all generators.
 type totals struct {
-	ids         atomic.Int64 // of first lines that were sent
+	requestIDs  atomic.Int64 // of first lines that were sent
 	connected   atomic.Int64 // connections that are open
 	established atomic.Int64 // connections that are established
 	setUps      atomic.Int64 // connections that were established
 	rejected    atomic.Int64 // first lines that were rejected
-	ended       atomic.Int64 // connections that the balancer closed
+	closed      atomic.Int64 // connections that the balancer closed
 	moved       atomic.Int64 // MOVE lines received
 }
 
@@ -167,8 +167,8 @@
 	}
 }
 
-// take returns what was counted since the last take, and counts anew. Pending lines stay pending.
-func (g *generator) take() counts {
+// takeCounts returns what was counted since the last take, and counts anew. Pending lines stay pending.
+func (g *generator) takeCounts() counts {
 	taken := g.counts()
 	g.delayMillis = nil
 	g.sendLag = nil
--- a/lab/scale/connections/lines.go
+++ b/lab/scale/connections/lines.go
@@ -13,8 +13,8 @@
 	// maxLatenessMillis is how late the harness may be, one time in a hundred, for a delay to be valid. Its timers
 	// have whole milliseconds.
 	maxLatenessMillis = 5.0
-	// returnTime is how long after the last line of a step all must have come back.
-	returnTime = time.Second
+	// echoTimeout is how long after the last line of a step all must have come back.
+	echoTimeout = time.Second
 )
 
 // lateness is how late the harness was, one time in a hundred, in milliseconds.
@@ -47,54 +47,54 @@
 	for _, rate := range r.plan.lineRates {
 		step := r.sendStep(b, rate)
 		r.logStep(m, step)
-		if rate == restRate {
+		if rate == baselineRate {
 			m.figures["lost_at_rest"] = float64(step.lost + step.counted.pending)
 		}
-		if !r.judgeStep(m, step) {
+		if !r.acceptStep(m, step) {
 			break
 		}
 		m.addStep(step)
 	}
 	// Lines of the last step come back later; they are not counted any more.
 	r.load.awaitLines(maxWait)
-	r.load.take()
+	r.load.takeCounts()
 	return nil
 }
 
 // lineStep is what was measured at one rate of lines.
 type lineStep struct {
-	rate     float64 // per second
-	counted  counts
-	p99      float64 // delay in milliseconds
-	lost     int     // lines, and connections that were moved or ended
-	returned bool    // whether all lines came back within returnTime
-	late     lateness
-	cpu      time.Duration
+	rate      float64 // per second
+	counted   counts
+	p99       float64 // delay in milliseconds
+	lost      int     // lines, and connections that were moved or ended
+	allEchoed bool    // whether all lines came back within echoTimeout
+	late      lateness
+	cpu       time.Duration
 }
 
 // sendStep sends lines at a rate for the plan's step time.
 func (r *run) sendStep(b *balancer, rate float64) lineStep {
 	totals := &r.load.totals
-	r.load.take()
+	r.load.takeCounts()
 	r.takeLag()
 	movedBefore := totals.moved.Load()
-	endedBefore := totals.ended.Load()
+	closedBefore := totals.closed.Load()
 	begin := b.cost()
 	r.load.sendLines(rate, r.plan.stepTime)
 	r.load.awaitSchedule(maxWait)
-	returned := r.load.awaitLines(returnTime)
+	allEchoed := r.load.awaitLines(echoTimeout)
 	end := b.cost()
-	counted := r.load.take()
+	counted := r.load.takeCounts()
 	moved := totals.moved.Load() - movedBefore
-	ended := totals.ended.Load() - endedBefore
+	closed := totals.closed.Load() - closedBefore
 	return lineStep{
-		rate:     rate,
-		counted:  counted,
-		p99:      report.Quantile(counted.delayMillis, 0.99),
-		lost:     counted.lost + int(moved) + int(ended),
-		returned: returned,
-		late:     r.harnessLateness(counted),
-		cpu:      end.cpu - begin.cpu,
+		rate:      rate,
+		counted:   counted,
+		p99:       report.Quantile(counted.delayMillis, 0.99),
+		lost:      counted.lost + int(moved) + int(closed),
+		allEchoed: allEchoed,
+		late:      r.harnessLateness(counted),
+		cpu:       end.cpu - begin.cpu,
 	}
 }
 
@@ -114,12 +114,12 @@
 // sustained returns whether the balancer sustained the rate: no line was lost, all came back in time, and the delay
 // was within its bound.
 func (s *lineStep) sustained() bool {
-	return s.lost == 0 && s.returned && s.p99 <= maxDelayMillis
+	return s.lost == 0 && s.allEchoed && s.p99 <= maxDelayMillis
 }
 
-// judgeStep returns whether a step is valid and its rate was sustained; else no higher rate is tried, and a figure
+// acceptStep returns whether a step is valid and its rate was sustained; else no higher rate is tried, and a figure
 // has the reason.
-func (r *run) judgeStep(m *measurement, step lineStep) bool {
+func (r *run) acceptStep(m *measurement, step lineStep) bool {
 	if step.late.exceeded() {
 		r.note(m, "lines",
 			"not valid from %.0f lines a second on: the harness sent %.1f ms late, its loops were %.1f ms late",
@@ -142,10 +142,10 @@
 	m.figures["borne_lines_per_s"] = step.rate
 	m.figures["us_per_line_borne"] = microsPerLine
 	switch step.rate {
-	case restRate:
+	case baselineRate:
 		m.figures["p99_ms_at_rest"] = step.p99
 		m.figures["p50_ms_at_rest"] = report.Quantile(step.counted.delayMillis, 0.5)
-	case commonRate:
+	case referenceRate:
 		m.figures["p99_ms_common"] = step.p99
 		m.figures["us_per_line_common"] = microsPerLine
 	}
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -63,7 +63,7 @@
 		g.class = class
 		g.deadlineMillis = int(deadline.Milliseconds())
 	})
-	ld.take()
+	ld.takeCounts()
 }
 
 // setRetrying has clients that were rejected, or whose connection was closed, set it up again.
@@ -159,10 +159,10 @@
 	})
 }
 
-// take returns what all generators have counted since the last take, and has them count anew.
-func (ld *load) take() counts {
+// takeCounts returns what all generators have counted since the last take, and has them count anew.
+func (ld *load) takeCounts() counts {
 	all := make([]counts, len(ld.generators))
-	ld.each(func(g *generator) { all[g.index] = g.take() })
+	ld.each(func(g *generator) { all[g.index] = g.takeCounts() })
 	return sum(all)
 }
 
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -15,8 +15,8 @@
 type servers struct {
 	workers     workers
 	addrs       []netip.AddrPort
-	holding     atomic.Bool
-	held        atomic.Int64 // first lines that were not answered
+	withholding atomic.Bool
+	unanswered  atomic.Int64 // first lines that were not answered
 	established atomic.Int64 // connections whose first line was answered
 
 	// By worker, each on its loop.
@@ -71,8 +71,8 @@
 // reset closes all connections, which belong to a balancer that has ended, and answers first lines again.
 func (s *servers) reset() {
 	s.workers.each(func(index int, _ *worker) { s.closeConnections(index) })
-	s.holding.Store(false)
-	s.held.Store(0)
+	s.withholding.Store(false)
+	s.unanswered.Store(0)
 	s.established.Store(0)
 }
 
@@ -134,8 +134,8 @@
 	switch {
 	case isPing:
 		c.conn.Write([]byte("PONG\r\n"))
-	case c.servers.holding.Load():
-		c.servers.held.Add(1)
+	case c.servers.withholding.Load():
+		c.servers.unanswered.Add(1)
 	default:
 		c.established = true
 		c.servers.established.Add(1)
--- a/lab/scale/connections/unanswered.go
+++ b/lab/scale/connections/unanswered.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	// startRest is how long a balancer that has just started has until its memory is read.
-	startRest = 500 * time.Millisecond
+	// startSettleTime is how long a balancer that has just started has until its memory is read.
+	startSettleTime = 500 * time.Millisecond
 	// silentFactor is how many silent clients are measured for each connection of a size: they take one descriptor of
 	// the balancer, not two.
 	silentFactor = 2
@@ -34,12 +34,12 @@
 	count := silentFactor * m.size
 	r.logProgress("%d clients that say nothing", count)
 	r.load.clear(b.addr, ordinaryClass, ordinaryDeadline)
-	time.Sleep(startRest)
+	time.Sleep(startSettleTime)
 	before := b.cost()
 	r.load.add(count, silentRate, false)
 	totals := &r.load.totals
 	connected := await(maxWait, func() bool {
-		return int(totals.connected.Load()) >= count || totals.ended.Load() > 0
+		return int(totals.connected.Load()) >= count || totals.closed.Load() > 0
 	})
 	accepted := connected && await(settleTime, func() bool {
 		return b.cost().descriptors-before.descriptors >= count
@@ -69,7 +69,7 @@
 // that is being set up.
 func (r *run) measureAttempts(_ context.Context, b *balancer, m *measurement) error {
 	return r.measureUnanswered(b, m, "attempt", func() bool {
-		return nearlyAll(int(r.servers.held.Load()), m.size)
+		return nearlyAll(int(r.servers.unanswered.Load()), m.size)
 	})
 }
 
@@ -80,9 +80,9 @@
 // measureUnanswered measures clients whose first line no server answers, once the condition holds.
 func (r *run) measureUnanswered(b *balancer, m *measurement, name string, holds func() bool) error {
 	r.logProgress("%d clients whose servers do not answer (%s)", m.size, name)
-	r.servers.holding.Store(true)
-	r.load.clear(b.addr, patientClass, patientDeadline)
-	time.Sleep(startRest)
+	r.servers.withholding.Store(true)
+	r.load.clear(b.addr, longDeadlineClass, longDeadline)
+	time.Sleep(startSettleTime)
 	before := b.cost()
 	r.load.add(m.size, r.plan.setUpRate, true)
 	reached := await(maxWait/2, holds)
@@ -90,7 +90,7 @@
 	begin := b.cost()
 	time.Sleep(unansweredTime)
 	end := b.cost()
-	held := r.servers.held.Load()
+	held := r.servers.unanswered.Load()
 	connected := r.load.totals.connected.Load()
 	if !reached || !nearlyAll(int(connected), m.size) {
 		r.note(m, name, "not valid: %d of %d clients, %d set-ups at servers", connected, m.size, held)
--- a/lab/scale/figures.go
+++ b/lab/scale/figures.go
@@ -20,7 +20,7 @@
 	defer m.mu.Unlock()
 	whole := span{r.joinedAt, time.Now().UnixMicro() - trafficLagMicros}
 	r.recordHarness(whole)
-	if reason := starvationReason(r.report.Figures); reason != "" && !o.judgeStarved {
+	if reason := starvationReason(r.report.Figures); reason != "" && !o.allowStarved {
 		markInvalid(r.report, reason)
 		return
 	}
@@ -30,7 +30,7 @@
 	figures["regions"] = float64(r.topology.Regions)
 	figures["zones"] = float64(r.topology.Zones)
 	figures["false_dead"] = float64(m.falseDeaths)
-	figures["excused_while_starved"] = float64(m.excused)
+	figures["excused_while_starved"] = float64(m.ignoredWhileStarved)
 	figures["flaps"] = float64(m.flaps)
 	figures["rate_over_budget"] = m.maxShareSum
 	figures["suspicions"] = float64(m.suspicions)
@@ -41,7 +41,7 @@
 
 func (r *run) recordNotes() {
 	notes := r.report.Notes
-	notes["stubs"] = Stubs
+	notes["stubs"] = StubLimitations
 	notes["bytes"] = "content of datagrams sent and received, without the 28 bytes of their IP and UDP headers"
 	notes["faults"] = strings.Join(r.faultLog, "; ")
 	if found := slices.Concat(r.monitor.notes, r.monitor.errors); len(found) > 0 {
@@ -54,7 +54,7 @@
 	figures := r.report.Figures
 	figures["processes"] = float64(r.usage.maxProcesses)
 	figures["harness_memory_mb"] = r.usage.maxResidentMB
-	figures["hollow_processes"] = float64(len(r.hollowProcesses))
+	figures["hollow_processes"] = float64(len(r.stubProcesses))
 	figures["hollow_loops"] = float64(len(r.monitor.loops))
 	figures["harness_lag_p50_ms"] = report.Quantile(r.monitor.lagMillis, 0.5)
 	figures["harness_lag_p99_ms"] = report.Quantile(r.monitor.lagMillis, 0.99)
@@ -128,7 +128,7 @@
 	}
 	r.recordQuietPartitions()
 	figures["join_bytes_per_s"] = r.joinTraffic()
-	figures["hollow_datagrams_mean_per_s"] = r.meanHollowDatagrams(whole)
+	figures["hollow_datagrams_mean_per_s"] = r.meanStubDatagrams(whole)
 }
 
 // recordMeanTraffic records the averages at rest: of all members, and of delegates and others.
@@ -155,7 +155,7 @@
 // recordQuietPartitions records the worst traffic of a member in the quiet parts of partitions.
 func (r *run) recordQuietPartitions() {
 	for _, quiet := range r.quietPartitions {
-		r.keepWorst("quiet_cut_bytes_per_s", r.worstTraffic(quiet))
+		r.recordMax("quiet_cut_bytes_per_s", r.worstTraffic(quiet))
 	}
 }
 
@@ -175,8 +175,8 @@
 	return worst
 }
 
-// meanHollowDatagrams is how many datagrams a hollow member sent and received per second, on average.
-func (r *run) meanHollowDatagrams(whole span) float64 {
+// meanStubDatagrams is how many datagrams a stub member sent and received per second, on average.
+func (r *run) meanStubDatagrams(whole span) float64 {
 	var datagrams []*series
 	for _, loop := range r.monitor.loops {
 		datagrams = append(datagrams, &loop.allDatagrams)
@@ -193,7 +193,7 @@
 	return over
 }
 
-// trafficOf returns what a member sent and received: of a real one what hollow members counted, and the links between
+// trafficOf returns what a member sent and received: of a real one what stub members counted, and the links between
 // real members.
 func (r *run) trafficOf(member int) (sent, received []*series) {
 	if !r.topology.Real(member) {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -21,9 +21,9 @@
 	minRealMembers       = 8
 	maxRealMembers       = 24
 	membersPerRealMember = 60 // one real member for each so many members, within the bounds above
-	maxProcesses         = 6  // of hollow members
+	maxProcesses         = 6  // of stub members
 	maxLoopsPerProcess   = 2
-	membersPerLoop       = 30 // fewer hollow members for each loop make fewer loops
+	membersPerLoop       = 30 // fewer stub members for each loop make fewer loops
 	minLoops             = 2  // that the number of cores may not go below
 )
 
@@ -35,16 +35,16 @@
 
 // fleet is the members of a run, and what is known of them.
 type fleet struct {
-	topology        *Topology
-	dir             string       // for files of real members
-	realFleet       *procs.Fleet // its processes are the members with the lowest numbers
-	hollowProcesses []*process
-	processOf       map[int]*process // by hollow member
-	monitor         *monitor
-	injected        InjectedFault
-	loss            float64 // share of the datagrams between regions that is lost
-	rng             *rand.Rand
-	log             func(format string, args ...any)
+	topology      *Topology
+	dir           string       // for files of real members
+	realFleet     *procs.Fleet // its processes are the members with the lowest numbers
+	stubProcesses []*process
+	processOf     map[int]*process // by stub member
+	monitor       *monitor
+	injected      InjectedFault
+	loss          float64 // share of the datagrams between regions that is lost
+	rng           *rand.Rand
+	log           func(format string, args ...any)
 
 	cancel     context.CancelCauseFunc // ends the run early
 	closing    chan struct{}           // closed by close
@@ -58,7 +58,7 @@
 	return min(max(members/membersPerRealMember, minRealMembers), maxRealMembers)
 }
 
-// newFleet prepares the processes of a fleet, and starts those of hollow members; no member starts yet. cancel is
+// newFleet prepares the processes of a fleet, and starts those of stub members; no member starts yet. cancel is
 // called with the reason where the run has to end early. An error means that the fault is unknown or a process could
 // not be prepared.
 func newFleet(o Options, topology *Topology, dir string, cancel context.CancelCauseFunc) (*fleet, error) {
@@ -82,11 +82,11 @@
 	if err := f.prepareRealMembers(o.Program); err != nil {
 		return nil, err
 	}
-	command := o.hollow
+	command := o.stubCommand
 	if command == nil {
-		command = ownHollowCommand
+		command = ownStubCommand
 	}
-	if err := f.startHollowProcesses(command); err != nil {
+	if err := f.startStubProcesses(command); err != nil {
 		f.close()
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 }
 
 // prepareRealMembers writes the configuration of real members. Datagrams between two of them pass links of their
-// own; datagrams between a real and a hollow member pass the links of the hollow one.
+// own; datagrams between a real and a stub member pass the links of the stub.
 func (f *fleet) prepareRealMembers(program string) error {
 	var ips []netip.Addr
 	for _, addr := range f.topology.Addrs[:f.topology.RealMembers] {
@@ -163,26 +163,26 @@
 	return addrs
 }
 
-// hollowProcessCount is how many processes so many hollow members get, each with maxLoopsPerProcess loops: enough
+// stubProcessCount is how many processes so many stub members get, each with maxLoopsPerProcess loops: enough
 // loops for membersPerLoop members each, but not many more than there are cores.
-func hollowProcessCount(hollowMembers int) int {
-	wanted := max(hollowMembers/membersPerLoop, 1)
+func stubProcessCount(stubCount int) int {
+	wanted := max(stubCount/membersPerLoop, 1)
 	coreBound := max(runtime.NumCPU()*3/2, minLoops)
 	loops := min(wanted, maxLoopsPerProcess*maxProcesses, coreBound)
 	return (loops + maxLoopsPerProcess - 1) / maxLoopsPerProcess
 }
 
-// assignHollow returns the members of each loop of each process. Members are assigned to loops in turn, so that each
-// loop has members of each zone; loops without members are left out.
-func (f *fleet) assignHollow() [][][]int {
-	hollowMembers := f.topology.Members - f.topology.RealMembers
-	processes := hollowProcessCount(hollowMembers)
+// assignStubMembers returns the members of each loop of each process. Members are assigned to loops in turn, so that
+// each loop has members of each zone; loops without members are left out.
+func (f *fleet) assignStubMembers() [][][]int {
+	stubCount := f.topology.Members - f.topology.RealMembers
+	processes := stubProcessCount(stubCount)
 	loops := processes * maxLoopsPerProcess
 	assigned := make([][][]int, processes)
 	for process := range assigned {
 		assigned[process] = make([][]int, maxLoopsPerProcess)
 	}
-	for i := range hollowMembers {
+	for i := range stubCount {
 		loop := i % loops
 		members := &assigned[loop%processes][loop/processes]
 		*members = append(*members, f.topology.RealMembers+i)
@@ -193,9 +193,9 @@
 	return assigned
 }
 
-// startHollowProcesses starts the processes of hollow members.
-func (f *fleet) startHollowProcesses(command hollowCommand) error {
-	for number, loops := range f.assignHollow() {
+// startStubProcesses starts the processes of stub members.
+func (f *fleet) startStubProcesses(command stubCommandFunc) error {
+	for number, loops := range f.assignStubMembers() {
 		for loop, members := range loops {
 			f.monitor.addLoop(number, loop, members)
 		}
@@ -212,7 +212,7 @@
 		}
 		p, err := startProcess(cmd, setup, func(sample *Sample) { f.monitor.applySample(number, sample) })
 		if p != nil {
-			f.hollowProcesses = append(f.hollowProcesses, p)
+			f.stubProcesses = append(f.stubProcesses, p)
 			for _, member := range slices.Concat(loops...) {
 				f.processOf[member] = p
 			}
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// startMembers starts all members over startSpread. It returns when all processes run; hollow members may start
+// startMembers starts all members over startSpread. It returns when all processes run; stub members may start
 // later.
 func (f *fleet) startMembers() error {
 	if err := f.applyLoss(); err != nil {
@@ -254,7 +254,7 @@
 	return f.processOf[member].send(&Command{Action: ActionKill, Member: member})
 }
 
-// leave ends a member in the planned way. A real one has ended when leave returns; a hollow one ends within
+// leave ends a member in the planned way. A real one has ended when leave returns; a stub ends within
 // leaveMicros.
 func (f *fleet) leave(member int) error {
 	f.monitor.markStopped(member, true)
@@ -298,7 +298,7 @@
 	}
 	f.monitor.setPartitioned(command.From, command.To, partitioned)
 	f.realFleet.Net.Set(f.realMembersIn(command.From), f.realMembersIn(command.To), command.applyTo)
-	for _, p := range f.hollowProcesses {
+	for _, p := range f.stubProcesses {
 		if err := p.send(command); err != nil {
 			return err
 		}
@@ -335,7 +335,7 @@
 	return members
 }
 
-// pickRunning draws a member that runs, real or hollow, in one of some zones. ok is false where there is none.
+// pickRunning draws a member that runs, real or stub, in one of some zones. ok is false where there is none.
 func (f *fleet) pickRunning(realMember bool, zones []int) (member int, ok bool) {
 	f.monitor.mu.Lock()
 	defer f.monitor.mu.Unlock()
@@ -358,10 +358,10 @@
 	f.tasks.Wait()
 	f.realFleet.Close()
 	var stops sync.WaitGroup
-	for _, p := range f.hollowProcesses {
+	for _, p := range f.stubProcesses {
 		stops.Go(func() {
-			if p.stop(processEndTime) {
-				f.log("process %d of hollow members had to be ended", p.cmd.Process.Pid)
+			if p.stop(processStopTimeout) {
+				f.log("process %d of stub members had to be ended", p.cmd.Process.Pid)
 			}
 		})
 	}
--- a/lab/scale/injected_fault.go
+++ b/lab/scale/injected_fault.go
@@ -8,16 +8,16 @@
 	"spurspread/internal/peer/packet"
 )
 
-// InjectedFault is a fault that is injected into hollow members, to show that a run detects it.
+// InjectedFault is a fault that is injected into stub members, to show that a run detects it.
 type InjectedFault string
 
 // The faults that can be injected.
 const (
-	// NoDelegate: each hollow member ranks itself behind all others of its zone, so that no zone has a delegate.
+	// NoDelegate: each stub member ranks itself behind all others of its zone, so that no zone has a delegate.
 	NoDelegate InjectedFault = "no-delegate"
-	// EveryDelegate: each hollow member ranks itself before all others of its zone, so that all are delegates.
+	// EveryDelegate: each stub member ranks itself before all others of its zone, so that all are delegates.
 	EveryDelegate InjectedFault = "every-delegate"
-	// WrongSummary: the hollow members of the first zone send a summary of it with one member too many.
+	// WrongSummary: the stub members of the first zone send a summary of it with one member too many.
 	WrongSummary InjectedFault = "wrong-summary"
 )
 
@@ -43,7 +43,7 @@
 }
 
 // corruptSummary returns a datagram as WrongSummary has the member send it. Any other datagram is returned unchanged.
-func (m *hollowMember) corruptSummary(datagram []byte) []byte {
+func (m *stubMember) corruptSummary(datagram []byte) []byte {
 	if m.group.setup.Fault != WrongSummary || m.topology().Zone(m.index) != corruptZone {
 		return datagram
 	}
--- a/lab/scale/link_socket.go
+++ b/lab/scale/link_socket.go
@@ -9,19 +9,19 @@
 	"spurspread/internal/peer"
 )
 
-// linkSocket is the socket of a hollow member. It counts what crosses it, and loses and delays datagrams according
-// to their link. Between two hollow members the sender's socket applies the link; between a hollow and a real member
-// the hollow member's socket applies it for both directions.
+// linkSocket is the socket of a stub member. It counts what crosses it, and loses and delays datagrams according
+// to their link. Between two stub members the sender's socket applies the link; between a stub and a real member
+// the stub member's socket applies it for both directions.
 type linkSocket struct {
 	peer.Socket
-	member     *hollowMember
+	member     *stubMember
 	rack       int
 	onDatagram func(from netip.AddrPort, datagram []byte)
 }
 
-// openSocket binds a socket of a hollow member. It is used for each socket that the member opens, so that all its
+// openSocket binds a socket of a stub member. It is used for each socket that the member opens, so that all its
 // traffic is counted.
-func (m *hollowMember) openSocket(
+func (m *stubMember) openSocket(
 	addr netip.AddrPort,
 	onDatagram func(from netip.AddrPort, datagram []byte),
 ) (peer.Socket, error) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// receive applies the link to datagrams of real members; the link of a hollow sender was applied when it sent.
+// receive applies the link to datagrams of real members; the link of a stub sender was applied when it sent.
 func (s *linkSocket) receive(from netip.AddrPort, datagram []byte) {
 	other, known := s.member.group.memberByAddr[from.Addr()]
 	if !known || !s.member.topology().Real(other) {
--- a/lab/scale/links.go
+++ b/lab/scale/links.go
@@ -12,7 +12,7 @@
 	zoneDelay      = time.Millisecond      // between zones of a region
 	regionDelay    = 10 * time.Millisecond // between regions, at least
 	maxRegionDelay = 80 * time.Millisecond // between regions, less than this
-	jitterPart     = 10                    // a datagram takes up to a tenth of its link's delay longer
+	jitterDivisor  = 10                    // a datagram takes up to a tenth of its link's delay longer
 )
 
 // Streams of random numbers that are drawn from a topology's seed.
@@ -41,7 +41,7 @@
 	for from := range t.Racks() {
 		for to := range t.Racks() {
 			delay := t.zonesDelay(from/racksPerZone, to/racksPerZone, delays)
-			*l.Between(from, to) = link.Link{Delay: delay, Jitter: delay / jitterPart}
+			*l.Between(from, to) = link.Link{Delay: delay, Jitter: delay / jitterDivisor}
 		}
 	}
 	return l
--- a/lab/scale/monitor.go
+++ b/lab/scale/monitor.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// starvedLagMicros is how late a timer may fire, in microseconds, before false deaths are attributed to the
+	// starvationLagMicros is how late a timer may fire, in microseconds, before false deaths are attributed to the
 	// machine: after a pause of that length members reconsider what they concluded during it.
-	starvedLagMicros = 300_000
-	// starvedForMicros is how long after such a timer false deaths are excused, microseconds.
-	starvedForMicros = 10_000_000
+	starvationLagMicros = 300_000
+	// starvationGraceMicros is how long after such a timer false deaths are excused, microseconds.
+	starvationGraceMicros = 10_000_000
 	// maxNotes bounds the notes of a run.
 	maxNotes = 12
 )
@@ -25,22 +25,22 @@
 	partitioned map[[2]int]bool // links without any datagram: rack of the sender, rack of the receiver
 	loops       map[loopID]*loopView
 
-	// judging is whether observations count: it is set once all members have joined.
-	judging      bool
+	// recording is whether observations count: it is set once all members have joined.
+	recording    bool
 	starvedUntil int64 // wall clock, microseconds
 
-	falseDeaths int // members that ran and were declared dead
-	excused     int // false deaths and recoveries while starved
-	flaps       int // the most recoveries of one subject by one observer after one fault
-	recoveries  map[recovery]int
-	suspicions  int
-	maxShareSum float64 // the largest sum of 1/divisor of all members that run
-	lagMillis   []float64
-	errors      []string
-	notes       []string
+	falseDeaths         int // members that ran and were declared dead
+	ignoredWhileStarved int // false deaths and recoveries while starved
+	flaps               int // the most recoveries of one subject by one observer after one fault
+	recoveries          map[recovery]int
+	suspicions          int
+	maxShareSum         float64 // the largest sum of 1/divisor of all members that run
+	lagMillis           []float64
+	errors              []string
+	notes               []string
 }
 
-// loopID identifies a loop of hollow members.
+// loopID identifies a loop of stub members.
 type loopID struct {
 	process int
 	loop    int // within the process
@@ -65,7 +65,7 @@
 	zoneStates     map[int]string // by zone
 	records        map[string]recordView
 	deadAt         map[int]int64 // members that it declared dead last, and when
-	sentBytes      series        // of a hollow member, as is the next
+	sentBytes      series        // of a stub member, as is the next
 	receivedBytes  series
 }
 
@@ -75,7 +75,7 @@
 	seenAt int64
 }
 
-// loopView is what a loop of hollow members has reported.
+// loopView is what a loop of stub members has reported.
 type loopView struct {
 	members           []int
 	periods           int64
@@ -136,10 +136,10 @@
 
 // observeLag records how late a timer fired, in microseconds.
 func (m *monitor) observeLag(at, lagMicros int64) {
-	if lagMicros > starvedLagMicros {
-		m.starvedUntil = max(m.starvedUntil, at+starvedForMicros)
+	if lagMicros > starvationLagMicros {
+		m.starvedUntil = max(m.starvedUntil, at+starvationGraceMicros)
 	}
-	if m.judging {
+	if m.recording {
 		m.lagMillis = append(m.lagMillis, float64(lagMicros)/1000)
 	}
 }
@@ -177,7 +177,7 @@
 // countFalseDeath counts that a member that runs was declared dead, unless the machine was starved.
 func (m *monitor) countFalseDeath(change Change) {
 	if change.At < m.starvedUntil {
-		m.excused++
+		m.ignoredWhileStarved++
 		return
 	}
 	m.falseDeaths++
@@ -187,11 +187,11 @@
 // countRecovery counts a recovery, unless the machine was starved.
 func (m *monitor) countRecovery(at int64, r recovery) {
 	if at < m.starvedUntil {
-		m.excused++
+		m.ignoredWhileStarved++
 		return
 	}
 	m.recoveries[r]++
-	if m.judging {
+	if m.recording {
 		m.flaps = max(m.flaps, m.recoveries[r])
 	}
 }
@@ -226,7 +226,7 @@
 	member.zoneStates[state.Zone] = state.State
 }
 
-func (m *monitor) observeRecord(seen RecordSeen, at int64) {
+func (m *monitor) observeRecord(seen RecordValue, at int64) {
 	member := &m.members[seen.Member]
 	if member.records == nil {
 		member.records = map[string]recordView{}
@@ -247,7 +247,7 @@
 			sum += m.members[i].budgetShare
 		}
 	}
-	if m.judging {
+	if m.recording {
 		m.maxShareSum = max(m.maxShareSum, sum)
 	}
 }
--- a/lab/scale/monitor_test.go
+++ b/lab/scale/monitor_test.go
@@ -8,7 +8,7 @@
 )
 
 // A partition applies one way, and the counts that members have to reach follow from it.
-func TestWhatIsToBeCounted(t *testing.T) {
+func TestExpectedCounts(t *testing.T) {
 	topology := &Topology{Members: 9, Regions: 3, Zones: 3}
 	links := topology.Links(0)
 	links.Set(topology.RacksOf([]int{0}), topology.RacksOf([]int{1}), func(l *link.Link) { l.Partitioned = true })
@@ -43,10 +43,10 @@
 }
 
 // The monitor counts the death of a member that runs, but not one at a time when timers came late, and recoveries.
-func TestWhatIsHeldAgainstMembers(t *testing.T) {
+func TestFalseDeathsAndFlapsAreCounted(t *testing.T) {
 	m := newMonitor(&Topology{Members: 4, Regions: 1, Zones: 1})
 	m.addLoop(0, 0, []int{0, 1, 2, 3})
-	m.judging = true
+	m.recording = true
 	for member := range 4 {
 		m.markStarted(member)
 	}
@@ -61,13 +61,13 @@
 		death(1, 3),
 		death(2, 1),
 		{At: 3, Changes: []Change{{Observer: 0, Subject: 1, From: "dead", To: "alive", At: 3}}},
-		{At: 4, LagMicros: []int64{starvedLagMicros + 1}},
+		{At: 4, LagMicros: []int64{starvationLagMicros + 1}},
 		death(5, 2),
 	} {
 		m.applySample(0, &sample)
 	}
-	if m.falseDeaths != 1 || m.excused != 1 || m.flaps != 1 {
-		t.Errorf("%d false deaths, %d excused, %d flaps, want 1 of each", m.falseDeaths, m.excused, m.flaps)
+	if m.falseDeaths != 1 || m.ignoredWhileStarved != 1 || m.flaps != 1 {
+		t.Errorf("%d false deaths, %d excused, %d flaps, want 1 of each", m.falseDeaths, m.ignoredWhileStarved, m.flaps)
 	}
 	if _, holds := m.deathSeen(3)(); holds {
 		t.Error("a crash that one of three members has seen counts as seen by all")
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// processEndTime is how long a process of hollow members may take to end after its input has ended; then it is
+	// processStopTimeout is how long a process of stub members may take to end after its input has ended; then it is
 	// killed.
-	processEndTime = 5 * time.Second
+	processStopTimeout = 5 * time.Second
 	// maxStderrLines bounds what is stored of a process's standard error.
 	maxStderrLines = 20
 	// sampleBufferBytes is the buffer for a process's samples.
 	sampleBufferBytes = 1 << 16
 )
 
-// HollowCommand is the name of this program's command that calls Hollow with its standard input and output.
-const HollowCommand = "hollow-members"
+// StubMembersCommand is the name of this program's command that calls RunStubMembers with standard input and output.
+const StubMembersCommand = "hollow-members"
 
-// hollowCommand returns the command of a process of hollow members, which has not been started.
-type hollowCommand func() (*exec.Cmd, error)
+// stubCommandFunc returns the command of a process of stub members, which has not been started.
+type stubCommandFunc func() (*exec.Cmd, error)
 
-// ownHollowCommand is the hollowCommand that starts this program as a process of hollow members.
-func ownHollowCommand() (*exec.Cmd, error) {
+// ownStubCommand is the stubCommandFunc that starts this program as a process of stub members.
+func ownStubCommand() (*exec.Cmd, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("find this program: %w", err)
 	}
-	return exec.Command(program, HollowCommand), nil
+	return exec.Command(program, StubMembersCommand), nil
 }
 
-// process is a child process of hollow members.
+// process is a child process of stub members.
 type process struct {
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
 	done  chan struct{} // closed when the process has ended and its output was read
 
-	mu         sync.Mutex
-	encoder    *json.Encoder
-	stderrTail []string // the first lines of its standard error
+	mu          sync.Mutex
+	encoder     *json.Encoder
+	stderrLines []string // the first lines of its standard error
 }
 
 // startProcess starts a process and sends its setup. Each of its samples is passed to onSample, one after another.
@@ -65,12 +65,12 @@
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("start a process of hollow members: %w", err)
+		return nil, fmt.Errorf("start a process of stub members: %w", err)
 	}
 	p.encoder = json.NewEncoder(p.stdin)
 	var readers sync.WaitGroup
 	readers.Go(func() { p.readSamples(stdout, onSample) })
-	readers.Go(func() { p.keepStderr(stderr) })
+	readers.Go(func() { p.readStderr(stderr) })
 	go func() {
 		readers.Wait()
 		_ = cmd.Wait() // the exit status is in cmd.ProcessState
@@ -91,13 +91,13 @@
 	}
 }
 
-// keepStderr stores the first lines of the process's standard error, and discards the others.
-func (p *process) keepStderr(stderr io.Reader) {
+// readStderr stores the first lines of the process's standard error, and discards the others.
+func (p *process) readStderr(stderr io.Reader) {
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
 		p.mu.Lock()
-		if len(p.stderrTail) < maxStderrLines {
-			p.stderrTail = append(p.stderrTail, lines.Text())
+		if len(p.stderrLines) < maxStderrLines {
+			p.stderrLines = append(p.stderrLines, lines.Text())
 		}
 		p.mu.Unlock()
 	}
@@ -108,7 +108,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.encoder.Encode(line); err != nil {
-		return fmt.Errorf("send to hollow members: %w; their standard error: %q", err, p.stderrTail)
+		return fmt.Errorf("send to stub members: %w; their standard error: %q", err, p.stderrLines)
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 func (p *process) endedError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Errorf("a process of hollow members has ended: %s", strings.Join(p.stderrTail, "; "))
+	return fmt.Errorf("a process of stub members has ended: %s", strings.Join(p.stderrLines, "; "))
 }
 
 // stop ends the input of the process and waits until it has ended. killed is whether it had to be killed after the
--- a/lab/scale/process_test.go
+++ b/lab/scale/process_test.go
@@ -34,7 +34,7 @@
 }
 
 // A process that does not end by itself is killed, and one that has ended is noticed.
-func TestHollowProcessIsEnded(t *testing.T) {
+func TestStubProcessIsStopped(t *testing.T) {
 	p, err := startProcess(exec.Command("sleep", "60"), &Setup{}, func(*Sample) {})
 	if err != nil {
 		t.Fatal(err)
@@ -42,10 +42,10 @@
 	if p.ended() || !p.stop(0) || !p.ended() {
 		t.Error("it still runs")
 	}
-	if err := Hollow(strings.NewReader("{}\nnonsense"), nil); err == nil {
+	if err := RunStubMembers(strings.NewReader("{}\nnonsense"), nil); err == nil {
 		t.Error("malformed commands are accepted")
 	}
-	if err := Hollow(strings.NewReader(""), nil); err == nil || errors.Is(err, os.ErrNotExist) {
+	if err := RunStubMembers(strings.NewReader(""), nil); err == nil || errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no setup: %v", err)
 	}
 }
--- a/lab/scale/protocol.go
+++ b/lab/scale/protocol.go
@@ -1,9 +1,9 @@
 package scale
 
-// A run and its processes of hollow members exchange lines of JSON: Setup once and then Commands to the process's
+// A run and its processes of stub members exchange lines of JSON: Setup once and then Commands to the process's
 // standard input, Samples from its standard output. A process ends when its input ends.
 
-// Setup is the first line that a process of hollow members reads.
+// Setup is the first line that a process of stub members reads.
 type Setup struct {
 	Topology        Topology
 	Loops           [][]int // members of each loop of the process
@@ -52,7 +52,7 @@
 	Changes    []Change       `json:",omitempty"`
 	Counts     []MemberCounts `json:"Lives,omitempty"`
 	Zones      []ZoneState    `json:"States,omitempty"`
-	Records    []RecordSeen   `json:",omitempty"`
+	Records    []RecordValue  `json:",omitempty"`
 	Traffic    *Traffic       `json:"Second,omitempty"`
 	Errors     []string       `json:",omitempty"`
 }
@@ -82,8 +82,8 @@
 	State  string
 }
 
-// RecordSeen is the value that a member has for a record.
-type RecordSeen struct {
+// RecordValue is the value that a member has for a record.
+type RecordValue struct {
 	Member int
 	Name   string
 	Value  string
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, record := range status.Records {
-		m.observeRecord(RecordSeen{member, record.Name, record.Value}, at)
+		m.observeRecord(RecordValue{member, record.Name, record.Value}, at)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	state.lastPID = pid
 	state.lastCPU = cpu
-	if f.monitor.judging {
+	if f.monitor.recording {
 		state.maxResidentMB = max(state.maxResidentMB, deployment.Resident(pid)/bytesPerMegabyte)
 	}
 }
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -206,7 +206,7 @@
 	return context.Cause(ctx)
 }
 
-// pickAny draws a member that runs in one of some zones: half of all draws are for a real one, and find a hollow one
+// pickAny draws a member that runs in one of some zones: half of all draws are for a real one, and find a stub
 // where no real one runs there.
 func (r *run) pickAny(zones []int) (member int, ok bool) {
 	if member, ok := r.pickRunning(r.rng.IntN(2) == 0, zones); ok {
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -114,7 +114,7 @@
 	r.monitor.mu.Lock()
 	defer r.monitor.mu.Unlock()
 	r.joinedAt = time.Now().UnixMicro()
-	r.monitor.judging = true
+	r.monitor.recording = true
 	r.monitor.starvedUntil = 0
 	clear(r.monitor.recoveries)
 	return nil
@@ -205,8 +205,8 @@
 	}
 	millis := max(float64(result.at-begin.at)/1000, 0)
 	r.log("%s: %s_ms %.0f", fault, bound, millis)
-	r.keepWorst(bound+"_ms", millis)
-	r.keepWorst(bound+"_periods", float64(result.periods))
+	r.recordMax(bound+"_ms", millis)
+	r.recordMax(bound+"_periods", float64(result.periods))
 	r.report.Figures[strings.ReplaceAll(fault, " ", "_")+"_"+bound+"_ms"] = millis
 	return nil
 }
@@ -223,8 +223,8 @@
 	return nil
 }
 
-// keepWorst sets a figure to a value where that is its first or largest.
-func (r *run) keepWorst(figure string, value float64) {
+// recordMax sets a figure to a value where that is its first or largest.
+func (r *run) recordMax(figure string, value float64) {
 	if worst, had := r.report.Figures[figure]; !had || value > worst {
 		r.report.Figures[figure] = value
 	}
@@ -244,7 +244,7 @@
 	return r.awaitBound(ctx, begin, "count_everywhere", fault, r.monitor.countsComplete)
 }
 
-// crashOne crashes a member that is drawn from some zones, real or hollow. Where none runs it does nothing.
+// crashOne crashes a member that is drawn from some zones, real or stub. Where none runs it does nothing.
 func (r *run) crashOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
 	if !ok {
@@ -253,7 +253,7 @@
 	return r.crash(ctx, fault, member)
 }
 
-// restartOne has a member that is drawn from some zones, real or hollow, leave in the planned way, starts it again,
+// restartOne has a member that is drawn from some zones, real or stub, leave in the planned way, starts it again,
 // and waits each time until all members count as many as there are.
 func (r *run) restartOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
@@ -269,7 +269,7 @@
 	if err := r.awaitBound(ctx, begin, "count_everywhere", fault+" leaves", r.monitor.countsComplete); err != nil {
 		return err
 	}
-	pause(ctx, leaveMicros*time.Microsecond) // until a hollow member has ended
+	pause(ctx, leaveMicros*time.Microsecond) // until a stub member has ended
 	begin, err = r.injectFault(ctx, fmt.Sprintf("%s: %s starts", fault, name),
 		func() error { return r.restart(member) })
 	if err != nil {
@@ -278,7 +278,7 @@
 	return r.awaitBound(ctx, begin, "count_everywhere", fault+" starts", r.monitor.countsComplete)
 }
 
-// publishOne has a member that is drawn from some zones, real or hollow, publish a record, as publishRecord does.
+// publishOne has a member that is drawn from some zones, real or stub, publish a record, as publishRecord does.
 func (r *run) publishOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
 	if !ok {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,5 +1,5 @@
 // Package scale measures a fleet of balancers at the size that it is designed for, on one machine. Some members are
-// real processes of the program; the others are hollow members: the production decider and transport without
+// real processes of the program; the others are stub members: the production decider and transport without
 // clients, servers, discovery and admin listener, many to a process. Links between the members have the delays of a
 // deployment in several regions.
 //
@@ -9,8 +9,8 @@
 // decides nothing for it. A run whose own processes had too little processor time is not valid and reports no figure
 // of the fleet.
 //
-// Rest and Region are the runs. Hollow is the main function of a process of hollow members, which a run starts as a
-// child process.
+// Rest and Region are the runs. RunStubMembers is the main function of a process of stub members, which a run starts as
+// a child process.
 package scale
 
 import (
@@ -36,12 +36,12 @@
 
 // testOptions make runs short enough for tests. The program leaves them zero.
 type testOptions struct {
-	realMembers  int           // number of real members
-	restTime     time.Duration // how long nothing happens before the first fault
-	waitLimit    time.Duration // bound of each wait
-	judgeStarved bool          // keep the figures also where timers came late
-	failFast     bool          // end the run at the first condition that does not come to hold
-	hollow       hollowCommand // nil: this program's own
+	realMembers  int             // number of real members
+	restTime     time.Duration   // how long nothing happens before the first fault
+	waitLimit    time.Duration   // bound of each wait
+	allowStarved bool            // keep the figures also where timers came late
+	failFast     bool            // end the run at the first condition that does not come to hold
+	stubCommand  stubCommandFunc // nil: this program's own
 }
 
 // Experiment is a run that can be chosen by its name.
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -18,8 +18,8 @@
 const (
 	// waitLimit bounds every wait. Its length is not part of what is tested.
 	waitLimit = 2 * time.Minute
-	// hollowEnv is the environment variable that makes the test's program a process of hollow members.
-	hollowEnv = "SPURLAB_TEST_HOLLOW"
+	// stubEnv is the environment variable that makes the test's program a process of stub members.
+	stubEnv = "SPURLAB_TEST_HOLLOW"
 
 	// Twice the bounds of issue 31, in protocol periods of 50 ms: on a loaded machine periods take longer, and an
 	// update waits in each process that it passes until that process is scheduled.
@@ -30,10 +30,10 @@
 // program is the path of the balancer's program, which TestMain builds.
 var program string
 
-// TestMain builds the program once. Where hollowEnv is set, it is the main function of a process of hollow members.
+// TestMain builds the program once. Where stubEnv is set, it is the main function of a process of stub members.
 func TestMain(m *testing.M) {
-	if os.Getenv(hollowEnv) != "" {
-		if err := Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(stubEnv) != "" {
+		if err := RunStubMembers(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -53,14 +53,14 @@
 	os.Exit(code)
 }
 
-// testHollowCommand starts the test's own program as a process of hollow members.
-func testHollowCommand() (*exec.Cmd, error) {
+// testStubCommand starts the test's own program as a process of stub members.
+func testStubCommand() (*exec.Cmd, error) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), hollowEnv+"=1")
+	cmd.Env = append(os.Environ(), stubEnv+"=1")
 	return cmd, nil
 }
 
-// smallFleet returns the options of a run with 2 regions, 3 zones, 30 hollow members and 2 real ones, whose figures
+// smallFleet returns the options of a run with 2 regions, 3 zones, 30 stub members and 2 real ones, whose figures
 // are kept also on a machine that is busy.
 func smallFleet(t *testing.T, fault InjectedFault, limit time.Duration) Options {
 	t.Helper()
@@ -78,9 +78,9 @@
 			realMembers:  2,
 			restTime:     time.Second,
 			waitLimit:    limit,
-			judgeStarved: true,
+			allowStarved: true,
 			failFast:     true,
-			hollow:       testHollowCommand,
+			stubCommand:  testStubCommand,
 		},
 	}
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// In a small fleet of real and hollow members all see crashes, restarts and records, and no member that runs is
+// In a small fleet of real and stub members all see crashes, restarts and records, and no member that runs is
 // declared dead.
 func TestSmallFleetAtRest(t *testing.T) {
 	t.Parallel()
@@ -124,7 +124,7 @@
 }
 
 // Two regions are partitioned, both ways and one way, and count each other again once the links are healed.
-func TestSmallFleetLosesARegion(t *testing.T) {
+func TestSmallFleetPartitionsRegions(t *testing.T) {
 	t.Parallel()
 	options := smallFleet(t, "", waitLimit)
 	options.PartitionTime = time.Second
@@ -135,8 +135,8 @@
 	assertWithin(t, result)
 }
 
-// A run detects each fault that is injected into hollow members: they never all join, or a bound is missed.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// A run detects each fault that is injected into stub members: they never all join, or a bound is missed.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []InjectedFault{NoDelegate, WrongSummary} {
 		t.Run(string(fault), func(t *testing.T) {
--- a/lab/scale/hollow_group.go
+++ b/lab/scale/stub_group.go
@@ -16,14 +16,14 @@
 	lagTimerMicros    = 10_000  // interval of the timer whose lateness is measured, microseconds
 )
 
-// hollowGroup is an event loop with its hollow members. All but newHollowGroup and has run on the loop.
-type hollowGroup struct {
+// stubGroup is an event loop with its stub members. All but newStubGroup and has run on the loop.
+type stubGroup struct {
 	loop         *eventloop.Loop
 	number       int // within the process
 	setup        *Setup
 	links        *Links
 	keyring      *packet.Keyring
-	members      []*hollowMember
+	members      []*stubMember
 	memberByAddr map[netip.Addr]int // all members of the fleet: each has an address of its own
 	memberByName map[string]int
 	zoneByID     map[zonedirectory.ID]int
@@ -36,7 +36,7 @@
 	lagDue      time.Time // when the lag timer should fire next
 }
 
-func newHollowGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*hollowGroup, error) {
+func newStubGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*stubGroup, error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	topology := &setup.Topology
-	g := &hollowGroup{
+	g := &stubGroup{
 		loop:         loop,
 		number:       number,
 		setup:        setup,
@@ -66,17 +66,17 @@
 		g.zoneByID[topology.Site(zone).ID()] = zone
 	}
 	for _, member := range members {
-		g.members = append(g.members, &hollowMember{group: g, index: member})
+		g.members = append(g.members, &stubMember{group: g, index: member})
 	}
 	g.resetTraffic()
 	return g, nil
 }
 
 // has returns whether a member belongs to this loop. It may be called from any goroutine.
-func (g *hollowGroup) has(member int) bool { return g.find(member) != nil }
+func (g *stubGroup) has(member int) bool { return g.find(member) != nil }
 
 // find returns the member of this loop with an index, or nil.
-func (g *hollowGroup) find(member int) *hollowMember {
+func (g *stubGroup) find(member int) *stubMember {
 	for _, own := range g.members {
 		if own.index == member {
 			return own
@@ -86,7 +86,7 @@
 }
 
 // run serves the loop until it is stopped.
-func (g *hollowGroup) run() error {
+func (g *stubGroup) run() error {
 	repeat(g.loop, sampleMicros, g.emitSample)
 	repeat(g.loop, membership.TickInterval, func() { g.periods++ })
 	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
@@ -104,7 +104,7 @@
 }
 
 // measureLag measures how late a timer fires, the other work of the loop included.
-func (g *hollowGroup) measureLag() {
+func (g *stubGroup) measureLag() {
 	late := time.Since(g.lagDue).Microseconds()
 	g.pending.LagMicros = append(g.pending.LagMicros, max(late, 0))
 	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
@@ -112,7 +112,7 @@
 }
 
 // execute carries out a command.
-func (g *hollowGroup) execute(command *Command) {
+func (g *stubGroup) execute(command *Command) {
 	if command.Action == ActionLink {
 		g.links.Set(command.From, command.To, command.applyTo)
 		return
@@ -123,7 +123,7 @@
 }
 
 // emitSample sends what has changed at the members since the last sample.
-func (g *hollowGroup) emitSample() {
+func (g *stubGroup) emitSample() {
 	sample := g.pending
 	sample.Loop = g.number
 	sample.At = time.Now().UnixMicro()
@@ -147,7 +147,7 @@
 }
 
 // addTraffic adds the traffic of the last second to a sample.
-func (g *hollowGroup) addTraffic(sample *Sample) {
+func (g *stubGroup) addTraffic(sample *Sample) {
 	for i, member := range g.members {
 		g.traffic.Sent[i] = member.sentBytes
 		g.traffic.Received[i] = member.receivedBytes
@@ -162,7 +162,7 @@
 }
 
 // resetTraffic begins a second without traffic.
-func (g *hollowGroup) resetTraffic() {
+func (g *stubGroup) resetTraffic() {
 	realMembers := g.setup.Topology.RealMembers
 	g.traffic = Traffic{
 		Sent:          make([]int64, len(g.members)),
@@ -175,7 +175,7 @@
 
 // countRealTraffic counts a datagram that a member sent or received, if it is a real one: its own process has no
 // socket that counts.
-func (g *hollowGroup) countRealTraffic(member, sent, received int) {
+func (g *stubGroup) countRealTraffic(member, sent, received int) {
 	if !g.setup.Topology.Real(member) {
 		return
 	}
--- a/lab/scale/member_view.go
+++ b/lab/scale/stub_log_hook.go
@@ -10,14 +10,14 @@
 	"spurspread/lab/link"
 )
 
-// discardFormatter formats log entries as nothing: the log of a hollow member is read by its hook only.
+// discardFormatter formats log entries as nothing: the log of a stub member is read by its hook only.
 type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
 // changeHook observes the changes of a member's view in its log, as an operator would.
-type changeHook struct{ member *hollowMember }
+type changeHook struct{ member *stubMember }
 
 // Levels implements logrus.Hook.
 func (*changeHook) Levels() []logrus.Level { return []logrus.Level{logrus.InfoLevel} }
@@ -50,7 +50,7 @@
 }
 
 // observePeer records a change of the state that this member has for another one of its zone.
-func (m *hollowMember) observePeer(subject int, from, to string) {
+func (m *stubMember) observePeer(subject int, from, to string) {
 	state := parseState(to)
 	before := m.peerStates[subject]
 	m.peerStates[subject] = state
--- a/lab/scale/hollow_member.go
+++ b/lab/scale/stub_member.go
@@ -16,9 +16,9 @@
 // leaveMicros is how long a member that leaves goes on to announce it, in microseconds: as long as the program does.
 const leaveMicros = 1_000_000
 
-// hollowMember is one hollow member. It belongs to the goroutine of its loop.
-type hollowMember struct {
-	group      *hollowGroup
+// stubMember is one stub member. It belongs to the goroutine of its loop.
+type stubMember struct {
+	group      *stubGroup
 	index      int
 	host       *peer.Host // nil while the member does not run
 	generation int        // how often the member was started or ended
@@ -37,10 +37,10 @@
 	records    map[string]string // values by name
 }
 
-func (m *hollowMember) topology() *Topology { return &m.group.setup.Topology }
+func (m *stubMember) topology() *Topology { return &m.group.setup.Topology }
 
 // execute carries out a command. A start that was delayed is dropped where the member started or ended meanwhile.
-func (m *hollowMember) execute(command *Command) {
+func (m *stubMember) execute(command *Command) {
 	switch command.Action {
 	case ActionStart:
 		generation := m.generation
@@ -59,7 +59,7 @@
 }
 
 // start starts the member with no knowledge of the fleet but its seeds.
-func (m *hollowMember) start() {
+func (m *stubMember) start() {
 	m.generation++
 	m.peerStates = map[int]membership.State{}
 	m.ownZoneCount = 1
@@ -81,7 +81,7 @@
 
 // config is the configuration of the member. Its random numbers are not drawn from the run's seed: the order of
 // events between processes isn't reproducible either.
-func (m *hollowMember) config() peer.Config {
+func (m *stubMember) config() peer.Config {
 	topology := m.topology()
 	name := topology.Name(m.index)
 	config := peer.Config{
@@ -101,7 +101,7 @@
 }
 
 // kill ends the member without notice to the others.
-func (m *hollowMember) kill() {
+func (m *stubMember) kill() {
 	if m.host == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // leave has the member announce that it leaves, and ends it after leaveMicros.
-func (m *hollowMember) leave() {
+func (m *stubMember) leave() {
 	if m.host == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // publish has the member publish a record.
-func (m *hollowMember) publish(command *Command) {
+func (m *stubMember) publish(command *Command) {
 	if m.host == nil {
 		return
 	}
@@ -135,12 +135,12 @@
 }
 
 // reportError adds an error to the next sample.
-func (m *hollowMember) reportError(format string, args ...any) {
+func (m *stubMember) reportError(format string, args ...any) {
 	m.group.pending.Errors = append(m.group.pending.Errors, fmt.Sprintf(format, args...))
 }
 
 // sample adds to a sample what has changed at the member since the last one.
-func (m *hollowMember) sample(sample *Sample) {
+func (m *stubMember) sample(sample *Sample) {
 	if !m.topology().Flat {
 		m.sampleZones(sample)
 		m.sampleRecords(sample)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (m *hollowMember) sampleZones(sample *Sample) {
+func (m *stubMember) sampleZones(sample *Sample) {
 	for _, view := range m.host.Zones() {
 		zone, known := m.group.zoneByID[view.Site.ID()]
 		if known && m.zoneStates[zone] != view.State {
@@ -171,17 +171,17 @@
 }
 
 // isAmong returns whether the member is one of some contacts of its zone.
-func (m *hollowMember) isAmong(contacts []zonedirectory.Contact) bool {
+func (m *stubMember) isAmong(contacts []zonedirectory.Contact) bool {
 	return slices.ContainsFunc(contacts, func(contact zonedirectory.Contact) bool {
 		return contact.Addr == m.host.Addr()
 	})
 }
 
-func (m *hollowMember) sampleRecords(sample *Sample) {
+func (m *stubMember) sampleRecords(sample *Sample) {
 	for _, record := range m.host.Records() {
 		if m.records[record.Name] != record.Value {
 			m.records[record.Name] = record.Value
-			sample.Records = append(sample.Records, RecordSeen{m.index, record.Name, record.Value})
+			sample.Records = append(sample.Records, RecordValue{m.index, record.Name, record.Value})
 		}
 	}
 }
--- a/lab/scale/hollow_process.go
+++ b/lab/scale/stub_process.go
@@ -12,26 +12,27 @@
 	"spurspread/internal/peer/packet"
 )
 
-// Stubs is what a hollow member lacks, as each report notes it.
-const Stubs = "hollow members have no clients, servers, discovery, settings, session store, admin listener and log"
+// StubLimitations is what a stub member lacks, as each report notes it.
+const StubLimitations = "stub members have no clients, servers, discovery, settings, session store, admin listener " +
+	"or log"
 
 // sampleQueueLength is how many samples may wait for the writer: some seconds of them, so that a reader that is late
 // blocks no loop.
 const sampleQueueLength = 256
 
-// Hollow is the main function of a process of hollow members. It reads a Setup and then Commands from in, and writes
-// Samples to out, until in ends. An error means that the setup or a command was malformed, that a loop or key could
-// not be created, or that out could not be written.
-func Hollow(in io.Reader, out io.Writer) error {
+// RunStubMembers is the main function of a process of stub members. It reads a Setup and then Commands from in, and
+// writes Samples to out, until in ends. An error means that the setup or a command was malformed, that a loop or key
+// could not be created, or that out could not be written.
+func RunStubMembers(in io.Reader, out io.Writer) error {
 	lines := json.NewDecoder(bufio.NewReader(in))
 	var setup Setup
 	if err := lines.Decode(&setup); err != nil {
-		return fmt.Errorf("hollow members: no setup: %w", err)
+		return fmt.Errorf("stub members: no setup: %w", err)
 	}
 	samples := make(chan *Sample, sampleQueueLength)
 	written := make(chan error, 1)
 	go func() { written <- writeSamples(out, samples) }()
-	groups, err := newHollowGroups(&setup, samples)
+	groups, err := newStubGroups(&setup, samples)
 	if err != nil {
 		return err
 	}
@@ -48,13 +49,13 @@
 	return errors.Join(err, <-written)
 }
 
-// newHollowGroups creates the loops of the process with their members.
-func newHollowGroups(setup *Setup, samples chan<- *Sample) ([]*hollowGroup, error) {
-	var groups []*hollowGroup
+// newStubGroups creates the loops of the process with their members.
+func newStubGroups(setup *Setup, samples chan<- *Sample) ([]*stubGroup, error) {
+	var groups []*stubGroup
 	for number, members := range setup.Loops {
-		group, err := newHollowGroup(setup, number, members, samples)
+		group, err := newStubGroup(setup, number, members, samples)
 		if err != nil {
-			return nil, fmt.Errorf("loop %d of hollow members: %w", number, err)
+			return nil, fmt.Errorf("loop %d of stub members: %w", number, err)
 		}
 		groups = append(groups, group)
 	}
@@ -62,7 +63,7 @@
 }
 
 // serveCommands posts each command to the loops that it concerns, until the input ends.
-func serveCommands(lines *json.Decoder, groups []*hollowGroup) error {
+func serveCommands(lines *json.Decoder, groups []*stubGroup) error {
 	for {
 		var command Command
 		err := lines.Decode(&command)
@@ -70,7 +71,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("hollow members: %w", err)
+			return fmt.Errorf("stub members: %w", err)
 		}
 		for _, group := range groups {
 			if command.Action == ActionLink || group.has(command.Member) {
@@ -97,7 +98,7 @@
 func newKeyring(secret []byte) (*packet.Keyring, error) {
 	key := packet.Key{Primary: true}
 	if len(secret) != len(key.Secret) {
-		return nil, fmt.Errorf("hollow members: a key has %d bytes, not %d", len(key.Secret), len(secret))
+		return nil, fmt.Errorf("stub members: a key has %d bytes, not %d", len(key.Secret), len(secret))
 	}
 	copy(key.Secret[:], secret)
 	return packet.NewKeyring([]packet.Key{key})
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -12,7 +12,7 @@
 const racksPerZone = 4
 
 // Topology is where each member of a fleet is placed, and the address of each. The first RealMembers members are
-// processes of the program, the others are hollow. All that is drawn follows from Seed, so that each process of a
+// processes of the program, the others are stubs. All that is drawn follows from Seed, so that each process of a
 // run derives the same topology.
 type Topology struct {
 	Members     int
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -182,7 +182,7 @@
 	for member := range f.realStates {
 		f.sampleRealUsage(member, at)
 	}
-	for _, p := range f.hollowProcesses {
+	for _, p := range f.stubProcesses {
 		if p.ended() {
 			f.cancel(p.endedError())
 		}
