--- a/lab/scale/bounds.go
+++ b/lab/scale/bounds.go
@@ -8,21 +8,21 @@
 	"spurspread/lab/report"
 )
 
-// Limits of a valid run. Beyond them the stub members had too little processor time: what members do 50 ms apart,
-// and wait 150 ms for, would be measured wrongly.
+// Limits of a valid run. Beyond them stub members had too little processor time: protocol steps 50 ms apart, and
+// timeouts of 150 ms, would be measured wrongly.
 const (
-	maxLagP99Millis = 20   // 99th percentile of how late timers of stub members fired, milliseconds
-	maxLagMillis    = 250  // the latest timer, milliseconds
-	maxCoreShare    = 0.85 // share of all cores that the run's processes used
+	maxLagP99Millis = 20   // 99th percentile of the lag of stub members' timers, in milliseconds
+	maxLagMillis    = 250  // greatest lag of such a timer, in milliseconds
+	maxCoreShare    = 0.85 // share of all cores that the processes of the run used
 )
 
-// invalidNote is the note of a report that gives the reason why the run is not valid.
+// invalidNote is the key of the report note that gives the reason why a run is not valid.
 const invalidNote = "not valid"
 
-// harnessFigures is the prefix of figures of the run itself, which a run that is not valid reports, too.
-const harnessFigures = "harness_"
+// harnessPrefix is the prefix of the figures of the run itself, which are reported even if the run is not valid.
+const harnessPrefix = "harness_"
 
-// bounds are those of issue 31, which each run of a fleet with zones has to meet.
+// bounds are the bounds of issue 31, which every run of a fleet with zones has to meet.
 var bounds = []struct {
 	figure string
 	limit  float64
@@ -41,20 +41,20 @@
 	{"processes", maxRunProcesses},
 }
 
-// starvationReason returns the reason why a run had too little processor time to be valid, by its figures; "" where
-// it is valid.
+// starvationReason returns, from the figures of a run, the reason why it was too short of processor time to be valid,
+// or "" if it is valid.
 func starvationReason(figures map[string]float64) string {
 	lagP99 := figures["harness_lag_p99_ms"]
 	maxLag := figures["harness_lag_max_ms"]
 	coreShare := figures["harness_core_share"]
 	switch {
 	case lagP99 > maxLagP99Millis:
-		return fmt.Sprintf("1 in 100 timers of stub members came %.0f ms late or later, over %d",
+		return fmt.Sprintf("the 99th percentile of the lag of stub members' timers is %.0f ms, over %d",
 			lagP99, maxLagP99Millis)
 	case maxLag > maxLagMillis:
-		return fmt.Sprintf("a timer of a stub member came %.0f ms late, over %d", maxLag, maxLagMillis)
+		return fmt.Sprintf("a timer of a stub member fired %.0f ms late, over %d", maxLag, maxLagMillis)
 	case coreShare > maxCoreShare:
-		return fmt.Sprintf("the run took %.2f of all cores, over %.2f", coreShare, maxCoreShare)
+		return fmt.Sprintf("the run used %.2f of all cores, over %.2f", coreShare, maxCoreShare)
 	}
 	return ""
 }
@@ -62,7 +62,7 @@
 // markInvalid removes all figures of the fleet from a report, and notes the reason.
 func markInvalid(result *report.Report, reason string) {
 	for name := range result.Figures {
-		if !strings.HasPrefix(name, harnessFigures) && name != "processes" {
+		if !strings.HasPrefix(name, harnessPrefix) && name != "processes" {
 			delete(result.Figures, name)
 		}
 	}
@@ -70,8 +70,8 @@
 	result.Charts = nil
 }
 
-// checkBounds checks a report's figures against the bounds, except those that the run does not measure. A report that
-// is not valid is checked against the limits of a valid run only.
+// checkBounds checks the figures of a report against the bounds, except for those that the run does not measure. A
+// report that is not valid is only checked against the limits of a valid run.
 func checkBounds(result *report.Report, unmeasured ...string) {
 	if _, invalid := result.Notes[invalidNote]; invalid {
 		result.Check("harness_lag_p99_ms", maxLagP99Millis, false)
--- a/lab/scale/bounds_test.go
+++ b/lab/scale/bounds_test.go
@@ -6,7 +6,7 @@
 	"spurspread/lab/report"
 )
 
-// A run whose timers came late has no figures but those of the harness, and does not pass.
+// A run whose timers fired late reports only figures of the harness, and does not pass.
 func TestStarvedRunIsNotValid(t *testing.T) {
 	result := &report.Report{
 		Figures: map[string]float64{
@@ -21,7 +21,7 @@
 	markInvalid(result, reason)
 	checkBounds(result)
 	if reason == "" || result.Pass || len(result.Figures) != 3 {
-		t.Errorf("%q, %+v", reason, result)
+		t.Errorf("a starved run is reported as valid: reason %q, %+v", reason, result)
 	}
 	atLimits := map[string]float64{
 		"harness_lag_p99_ms": 1,
@@ -29,18 +29,18 @@
 		"harness_core_share": maxCoreShare,
 	}
 	if starvationReason(atLimits) != "" {
-		t.Error("a run at the limits is not valid")
+		t.Error("a run exactly at the limits is not valid, want valid")
 	}
 }
 
-// What is sent to a member that was killed is not counted as its cost.
+// Datagrams sent to a killed member are no cost of it: its running span ends with the kill.
 func TestRunningSpanEndsAtKill(t *testing.T) {
 	r := &run{killedAt: map[int]int64{3: 500}}
 	whole := span{100, 1000}
 	if got := r.runningSpan(3, whole); got != (span{100, 500}) {
-		t.Errorf("a killed member ran in %v", got)
+		t.Errorf("running span of a killed member is %v, want 100 to 500", got)
 	}
 	if got := r.runningSpan(1, whole); got != whole {
-		t.Errorf("a member that was not killed ran in %v", got)
+		t.Errorf("running span of a member that was not killed is %v, want all of the run", got)
 	}
 }
--- a/lab/scale/conditions.go
+++ b/lab/scale/conditions.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// maxMiscounts bounds how many members describeMiscounts names.
+// maxMiscounts limits the number of members that describeMiscounts names.
 const maxMiscounts = 5
 
-// condition returns whether something holds for all members, and since when (wall clock, microseconds). It needs
-// monitor.mu locked.
+// condition returns whether something holds for all members, and if so since when (wall clock, microseconds).
+// monitor.mu must be locked.
 type condition func() (since int64, holds bool)
 
-// connected returns whether datagrams pass between two zones both ways. Partitions are between whole zones, so that
-// the first rack of each stands for all.
+// connected returns whether datagrams pass between two zones in both directions. Only whole zones are partitioned, so
+// the first rack of each represents the zone.
 func (m *monitor) connected(zone, other int) bool {
 	rack := zone * racksPerZone
 	otherRack := other * racksPerZone
 	return !m.partitioned[[2]int{rack, otherRack}] && !m.partitioned[[2]int{otherRack, rack}]
 }
 
-// countable returns whether the members of a zone have to count those of another one: the zones are connected, or
-// both are connected to a third.
+// countable returns whether members of a zone have to count those of another: the zones are connected, or both are
+// connected to a third.
 func (m *monitor) countable(zone, other int) bool {
 	if zone == other || m.connected(zone, other) {
 		return true
@@ -35,7 +35,7 @@
 	return false
 }
 
-// runningByZone returns how many members run in each zone.
+// runningByZone returns the number of running members of each zone.
 func (m *monitor) runningByZone() []int {
 	running := make([]int, m.topology.Zones)
 	for i := range m.members {
@@ -46,7 +46,7 @@
 	return running
 }
 
-// expectedCounts returns, for each zone, how many live members its members have to count.
+// expectedCounts returns, by zone, the number of live members that each member of the zone has to count.
 func (m *monitor) expectedCounts() []int {
 	running := m.runningByZone()
 	expected := make([]int, m.topology.Zones)
@@ -60,7 +60,7 @@
 	return expected
 }
 
-// countsComplete is the condition that all members that run count as many members as expected.
+// countsComplete is the condition that every running member counts the expected number of members.
 func (m *monitor) countsComplete() (since int64, holds bool) {
 	expected := m.expectedCounts()
 	for i := range m.members {
@@ -76,7 +76,7 @@
 	return since, true
 }
 
-// joinComplete is the condition that all members that run know all of their own zone, and count all of the fleet.
+// joinComplete is the condition that every running member knows all members of its zone and counts the whole fleet.
 func (m *monitor) joinComplete() (since int64, holds bool) {
 	since, holds = m.countsComplete()
 	running := m.runningByZone()
@@ -89,8 +89,8 @@
 	return since, holds
 }
 
-// deathSeen is the condition that all members that run in a member's zone, or in a flat fleet all that run, have
-// declared it dead.
+// deathSeen returns the condition that a member has been declared dead by all running members of its zone, or of the
+// whole fleet if it is flat.
 func (m *monitor) deathSeen(subject int) condition {
 	return func() (since int64, holds bool) {
 		for i := range m.members {
@@ -108,13 +108,13 @@
 	}
 }
 
-// sameMembership returns whether two members are in the same membership: that of their zone, or of a flat fleet.
+// sameMembership returns whether two members are in the same membership: that of their zone, or that of a flat fleet.
 func (m *monitor) sameMembership(member, other int) bool {
 	return m.topology.Flat || m.topology.Zone(member) == m.topology.Zone(other)
 }
 
-// recordSeen is the condition that all members that run, in zones that count the members of a zone, have a record's
-// value.
+// recordSeen returns the condition that a record has a value at every running member whose zone counts the members of
+// fromZone.
 func (m *monitor) recordSeen(fromZone int, name, value string) condition {
 	return func() (since int64, holds bool) {
 		for i := range m.members {
@@ -132,7 +132,8 @@
 	}
 }
 
-// describeMiscounts returns how many members count another number than expected, and names the first of them.
+// describeMiscounts returns a text with the number of members whose count differs from the expected one, and the first
+// of them by name.
 func (m *monitor) describeMiscounts() string {
 	var named []string
 	expected := m.expectedCounts()
@@ -147,9 +148,9 @@
 		if miscounts > maxMiscounts {
 			continue
 		}
-		named = append(named, fmt.Sprintf("%s (zone %d) counts %d, %d are there",
+		named = append(named, fmt.Sprintf("%s (zone %d) counts %d members, expected %d",
 			m.topology.Name(i), zone, member.totalCount, expected[zone]))
 	}
 	slices.Sort(named)
-	return fmt.Sprintf("%d count wrongly: %s", miscounts, strings.Join(named, ", "))
+	return fmt.Sprintf("%d members have a wrong count: %s", miscounts, strings.Join(named, ", "))
 }
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -10,8 +10,8 @@
 	"spurspread/lab/procs"
 )
 
-// The request classes of clients: one as the platform has it, and one whose deadline is so long that its clients can
-// be measured while they wait.
+// Request classes of clients: an ordinary one of the platform, and one whose deadline is so long that clients can be
+// measured while they wait.
 const (
 	ordinaryClass     = "index-sync"
 	ordinaryDeadline  = 1200 * time.Millisecond
@@ -19,10 +19,10 @@
 	longDeadline      = 20 * time.Second
 )
 
-// Modes in which a balancer connects clients with servers, as the settings name them.
+// Modes in which a balancer connects clients to servers, by their names in the settings.
 const (
-	proxyMode = "proxy" // the balancer bounds the set-ups that are under way
-	passMode  = "pass"  // it does not
+	proxyMode = "proxy" // the balancer limits the set-ups in progress
+	passMode  = "pass"  // the balancer does not limit them
 )
 
 const (
@@ -32,17 +32,17 @@
 	messageTargetBytes = 250_000
 )
 
-// balancer is one real balancer with its discovery.
+// balancer is one real balancer process with its discovery server.
 type balancer struct {
 	fleet     *procs.Fleet
 	proc      *procs.Proc
 	discovery *discoveryserver.Server
 	entries   []discoveryserver.Entry
-	addr      netip.AddrPort // that clients connect to
+	addr      netip.AddrPort // address for clients
 }
 
-// startBalancer starts a balancer that may hold so many descriptors. Discovery lists so many servers, which have the
-// addresses in turn.
+// startBalancer starts a balancer with a limit of descriptors. Discovery lists a number of servers, to which the
+// addresses are assigned in turn.
 func startBalancer(
 	program, dir, mode string,
 	descriptors, listedServers int,
@@ -55,12 +55,12 @@
 	}
 	b := &balancer{}
 	if b.discovery, err = discoveryserver.Start(0); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("start discovery: %w", err)
 	}
 	b.listServers(listedServers, addrs)
 	if b.fleet, err = procs.New(program, balancerDir, 1, 1, seed); err != nil {
 		b.close()
-		return nil, fmt.Errorf("balancer: %w", err)
+		return nil, fmt.Errorf("configure balancer: %w", err)
 	}
 	b.fleet.Apart = true
 	b.fleet.Change = func(_ int, config map[string]any) { b.configure(config, mode, descriptors) }
@@ -68,12 +68,12 @@
 	b.addr = netip.MustParseAddrPort(b.proc.Listen)
 	if err := b.fleet.Start(); err != nil {
 		b.close()
-		return nil, fmt.Errorf("balancer: %w", err)
+		return nil, fmt.Errorf("start balancer: %w", err)
 	}
 	return b, nil
 }
 
-// listServers has discovery list so many servers, which have the addresses in turn.
+// listServers has discovery list a number of servers, to which the addresses are assigned in turn.
 func (b *balancer) listServers(count int, addrs []netip.AddrPort) {
 	for i := range count {
 		entry := discoveryserver.Entry{
@@ -90,7 +90,7 @@
 	}
 }
 
-// configure changes the configuration of lab/procs to what the platform would have for this balancer.
+// configure changes the configuration of lab/procs to that of a balancer on the platform.
 func (b *balancer) configure(config map[string]any, mode string, descriptors int) {
 	config["discovery"] = b.discovery.Addr()
 	config["known"] = b.discovery.FullList()
@@ -114,7 +114,7 @@
 	}
 }
 
-// classSettings are the settings of a request class.
+// classSettings returns the settings of a request class.
 func classSettings(name string, deadline time.Duration) map[string]any {
 	return map[string]any{
 		"name":      name,
@@ -125,17 +125,19 @@
 	}
 }
 
-// changeList changes the weight of one listed server a little, which affects nothing that is measured here.
+// changeList changes the weight of one listed server slightly, which has no effect on the measured figures but makes
+// discovery send the change.
 func (b *balancer) changeList(server int) {
-	const weightSum = 2.0001 // of the weight before and after
+	const weightSum = 2.0001 // sum of the weights before and after a change
 	entry := &b.entries[server%len(b.entries)]
 	entry.Weight = weightSum - entry.Weight
 	b.discovery.Set(*entry)
 }
 
-// cost is what the balancer's process uses now.
+// cost returns the current resource usage of the balancer process.
 func (b *balancer) cost() processCost { return costOf(b.proc.Pid()) }
 
+// close stops the balancer and its discovery server.
 func (b *balancer) close() {
 	if b.fleet != nil {
 		b.fleet.Close()
--- a/lab/scale/connections/client.go
+++ b/lab/scale/connections/client.go
@@ -10,33 +10,34 @@
 	"spurspread/lab/netloop"
 )
 
-// clientState is the state of a client's connection.
+// clientState is the state of the connection of a client.
 type clientState uint8
 
 const (
 	disconnected clientState = iota
-	silent                   // connected, and has sent no first line
-	requested                // has sent its first line
-	established              // was answered UP
+	silent                   // connected, first line not sent
+	requested                // first line sent
+	established              // answered with UP
 )
 
-// retryDelay is when a client tries again that was rejected without a time, or whose connection was closed.
+// retryDelay is the time after which a client retries if its connection was closed, or if the rejection contained no
+// retry time.
 const retryDelay = 100 * millisecond
 
-// client is one connection to the balancer. It belongs to the loop of its generator.
+// client is one connection to the balancer. It is used only on the loop of its generator.
 type client struct {
 	generator *generator
 	conn      *netloop.Conn
 	state     clientState
-	due       netloop.Micros   // when the present set-up was due
-	answer    []byte           // to the first line: what of it was received
-	pending   []netloop.Micros // when each line was due that has not come back, the oldest first
-	midLine   bool             // the last line received is not complete
-	position  int              // in generator.established
-	retry     *netloop.Timer   // nil where none is set
+	due       netloop.Micros   // time at which the current set-up was due
+	answer    []byte           // received part of the answer to the first line
+	pending   []netloop.Micros // due times of the lines whose echo is pending, oldest first
+	midLine   bool             // whether the last received line is incomplete
+	position  int              // index in generator.established
+	retry     *netloop.Timer   // nil if no retry is scheduled
 }
 
-// dial connects, and sends a first line where request is set.
+// dial connects to the balancer. If request is set, the client then sends a first line.
 func (c *client) dial(due netloop.Micros, request bool) {
 	g := c.generator
 	c.due = due
@@ -62,8 +63,8 @@
 	c.conn.Write([]byte(line))
 }
 
-// retryAfter sets up the connection again after a delay, where clients of the generator do so. The delay counts from
-// when the first attempt was due.
+// retryAfter sets up the connection again after a delay, if the clients of the generator retry. The delay of the set-up
+// is still measured from when the first attempt was due.
 func (c *client) retryAfter(delay netloop.Micros) {
 	if !c.generator.retrying {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// handleLines handles what an established connection received: each line is the return of the oldest pending one.
+// handleLines handles data on an established connection: each line is the echo of the oldest pending line.
 func (c *client) handleLines(data []byte) {
 	g := c.generator
 	now := g.loop.Now()
@@ -136,7 +137,7 @@
 	c.retryAfter(rejectionDelay(line))
 }
 
-// rejectionDelay is when a client that was rejected may try again: the time that the rejection has, else retryDelay.
+// rejectionDelay returns the time until a rejected client may retry: that in the rejection, or else retryDelay.
 func rejectionDelay(line []byte) netloop.Micros {
 	rest, busy := bytes.CutPrefix(line, []byte("BUSY "))
 	if !busy {
@@ -149,7 +150,8 @@
 	return netloop.Micros(delayMillis) * millisecond
 }
 
-// establish records that the connection was set up. Where clients churn it is closed and set up again.
+// establish records that the connection is established. If the generator churns, the client closes it and sets up a new
+// one.
 func (c *client) establish() {
 	g := c.generator
 	g.delayMillis = append(g.delayMillis, millis(g.loop.Now()-c.due))
@@ -164,7 +166,7 @@
 	}
 }
 
-// disconnect closes the connection; its pending lines are lost.
+// disconnect closes the connection. Its pending lines count as lost.
 func (c *client) disconnect() {
 	g := c.generator
 	if c.state == established {
@@ -184,10 +186,10 @@
 	c.state = disconnected
 }
 
-// lineBytes is the length of a line that clients send, with its end.
+// lineBytes is the length of a line that clients send, including its end.
 const lineBytes = 40
 
-// lineEnd ends each line.
+// lineEnd terminates each line.
 const lineEnd = "\r\n"
 
 // newLine returns the line that clients send.
--- a/lab/scale/connections/connections.go
+++ b/lab/scale/connections/connections.go
@@ -1,11 +1,11 @@
-// Package connections measures what the connections of one real balancer cost, by their number: memory, processor
-// time and delay. All is read from outside the process, on loopback, between clients and stand-in servers of the
-// harness. Lines are due by a clock that does not wait for answers, and their delay counts from when they were due.
-// Where the harness itself ran late, a figure is left out and a note says 'not valid'.
+// Package connections measures the cost of the connections of one real balancer by their number: memory, processor time
+// and delay. All figures are measured from outside the process, on loopback, between clients and stand-in servers of
+// the harness. Lines are due by a clock that does not wait for answers, and the delay of a line is measured from when
+// it was due. If the harness itself ran late, a figure is left out and a note says 'not valid'.
 //
-// The harness runs on loops of lab/netloop, on threads of its own. How late it sends and how late its timers fire is
-// measured, too, so that its own delays are not taken for the balancer's. It knows the client and server protocol,
-// discovery and settings of the balancer, and none of its decisions.
+// The harness runs on loops of lab/netloop, each on a separate thread. The lag of its sends and of its timers is
+// measured as well, so that delays of the harness are not attributed to the balancer. The package knows the client and
+// server protocol, the discovery and the settings of the balancer, but none of its decisions.
 package connections
 
 import (
@@ -24,25 +24,26 @@
 const Name = "scale-connections"
 
 // About is the description of the run in the list of experiments.
-const About = "one balancer by its number of connections: memory of each, processor time of set-ups, lines and " +
-	"reconnects, delay"
+const About = "cost of one balancer by its number of connections: memory of each, processor time of set-ups, lines " +
+	"and reconnects, and delay"
 
-// plan is how much a run measures.
+// plan holds the sizes, rates and times of a run.
 type plan struct {
 	sizes         []int         // numbers of established connections
 	listedServers int           // servers that discovery lists
-	listeners     int           // addresses that they have
-	loops         int           // of clients, and of servers
-	setUpRate     float64       // connections per second while they are set up
-	lineRates     []float64     // lines that clients send per second, one step after another
-	stepTime      time.Duration // of each line rate
-	restTime      time.Duration // without any line
-	churnTime     time.Duration // of set-ups without a pause
-	listChanges   int           // of discovery's list
+	listeners     int           // addresses of these servers
+	loops         int           // number of loops for clients, and the same number for servers
+	setUpRate     float64       // rate at which connections are set up, per second
+	lineRates     []float64     // rates at which clients send lines, per second, one step after another
+	stepTime      time.Duration // duration of a step
+	restTime      time.Duration // duration of the measurement without any line
+	churnTime     time.Duration // duration of the measurement of continuous set-ups
+	listChanges   int           // number of changes of discovery's list
 }
 
-// fullPlan returns the plan of a run that is kept. The number of listed servers follows from the slow-start budget of
-// each (18 at once, 10.5 a second): with fewer, that would bound set-ups before the program does.
+// fullPlan returns the plan of a run whose report is stored. The number of listed servers follows from the slow-start
+// budget of each (18 at once, 10.5 a second): with fewer servers, that budget would limit set-ups before the program
+// does.
 func fullPlan() *plan {
 	return &plan{
 		sizes:         []int{2000, 3500, 5000, 7000, 10000, 20000},
@@ -59,22 +60,23 @@
 }
 
 const (
-	// baselineRate is the rate of the first step: so few lines that none waits for another.
+	// baselineRate is the rate of the first step, so low that no line waits for another.
 	baselineRate = 500
-	// referenceRate is a rate that is sustained at all sizes; the cost of a line is compared at it.
+	// referenceRate is a rate that is sustained at all sizes, at which the cost of a line is compared.
 	referenceRate = 5000
-	// spareDescriptors are those that the harness and the balancer need besides the measured connections: listeners,
-	// discovery, clients that churn, and connections that have ended and are not closed yet.
+	// spareDescriptors are those that the harness and the balancer need in addition to the measured connections: for
+	// listeners, discovery, clients that churn, and connections that have ended and are not closed yet.
 	spareDescriptors = 400
-	// A balancer reserves this part of its descriptors, and some more, for set-ups (internal/proxy): with fewer left
-	// it closes idle connections and rejects new ones.
+	// A balancer reserves 1/reservedDivisor of its descriptors, and reservedExtra more, for set-ups (internal/proxy).
+	// With fewer left it closes idle connections and rejects new ones.
 	reservedDivisor = 16
 	reservedExtra   = 16
-	// descriptorsPerConnection is how many an established connection takes of the balancer, and of the harness.
+	// descriptorsPerConnection is the number of descriptors that an established connection uses in the balancer, and in
+	// the harness.
 	descriptorsPerConnection = 2
-	// maxWait bounds waits; what has not happened by then is visible in the figures.
+	// maxWait limits each wait. The figures show if something did not complete in time.
 	maxWait = 20 * time.Second
-	// settleTime is how long counts and memory have until they are read.
+	// settleTime is the time for counts and memory to settle before they are read.
 	settleTime = 300 * time.Millisecond
 )
 
@@ -89,17 +91,18 @@
 	plan         *plan
 	options      experiment.Options
 	dir          string
-	descriptors  int // that a process may hold
+	descriptors  int // limit for one process
 	load         *load
 	servers      *servers
 	report       *report.Report
 	measurements []measurement
 }
 
+// runPlan carries out a plan.
 func runPlan(ctx context.Context, o experiment.Options, p *plan) (*report.Report, error) {
 	dir, err := os.MkdirTemp("", "spurspread-lab")
 	if err != nil {
-		return nil, fmt.Errorf("directory of the balancers: %w", err)
+		return nil, fmt.Errorf("create the directory of the balancers: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	r := &run{plan: p, options: o, dir: dir, report: newReport(o)}
@@ -123,6 +126,7 @@
 	return r.report, nil
 }
 
+// newReport returns a report without figures and notes.
 func newReport(o experiment.Options) *report.Report {
 	return &report.Report{
 		Experiment: Name,
@@ -134,23 +138,23 @@
 	}
 }
 
-// maxEstablished is how many connections may be established at once by a limit of descriptors, which is the same for
-// the balancer and the harness.
+// maxEstablished returns the number of connections that can be established at once under a limit of descriptors, which
+// is the same for the balancer and the harness.
 func maxEstablished(descriptors int) int {
 	ofBalancer := descriptors - descriptors/reservedDivisor - reservedExtra - spareDescriptors
 	ofHarness := descriptors - spareDescriptors
 	return min(ofBalancer/descriptorsPerConnection, ofHarness/descriptorsPerConnection)
 }
 
-// sizes returns the sizes of the plan, ascending; in place of those that the descriptors do not allow, the largest
-// that they do.
+// sizes returns the sizes of the plan, ascending. Sizes that the descriptors do not allow are replaced by the largest
+// size that they do allow.
 func (r *run) sizes() []int {
 	largest := maxEstablished(r.descriptors)
 	var sizes []int
 	for _, size := range r.plan.sizes {
 		if size > largest {
 			r.report.Notes["descriptors"] = fmt.Sprintf(
-				"a process may hold %d: %d connections stand at most, and not %d",
+				"a process may open %d: at most %d connections can be established, not %d",
 				r.descriptors,
 				largest,
 				slices.Max(r.plan.sizes),
@@ -176,8 +180,8 @@
 	r.report.Notes[fmt.Sprintf("%s_%d", part, m.size)] = fmt.Sprintf(format, args...)
 }
 
-// measureSize measures one number of connections. Each kind of connection has a balancer of its own: memory that one
-// has used and freed would otherwise be taken for that of the next.
+// measureSize measures one number of connections. Each kind of connection is measured with a new balancer: otherwise
+// memory that was used and freed for one kind would be attributed to the next.
 func (r *run) measureSize(ctx context.Context, size int) error {
 	m := measurement{size: size, figures: map[string]float64{}}
 	for _, part := range []struct {
--- a/lab/scale/connections/cost.go
+++ b/lab/scale/connections/cost.go
@@ -19,16 +19,16 @@
 	bytesPerKilobyte = 1 << 10
 )
 
-// processCost is what a process has used and holds at one time, according to the kernel.
+// processCost is the resource usage of a process at one time, according to the kernel.
 type processCost struct {
 	at          time.Time
 	resident    float64       // bytes
 	cpu         time.Duration // user and system time of all its threads
-	descriptors int           // that it holds
-	slab        float64       // bytes of kernel objects of the whole machine, sockets among them
+	descriptors int           // open descriptors
+	slab        float64       // bytes of kernel objects of the whole machine, including sockets
 }
 
-// costOf reads the cost of a process. Values that cannot be read are 0: the process has ended, which other figures
+// costOf reads the cost of a process. Values that cannot be read are 0: the process has exited, which other figures
 // show.
 func costOf(pid int) processCost {
 	descriptors, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
@@ -41,30 +41,30 @@
 	}
 }
 
-// megabytesSince is by how many megabytes the resident memory has grown.
+// megabytesSince returns the growth of the resident memory in megabytes.
 func (c processCost) megabytesSince(before processCost) float64 {
 	return (c.resident - before.resident) / bytesPerMegabyte
 }
 
-// coreShareSince is the share of one core that was used since.
+// coreShareSince returns the processor time since an earlier reading as a share of one core.
 func (c processCost) coreShareSince(before processCost) float64 {
 	return float64(c.cpu-before.cpu) / float64(c.at.Sub(before.at))
 }
 
-// microsPerItem is processor time for each of some items, in microseconds; of no item as if of one.
+// microsPerItem returns the processor time per item, in microseconds. No items count as one.
 func microsPerItem(cpu time.Duration, items int) float64 {
 	return float64(cpu.Nanoseconds()) / 1000 / float64(max(items, 1))
 }
 
-// A clock id for the processor time of a process, see clock_getcpuclockid(3): the complement of the process id, and
-// in the lower bits which time.
+// Parts of the clock ID for the processor time of a process, see clock_getcpuclockid(3): the complement of the process
+// ID, and in the lower bits the kind of time.
 const (
 	clockIDBits  = 3
-	cpuSchedTime = 2 // as the scheduler counts it
+	cpuSchedTime = 2 // time as counted by the scheduler
 )
 
-// cpuTime is the processor time of a process by its own clock: the ticks of 10 ms in /proc are too coarse for the
-// spans that are measured here.
+// cpuTime returns the processor time of a process from its CPU clock: the ticks of 10 ms in /proc are too coarse for
+// the spans that are measured here.
 func cpuTime(pid int) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid)<<clockIDBits|cpuSchedTime, &t); err != nil {
@@ -73,7 +73,7 @@
 	return time.Duration(t.Nano())
 }
 
-// slabBytes is the memory of the kernel's objects, 0 where it cannot be read.
+// slabBytes returns the memory of kernel objects, 0 if it cannot be read.
 func slabBytes() float64 {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -90,18 +90,19 @@
 	return 0
 }
 
-// maxDescriptors bounds the descriptors that a run takes into account, also where the machine allows more.
+// maxDescriptors is the greatest number of descriptors that a run assumes, even if the machine allows more.
 const maxDescriptors = 1 << 20
 
-// raiseDescriptorLimit raises the soft limit of descriptors to the hard one, and returns it, at most maxDescriptors.
+// raiseDescriptorLimit raises the soft limit of descriptors to the hard limit, and returns it, but no more than
+// maxDescriptors.
 func raiseDescriptorLimit() (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, fmt.Errorf("limit of descriptors: %w", err)
+		return 0, fmt.Errorf("read the limit of descriptors: %w", err)
 	}
 	limit.Cur = limit.Max
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, fmt.Errorf("limit of descriptors: %w", err)
+		return 0, fmt.Errorf("raise the limit of descriptors: %w", err)
 	}
 	return int(min(limit.Max, maxDescriptors)), nil
 }
--- a/lab/scale/connections/established.go
+++ b/lab/scale/connections/established.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxRejectedShare is the share of set-ups that may be rejected for the processor time of one to be valid.
+	// maxRejectedShare is the greatest share of rejected set-ups with which the processor time of a set-up is valid.
 	maxRejectedShare = 0.05
-	// listChangeInterval is the time between changes of discovery's list: so long that each is sent by itself.
+	// listChangeInterval is the time between changes of discovery's list, long enough that each is sent separately.
 	listChangeInterval = 40 * time.Millisecond
 	// reconnectSpan is the time over which all clients reconnect.
 	reconnectSpan = time.Second
-	// reconnectedShare is the share of clients of which the time until they have reconnected is reported.
+	// reconnectedShare is the share of clients for which the time until they have reconnected is reported.
 	reconnectedShare = 0.9
-	// churningClients is how many set-ups are under way while they are counted without a pause.
+	// churningClients is the number of clients that continuously set up connections and close them.
 	churningClients = 32
-	// churnWarmUpDivisor of the churn time passes before set-ups are counted.
+	// churnWarmUpDivisor: set-ups are counted after 1/churnWarmUpDivisor of the churn time has passed.
 	churnWarmUpDivisor = 10
 )
 
-// measureEstablished measures established connections: their set-up, their rest, lines on them, and reconnects.
+// measureEstablished measures established connections: their set-up, their cost at rest, changes of the server list,
+// lines, reconnects and churn.
 func (r *run) measureEstablished(ctx context.Context, b *balancer, m *measurement) error {
 	for _, measure := range []func(b *balancer, m *measurement) error{
 		r.measureSetUps,
@@ -44,9 +45,9 @@
 	return nil
 }
 
-// measureSetUps sets up all connections. An error means that not all were established.
+// measureSetUps sets up all connections. An error means that not all of them were established.
 func (r *run) measureSetUps(b *balancer, m *measurement) error {
-	r.logProgress("%d connections come to stand", m.size)
+	r.logProgress("setting up %d connections", m.size)
 	r.load.clear(b.addr, ordinaryClass, ordinaryDeadline)
 	r.load.setRetrying()
 	time.Sleep(startSettleTime)
@@ -54,7 +55,7 @@
 	m.figures["mb_idle"] = before.resident / bytesPerMegabyte
 	r.load.add(m.size, r.plan.setUpRate, true)
 	if !r.awaitEstablished(m.size) {
-		return fmt.Errorf("only %d are established; the balancer's log: %v",
+		return fmt.Errorf("only %d connections are established; the balancer's log: %v",
 			r.load.totals.established.Load(), b.proc.Tail())
 	}
 	after := b.cost()
@@ -67,21 +68,23 @@
 		m.figures["us_per_set_up"] = microsPerItem(after.cpu-before.cpu, m.size)
 	} else {
 		r.note(m, "set_ups",
-			"not valid: %.0f were refused and came again, so that one set-up was paid for more than once", rejected)
+			"not valid: %.0f set-ups were rejected and retried, so that the cost of one is counted more than once",
+			rejected)
 	}
 	time.Sleep(settleTime)
 	m.figures["kernel_kb_all_ends"] = (b.cost().slab - before.slab) / bytesPerKilobyte / float64(m.size)
 	return nil
 }
 
-// awaitEstablished waits until so many connections are established at clients and at servers.
+// awaitEstablished waits until a number of connections is established at clients and at servers. It returns whether
+// that was reached within maxWait.
 func (r *run) awaitEstablished(count int) bool {
 	return await(maxWait, func() bool {
 		return int(r.load.totals.established.Load()) >= count && int(r.servers.established.Load()) >= count
 	})
 }
 
-// measureRest measures established connections while nothing happens.
+// measureRest measures established connections without any traffic.
 func (r *run) measureRest(b *balancer, m *measurement) error {
 	begin := b.cost()
 	time.Sleep(r.plan.restTime)
@@ -93,7 +96,7 @@
 }
 
 // measureListChanges measures changes of discovery's list while all connections are established. The processor time
-// that the connections take at rest is subtracted.
+// that the connections use at rest is subtracted.
 func (r *run) measureListChanges(b *balancer, m *measurement) error {
 	begin := b.cost()
 	for i := range r.plan.listChanges {
@@ -111,9 +114,9 @@
 func (r *run) measureReconnects(b *balancer, m *measurement) error {
 	totals := &r.load.totals
 	if !r.awaitEstablished(m.size) { // some may have lost their connection at a line rate that was not sustained
-		r.note(m, "wave", "%d stood before it", totals.established.Load())
+		r.note(m, "wave", "only %d connections were established before the reconnects", totals.established.Load())
 	}
-	r.logProgress("%d clients come again within %v", m.size, reconnectSpan)
+	r.logProgress("%d clients reconnect within %v", m.size, reconnectSpan)
 	r.load.takeCounts()
 	r.takeLag()
 	totals.rejected.Store(0)
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// measureChurn has further clients set up connections and close them, as fast as the balancer lets them.
+// measureChurn has further clients set up connections and close them, as fast as the balancer allows.
 func (r *run) measureChurn(b *balancer, m *measurement) error {
 	r.load.startChurn(churningClients)
 	time.Sleep(r.plan.churnTime / churnWarmUpDivisor)
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -9,19 +9,19 @@
 	"spurspread/lab/report"
 )
 
-// fittedLine is a straight line, fitted to a cost by the number of connections.
+// fittedLine is a straight line that is fitted to a cost by the number of connections.
 type fittedLine struct {
 	intercept float64
 	slope     float64
-	residual  float64 // the largest distance of a point, as a part of the line's value there
-	growth    float64 // the line's value at the largest number over that at the smallest; 0 where that is not over 0
+	residual  float64 // greatest distance of a point from the line, relative to the line's value there
+	growth    float64 // ratio of the line's values at the greatest and smallest number; 0 if the latter is not over 0
 }
 
-// minFitPoints is the number of points that a line needs at least.
+// minFitPoints is the minimum number of points for a line.
 const minFitPoints = 4
 
-// fitLine fits a line by least squares to points in ascending order. ok is false for too few points, or all at one
-// number.
+// fitLine fits a line by least squares to points in ascending order of x. ok is false if there are too few points or
+// all have the same x.
 func fitLine(x, y []float64) (fitted fittedLine, ok bool) {
 	if len(x) < minFitPoints {
 		return fittedLine{}, false
@@ -41,10 +41,10 @@
 	return fitted, true
 }
 
-// at is the line's value.
+// at returns the value of the line.
 func (l fittedLine) at(x float64) float64 { return l.intercept + l.slope*x }
 
-// series is a figure by the number of connections, scaled by a factor. Sizes without the figure are left out.
+// series returns a figure by the number of connections, multiplied by a factor. Sizes without the figure are left out.
 func (r *run) series(figure string, factor float64) report.Series {
 	s := report.Series{Name: figure}
 	for i := range r.measurements {
@@ -57,11 +57,11 @@
 	return s
 }
 
-// slopeFigures are the figures whose slope is the cost of one connection.
+// slopeFigures are the figures whose slope over the number of connections is the cost of one connection.
 var slopeFigures = []struct {
 	figure string
 	name   string  // of the slope, with its unit
-	factor float64 // from the figure's unit to the slope's, for one connection
+	factor float64 // from the unit of the figure to that of the slope, for one connection
 }{
 	{"mb_standing", "bytes_per_connection", bytesPerMegabyte},
 	{"mb_silent", "bytes_per_half_open", bytesPerMegabyte / silentFactor},
@@ -72,7 +72,7 @@
 	{"us_per_list_change", "list_change_us_per_connection", 1},
 }
 
-// constantCosts are the figures that should be the same for any number of connections; their growth is reported.
+// constantCosts are the figures that should not depend on the number of connections. Their growth is reported.
 var constantCosts = []string{
 	"us_per_accept",
 	"us_per_set_up",
@@ -82,7 +82,7 @@
 	"p99_ms_at_rest",
 }
 
-// maxFigures are the figures whose largest value of all sizes is reported.
+// maxFigures are the figures whose greatest value over all sizes is reported.
 var maxFigures = []string{
 	"p99_ms_at_rest",
 	"lost_at_rest",
@@ -93,10 +93,10 @@
 	"cpu_share_idle",
 }
 
-// minFigures are the figures whose smallest value of all sizes is reported.
+// minFigures are the figures whose smallest value over all sizes is reported.
 var minFigures = []string{"borne_lines_per_s"}
 
-// recordFigures records the figures of all sizes, their charts and bounds.
+// recordFigures records the figures of all sizes, with their charts and bounds.
 func (r *run) recordFigures() {
 	for i := range r.measurements {
 		m := &r.measurements[i]
@@ -115,7 +115,7 @@
 	r.checkBounds()
 }
 
-// recordFits records the slopeFigures of costs, and how much costs grow that should be constant.
+// recordFits records the slopes of costs, and the growth of costs that should be constant.
 func (r *run) recordFits() {
 	figures := r.report.Figures
 	for _, slope := range slopeFigures {
@@ -134,15 +134,15 @@
 	}
 }
 
-// recordExtreme records a quantile of a figure over all sizes, 0 for the smallest and 1 for the largest. A figure
-// that one size lacks is not recorded.
+// recordExtreme records a quantile of a figure over all sizes: 0 for the smallest, 1 for the greatest. The figure is
+// not recorded if a size lacks it.
 func (r *run) recordExtreme(figure string, quantile float64) {
 	if s := r.series(figure, 1); len(s.Y) == len(r.measurements) {
 		r.report.Figures[figure] = report.Quantile(s.Y, quantile)
 	}
 }
 
-// seriesOf returns several figures by the number of connections.
+// seriesOf returns several figures, each by the number of connections.
 func (r *run) seriesOf(figures ...string) []report.Series {
 	var all []report.Series
 	for _, figure := range figures {
@@ -151,6 +151,7 @@
 	return all
 }
 
+// charts returns the charts of the report.
 func (r *run) charts() []report.Chart {
 	return []report.Chart{
 		{
@@ -158,21 +159,21 @@
 			Series: r.seriesOf("mb_standing", "mb_silent", "mb_waiting", "mb_attempt"),
 		},
 		{
-			Name: "work", Title: Name + ": processor time of each", X: "connections", Y: "us",
+			Name: "work", Title: Name + ": processor time per operation", X: "connections", Y: "us",
 			Series: r.seriesOf("us_per_accept", "us_per_set_up", "us_per_line_common", "us_per_reconnect"),
 		},
 		{
-			Name: "idle", Title: Name + ": processor time at rest", X: "connections", Y: "part of a core",
+			Name: "idle", Title: Name + ": processor time at rest", X: "connections", Y: "share of one core",
 			Series: r.seriesOf("cpu_share_idle", "cpu_share_waiting"),
 		},
 		{
-			Name: "delay", Title: Name + ": p99 from when a line was due", X: "lines a second", Y: "ms",
+			Name: "delay", Title: Name + ": p99 of the delay since a line was due", X: "lines per second", Y: "ms",
 			Series: r.delaySeries(),
 		},
 	}
 }
 
-// delaySeries returns the delay by the line rate at the smallest, the middle and the largest size.
+// delaySeries returns the delay by the line rate, for the smallest, the middle and the largest size.
 func (r *run) delaySeries() []report.Series {
 	var all []report.Series
 	for i := range r.measurements {
@@ -183,7 +184,7 @@
 	return all
 }
 
-// checkBounds checks the bounds, which have to be met with any seed.
+// checkBounds checks the bounds, which have to be met with every seed.
 func (r *run) checkBounds() {
 	for _, bound := range []struct {
 		figure  string
--- a/lab/scale/connections/generator.go
+++ b/lab/scale/connections/generator.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// sourceAddrs is the number of loopback addresses that the clients of one loop connect from: one address has
+	// sourceAddrs is the number of loopback addresses from which the clients of one loop connect: one address has
 	// 28,000 ports, and closed connections occupy theirs for a minute.
 	sourceAddrs = 8
-	// maxSendsPerTurn bounds what one turn of the loop sends, so that answers are read in between.
+	// maxSendsPerTurn limits the sends in one turn of the loop, so that answers are read in between.
 	maxSendsPerTurn = 128
 )
 
 // totals are the counts over all generators.
 type totals struct {
-	requestIDs  atomic.Int64 // of first lines that were sent
-	connected   atomic.Int64 // connections that are open
-	established atomic.Int64 // connections that are established
-	setUps      atomic.Int64 // connections that were established
+	requestIDs  atomic.Int64 // last ID assigned to a first line
+	connected   atomic.Int64 // connections that are open now
+	established atomic.Int64 // connections that are established now
+	setUps      atomic.Int64 // connections established since the start
 	rejected    atomic.Int64 // first lines that were rejected
 	closed      atomic.Int64 // connections that the balancer closed
 	moved       atomic.Int64 // MOVE lines received
 }
 
-// generator is the clients of one loop. All its fields belong to the loop.
+// generator runs the clients of one loop. All its fields are used only on the loop.
 type generator struct {
 	*worker
 	rng      *rand.Rand
 	balancer netip.AddrPort
-	index    int // of the loop
+	index    int // index of the loop, which selects the source addresses
 	totals   *totals
-	line     []byte // that clients send
+	line     []byte // line that clients send
 
 	clients     []*client
 	established []*client // in no order
 
-	class          string // of first lines, as is the next
+	class          string // in first lines, like deadlineMillis
 	deadlineMillis int
-	churning       bool   // clients whose connection is established close it, and set it up again
-	retrying       bool   // clients that were rejected, or whose connection was closed, set it up again
-	source         uint32 // connections started, which take the source addresses in turn
-
-	delayMillis []float64 // of lines and set-ups, from when each was due
-	sendLag     []float64 // from when a line or set-up was due until it was sent, milliseconds
-	sent        int       // lines
-	pending     int       // lines that have not come back
-	lost        int       // lines on connections that ended, or for which there was no connection
-	scheduling  bool      // schedule has more to do
+	churning       bool   // whether clients close a connection once it is established, and set up a new one
+	retrying       bool   // whether clients that were rejected, or whose connection was closed, set it up again
+	source         uint32 // number of connections started; selects the source address in turn
+
+	delayMillis []float64 // delays of lines and set-ups, each from when it was due
+	sendLag     []float64 // lags of sends, each from when a line or set-up was due until it was sent, in milliseconds
+	sent        int       // number of lines
+	pending     int       // lines whose echo has not been received
+	lost        int       // lines on connections that were closed, or for which there was no connection
+	scheduling  bool      // whether schedule has not finished
 }
 
 // connect starts a connection to the balancer from the next source address.
@@ -72,8 +72,8 @@
 	return fd, nil
 }
 
-// bindAndConnect starts a connection from an address whose port the kernel chooses when it knows the destination, so
-// that connections to different destinations may share it.
+// bindAndConnect starts a connection from an address. The kernel chooses the port when it knows the destination, so
+// that connections to different destinations may share a port.
 func bindAndConnect(fd int, from, to *unix.SockaddrInet4) error {
 	if err := unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1); err != nil {
 		return err
@@ -94,7 +94,7 @@
 	}
 }
 
-// removeEstablished removes a client from the established ones; the last one takes its position.
+// removeEstablished removes a client from the established ones. The last one takes its position.
 func (g *generator) removeEstablished(c *client) {
 	end := len(g.established) - 1
 	last := g.established[end]
@@ -103,7 +103,7 @@
 	g.established = g.established[:end]
 }
 
-// sendLine sends one line that was due at a time, on a connection that is drawn.
+// sendLine sends a line that was due at a time, on an established connection that is drawn at random.
 func (g *generator) sendLine(due netloop.Micros) {
 	if len(g.established) == 0 {
 		g.lost++
@@ -116,8 +116,9 @@
 	c.conn.Write(g.line)
 }
 
-// schedule calls act at times with exponential gaps, at a rate per second, until it was called count times or the
-// span is over. The loop runs without a pause meanwhile: the kernel's wait has whole milliseconds.
+// schedule calls act at times with exponentially distributed gaps, at a rate per second, until it has been called count
+// times or the span has ended. The loop polls without blocking during that, since the kernel's wait has a resolution of
+// a millisecond.
 func (g *generator) schedule(rate float64, count int, span netloop.Micros, act func(due netloop.Micros)) {
 	g.scheduling = true
 	next := float64(g.loop.Now())
@@ -149,13 +150,13 @@
 	return c
 }
 
-// setChurning starts or ends that clients close established connections and set them up again.
+// setChurning sets whether clients close established connections and set them up again.
 func (g *generator) setChurning(churning bool) {
 	g.churning = churning
 	g.retrying = churning
 }
 
-// counts returns what was counted since the last take.
+// counts returns the counts since the last takeCounts.
 func (g *generator) counts() counts {
 	return counts{
 		delayMillis: g.delayMillis,
@@ -167,7 +168,7 @@
 	}
 }
 
-// takeCounts returns what was counted since the last take, and counts anew. Pending lines stay pending.
+// takeCounts returns the counts and resets them, except for pending lines.
 func (g *generator) takeCounts() counts {
 	taken := g.counts()
 	g.delayMillis = nil
--- a/lab/scale/connections/lines.go
+++ b/lab/scale/connections/lines.go
@@ -8,27 +8,30 @@
 )
 
 const (
-	// maxDelayMillis is the 99th percentile of the delay of lines up to which a rate is sustained.
+	// maxDelayMillis is the greatest 99th percentile of the delay of lines at which a rate counts as sustained, in
+	// milliseconds.
 	maxDelayMillis = 50.0
-	// maxLatenessMillis is how late the harness may be, one time in a hundred, for a delay to be valid. Its timers
-	// have whole milliseconds.
+	// maxLatenessMillis is the greatest lateness of the harness with which a delay is valid, in milliseconds. The
+	// timers of the harness have a resolution of a millisecond.
 	maxLatenessMillis = 5.0
-	// echoTimeout is how long after the last line of a step all must have come back.
+	// echoTimeout is the time after the last line of a step within which the echoes of all lines must be received.
 	echoTimeout = time.Second
 )
 
-// lateness is how late the harness was, one time in a hundred, in milliseconds.
+// lateness is the 99th percentile of the lag of the harness, in milliseconds.
 type lateness struct {
 	sends float64 // of lines and set-ups
-	loops float64
+	loops float64 // of the timers of loops
 }
 
+// worst returns the greater of the two.
 func (l lateness) worst() float64 { return max(l.sends, l.loops) }
 
 // exceeded returns whether the harness was too late for delays to be valid.
 func (l lateness) exceeded() bool { return l.worst() > maxLatenessMillis }
 
-// harnessLateness returns how late the harness was: its sends as counted, and its loops since the last takeLag.
+// harnessLateness returns the lateness of the harness: of its sends by the counts, and of its loops since the last
+// takeLag.
 func (r *run) harnessLateness(counted counts) lateness {
 	return lateness{
 		sends: report.Quantile(counted.sendLag, 0.99),
@@ -36,12 +39,12 @@
 	}
 }
 
-// takeLag returns how late the loops of the harness ran since the last call, in milliseconds.
+// takeLag returns the lags of the loops of the harness since the last call, in milliseconds.
 func (r *run) takeLag() []float64 {
 	return append(r.load.workers.takeLag(), r.servers.workers.takeLag()...)
 }
 
-// measureLines sends lines at one rate after another, until one is not sustained.
+// measureLines sends lines at one rate after another, until a rate is not sustained.
 func (r *run) measureLines(b *balancer, m *measurement) error {
 	m.delay.Name = fmt.Sprint(m.size)
 	for _, rate := range r.plan.lineRates {
@@ -55,24 +58,24 @@
 		}
 		m.addStep(step)
 	}
-	// Lines of the last step come back later; they are not counted any more.
+	// Echoes of the last step that arrive late are not counted any more.
 	r.load.awaitLines(maxWait)
 	r.load.takeCounts()
 	return nil
 }
 
-// lineStep is what was measured at one rate of lines.
+// lineStep is the result of sending lines at one rate.
 type lineStep struct {
 	rate      float64 // per second
 	counted   counts
-	p99       float64 // delay in milliseconds
-	lost      int     // lines, and connections that were moved or ended
-	allEchoed bool    // whether all lines came back within echoTimeout
+	p99       float64 // of the delay, in milliseconds
+	lost      int     // lines that were lost, and connections that were moved or closed
+	allEchoed bool    // whether all echoes were received within echoTimeout
 	late      lateness
 	cpu       time.Duration
 }
 
-// sendStep sends lines at a rate for the plan's step time.
+// sendStep sends lines at a rate for the step time of the plan.
 func (r *run) sendStep(b *balancer, rate float64) lineStep {
 	totals := &r.load.totals
 	r.load.takeCounts()
@@ -98,9 +101,10 @@
 	}
 }
 
+// logStep writes the result of a step as a line of progress.
 func (r *run) logStep(m *measurement, step lineStep) {
 	r.logProgress(
-		"%d connections, %.0f lines a second: p99 %.2f ms, %d lost, %d open, sent late %.2f ms, loops late %.2f ms",
+		"%d connections, %.0f lines/s: p99 %.2f ms, %d lost, %d pending, p99 of lag: sends %.2f ms, loops %.2f ms",
 		m.size,
 		step.rate,
 		step.p99,
@@ -111,18 +115,18 @@
 	)
 }
 
-// sustained returns whether the balancer sustained the rate: no line was lost, all came back in time, and the delay
-// was within its bound.
+// sustained returns whether the balancer sustained the rate: no line was lost, all echoes were received in time, and
+// the delay was within its bound.
 func (s *lineStep) sustained() bool {
 	return s.lost == 0 && s.allEchoed && s.p99 <= maxDelayMillis
 }
 
-// acceptStep returns whether a step is valid and its rate was sustained; else no higher rate is tried, and a figure
-// has the reason.
+// acceptStep returns whether a step is valid and its rate was sustained. If not, no higher rate is tried, and a figure
+// shows the reason.
 func (r *run) acceptStep(m *measurement, step lineStep) bool {
 	if step.late.exceeded() {
 		r.note(m, "lines",
-			"not valid from %.0f lines a second on: the harness sent %.1f ms late, its loops were %.1f ms late",
+			"not valid from %.0f lines per second on: the harness sent %.1f ms late, its loops were %.1f ms late",
 			step.rate, step.late.sends, step.late.loops)
 		m.figures["harness_starved_at_lines_per_s"] = step.rate
 		return false
--- a/lab/scale/connections/load.go
+++ b/lab/scale/connections/load.go
@@ -15,14 +15,14 @@
 	unlimitedLines = 1 << 40
 )
 
-// load is all clients, distributed over some loops.
+// load is the set of all clients, distributed over some loops.
 type load struct {
 	workers    workers
 	generators []*generator // by worker
 	totals     totals
 }
 
-// startLoad starts the loops, without a client yet. What clients draw follows from the seed.
+// startLoad starts the loops, without clients. The random choices of clients depend on the seed.
 func startLoad(loops int, seed uint64) (*load, error) {
 	all, err := newWorkers(loops)
 	if err != nil {
@@ -47,12 +47,12 @@
 	ld.workers.each(func(index int, _ *worker) { f(ld.generators[index]) })
 }
 
-// shareOf is how many of count belong to a loop.
+// shareOf returns the number of items that a loop gets of count items in total.
 func (ld *load) shareOf(count, index int) int {
 	return (count + len(ld.generators) - 1 - index) / len(ld.generators)
 }
 
-// clear removes all clients. Those that are added from now on connect to a balancer, and their first lines have a
+// clear removes all clients. Clients that are added from now on connect to a balancer, and send first lines with a
 // class and a deadline.
 func (ld *load) clear(balancer netip.AddrPort, class string, deadline time.Duration) {
 	ld.each(func(g *generator) {
@@ -66,12 +66,12 @@
 	ld.takeCounts()
 }
 
-// setRetrying has clients that were rejected, or whose connection was closed, set it up again.
+// setRetrying makes clients that were rejected, or whose connection was closed, set it up again.
 func (ld *load) setRetrying() {
 	ld.each(func(g *generator) { g.retrying = true })
 }
 
-// add has further clients connect at a rate per second, which send a first line where request is set. It returns at
+// add makes further clients connect at a rate per second. If request is set, they send a first line. It returns at
 // once.
 func (ld *load) add(count int, rate float64, request bool) {
 	rateOfEach := rate / float64(len(ld.generators))
@@ -82,8 +82,8 @@
 	})
 }
 
-// reconnectAll has all clients disconnect at once and set up their connections again, each at a time of its own
-// within about the span. It returns at once.
+// reconnectAll makes all clients disconnect at once and set up their connections again at random times within about the
+// span. It returns at once.
 func (ld *load) reconnectAll(within time.Duration) {
 	ld.each(func(g *generator) {
 		g.retrying = true
@@ -101,13 +101,13 @@
 	})
 }
 
-// sendLines has established clients send lines at a rate per second for a span. It returns at once.
+// sendLines makes established clients send lines at a rate per second for a span. It returns at once.
 func (ld *load) sendLines(rate float64, span time.Duration) {
 	rateOfEach := rate / float64(len(ld.generators))
 	ld.each(func(g *generator) { g.schedule(rateOfEach, unlimitedLines, span.Microseconds(), g.sendLine) })
 }
 
-// startChurn has further clients set up connections and close them without a pause.
+// startChurn makes further clients continuously set up connections and close them.
 func (ld *load) startChurn(count int) {
 	ld.each(func(g *generator) {
 		g.setChurning(true)
@@ -117,12 +117,12 @@
 	})
 }
 
-// stopChurn has no client set up its connection again from now on.
+// stopChurn ends churn and retries: no client sets up its connection again from now on.
 func (ld *load) stopChurn() {
 	ld.each(func(g *generator) { g.setChurning(false) })
 }
 
-// counts are what generators have counted since the last take; see generator.
+// counts are the counts of generators since the last takeCounts; see the fields of generator.
 type counts struct {
 	delayMillis []float64
 	sendLag     []float64
@@ -132,7 +132,7 @@
 	scheduling  bool
 }
 
-// pending returns how many lines have not come back, and whether lines or set-ups are still to be sent.
+// pending returns the number of lines whose echo is pending, and whether lines or set-ups are still to be sent.
 func (ld *load) pending() (lines int, scheduling bool) {
 	all := make([]counts, len(ld.generators))
 	ld.each(func(g *generator) { all[g.index] = g.counts() })
@@ -143,7 +143,7 @@
 	return lines, scheduling
 }
 
-// awaitLines waits until all lines have come back, and returns whether they have.
+// awaitLines waits until the echoes of all lines are received, and returns whether they are within the limit.
 func (ld *load) awaitLines(limit time.Duration) bool {
 	return await(limit, func() bool {
 		lines, _ := ld.pending()
@@ -151,7 +151,7 @@
 	})
 }
 
-// awaitSchedule waits until all lines and set-ups were sent.
+// awaitSchedule waits until all lines and set-ups have been sent, but no longer than the limit.
 func (ld *load) awaitSchedule(limit time.Duration) {
 	await(limit, func() bool {
 		_, scheduling := ld.pending()
@@ -159,13 +159,14 @@
 	})
 }
 
-// takeCounts returns what all generators have counted since the last take, and has them count anew.
+// takeCounts returns the counts of all generators together and resets them, except for pending lines.
 func (ld *load) takeCounts() counts {
 	all := make([]counts, len(ld.generators))
 	ld.each(func(g *generator) { all[g.index] = g.takeCounts() })
 	return sum(all)
 }
 
+// sum returns the counts of some generators together.
 func sum(all []counts) counts {
 	var total counts
 	for i := range all {
@@ -179,6 +180,7 @@
 	return total
 }
 
+// close closes all connections and stops the loops.
 func (ld *load) close() {
 	ld.each(func(g *generator) {
 		g.retrying = false
--- a/lab/scale/connections/server.go
+++ b/lab/scale/connections/server.go
@@ -10,21 +10,21 @@
 	"spurspread/lab/netloop"
 )
 
-// servers are the stand-in servers. They answer a first line with UP and send each further line back. While holding
-// is set they do not answer first lines.
+// servers are the stand-in servers. They answer a first line with UP and echo each further line. While withholding is
+// set they do not answer first lines.
 type servers struct {
 	workers     workers
 	addrs       []netip.AddrPort
 	withholding atomic.Bool
-	unanswered  atomic.Int64 // first lines that were not answered
+	unanswered  atomic.Int64 // first lines whose answer was withheld
 	established atomic.Int64 // connections whose first line was answered
 
-	// By worker, each on its loop.
+	// By worker; each element is used only on its loop.
 	listeners   [][]*netloop.Listener
 	connections []map[*serverConn]bool
 }
 
-// startServers listens on so many loopback addresses, which are assigned to so many loops in turn.
+// startServers listens on a number of loopback addresses, which are assigned to the loops in turn.
 func startServers(loops, listeners int) (*servers, error) {
 	all, err := newWorkers(loops)
 	s := &servers{
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// listen opens one listener on a worker's loop.
+// listen opens a listener on the loop of a worker.
 func (s *servers) listen(worker int) error {
 	loop := s.workers[worker].loop
 	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) { s.accept(worker, fd) })
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// accept adds a connection from a balancer, on the loop of the worker.
 func (s *servers) accept(worker, fd int) {
 	c := &serverConn{servers: s, worker: worker}
 	conn, err := s.workers[worker].loop.Adopt(fd, c)
@@ -68,7 +69,7 @@
 	c.Readable(conn)
 }
 
-// reset closes all connections, which belong to a balancer that has ended, and answers first lines again.
+// reset closes all connections, whose balancer has exited, and answers first lines again.
 func (s *servers) reset() {
 	s.workers.each(func(index int, _ *worker) { s.closeConnections(index) })
 	s.withholding.Store(false)
@@ -76,13 +77,14 @@
 	s.established.Store(0)
 }
 
-// closeConnections closes the connections of one worker, on its loop.
+// closeConnections closes the connections of a worker, on its loop.
 func (s *servers) closeConnections(worker int) {
 	for c := range s.connections[worker] {
 		c.close()
 	}
 }
 
+// close closes all connections and listeners, and stops the loops.
 func (s *servers) close() {
 	s.workers.each(func(index int, _ *worker) {
 		s.closeConnections(index)
@@ -93,12 +95,12 @@
 	s.workers.close()
 }
 
-// serverConn is one connection of a balancer to a stand-in server.
+// serverConn is one connection from a balancer to a stand-in server.
 type serverConn struct {
 	servers     *servers
 	worker      int
 	conn        *netloop.Conn
-	firstLine   []byte // what of it was received
+	firstLine   []byte // received part of the first line
 	established bool
 }
 
@@ -123,7 +125,7 @@
 	}
 }
 
-// handleFirstLine handles a part of the first line. A balancer sends nothing more until it was answered.
+// handleFirstLine handles a part of the first line. A balancer sends nothing more before the answer.
 func (c *serverConn) handleFirstLine(part []byte) {
 	c.firstLine = append(c.firstLine, part...)
 	if c.firstLine[len(c.firstLine)-1] != '\n' {
@@ -143,7 +145,7 @@
 	}
 }
 
-// close closes the connection. It does nothing where that was done before.
+// close closes the connection, unless it is closed already.
 func (c *serverConn) close() {
 	open := c.servers.connections[c.worker]
 	if !open[c] {
--- a/lab/scale/connections/unanswered.go
+++ b/lab/scale/connections/unanswered.go
@@ -7,32 +7,33 @@
 	"spurspread/lab/report"
 )
 
-// measurement is what was measured at one number of connections.
+// measurement holds the results for one number of connections.
 type measurement struct {
 	size    int
 	figures map[string]float64 // by name without the size
-	delay   report.Series      // of lines, by the rate at which they were due
+	delay   report.Series      // of lines, by their rate
 }
 
 const (
-	// startSettleTime is how long a balancer that has just started has until its memory is read.
+	// startSettleTime is the time between the start of a balancer and the first reading of its memory.
 	startSettleTime = 500 * time.Millisecond
-	// silentFactor is how many silent clients are measured for each connection of a size: they take one descriptor of
-	// the balancer, not two.
+	// silentFactor is the number of silent clients that are measured for each connection of a size: they use one
+	// descriptor of the balancer, not two.
 	silentFactor = 2
-	// silentRate is the rate of connections of silent clients, per second: a balancer closes them after 2 s.
+	// silentRate is the rate at which silent clients connect, per second. It is high because a balancer closes their
+	// connections after 2 s.
 	silentRate = 20000
 	// minSilentTenths is the share of silent clients that must be connected at once for their cost to be valid, in
 	// tenths.
 	minSilentTenths = 9
-	// unansweredTime is how long the processor time of clients that wait is measured.
+	// unansweredTime is the time over which the processor time of waiting clients is measured.
 	unansweredTime = 500 * time.Millisecond
 )
 
 // measureSilent measures clients that have connected and sent no first line.
 func (r *run) measureSilent(_ context.Context, b *balancer, m *measurement) error {
 	count := silentFactor * m.size
-	r.logProgress("%d clients that say nothing", count)
+	r.logProgress("%d clients that send no first line", count)
 	r.load.clear(b.addr, ordinaryClass, ordinaryDeadline)
 	time.Sleep(startSettleTime)
 	before := b.cost()
@@ -48,38 +49,39 @@
 	held := after.descriptors - before.descriptors
 	m.figures["silent"] = float64(held)
 	if !accepted || held < count*minSilentTenths/10 {
-		r.note(m, "silent", "not valid: %d of %d were there at once", held, count)
+		r.note(m, "silent", "not valid: %d of %d were connected at once", held, count)
 		return nil
 	}
-	// As if all had been connected: the first are closed after 2 s, before a busy machine has accepted the last.
+	// Scaled to the full number: the balancer closes the first after 2 s, before a busy machine has accepted the last.
 	m.figures["mb_silent"] = after.megabytesSince(before) * float64(count) / float64(held)
 	m.figures["us_per_accept"] = microsPerItem(after.cpu-before.cpu, held)
 	return nil
 }
 
-// measureWaiting measures clients whose first line no server answers. The balancer has a bounded number of set-ups
-// under way, and the other clients wait in it without a connection to a server.
+// measureWaiting measures clients whose first line no server answers. The balancer limits the set-ups in progress, and
+// the other clients wait in it without a connection to a server.
 func (r *run) measureWaiting(_ context.Context, b *balancer, m *measurement) error {
 	return r.measureUnanswered(b, m, "waiting", func() bool {
 		return int(r.load.totals.connected.Load()) >= m.size
 	})
 }
 
-// measureAttempts measures the same in passMode, which has no such bound: each client has a connection to a server
-// that is being set up.
+// measureAttempts measures the same clients in passMode, which has no such limit: each of them has a connection to a
+// server that is being set up.
 func (r *run) measureAttempts(_ context.Context, b *balancer, m *measurement) error {
 	return r.measureUnanswered(b, m, "attempt", func() bool {
 		return nearlyAll(int(r.servers.unanswered.Load()), m.size)
 	})
 }
 
-// nearlyAll returns whether 99 in 100 are there, so that their memory counts as that of all: on a busy machine a few
-// connections take longer than the platform allows.
+// nearlyAll returns whether a count is at least 99 in 100 of all, so that their memory represents that of all: on a
+// busy machine a few connections take longer than the platform allows.
 func nearlyAll(count, all int) bool { return count >= all-all/100 }
 
-// measureUnanswered measures clients whose first line no server answers, once the condition holds.
+// measureUnanswered measures clients whose first line no server answers, once a condition holds. The name is part of
+// the names of figures.
 func (r *run) measureUnanswered(b *balancer, m *measurement, name string, holds func() bool) error {
-	r.logProgress("%d clients whose servers do not answer (%s)", m.size, name)
+	r.logProgress("%d clients whose first line is not answered (%s)", m.size, name)
 	r.servers.withholding.Store(true)
 	r.load.clear(b.addr, longDeadlineClass, longDeadline)
 	time.Sleep(startSettleTime)
@@ -93,7 +95,7 @@
 	held := r.servers.unanswered.Load()
 	connected := r.load.totals.connected.Load()
 	if !reached || !nearlyAll(int(connected), m.size) {
-		r.note(m, name, "not valid: %d of %d clients, %d set-ups at servers", connected, m.size, held)
+		r.note(m, name, "not valid: %d of %d clients connected, %d set-ups at servers", connected, m.size, held)
 		return nil
 	}
 	m.figures["mb_"+name] = end.megabytesSince(before)
--- a/lab/scale/connections/worker.go
+++ b/lab/scale/connections/worker.go
@@ -11,33 +11,34 @@
 	"spurspread/lab/netloop"
 )
 
-// Spans of a loop's clock.
+// Units of the clock of a loop.
 const (
 	millisecond netloop.Micros = 1000
 	second                     = 1000 * millisecond
 )
 
 const (
-	// lagInterval is how often a loop of the harness measures how late it runs. The kernel's wait has whole
-	// milliseconds, so that a loop with nothing to do is up to 1 ms late.
+	// lagInterval is the interval at which a loop of the harness measures its lag. The kernel's wait has a resolution
+	// of a millisecond, so that an idle loop is up to 1 ms late.
 	lagInterval = 5 * millisecond
-	// scratchBytes is the size of a loop's read buffer.
+	// scratchBytes is the size of the read buffer of a loop.
 	scratchBytes = 64 << 10
-	// conditionInterval is how often await evaluates its condition.
+	// conditionInterval is the interval at which await evaluates its condition.
 	conditionInterval = 5 * time.Millisecond
 )
 
-// millis is a span in milliseconds.
+// millis converts a span to milliseconds.
 func millis(span netloop.Micros) float64 { return float64(span) / float64(millisecond) }
 
-// worker is one loop of the harness, on a thread of its own.
+// worker is one loop of the harness, on a separate thread.
 type worker struct {
 	loop      *netloop.Loop
-	scratch   []byte // for reads on the loop
-	done      chan error
-	lagMillis []float64 // how late the loop ran at each lagInterval
+	scratch   []byte     // read buffer, used only on the loop
+	done      chan error // receives the result of the loop when it has ended
+	lagMillis []float64  // lags of the loop, one for each lagInterval
 }
 
+// newWorker starts a loop on a new thread.
 func newWorker() (*worker, error) {
 	loop, err := netloop.New()
 	if err != nil {
@@ -52,7 +53,7 @@
 	return w, nil
 }
 
-// measureLag records at a time how late the loop runs, and goes on at lagInterval.
+// measureLag records the lag of the loop when a time is due, and repeats that at lagInterval.
 func (w *worker) measureLag(due netloop.Micros) {
 	w.loop.After(due-w.loop.Now(), func() {
 		now := w.loop.Now()
@@ -61,7 +62,7 @@
 	})
 }
 
-// do calls f on the loop, and returns after it.
+// do calls f on the loop, and returns after the call.
 func (w *worker) do(f func()) {
 	done := make(chan struct{})
 	w.loop.Post(func() {
@@ -71,16 +72,16 @@
 	<-done
 }
 
-// close ends the loop. Its sockets must have been closed.
+// close stops the loop. Its sockets must have been closed before.
 func (w *worker) close() error {
 	w.loop.Post(w.loop.Stop)
 	return errors.Join(<-w.done, w.loop.Close())
 }
 
-// workers are all loops of one side.
+// workers are all loops of one side, clients or servers.
 type workers []*worker
 
-// newWorkers starts so many loops. On an error it returns those that were started, which have to be closed.
+// newWorkers starts a number of loops. On an error it also returns those that were started, which must be closed.
 func newWorkers(count int) (workers, error) {
 	var all workers
 	for range count {
@@ -93,7 +94,7 @@
 	return all, nil
 }
 
-// each calls f on all loops at once, and returns after all calls.
+// each calls f on all loops concurrently, and returns after all calls.
 func (ws workers) each(f func(index int, w *worker)) {
 	var calls sync.WaitGroup
 	for index, w := range ws {
@@ -104,7 +105,7 @@
 	calls.Wait()
 }
 
-// takeLag returns how late the loops ran since the last call, in milliseconds.
+// takeLag returns the lags of the loops since the last call, in milliseconds.
 func (ws workers) takeLag() []float64 {
 	byLoop := make([][]float64, len(ws))
 	ws.each(func(index int, w *worker) {
@@ -114,13 +115,14 @@
 	return slices.Concat(byLoop...)
 }
 
+// close stops all loops.
 func (ws workers) close() {
 	for _, w := range ws {
-		_ = w.close() // nothing of it is used any more
+		_ = w.close() // the loops are not used any more
 	}
 }
 
-// await waits until a condition holds, at most for the limit, and returns whether it holds.
+// await waits until a condition holds, but no longer than the limit, and returns whether it holds.
 func await(limit time.Duration, holds func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for {
--- a/lab/scale/figures.go
+++ b/lab/scale/figures.go
@@ -10,10 +10,12 @@
 	"spurspread/lab/report"
 )
 
-// trafficLagMicros is left out at the end of a run: samples have the traffic of the second before.
+// trafficLagMicros is the time at the end of a run that the figures leave out, in microseconds: a sample contains the
+// traffic of the second before it.
 const trafficLagMicros = 1_500_000
 
-// recordFigures records what the run has cost, and what its members got wrong.
+// recordFigures records the cost of the run and the mistakes of its members. A run that was short of processor time is
+// marked as not valid, unless the options allow it.
 func (r *run) recordFigures(o Options) {
 	m := r.monitor
 	m.mu.Lock()
@@ -39,17 +41,18 @@
 	r.recordNotes()
 }
 
+// recordNotes records the notes that explain the figures, and the problems that the run found.
 func (r *run) recordNotes() {
 	notes := r.report.Notes
-	notes["stubs"] = StubLimitations
-	notes["bytes"] = "content of datagrams sent and received, without the 28 bytes of their IP and UDP headers"
+	notes["stubs"] = StubNote
+	notes["bytes"] = "payload of datagrams sent and received, without the 28 bytes of IP and UDP headers of each"
 	notes["faults"] = strings.Join(r.faultLog, "; ")
 	if found := slices.Concat(r.monitor.notes, r.monitor.errors); len(found) > 0 {
 		notes["found"] = strings.Join(found, "; ")
 	}
 }
 
-// recordHarness records what the run itself used, and how late its timers fired.
+// recordHarness records the resources that the run itself used, and the lag of its timers.
 func (r *run) recordHarness(whole span) {
 	figures := r.report.Figures
 	figures["processes"] = float64(r.usage.maxProcesses)
@@ -64,13 +67,13 @@
 	figures["harness_core_share"] = maxRate([]*series{&r.usage.cpuSeconds}, whole) / cores
 }
 
-// memberTraffic is what one member sent and received, in bytes per second.
+// memberTraffic is the traffic of one member, in bytes per second.
 type memberTraffic struct {
-	worst          float64 // the worst window of the run, sent and received
-	worstSent      float64 // the worst window of the run, sent only
-	worstAtRest    float64 // the worst window at rest, sent and received
-	meanAtRest     float64 // sent and received
-	meanSentAtRest float64 // sent only
+	worst          float64 // worst window of the run, sent and received
+	worstSent      float64 // worst window of the run, sent only
+	worstAtRest    float64 // worst window at rest, sent and received
+	meanAtRest     float64 // mean at rest, sent and received
+	meanSentAtRest float64 // mean at rest, sent only
 }
 
 // measureTraffic returns the traffic of each member.
@@ -91,7 +94,7 @@
 	return traffic
 }
 
-// collect returns one value of each member's traffic.
+// collect returns one value of the traffic of each member.
 func collect(traffic []memberTraffic, value func(memberTraffic) float64) []float64 {
 	values := make([]float64, len(traffic))
 	for member := range traffic {
@@ -100,7 +103,7 @@
 	return values
 }
 
-// recordTraffic records what crossed the sockets of the members.
+// recordTraffic records the traffic that crossed the sockets of the members.
 func (r *run) recordTraffic(whole span) {
 	figures := r.report.Figures
 	traffic := r.measureTraffic(whole)
@@ -126,12 +129,12 @@
 		figures["control_rest_bytes_p50_per_s"] = report.Quantile(worstAtRest, 0.5)
 		r.recordMeanTraffic(traffic)
 	}
-	r.recordQuietPartitions()
+	r.recordSteadyTraffic()
 	figures["join_bytes_per_s"] = r.joinTraffic()
 	figures["hollow_datagrams_mean_per_s"] = r.meanStubDatagrams(whole)
 }
 
-// recordMeanTraffic records the averages at rest: of all members, and of delegates and others.
+// recordMeanTraffic records the mean traffic at rest: of all members, and of delegates and other members apart.
 func (r *run) recordMeanTraffic(traffic []memberTraffic) {
 	figures := r.report.Figures
 	means := collect(traffic, func(t memberTraffic) float64 { return t.meanAtRest })
@@ -152,20 +155,20 @@
 	}
 }
 
-// recordQuietPartitions records the worst traffic of a member in the quiet parts of partitions.
-func (r *run) recordQuietPartitions() {
-	for _, quiet := range r.quietPartitions {
-		r.recordMax("quiet_cut_bytes_per_s", r.worstTraffic(quiet))
+// recordSteadyTraffic records the worst traffic of a member in the steady parts of partitions.
+func (r *run) recordSteadyTraffic() {
+	for _, steady := range r.steadySpans {
+		r.recordMax("quiet_cut_bytes_per_s", r.worstTraffic(steady))
 	}
 }
 
-// joinTraffic is the most that a member sent and received in the window at whose end all members had joined, in bytes
+// joinTraffic returns the greatest traffic of a member in the window that ends when all members have joined, in bytes
 // per second.
 func (r *run) joinTraffic() float64 {
 	return r.worstTraffic(span{r.joinedAt - windowMicros, r.joinedAt})
 }
 
-// worstTraffic is the most that a member sent and received in a window of a span, in bytes per second.
+// worstTraffic returns the greatest traffic of a member in a window of a span, in bytes per second.
 func (r *run) worstTraffic(within span) float64 {
 	worst := 0.0
 	for member := range r.monitor.members {
@@ -175,7 +178,7 @@
 	return worst
 }
 
-// meanStubDatagrams is how many datagrams a stub member sent and received per second, on average.
+// meanStubDatagrams returns the mean number of datagrams that a stub member sent and received per second.
 func (r *run) meanStubDatagrams(whole span) float64 {
 	var datagrams []*series
 	for _, loop := range r.monitor.loops {
@@ -184,8 +187,8 @@
 	return meanRate(datagrams, whole) / float64(r.topology.Members-r.topology.RealMembers)
 }
 
-// runningSpan is the part of a span in which a member's process ran: datagrams that others send to a member that was
-// killed are no cost of a balancer, since no process receives them.
+// runningSpan returns the part of a span in which the process of a member ran. Datagrams that others send to a killed
+// member are no cost of a balancer, since no process receives them.
 func (r *run) runningSpan(member int, over span) span {
 	if at, killed := r.killedAt[member]; killed {
 		over.to = min(over.to, at)
@@ -193,8 +196,8 @@
 	return over
 }
 
-// trafficOf returns what a member sent and received: of a real one what stub members counted, and the links between
-// real members.
+// trafficOf returns the bytes that a member sent and received. For a real member it combines the counts of stub members
+// with those of the links between real members.
 func (r *run) trafficOf(member int) (sent, received []*series) {
 	if !r.topology.Real(member) {
 		view := &r.monitor.members[member]
@@ -226,8 +229,9 @@
 	r.recordCountedShare()
 }
 
-// recordCountedShare records what the run counted as sent by real members relative to what they reported. A member
-// that was started more than once, or runs no more, reports only a part, and is left out.
+// recordCountedShare records the ratio of the bytes that the run counted as sent by real members to those that the
+// members reported themselves. Members that were started more than once, or are not running, report only a part and are
+// left out.
 func (r *run) recordCountedShare() {
 	counted := 0.0
 	reported := 0.0
@@ -247,7 +251,7 @@
 	}
 }
 
-// average is the mean of some values, 0 of none.
+// average returns the mean of some values, 0 for none.
 func average(values []float64) float64 {
 	mean := 0.0
 	for _, value := range values {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -16,28 +16,28 @@
 	"spurspread/lab/procs"
 )
 
-// How members are distributed over processes.
+// Distribution of members over processes.
 const (
 	minRealMembers       = 8
 	maxRealMembers       = 24
-	membersPerRealMember = 60 // one real member for each so many members, within the bounds above
+	membersPerRealMember = 60 // fleet size per real member, within the limits above
 	maxProcesses         = 6  // of stub members
 	maxLoopsPerProcess   = 2
-	membersPerLoop       = 30 // fewer stub members for each loop make fewer loops
-	minLoops             = 2  // that the number of cores may not go below
+	membersPerLoop       = 30 // stub members for each loop; a smaller fleet has fewer loops
+	minLoops             = 2  // lower limit of the bound that follows from the number of cores
 )
 
-// startSpread is the time over which all members are started: as after a power failure, but not in one instant.
+// startSpread is the time over which all members are started: like after a power failure, but not at one instant.
 const startSpread = 4 * time.Second
 
-// fleetStream is the stream of random numbers that scenarios draw from the run's seed.
+// fleetStream identifies the random number stream of scenarios, which is drawn from the seed of the run.
 const fleetStream = 0x7363616c65
 
-// fleet is the members of a run, and what is known of them.
+// fleet holds the members of a run, and the observations of them.
 type fleet struct {
 	topology      *Topology
-	dir           string       // for files of real members
-	realFleet     *procs.Fleet // its processes are the members with the lowest numbers
+	dir           string       // for the files of real members
+	realFleet     *procs.Fleet // the processes of the members with the lowest numbers
 	stubProcesses []*process
 	processOf     map[int]*process // by stub member
 	monitor       *monitor
@@ -46,21 +46,21 @@
 	rng           *rand.Rand
 	log           func(format string, args ...any)
 
-	cancel     context.CancelCauseFunc // ends the run early
+	cancel     context.CancelCauseFunc // ends the run early, with the reason
 	closing    chan struct{}           // closed by close
 	tasks      sync.WaitGroup
 	usage      usageMeter
 	realStates []realState // by real member
 }
 
-// realMemberCount is how many members of a fleet are real.
+// realMemberCount returns the number of real members in a fleet of a size.
 func realMemberCount(members int) int {
 	return min(max(members/membersPerRealMember, minRealMembers), maxRealMembers)
 }
 
-// newFleet prepares the processes of a fleet, and starts those of stub members; no member starts yet. cancel is
-// called with the reason where the run has to end early. An error means that the fault is unknown or a process could
-// not be prepared.
+// newFleet prepares the processes of a fleet and starts those of stub members; no member is started yet. The fleet
+// calls cancel with the reason if the run has to end early. An error means that the fault is unknown or that a process
+// could not be prepared.
 func newFleet(o Options, topology *Topology, dir string, cancel context.CancelCauseFunc) (*fleet, error) {
 	f := &fleet{
 		topology:   topology,
@@ -77,7 +77,7 @@
 		realStates: make([]realState, topology.RealMembers),
 	}
 	if f.injected != "" && !slices.Contains(InjectedFaults, f.injected) {
-		return nil, fmt.Errorf("a scale run has no fault %q to plant, only %v", f.injected, InjectedFaults)
+		return nil, fmt.Errorf("unknown fault %q for a scale run, expected one of %v", f.injected, InjectedFaults)
 	}
 	if err := f.prepareRealMembers(o.Program); err != nil {
 		return nil, err
@@ -109,8 +109,8 @@
 	}
 }
 
-// prepareRealMembers writes the configuration of real members. Datagrams between two of them pass links of their
-// own; datagrams between a real and a stub member pass the links of the stub.
+// prepareRealMembers writes the configuration of real members. Datagrams between two real members cross the links of
+// realFleet; those between a real and a stub member cross the links of the stub.
 func (f *fleet) prepareRealMembers(program string) error {
 	var ips []netip.Addr
 	for _, addr := range f.topology.Addrs[:f.topology.RealMembers] {
@@ -118,7 +118,7 @@
 	}
 	dir := filepath.Join(f.dir, "reals")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("directory of real members: %w", err)
+		return fmt.Errorf("create the directory of real members: %w", err)
 	}
 	var err error
 	if f.realFleet, err = procs.NewAt(program, dir, ips, 0, f.topology.Seed); err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// delayRealLinks gives links between real members the delays of the topology.
+// delayRealLinks sets the delays of the topology on the links between real members.
 func (f *fleet) delayRealLinks() {
 	links := f.topology.Links(0)
 	for from := range f.topology.RealMembers {
@@ -150,7 +150,7 @@
 	}
 }
 
-// realSeeds returns the addresses of a real member's seeds: of a real seed that of the link to it.
+// realSeeds returns the addresses of the seeds of a real member. A real seed is addressed through the link to it.
 func (f *fleet) realSeeds(member int) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for _, seed := range f.topology.Seeds(member) {
@@ -163,8 +163,8 @@
 	return addrs
 }
 
-// stubProcessCount is how many processes so many stub members get, each with maxLoopsPerProcess loops: enough
-// loops for membersPerLoop members each, but not many more than there are cores.
+// stubProcessCount returns the number of processes for a number of stub members, each with maxLoopsPerProcess loops:
+// enough for membersPerLoop members per loop, but not many more loops than cores.
 func stubProcessCount(stubCount int) int {
 	wanted := max(stubCount/membersPerLoop, 1)
 	coreBound := max(runtime.NumCPU()*3/2, minLoops)
@@ -172,8 +172,8 @@
 	return (loops + maxLoopsPerProcess - 1) / maxLoopsPerProcess
 }
 
-// assignStubMembers returns the members of each loop of each process. Members are assigned to loops in turn, so that
-// each loop has members of each zone; loops without members are left out.
+// assignStubMembers returns the members by process and loop. They are assigned to loops in turn, so that each loop has
+// members of every zone; loops without members are left out.
 func (f *fleet) assignStubMembers() [][][]int {
 	stubCount := f.topology.Members - f.topology.RealMembers
 	processes := stubProcessCount(stubCount)
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// startMembers starts all members over startSpread. It returns when all processes run; stub members may start
+// startMembers starts all members over startSpread. It returns once all real processes run; stub members may start
 // later.
 func (f *fleet) startMembers() error {
 	if err := f.applyLoss(); err != nil {
@@ -244,7 +244,7 @@
 	return f.realFleet.Start()
 }
 
-// kill ends a member without notice to the others.
+// kill ends a member abruptly, without notice to the others.
 func (f *fleet) kill(member int) error {
 	f.monitor.markStopped(member, false)
 	if f.topology.Real(member) {
@@ -254,7 +254,7 @@
 	return f.processOf[member].send(&Command{Action: ActionKill, Member: member})
 }
 
-// leave ends a member in the planned way. A real one has ended when leave returns; a stub ends within
+// leave shuts a member down in the planned way. When leave returns, a real member has exited; a stub ends within
 // leaveMicros.
 func (f *fleet) leave(member int) error {
 	f.monitor.markStopped(member, true)
@@ -263,12 +263,12 @@
 	}
 	proc := f.realFleet.Procs[member]
 	if code := proc.Stop(); code != 0 {
-		return fmt.Errorf("%s stopped with %d: %q", f.topology.Name(member), code, proc.Tail())
+		return fmt.Errorf("%s exited with code %d: %q", f.topology.Name(member), code, proc.Tail())
 	}
 	return nil
 }
 
-// restart starts a member that has ended.
+// restart starts a member that was stopped.
 func (f *fleet) restart(member int) error {
 	f.monitor.markStarted(member)
 	if f.topology.Real(member) {
@@ -286,8 +286,8 @@
 	return f.processOf[member].send(&Command{Action: ActionPublish, Member: member, Name: name, Value: value})
 }
 
-// setLinks partitions or heals the links from some zones to others, one way. Links that are not partitioned have the
-// run's loss.
+// setLinks partitions or heals the links from some zones to others, in one direction. Healed links have the loss of the
+// run.
 func (f *fleet) setLinks(fromZones, toZones []int, partitioned bool) error {
 	command := &Command{
 		Action:      ActionLink,
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// applyLoss sets the run's loss on all links between regions.
+// applyLoss sets the loss of the run on all links between regions.
 func (f *fleet) applyLoss() error {
 	if f.loss == 0 {
 		return nil
@@ -335,7 +335,7 @@
 	return members
 }
 
-// pickRunning draws a member that runs, real or stub, in one of some zones. ok is false where there is none.
+// pickRunning draws a running member, real or stub, in one of the zones. ok is false if there is none.
 func (f *fleet) pickRunning(realMember bool, zones []int) (member int, ok bool) {
 	f.monitor.mu.Lock()
 	defer f.monitor.mu.Unlock()
@@ -361,7 +361,7 @@
 	for _, p := range f.stubProcesses {
 		stops.Go(func() {
 			if p.stop(processStopTimeout) {
-				f.log("process %d of stub members had to be ended", p.cmd.Process.Pid)
+				f.log("process %d of stub members did not end in time and was killed", p.cmd.Process.Pid)
 			}
 		})
 	}
--- a/lab/scale/injected_fault.go
+++ b/lab/scale/injected_fault.go
@@ -13,11 +13,11 @@
 
 // The faults that can be injected.
 const (
-	// NoDelegate: each stub member ranks itself behind all others of its zone, so that no zone has a delegate.
+	// NoDelegate has each stub member rank itself behind all others of its zone, so that no zone has a delegate.
 	NoDelegate InjectedFault = "no-delegate"
-	// EveryDelegate: each stub member ranks itself before all others of its zone, so that all are delegates.
+	// EveryDelegate has each stub member rank itself before all others of its zone, so that all are delegates.
 	EveryDelegate InjectedFault = "every-delegate"
-	// WrongSummary: the stub members of the first zone send a summary of it with one member too many.
+	// WrongSummary has the stub members of the first zone send a summary of it with one member too many.
 	WrongSummary InjectedFault = "wrong-summary"
 )
 
@@ -27,8 +27,8 @@
 // corruptZone is the zone whose summary WrongSummary changes.
 const corruptZone = 0
 
-// rankFunc is how a member ranks the members of its zone for the election of delegates, the lowest first; nil for
-// the ranking of the decider.
+// rankFunc returns the function by which a member ranks the members of its zone for the election of delegates, the
+// lowest rank first; nil for the ranking of the decision core.
 func (f InjectedFault) rankFunc(self membership.ID) func(zonedirectory.ID, zonedirectory.MemberID) uint64 {
 	if f != NoDelegate && f != EveryDelegate {
 		return nil
@@ -42,7 +42,8 @@
 	}
 }
 
-// corruptSummary returns a datagram as WrongSummary has the member send it. Any other datagram is returned unchanged.
+// corruptSummary returns the datagram that a member with the fault WrongSummary sends in place of a datagram. Datagrams
+// without a summary, and those of members without the fault, are returned unchanged.
 func (m *stubMember) corruptSummary(datagram []byte) []byte {
 	if m.group.setup.Fault != WrongSummary || m.topology().Zone(m.index) != corruptZone {
 		return datagram
--- a/lab/scale/link_socket.go
+++ b/lab/scale/link_socket.go
@@ -9,9 +9,9 @@
 	"spurspread/internal/peer"
 )
 
-// linkSocket is the socket of a stub member. It counts what crosses it, and loses and delays datagrams according
-// to their link. Between two stub members the sender's socket applies the link; between a stub and a real member
-// the stub member's socket applies it for both directions.
+// linkSocket is the socket of a stub member. It counts the traffic that crosses it, and loses and delays datagrams as
+// their link requires. Between two stub members the socket of the sender applies the link; between a stub and a real
+// member the socket of the stub applies it in both directions.
 type linkSocket struct {
 	peer.Socket
 	member     *stubMember
@@ -19,8 +19,8 @@
 	onDatagram func(from netip.AddrPort, datagram []byte)
 }
 
-// openSocket binds a socket of a stub member. It is used for each socket that the member opens, so that all its
-// traffic is counted.
+// openSocket binds a socket of a stub member. The member opens all its sockets with it, so that all its traffic is
+// counted.
 func (m *stubMember) openSocket(
 	addr netip.AddrPort,
 	onDatagram func(from netip.AddrPort, datagram []byte),
@@ -34,7 +34,7 @@
 	return s, nil
 }
 
-// Send sends a datagram over the link to the member that has the address.
+// Send sends a datagram over the link to the member with the address.
 func (s *linkSocket) Send(to netip.AddrPort, datagram []byte) {
 	datagram = s.member.corruptSummary(datagram)
 	s.member.sentBytes += int64(len(datagram))
@@ -50,7 +50,7 @@
 	}
 }
 
-// receive applies the link to datagrams of real members; the link of a stub sender was applied when it sent.
+// receive applies the link to datagrams of real members. For those of stub members the sender has applied it.
 func (s *linkSocket) receive(from netip.AddrPort, datagram []byte) {
 	other, known := s.member.group.memberByAddr[from.Addr()]
 	if !known || !s.member.topology().Real(other) {
@@ -63,16 +63,16 @@
 	}
 }
 
-// deliver hands a datagram to the member.
+// deliver passes a datagram to the member.
 func (s *linkSocket) deliver(from netip.AddrPort, datagram []byte) {
 	s.member.receivedBytes += int64(len(datagram))
 	s.member.datagrams++
 	s.onDatagram(from, datagram)
 }
 
-// afterDelay calls do with a copy of the datagram after the delay, and with the datagram itself at once where there
-// is no delay. A datagram whose member has ended or started meanwhile is dropped: it was in a buffer of the process
-// that is gone.
+// afterDelay calls do with a copy of the datagram after the delay, or at once with the datagram itself if there is no
+// delay. If the member is stopped or started before that, the datagram is dropped, like one in a buffer of a process
+// that has exited.
 func (s *linkSocket) afterDelay(delay time.Duration, datagram []byte, do func(datagram []byte)) {
 	if delay <= 0 {
 		do(datagram)
--- a/lab/scale/links.go
+++ b/lab/scale/links.go
@@ -7,15 +7,15 @@
 	"spurspread/lab/link"
 )
 
-// The delays of links, one way. Links within a zone add nothing to the delay of loopback.
+// One-way delays of links. Links within a zone add no delay to that of loopback.
 const (
 	zoneDelay      = time.Millisecond      // between zones of a region
-	regionDelay    = 10 * time.Millisecond // between regions, at least
+	regionDelay    = 10 * time.Millisecond // between regions, minimum
 	maxRegionDelay = 80 * time.Millisecond // between regions, less than this
-	jitterDivisor  = 10                    // a datagram takes up to a tenth of its link's delay longer
+	jitterDivisor  = 10                    // a datagram takes up to 1/10 of the delay of its link longer
 )
 
-// Streams of random numbers that are drawn from a topology's seed.
+// Random number streams of a topology, which are drawn from its seed.
 const (
 	linkStream  = 0x6c696e6b00
 	delayStream = 0x726567696f6e
@@ -28,8 +28,8 @@
 	rng   *rand.Rand
 }
 
-// Links returns the links of a fleet without faults. Their delays are drawn from the topology's seed, the same for
-// both directions. What is drawn for single datagrams follows from the salt as well, so that processes with the same
+// Links returns the links of a fleet without faults. Their delays are drawn from the seed of the topology, the same for
+// both directions. The random numbers for single datagrams also depend on the salt, so that processes with the same
 // links draw independently.
 func (t *Topology) Links(salt uint64) *Links {
 	l := &Links{
@@ -47,7 +47,7 @@
 	return l
 }
 
-// regionDelays draws the delay between each two regions.
+// regionDelays draws the delay between each pair of regions.
 func (t *Topology) regionDelays() [][]time.Duration {
 	rng := rand.New(rand.NewPCG(t.Seed, delayStream))
 	delays := make([][]time.Duration, t.Regions)
@@ -62,7 +62,7 @@
 	return delays
 }
 
-// zonesDelay is the delay between two zones.
+// zonesDelay returns the delay between two zones.
 func (t *Topology) zonesDelay(a, b int, regionDelays [][]time.Duration) time.Duration {
 	switch {
 	case a == b:
@@ -73,10 +73,10 @@
 	return regionDelays[t.Region(a)][t.Region(b)]
 }
 
-// Between is the link from one rack to another.
+// Between returns the link from one rack to another, which may be changed.
 func (l *Links) Between(from, to int) *link.Link { return &l.links[from*l.racks+to] }
 
-// Set changes the links from some racks to others, one way. Links within a rack stay as they are.
+// Set changes the links from some racks to others, in one direction. Links within a rack are not changed.
 func (l *Links) Set(from, to []int, change func(*link.Link)) {
 	for _, sender := range from {
 		for _, receiver := range to {
@@ -87,7 +87,7 @@
 	}
 }
 
-// DrawDelays returns the delay of each copy of a datagram that arrives: none where it is lost, several where it is
+// DrawDelays returns the delay of each copy of a datagram that arrives: none if it is lost, several if it is
 // duplicated.
 func (l *Links) DrawDelays(from, to int) []time.Duration {
 	between := l.Between(from, to)
--- a/lab/scale/monitor.go
+++ b/lab/scale/monitor.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// starvationLagMicros is how late a timer may fire, in microseconds, before false deaths are attributed to the
-	// machine: after a pause of that length members reconsider what they concluded during it.
+	// starvationLagMicros is the lag of a timer, in microseconds, above which false deaths are attributed to the
+	// machine: after a pause of that length, members reconsider the conclusions that they drew during it.
 	starvationLagMicros = 300_000
-	// starvationGraceMicros is how long after such a timer false deaths are excused, microseconds.
+	// starvationGraceMicros is the time after such a timer in which false deaths and recoveries are ignored, in
+	// microseconds.
 	starvationGraceMicros = 10_000_000
-	// maxNotes bounds the notes of a run.
+	// maxNotes limits the notes of a run.
 	maxNotes = 12
 )
 
-// monitor is what a run knows of its fleet: what was done to members and links, and what members were observed to
-// see. Methods that lock mu may be called from any goroutine; the others need it locked, unless noted.
+// monitor is the model that a run has of its fleet: the actions on members and links, and the view of each member as
+// observed. Methods that lock mu may be called from any goroutine; the others need it locked, unless noted.
 type monitor struct {
 	mu          sync.Mutex
 	topology    *Topology
 	members     []memberView
-	partitioned map[[2]int]bool // links without any datagram: rack of the sender, rack of the receiver
+	partitioned map[[2]int]bool // links that lose all datagrams, by rack of the sender and rack of the receiver
 	loops       map[loopID]*loopView
 
-	// recording is whether observations count: it is set once all members have joined.
+	// recording is whether observations count for the figures: it is set once all members have joined.
 	recording    bool
-	starvedUntil int64 // wall clock, microseconds
+	starvedUntil int64 // end of the grace time after the last timer that was late; wall clock, microseconds
 
-	falseDeaths         int // members that ran and were declared dead
-	ignoredWhileStarved int // false deaths and recoveries while starved
-	flaps               int // the most recoveries of one subject by one observer after one fault
+	falseDeaths         int // running members that were declared dead
+	ignoredWhileStarved int // false deaths and recoveries that were ignored while the run was starved
+	flaps               int // greatest number of recoveries of one subject by one observer after one fault
 	recoveries          map[recovery]int
 	suspicions          int
-	maxShareSum         float64 // the largest sum of 1/divisor of all members that run
+	maxShareSum         float64 // greatest sum of 1/divisor over all running members
 	lagMillis           []float64
 	errors              []string
 	notes               []string
@@ -46,36 +47,37 @@
 	loop    int // within the process
 }
 
-// recovery is that an observer considered a subject alive or reachable that it had given up before.
+// recovery identifies the event that an observer considers a subject alive or reachable again after it had declared it
+// dead or unreachable.
 type recovery struct {
 	observer int
-	subject  int // a member, or a zone
+	subject  int // member, or zone if isZone is set
 	isZone   bool
 }
 
-// memberView is what was done to a member, and what it sees.
+// memberView is the state of a member by the actions of the run, and its view of the fleet as observed.
 type memberView struct {
 	running        bool
-	leaving        bool // it was ended in the planned way
-	delegate       bool // of its zone, according to itself
-	ownZoneCount   int  // live members of its zone that it counts
-	totalCount     int  // live members of the fleet that it counts
-	totalChangedAt int64
-	budgetShare    float64        // 1/divisor, of a real member
+	leaving        bool           // whether it was shut down in the planned way
+	delegate       bool           // whether it considers itself a delegate of its zone
+	ownZoneCount   int            // number of live members that it counts in its zone
+	totalCount     int            // number of live members that it counts in the fleet
+	totalChangedAt int64          // last change of totalCount, wall clock in microseconds
+	budgetShare    float64        // 1/divisor; only for a real member
 	zoneStates     map[int]string // by zone
 	records        map[string]recordView
-	deadAt         map[int]int64 // members that it declared dead last, and when
-	sentBytes      series        // of a stub member, as is the next
-	receivedBytes  series
+	deadAt         map[int]int64 // last time that it declared a member dead, by that member; microseconds
+	sentBytes      series        // only for a stub member, like receivedBytes
+	receivedBytes  series        // only for a stub member, like sentBytes
 }
 
-// recordView is the value that a member has for a record.
+// recordView is the value of a record at a member, and the time at which it was first seen.
 type recordView struct {
 	value  string
 	seenAt int64
 }
 
-// loopView is what a loop of stub members has reported.
+// loopView holds the values that a loop of stub members has reported.
 type loopView struct {
 	members           []int
 	periods           int64
@@ -95,7 +97,7 @@
 	}
 }
 
-// addLoop adds a loop, before its first sample. It does not need mu: no process reports yet.
+// addLoop adds a loop before its first sample. It does not need mu, since no process reports yet.
 func (m *monitor) addLoop(process, loop int, members []int) {
 	m.loops[loopID{process, loop}] = &loopView{
 		members:           members,
@@ -104,7 +106,7 @@
 	}
 }
 
-// applySample applies a sample of a process. It locks mu.
+// applySample applies a sample from a process. It locks mu.
 func (m *monitor) applySample(process int, sample *Sample) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,7 +136,7 @@
 	m.updateMaxShareSum()
 }
 
-// observeLag records how late a timer fired, in microseconds.
+// observeLag records the lag of a timer, in microseconds.
 func (m *monitor) observeLag(at, lagMicros int64) {
 	if lagMicros > starvationLagMicros {
 		m.starvedUntil = max(m.starvedUntil, at+starvationGraceMicros)
@@ -144,6 +146,7 @@
 	}
 }
 
+// observeTraffic records the traffic of a loop during a second.
 func (m *monitor) observeTraffic(loop *loopView, at int64, traffic *Traffic) {
 	for i, member := range loop.members {
 		m.members[member].sentBytes.add(at, float64(traffic.Sent[i]))
@@ -174,17 +177,18 @@
 	}
 }
 
-// countFalseDeath counts that a member that runs was declared dead, unless the machine was starved.
+// countFalseDeath counts that a running member was declared dead, unless the run was starved at that time.
 func (m *monitor) countFalseDeath(change Change) {
 	if change.At < m.starvedUntil {
 		m.ignoredWhileStarved++
 		return
 	}
 	m.falseDeaths++
-	m.addNote("%s holds %s dead, which runs", m.topology.Name(change.Observer), m.topology.Name(change.Subject))
+	m.addNote("%s declared %s dead while it was running",
+		m.topology.Name(change.Observer), m.topology.Name(change.Subject))
 }
 
-// countRecovery counts a recovery, unless the machine was starved.
+// countRecovery counts a recovery, unless the run was starved at that time.
 func (m *monitor) countRecovery(at int64, r recovery) {
 	if at < m.starvedUntil {
 		m.ignoredWhileStarved++
@@ -196,13 +200,14 @@
 	}
 }
 
-// addNote adds a line to the report. Only the first maxNotes are kept.
+// addNote adds a line to the notes of the report. Only the first maxNotes are stored.
 func (m *monitor) addNote(format string, args ...any) {
 	if len(m.notes) < maxNotes {
 		m.notes = append(m.notes, fmt.Sprintf(format, args...))
 	}
 }
 
+// observeCounts records the numbers of live members that a member counts.
 func (m *monitor) observeCounts(counts MemberCounts, at int64) {
 	member := &m.members[counts.Member]
 	member.ownZoneCount = counts.OwnZone
@@ -213,7 +218,7 @@
 	}
 }
 
-// observeZone records the state that a member has for a zone. A zone that becomes reachable again is a recovery.
+// observeZone records the state that a member has for a zone. A change to reachable counts as a recovery.
 func (m *monitor) observeZone(state ZoneState, at int64) {
 	member := &m.members[state.Member]
 	if member.zoneStates == nil {
@@ -226,6 +231,7 @@
 	member.zoneStates[state.Zone] = state.State
 }
 
+// observeRecord records the value that a member has for a record.
 func (m *monitor) observeRecord(seen RecordValue, at int64) {
 	member := &m.members[seen.Member]
 	if member.records == nil {
@@ -236,7 +242,7 @@
 	}
 }
 
-// updateMaxShareSum updates the largest sum of the shares of a fleet-wide budget that all members that run take.
+// updateMaxShareSum updates the greatest sum of the shares that all running members take of a fleet-wide budget.
 func (m *monitor) updateMaxShareSum() {
 	sum := 0.0
 	for _, loop := range m.loops {
@@ -252,7 +258,7 @@
 	}
 }
 
-// markStarted records that a member runs from now on, with no view of the fleet yet. It locks mu.
+// markStarted records that a member is running from now on and has no view of the fleet yet. It locks mu.
 func (m *monitor) markStarted(member int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -268,7 +274,7 @@
 	view.deadAt = nil
 }
 
-// markStopped records that a member runs no more, or leaves from now on. It locks mu.
+// markStopped records that a member has stopped; leaving is whether it does so in the planned way. It locks mu.
 func (m *monitor) markStopped(member int, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -291,13 +297,13 @@
 	}
 }
 
-// instant is a moment by the clock and by each loop's count of protocol periods.
+// instant is a point in time, by the wall clock and by the number of protocol periods of each loop.
 type instant struct {
 	at      int64 // wall clock, microseconds
 	periods map[loopID]int64
 }
 
-// beginFault returns the present moment, and counts recoveries anew from here. It locks mu.
+// beginFault returns the current instant and resets the count of recoveries. It locks mu.
 func (m *monitor) beginFault() instant {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -309,8 +315,8 @@
 	return now
 }
 
-// periodsSince is how many protocol periods have passed since a moment in the loop that has run the fewest; -1
-// without loops.
+// periodsSince returns the number of protocol periods since an instant, in the loop that has run the fewest; -1 if
+// there are no loops.
 func (m *monitor) periodsSince(since instant) int64 {
 	fewest := int64(-1)
 	for id, loop := range m.loops {
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// processStopTimeout is how long a process of stub members may take to end after its input has ended; then it is
+	// processStopTimeout is the time that a process of stub members has to exit after its input was closed; then it is
 	// killed.
 	processStopTimeout = 5 * time.Second
-	// maxStderrLines bounds what is stored of a process's standard error.
+	// maxStderrLines limits the lines that are stored of the standard error of a process.
 	maxStderrLines = 20
-	// sampleBufferBytes is the buffer for a process's samples.
+	// sampleBufferBytes is the size of the read buffer for the samples of a process.
 	sampleBufferBytes = 1 << 16
 )
 
 // StubMembersCommand is the name of this program's command that calls RunStubMembers with standard input and output.
 const StubMembersCommand = "hollow-members"
 
-// stubCommandFunc returns the command of a process of stub members, which has not been started.
+// stubCommandFunc returns a command that runs a process of stub members. The command has not been started.
 type stubCommandFunc func() (*exec.Cmd, error)
 
-// ownStubCommand is the stubCommandFunc that starts this program as a process of stub members.
+// ownStubCommand is the stubCommandFunc that runs this program.
 func ownStubCommand() (*exec.Cmd, error) {
 	program, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("find this program: %w", err)
+		return nil, fmt.Errorf("path of this program: %w", err)
 	}
 	return exec.Command(program, StubMembersCommand), nil
 }
 
-// process is a child process of stub members.
+// process is a child process with stub members.
 type process struct {
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
-	done  chan struct{} // closed when the process has ended and its output was read
+	done  chan struct{} // closed when the process has exited and its output has been read
 
 	mu          sync.Mutex
 	encoder     *json.Encoder
-	stderrLines []string // the first lines of its standard error
+	stderrLines []string // first lines of its standard error
 }
 
-// startProcess starts a process and sends its setup. Each of its samples is passed to onSample, one after another.
-// Where the setup could not be sent, the process is returned together with the error, and must be stopped.
+// startProcess starts a process and sends its setup. onSample is called with each of its samples, one after another. If
+// the setup could not be sent, the process is returned together with the error, and must be stopped.
 func startProcess(cmd *exec.Cmd, setup *Setup, onSample func(*Sample)) (*process, error) {
 	p := &process{cmd: cmd, done: make(chan struct{})}
 	var err error
@@ -79,7 +79,7 @@
 	return p, p.send(setup)
 }
 
-// readSamples passes on samples until the output ends or is malformed.
+// readSamples passes samples to onSample until the output ends or is malformed.
 func (p *process) readSamples(stdout io.Reader, onSample func(*Sample)) {
 	lines := json.NewDecoder(bufio.NewReaderSize(stdout, sampleBufferBytes))
 	for {
@@ -91,7 +91,7 @@
 	}
 }
 
-// readStderr stores the first lines of the process's standard error, and discards the others.
+// readStderr stores the first lines of the standard error of the process and discards the others.
 func (p *process) readStderr(stderr io.Reader) {
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
@@ -103,7 +103,7 @@
 	}
 }
 
-// send writes a Setup or Command to the process. An error means that the process has ended.
+// send writes a Setup or Command to the process. An error means that the process has exited.
 func (p *process) send(line any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// ended returns whether the process has ended.
+// ended returns whether the process has exited.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -123,15 +123,14 @@
 	}
 }
 
-// endedError is the error of a run during which the process has ended.
+// endedError returns the error of a run whose process has exited early.
 func (p *process) endedError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Errorf("a process of stub members has ended: %s", strings.Join(p.stderrLines, "; "))
+	return fmt.Errorf("a process of stub members has exited early: %s", strings.Join(p.stderrLines, "; "))
 }
 
-// stop ends the input of the process and waits until it has ended. killed is whether it had to be killed after the
-// limit.
+// stop closes the input of the process and waits until it has exited. killed is whether it was killed after the limit.
 func (p *process) stop(limit time.Duration) (killed bool) {
 	_ = p.stdin.Close()
 	select {
--- a/lab/scale/process_test.go
+++ b/lab/scale/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A run that exceeds its limits is ended; the usage is that of this process and of its children.
+// The measured usage includes this process and its children, and a usage over the limits of a run is an error.
 func TestLimits(t *testing.T) {
 	cmd := exec.Command("sleep", "60")
 	if err := cmd.Start(); err != nil {
@@ -21,11 +21,11 @@
 	})
 	parents, err := parentPIDs()
 	if err != nil || !isDescendant(parents, cmd.Process.Pid, os.Getpid()) || isDescendant(parents, 1, os.Getpid()) {
-		t.Errorf("%v", err)
+		t.Errorf("wrong descendants of this process: %v", err)
 	}
 	usage, err := processTreeUsage()
 	if err != nil || usage.processes < 2 || usage.residentBytes <= 0 || checkLimits(usage) != nil {
-		t.Errorf("%+v, %v", usage, err)
+		t.Errorf("usage of this process and its child: %+v, %v", usage, err)
 	}
 	if checkLimits(processUsage{processes: maxRunProcesses + 1}) == nil ||
 		checkLimits(processUsage{residentBytes: (maxRunMegabytes + 1) << 20}) == nil {
@@ -33,20 +33,20 @@
 	}
 }
 
-// A process that does not end by itself is killed, and one that has ended is noticed.
+// A process that does not exit by itself is killed, and its end is noticed. Malformed input is an error.
 func TestStubProcessIsStopped(t *testing.T) {
 	p, err := startProcess(exec.Command("sleep", "60"), &Setup{}, func(*Sample) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.ended() || !p.stop(0) || !p.ended() {
-		t.Error("it still runs")
+		t.Error("the process is still running")
 	}
 	if err := RunStubMembers(strings.NewReader("{}\nnonsense"), nil); err == nil {
 		t.Error("malformed commands are accepted")
 	}
 	if err := RunStubMembers(strings.NewReader(""), nil); err == nil || errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no setup: %v", err)
+		t.Errorf("without a setup: %v, want an error other than a missing file", err)
 	}
 }
 
@@ -76,7 +76,7 @@
 		},
 	} {
 		if got, err := json.Marshal(c.line); err != nil || string(got) != c.want {
-			t.Errorf("%s, %v, want %s", got, err, c.want)
+			t.Errorf("encoded as %s, %v, want %s", got, err, c.want)
 		}
 	}
 }
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// fastPollInterval is how often a real member's view is read while a condition is awaited.
+	// fastPollInterval is the interval at which the view of a real member is read while the run waits for a condition.
 	fastPollInterval = 100 * time.Millisecond
-	// slowPollInterval is how often it is read otherwise: an answer takes the member about a millisecond, which
-	// counts as cost of control.
+	// slowPollInterval is the interval otherwise: an answer takes the member about a millisecond, which counts as a
+	// cost of the member.
 	slowPollInterval = time.Second
 )
 
-// realState is what is known of a real member from its admin interface and the kernel.
+// realState holds the values that were read of a real member from its admin interface and from the kernel.
 type realState struct {
 	fastPolling       atomic.Bool
-	reportedSentBytes atomic.Int64 // bytes that it reports as sent since its start
+	reportedSentBytes atomic.Int64 // bytes that the member reports as sent since its start
 
-	// Written by sampleUsage, with monitor.mu locked.
+	// The fields below are written by sampleUsage with monitor.mu locked.
 	cpuSeconds    series
 	maxResidentMB float64
 	lastPID       int
-	starts        int           // number of processes that were seen of it
-	lastCPU       time.Duration // of the process lastPID
+	starts        int           // number of processes of the member that were seen
+	lastCPU       time.Duration // processor time of the process lastPID
 }
 
 // memberStatus is the part of the answer to MEMBERS that a run reads.
@@ -66,7 +66,7 @@
 	Value string `json:"value"`
 }
 
-// liveMembers is the number of live members of the own zone.
+// liveMembers returns the number of live members in the zone of the member.
 func (s *memberStatus) liveMembers() int {
 	live := 0
 	for _, member := range s.Members {
@@ -77,14 +77,14 @@
 	return live
 }
 
-// hasDelegate returns whether a member is a delegate of its own zone.
+// hasDelegate returns whether the member with a name is a delegate of its zone.
 func (s *memberStatus) hasDelegate(name string) bool {
 	return slices.ContainsFunc(s.Zones, func(zone zoneStatus) bool {
 		return zone.Own && slices.Contains(zone.Delegates, name)
 	})
 }
 
-// pollReal reads a real member's view at an interval until the fleet is closed.
+// pollReal polls the view of a real member until the fleet is closed.
 func (f *fleet) pollReal(member int) {
 	var last time.Time
 	for {
@@ -100,7 +100,7 @@
 	}
 }
 
-// pollRealOnce reads a real member's view. An answer is dropped where the process was replaced meanwhile.
+// pollRealOnce reads the view of a real member. The answer is dropped if the process was replaced while it was pending.
 func (f *fleet) pollRealOnce(member int) {
 	proc := f.realFleet.Procs[member]
 	if !proc.Runs() {
@@ -113,7 +113,8 @@
 	}
 }
 
-// applyStatus applies a real member's answer to MEMBERS. A malformed one is dropped: the next poll follows soon.
+// applyStatus applies the answer of a real member to MEMBERS. A malformed answer is dropped, since the next poll
+// follows soon.
 func (f *fleet) applyStatus(member int, text string) {
 	var status memberStatus
 	if json.Unmarshal([]byte(text), &status) != nil {
@@ -134,7 +135,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.members[member].running {
-		return // it was stopped meanwhile
+		return // the member was stopped after it had answered
 	}
 	m.observeCounts(counts, at)
 	m.members[member].budgetShare = 1 / max(status.Divisor, 1)
@@ -152,10 +153,10 @@
 	}
 }
 
-// memberChangedMessage is the message with which the program logs a change of a member's state.
+// memberChangedMessage is the message, in quotes, that the program logs when the state of a member changes.
 const memberChangedMessage = `"a member has changed"`
 
-// handleLogLine applies a line of a real member's log.
+// handleLogLine applies a line from the log of a real member.
 func (f *fleet) handleLogLine(member int, line string) {
 	if !strings.Contains(line, memberChangedMessage) {
 		return
@@ -188,19 +189,19 @@
 	}
 }
 
-// isFinal returns whether a member whose state has this name has ended, as far as the observer knows.
+// isFinal returns whether a state, given by its name, is Dead or Left.
 func isFinal(state string) bool {
 	return state == membership.Dead.String() || state == membership.Left.String()
 }
 
-// setFastPolling has all real members polled at fastPollInterval, or at slowPollInterval.
+// setFastPolling has all real members polled at fastPollInterval if fast is set, else at slowPollInterval.
 func (f *fleet) setFastPolling(fast bool) {
 	for i := range f.realStates {
 		f.realStates[i].fastPolling.Store(fast)
 	}
 }
 
-// sampleRealUsage reads one real member's processor time and memory. The time of a new process counts from its
+// sampleRealUsage reads the processor time and memory of a real member. The time of a new process counts from its
 // second reading.
 func (f *fleet) sampleRealUsage(member int, at int64) {
 	state := &f.realStates[member]
--- a/lab/scale/region.go
+++ b/lab/scale/region.go
@@ -10,34 +10,35 @@
 	"spurspread/lab/report"
 )
 
-// Region is the run in which regions are partitioned from each other.
+// Region is the run that partitions regions from each other.
 var Region = Experiment{
 	Name:    "scale-region",
 	Execute: runRegion,
-	About: "a region is cut off from all others, whole and one way, and two from each other only: " +
-		"nobody is held dead",
+	About: "a region is partitioned from all others, both ways and one way, then two regions from each other only; " +
+		"no running member may be declared dead",
 }
 
 const (
 	// regionMembers is the size of the fleet that the balancer is designed for.
 	regionMembers = 1500
-	// defaultPartitionTime is how long a region is partitioned from all others, as issue 31 requires; two regions
-	// lose each other for half of it.
+	// defaultPartitionTime is the duration of the partition of a region from all others, as required by issue 31. The
+	// partition between two regions takes half of it.
 	defaultPartitionTime = 120 * time.Second
-	// regionRestTime is how long nothing happens before the first partition, which is measured as rest.
+	// regionRestTime is the time without faults before the first partition, which is measured as the time at rest.
 	regionRestTime = 15 * time.Second
-	// quietDelay is how long after the beginning of a partition the traffic that it causes has ended.
-	quietDelay = 45 * time.Second
-	// healPause is the time between a healing and the next partition.
+	// steadyDelay is the time after the start of a partition by which the traffic that it causes has ended.
+	steadyDelay = 45 * time.Second
+	// healPause is the time between the end of a partition and the start of the next one.
 	healPause = 3 * time.Second
-	// minRegions is how many regions the run needs.
+	// minRegions is the number of regions that the run needs.
 	minRegions = 2
-	// minPairRegions is how many regions the partition of a pair needs: the two, and a third that reaches both.
+	// minPairRegions is the number of regions that the partition of a pair needs: the two, and a third that reaches
+	// both.
 	minPairRegions = 3
 )
 
-// errFlat means that the run was given a fleet without zones.
-var errFlat = errors.New("scale-region cuts zones off from each other: a flat fleet has none")
+// errFlat means that the run was started for a fleet without zones.
+var errFlat = errors.New("scale-region partitions zones from each other: a flat fleet has no zones")
 
 func runRegion(ctx context.Context, o Options) (*report.Report, error) {
 	if o.Flat {
@@ -46,14 +47,15 @@
 	members := cmp.Or(o.Members, regionMembers)
 	result := newReport(fmt.Sprint("scale-region-", members), o)
 	if o.PartitionTime > 0 && o.PartitionTime < defaultPartitionTime {
-		result.Notes["shortened"] = fmt.Sprintf("cuts last %v, not %v", o.PartitionTime, defaultPartitionTime)
+		result.Notes["shortened"] = fmt.Sprintf("partitions last %v instead of %v",
+			o.PartitionTime, defaultPartitionTime)
 	}
 	topology, err := o.topology(members)
 	if err != nil {
 		return nil, err
 	}
 	if topology.Regions < minRegions {
-		return nil, fmt.Errorf("scale-region needs %d regions", minRegions)
+		return nil, fmt.Errorf("scale-region needs at least %d regions", minRegions)
 	}
 	duration := cmp.Or(o.PartitionTime, defaultPartitionTime)
 	err = execute(ctx, o, topology, result, func(ctx context.Context, r *run) error {
@@ -66,7 +68,7 @@
 	return result, nil
 }
 
-// regionScenario partitions one region from all others, both ways and then one way, and then a pair of regions.
+// regionScenario partitions one region from all others, in both directions and then in one, and then a pair of regions.
 func regionScenario(ctx context.Context, r *run, duration time.Duration) error {
 	r.measureRest(ctx, cmp.Or(r.restTime, regionRestTime))
 	region := r.rng.IntN(r.topology.Regions)
@@ -84,21 +86,21 @@
 	return r.partitionZones(ctx, pairPartition(r.topology, region, other), duration/2)
 }
 
-// partition is a set of links that lose all datagrams, and how it is named in figures and the report.
+// partition is a set of links that lose all datagrams, with its name in figures and its description in the report.
 type partition struct {
 	name        string
 	description string
-	from        []int // zones on one side
-	to          []int // zones on the other
-	outbound    bool  // links from from to to
-	inbound     bool  // links from to to from
+	from        []int // zones on the first side
+	to          []int // zones on the second side
+	outbound    bool  // whether links from the first side to the second are included
+	inbound     bool  // whether links from the second side to the first are included
 }
 
-// regionPartition separates a region from all others, both ways.
+// regionPartition separates a region from all others, in both directions.
 func regionPartition(topology *Topology, region int) partition {
 	return partition{
 		name:        "cut",
-		description: fmt.Sprintf("region %d is cut off from all others", region),
+		description: fmt.Sprintf("region %d is partitioned from all others", region),
 		from:        topology.ZonesOf(region),
 		to:          topology.zonesExcept(region),
 		outbound:    true,
@@ -106,27 +108,27 @@
 	}
 }
 
-// oneWayPartition loses what a region sends to others, or what others send to it.
+// oneWayPartition loses the datagrams from a region to all others, or from all others to it if fromOthers is set.
 func oneWayPartition(topology *Topology, region int, fromOthers bool) partition {
 	p := partition{
 		name:        "one way",
-		description: fmt.Sprintf("nothing comes from region %d to others", region),
+		description: fmt.Sprintf("datagrams from region %d to all others are lost", region),
 		from:        topology.ZonesOf(region),
 		to:          topology.zonesExcept(region),
 		outbound:    true,
 	}
 	if fromOthers {
-		p.description = fmt.Sprintf("nothing comes from others to region %d", region)
+		p.description = fmt.Sprintf("datagrams from all others to region %d are lost", region)
 		p.from, p.to = p.to, p.from
 	}
 	return p
 }
 
-// pairPartition separates two regions from each other; all others reach both.
+// pairPartition separates two regions from each other; the other regions reach both.
 func pairPartition(topology *Topology, region, other int) partition {
 	return partition{
 		name:        "pair",
-		description: fmt.Sprintf("regions %d and %d are cut off from each other only", region, other),
+		description: fmt.Sprintf("regions %d and %d are partitioned from each other only", region, other),
 		from:        topology.ZonesOf(region),
 		to:          topology.ZonesOf(other),
 		outbound:    true,
@@ -134,7 +136,7 @@
 	}
 }
 
-// setPartition partitions or heals the links.
+// setPartition partitions the links, or heals them.
 func (r *run) setPartition(p partition, partitioned bool) error {
 	var errs []error
 	if p.outbound {
@@ -146,9 +148,9 @@
 	return errors.Join(errs...)
 }
 
-// partitionZones partitions zones for a duration, in which a member of each side crashes and a record is published
-// on one of them, and heals the links. Within the bounds all members count as many as they can reach, and have the
-// record.
+// partitionZones partitions zones for a duration and then heals the links. During the partition, a member on each side
+// crashes and a member publishes a record. Within the bounds all members have to count the members that they can reach,
+// and have the record.
 func (r *run) partitionZones(ctx context.Context, p partition, duration time.Duration) error {
 	begin, err := r.injectFault(ctx, p.description, func() error { return r.setPartition(p, true) })
 	if err != nil {
@@ -175,20 +177,21 @@
 	}
 	r.setFastPolling(false)
 	pause(ctx, duration-time.Since(time.UnixMicro(begin.at)))
-	r.addQuietPartition(begin.at)
+	r.addSteadySpan(begin.at)
 	return r.healPartition(ctx, p, r.topology.Zone(publisher), value)
 }
 
-// addQuietPartition adds the quiet part of a partition that ends now, if it is long enough to be measured.
-func (r *run) addQuietPartition(begin int64) {
-	quiet := span{begin + quietDelay.Microseconds(), time.Now().UnixMicro()}
-	if quiet.to-quiet.from >= windowMicros {
-		r.quietPartitions = append(r.quietPartitions, quiet)
+// addSteadySpan adds the part of a partition from steadyDelay until now to steadySpans, if it is long enough to be
+// measured.
+func (r *run) addSteadySpan(begin int64) {
+	steady := span{begin + steadyDelay.Microseconds(), time.Now().UnixMicro()}
+	if steady.to-steady.from >= windowMicros {
+		r.steadySpans = append(r.steadySpans, steady)
 	}
 }
 
-// healPartition ends a partition: within the bounds all members count all, and have the record that was published
-// meanwhile.
+// healPartition ends a partition. Within the bounds all members have to count the whole fleet, and have the record that
+// was published during the partition.
 func (r *run) healPartition(ctx context.Context, p partition, publisherZone int, value string) error {
 	begin, err := r.injectFault(ctx, p.name+" is healed", func() error { return r.setPartition(p, false) })
 	if err != nil {
@@ -206,8 +209,8 @@
 	return context.Cause(ctx)
 }
 
-// pickAny draws a member that runs in one of some zones: half of all draws are for a real one, and find a stub
-// where no real one runs there.
+// pickAny draws a running member in one of the zones. Half of the draws are for a real member, and fall back to a stub
+// if no real one runs there.
 func (r *run) pickAny(zones []int) (member int, ok bool) {
 	if member, ok := r.pickRunning(r.rng.IntN(2) == 0, zones); ok {
 		return member, true
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -9,32 +9,32 @@
 	"spurspread/lab/report"
 )
 
-// Sizes are the fleet sizes that scale-rest measures one after another where no size is given.
+// Sizes are the fleet sizes that scale-rest measures in turn if no size is given.
 var Sizes = []int{60, 125, 300, 600, 1000, 1500}
 
-// The shape of the fleet that the balancer is designed for.
+// Numbers of regions and zones of the fleet that the balancer is designed for.
 const (
 	targetRegions = 5
 	targetZones   = 12
 )
 
 const (
-	// defaultRestTime is how long nothing happens before the first fault.
+	// defaultRestTime is the time without faults before the first fault, which is measured as the time at rest.
 	defaultRestTime = 30 * time.Second
-	// settleTime is how long members have before that to finish what is under way.
+	// settleTime is the time before that in which members complete protocol exchanges that are in progress.
 	settleTime = 3 * time.Second
-	// trafficDelay is how long after the last fault a run waits for the samples that have its traffic.
+	// trafficDelay is the time that a run waits after its last fault for the samples that contain its traffic.
 	trafficDelay = 2 * time.Second
 )
 
 // restRun is the name of the run Rest.
 const restRun = "scale-rest"
 
-// Rest is the run in which nothing happens for a while, and then one thing after another.
+// Rest is the run that measures a fleet at rest, and then the reaction to one fault or change at a time.
 var Rest = Experiment{
 	Name:    restRun,
 	Execute: runRest,
-	About:   "a fleet at rest, then one crash, one restart and one record: cost and time until all know",
+	About:   "a fleet at rest, then crashes, restarts and records one at a time: cost, and time until all members know",
 }
 
 func runRest(ctx context.Context, o Options) (*report.Report, error) {
@@ -52,6 +52,7 @@
 	return sweep.report(), nil
 }
 
+// newReport returns a report without figures and notes.
 func newReport(name string, o Options) *report.Report {
 	return &report.Report{
 		Experiment: name,
@@ -63,7 +64,7 @@
 	}
 }
 
-// restName is the name of a report of scale-rest with a suffix, such as the size.
+// restName returns the name of a report of scale-rest, with a suffix such as the size.
 func restName(o Options, suffix string) string {
 	name := restRun + suffix
 	if o.Flat {
@@ -86,7 +87,8 @@
 	return result, nil
 }
 
-// topology is that of a fleet of a size, by the options and the shape that the balancer is designed for.
+// topology returns the topology of a fleet of a size. Values that the options do not give are those of the fleet that
+// the balancer is designed for.
 func (o *Options) topology(members int) (*Topology, error) {
 	return newTopology(
 		members,
@@ -98,7 +100,7 @@
 	)
 }
 
-// unmeasuredBounds are the bounds that a run does not measure: a fleet without zones has no records.
+// unmeasuredBounds returns the bounds that a run does not measure: a fleet without zones has no records.
 func unmeasuredBounds(o Options) []string {
 	if o.Flat {
 		return []string{"record_everywhere_ms"}
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// restScenario lets nothing happen for a while, and then crashes, restarts and published records one after another.
+// restScenario measures the fleet at rest, and then crashes, restarts and published records one after another.
 func restScenario(ctx context.Context, r *run) error {
 	r.measureRest(ctx, cmp.Or(r.restTime, defaultRestTime))
 	zones := r.topology.allZones()
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// defaultJoinLimit bounds how long the members may take to find each other.
+	// defaultJoinLimit is the time that members have to join, that is to find each other.
 	defaultJoinLimit = 90 * time.Second
-	// defaultWaitLimit bounds every other wait: longer than the bound of what is awaited, so that the report shows
-	// by how much that was missed.
+	// defaultWaitLimit limits every other wait. It is longer than the bounds, so that the report shows by how much one
+	// is missed.
 	defaultWaitLimit = 25 * time.Second
-	// requiredHoldTime is how long a condition must hold before it counts: longer than two polls of a real member.
+	// requiredHoldTime is the time for which a condition must hold before it counts as met: longer than two polls of a
+	// real member.
 	requiredHoldTime = 500 * time.Millisecond
-	// conditionPollInterval is how often a condition is evaluated.
+	// conditionPollInterval is the interval at which a condition is evaluated.
 	conditionPollInterval = 20 * time.Millisecond
 )
 
-// recordName is the record that runs publish.
+// recordName is the name of the record that runs publish.
 const recordName = "scale-run"
 
 var (
-	// errJoinTimeout means that a run could not begin.
-	errJoinTimeout = errors.New("the members did not find each other")
-	// errNoMember means that no member of the kind that a scenario needs runs any more.
-	errNoMember = errors.New("no such member runs")
+	// errJoinTimeout means that the members did not join in time, so that the scenario could not start.
+	errJoinTimeout = errors.New("not all members joined in time")
+	// errNoMember means that a scenario needs a running member of a kind, real or stub, and there is none.
+	errNoMember = errors.New("no running member of this kind")
 )
 
 // run is the execution of a scenario on a fleet.
@@ -39,29 +40,29 @@
 	*fleet
 	report   *report.Report
 	joinedAt int64 // when all members had joined, wall clock in microseconds
-	restSpan span  // when nothing happened
-	// delegates are the members that were delegates of their zones at the end of restSpan.
+	restSpan span  // time at rest, without faults
+	// delegates is, by member, whether it was a delegate of its zone at the end of restSpan.
 	delegates map[int]bool
-	// quietPartitions are the spans of partitions in which nothing more happened.
-	quietPartitions []span
-	faultLog        []string      // what was done, with when
-	killedAt        map[int]int64 // by member, wall clock in microseconds
+	// steadySpans are the parts of partitions after the traffic that they cause has ended.
+	steadySpans []span
+	faultLog    []string      // injected faults, with their times since joinedAt
+	killedAt    map[int]int64 // by member, wall clock in microseconds
 
-	restTime  time.Duration // 0: the scenario's own
+	restTime  time.Duration // time at rest; 0: the default of the scenario
 	joinLimit time.Duration
 	waitLimit time.Duration
-	failFast  bool // the first condition that does not come to hold ends the run
+	failFast  bool // end the run at the first condition that is not met in time
 }
 
-// scenario is what a run does to its fleet once all members have joined.
+// scenario is the part of a run after all members have joined.
 type scenario func(ctx context.Context, r *run) error
 
-// execute starts a fleet, carries out a scenario, and records the figures in a report. An error means that the run
-// could not be completed.
-func execute(ctx context.Context, o Options, topology *Topology, result *report.Report, carryOut scenario) error {
+// execute starts a fleet, runs a scenario on it, and records the figures in a report. An error means that the run could
+// not be completed.
+func execute(ctx context.Context, o Options, topology *Topology, result *report.Report, runScenario scenario) error {
 	dir, err := os.MkdirTemp("", "spurspread-lab")
 	if err != nil {
-		return fmt.Errorf("directory of the fleet: %w", err)
+		return fmt.Errorf("create the directory of the fleet: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -83,14 +84,14 @@
 	if err := r.join(ctx); err != nil {
 		return err
 	}
-	if err := carryOut(ctx, r); err != nil {
+	if err := runScenario(ctx, r); err != nil {
 		return err
 	}
 	r.recordFigures(o)
 	return nil
 }
 
-// join starts all members and waits until each knows all. From then on observations count.
+// join starts all members and waits until each of them knows all others. Observations count from then on.
 func (r *run) join(ctx context.Context) error {
 	r.log("%d members, %d of them real, in %d zones of %d regions",
 		r.topology.Members, r.topology.RealMembers, r.topology.Zones, r.topology.Regions)
@@ -110,7 +111,7 @@
 			strings.Join(r.monitor.errors, "; "))
 	}
 	r.report.Figures["join_ms"] = float64(joined.at-begin.at) / 1000
-	r.log("all have found each other")
+	r.log("all members have joined")
 	r.monitor.mu.Lock()
 	defer r.monitor.mu.Unlock()
 	r.joinedAt = time.Now().UnixMicro()
@@ -120,14 +121,14 @@
 	return nil
 }
 
-// outcome is how the wait for a condition ended.
+// outcome is the result of waiting for a condition.
 type outcome struct {
-	holds   bool
-	at      int64 // since when it holds by the clock of the members, else the end of the wait; microseconds
-	periods int64 // protocol periods until it held first
+	holds   bool  // whether the condition was met
+	at      int64 // time since which it holds by the members' clock, or else the end of the wait; microseconds
+	periods int64 // protocol periods until it first held
 }
 
-// await waits until a condition has held for requiredHoldTime, at most for the limit.
+// await waits until a condition has held for requiredHoldTime, but no longer than the limit.
 func (r *run) await(ctx context.Context, since instant, limit time.Duration, holds condition) outcome {
 	var result outcome
 	var heldSince time.Time
@@ -162,11 +163,12 @@
 	}
 }
 
-// measureRest lets nothing happen for a duration, after settleTime in which the members finish what is under way.
+// measureRest leaves the fleet at rest for a duration, after settleTime in which members complete exchanges that are in
+// progress.
 func (r *run) measureRest(ctx context.Context, duration time.Duration) {
 	r.setFastPolling(false)
 	pause(ctx, settleTime)
-	r.log("nothing happens for %v", duration)
+	r.log("fleet at rest for %v", duration)
 	r.restSpan.from = time.Now().UnixMicro()
 	pause(ctx, duration)
 	r.restSpan.to = time.Now().UnixMicro()
@@ -178,7 +180,7 @@
 	}
 }
 
-// injectFault does something to the fleet, and returns when: times until the members see it count from there.
+// injectFault performs an action on the fleet and returns the instant from which reaction times are measured.
 func (r *run) injectFault(ctx context.Context, description string, do func() error) (instant, error) {
 	r.setFastPolling(true)
 	if err := context.Cause(ctx); err != nil {
@@ -191,8 +193,8 @@
 	return begin, do()
 }
 
-// awaitBound waits until a condition holds, and records how long after a fault that was: as the value of a bound,
-// which is the worst of all faults, and as a figure of this fault.
+// awaitBound waits until a condition is met, and records the time since a fault, both as the value of a bound (the
+// greatest over all faults) and as a figure of this fault.
 func (r *run) awaitBound(ctx context.Context, begin instant, bound, fault string, holds condition) error {
 	result := r.await(ctx, begin, r.waitLimit, holds)
 	if ctx.Err() != nil {
@@ -211,11 +213,12 @@
 	return nil
 }
 
-// noteMissedBound notes that a condition did not come to hold. It returns that as an error where it ends the run.
+// noteMissedBound notes that a condition was not met in time. It returns an error if that ends the run.
 func (r *run) noteMissedBound(bound, fault string) error {
 	r.monitor.mu.Lock()
 	defer r.monitor.mu.Unlock()
-	reason := fmt.Sprintf("%s after '%s' not within %v; %s", bound, fault, r.waitLimit, r.monitor.describeMiscounts())
+	reason := fmt.Sprintf("%s after '%s' not reached within %v; %s",
+		bound, fault, r.waitLimit, r.monitor.describeMiscounts())
 	if r.failFast {
 		return errors.New(reason)
 	}
@@ -223,14 +226,14 @@
 	return nil
 }
 
-// recordMax sets a figure to a value where that is its first or largest.
+// recordMax sets a figure to a value if the figure has no value yet or a smaller one.
 func (r *run) recordMax(figure string, value float64) {
 	if worst, had := r.report.Figures[figure]; !had || value > worst {
 		r.report.Figures[figure] = value
 	}
 }
 
-// crash kills a member, and waits until its zone has declared it dead and all members count without it.
+// crash kills a member and waits until its zone has declared it dead and no member counts it any more.
 func (r *run) crash(ctx context.Context, fault string, member int) error {
 	begin, err := r.injectFault(ctx, fmt.Sprintf("%s: %s is killed", fault, r.topology.Name(member)),
 		func() error { return r.kill(member) })
@@ -244,7 +247,7 @@
 	return r.awaitBound(ctx, begin, "count_everywhere", fault, r.monitor.countsComplete)
 }
 
-// crashOne crashes a member that is drawn from some zones, real or stub. Where none runs it does nothing.
+// crashOne crashes a member, real or stub, that is drawn from some zones. It does nothing if none is running.
 func (r *run) crashOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
 	if !ok {
@@ -253,8 +256,8 @@
 	return r.crash(ctx, fault, member)
 }
 
-// restartOne has a member that is drawn from some zones, real or stub, leave in the planned way, starts it again,
-// and waits each time until all members count as many as there are.
+// restartOne draws a member, real or stub, from some zones, shuts it down in the planned way and starts it again. After
+// each step it waits until all members count the fleet correctly.
 func (r *run) restartOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
 	if !ok {
@@ -269,7 +272,7 @@
 	if err := r.awaitBound(ctx, begin, "count_everywhere", fault+" leaves", r.monitor.countsComplete); err != nil {
 		return err
 	}
-	pause(ctx, leaveMicros*time.Microsecond) // until a stub member has ended
+	pause(ctx, leaveMicros*time.Microsecond) // until a stub has stopped
 	begin, err = r.injectFault(ctx, fmt.Sprintf("%s: %s starts", fault, name),
 		func() error { return r.restart(member) })
 	if err != nil {
@@ -278,7 +281,7 @@
 	return r.awaitBound(ctx, begin, "count_everywhere", fault+" starts", r.monitor.countsComplete)
 }
 
-// publishOne has a member that is drawn from some zones, real or stub, publish a record, as publishRecord does.
+// publishOne has a member, real or stub, that is drawn from some zones publish a record; see publishRecord.
 func (r *run) publishOne(ctx context.Context, fault string, realMember bool, zones []int) error {
 	member, ok := r.pickRunning(realMember, zones)
 	if !ok {
@@ -288,7 +291,7 @@
 	return err
 }
 
-// publishRecord has a member publish a record with a new value, and waits until all members that it can reach have
+// publishRecord has a member publish a record with a new value, and waits until all members that can receive it have
 // it.
 func (r *run) publishRecord(ctx context.Context, fault string, member int) (value string, err error) {
 	value = fmt.Sprintf("%016x", r.rng.Uint64())
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// waitLimit bounds every wait. Its length is not part of what is tested.
+	// waitLimit limits every wait. Its value is not part of the tests.
 	waitLimit = 2 * time.Minute
-	// stubEnv is the environment variable that makes the test's program a process of stub members.
+	// stubEnv is the environment variable that makes the test program run as a process of stub members.
 	stubEnv = "SPURLAB_TEST_HOLLOW"
 
 	// Twice the bounds of issue 31, in protocol periods of 50 ms: on a loaded machine periods take longer, and an
@@ -27,10 +27,10 @@
 	maxEverywherePeriods = 2 * 140
 )
 
-// program is the path of the balancer's program, which TestMain builds.
+// program is the path of the balancer, which TestMain builds.
 var program string
 
-// TestMain builds the program once. Where stubEnv is set, it is the main function of a process of stub members.
+// TestMain builds the balancer once. If stubEnv is set, it runs a process of stub members instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(stubEnv) != "" {
 		if err := RunStubMembers(os.Stdin, os.Stdout); err != nil {
@@ -53,15 +53,15 @@
 	os.Exit(code)
 }
 
-// testStubCommand starts the test's own program as a process of stub members.
+// testStubCommand returns a command that runs the test program as a process of stub members.
 func testStubCommand() (*exec.Cmd, error) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), stubEnv+"=1")
 	return cmd, nil
 }
 
-// smallFleet returns the options of a run with 2 regions, 3 zones, 30 stub members and 2 real ones, whose figures
-// are kept also on a machine that is busy.
+// smallFleet returns the options of a run with 2 regions, 3 zones, 30 stub members and 2 real ones. Its figures are
+// reported even if the machine is busy.
 func smallFleet(t *testing.T, fault InjectedFault, limit time.Duration) Options {
 	t.Helper()
 	return Options{
@@ -85,7 +85,7 @@
 	}
 }
 
-// testLog writes the progress of a run to a test's log.
+// testLog writes the progress of a run to the log of a test.
 type testLog struct{ t *testing.T }
 
 func (l *testLog) Write(b []byte) (int, error) {
@@ -93,7 +93,7 @@
 	return len(b), nil
 }
 
-// assertWithin checks a report against the bounds that do not depend on how fast the machine is.
+// assertWithin checks a report against the bounds that do not depend on the speed of the machine.
 func assertWithin(t *testing.T, result *report.Report) {
 	t.Helper()
 	for name, limit := range map[string]float64{
@@ -107,13 +107,13 @@
 		"harness_memory_mb":         maxRunMegabytes,
 	} {
 		if got, had := result.Figures[name]; !had || got > limit {
-			t.Errorf("%s is %v (measured: %v), at most %v; %v", name, got, had, limit, result.Notes)
+			t.Errorf("%s is %v (measured: %v), want at most %v; notes %v", name, got, had, limit, result.Notes)
 		}
 	}
 }
 
-// In a small fleet of real and stub members all see crashes, restarts and records, and no member that runs is
-// declared dead.
+// All members of a small fleet, real and stub, see crashes, restarts and records, and no running member is declared
+// dead.
 func TestSmallFleetAtRest(t *testing.T) {
 	t.Parallel()
 	result, err := runRest(context.Background(), smallFleet(t, "", waitLimit))
@@ -123,7 +123,7 @@
 	assertWithin(t, result)
 }
 
-// Two regions are partitioned, both ways and one way, and count each other again once the links are healed.
+// Two regions are partitioned in both directions and in one, and count each other again once the links are healed.
 func TestSmallFleetPartitionsRegions(t *testing.T) {
 	t.Parallel()
 	options := smallFleet(t, "", waitLimit)
@@ -135,7 +135,8 @@
 	assertWithin(t, result)
 }
 
-// A run detects each fault that is injected into stub members: they never all join, or a bound is missed.
+// A run detects each fault that is injected into stub members: either the members do not all join, or a bound is
+// missed.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []InjectedFault{NoDelegate, WrongSummary} {
@@ -147,7 +148,7 @@
 				return
 			}
 			if !slices.ContainsFunc(result.Bounds, func(bound report.Bound) bool { return !bound.OK }) {
-				t.Error("not detected")
+				t.Error("no bound is missed, so the fault is not detected")
 			}
 		})
 	}
--- a/lab/scale/series.go
+++ b/lab/scale/series.go
@@ -3,20 +3,21 @@
 import "sort"
 
 const (
-	// windowMicros is the span over which costs are judged: the worst window counts.
+	// windowMicros is the length of the window over which costs are averaged; the worst window is compared with the
+	// bound.
 	windowMicros = 10_000_000
-	// windowStepMicros is the distance between the beginnings of two windows.
+	// windowStepMicros is the time between the starts of two windows.
 	windowStepMicros = 1_000_000
 )
 
-// series is a sum that only grows, as it was reported from time to time.
+// series holds a cumulative sum at the times at which it was reported.
 type series struct {
 	times []int64   // wall clock, microseconds, ascending
-	sums  []float64 // at these times
+	sums  []float64 // cumulative, at these times
 }
 
-// add records that the sum has grown by an amount at a time. A time before the last one counts as the last one: the
-// clock may have been set back.
+// add records that the sum has grown by an amount at a time. A time before the last one is replaced by that, since the
+// wall clock may have been set back.
 func (s *series) add(at int64, amount float64) {
 	sum := 0.0
 	if last := len(s.sums) - 1; last >= 0 {
@@ -27,7 +28,8 @@
 	s.sums = append(s.sums, sum+amount)
 }
 
-// valueAt is the sum at a time: between two reports by linear interpolation, outside of them the nearest.
+// valueAt returns the sum at a time: interpolated linearly between two reports, and that of the nearest report outside
+// them.
 func (s *series) valueAt(at int64) float64 {
 	if len(s.times) == 0 {
 		return 0
@@ -43,13 +45,13 @@
 	return s.sums[after-1] + part*(s.sums[after]-s.sums[after-1])
 }
 
-// span is a part of a run, wall clock in microseconds.
+// span is a period of a run, wall clock in microseconds.
 type span struct{ from, to int64 }
 
-// seconds is the length of the span.
+// seconds returns the length of the span.
 func (s span) seconds() float64 { return float64(s.to-s.from) / 1e6 }
 
-// growth is what the sums of some series together grew by within a span.
+// growth returns the amount by which the total of some series grows within a span.
 func growth(all []*series, within span) float64 {
 	sum := 0.0
 	for _, one := range all {
@@ -58,8 +60,8 @@
 	return sum
 }
 
-// windowRates returns what the sums of some series together grew by per second in each window of a span, or in the
-// span itself where that is shorter than a window.
+// windowRates returns the growth per second of the total of some series in each window of a span. If the span is
+// shorter than a window, it is the only one.
 func windowRates(all []*series, over span) []float64 {
 	width := min(int64(windowMicros), over.to-over.from)
 	if width <= 0 {
@@ -73,7 +75,7 @@
 	return rates
 }
 
-// maxRate is the largest of windowRates, 0 for an empty span.
+// maxRate returns the greatest of windowRates, 0 for an empty span.
 func maxRate(all []*series, over span) float64 {
 	highest := 0.0
 	for _, rate := range windowRates(all, over) {
@@ -82,7 +84,7 @@
 	return highest
 }
 
-// meanRate is what the sums of some series together grew by per second in a span, on average; 0 for an empty span.
+// meanRate returns the mean growth per second of the total of some series in a span, 0 for an empty span.
 func meanRate(all []*series, over span) float64 {
 	if over.to <= over.from {
 		return 0
--- a/lab/scale/stub_group.go
+++ b/lab/scale/stub_group.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	sampleMicros      = 100_000 // interval of a loop's samples, microseconds
-	samplesPerTraffic = 10      // each so many samples one has the traffic of the last second
-	lagTimerMicros    = 10_000  // interval of the timer whose lateness is measured, microseconds
+	sampleMicros      = 100_000 // interval between the samples of a loop, microseconds
+	samplesPerTraffic = 10      // one sample in this number contains the traffic of the last second
+	lagTimerMicros    = 10_000  // interval of the timer whose lag is measured, microseconds
 )
 
-// stubGroup is an event loop with its stub members. All but newStubGroup and has run on the loop.
+// stubGroup is an event loop with its stub members. All its methods but has run on the loop.
 type stubGroup struct {
 	loop         *eventloop.Loop
-	number       int // within the process
+	number       int // index of the loop within the process
 	setup        *Setup
 	links        *Links
 	keyring      *packet.Keyring
 	members      []*stubMember
-	memberByAddr map[netip.Addr]int // all members of the fleet: each has an address of its own
+	memberByAddr map[netip.Addr]int // all members of the fleet, each of which has its own address
 	memberByName map[string]int
 	zoneByID     map[zonedirectory.ID]int
 	samples      chan<- *Sample
 
-	pending     *Sample // what is observed until the next sample
-	traffic     Traffic // of the present second
+	pending     *Sample // collects observations until the next sample
+	traffic     Traffic // since the last sample with traffic
 	sampleCount int
-	periods     int64     // number of membership.TickInterval that have passed
-	lagDue      time.Time // when the lag timer should fire next
+	periods     int64     // number of periods of membership.TickInterval that have passed
+	lagDue      time.Time // time at which the lag timer is due next
 }
 
+// newStubGroup creates a loop with stub members, none of which is started yet.
 func newStubGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*stubGroup, error) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -75,7 +76,7 @@
 // has returns whether a member belongs to this loop. It may be called from any goroutine.
 func (g *stubGroup) has(member int) bool { return g.find(member) != nil }
 
-// find returns the member of this loop with an index, or nil.
+// find returns the member of this loop with an index, or nil if it belongs to another loop.
 func (g *stubGroup) find(member int) *stubMember {
 	for _, own := range g.members {
 		if own.index == member {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// run serves the loop until it is stopped.
+// run runs the loop until it is stopped.
 func (g *stubGroup) run() error {
 	repeat(g.loop, sampleMicros, g.emitSample)
 	repeat(g.loop, membership.TickInterval, func() { g.periods++ })
@@ -94,8 +95,8 @@
 	return g.loop.Run()
 }
 
-// repeat has a loop call do at an interval. The next call is scheduled before do runs, so that its duration does not
-// add to the interval.
+// repeat calls do on a loop at an interval. It schedules the next call before do runs, so that the duration of do does
+// not add to the interval.
 func repeat(loop *eventloop.Loop, interval eventloop.Micros, do func()) {
 	loop.After(interval, func() {
 		repeat(loop, interval, do)
@@ -103,7 +104,7 @@
 	})
 }
 
-// measureLag measures how late a timer fires, the other work of the loop included.
+// measureLag records the lag of a timer, which includes the time that the loop spends on other work.
 func (g *stubGroup) measureLag() {
 	late := time.Since(g.lagDue).Microseconds()
 	g.pending.LagMicros = append(g.pending.LagMicros, max(late, 0))
@@ -122,7 +123,7 @@
 	}
 }
 
-// emitSample sends what has changed at the members since the last sample.
+// emitSample sends the changes at the members since the last sample.
 func (g *stubGroup) emitSample() {
 	sample := g.pending
 	sample.Loop = g.number
@@ -161,7 +162,7 @@
 	g.resetTraffic()
 }
 
-// resetTraffic begins a second without traffic.
+// resetTraffic resets the counts of traffic.
 func (g *stubGroup) resetTraffic() {
 	realMembers := g.setup.Topology.RealMembers
 	g.traffic = Traffic{
@@ -173,8 +174,8 @@
 	}
 }
 
-// countRealTraffic counts a datagram that a member sent or received, if it is a real one: its own process has no
-// socket that counts.
+// countRealTraffic counts a datagram that a member sent or received, if it is a real member: the sockets of real
+// members do not count.
 func (g *stubGroup) countRealTraffic(member, sent, received int) {
 	if !g.setup.Topology.Real(member) {
 		return
--- a/lab/scale/stub_log_hook.go
+++ b/lab/scale/stub_log_hook.go
@@ -10,13 +10,13 @@
 	"spurspread/lab/link"
 )
 
-// discardFormatter formats log entries as nothing: the log of a stub member is read by its hook only.
+// discardFormatter formats log entries as empty: only the hook reads the log of a stub member.
 type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// changeHook observes the changes of a member's view in its log, as an operator would.
+// changeHook reads changes of the view of a member from its log, like an operator.
 type changeHook struct{ member *stubMember }
 
 // Levels implements logrus.Hook.
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// parseState returns the state that has a name; Unknown for any other word.
+// parseState returns the state with a name, or Unknown for any other text.
 func parseState(name string) membership.State {
 	for state := membership.Alive; state <= membership.Left; state++ {
 		if state.String() == name {
@@ -44,12 +44,12 @@
 	return membership.Unknown
 }
 
-// isLive returns whether a member with a state counts as live.
+// isLive returns whether a member in a state counts as live.
 func isLive(state membership.State) bool {
 	return state == membership.Alive || state == membership.Suspect
 }
 
-// observePeer records a change of the state that this member has for another one of its zone.
+// observePeer records a change of the state that this member has for another member of its zone.
 func (m *stubMember) observePeer(subject int, from, to string) {
 	state := parseState(to)
 	before := m.peerStates[subject]
@@ -75,7 +75,7 @@
 	}
 }
 
-// applyTo sets the losses of a link to those of the command. The delay stays as it is.
+// applyTo sets the loss and partition of a link to those of the command. The delay is not changed.
 func (c *Command) applyTo(l *link.Link) {
 	l.Partitioned = c.Partitioned
 	l.Loss = c.Loss
--- a/lab/scale/stub_member.go
+++ b/lab/scale/stub_member.go
@@ -13,25 +13,26 @@
 	"spurspread/internal/peer"
 )
 
-// leaveMicros is how long a member that leaves goes on to announce it, in microseconds: as long as the program does.
+// leaveMicros is the time for which a member continues to announce that it leaves, in microseconds. It is the same as
+// in the program.
 const leaveMicros = 1_000_000
 
-// stubMember is one stub member. It belongs to the goroutine of its loop.
+// stubMember is one stub member. It is used only on its loop.
 type stubMember struct {
 	group      *stubGroup
 	index      int
-	host       *peer.Host // nil while the member does not run
-	generation int        // how often the member was started or ended
+	host       *peer.Host // nil while the member is not running
+	generation int        // number of starts and ends of the member
 
-	sentBytes     int64 // in the present second, as are the next two
+	sentBytes     int64 // since the last sample with traffic, like the next two fields
 	receivedBytes int64
 	datagrams     int64
 
-	peerStates   map[int]membership.State // by member of the own zone, as far as known
-	ownZoneCount int                      // live members of the own zone, this one included
+	peerStates   map[int]membership.State // by other member of the zone; absent if never reported
+	ownZoneCount int                      // live members of the zone, this one included
 	delegate     bool                     // whether this member is a delegate of its zone
 
-	// What the last samples had.
+	// Values in the last samples.
 	lastCounts MemberCounts
 	zoneStates map[int]zonedirectory.Reachability
 	records    map[string]string // values by name
@@ -39,7 +40,7 @@
 
 func (m *stubMember) topology() *Topology { return &m.group.setup.Topology }
 
-// execute carries out a command. A start that was delayed is dropped where the member started or ended meanwhile.
+// execute carries out a command. A delayed start is dropped if the member was started or stopped since the command.
 func (m *stubMember) execute(command *Command) {
 	switch command.Action {
 	case ActionStart:
@@ -58,7 +59,7 @@
 	}
 }
 
-// start starts the member with no knowledge of the fleet but its seeds.
+// start starts the member, which knows only its seeds.
 func (m *stubMember) start() {
 	m.generation++
 	m.peerStates = map[int]membership.State{}
@@ -73,14 +74,14 @@
 	log.AddHook(&changeHook{m})
 	host, err := peer.Start(m.group.loop, config, log)
 	if err != nil {
-		m.reportError("%s does not start: %v", config.Name, err)
+		m.reportError("start %s: %v", config.Name, err)
 		return
 	}
 	m.host = host
 }
 
-// config is the configuration of the member. Its random numbers are not drawn from the run's seed: the order of
-// events between processes isn't reproducible either.
+// config returns the configuration of the member. Its random numbers do not depend on the seed of the run, since the
+// order of events between processes is not reproducible either.
 func (m *stubMember) config() peer.Config {
 	topology := m.topology()
 	name := topology.Name(m.index)
@@ -100,7 +101,7 @@
 	return config
 }
 
-// kill ends the member without notice to the others.
+// kill stops the member without notice to the others.
 func (m *stubMember) kill() {
 	if m.host == nil {
 		return
@@ -110,7 +111,7 @@
 	m.generation++
 }
 
-// leave has the member announce that it leaves, and ends it after leaveMicros.
+// leave announces that the member leaves, and stops it after leaveMicros.
 func (m *stubMember) leave() {
 	if m.host == nil {
 		return
@@ -124,13 +125,13 @@
 	})
 }
 
-// publish has the member publish a record.
+// publish publishes a record.
 func (m *stubMember) publish(command *Command) {
 	if m.host == nil {
 		return
 	}
 	if _, err := m.host.Publish(command.Name, command.Value); err != nil {
-		m.reportError("member %d does not publish: %v", m.index, err)
+		m.reportError("member %d: publish a record: %v", m.index, err)
 	}
 }
 
@@ -139,7 +140,7 @@
 	m.group.pending.Errors = append(m.group.pending.Errors, fmt.Sprintf(format, args...))
 }
 
-// sample adds to a sample what has changed at the member since the last one.
+// sample adds the changes at the member since the last sample to a sample.
 func (m *stubMember) sample(sample *Sample) {
 	if !m.topology().Flat {
 		m.sampleZones(sample)
@@ -157,6 +158,7 @@
 	}
 }
 
+// sampleZones adds the changed states of zones to a sample, and updates whether the member is a delegate.
 func (m *stubMember) sampleZones(sample *Sample) {
 	for _, view := range m.host.Zones() {
 		zone, known := m.group.zoneByID[view.Site.ID()]
@@ -177,6 +179,7 @@
 	})
 }
 
+// sampleRecords adds the changed values of records to a sample.
 func (m *stubMember) sampleRecords(sample *Sample) {
 	for _, record := range m.host.Records() {
 		if m.records[record.Name] != record.Value {
--- a/lab/scale/stub_process.go
+++ b/lab/scale/stub_process.go
@@ -12,12 +12,11 @@
 	"spurspread/internal/peer/packet"
 )
 
-// StubLimitations is what a stub member lacks, as each report notes it.
-const StubLimitations = "stub members have no clients, servers, discovery, settings, session store, admin listener " +
-	"or log"
+// StubNote is the note of each report that lists the parts of the program that stub members lack.
+const StubNote = "stub members have no clients, servers, discovery, settings, session store, admin listener and log"
 
-// sampleQueueLength is how many samples may wait for the writer: some seconds of them, so that a reader that is late
-// blocks no loop.
+// sampleQueueLength is the number of samples that may wait for the writer: some seconds of them, so that a slow reader
+// does not block a loop.
 const sampleQueueLength = 256
 
 // RunStubMembers is the main function of a process of stub members. It reads a Setup and then Commands from in, and
@@ -27,7 +26,7 @@
 	lines := json.NewDecoder(bufio.NewReader(in))
 	var setup Setup
 	if err := lines.Decode(&setup); err != nil {
-		return fmt.Errorf("stub members: no setup: %w", err)
+		return fmt.Errorf("stub members: read the setup: %w", err)
 	}
 	samples := make(chan *Sample, sampleQueueLength)
 	written := make(chan error, 1)
@@ -71,7 +70,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("stub members: %w", err)
+			return fmt.Errorf("stub members: read a command: %w", err)
 		}
 		for _, group := range groups {
 			if command.Action == ActionLink || group.has(command.Member) {
@@ -81,8 +80,8 @@
 	}
 }
 
-// writeSamples writes one line for each sample. After an error it goes on to receive samples, so that no loop
-// blocks, and writes nothing more.
+// writeSamples writes one line for each sample. After an error it writes nothing more, but continues to receive
+// samples, so that no loop blocks.
 func writeSamples(out io.Writer, samples <-chan *Sample) error {
 	var failed error
 	encoder := json.NewEncoder(out)
@@ -94,11 +93,11 @@
 	return failed
 }
 
-// newKeyring returns a keyring with the fleet's key. A keyring is not safe for concurrent use.
+// newKeyring returns a keyring with the key of the fleet. A keyring is not safe for concurrent use.
 func newKeyring(secret []byte) (*packet.Keyring, error) {
 	key := packet.Key{Primary: true}
 	if len(secret) != len(key.Secret) {
-		return nil, fmt.Errorf("stub members: a key has %d bytes, not %d", len(key.Secret), len(secret))
+		return nil, fmt.Errorf("stub members: a key must have %d bytes, but has %d", len(key.Secret), len(secret))
 	}
 	copy(key.Secret[:], secret)
 	return packet.NewKeyring([]packet.Key{key})
--- a/lab/scale/sweep.go
+++ b/lab/scale/sweep.go
@@ -6,7 +6,7 @@
 	"spurspread/lab/report"
 )
 
-// sweepCharts are the figures that a sweep draws by the size of the fleet.
+// sweepCharts are the charts of a sweep: figures by the size of the fleet.
 var sweepCharts = []struct {
 	name    string
 	title   string
@@ -33,17 +33,18 @@
 	},
 	{
 		name:    "times",
-		title:   "time until all know",
+		title:   "time until all members know",
 		unit:    "ms",
 		figures: []string{"zone_seen_ms", "count_everywhere_ms", "record_everywhere_ms"},
 	},
 }
 
-// sweep is one report of runs at several sizes: the worst value of each bound, and all figures of each size.
+// sweep combines the reports of runs at several sizes into one: the worst value of each bound, and all figures of each
+// size.
 type sweep struct {
 	summary    *report.Report
-	unmeasured []string // bounds that the runs do not measure
-	lines      map[string]*report.Series
+	unmeasured []string                  // bounds that the runs do not measure
+	lines      map[string]*report.Series // by figure
 }
 
 func newSweep(o Options) *sweep {
@@ -61,7 +62,7 @@
 		s.summary.Figures[name+suffix] = value
 	}
 	for name, text := range result.Notes {
-		if name == "stubs" || name == "bytes" { // the same at each size
+		if name == "stubs" || name == "bytes" { // the same at all sizes
 			s.summary.Notes[name] = text
 		} else {
 			s.summary.Notes[name+suffix] = text
@@ -82,7 +83,7 @@
 	}
 }
 
-// addBound adds one bound of a size's report: a missed one is noted, and the worst value of all sizes is kept.
+// addBound adds one bound of the report of a size. It notes a missed bound, and stores the worst value of all sizes.
 func (s *sweep) addBound(members int, bound report.Bound, result *report.Report) {
 	if !bound.OK {
 		s.appendNote("broken", fmt.Sprintf("%s at %d members", bound.Name, members))
@@ -104,7 +105,7 @@
 	s.summary.Notes[name] = text
 }
 
-// addPoint adds a point to a figure's line.
+// addPoint adds a point to the line of a figure.
 func (s *sweep) addPoint(figure string, x, y float64) {
 	line := s.lines[figure]
 	if line == nil {
@@ -115,7 +116,7 @@
 	line.Y = append(line.Y, y)
 }
 
-// report is the report of all sizes, with its charts and bounds.
+// report returns the report of all sizes, with its charts and bounds.
 func (s *sweep) report() *report.Report {
 	for _, charted := range sweepCharts {
 		chart := report.Chart{
--- a/lab/scale/sweep_test.go
+++ b/lab/scale/sweep_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The report of several sizes has the figures of each, the worst value of each bound, and the sizes that are not
-// valid.
+// The report of several sizes has the figures of each size and the worst value of each bound, and names the sizes that
+// are not valid.
 func TestSweep(t *testing.T) {
 	s := newSweep(Options{})
 	for _, members := range []int{60, 125, 300} {
@@ -22,11 +22,11 @@
 	summary := s.report()
 	if summary.Pass || summary.Figures["control_bytes_per_s"] != 125 ||
 		summary.Figures["control_bytes_per_s_at_60"] != 60 || summary.Notes["not valid_at_300"] != "late" {
-		t.Errorf("%+v", summary)
+		t.Errorf("wrong summary of three sizes: %+v", summary)
 	}
 	if _, had := summary.Figures["control_bytes_per_s_at_300"]; had || len(summary.Charts) == 0 ||
 		len(summary.Charts[0].Series[0].X) != 2 {
-		t.Errorf("a size that is not valid has figures: %+v", summary.Charts)
+		t.Errorf("a size that is not valid has figures in the summary or its charts: %+v", summary.Charts)
 	}
 	if err := summary.Keep(t.TempDir()); err != nil {
 		t.Error(err)
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -11,22 +11,22 @@
 // racksPerZone is the number of failure domains of a zone.
 const racksPerZone = 4
 
-// Topology is where each member of a fleet is placed, and the address of each. The first RealMembers members are
-// processes of the program, the others are stubs. All that is drawn follows from Seed, so that each process of a
+// Topology places the members of a fleet in zones and regions, and gives each an address. The first RealMembers members
+// are processes of the program, the others are stubs. All random choices depend on Seed only, so that each process of a
 // run derives the same topology.
 type Topology struct {
 	Members     int
 	RealMembers int `json:"Reals"`
 	Regions     int
 	Zones       int
-	// Flat is whether there is one membership for all members: zones then decide delays only, and the members do not
-	// know of them.
+	// Flat is whether all members are in one membership. Zones then determine only the delays of links, and members do
+	// not know their zone.
 	Flat  bool
 	Seed  uint64
 	Addrs []netip.AddrPort // by member
 }
 
-// newTopology places the members of a fleet, each on a loopback address of its own.
+// newTopology places the members of a fleet, each with its own loopback address.
 func newTopology(members, realMembers, regions, zones int, flat bool, seed uint64) (*Topology, error) {
 	if realMembers > members || regions < 1 || zones < regions || members < zones {
 		return nil, fmt.Errorf(
@@ -55,24 +55,24 @@
 	return t, nil
 }
 
-// Name is the name of a member.
+// Name returns the name of a member.
 func (t *Topology) Name(member int) string { return fmt.Sprint("n", member) }
 
 // Real returns whether a member is a process of the program.
 func (t *Topology) Real(member int) bool { return member < t.RealMembers }
 
-// Zone is the zone of a member: members are assigned to zones in turn.
+// Zone returns the zone of a member. Members are assigned to zones in turn.
 func (t *Topology) Zone(member int) int { return member % t.Zones }
 
-// Region is the region of a zone.
+// Region returns the region of a zone.
 func (t *Topology) Region(zone int) int { return zone % t.Regions }
 
-// Rack is the failure domain of a member. Racks are numbered over all zones, racksPerZone for each.
+// Rack returns the failure domain of a member. Racks are numbered over all zones, with racksPerZone in each.
 func (t *Topology) Rack(member int) int {
 	return t.Zone(member)*racksPerZone + member/t.Zones%racksPerZone
 }
 
-// Racks is the number of racks of all zones.
+// Racks returns the number of racks of all zones.
 func (t *Topology) Racks() int { return t.Zones * racksPerZone }
 
 // RacksOf returns the racks of some zones.
@@ -111,7 +111,7 @@
 	return zones
 }
 
-// Site is the name of a zone and its region; the zero Site in a flat fleet.
+// Site returns the names of a zone and its region; the zero Site in a flat fleet.
 func (t *Topology) Site(zone int) zonedirectory.Site {
 	if t.Flat {
 		return zonedirectory.Site{}
@@ -121,11 +121,11 @@
 
 const (
 	ownZoneSeeds   = 2 // seeds of a member in its own zone
-	otherZoneSeeds = 2 // seeds of a member in other zones, one in each
+	otherZoneSeeds = 2 // seeds of a member in other zones, one in each of them
 )
 
-// Seeds returns the seeds of a member. They differ between members, so that no member has to answer the joins of
-// all. In a flat fleet they are the first three members.
+// Seeds returns the seeds of a member. They differ between members, so that no member has to answer the joins of all
+// others. In a flat fleet they are the first three members.
 func (t *Topology) Seeds(member int) []int {
 	if t.Flat {
 		return without(member, []int{0, 1, 2})
@@ -139,7 +139,7 @@
 	return without(t.Members, seeds)
 }
 
-// without returns the members but one.
+// without returns some members except one.
 func without(member int, members []int) []int {
 	var others []int
 	for _, other := range members {
--- a/lab/scale/topology_test.go
+++ b/lab/scale/topology_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Racks have the same number of members, and each member has seeds in its own zone and in two others.
+// Racks have the same number of members (up to one), and each member has seeds in its zone and in two others.
 func TestTopology(t *testing.T) {
 	topology := &Topology{Members: 1500, RealMembers: 24, Regions: 5, Zones: 12, Seed: 7}
 	racks := make([]int, topology.Racks())
@@ -16,20 +16,20 @@
 		for _, seed := range topology.Seeds(member) {
 			zones[topology.Zone(seed)] = true
 			if seed == member {
-				t.Errorf("%d is its own seed", member)
+				t.Errorf("member %d is its own seed", member)
 			}
 		}
 		if len(zones) != 3 || !zones[topology.Zone(member)] {
-			t.Fatalf("the seeds of %d are in zones %v", member, zones)
+			t.Fatalf("the seeds of member %d are in zones %v, want its own and two others", member, zones)
 		}
 	}
 	if smallest, largest := slices.Min(racks), slices.Max(racks); largest-smallest > 1 {
-		t.Errorf("racks have %d to %d members", smallest, largest)
+		t.Errorf("racks have %d to %d members, want a difference of at most 1", smallest, largest)
 	}
 	checkDelays(t, topology)
 }
 
-// checkDelays checks that links with the same seed have the same delays, both ways and within their bounds.
+// checkDelays checks that links from the same seed have the same delays, in both directions and within their limits.
 func checkDelays(t *testing.T, topology *Topology) {
 	t.Helper()
 	links := topology.Links(1)
@@ -40,13 +40,14 @@
 			lowest, highest := delayBounds(topology, from/racksPerZone, to/racksPerZone)
 			if delay != others.Between(from, to).Delay || delay != links.Between(to, from).Delay ||
 				delay < lowest || delay > highest {
-				t.Fatalf("from rack %d to %d the delay is %v", from, to, delay)
+				t.Fatalf("delay from rack %d to %d is %v, not symmetric, not reproducible or out of its limits",
+					from, to, delay)
 			}
 		}
 	}
 }
 
-// delayBounds are the bounds of the delay between two zones.
+// delayBounds returns the limits of the delay between two zones.
 func delayBounds(topology *Topology, from, to int) (lowest, highest time.Duration) {
 	switch {
 	case from == to:
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -12,25 +12,25 @@
 	"spurspread/lab/loadgen"
 )
 
-// The limits of a run, checked while it is executed: a run that exceeds one is ended.
+// Limits of the resources of a run. A run that exceeds one is ended early.
 const (
 	maxRunProcesses = 300
 	maxRunMegabytes = 12 << 10
 )
 
-// usageInterval is how often the kernel's figures of all processes are read.
+// usageInterval is the interval at which the resource usage of all processes is read.
 const usageInterval = time.Second
 
 const bytesPerMegabyte = 1 << 20
 
-// processUsage is what a tree of processes uses, according to the kernel.
+// processUsage is the resource usage of a process tree, as reported by the kernel.
 type processUsage struct {
 	processes     int
 	residentBytes float64
-	cpu           time.Duration // of the processes that still run
+	cpu           time.Duration // of the processes that are still running
 }
 
-// processTreeUsage measures this process and all its descendants.
+// processTreeUsage returns the usage of this process and all its descendants.
 func processTreeUsage() (processUsage, error) {
 	parents, err := parentPIDs()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return usage, nil
 }
 
-// parentPIDs returns the parent of each process of the machine.
+// parentPIDs returns the parent process ID of each process of the machine, by process ID.
 func parentPIDs() (map[int]int, error) {
 	paths, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -59,7 +59,7 @@
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // the process has ended
+			continue // the process has exited
 		}
 		pid, err := strconv.Atoi(filepath.Base(filepath.Dir(path)))
 		if err != nil {
@@ -72,18 +72,18 @@
 	return parents, nil
 }
 
-// parseParent returns the parent process from a line of /proc/PID/stat: the second field after the command's name,
-// which is in parentheses and may itself contain blanks and parentheses.
+// parseParent returns the parent process ID from a line of /proc/PID/stat: the second field after the name of the
+// command, which is in parentheses and may itself contain blanks and parentheses.
 func parseParent(stat string) (int, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("%q is not understood", stat)
+		return 0, fmt.Errorf("unexpected format of process status %q", stat)
 	}
 	return strconv.Atoi(fields[1])
 }
 
-// isDescendant returns whether a process is an ancestor itself, or descends from it. Processes that end while the
-// list is read may leave it with gaps and cycles, so that the search is bounded.
+// isDescendant returns whether a process is the ancestor itself or descends from it. Since processes may exit while the
+// list is read, it can have gaps and cycles, so the search is bounded.
 func isDescendant(parents map[int]int, pid, ancestor int) bool {
 	for range len(parents) {
 		if pid == ancestor {
@@ -98,18 +98,18 @@
 	return false
 }
 
-// checkLimits returns an error where a run uses more than it may.
+// checkLimits returns an error if the usage of a run exceeds its limits.
 func checkLimits(usage processUsage) error {
 	if usage.processes > maxRunProcesses {
-		return fmt.Errorf("the run has %d processes, over %d", usage.processes, maxRunProcesses)
+		return fmt.Errorf("the run has %d processes, more than %d", usage.processes, maxRunProcesses)
 	}
 	if megabytes := usage.residentBytes / bytesPerMegabyte; megabytes > maxRunMegabytes {
-		return fmt.Errorf("the run takes %.0f MB, over %d", megabytes, maxRunMegabytes)
+		return fmt.Errorf("the run uses %.0f MB of memory, more than %d", megabytes, maxRunMegabytes)
 	}
 	return nil
 }
 
-// usageMeter is what all processes of a run have used. It needs monitor.mu locked.
+// usageMeter accumulates the usage of all processes of a run. monitor.mu must be locked.
 type usageMeter struct {
 	maxProcesses  int
 	maxResidentMB float64
@@ -132,7 +132,7 @@
 	}
 }
 
-// add adds a reading of all processes.
+// add adds a reading of the usage of all processes.
 func (m *usageMeter) add(at int64, usage processUsage) {
 	m.maxProcesses = max(m.maxProcesses, usage.processes)
 	m.maxResidentMB = max(m.maxResidentMB, usage.residentBytes/bytesPerMegabyte)
@@ -142,7 +142,7 @@
 	m.lastCPU = usage.cpu
 }
 
-// addTraffic adds a reading of what real members have sent to and received from each other, in bytes since the start.
+// addTraffic adds a reading of the bytes that real members have sent to and received from each other since the start.
 func (m *usageMeter) addTraffic(at int64, sent, received []int64) {
 	for i := range m.sentBytes {
 		m.sentBytes[i].add(at, float64(sent[i]-m.lastSent[i]))
@@ -152,8 +152,7 @@
 	m.lastReceived = received
 }
 
-// sampleUsage reads the kernel's figures at an interval until the fleet is closed, and ends the run where it exceeds
-// its limits.
+// sampleUsage reads the usage at usageInterval until the fleet is closed, and ends the run if it exceeds its limits.
 func (f *fleet) sampleUsage() {
 	for {
 		f.sampleUsageOnce()
@@ -165,6 +164,7 @@
 	}
 }
 
+// sampleUsageOnce takes one reading of the usage, and checks that the processes of stub members are still running.
 func (f *fleet) sampleUsageOnce() {
 	usage, err := processTreeUsage()
 	if err != nil {
