--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -17,23 +17,23 @@
 
 const docs = "../../docs"
 
-// Each figure that the page marks as measured is in a stored result, and each calculation gives what is shown.
+// Each figure that the page marks as measured is in a stored result, and each calculation has the value shown.
 func TestCapacityPage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := Check(text, func(file string) ([]Run, error) { return Read(filepath.Join(docs, file)) })
-	for _, w := range p.Problems {
-		t.Errorf("docs/CAPACITY.md, %s", w)
+	for _, problem := range p.Problems {
+		t.Errorf("docs/CAPACITY.md, %s", problem)
 	}
 	if p.Measured == 0 || p.Formulas == 0 {
-		t.Errorf("%d measured figures and %d formulas: the page has another form than the check",
+		t.Errorf("%d measured figures and %d formulas found: does the page have another syntax?",
 			p.Measured, p.Formulas)
 	}
 }
 
-// Each stored line is that of its stored runs.
+// Stored lines can be recomputed from their stored runs.
 func TestStoredLines(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(docs, "results", "*-fit.json"))
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkedPage checks a page of these lines, beside a stored result of three runs.
+// checkedPage checks a page of some lines, with a stored result of three runs.
 func checkedPage(lines ...string) Page {
 	return Check([]byte(strings.Join(lines, "\n")), func(file string) ([]Run, error) {
 		if file != "results/a.csv" {
@@ -57,12 +57,12 @@
 	})
 }
 
-// wantProblem checks that a page has a problem with this text, or none for "".
+// wantProblem checks that a page has a problem with this text, or no problem if the text is "".
 func wantProblem(t *testing.T, line string, p Page, want string) {
 	t.Helper()
 	got := strings.Join(p.Problems, "; ")
 	if want == "" && got != "" || !strings.Contains(got, want) {
-		t.Errorf("%s: %q, %q expected", line, got, want)
+		t.Errorf("%s: problems %q, want %q", line, got, want)
 	}
 }
 
@@ -90,20 +90,20 @@
 		"`n = 12`, `n * (2 + 1) - 1 = 35`, `1/3 = 0.33`":    "",
 		"`m = 60 * 2 = 120`, `max(m, 100) = 120`":           "",
 		"`60 * 2 = 121`":                                    "120",
-		"`unknown * 2 = 4`":                                 "not given before",
-		"`1 << 2 = 4`":                                      "no operator",
-		"`f(2) = 4`":                                        "no such function",
+		"`unknown * 2 = 4`":                                 "undefined name unknown",
+		"`1 << 2 = 4`":                                      "unsupported operator <<",
+		"`f(2) = 4`":                                        "unknown function",
 		"`(1 = 2`":                                          "expected",
 	} {
 		p := checkedPage(line)
 		wantProblem(t, line, p, want)
 		if p.Measured+p.Formulas == 0 {
-			t.Errorf("%s: neither a figure nor a formula was found", line)
+			t.Errorf("%s: no figure or formula was found", line)
 		}
 	}
 }
 
-// A row's basis must be that of its cells.
+// The basis of a row must agree with its cells.
 func TestBasis(t *testing.T) {
 	table := []string{"| what | figure | basis |", "| --- | --- | --- |"}
 	for row, want := range map[string]string{
@@ -112,23 +112,23 @@
 		"| a | 4,096 | published (tcp(7)) |":                  "",
 		"| a | - | not measured |":                            "",
 		"| a | - | not measured: no run loses a rack yet |":   "",
-		"| a | 1,240 | measured |":                            "no kept result",
+		"| a | 1,240 | measured |":                            "no stored result",
 		"| a | 6 | worked out |":                              "no formula",
-		"| a | [1,240](results/a.csv#bytes) | not measured |": "with a kept result",
-		"| a | 7 | guessed |":                                 "no basis",
-		"| a | 7 |":                                           "no cell",
+		"| a | [1,240](results/a.csv#bytes) | not measured |": "there is a stored result",
+		"| a | 7 | guessed |":                                 "not a basis",
+		"| a | 7 |":                                           "no basis cell",
 	} {
 		wantProblem(t, row, checkedPage(append(table, row)...), want)
 	}
 }
 
-// Plain numbers in computed columns must be ones that the row computes.
+// Plain numbers in computed columns must be computed by the row or be values of names.
 func TestComputedColumns(t *testing.T) {
 	table := []string{"| what | at the target | ratio | basis |", "| --- | --- | --- | --- |"}
 	for row, want := range map[string]string{
 		"| `n = 12` of `3 * 2 = 6` | 6 zones | 12 | worked out |":     "",
-		"| `3 * 2 = 6` | 7 | - | worked out |":                        "not what the row computes",
-		"| `3 * 2 = 6` | - | 0.5 | worked out |":                      "not what the row computes",
+		"| `3 * 2 = 6` | 7 | - | worked out |":                        "not a number that the row computes",
+		"| `3 * 2 = 6` | - | 0.5 | worked out |":                      "not a number that the row computes",
 		"| `3 * 2 = 6` | `7 * 1 = 7` | `6 / 12 = 0.5` | worked out |": "",
 	} {
 		wantProblem(t, row, checkedPage(append(table, row)...), want)
@@ -146,7 +146,7 @@
 	}
 }
 
-// writeReports writes reports of these sizes, three seeds each, and returns their files.
+// writeReports writes reports of runs of some sizes, with three seeds each, and returns the names of their files.
 func writeReports(t *testing.T, dir string, sizes ...int) (files []string) {
 	t.Helper()
 	for _, size := range sizes {
@@ -163,7 +163,7 @@
 	return files
 }
 
-// computedFits are lines through stored runs of five sizes, one of them held out, and their folder.
+// computedFits returns lines through stored runs of five sizes, of which one is held out, and the folder of the runs.
 func computedFits(t *testing.T) (f Fits, dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -180,6 +180,7 @@
 	return f, dir
 }
 
+// Lines are computed from the runs in a folder, except for those with zeros or too few sizes.
 func TestCompute(t *testing.T) {
 	f, dir := computedFits(t)
 	for name, want := range map[string]float64{
@@ -192,22 +193,22 @@
 		"bytes.prediction_error": 0,
 	} {
 		if got, ok := f.Figures[name]; !ok || got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("%s is %v, %v wanted", name, got, want)
+			t.Errorf("%s is %v, want %v", name, got, want)
 		}
 	}
 	if f.Rejected["false_dead"] == "" {
-		t.Errorf("a line through zeros: %+v", f)
+		t.Errorf("a line was fitted through zeros: %+v", f)
 	}
 	if f.Commit != "c1" {
-		t.Errorf("commit %q", f.Commit)
+		t.Errorf("commit is %q, want c1", f.Commit)
 	}
 	f.ExcludedSizes = []float64{600}
 	if err := f.Compute(dir); err != nil || f.Rejected["bytes"] == "" {
-		t.Errorf("a line through three sizes: %+v, %v", f.Figures, err)
+		t.Errorf("a line was fitted through three sizes: %+v, %v", f.Figures, err)
 	}
 }
 
-// Stored lines are read as a run, and are rejected once a figure was changed by hand.
+// Stored lines can be read as a run, and fail the check after a figure was changed by hand.
 func TestStoredFits(t *testing.T) {
 	f, dir := computedFits(t)
 	path := filepath.Join(dir, "scale-rest-fit.json")
@@ -219,21 +220,21 @@
 	}
 	runs, err := Read(path)
 	if err != nil || len(runs) != 1 {
-		t.Fatalf("stored lines are read as %+v, %v", runs, err)
+		t.Fatalf("stored lines are read as %+v, %v, want one run", runs, err)
 	}
 	if runs[0].Figures["bytes.slope"] != f.Figures["bytes.slope"] {
-		t.Errorf("stored lines are read as %+v", runs)
+		t.Errorf("stored lines are read as %+v, want the stored slope", runs)
 	}
 	f.Figures["bytes.slope"] *= 1.001
 	if err := f.Write(path); err != nil {
 		t.Fatal(err)
 	}
 	if err := CheckFits(path); !errors.Is(err, ErrChanged) || !strings.Contains(err.Error(), "bytes.slope") {
-		t.Errorf("a slope that was changed by hand: %v", err)
+		t.Errorf("check after a slope was changed by hand: %v, want ErrChanged with its name", err)
 	}
 }
 
-// Rows and predictions have the form that Check accepts.
+// Rows and predictions have the syntax that Check accepts.
 func TestRowsAndPredictions(t *testing.T) {
 	f, dir := computedFits(t)
 	const file = "scale-rest-fit.json"
@@ -256,7 +257,8 @@
 	}
 }
 
-// A row replaces those of the same first cell and as many cells, and must have one.
+// A row replaces those with the same first cell and number of cells. A row without such a place on the page is an
+// error.
 func TestReplace(t *testing.T) {
 	f, _ := computedFits(t)
 	rows := f.Rows("scale-rest-fit.json", map[string]float64{"bytes": 4096})
@@ -269,11 +271,11 @@
 		t.Errorf("replaced: %q", replaced)
 	}
 	if _, err := Replace(replaced, rows); !errors.Is(err, ErrNoRow) {
-		t.Errorf("a row that has no place: %v", err)
+		t.Errorf("replacing with a row that is not on the page: %v, want ErrNoRow", err)
 	}
 }
 
-// A run of several sizes names its figures by size.
+// A run of several sizes, whose figures have the size in their names, is split into one run for each valid size.
 func TestRunsOfSeveralSizes(t *testing.T) {
 	dir := t.TempDir()
 	f := Fits{Size: "connections", Target: 80000, Lines: []string{"mb"}}
@@ -291,11 +293,11 @@
 		t.Fatal(err)
 	}
 	if got := f.Figures["mb.target"]; got < 239.999 || got > 240.001 {
-		t.Errorf("%v MB of 80,000, by %v", got, f.Figures)
+		t.Errorf("%v MB predicted for 80,000 connections, want 240; figures %v", got, f.Figures)
 	}
 }
 
-// A run with a note that it is not valid counts nowhere.
+// A run that is marked as not valid is neither found nor fitted.
 func TestRunsThatAreNotValid(t *testing.T) {
 	dir := t.TempDir()
 	r := report.Report{
@@ -310,16 +312,16 @@
 		t.Fatal(err)
 	}
 	if v, err := Find(runs, "bytes"); err == nil {
-		t.Errorf("found %v", v)
+		t.Errorf("a run that is not valid has the figure %v", v)
 	}
 	if err := (&Fits{
 		Size: "members", Lines: []string{"bytes"}, RunFiles: []string{"a.json"},
 	}).Compute(dir); err == nil {
-		t.Error("fitted")
+		t.Error("lines were fitted to a run that is not valid")
 	}
 }
 
-// Runs are joined to one list, each once; a run that is not valid remains so.
+// Reports are joined to one list, each once. A run that is not valid remains so.
 func TestJoin(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
@@ -341,25 +343,25 @@
 	}
 	runs, err := Read(list)
 	if v, _ := Find(runs, "bytes&most"); err != nil || len(runs) != 2 || v != 5 {
-		t.Errorf("%+v, %v, the greatest valid one %v", runs, err, v)
+		t.Errorf("joined runs %+v, %v, greatest valid figure %v; want two runs and 5", runs, err, v)
 	}
 	if cell, err := Cell(runs, "list.json", "bytes&most"); err != nil ||
 		cell != "[5.00](results/list.json#bytes&most)" {
-		t.Errorf("%s, %v", cell, err)
+		t.Errorf("cell of the greatest figure: %s, %v", cell, err)
 	}
 	if err := Join(list, append(files, files[0])); err == nil {
-		t.Error("a run is joined twice")
+		t.Error("the same report was joined twice without an error")
 	}
 }
 
-// The sizes with which the page computes are those of the code.
+// The sizes with which the page computes are those in the code.
 func TestPageHasSizesOfCode(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := Check(text, func(file string) ([]Run, error) { return Read(filepath.Join(docs, file)) }).Names
-	const incarnation = 1_796_171_470_554 // a start in Unix milliseconds, which is what a member begins with
+	const incarnation = 1_796_171_470_554 // Unix milliseconds, as in the first incarnation of a member
 	ping := membership.Message{Kind: membership.Ping, Incarnation: incarnation, ReceiverIncarnation: incarnation}
 	envelope := packet.Envelope{Addr: netip.MustParseAddrPort("10.1.2.3:7946"), Zone: 1}
 	probe := packet.EncodeDirectory(nil, envelope, &zonedirectory.Message{Kind: zonedirectory.Probe, Zone: 1})
@@ -375,6 +377,7 @@
 	}
 }
 
+// Formatted numbers are accepted as the value that they show.
 func TestNumbers(t *testing.T) {
 	for v, want := range map[float64]string{
 		0: "0", 1234567.8: "1,234,568", -1234.5: "-1,234", 123.4: "123", 12.345: "12.3", 1.2345: "1.23",
@@ -382,11 +385,12 @@
 		-0.00012345: "-0.000123", 999: "999", -100: "-100", -100000: "-100,000",
 	} {
 		if got := formatNumber(v); got != want || !rendersAs(got, v) {
-			t.Errorf("%v is written as %q, %q wanted", v, got, want)
+			t.Errorf("%v is formatted as %q, want %q", v, got, want)
 		}
 	}
 }
 
+// Each format of a stored result is read as the same run, and malformed or empty results are errors.
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -406,7 +410,7 @@
 		}
 		r := runs[0]
 		if r.Seed != 7 || r.Commit != "abc+" || r.Command != "bin/spurlab run x" || r.Figures["bytes"] != 5.5 {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: wrong run %+v", name, r)
 		}
 	}
 	for name, text := range map[string]string{"none.json": "[]", "bad.json": "{", "none.csv": "", "bad.csv": "a,\"b"} {
@@ -415,7 +419,7 @@
 			t.Fatal(err)
 		}
 		if runs, err := Read(path); err == nil {
-			t.Errorf("%s: %+v", name, runs)
+			t.Errorf("%s: read as %+v, want an error", name, runs)
 		}
 	}
 }
--- a/lab/capacity/fits.go
+++ b/lab/capacity/fits.go
@@ -17,32 +17,33 @@
 	"spurspread/lab/scale/slope"
 )
 
-// Fits are lines through figures of stored runs, to be stored themselves. From names the runs, so that the lines can
-// be computed again. Figures has for each of Lines:
-//   - NAME.slope, .intercept, .rms, .most and .exponent, see package slope,
-//   - .target, the line at Target, and .at_target, the median that was measured there, if From has runs of that size,
-//   - if From has runs of the size HeldOut: .held, the median that was measured there, .held_line, the line there, and
-//     .prediction_error.
+// Fits are lines through figures of stored runs, and are stored as well. RunFiles names the runs, so that the lines can
+// be recomputed. For each of Lines, Figures has:
+//   - NAME.slope, .intercept, .rms, .most and .exponent, see package slope (.most is the greatest residual),
+//   - .target, the value of the line at Target, and .at_target, the median that was measured there, if RunFiles has
+//     runs of that size,
+//   - if RunFiles has runs of the size HeldOut: .held, the median that was measured there, .held_line, the value of the
+//     line there, and .prediction_error.
 type Fits struct {
 	Command string  `json:"command"`
 	Commit  string  `json:"commit"` // of the runs
-	Size    string  `json:"size"`   // the figure that the others may grow with
+	Size    string  `json:"size"`   // name of the figure that the others may grow with
 	Target  float64 `json:"target"`
-	HeldOut float64 `json:"held,omitempty"` // the size whose runs no line is fitted to; 0: none
-	// ExcludedSizes are left out, such as one of which too few runs are valid.
+	HeldOut float64 `json:"held,omitempty"` // size whose runs are not used for the lines; 0: none
+	// ExcludedSizes are left out, for example because too few of their runs are valid.
 	ExcludedSizes []float64          `json:"without,omitempty"`
-	Required      map[string]string  `json:"only,omitempty"` // figures or words that a run has to have
-	Lines         []string           `json:"lines"`          // names of the figures
-	RunFiles      []string           `json:"from"`           // files in the folder of this one
+	Required      map[string]string  `json:"only,omitempty"` // figures or labels that a run must have
+	Lines         []string           `json:"lines"`          // names of the figures to fit lines through
+	RunFiles      []string           `json:"from"`           // files in the same folder
 	Figures       map[string]float64 `json:"figures"`
-	Rejected      map[string]string  `json:"refused,omitempty"` // of Lines, those that can't be fitted, and why
+	Rejected      map[string]string  `json:"refused,omitempty"` // reasons by name, for those of Lines that no line can be fitted to
 }
 
-// ErrNoRuns is the error of Compute if no run is valid and has what is required.
-var ErrNoRuns = errors.New("none of the runs is valid and has what is asked for")
+// ErrNoRuns means that Compute found no run that is valid and has the required values.
+var ErrNoRuns = errors.New("no run is valid and has the required figures and labels")
 
-// Compute sets Commit, Figures and Refused from the runs in a folder. Lines that can't be fitted are in Refused, and
-// no error.
+// Compute sets Commit, Figures and Rejected from the runs in a folder. A line that cannot be fitted is not an error,
+// but listed in Rejected.
 func (f *Fits) Compute(dir string) error {
 	var runs []Run
 	for _, file := range f.RunFiles {
@@ -69,13 +70,13 @@
 	return nil
 }
 
-// A run of several sizes names its figures by size: n02000_mb_idle, or control_memory_mb_at_600.
+// Patterns of the names of figures in a run of several sizes, such as n02000_mb_idle or control_memory_mb_at_600.
 var (
 	sizePrefixPattern = regexp.MustCompile(`^[a-z](\d+)_(.+)$`)
 	sizeSuffixPattern = regexp.MustCompile(`^(.+)_at_(\d+)$`)
 )
 
-// sizeInName splits such a name.
+// sizeInName splits the name of a figure into its size and the name without it. ok is false if it contains no size.
 func sizeInName(name string) (size, figure string, ok bool) {
 	if m := sizePrefixPattern.FindStringSubmatch(name); m != nil {
 		return m[1], m[2], true
@@ -86,7 +87,8 @@
 	return "", "", false
 }
 
-// splitBySize makes a run of several sizes a run for each. Each of them is valid or not by its own note.
+// splitBySize splits a run of several sizes into one run for each size, whose validity depends on the note for that
+// size. A run of a single size is returned as it is.
 func (f *Fits) splitBySize(r Run) []Run {
 	if _, ok := r.Figures[f.Size]; ok {
 		return []Run{r}
@@ -105,16 +107,16 @@
 	return slices.Collect(maps.Values(runs))
 }
 
-// runOfSize is the part of a run that has one size, without figures but the size.
+// runOfSize returns a run for one size of a run of several sizes. It has no figure yet except the size.
 func (f *Fits) runOfSize(r Run, size string) Run {
 	part := r
 	part.InvalidReason = r.Labels[invalidNote+"_at_"+size]
 	part.Figures = map[string]float64{}
-	part.Figures[f.Size], _ = strconv.ParseFloat(size, 64) // digits: it can't fail
+	part.Figures[f.Size], _ = strconv.ParseFloat(size, 64) // cannot fail: only digits
 	return part
 }
 
-// includes reports whether a run is valid and has what is required.
+// includes reports whether a run is valid and has the required figures and labels.
 func (f *Fits) includes(r Run) bool {
 	for name, value := range f.Required {
 		if !r.has(name, value) {
@@ -124,7 +126,7 @@
 	return r.InvalidReason == ""
 }
 
-// commitsOf are those of the runs, each once.
+// commitsOf returns the commits of the runs, without duplicates.
 func commitsOf(runs []Run) string {
 	var all []string
 	for _, r := range runs {
@@ -135,7 +137,7 @@
 	return strings.Join(all, " ")
 }
 
-// fitLine fits a line through one figure of the runs, and sets the line's figures.
+// fitLine fits a line through a figure of the runs, and sets the figures of the line.
 func (f *Fits) fitLine(name string, runs []Run) error {
 	fitted, heldOut, atTarget := f.pointsOf(name, runs)
 	line, err := slope.Fit(fitted)
@@ -162,8 +164,8 @@
 	return err
 }
 
-// pointsOf are a figure's values by size: those that the line is fitted to, those of the size that is held out, and
-// of the first those at the target.
+// pointsOf returns the values of a figure by size: those to fit, those of the size that is held out, and those at the
+// target, which are among those to fit.
 func (f *Fits) pointsOf(name string, runs []Run) (fitted, heldOut, atTarget []slope.Point) {
 	for _, r := range runs {
 		v, hasFigure := r.Figures[name]
@@ -201,15 +203,15 @@
 	return os.WriteFile(path, append(text, '\n'), fileMode)
 }
 
-// ErrChanged is the error of stored lines that are not those of their runs.
-var ErrChanged = errors.New("not what is computed again")
+// ErrChanged means that stored lines differ from those that are recomputed from their runs.
+var ErrChanged = errors.New("differs from the recomputed lines")
 
 const (
-	maxRelativeError  = 1e-6 // between a stored figure and the one that is computed again
-	relativeThreshold = 1e-9 // below it the error is not relative
+	maxRelativeError  = 1e-6 // between a stored and a recomputed figure
+	relativeThreshold = 1e-9 // for smaller figures, the error is relative to this
 )
 
-// CheckFits computes stored lines again. Other figures are ErrChanged.
+// CheckFits recomputes stored lines. The error wraps ErrChanged if a figure differs.
 func CheckFits(path string) error {
 	file := filepath.Base(path)
 	text, err := os.ReadFile(path)
@@ -225,14 +227,14 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	if len(computed.Figures) != len(stored.Figures) {
-		return fmt.Errorf("%s: %w: %d figures, and now %d",
+		return fmt.Errorf("%s: %w: %d figures stored, %d recomputed",
 			file, ErrChanged, len(stored.Figures), len(computed.Figures))
 	}
 	for name, v := range computed.Figures {
 		before, ok := stored.Figures[name]
 		tolerance := maxRelativeError * math.Max(math.Abs(v), relativeThreshold)
 		if !ok || math.Abs(v-before) > tolerance {
-			return fmt.Errorf("%s: %w: %s is %v, and now %v", file, ErrChanged, name, before, v)
+			return fmt.Errorf("%s: %w: %s is %v, recomputed %v", file, ErrChanged, name, before, v)
 		}
 	}
 	return nil
--- a/lab/capacity/formula.go
+++ b/lab/capacity/formula.go
@@ -12,20 +12,21 @@
 	"strings"
 )
 
-// formulas checks the page's formulas; it has the value of each name that was given before. A formula is NAME =
-// EXPRESSION, EXPRESSION = NUMBER, or both in one: NAME = EXPRESSION = NUMBER. Expressions have numbers (1,500 or
-// 1e6), names, + - * /, brackets and the functions of formulaFunctions. The number has to be the expression's value,
+// formulas checks the formulas of the page; it maps each name that was defined so far to its value. A formula is NAME =
+// EXPRESSION, EXPRESSION = NUMBER, or both: NAME = EXPRESSION = NUMBER. An expression consists of numbers (1,500 or
+// 1e6), names, + - * /, parentheses and calls of formulaFunctions. The number must be the value of the expression,
 // rounded to the decimals shown.
 type formulas map[string]float64
 
 var (
-	errNotGiven   = errors.New("was not given before")
-	errOperator   = errors.New("no operator")
-	errFunction   = errors.New("no such function")
-	errExpression = errors.New("no expression of numbers and names")
+	errUndefined  = errors.New("undefined name")
+	errOperator   = errors.New("unsupported operator")
+	errFunction   = errors.New("unknown function or missing argument")
+	errExpression = errors.New("unsupported expression")
 )
 
-// formulaFunctions are called with one argument at least.
+// formulaFunctions returns the functions of formulas by name. They are called with at least one argument; min and max
+// take the first and the last.
 func formulaFunctions() map[string]func(v ...float64) float64 {
 	return map[string]func(v ...float64) float64{
 		"log2": func(v ...float64) float64 { return math.Log2(v[0]) },
@@ -41,7 +42,7 @@
 	thousandsPattern = regexp.MustCompile(`(\d),(\d{3})\b`)
 )
 
-// check checks one formula, and keeps the name that it gives. It returns the formula's last value.
+// check checks a formula and returns its last value. If the formula defines a name, the name is stored with that value.
 func (f formulas) check(text string) (float64, error) {
 	parts := strings.Split(text, " = ")
 	name := ""
@@ -60,7 +61,7 @@
 	last := len(parts) - 1
 	for _, v := range values[:last] {
 		if !rendersAs(parts[last], v) {
-			return 0, fmt.Errorf("%s: %v", text, v)
+			return 0, fmt.Errorf("%s: the value is %v", text, v)
 		}
 	}
 	if name != "" {
@@ -69,7 +70,7 @@
 	return values[last], nil
 }
 
-// evaluate is the value of an expression.
+// evaluate returns the value of an expression.
 func (f formulas) evaluate(text string) (float64, error) {
 	e, err := parser.ParseExpr(withoutThousands(text))
 	if err != nil {
@@ -78,6 +79,7 @@
 	return f.eval(e)
 }
 
+// eval returns the value of a parsed expression.
 func (f formulas) eval(e ast.Expr) (float64, error) {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -85,7 +87,7 @@
 	case *ast.Ident:
 		v, ok := f[e.Name]
 		if !ok {
-			return 0, fmt.Errorf("%s %w", e.Name, errNotGiven)
+			return 0, fmt.Errorf("%w %s", errUndefined, e.Name)
 		}
 		return v, nil
 	case *ast.ParenExpr:
@@ -105,6 +107,7 @@
 	}
 }
 
+// binary returns the value of an expression with a binary operator.
 func (f formulas) binary(e *ast.BinaryExpr) (float64, error) {
 	x, err := f.eval(e.X)
 	if err != nil {
@@ -128,6 +131,7 @@
 	}
 }
 
+// call returns the value of a function call.
 func (f formulas) call(e *ast.CallExpr) (float64, error) {
 	name, ok := e.Fun.(*ast.Ident)
 	if !ok || len(e.Args) == 0 {
@@ -148,7 +152,7 @@
 	return function(values...), nil
 }
 
-// withoutThousands removes the commas between thousandsPattern.
+// withoutThousands removes the commas that separate groups of thousands.
 func withoutThousands(text string) string {
 	for thousandsPattern.MatchString(text) {
 		text = thousandsPattern.ReplaceAllString(text, "$1$2")
@@ -158,12 +162,12 @@
 
 const (
 	percent = 100
-	// binaryError is the relative error that the binary form of a number may have.
+	// binaryError is the relative error that is allowed for the binary representation of a decimal number.
 	binaryError = 1e-9
 )
 
-// rendersAs reports whether the first number of a text is this value, rounded to as many decimals; with a per cent
-// sign behind the number, the value in per cent.
+// rendersAs reports whether the first number of a text is a value, rounded to the same number of decimals. If a percent
+// sign follows the number, it is the value in percent.
 func rendersAs(text string, v float64) bool {
 	at := numberPattern.FindStringIndex(text)
 	if at == nil {
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// The forms of the page's figures. A measured figure is a link to the stored result that has it,
-// [1,234](results/FILE.json#NAME); `name` = before it gives it a name. A formula is a code span with an equals sign,
-// see formulas.
+// Syntax of the figures on the page. A measured figure is a link to its stored result,
+// [1,234](results/FILE.json#NAME), and may be given a name by `name` = before it. A formula is a code span with an
+// equals sign, see formulas.
 var (
 	measuredPattern = regexp.MustCompile(
 		"(?:`([a-z][a-z0-9_]*)` = )?" + `\[([^\]]*)\]\((results/[^)#]+\.(?:json|csv))#([^)]+)\)`,
@@ -21,7 +21,7 @@
 )
 
 const (
-	// basisColumn heads the column of a table that names what a row's figures are based on.
+	// basisColumn is the heading of the column with the basis of each row.
 	basisColumn = "basis"
 
 	basisMeasured    = "measured"
@@ -29,16 +29,16 @@
 	basisNotMeasured = "not measured"
 )
 
-// isComputedColumn reports whether a column's plain numbers, in a row that was worked out, have to be ones that the
-// row computes or that have a name.
+// isComputedColumn reports whether a column with this heading is computed: if the basis of a row is "worked out", each
+// plain number in the column must be computed by the row or be the value of a name.
 func isComputedColumn(head string) bool { return head == "at the target" || head == "ratio" }
 
 // Page is the result of checking a page.
 type Page struct {
-	Measured int                // measured figures
-	Formulas int                // formulas
-	Problems []string           // one for each fault, with the number of the page's line
-	Names    map[string]float64 // the values of names that formulas and figures were given
+	Measured int                // number of measured figures
+	Formulas int                // number of formulas
+	Problems []string           // one for each problem, with the line number
+	Names    map[string]float64 // values of the names that formulas and measured figures define
 }
 
 // pageChecker checks a page line by line.
@@ -47,15 +47,16 @@
 	line     int
 	read     func(file string) ([]Run, error) // reads a stored result by its path from the page's folder
 	names    formulas
-	computed []float64 // by the formulas of the present line
-	basis    int       // index of the basis column in the present table; -1: no table
+	computed []float64 // values of the formulas in the current line
+	basis    int       // index of the basis column in the current table; -1: none
 	columns  []int     // indexes of the computed columns
-	fenced   bool      // the line is in a fenced block
+	fenced   bool      // whether the current line is in a fenced code block
 }
 
-// Check compares each measured figure with its stored result, each formula with its operands, and each row's basis
-// with its cells: a measured row has a measured figure, and one that was worked out has a formula. Problems are in
-// the Page.
+// Check compares each measured figure with its stored result, each formula with its operands, and the basis of each row
+// with its cells: a row with the basis "measured" must have a measured figure, and a row with the basis "worked out" a
+// formula. read returns the runs of a stored result, given its path from the folder of the page. Differences are listed
+// in Page.Problems.
 func Check(text []byte, read func(file string) ([]Run, error)) Page {
 	c := &pageChecker{read: read, names: formulas{}, basis: -1}
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -70,10 +71,12 @@
 	return c.Page
 }
 
+// addProblem adds a problem with the number of the current line.
 func (c *pageChecker) addProblem(format string, args ...any) {
 	c.Problems = append(c.Problems, fmt.Sprintf("line %d: %s", c.line, fmt.Sprintf(format, args...)))
 }
 
+// check checks the next line.
 func (c *pageChecker) check(line string) {
 	if strings.HasPrefix(strings.TrimSpace(line), "```") {
 		c.fenced = !c.fenced
@@ -87,7 +90,7 @@
 	c.checkRow(line, c.Measured > measuredBefore)
 }
 
-// checkLinks checks the line's measured figures. One within a code span is an example.
+// checkLinks checks the measured figures of a line. Those in code spans are examples, and are not checked.
 func (c *pageChecker) checkLinks(line string) {
 	for _, at := range measuredPattern.FindAllStringIndex(line, -1) {
 		inCodeSpan := strings.Count(line[:at[0]], "`")%2 == 1
@@ -98,7 +101,7 @@
 	}
 }
 
-// checkFormulas checks the line's formulas, and keeps their values.
+// checkFormulas checks the formulas of a line, and stores their values.
 func (c *pageChecker) checkFormulas(line string) {
 	c.computed = c.computed[:0]
 	for _, m := range formulaPattern.FindAllStringSubmatch(line, -1) {
@@ -111,7 +114,7 @@
 	}
 }
 
-// checkMeasured checks one figure, and keeps the name that it is given with the value that is shown.
+// checkMeasured checks a measured figure. If the figure has a name, the name is stored with the value that is shown.
 func (c *pageChecker) checkMeasured(name, text, file, reference string) {
 	c.Measured++
 	runs, err := c.read(file)
@@ -136,7 +139,7 @@
 	}
 }
 
-// checkRow checks the basis of a table's row.
+// checkRow checks the basis of a row of a table. Any other line ends the current table.
 func (c *pageChecker) checkRow(line string, hasMeasured bool) {
 	if !strings.HasPrefix(line, "|") {
 		c.basis = -1
@@ -148,12 +151,13 @@
 		c.startTable(cells)
 	case strings.HasPrefix(cells[0], "---"):
 	case c.basis >= len(cells):
-		c.addProblem("no cell for the basis")
+		c.addProblem("the row has no basis cell")
 	default:
 		c.checkBasis(cells, hasMeasured)
 	}
 }
 
+// splitCells returns the cells of a row.
 func splitCells(row string) []string {
 	cells := strings.Split(strings.Trim(strings.TrimSpace(row), "|"), "|")
 	for i := range cells {
@@ -162,26 +166,26 @@
 	return cells
 }
 
-// checkBasis compares a row's basis with its cells.
+// checkBasis compares the basis of a row with its cells.
 func (c *pageChecker) checkBasis(cells []string, hasMeasured bool) {
 	basis := cells[c.basis]
 	switch {
 	case !basisPattern.MatchString(basis):
-		c.addProblem("%q is no basis", basis)
+		c.addProblem("%q is not a basis", basis)
 	case basis == basisMeasured && !hasMeasured:
-		c.addProblem("measured, with no kept result")
+		c.addProblem("the basis is 'measured', but there is no stored result")
 	case basis == basisComputed && len(c.computed) == 0:
-		c.addProblem("worked out, with no formula")
+		c.addProblem("the basis is 'worked out', but there is no formula")
 	case basis == basisComputed:
 		for _, i := range c.columns {
 			c.checkPlainNumber(cells[i])
 		}
 	case strings.HasPrefix(basis, basisNotMeasured) && hasMeasured:
-		c.addProblem("not measured, with a kept result")
+		c.addProblem("the basis is 'not measured', but there is a stored result")
 	}
 }
 
-// startTable takes the first row of a table.
+// startTable reads the heading of a table.
 func (c *pageChecker) startTable(cells []string) {
 	c.basis = slices.Index(cells, basisColumn)
 	c.columns = nil
@@ -192,8 +196,8 @@
 	}
 }
 
-// checkPlainNumber checks that a cell's number, which is neither a formula nor a link, is one that the row computed
-// or that has a name.
+// checkPlainNumber checks that a number in a cell, if it is neither a formula nor a link, is computed by the row or is
+// the value of a name.
 func (c *pageChecker) checkPlainNumber(cell string) {
 	if strings.ContainsAny(cell, "`[") || !numberPattern.MatchString(cell) {
 		return
@@ -208,5 +212,5 @@
 			return
 		}
 	}
-	c.addProblem("%q is not what the row computes", cell)
+	c.addProblem("%q is not a number that the row computes", cell)
 }
--- a/lab/capacity/page/main.go
+++ b/lab/capacity/page/main.go
@@ -1,5 +1,5 @@
-// Command page helps to write docs/CAPACITY.md: it joins reports of many runs to one stored file, fits lines through
-// stored runs, and prints rows and cells with their links.
+// Command page helps to write docs/CAPACITY.md: it joins the reports of many runs into one stored file, fits lines
+// through stored runs, and prints table rows and cells with links to the results.
 package main
 
 import (
@@ -14,35 +14,35 @@
 	"spurspread/lab/capacity"
 )
 
-// fileMode is that of a page.
+// fileMode is the mode of a page.
 const fileMode = 0o644
 
 type cli struct {
-	Join joinCmd `cmd:"" help:"Keep the reports of many runs in one file, so that a figure can be the median or the worst of them."`
-	Fit  fitCmd  `cmd:"" help:"Least squares through kept runs: four sizes and three seeds at least."`
-	Cell cellCmd `cmd:"" help:"Print figures of a kept result as the page has them."`
+	Join joinCmd `cmd:"" help:"Store the reports of many runs in one file, so that a figure can be their median or worst value."`
+	Fit  fitCmd  `cmd:"" help:"Fit lines by least squares through stored runs of at least four sizes, with three seeds each."`
+	Cell cellCmd `cmd:"" help:"Print figures of a stored result as cells of the page."`
 }
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("page"), kong.Description("Helps to fill docs/CAPACITY.md in."))
+	ctx := kong.Parse(&c, kong.Name("page"), kong.Description("Helps to write docs/CAPACITY.md."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
 type joinCmd struct {
-	Out     string   `required:"" placeholder:"FILE" help:"The list of all reports (JSON)."`
-	Reports []string `arg:"" help:"Reports, as bin/spurspread-lab run --json writes them, or lists of them."`
+	Out     string   `required:"" placeholder:"FILE" help:"Output file for the list of all reports (JSON)."`
+	Reports []string `arg:"" help:"Reports as written by bin/spurspread-lab run --json, or lists of them."`
 }
 
-// Run joins the reports. A run that is given twice is refused.
+// Run joins the reports. Two reports with the same command are an error.
 func (c *joinCmd) Run() error { return capacity.Join(c.Out, c.Reports) }
 
 type cellCmd struct {
-	Kept       string   `arg:"" help:"A kept result in docs/results."`
-	References []string `arg:"" help:"Figures, as 'zone_seen_ms&most' or 'control_memory_mb&members=1500'."`
+	Kept       string   `arg:"" help:"A stored result in docs/results."`
+	References []string `arg:"" help:"Figures, such as 'zone_seen_ms&most' or 'control_memory_mb&members=1500'."`
 }
 
-// Run prints a cell for each.
+// Run prints the cell of each reference.
 func (c *cellCmd) Run() error {
 	runs, err := capacity.Read(c.Kept)
 	if err != nil {
@@ -60,19 +60,19 @@
 
 type fitCmd struct {
 	Size    string             `default:"members" help:"The figure that the others may grow with."`
-	Target  float64            `default:"1500" help:"The size to predict for."`
-	Held    float64            `help:"A size whose runs no line is fitted to; they check it."`
-	Without []float64          `help:"Sizes to leave out, as one of which too few runs are valid."`
-	Only    map[string]string  `help:"Take runs with these figures or words only, as script=split."`
-	Lines   []string           `required:"" help:"The figures to fit a line through, with commas between them."`
-	Out     string             `required:"" placeholder:"FILE" help:"Where to keep the lines (...-fit.json), in the folder of the runs."`
-	Limits  map[string]float64 `help:"Limits of figures, as control_bytes_per_s=28000;control_core_share=0.043."`
-	Rows    bool               `help:"Print the rows for docs/CAPACITY.md in place of the table."`
-	Into    string             `placeholder:"FILE" help:"The page whose rows of the same first cell are replaced."`
-	Runs    []string           `arg:"" help:"Kept runs, JSON or CSV."`
+	Target  float64            `default:"1500" help:"The size to predict figures for."`
+	Held    float64            `help:"A size whose runs are held out of the fit, to check it."`
+	Without []float64          `help:"Sizes to leave out, such as one with too few valid runs."`
+	Only    map[string]string  `help:"Use only runs with these figures or labels, such as script=split."`
+	Lines   []string           `required:"" help:"Figures to fit lines through, separated by commas."`
+	Out     string             `required:"" placeholder:"FILE" help:"Output file for the lines (...-fit.json), in the folder of the runs."`
+	Limits  map[string]float64 `help:"Limits of figures, such as control_bytes_per_s=28000;control_core_share=0.043."`
+	Rows    bool               `help:"Print the rows for docs/CAPACITY.md instead of the table."`
+	Into    string             `placeholder:"FILE" help:"The page in which rows with the same first cell are replaced."`
+	Runs    []string           `arg:"" help:"Stored runs, JSON or CSV."`
 }
 
-// Run fits, stores and prints the lines.
+// Run fits and stores the lines, and prints them or replaces their rows in a page.
 func (c *fitCmd) Run() error {
 	dir := filepath.Dir(c.Out)
 	f := capacity.Fits{
@@ -86,7 +86,7 @@
 	}
 	for _, run := range c.Runs {
 		if filepath.Dir(run) != dir {
-			return fmt.Errorf("%s is not kept beside %s", run, c.Out)
+			return fmt.Errorf("%s is not in the same folder as %s", run, c.Out)
 		}
 		f.RunFiles = append(f.RunFiles, filepath.Base(run))
 	}
@@ -108,7 +108,7 @@
 	return writeTable(&f)
 }
 
-// replaceRows puts rows into a page.
+// replaceRows replaces rows in a page.
 func replaceRows(path string, rows []string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return os.WriteFile(path, []byte(filled), fileMode)
 }
 
-// writeTable writes a row for each line, residuals and errors as parts of 1.
+// writeTable prints a row for each line. Residuals and errors are relative.
 func writeTable(f *capacity.Fits) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	columns := []string{
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -1,6 +1,6 @@
 // Package capacity checks docs/CAPACITY.md: each figure that is marked as measured against the stored result that it
-// names, and each calculation against its operands. It also fits lines through stored scale runs, so that a reader
-// can compute each slope on the page again. It measures nothing, and must not know how a result was measured.
+// refers to, and each calculation against its operands. It also fits lines through stored scale runs, so that a reader
+// can recompute each slope on the page. It measures nothing, and must not depend on how a result was measured.
 package capacity
 
 import (
@@ -20,27 +20,27 @@
 )
 
 const (
-	// invalidNote is the note of a report by which its harness marks its figures as not to be used.
+	// invalidNote is the key of the report note by which a harness marks the figures of a run as not valid.
 	invalidNote = "not valid"
 	fileMode    = 0o644
 )
 
-// errNoRun is the error of a result without a run.
-var errNoRun = errors.New("no run in it")
+// errNoRun means that a file of results contains no run.
+var errNoRun = errors.New("no run in the file")
 
-// Run is one run of a stored result: its figures, and its words, as the experiment's name and the notes.
+// Run is one run of a stored result: its figures, and its labels, such as the name of the experiment and the notes.
 type Run struct {
 	Command       string
 	Commit        string
 	Seed          uint64
 	Figures       map[string]float64
 	Labels        map[string]string
-	InvalidReason string // why its figures must not be used, such as a harness short of processor time; "": valid
+	InvalidReason string // why the figures must not be used, such as a harness short of processor time; "": valid
 }
 
-// Read reads a stored result: the JSON of one report or of a list of them, or the CSV of one report (name and
-// measured in the first columns) or of many runs (a row each, with a column named seed). A result without a run is an
-// error.
+// Read reads a stored result: the JSON of one report or of a list of reports, or the CSV of one report (name and
+// measured value in the first columns) or of many runs (one row each, with a column named seed). A result without a run
+// is an error.
 func Read(path string) ([]Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return runs, nil
 }
 
-// parseReports parses one report, or a list of them.
+// parseReports parses the JSON of one report or of a list of reports.
 func parseReports(text []byte) ([]report.Report, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("[")) {
 		var all []report.Report
@@ -73,10 +73,11 @@
 	return all, err
 }
 
-// ErrDuplicateRun is the error of Join for a command that is given twice: its run would count twice.
-var ErrDuplicateRun = errors.New("is given twice")
+// ErrDuplicateRun means that Join was given two reports with the same command, which would count one run twice.
+var ErrDuplicateRun = errors.New("duplicate run")
 
-// Join writes the reports of several files to one file, as a list. Each report must have a command of its own.
+// Join writes the reports of several files to one file, as a list. It returns ErrDuplicateRun if two reports have the
+// same command.
 func Join(out string, files []string) error {
 	var all []report.Report
 	seen := map[string]bool{}
@@ -91,7 +92,7 @@
 		}
 		for _, r := range reports {
 			if seen[r.Command] {
-				return fmt.Errorf("%s: %q %w", file, r.Command, ErrDuplicateRun)
+				return fmt.Errorf("%s: %w: %q", file, ErrDuplicateRun, r.Command)
 			}
 			seen[r.Command] = true
 		}
@@ -149,7 +150,7 @@
 	return []Run{readPairs(names, values)}, nil
 }
 
-// readPairs is the run that has values by their names. A value that is no number is a word.
+// readPairs returns the run with values by their names. A value that is not a number becomes a label.
 func readPairs(names, values []string) Run {
 	r := Run{Figures: map[string]float64{}, Labels: map[string]string{}}
 	for i, name := range names[:min(len(names), len(values))] {
@@ -160,7 +161,7 @@
 		case name == "commit":
 			r.Commit = values[i]
 		case name == "seed":
-			r.Seed, _ = strconv.ParseUint(values[i], 10, 64) // not a number: 0
+			r.Seed, _ = strconv.ParseUint(values[i], 10, 64) // 0 if it is not a number
 		case err != nil:
 			r.Labels[name] = values[i]
 		default:
@@ -170,7 +171,7 @@
 	return r
 }
 
-// has reports whether the run has a figure or a word of this value.
+// has reports whether the run has a figure, label or seed with this value.
 func (r Run) has(name, value string) bool {
 	if name == "seed" {
 		return value == strconv.FormatUint(r.Seed, 10)
@@ -182,11 +183,11 @@
 	return r.Labels[name] == value
 }
 
-// ErrNotFound is the error of Find if no valid run has the figure.
-var ErrNotFound = errors.New("no valid run in it has")
+// ErrNotFound means that no valid run has the figure that a reference names.
+var ErrNotFound = errors.New("no valid run has the figure")
 
-// Find is the figure that a reference names: NAME, or NAME&name=value&... for the runs that have these values only.
-// Of several runs it is the median, or with &least or &most at the end the least or the greatest.
+// Find returns the figure that a reference names: NAME, or NAME&name=value&... for only the runs that have these
+// values. It returns the median of several runs, or with &least or &most at the end the smallest or the greatest value.
 func Find(runs []Run, reference string) (float64, error) {
 	parts, quantile := splitReference(reference)
 	name := parts[0]
@@ -203,7 +204,7 @@
 	return report.Quantile(found, quantile), nil
 }
 
-// splitReference is the name and the conditions of a reference, and which quantile of several runs it means.
+// splitReference returns the name and the conditions of a reference, and the quantile of several runs that it selects.
 func splitReference(reference string) (parts []string, quantile float64) {
 	parts = strings.Split(reference, "&")
 	last := len(parts) - 1
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -13,7 +13,7 @@
 	digitsPerGroup    = 3 // between commas
 )
 
-// formatNumber writes a figure with three significant digits at least, and commas between thousandsPattern.
+// formatNumber formats a figure with at least three significant digits, and commas between thousands.
 func formatNumber(v float64) string {
 	decimals := 0
 	if v != 0 {
@@ -31,23 +31,23 @@
 	return whole + "." + fraction
 }
 
-// linkCell is a figure as the page has it: a link to the stored result.
+// linkCell returns the cell of a measured figure: a link to the stored result.
 func linkCell(v float64, file, name string) string {
 	return fmt.Sprintf("[%s](results/%s#%s)", formatNumber(v), file, name)
 }
 
-// Cell is a figure of a stored result as the page has it, by its reference, see Find.
+// Cell returns the cell of a figure of a stored result, given its reference; see Find.
 func Cell(runs []Run, file, reference string) (string, error) {
 	v, err := Find(runs, reference)
 	return linkCell(v, file, reference), err
 }
 
-// emptyCell is the cell of a figure that there is not.
+// emptyCell is the cell of a figure that does not exist.
 const emptyCell = "-"
 
-// Rows are the rows of the page's table of lines, for lines that are stored in a file of this name, with the limits
-// that are known: figure, slope, intercept, residuals (r.m.s., most), exponent, the line at the target, the median
-// measured there, limit, ratio, basis.
+// Rows returns the rows of the table of lines on the page, for lines that are stored in a file and with limits by the
+// name of the figure. The columns are: figure, slope, intercept, residuals (r.m.s., greatest), exponent, the line at
+// the target, the median measured there, limit, ratio, basis.
 func (f *Fits) Rows(file string, limits map[string]float64) (rows []string) {
 	for _, name := range f.Lines {
 		if reason := f.Rejected[name]; reason != "" {
@@ -60,7 +60,7 @@
 	return rows
 }
 
-// lineRow is the row of one line; a limit of 0 is none.
+// lineRow returns the row of a line. A limit of 0 means none.
 func (f *Fits) lineRow(file, name string, limit float64) string {
 	limitCell, ratioCell := f.limitCells(name, limit)
 	cells := []string{
@@ -78,7 +78,7 @@
 	return "| " + strings.Join(cells, " | ") + " |"
 }
 
-// cell is the cell of one of the figures.
+// cell returns the cell of one of the figures.
 func (f *Fits) cell(file, name string) string {
 	v, ok := f.Figures[name]
 	if !ok {
@@ -87,19 +87,20 @@
 	return linkCell(v, file, name)
 }
 
-// limitCells are a line's limit, and the ratio of the line at the target over it, computed with the numbers shown.
+// limitCells returns the cells with the limit of a line, and with the ratio of the line at the target to it, which is
+// computed from the rounded numbers that are shown.
 func (f *Fits) limitCells(name string, limit float64) (limitCell, ratioCell string) {
 	if limit <= 0 {
 		return emptyCell, emptyCell
 	}
 	target := formatNumber(f.Figures[name+".target"])
 	limitCell = formatNumber(limit)
-	v, _ := formulas{}.evaluate(target) // formatNumber's form: it can't fail
+	v, _ := formulas{}.evaluate(target) // cannot fail for the result of formatNumber
 	return limitCell, fmt.Sprintf("`%s / %s = %s`", target, limitCell, formatNumber(v/limit))
 }
 
-// Predictions are the rows of the page's table of what lines predicted for the size that none was fitted to: figure,
-// predicted, measured (median), prediction_error, basis.
+// Predictions returns the rows of the table of predictions on the page, for the size that was held out: figure,
+// predicted value, measured median, prediction error, basis.
 func (f *Fits) Predictions(file string) (rows []string) {
 	for _, name := range f.Lines {
 		if _, ok := f.Figures[name+".prediction_error"]; !ok {
@@ -114,11 +115,11 @@
 	return rows
 }
 
-// ErrNoRow is the error of Replace for a row that has no place on the page.
-var ErrNoRow = errors.New("no row for")
+// ErrNoRow means that the page has no row that Replace can replace.
+var ErrNoRow = errors.New("no matching row on the page")
 
-// Replace puts rows in the place of a page's rows that have the same first cell and as many cells. A row without such
-// a place is ErrNoRow.
+// Replace replaces the rows of a page that have the same first cell and number of cells as one of the given rows. It
+// returns ErrNoRow if the page has none for a given row.
 func Replace(page string, rows []string) (string, error) {
 	lines := strings.Split(page, "\n")
 	for _, row := range rows {
@@ -130,13 +131,13 @@
 			}
 		}
 		if !found {
-			return "", fmt.Errorf("%w %s", ErrNoRow, firstCell(row))
+			return "", fmt.Errorf("%w: %s", ErrNoRow, firstCell(row))
 		}
 	}
 	return strings.Join(lines, "\n"), nil
 }
 
-// sameRow reports whether two rows have the same first cell and as many cells.
+// sameRow reports whether two rows have the same first cell and the same number of cells.
 func sameRow(a, b string) bool {
 	return firstCell(a) == firstCell(b) && strings.Count(a, " | ") == strings.Count(b, " | ")
 }
--- a/lab/scale/slope/slope.go
+++ b/lab/scale/slope/slope.go
@@ -1,9 +1,9 @@
-// Package slope fits a straight line by least squares to a figure that was measured at several sizes, each run with
-// the same weight. The line predicts the figure at sizes that were not measured: at the target size, and at a size
-// that was held out to check the line.
+// Package slope fits a straight line by least squares to a figure that was measured at several sizes, with equal weight
+// for each run. The line predicts the figure at sizes that were not measured, such as the target size, and is checked
+// at a size that was held out.
 //
-// It does not know what is measured. Too few sizes or seeds are rejected, since a line through them would show
-// nothing.
+// The package does not depend on the meaning of the figure. Too few sizes or seeds are rejected, since a line through
+// them would be meaningless.
 package slope
 
 import (
@@ -16,49 +16,49 @@
 )
 
 const (
-	// MinSizes is the least number of different sizes of a line: two always fit exactly, and a third leaves a single
+	// MinSizes is the minimum number of different sizes for a line: a line fits two exactly, and three leave a single
 	// residual.
 	MinSizes = 4
-	// MinSeeds is the least number of different seeds at each size: fewer do not separate the effect of a size from
+	// MinSeeds is the minimum number of different seeds at each size: fewer do not separate the effect of the size from
 	// the variation between runs.
 	MinSeeds = 3
 )
 
-// Why points are rejected.
+// Reasons why points are rejected.
 var (
 	ErrTooFew    = errors.New("too few sizes or seeds for a line")
-	ErrDuplicate = errors.New("a size and seed given twice")
+	ErrDuplicate = errors.New("duplicate size and seed")
 	ErrNotFinite = errors.New("not a finite number")
-	ErrZero      = errors.New("measured as 0, so nothing is relative to it")
-	ErrFitted    = errors.New("the line was fitted to it")
+	ErrZero      = errors.New("value is 0, so that relative errors are undefined")
+	ErrFitted    = errors.New("the line was fitted to this size")
 )
 
-// Point is a figure of one run.
+// Point is the value of a figure in one run.
 type Point struct {
-	Size  float64 // what the figure may grow with, such as members or connections; over 0
+	Size  float64 // quantity that the figure may grow with, such as members or connections; over 0
 	Seed  uint64
 	Value float64
 }
 
-// Line is a fitted line, value = Intercept + Slope * size, and how far the points are from it. The relative residual
-// of a point is |measured - fitted| / |measured|.
+// Line is a fitted line, value = Intercept + Slope * size, with measures of its distance from the points. The relative
+// residual of a point is |measured - fitted| / |measured|.
 type Line struct {
 	Slope       float64
 	Intercept   float64
-	RMS         float64 // root of the mean of the squared relative residuals
-	MaxResidual float64 // the greatest relative residual
-	// Exponent is the slope of the logarithm of the value over that of the size: 0 for a constant, 1 for a value
-	// that is proportional to the size, over 1 for one that grows faster. NaN where a value is not over 0.
+	RMS         float64 // root mean square of the relative residuals
+	MaxResidual float64 // greatest relative residual
+	// Exponent is the slope of log(value) over log(size): 0 for a constant, 1 for a value that is proportional to the
+	// size, over 1 for one that grows faster. NaN if a value is not over 0.
 	Exponent float64
 	Sizes    []float64 // of the points, ascending
 	Runs     int
-	Smallest float64 // of the values measured
-	Largest  float64 // of the values measured
+	Smallest float64 // smallest measured value
+	Largest  float64 // greatest measured value
 }
 
-// Fit fits a line to points. The error wraps ErrTooFew for fewer than MinSizes sizes or fewer than MinSeeds seeds at
-// one of them, ErrDuplicate for a run given twice, ErrNotFinite for a value that is not finite or a size that is not
-// finite and over 0, and ErrZero for a value of 0.
+// Fit fits a line to points. The error wraps ErrTooFew if there are fewer than MinSizes sizes or fewer than MinSeeds
+// seeds at one of them, ErrDuplicate if a size and seed occur twice, ErrNotFinite if a value is not finite or a size is
+// not finite and over 0, and ErrZero if a value is 0.
 func Fit(points []Point) (Line, error) {
 	sizes, err := checkPoints(points)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return line, nil
 }
 
-// checkPoints returns the sizes of the points, ascending, or the reason why no line is fitted to them.
+// checkPoints returns the sizes of the points, ascending, or the reason why no line can be fitted to them.
 func checkPoints(points []Point) ([]float64, error) {
 	seedsBySize := map[float64]map[uint64]bool{}
 	for _, p := range points {
@@ -108,18 +108,18 @@
 	var sizes []float64
 	for size, seeds := range seedsBySize {
 		if len(seeds) < MinSeeds {
-			return nil, fmt.Errorf("size %v has %d seeds of %d: %w", size, len(seeds), MinSeeds, ErrTooFew)
+			return nil, fmt.Errorf("size %v has %d of %d seeds: %w", size, len(seeds), MinSeeds, ErrTooFew)
 		}
 		sizes = append(sizes, size)
 	}
 	if len(sizes) < MinSizes {
-		return nil, fmt.Errorf("%d sizes of %d: %w", len(sizes), MinSizes, ErrTooFew)
+		return nil, fmt.Errorf("%d of %d sizes: %w", len(sizes), MinSizes, ErrTooFew)
 	}
 	slices.Sort(sizes)
 	return sizes, nil
 }
 
-// check returns the reason why a point cannot be used: ErrNotFinite or ErrZero.
+// check returns an error with the reason why a point cannot be used: it wraps ErrNotFinite or ErrZero.
 func (p Point) check() error {
 	reason := p.invalid()
 	if reason == nil {
@@ -128,6 +128,7 @@
 	return fmt.Errorf("size %v, seed %d: %v: %w", p.Size, p.Seed, p.Value, reason)
 }
 
+// invalid returns ErrNotFinite or ErrZero if a point cannot be used, else nil.
 func (p Point) invalid() error {
 	validSize := p.Size > 0 && !math.IsInf(p.Size, 0) // false for NaN
 	switch {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// growthExponent is the slope of log y over log x; NaN where a y is not over 0.
+// growthExponent returns the slope of log(y) over log(x), NaN if a y is not over 0.
 func growthExponent(x, y []float64) float64 {
 	logX := make([]float64, len(x))
 	logY := make([]float64, len(y))
@@ -154,20 +155,20 @@
 	return exponent
 }
 
-// relativeError is the distance of a prediction from a measured value, relative to that value.
+// relativeError returns the distance of a prediction from a measured value, relative to that value.
 func relativeError(predicted, measured float64) float64 {
 	return math.Abs(predicted-measured) / math.Abs(measured)
 }
 
-// At is the value of the line at a size.
+// At returns the value of the line at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// PredictionError is the relative error of the line at sizes that it was not fitted to: the mean over the runs of
-// |predicted - measured| / |measured|. The error wraps ErrTooFew where there is no run, ErrFitted for a size that the
-// line was fitted to, and ErrNotFinite or ErrZero as for Fit.
+// PredictionError returns the mean relative error of the line over runs at sizes that it was not fitted to: |predicted
+// - measured| / |measured|. The error wraps ErrTooFew if there are no runs, ErrFitted if the line was fitted to one of
+// the sizes, and ErrNotFinite or ErrZero as for Fit.
 func (l Line) PredictionError(held []Point) (float64, error) {
 	if len(held) == 0 {
-		return 0, fmt.Errorf("nothing was held out: %w", ErrTooFew)
+		return 0, fmt.Errorf("no run was held out: %w", ErrTooFew)
 	}
 	sum := 0.0
 	for _, p := range held {
