--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -112,14 +112,14 @@
 	}
 	var runs []Run
 	for _, r := range reports {
-		words := map[string]string{"experiment": r.Experiment}
-		maps.Copy(words, r.Notes)
+		labels := map[string]string{"experiment": r.Experiment}
+		maps.Copy(labels, r.Notes)
 		runs = append(runs, Run{
 			Command:       r.Command,
 			Commit:        r.Commit,
 			Seed:          r.Seed,
 			Figures:       r.Figures,
-			Labels:        words,
+			Labels:        labels,
 			InvalidReason: r.Notes[invalidNote],
 		})
 	}
--- a/lab/scale/bounds_test.go
+++ b/lab/scale/bounds_test.go
@@ -21,7 +21,7 @@
 	markInvalid(result, reason)
 	checkBounds(result)
 	if reason == "" || result.Pass || len(result.Figures) != 3 {
-		t.Errorf("a starved run is reported as valid: reason %q, %+v", reason, result)
+		t.Errorf("a starved run must fail with a reason and three figures: reason %q, %+v", reason, result)
 	}
 	atLimits := map[string]float64{
 		"harness_lag_p99_ms": 1,
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -9,7 +9,8 @@
 // run whose own processes were short of processor time is not valid, and reports no figure of the fleet.
 //
 // Rest and Region are the runs. RunStubMembers is the main function of a process of stub members, which a run starts as
-// a child process.
+// a child process. Stub members are called "hollow" in the names of figures and faults and of the command that starts
+// them.
 package scale
 
 import (
--- a/lab/scale/slope/slope_test.go
+++ b/lab/scale/slope/slope_test.go
@@ -92,10 +92,10 @@
 		"two seeds at one size": {valid[:len(valid)-1], ErrTooFew},
 		"a fifth size, once":    {with(Point{5, 1, 5}), ErrTooFew},
 		"a run twice":           {with(Point{4, 1, 4}), ErrDuplicate},
-		"no number":             {with(Point{4, 9, math.NaN()}), ErrNotFinite},
-		"no end":                {with(Point{4, 9, math.Inf(1)}), ErrNotFinite},
+		"a value of NaN":        {with(Point{4, 9, math.NaN()}), ErrNotFinite},
+		"an infinite value":     {with(Point{4, 9, math.Inf(1)}), ErrNotFinite},
 		"a size of 0":           {with(Point{0, 9, 1}), ErrNotFinite},
-		"a size that is none":   {with(Point{math.NaN(), 9, 1}), ErrNotFinite},
+		"a size of NaN":         {with(Point{math.NaN(), 9, 1}), ErrNotFinite},
 		"a value of 0":          {with(Point{4, 9, 0}), ErrZero},
 	} {
 		if line, err := Fit(c.points); !errors.Is(err, c.want) || line.Runs != 0 {
@@ -122,10 +122,10 @@
 		held []Point
 		want error
 	}{
-		"none":          {nil, ErrTooFew},
-		"a fitted size": {[]Point{{200, 1, 300}}, ErrFitted},
-		"0":             {[]Point{{250, 1, 0}}, ErrZero},
-		"no number":     {[]Point{{250, 1, math.NaN()}}, ErrNotFinite},
+		"none":           {nil, ErrTooFew},
+		"a fitted size":  {[]Point{{200, 1, 300}}, ErrFitted},
+		"0":              {[]Point{{250, 1, 0}}, ErrZero},
+		"a value of NaN": {[]Point{{250, 1, math.NaN()}}, ErrNotFinite},
 	} {
 		if got, err := line.PredictionError(c.held); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, %v, want error %v", name, got, err, c.want)
