--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -161,8 +161,8 @@
 // Ready is part of mux.Owner. It does nothing: feed checks whether the connection is ready.
 func (m *muxDownstreamConn) Ready() {}
 
-// Alive is part of mux.Owner. It does nothing: feed records the arrival of any data as a sign of life.
-func (m *muxDownstreamConn) Alive() {}
+// PingAnswered is part of mux.Owner. It does nothing: feed records the arrival of any data as a sign of life.
+func (m *muxDownstreamConn) PingAnswered() {}
 
 // Admit is part of mux.Owner: it decides whether the client may open a channel. Code 0 admits it.
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
@@ -192,7 +192,7 @@
 	k := &downstreamChannel{conn: m, Channel: ch}
 	m.requests++
 	p.listener.idle.remove(m.conn)
-	ch.Own(k)
+	ch.SetOwner(k)
 	if r := p.openRequest(k, line[:len(text)], line, m.conn.rejectOnly); r.state != stateClosed {
 		k.request = r
 	}
@@ -296,7 +296,7 @@
 		name, data = channel.Move, channel.AppendString(nil, k.moveToken)
 	}
 	ch := k.Channel
-	ch.End(name, data)
+	ch.CloseAfterFlush(name, data)
 	if ch.Pending() > 0 {
 		k.conn.conn.proxy.loop.After(timeouts.Linger, ch.Close)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -139,7 +139,7 @@
 func (p *Proxy) AcceptTransfers(path string) error {
 	_, err := p.loop.ListenPackets(
 		path,
-		func(*eventloop.Packets) eventloop.PacketOwner { return transferReceiver{p} },
+		func(*eventloop.PacketConn) eventloop.PacketOwner { return transferReceiver{p} },
 	)
 	return err
 }
@@ -204,5 +204,5 @@
 
 // nearDescriptorLimit reports whether the process is close to Config.MaxDescriptors.
 func (p *Proxy) nearDescriptorLimit() bool {
-	return overload.DescriptorsShort(p.loop.Descriptors(), p.cfg.MaxDescriptors)
+	return overload.DescriptorsShort(p.loop.OpenSockets(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Listed is part of discovery.Watcher: the server list has been updated.
-func (d *serverDirectory) Listed(update discovery.Update) {
+// ListUpdated is part of discovery.Watcher: the server list has been updated.
+func (d *serverDirectory) ListUpdated(update discovery.Update) {
 	p := d.proxy
 	d.logUpdate(update)
 	kind := decision.UpdateDelta
@@ -107,9 +107,9 @@
 	}
 }
 
-// WatchChanged is part of discovery.Watcher: the state of the subscription has changed. reason is nil if no failure
-// caused it.
-func (d *serverDirectory) WatchChanged(before discovery.WatchState, now discovery.Status, reason error) {
+// WatchStateChanged is part of discovery.Watcher: the state of the subscription has changed. reason is nil if no
+// failure caused it.
+func (d *serverDirectory) WatchStateChanged(before discovery.WatchState, now discovery.Status, reason error) {
 	entry := d.proxy.log.WithFields(d.statusFields(now)).WithField(logging.PreviousWatch, before.String())
 	if reason != nil {
 		entry = entry.WithError(reason)
@@ -141,7 +141,7 @@
 		logging.WatchState:   status.State.String(),
 		logging.Generation:   status.Generation,
 		logging.ListAge:      milliseconds(status.ListAge),
-		logging.WatchSilence: milliseconds(status.Silence),
+		logging.WatchSilence: milliseconds(status.LastByteAge),
 	}
 }
 
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -236,8 +236,8 @@
 	ch.Reject(channel.Prohibited, []byte("ERR"))
 }
 
-// Alive is part of mux.Owner. It does nothing: Readable records the arrival of any data as a sign of life.
-func (c *muxUpstreamConn) Alive() {}
+// PingAnswered is part of mux.Owner. It does nothing: Readable records the arrival of any data as a sign of life.
+func (c *muxUpstreamConn) PingAnswered() {}
 
 // checkAlive pings a server that has channels on this connection, and fails the connection if nothing arrives. It
 // reschedules itself.
