--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -76,27 +76,27 @@
 		script string
 		want   func(f *Figures) bool
 	}{
-		"all well": {moved + "\nc 2 < #5", func(f *Figures) bool {
+		"correct run": {moved + "\nc 2 < #5", func(f *Figures) bool {
 			return f.Lost+f.Repeated+f.Corrupt == 0 && f.MaxLivePerToken == 1 && f.Messages == 3 && len(f.Gaps) == 1
 		}},
-		"lost":               {moved + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 2 }},
-		"repeated":           {moved + "\nc 2 < #4", func(f *Figures) bool { return f.Repeated == 1 }},
-		"corrupt":            {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
-		"from the future":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
-		"answer, no message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
+		"lost":                {moved + "\nc 2 < #7", func(f *Figures) bool { return f.Lost == 2 }},
+		"repeated":            {moved + "\nc 2 < #4", func(f *Figures) bool { return f.Repeated == 1 }},
+		"corrupt":             {moved + "\nc 2 < #5 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
+		"before it is due":    {moved + "\nc 2 < #9999999 abc", func(f *Figures) bool { return f.Corrupt == 1 }},
+		"answer, not message": {moved + "\nc 2 < OK #9 x", func(f *Figures) bool { return f.Lost+f.Corrupt == 0 }},
 		"announced gap": {
 			strings.ReplaceAll(moved, "from=4", "from=6") + "\nc 2 < #7",
 			func(f *Figures) bool { return f.Lost == 0 && f.AnnouncedGaps == 2 },
 		},
-		"two live": {
+		"two live connections of a token": {
 			moved + "\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
 			func(f *Figures) bool { return f.MaxLivePerToken == 2 },
 		},
-		"one after another": {
+		"successive connections of a token": {
 			moved + "\nn 2 end\nn 3 < OPEN c 5 c=s,d=1,cur=4,tok=T\nn 3 > UP r from=4",
 			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxUsesPerToken == 2 },
 		},
-		"two of a stream": {
+		"two live connections of a stream": {
 			strings.ReplaceAll(moved, "n 1 end", "") + "",
 			func(f *Figures) bool { return f.MaxLivePerToken == 1 && f.MaxLivePerStream == 2 },
 		},
@@ -106,20 +106,20 @@
 			return f.Answers["STALE gone"] == 1 && f.SessionOpens["token, then STALE gone"] == 1 &&
 				f.SessionOpens["first"] == 1 && f.SessionCalls() == 2
 		}},
-		"broken": {
+		"end without MOVE": {
 			begin +
 				"\nc 1 end\nc 3 > OPEN d 5 c=s,d=1,cur=4\nn 3 < OPEN d 5 c=s,d=1,cur=4",
 			func(f *Figures) bool { return f.SessionOpens["end without MOVE"] == 1 },
 		},
-		"a second copy": {
+		"second copy of an open": {
 			begin + "\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r",
 			func(f *Figures) bool { return f.SecondCopies == 1 },
 		},
-		"tried again": {
+		"retry of an open after its end": {
 			begin + "\nn 1 end\nn 3 < OPEN a 5 c=s,d=1\nn 3 > UP r",
 			func(f *Figures) bool { return f.SecondCopies == 0 },
 		},
-		"plain, begins where it begins": {
+		"without from=, the first message sets the cursor": {
 			"c 1 > OPEN a 5 c=s,d=1\nc 1 < UP r\nc 1 < #7\nc 1 < #9",
 			func(f *Figures) bool { return f.Lost == 1 && f.Messages == 2 },
 		},
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -68,7 +68,7 @@
 			r := runSmall(t, name, 40, 5, node.NoFault)
 			for _, b := range r.Bounds {
 				if isExact(b.Name) && !b.OK {
-					t.Errorf("%s: %v", b.Name, b.Measured)
+					t.Errorf("bound %s is broken: measured %v", b.Name, b.Measured)
 				}
 			}
 			if r.Figures["tokens_honoured"] == 0 {
@@ -111,14 +111,14 @@
 		}
 	}
 	if _, err := Find("nothing"); err == nil || !strings.Contains(err.Error(), "token-drain") {
-		t.Errorf("%v", err)
+		t.Errorf("unknown name: %v", err)
 	}
 	_, err := Read("x.xml", []byte(`<experiment xmlns="urn:spurspread:experiment:1" name="x" about="y">
 <fleet nodes="2"/><load node="2"/><passes><pass name="a"/></passes>
 <steps><step do="drain" node="5"/>
 <step do="kill-balancer" balancer="3"/></steps><bounds><bound name="b"/></bounds></experiment>`))
-	var faults xmlconfig.FieldErrors
-	if !errors.As(err, &faults) || len(faults) != 3 || faults[1].Line != 3 || faults[2].Line != 4 {
-		t.Errorf("%v", err)
+	var fieldErrors xmlconfig.FieldErrors
+	if !errors.As(err, &fieldErrors) || len(fieldErrors) != 3 || fieldErrors[1].Line != 3 || fieldErrors[2].Line != 4 {
+		t.Errorf("invalid indexes: %v", err)
 	}
 }
