--- a/cmd/spurspread-sim/host.go
+++ b/cmd/spurspread-sim/host.go
@@ -101,7 +101,7 @@
 
 // start gives the instance a new balancer. What an earlier one has decided in this batch is dropped.
 func (h *host) start(instance uint16, now decision.Micros, record simwire.Record) error {
-	s, err := settings.ParseText(record.Text)
+	s, err := settings.ParseText(record.SettingsText)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", instance, err)
 	}
--- a/cmd/spurspread/siteconfig.go
+++ b/cmd/spurspread/siteconfig.go
@@ -27,12 +27,12 @@
 	}, nil
 }
 
-func tokenRing(keys *siteconfig.Keys) (*token.Ring, error) {
+func tokenRing(keys *siteconfig.Keys) (*token.KeyRing, error) {
 	var ring []token.Key
 	for _, key := range keys.Key {
-		ring = append(ring, token.Key{Secret: key.Secret, Issues: key.IsPrimary()})
+		ring = append(ring, token.Key{Secret: key.Secret, Primary: key.IsPrimary()})
 	}
-	return token.NewRing(ring)
+	return token.NewKeyRing(ring)
 }
 
 // channelsConfig is the proxy's configuration of multiplexed channels; nil where they are off.
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -223,8 +223,8 @@
 func TestDataHead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "data")
-		var head Head
-		pad := DataHead(&head, 9, len(data))
+		var head DataHeader
+		pad := PutDataHeader(&head, 9, len(data))
 		got := append(append(append([]byte(nil), head[:]...), data...), pad...)
 		if want := Append(nil, &Message{Type: Data, Channel: 9, Data: data}); !bytes.Equal(got, want) {
 			t.Fatalf("%x\n%x", got, want)
@@ -238,8 +238,8 @@
 	m := Message{Type: Data, Channel: 9, Data: data}
 	var read Message
 	if n := testing.AllocsPerRun(100, func() {
-		var head Head
-		_ = DataHead(&head, 9, len(data))
+		var head DataHeader
+		_ = PutDataHeader(&head, 9, len(data))
 		buf = Append(buf[:0], &m)
 		payload, _, _ := SplitPacket(packet)
 		if Parse(payload, &read) != nil || len(read.Data) != len(data) {
--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -31,10 +31,10 @@
 
 // Reasons for refusing to open a channel (RFC 4254, section 5.1).
 const (
-	Prohibited   uint32 = 1
-	ConnectError uint32 = 2
-	UnknownKind  uint32 = 3
-	NoResources  uint32 = 4
+	AdministrativelyProhibited uint32 = 1
+	ConnectFailed              uint32 = 2
+	UnknownChannelType         uint32 = 3
+	ResourceShortage           uint32 = 4
 )
 
 // Reasons for ending a connection (RFC 4253, section 11.1).
@@ -42,7 +42,7 @@
 	ProtocolError       uint32 = 2
 	ServiceNotAvailable uint32 = 7
 	ByApplication       uint32 = 11
-	TooMany             uint32 = 12
+	TooManyConnections  uint32 = 12
 )
 
 // Names of the service, channel types and requests that are used.
@@ -112,10 +112,10 @@
 }
 
 // Parse parses a packet's payload. Of a type that is not used it sets Type alone, which is no error. The error is
-// ErrShort or ErrLong.
+// ErrTruncated or ErrTrailingData.
 func Parse(payload []byte, m *Message) error {
 	if len(payload) == 0 {
-		return ErrShort
+		return ErrTruncated
 	}
 	*m = Message{Type: Type(payload[0])}
 	r := reader{b: payload[1:]}
@@ -124,9 +124,9 @@
 	}
 	switch {
 	case r.bad:
-		return ErrShort
+		return ErrTruncated
 	case len(r.b) > 0:
-		return ErrLong
+		return ErrTrailingData
 	}
 	return nil
 }
@@ -204,22 +204,22 @@
 	return true
 }
 
-// String parses a string that is all of b, as the data of Open is. The error is ErrShort or ErrLong.
-func String(b []byte) ([]byte, error) {
+// ParseString parses a string that is all of b, as the data of Open is. The error is ErrTruncated or ErrTrailingData.
+func ParseString(b []byte) ([]byte, error) {
 	r := reader{b: b}
 	v := r.text()
 	switch {
 	case r.bad:
-		return nil, ErrShort
+		return nil, ErrTruncated
 	case len(r.b) > 0:
-		return nil, ErrLong
+		return nil, ErrTrailingData
 	}
 	return v, nil
 }
 
 // Append appends a message to dst as one packet.
 func Append(dst []byte, m *Message) []byte {
-	dst, at := Begin(dst)
+	dst, at := BeginPacket(dst)
 	dst = append(dst, byte(m.Type))
 	switch m.Type {
 	case Disconnect:
@@ -256,7 +256,7 @@
 	case Request:
 		dst = append(flag(text(u32(dst, m.Channel), m.Name), m.WantReply), m.Data...)
 	}
-	return End(dst, at)
+	return EndPacket(dst, at)
 }
 
 func u32(dst []byte, v uint32) []byte { return binary.BigEndian.AppendUint32(dst, v) }
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -27,11 +27,11 @@
 
 // Errors of what a peer sends. Each ends the connection.
 var (
-	ErrIdent  = errors.New("identification is not SSH-2.0")
-	ErrLength = errors.New("packet length is not one that may be")
-	ErrPad    = errors.New("padding is wrong")
-	ErrShort  = errors.New("message is cut off")
-	ErrLong   = errors.New("message has bytes behind its end")
+	ErrIdent        = errors.New("identification is not SSH-2.0")
+	ErrLength       = errors.New("packet length is not one that may be")
+	ErrPad          = errors.New("padding is wrong")
+	ErrTruncated    = errors.New("message is cut off")
+	ErrTrailingData = errors.New("message has bytes behind its end")
 )
 
 // SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end was not
@@ -81,13 +81,13 @@
 	return buf[headSize : n-int(pad)], n, nil
 }
 
-// Begin appends a packet's head to dst and returns it with the place of the head; End completes the packet.
-func Begin(dst []byte) (out []byte, at int) {
+// BeginPacket appends a packet's head to dst and returns it with the place of the head; End completes the packet.
+func BeginPacket(dst []byte) (out []byte, at int) {
 	return append(dst, 0, 0, 0, 0, 0), len(dst)
 }
 
-// End completes the packet that began at at.
-func End(dst []byte, at int) []byte {
+// EndPacket completes the packet that began at at.
+func EndPacket(dst []byte, at int) []byte {
 	size := len(dst) - at
 	pad := padding(size)
 	dst = append(dst, zeros[:pad]...)
@@ -118,12 +118,12 @@
 // section 6.1).
 const MaxData = 32 << 10
 
-// Head is what precedes the data of a DATA packet.
-type Head [headSize + dataFields]byte
+// DataHeader is what precedes the data of a DATA packet.
+type DataHeader [headSize + dataFields]byte
 
-// DataHead fills the head of a DATA packet of n bytes of data, and returns the padding that goes behind them, to be
+// PutDataHeader fills the head of a DATA packet of n bytes of data, and returns the padding that goes behind them, to be
 // written round the data without copying it.
-func DataHead(head *Head, id uint32, n int) (pad []byte) {
+func PutDataHeader(head *DataHeader, id uint32, n int) (pad []byte) {
 	size := len(head) + n
 	padded := padding(size)
 	putHead(head[:], size, padded)
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -64,11 +64,11 @@
 	Key                        uint64
 	Group                      uint64  // g
 	Class                      []byte  // c
-	HeldBy                     []byte  // at: the server that holds the connection already
+	CurrentServer              []byte  // at: the server that holds the connection already
 	DeadlineMillis             int64   // d: the client's deadline, milliseconds from now
 	DeadlineStart, DeadlineEnd int     // offsets of d's value in the line
 	Retry                      bool    // r=1
-	Returned                   bool    // again=1: the client came back after a break or a move
+	Reconnected                bool    // again=1: the client came back after a break or a move
 	LoadHint                   float64 // h: the connection's usual load
 	HasLoadHint                bool
 	Tenant                     uint64 // owner; 0 where none is named
@@ -127,9 +127,9 @@
 	case "r":
 		o.Retry = string(value) == "1"
 	case "again":
-		o.Returned = string(value) == "1"
+		o.Reconnected = string(value) == "1"
 	case "at":
-		o.HeldBy = value
+		o.CurrentServer = value
 	case "owner":
 		o.Tenant = number(value)
 	case "tok":
@@ -174,7 +174,7 @@
 const (
 	Other ServerVerb = iota
 	Up
-	Goaway // BYE
+	Bye // BYE
 	Move
 	Err
 	Busy
@@ -192,7 +192,7 @@
 			return Up, 0
 		}
 	case "BYE":
-		return Goaway, 0
+		return Bye, 0
 	case "MOVE":
 		return Move, 0
 	case "ERR":
@@ -226,14 +226,14 @@
 	return 0, false
 }
 
-// LastWord is the last word of a line, as STALE's reason is.
-func LastWord(text []byte) []byte {
+// Argument is the last word of a line, as STALE's reason is.
+func Argument(text []byte) []byte {
 	_, word, _ := bytes.Cut(text, []byte(" "))
 	return word
 }
 
-// EstablishedSequence reads the cursor after which a server continues, from an UP line that ends in "from=N".
-func EstablishedSequence(up []byte) (uint64, bool) {
+// ResumeCursor reads the cursor after which a server continues, from an UP line that ends in "from=N".
+func ResumeCursor(up []byte) (uint64, bool) {
 	i := bytes.LastIndexByte(up, ' ')
 	digits, ok := bytes.CutPrefix(up[i+1:], []byte("from="))
 	if !ok {
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -50,8 +50,8 @@
 	o, err := ParseOpen([]byte(text))
 	if err != nil || o.ID != 0x9b1f03aa5c7e2d41 || o.Key != 0x7f3a9c21e0b4d655 || o.Group != 0x5c0f6e1a2b3d4c59 ||
 		string(o.Class) != "chat" ||
-		o.DeadlineMillis != 2000 || text[o.DeadlineStart:o.DeadlineEnd] != "2000" || !o.Retry || !o.Returned ||
-		string(o.HeldBy) != "s-1" ||
+		o.DeadlineMillis != 2000 || text[o.DeadlineStart:o.DeadlineEnd] != "2000" || !o.Retry || !o.Reconnected ||
+		string(o.CurrentServer) != "s-1" ||
 		o.LoadHint != 2.5 ||
 		!o.HasLoadHint {
 		t.Errorf("%+v, %v", o, err)
@@ -76,7 +76,7 @@
 
 func TestServer(t *testing.T) {
 	for in, want := range map[string]ServerVerb{
-		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Goaway, "MOVE": Move, "ERR": Err, "BUSY 20": Busy,
+		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Bye, "MOVE": Move, "ERR": Err, "BUSY 20": Busy,
 		"BUSY": Busy, "PONG": Pong,
 		"LOAD 12.5": Load, "LOAD": Other, "LOAD x": Other, "LOAD NaN": Other, "LOAD +Inf": Other, "SYNTAX": Other,
 		"": Other,
@@ -151,7 +151,7 @@
 		if n, ok := MessageNumber(text); ok && (kind != Other || !bytes.HasPrefix(text, fmt.Appendf(nil, "#%d ", n))) {
 			t.Errorf("%q: number %d", text, n)
 		}
-		if n, ok := EstablishedSequence(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
+		if n, ok := ResumeCursor(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
 			t.Errorf("%q: from %d", text, n)
 		}
 	})
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -115,7 +115,7 @@
 	// Scratch, kept so that nothing is allocated for each packet.
 	msg   channel.Message
 	out   []byte
-	head  channel.Head
+	head  channel.DataHeader
 	parts [][]byte
 }
 
@@ -173,7 +173,7 @@
 	for c.stage != finished {
 		n, err := c.step(b)
 		if err == nil && c.wire.Pending() > maxUnreadReplies {
-			err = protocolError{channel.TooMany, "asks and does not read"}
+			err = protocolError{channel.TooManyConnections, "asks and does not read"}
 		}
 		if err != nil {
 			c.reject(err)
@@ -311,15 +311,15 @@
 	code, why := uint32(0), ""
 	switch {
 	case !c.cfg.Server:
-		code, why = channel.Prohibited, "ERR"
+		code, why = channel.AdministrativelyProhibited, "ERR"
 	case string(m.Name) != channel.Stream:
-		code, why = channel.UnknownKind, "ERR"
+		code, why = channel.UnknownChannelType, "ERR"
 	case m.MaxPacket < minPeerPacket:
-		code, why = channel.Prohibited, "ERR"
+		code, why = channel.AdministrativelyProhibited, "ERR"
 	case c.channels.Len() >= c.cfg.MaxChannels:
-		code, why = channel.NoResources, "BUSY"
+		code, why = channel.ResourceShortage, "BUSY"
 	}
-	if why == "" || code == channel.NoResources {
+	if why == "" || code == channel.ResourceShortage {
 		if over, more := c.owner.Admit(m.Name); more != "" {
 			code, why = over, more
 		}
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -51,7 +51,7 @@
 func (e *end) Ready() { e.ready = true }
 func (e *end) Alive() { e.alive++ }
 func (e *end) Admit([]byte) (uint32, string) {
-	return channel.NoResources, e.bar
+	return channel.ResourceShortage, e.bar
 }
 
 func (e *end) Open(ch *Channel, data []byte) {
@@ -161,7 +161,7 @@
 	a := client.open("OPEN 1")
 	flow(t, client, server)
 	b := server.streams[0]
-	if line, err := channel.String([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
+	if line, err := channel.ParseString([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
 		t.Fatalf("%q, %v", b.opened, err)
 	}
 	b.ch.Confirm([]byte("UP r"))
@@ -187,7 +187,7 @@
 	r, d, g := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
 	g.ch.Close()
 	flow(t, client, server)
-	server.streams[1].ch.Reject(channel.NoResources, []byte("BUSY 70"))
+	server.streams[1].ch.Reject(channel.ResourceShortage, []byte("BUSY 70"))
 	server.streams[2].ch.Confirm(nil)
 	server.streams[3].ch.Confirm(nil)
 	flow(t, client, server)
@@ -336,8 +336,8 @@
 }
 
 func packet(payload ...byte) []byte {
-	b, at := channel.Begin(nil)
-	return channel.End(append(b, payload...), at)
+	b, at := channel.BeginPacket(nil)
+	return channel.EndPacket(append(b, payload...), at)
 }
 
 // An unknown message is told by its number in the order of all; requests are answered in their order.
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -38,7 +38,7 @@
 // arguments of an interface call would be allocated anew each time.
 func (ch *Channel) sendData(n int, parts ...[]byte) {
 	c := ch.conn
-	pad := channel.DataHead(&c.head, ch.peerID, n)
+	pad := channel.PutDataHeader(&c.head, ch.peerID, n)
 	ch.sendWindow -= uint32(n)
 	c.parts = append(append(append(c.parts[:0], c.head[:]), parts...), pad)
 	c.wire.Write(c.parts...)
@@ -145,7 +145,7 @@
 	ch.owner, ch.eof = nil, true
 	switch ch.state {
 	case openReceived:
-		ch.Reject(channel.ConnectError, []byte("ERR"))
+		ch.Reject(channel.ConnectFailed, []byte("ERR"))
 	case openSent:
 		ch.state = abandoned // closed as soon as the peer has told its number
 	case established:
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -263,12 +263,12 @@
 		}
 		a.proxy.loop.Cancel(&a.timer)
 		r.establish(text)
-	case lineproto.Goaway:
+	case lineproto.Bye:
 		// Served to its end at once: the server's line is the answer.
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
-		r.tokenRejectedByServer(lineproto.LastWord(text))
+		r.tokenRejectedByServer(lineproto.Argument(text))
 	default:
 		status, known := answerOutcome(verb)
 		if !known {
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -171,17 +171,17 @@
 	p.stats.rejected++
 	p.countUnserved("", answercause.ChannelLimit)
 	busy := lineproto.AppendBusy(nil, millisRoundedUp(p.retryAfter()))
-	return channel.NoResources, string(bytes.TrimRight(busy, lineEnd))
+	return channel.ResourceShortage, string(bytes.TrimRight(busy, lineEnd))
 }
 
 // Open is part of mux.Owner: the client has opened a channel, with its first line as the data.
 func (m *muxDownstreamConn) Open(ch *mux.Channel, data []byte) {
 	p := m.conn.proxy
-	text, err := channel.String(data)
+	text, err := channel.ParseString(data)
 	if err != nil || !isOpenLine(text) {
 		p.stats.failed++
 		p.countUnserved("", answercause.Malformed)
-		ch.Reject(channel.Prohibited, []byte("ERR"))
+		ch.Reject(channel.AdministrativelyProhibited, []byte("ERR"))
 		return
 	}
 	line := make([]byte, 0, len(text)+len(lineEnd))
@@ -268,9 +268,9 @@
 // sendFinal sends the answer as the description of the channel's rejection, with the code that fits it best.
 func (k *downstreamChannel) sendFinal(answer []byte) {
 	answer = bytes.TrimRight(answer, lineEnd)
-	code := channel.ConnectError
+	code := channel.ConnectFailed
 	if verb, _ := lineproto.ParseServerLine(answer); verb == lineproto.Busy {
-		code = channel.NoResources
+		code = channel.ResourceShortage
 	}
 	k.answered = true
 	k.Reject(code, answer)
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -57,7 +57,7 @@
 	r.firstLine = nil
 	if r.resumable == nil {
 		r.open.Class = nil
-		r.open.HeldBy = nil
+		r.open.CurrentServer = nil
 	}
 }
 
@@ -221,7 +221,7 @@
 		r.lastReply = now
 		r.resumable.noteForwarded(start)
 		switch verb, value := lineproto.ParseServerLine(start); verb {
-		case lineproto.Goaway:
+		case lineproto.Bye:
 			r.endStatus = outcome.OK
 		case lineproto.Move:
 			r.endStatus = outcome.Cancelled
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -73,7 +73,7 @@
 // slowLimit is the message latency above which a server is reported; 0 where the core expects no reports.
 func (t *latencyTable) slowLimit() monotime.Micros {
 	settings := &t.proxy.cfg.Settings
-	if !settings.ReportsDelay {
+	if !settings.ReportsMessageLatency {
 		return 0
 	}
 	objectives := make([]monotime.Micros, 0, len(settings.Decision.Classes))
@@ -114,7 +114,7 @@
 func (r *request) reportMetric(value float64) {
 	p := r.proxy
 	kind := decision.LoadMetric
-	if messagedelay.LoadLineIsLatency(p.cfg.Settings.ReportsDelay, p.cfg.Settings.ReportsLoad) {
+	if messagedelay.LoadLineIsLatency(p.cfg.Settings.ReportsMessageLatency, p.cfg.Settings.ReportsLoad) {
 		kind = decision.MessageLatencyMetric
 		r.latency.delay.SelfReported(p.loop.Now())
 	}
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -101,7 +101,7 @@
 
 // Where nobody expects reports of slow messages, what lines took is not kept: it would grow for as long as lines come.
 func TestDelaysAreDiscardedWithoutReports(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsDelay = false })
+	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsMessageLatency = false })
 	client, server := g.establish()
 	for range 3 {
 		client.say("T 1\r\n")
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -22,7 +22,7 @@
 	if r.state != stateReattaching || r.attempt != nil {
 		return
 	}
-	server := r.proxy.servers.list.ByID(r.open.HeldBy)
+	server := r.proxy.servers.list.ByID(r.open.CurrentServer)
 	if server == nil {
 		return
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -103,7 +103,7 @@
 	if !r.presentToken() {
 		return
 	}
-	if len(r.open.HeldBy) > 0 {
+	if len(r.open.CurrentServer) > 0 {
 		r.startReattaching()
 	} else {
 		r.place()
@@ -140,7 +140,7 @@
 		LoadHint:    r.open.LoadHint,
 		HasLoadHint: r.open.HasLoadHint,
 		Retry:       r.open.Retry,
-		Reconnected: r.open.Returned,
+		Reconnected: r.open.Reconnected,
 	}
 	if r.resumable != nil {
 		ev.Resumable = true
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -23,7 +23,7 @@
 // docs/protocol/resume.md has the protocol. It concerns clients that ask for tokens, and nobody else.
 type ResumeConfig struct {
 	// Ring has the keys that tokens are sealed with; the deployment shares them.
-	Ring *token.Ring
+	Ring *token.KeyRing
 	// TokenLifetime is how long a token is valid, in milliseconds.
 	TokenLifetime int64
 	// ClockSkew is how far clocks may differ, in milliseconds. A larger one accepts tokens for longer.
--- a/internal/proxy/resume_keys_test.go
+++ b/internal/proxy/resume_keys_test.go
@@ -51,7 +51,7 @@
 			return sendOrMove(ev)
 		}
 	})
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Primary: true}), nil)
 	client := g.client(comeLine + word + "\r\n")
 	event[decision.Request](g)
 	g.check(client.Close())
@@ -73,7 +73,7 @@
 // Keys rotate by reload: the old one opens until it is withdrawn; what a balancer knows of tokens stays.
 func TestKeysRotate(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	old, fresh := token.Key{Secret: keyOf(1)}, token.Key{Secret: keyOf(2), Issues: true}
+	old, fresh := token.Key{Secret: keyOf(1)}, token.Key{Secret: keyOf(2), Primary: true}
 	client, _ := g.establishResumable()
 	reload := func(keys ...token.Key) {
 		ring := ringWith(t, keys...)
@@ -85,7 +85,7 @@
 		})
 	}
 	minting := old
-	minting.Issues = true
+	minting.Primary = true
 	before := g.seal(ringWith(t, minting), nil)
 	reload(old, fresh)
 	g.listDraining(0)
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -60,7 +60,7 @@
 		return true
 	}
 	why := resume.Malformed
-	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.HeldBy) == 0 {
+	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.CurrentServer) == 0 {
 		// The seal comes first: a claim costs memory.
 		why = s.openToken(r.open.Token)
 	}
@@ -162,7 +162,7 @@
 	if x == nil {
 		return true
 	}
-	x.lastMessage, x.numbered = lineproto.EstablishedSequence(up)
+	x.lastMessage, x.numbered = lineproto.ResumeCursor(up)
 	if !x.pinned {
 		return true
 	}
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -16,9 +16,9 @@
 	return k
 }
 
-func ringWith(t *testing.T, keys ...token.Key) *token.Ring {
+func ringWith(t *testing.T, keys ...token.Key) *token.KeyRing {
 	t.Helper()
-	r, err := token.NewRing(keys)
+	r, err := token.NewKeyRing(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	t.Helper()
 	return newHarness(t, 2, sendOrMove, func(cfg *Config) {
 		cfg.Resume = &ResumeConfig{
-			Ring:          ringWith(t, token.Key{Secret: keyOf(1), Issues: true}),
+			Ring:          ringWith(t, token.Key{Secret: keyOf(1), Primary: true}),
 			TokenLifetime: 60_000,
 			ClockSkew:     2000,
 			MaxClaims:     100,
@@ -199,7 +199,7 @@
 }
 
 // seal makes a token as a balancer would, changed by a test.
-func (g *harness) seal(ring *token.Ring, change func(*token.Token)) string {
+func (g *harness) seal(ring *token.KeyRing, change func(*token.Token)) string {
 	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
 	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / monotime.Millisecond) })
 	t.ExpiresAt = t.IssuedAt + 60_000
@@ -215,13 +215,13 @@
 // What is wrong with a token is told at once; neither the decision core nor any server learns of it.
 func TestTokenRejected(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	ring := ringWith(t, token.Key{Secret: keyOf(1), Issues: true})
+	ring := ringWith(t, token.Key{Secret: keyOf(1), Primary: true})
 	with := func(change func(*token.Token)) string { return comeLine + g.seal(ring, change) }
 	for name, c := range map[string]struct{ first, why string }{
 		"garbage":         {comeLine + "garbage", "malformed"},
 		"altered":         {strings.Replace(with(nil), "tok=AQ", "tok=Ag", 1), "malformed"},
 		"cut":             {with(nil)[:len(with(nil))-4], "forged"},
-		"withdrawn key":   {comeLine + g.seal(ringWith(t, token.Key{Secret: keyOf(9), Issues: true}), nil), "key"},
+		"withdrawn key":   {comeLine + g.seal(ringWith(t, token.Key{Secret: keyOf(9), Primary: true}), nil), "key"},
 		"expired":         {with(func(t *token.Token) { t.ExpiresAt = t.IssuedAt }), "expired"},
 		"from the future": {with(func(t *token.Token) { t.IssuedAt += 10_000 }), "early"},
 		"other tenant":    {with(func(t *token.Token) { t.Tenant++ }), "tenant"},
@@ -293,7 +293,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newResumeHarness(t, nil)
-			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
+			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Primary: true}), nil)
 			client := g.client(comeLine + word + "\r\n")
 			server := g.acceptUpstream(1)
 			server.line()
@@ -327,7 +327,7 @@
 	}
 	g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
 	g.inLoop(func() { g.decide = hasty })
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Primary: true}), nil)
 	client := g.client(comeLine + word + "\r\n")
 	server := g.acceptUpstream(1)
 	server.line()
@@ -352,7 +352,7 @@
 // What is left of a request whose token was given back must not give back the claim of the next.
 func TestTokenReleasedOnce(t *testing.T) {
 	g := newResumeHarness(t, nil)
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
+	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Primary: true}), nil)
 	first := g.client(comeLine + word + "\r\n")
 	server := g.acceptUpstream(1)
 	server.line()
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -118,12 +118,12 @@
 		Key:            r.open.Key,
 		Group:          r.open.Group,
 		Class:          r.classNames[r.class],
-		Hint:           r.open.LoadHint,
-		HasHint:        r.open.HasLoadHint,
+		LoadHint:       r.open.LoadHint,
+		HasLoadHint:    r.open.HasLoadHint,
 		Retry:          r.open.Retry,
-		Returned:       r.open.Returned,
+		Reconnected:    r.open.Reconnected,
 		Server:         r.attempt.server.ID,
-		Verdict:        uint8(r.endStatus),
+		EndStatus:      uint8(r.endStatus),
 		SinceLastReply: int64(max(now-r.lastReply, 0)),
 	}
 	for _, at := range r.sentAt {
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -99,10 +99,10 @@
 			ID:          offer.ID,
 			Key:         offer.Key,
 			Group:       offer.Group,
-			LoadHint:    offer.Hint,
-			HasLoadHint: offer.HasHint,
+			LoadHint:    offer.LoadHint,
+			HasLoadHint: offer.HasLoadHint,
 			Retry:       offer.Retry,
-			Returned:    offer.Returned,
+			Reconnected: offer.Reconnected,
 		},
 		idTaken:    true,
 		class:      0,
@@ -110,7 +110,7 @@
 		deadline:   now,
 		established: established{
 			lastReply: now - monotime.Micros(offer.SinceLastReply),
-			endStatus: outcome.Status(offer.Verdict),
+			endStatus: outcome.Status(offer.EndStatus),
 		},
 	}
 	r.attempt = &attempt{
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -96,7 +96,7 @@
 	switch {
 	case verb != lineproto.Up && len(description) > 0:
 		return bytes.Clone(description)
-	case code == channel.NoResources:
+	case code == channel.ResourceShortage:
 		return []byte("BUSY")
 	}
 	return []byte("ERR")
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -226,11 +226,13 @@
 }
 
 // Admit is part of mux.Owner: servers open no channels.
-func (c *muxUpstreamConn) Admit([]byte) (uint32, string) { return channel.Prohibited, "ERR" }
+func (c *muxUpstreamConn) Admit([]byte) (uint32, string) {
+	return channel.AdministrativelyProhibited, "ERR"
+}
 
 // Open is part of mux.Owner: servers open no channels.
 func (c *muxUpstreamConn) Open(ch *mux.Channel, _ []byte) {
-	ch.Reject(channel.Prohibited, []byte("ERR"))
+	ch.Reject(channel.AdministrativelyProhibited, []byte("ERR"))
 }
 
 // Alive is part of mux.Owner.
--- a/internal/restartproto/offer.go
+++ b/internal/restartproto/offer.go
@@ -24,12 +24,12 @@
 	Key            uint64  `json:"key"`
 	Group          uint64  `json:"group"`
 	Class          string  `json:"class"`
-	Hint           float64 `json:"hint"`
-	HasHint        bool    `json:"has_hint"`
+	LoadHint       float64 `json:"hint"`
+	HasLoadHint    bool    `json:"has_hint"`
 	Retry          bool    `json:"retry"`
-	Returned       bool    `json:"returned"`
+	Reconnected    bool    `json:"returned"`
 	Server         string  `json:"target"`  // the server's instance id
-	Verdict        uint8   `json:"verdict"` // the outcome.Status that the last reply means if the connection ends now
+	EndStatus      uint8   `json:"verdict"` // the outcome.Status that the last reply means if the connection ends now
 	SinceLastReply int64   `json:"quiet"`   // age of the server's last line
 	Unanswered     []int64 `json:"waiting"` // ages of the client's lines without a reply, oldest first
 }
--- a/internal/restartproto/offer_test.go
+++ b/internal/restartproto/offer_test.go
@@ -12,7 +12,7 @@
 func sampleOffer() ConnectionOffer {
 	return ConnectionOffer{
 		Version: OfferVersion, Ref: 1<<32 - 1, ID: 1<<64 - 1, Key: 1 << 63, Group: 7, Class: "index-sync",
-		Hint: 1.5, HasHint: true, Retry: true, Returned: true, Server: "s-1", Verdict: 3, SinceLastReply: 5,
+		LoadHint: 1.5, HasLoadHint: true, Retry: true, Reconnected: true, Server: "s-1", EndStatus: 3, SinceLastReply: 5,
 		Unanswered: []int64{9, 0},
 	}
 }
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -35,7 +35,7 @@
 	out.MachineTypes = p.list("skus")
 	out.ConnectTimeout = cmp.Or(p.optionalMicros("limits.connect_timeout", 0), defaultConnectTimeout)
 	out.ReportsLoad = out.Decision.ReportsConnectionLoad
-	out.ReportsDelay = p.boolean("specifics.tells_delay")
+	out.ReportsMessageLatency = p.boolean("specifics.tells_delay")
 	out.ClassNames = p.classNames(len(out.Decision.Classes))
 	p.requirePositive(keyMaxAttempts)
 	if len(p.problems) > 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,8 +29,8 @@
 
 	ConnectTimeout decision.Micros // of a connection to a server; always over 0, by default 1 s
 
-	ReportsLoad  bool // decisions expect notes of the load of an established connection
-	ReportsDelay bool // decisions expect notes of the time that messages take
+	ReportsLoad           bool // decisions expect notes of the load of an established connection
+	ReportsMessageLatency bool // decisions expect notes of the time that messages take
 }
 
 // ParseText reads key=value pairs, one a line. Empty lines are skipped; of a key given twice the last value counts.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -176,7 +176,7 @@
 	if err != nil || !reflect.DeepEqual(s.ClassNames, []string{"index_sync"}) ||
 		!reflect.DeepEqual(s.ZoneNames, []string{"a", "b"}) ||
 		s.ConnectTimeout != 1_000_000 ||
-		s.ReportsDelay {
+		s.ReportsMessageLatency {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -31,14 +31,14 @@
 
 // Record is one event record of a batch. Which of the other fields are set depends on Kind.
 type Record struct {
-	Kind       RecordKind
-	Instance   uint16                 // SelectInstance
-	ListNumber uint8                  // ServerList, ListUpdate; below MaxLists
-	Entries    []decision.ServerEntry // ServerList
-	Seed       uint64                 // Start
-	Text       []byte                 // Start: the settings; valid as long as the batch
-	ListKind   decision.UpdateKind    // ListUpdate
-	Event      decision.Event         // BalancerEvent
+	Kind         RecordKind
+	Instance     uint16                 // SelectInstance
+	ListNumber   uint8                  // ServerList, ListUpdate; below MaxLists
+	Entries      []decision.ServerEntry // ServerList
+	Seed         uint64                 // Start
+	SettingsText []byte                 // Start: the settings; valid as long as the batch
+	ListKind     decision.UpdateKind    // ListUpdate
+	Event        decision.Event         // BalancerEvent
 }
 
 // RecordKind is what a record is for.
@@ -103,7 +103,7 @@
 func (b Batch) decodeStart(f *fields) (Record, error) {
 	r := Record{Kind: Start, Seed: f.uint64()}
 	var err error
-	r.Text, err = b.tailItems(f.reference(), 1)
+	r.SettingsText, err = b.tailItems(f.reference(), 1)
 	return r, errors.Join(err, f.checkPadding())
 }
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -130,7 +130,7 @@
 		t.Errorf("list update: %v, %+v", err, got)
 	}
 	if got, err = one(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil || got.Kind != Start ||
-		got.Seed != 9 || string(got.Text) != "a=b" {
+		got.Seed != 9 || string(got.SettingsText) != "a=b" {
 		t.Errorf("start: %v, %+v", err, got)
 	}
 	if got, err = one(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -73,7 +73,7 @@
 // Seed is one of Seeds.
 type Seed struct {
 	// Address is a host, by name or IP address, and a port.
-	Address xmlconfig.Place `xml:"at,attr" use:"required" key:"seeds" doc:"a host, by name or address, and the port where it takes datagrams; this member itself is passed over"`
+	Address xmlconfig.HostPort `xml:"at,attr" use:"required" key:"seeds" doc:"a host, by name or address, and the port where it takes datagrams; this member itself is passed over"`
 }
 
 // AddressOverrides has members that are reached from here at other addresses than they advertise.
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -72,12 +72,12 @@
 
 // Key is one key of a ring.
 type Key struct {
-	Secret [chacha20poly1305.KeySize]byte
-	Issues bool // tokens are sealed with it, and not only opened
+	Secret  [chacha20poly1305.KeySize]byte
+	Primary bool // tokens are sealed with it, and not only opened
 }
 
-// Ring seals with one key and opens with any of several. It is not for use by several goroutines at once.
-type Ring struct {
+// KeyRing seals with one key and opens with any of several. It is not for use by several goroutines at once.
+type KeyRing struct {
 	keys       []ringKey
 	sealingKey int
 	buf        [maxBytes]byte // what Open decodes into
@@ -88,9 +88,9 @@
 	aead cipher.AEAD
 }
 
-// NewRing returns a ring of keys. It fails unless exactly one of them issues tokens and no two are the same.
-func NewRing(keys []Key) (*Ring, error) {
-	r := &Ring{sealingKey: -1}
+// NewKeyRing returns a ring of keys. It fails unless exactly one of them issues tokens and no two are the same.
+func NewKeyRing(keys []Key) (*KeyRing, error) {
+	r := &KeyRing{sealingKey: -1}
 	for i, k := range keys {
 		aead, err := chacha20poly1305.NewX(k.Secret[:])
 		if err != nil {
@@ -101,10 +101,10 @@
 		if r.find(id[:]) != nil {
 			return nil, fmt.Errorf("token: key %d has the fingerprint %x of one before it", i, id)
 		}
-		if k.Issues && r.sealingKey >= 0 {
+		if k.Primary && r.sealingKey >= 0 {
 			return nil, errors.New("token: two keys mint")
 		}
-		if k.Issues {
+		if k.Primary {
 			r.sealingKey = i
 		}
 		r.keys = append(r.keys, ringKey{id, aead})
@@ -115,7 +115,7 @@
 	return r, nil
 }
 
-func (r *Ring) find(id []byte) cipher.AEAD {
+func (r *KeyRing) find(id []byte) cipher.AEAD {
 	for i := range r.keys {
 		if string(r.keys[i].id[:]) == string(id) {
 			return r.keys[i].aead
@@ -126,7 +126,7 @@
 
 // Seal appends the text of t to dst and sets t.ID. It panics if the name of the class or server is over MaxName, which
 // callers check.
-func (r *Ring) Seal(dst []byte, t *Token) []byte {
+func (r *KeyRing) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
 	copy(raw[1:], r.keys[r.sealingKey].id[:])
@@ -173,7 +173,7 @@
 
 // Open parses a token's text into t. What t then points to is valid until the next Open. After an error (ErrMalformed,
 // ErrUnknownKey or ErrForged) t is undefined.
-func (r *Ring) Open(text []byte, t *Token) error {
+func (r *KeyRing) Open(text []byte, t *Token) error {
 	// Checked before decoding: the decoder ignores line ends, and its errors cost an allocation.
 	if len(text) > MaxText || len(text)%4 != 0 {
 		return ErrMalformed
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -19,9 +19,9 @@
 	return k
 }
 
-func ring(t testing.TB, keys ...Key) *Ring {
+func ring(t testing.TB, keys ...Key) *KeyRing {
 	t.Helper()
-	r, err := NewRing(keys)
+	r, err := NewKeyRing(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	r := ring(t, old, now)
 	tok := some()
 	good := r.Seal(nil, &tok)
-	old.Issues = true
+	old.Primary = true
 	older := ring(t, old).Seal(nil, &tok)
 	var out Token
 	if err := r.Open(older, &out); err != nil {
@@ -150,7 +150,7 @@
 		"two mint":       {{secret(1), true}, {secret(2), true}},
 		"the same twice": {{secret(1), true}, {secret(1), false}},
 	} {
-		if _, err := NewRing(keys); err == nil {
+		if _, err := NewKeyRing(keys); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/xmlconfig/value.go
+++ b/internal/xmlconfig/value.go
@@ -41,8 +41,8 @@
 // Address is an IP address with a port; port 0 takes any.
 type Address string
 
-// Place is a host, by name or IP address, with a port.
-type Place string
+// HostPort is a host, by name or IP address, with a port.
+type HostPort string
 
 // Duration is a span of time, written as a number with its unit: us, ms, s, m or h.
 type Duration time.Duration
@@ -61,11 +61,13 @@
 
 const numeral = `[0-9]{1,12}(\.[0-9]{1,9})?`
 
-func (*Name) pattern() string     { return `[A-Za-z0-9]([A-Za-z0-9._\-]{0,63})` }
-func (*Text) pattern() string     { return `[^\n\t]{1,256}` }
-func (*Path) pattern() string     { return `[^\n\t]{1,512}` }
-func (*Address) pattern() string  { return `([0-9.]{7,15}|\[[0-9a-fA-F:.]{2,45}\]):[0-9]{1,5}` }
-func (*Place) pattern() string    { return `([A-Za-z0-9.\-]{1,253}|\[[0-9a-fA-F:.]{2,45}\]):[0-9]{1,5}` }
+func (*Name) pattern() string    { return `[A-Za-z0-9]([A-Za-z0-9._\-]{0,63})` }
+func (*Text) pattern() string    { return `[^\n\t]{1,256}` }
+func (*Path) pattern() string    { return `[^\n\t]{1,512}` }
+func (*Address) pattern() string { return `([0-9.]{7,15}|\[[0-9a-fA-F:.]{2,45}\]):[0-9]{1,5}` }
+func (*HostPort) pattern() string {
+	return `([A-Za-z0-9.\-]{1,253}|\[[0-9a-fA-F:.]{2,45}\]):[0-9]{1,5}`
+}
 func (*Duration) pattern() string { return numeral + `(us|ms|s|m|h)` }
 func (*Size) pattern() string     { return `[0-9]{1,15}(B|KiB|MiB|GiB)` }
 func (*Rate) pattern() string     { return numeral + `/(s|min|h)` }
@@ -76,7 +78,7 @@
 func (*Text) sample() string     { return "some words" }
 func (*Path) sample() string     { return "folder/file" }
 func (*Address) sample() string  { return "127.0.0.1:8081" }
-func (*Place) sample() string    { return "host.example:7946" }
+func (*HostPort) sample() string { return "host.example:7946" }
 func (*Duration) sample() string { return "250ms" }
 func (*Size) sample() string     { return "64MiB" }
 func (*Rate) sample() string     { return "20/s" }
@@ -87,7 +89,7 @@
 func (*Text) kind() string     { return "text of one line" }
 func (*Path) kind() string     { return "path" }
 func (*Address) kind() string  { return "address and port" }
-func (*Place) kind() string    { return "host and port" }
+func (*HostPort) kind() string { return "host and port" }
 func (*Duration) kind() string { return "span of time with its unit (us, ms, s, m, h)" }
 func (*Size) kind() string     { return "number of bytes with its unit (B, KiB, MiB, GiB)" }
 func (*Rate) kind() string     { return "rate with its unit (/s, /min, /h)" }
@@ -98,7 +100,7 @@
 func (*Text) size() float64       { return 0 }
 func (*Path) size() float64       { return 0 }
 func (*Address) size() float64    { return 0 }
-func (*Place) size() float64      { return 0 }
+func (*HostPort) size() float64   { return 0 }
 func (v *Duration) size() float64 { return float64(*v) }
 func (v *Size) size() float64     { return float64(*v) }
 func (v *Rate) size() float64     { return float64(*v) }
@@ -118,7 +120,7 @@
 func (v *Address) UnmarshalText(b []byte) error { *v = Address(b); return nil }
 
 // UnmarshalText reads a place; whether there is such a host shows only when it is looked up.
-func (v *Place) UnmarshalText(b []byte) error { *v = Place(b); return nil }
+func (v *HostPort) UnmarshalText(b []byte) error { *v = HostPort(b); return nil }
 
 var (
 	spans = map[string]float64{"us": 1e3, "ms": 1e6, "s": 1e9, "m": 60e9, "h": 3600e9}
--- a/lab/deployment/config.go
+++ b/lab/deployment/config.go
@@ -45,7 +45,7 @@
 func (d *Deployment) writeKey() error {
 	var secret [32]byte
 	_, _ = rand.Read(secret[:]) // never fails
-	d.keys = []token.Key{{Secret: secret, Issues: true}}
+	d.keys = []token.Key{{Secret: secret, Primary: true}}
 	path := filepath.Join(d.cfg.Dir, "key")
 	return os.WriteFile(path, []byte(hex.EncodeToString(secret[:])), secretFileMode)
 }
