--- a/cmd/spurspread-sim/main_test.go
+++ b/cmd/spurspread-sim/main_test.go
@@ -128,7 +128,7 @@
 		"list 3 was never sent": append(startBatch(4),
 			batch(2, 1000001, nil, target(4), record(1110, uint8(3), uint8(1)))...),
 		"instance 4: settings": batch(1, 1, []byte("rank=0"), target(4), record(1000, uint64(1), uint32(0), uint32(6))),
-		"no such event":        batch(1, 1, nil, target(4), record(7)),
+		"unknown event code":   batch(1, 1, nil, target(4), record(7)),
 		"header cut short":     {1, 2, 3},
 	} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), want) {
--- a/cmd/spurspread/reload_test.go
+++ b/cmd/spurspread/reload_test.go
@@ -45,12 +45,12 @@
 		{"no classes", strings.Replace(renamed, `"request_classes"`, `"classes"`, 1), "request_classes"},
 		{
 			"a deadline of 0", strings.Replace(renamed, `"deadline": 1200000`, `"deadline": 0`, 1),
-			"deadline: 0 is not over 0",
+			"deadline: 0 is not greater than 0",
 		},
 		{"a deadline below 0", strings.Replace(renamed, `"deadline": 1200000`, `"deadline": -1`, 1), "deadline"},
 		{
 			"no attempts", strings.Replace(renamed, `"most_tries": 4`, `"most_tries": 0`, 1),
-			"most_tries: 0 is not over 0",
+			"most_tries: 0 is not greater than 0",
 		},
 		{"an unknown effect", strings.Replace(renamed, `"read_like"`, `"sometimes"`, 1), "request_classes.0.effect"},
 	} {
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -121,8 +121,8 @@
 // DataHeader is what precedes the data of a DATA packet.
 type DataHeader [headSize + dataFields]byte
 
-// PutDataHeader fills the head of a DATA packet of n bytes of data, and returns the padding that goes behind them, to be
-// written round the data without copying it.
+// PutDataHeader writes the header of a DATA packet with n bytes of data, and returns the padding that follows the data.
+// A caller writes header, data and padding one after another, without copying the data into a packet.
 func PutDataHeader(head *DataHeader, id uint32, n int) (pad []byte) {
 	size := len(head) + n
 	padded := padding(size)
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Errors for an input that can't be split into keys and values at all.
+// Errors of an input that can't be split into keys and values.
 var (
 	// ErrTooLong reports an input of more than 1 MiB.
 	ErrTooLong = errors.New("settings: input too long")
@@ -19,38 +19,38 @@
 var (
 	// ErrMissing reports a required key that is absent.
 	ErrMissing = errors.New("missing")
-	// ErrNotNumber reports a value that is not a finite number from 0 to 1e15.
-	ErrNotNumber = errors.New("not a usable number")
-	// ErrNotPositive reports a 0 where a request could then never be served.
-	ErrNotPositive = errors.New("not over 0")
-	// ErrNotAllowed reports a word that is not one of the allowed ones.
-	ErrNotAllowed = errors.New("not an allowed word")
+	// ErrNotNumber reports a value that is not a number from 0 to 1e15.
+	ErrNotNumber = errors.New("not a number in the allowed range")
+	// ErrNotPositive reports a 0 for a key with which no request could then be served.
+	ErrNotPositive = errors.New("not greater than 0")
+	// ErrNotAllowed reports a word that is not one of those allowed for the key.
+	ErrNotAllowed = errors.New("not an allowed value")
 	// ErrTooMany reports a list of more than 10,000 items.
 	ErrTooMany = errors.New("too many items")
 	// ErrDuplicate reports a class name that is used twice.
-	ErrDuplicate = errors.New("named twice")
+	ErrDuplicate = errors.New("duplicate name")
 )
 
-// KeyError is one problem of one key.
+// KeyError is one problem with the value of one key.
 type KeyError struct {
-	Key     string // in the platform's spelling, such as limits.most_tries
-	Problem string // what is wrong, with the value
+	Key     string // the platform's name of the key, such as limits.most_tries
+	Problem string // description of the problem, with the rejected value
 	Kind    error  // one of the kinds above; matched by errors.Is
 }
 
-// Error is the key and the problem.
+// Error returns the key and the problem.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
 // Unwrap returns the kind of the problem.
 func (e *KeyError) Unwrap() error { return e.Kind }
 
-// InvalidError holds all problems of one input, in the order in which keys are read. Each can be matched with
-// errors.Is by its kind; errors.As finds the first *KeyError.
+// InvalidError holds all problems of one input, in the order in which keys are read. errors.Is matches the kind of any
+// of them; errors.As finds the first *KeyError.
 type InvalidError struct {
 	Problems []*KeyError
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, problem := range e.Problems {
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -23,12 +23,12 @@
 const (
 	defaultClockResolution   decision.Micros = 1000
 	defaultPollInterval      decision.Micros = 10_000_000
-	defaultOverQuotaPriority                 = 1 // of requests beyond a tenant's quota, as a factor
+	defaultOverQuotaPriority                 = 1 // factor of the priority of requests beyond a tenant's quota
 	defaultPriority                          = 1
 	defaultMaxHeldRequests                   = math.MaxInt32
 )
 
-// settings translates all keys. Keys are read in a fixed order, which is the order of problems in the error.
+// settings translates all keys. It reads them in a fixed order, in which the error lists the problems, too.
 func (p *parser) settings() (Settings, error) {
 	out := Settings{Decision: p.decisionSettings()}
 	out.ZoneNames = p.list(keyZoneNames)
@@ -44,7 +44,7 @@
 	return out, nil
 }
 
-// decisionSettings is the table of platform keys and the decisions' fields. Times are in microseconds.
+// decisionSettings maps the platform's keys to the fields of decision.Settings. Times are in microseconds.
 func (p *parser) decisionSettings() decision.Settings {
 	return decision.Settings{
 		Rank:                  int(p.requiredNumber("rank")),
@@ -80,7 +80,7 @@
 	}
 }
 
-// requestClasses are the request classes, each with its priority relative to the highest.
+// requestClasses reads the request classes, and sets the priority of each relative to the highest.
 func (p *parser) requestClasses() []decision.Class {
 	var classes []decision.Class
 	objectives := p.list(keyMessageObjective)
@@ -129,22 +129,22 @@
 	return scope
 }
 
-// classNames are the names of the first count classes. Names must differ: a balancer finds a class by its name. The
-// simulator's classes have none, and go by number.
+// classNames reads the names of the first count classes. Names must differ, because a balancer finds a class by its
+// name. The simulator's classes have no names; they are referred to by number.
 func (p *parser) classNames(count int) []string {
 	var names []string
 	for i := range count {
 		key := fmt.Sprintf("%s.%d.name", keyClasses, i)
 		name := p.values[key]
 		if name != "" && slices.Contains(names, name) {
-			p.reject(key, ErrDuplicate, "%q is named twice", name)
+			p.reject(key, ErrDuplicate, "class name %q is used twice", name)
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-// tenants are the tenants, each with its share of the service and its quotas.
+// tenants reads the tenants, each with its share of the service and its quotas.
 func (p *parser) tenants() []decision.Tenant {
 	var tenants []decision.Tenant
 	quotas := p.list(keyConnectionQuota)
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -13,7 +13,7 @@
 const (
 	// maxItems bounds the lists of classes and of tenants.
 	maxItems = 10000
-	// maxNumber bounds each number; in microseconds it is some 30 years.
+	// maxNumber bounds each number; in microseconds it is about 30 years.
 	maxNumber = 1e15
 )
 
@@ -31,7 +31,7 @@
 
 func (p *parser) rejectMissing(key string) { p.reject(key, ErrMissing, "missing") }
 
-// requiredNumber reads a number that must be given.
+// requiredNumber reads a number, and rejects an absent key.
 func (p *parser) requiredNumber(key string) float64 {
 	if _, given := p.values[key]; !given {
 		p.rejectMissing(key)
@@ -40,7 +40,7 @@
 	return p.optionalNumber(key, 0)
 }
 
-// optionalNumber reads a number, or returns fallback where the key is absent.
+// optionalNumber reads a number; it returns fallback if the key is absent or its value is rejected.
 func (p *parser) optionalNumber(key string, fallback float64) float64 {
 	text, given := p.values[key]
 	if !given {
@@ -48,7 +48,7 @@
 	}
 	number, ok := parseNumber(text)
 	if !ok {
-		p.reject(key, ErrNotNumber, "%q is not a number that can be used", text)
+		p.reject(key, ErrNotNumber, "%q is not a number from 0 to %g", text, maxNumber)
 		return fallback
 	}
 	return number
@@ -63,12 +63,12 @@
 	return number, number >= 0 && number <= maxNumber
 }
 
-// requirePositive rejects a value given as 0: a request needs time and at least one attempt. What is not a number is
-// rejected where it is read.
+// requirePositive rejects a value of 0 for a deadline or a number of attempts, with which no request could be served. A
+// value that is not a number is rejected where it is read.
 func (p *parser) requirePositive(key string) {
 	number, err := strconv.ParseFloat(p.values[key], 64)
 	if err == nil && number == 0 {
-		p.reject(key, ErrNotPositive, "%v is not over 0", p.values[key])
+		p.reject(key, ErrNotPositive, "%v is not greater than 0", p.values[key])
 	}
 }
 
@@ -85,25 +85,25 @@
 	return p.checkCount(list+".count", p.requiredNumber(list+".count"))
 }
 
-// optionalCount is requiredCount with 0 where the list is absent.
+// optionalCount is like requiredCount, but returns 0 if the list is absent.
 func (p *parser) optionalCount(list string) int {
 	return p.checkCount(list+".count", p.optionalNumber(list+".count", 0))
 }
 
 func (p *parser) checkCount(key string, count float64) int {
 	if count > maxItems {
-		p.reject(key, ErrTooMany, "%v is over %d", count, maxItems)
+		p.reject(key, ErrTooMany, "%v is over the maximum of %d", count, maxItems)
 		return 0
 	}
 	return int(count)
 }
 
-// boolean reads true or false; absent is false.
+// boolean reads true or false; an absent key means false.
 func (p *parser) boolean(key string) bool {
 	return p.oneOf(key, "false", "true", "false") == "true"
 }
 
-// requiredOneOf reads one of the allowed words; it returns "" where there is none.
+// requiredOneOf reads one of the allowed words. It rejects any other value and an absent key, and returns "" then.
 func (p *parser) requiredOneOf(key string, allowed ...string) string {
 	if _, given := p.values[key]; !given {
 		p.rejectMissing(key)
@@ -112,14 +112,14 @@
 	return p.oneOf(key, "", allowed...)
 }
 
-// oneOf reads one of the allowed words, or returns fallback where the key is absent.
+// oneOf reads one of the allowed words; it returns fallback if the key is absent or its value is rejected.
 func (p *parser) oneOf(key, fallback string, allowed ...string) string {
 	text, given := p.values[key]
 	if !given {
 		return fallback
 	}
 	if !slices.Contains(allowed, text) {
-		p.reject(key, ErrNotAllowed, "%q is none of %s", text, strings.Join(allowed, ", "))
+		p.reject(key, ErrNotAllowed, "%q is not one of %s", text, strings.Join(allowed, ", "))
 		return fallback
 	}
 	return text
@@ -133,14 +133,14 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// listNumber reads item i of a list that may be absent or too short, or hold null or nothing at i: all of these are 0.
+// listNumber reads item i of a list. It returns 0 if the list is too short or the item is empty or null.
 func (p *parser) listNumber(key string, list []string, i int) float64 {
 	if i >= len(list) || list[i] == "null" || list[i] == "" {
 		return 0
 	}
 	number, ok := parseNumber(list[i])
 	if !ok {
-		p.reject(key, ErrNotNumber, "item %d, %q, is not a number that can be used", i, list[i])
+		p.reject(key, ErrNotNumber, "item %d: %q is not a number from 0 to %g", i, list[i], maxNumber)
 		return 0
 	}
 	return number
--- a/internal/settings/range_test.go
+++ b/internal/settings/range_test.go
@@ -9,7 +9,7 @@
 	"spurspread/decision/outcome"
 )
 
-// everyKey holds each key that is read, with a value that some deployment has.
+// everyKey holds each key that is read, with a realistic value.
 const everyKey = minimal + `request_classes.0.name=first
 request_classes.0.worth=5.0
 request_classes.0.streaming=true
@@ -35,8 +35,8 @@
 fees.probe=0.001
 `
 
-// Settings that are accepted never make the decisions panic or stall: each key is left out, empty, zero and at both
-// ends of the range of numbers, and a short simulation is run with it.
+// Settings that are accepted never make the decisions panic or stall. Each key in turn is left out, empty, zero, at
+// both ends of the range of numbers, or invalid; if the settings are accepted, a short simulation runs with them.
 func TestEndsOfRanges(t *testing.T) {
 	for _, line := range strings.Split(strings.TrimSpace(everyKey), "\n") {
 		key, _, _ := strings.Cut(line, "=")
@@ -50,7 +50,7 @@
 			s, err := ParseText([]byte(text))
 			if err != nil {
 				if !strings.Contains(err.Error(), key) && !strings.Contains(key, "count") {
-					t.Errorf("%s=%s: %v does not name it", key, value, err)
+					t.Errorf("%s=%s: %v does not name the key", key, value, err)
 				}
 				continue
 			}
@@ -62,15 +62,15 @@
 	}
 }
 
-// simulation runs a balancer without sockets: attempts end in all ways in turn, and the clock jumps from one timer to
-// the next.
+// simulation drives a decision.Balancer without sockets. Attempts end in each possible way in turn, and the clock jumps
+// from one timer to the next.
 type simulation struct {
-	balancer *decision.Balancer
-	now      decision.Micros
-	timers   []timer
-	sent     map[uint32]uint32 // server of the attempt under way, by request
-	answered map[uint32]bool
-	attempts map[uint32]int
+	balancer      *decision.Balancer
+	now           decision.Micros
+	timers        []timer
+	attemptServer map[uint32]uint32 // server of the current attempt, by request
+	answered      map[uint32]bool
+	attempts      map[uint32]int
 }
 
 type timer struct {
@@ -78,15 +78,16 @@
 	token decision.TimerToken
 }
 
-// simulate has the decisions serve 30 requests that succeed, fail or find no server, with a server that warms up, a
-// failed discovery call and changed settings in between. Each request must get an answer.
+// simulate sends 30 requests, which succeed, fail or find no server, to a balancer with settings s. One server is still
+// warming up; midway a discovery call fails, the settings are applied again and the server list shrinks. Each request
+// must get a final answer.
 func simulate(t *testing.T, s decision.Settings) {
 	t.Helper()
 	const requests, interval, changeStep, steps = 30, 10, 150, 400
 	now := decision.Micros(1_700_000_000_000_000)
 	sim := &simulation{
 		balancer: decision.New(s, 1, now), now: now,
-		sent: map[uint32]uint32{}, answered: map[uint32]bool{}, attempts: map[uint32]int{},
+		attemptServer: map[uint32]uint32{}, answered: map[uint32]bool{}, attempts: map[uint32]int{},
 	}
 	entries := []decision.ServerEntry{
 		{Server: 1, StableID: 1, Weight: 1},
@@ -111,13 +112,13 @@
 		}
 	}
 	for id := uint32(1); id <= last; id++ {
-		if sim.answered[id] || sim.sent[id] != 0 {
+		if sim.answered[id] || sim.attemptServer[id] != 0 {
 			continue
 		}
 		sim.now += 10_000_000
 		sim.handle(decision.RequestExpired{ID: id})
 		if !sim.answered[id] {
-			t.Errorf("request %d has no answer", id)
+			t.Errorf("request %d got no final answer", id)
 		}
 	}
 }
@@ -128,7 +129,7 @@
 		case decision.SetTimer:
 			sim.timers = append(sim.timers, timer{sim.now + max(a.Delay, 1), a.Token})
 		case decision.StartAttempt:
-			sim.sent[a.ID] = a.Server
+			sim.attemptServer[a.ID] = a.Server
 		case decision.Reject:
 			sim.answered[a.ID] = true
 		case decision.Fail:
@@ -144,10 +145,10 @@
 	})
 }
 
-// endAttempts ends the attempts under way of requests 1 to last.
+// endAttempts ends the current attempts of requests 1 to last.
 func (sim *simulation) endAttempts(last uint32) {
 	for id := uint32(1); id <= last; id++ {
-		server, underWay := sim.sent[id]
+		server, underWay := sim.attemptServer[id]
 		if underWay && !sim.answered[id] {
 			sim.endAttempt(id, server)
 		}
@@ -155,7 +156,7 @@
 }
 
 func (sim *simulation) endAttempt(id, server uint32) {
-	delete(sim.sent, id)
+	delete(sim.attemptServer, id)
 	attempt := sim.attempts[id]
 	sim.attempts[id]++
 	ended := decision.AttemptEnded{ID: id, Attempt: attempt, Server: server}
@@ -177,7 +178,7 @@
 	sim.handle(ended)
 }
 
-// fireNextTimer moves the clock to the earliest timer and fires it; false where none is set.
+// fireNextTimer advances the clock to the earliest timer and fires it. It returns false if no timer is set.
 func (sim *simulation) fireNextTimer() bool {
 	if len(sim.timers) == 0 {
 		return false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxTextBytes bounds an input.
+	// maxTextBytes bounds the size of an input.
 	maxTextBytes = 1 << 20
 
-	// defaultConnectTimeout applies where the settings give none, or 0, in which nothing could connect.
+	// defaultConnectTimeout applies if the settings give no timeout, or 0, with which no connection could succeed.
 	defaultConnectTimeout decision.Micros = 1_000_000
 )
 
-// Settings is what the decisions need, and what only a balancer with sockets needs beside it: the names that lines
-// and server lists use for what the decisions number, and limits of sockets.
+// Settings holds the settings of the decisions, and those that only a balancer with sockets needs: the timeout of
+// connections, and the names that clients and server lists use where the decisions use numbers.
 type Settings struct {
 	Decision decision.Settings
 
-	ClassNames   []string // by class number; empty where a class has no name
+	ClassNames   []string // by class number; "" for a class without a name
 	ZoneNames    []string // by zone number
 	MachineTypes []string // by machine type number
 
-	ConnectTimeout decision.Micros // of a connection to a server; always over 0, by default 1 s
+	ConnectTimeout decision.Micros // for connecting to a server; always greater than 0, by default 1 s
 
-	ReportsLoad           bool // decisions expect notes of the load of an established connection
-	ReportsMessageLatency bool // decisions expect notes of the time that messages take
+	ReportsLoad           bool // the decisions expect reports of the load of established connections
+	ReportsMessageLatency bool // the decisions expect reports of message latency
 }
 
-// ParseText reads key=value pairs, one a line. Empty lines are skipped; of a key given twice the last value counts.
+// ParseText reads key=value pairs, one per line. Empty lines are skipped; if a key is repeated, its last value counts.
 // It returns ErrTooLong, ErrNoSeparator or an *InvalidError.
 func ParseText(text []byte) (Settings, error) {
 	if err := checkLength(text); err != nil {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// flatten stores value as the text form has it: a list of plain values is joined with commas, a list of objects
-// becomes a count and numbered items.
+// flatten stores value under the keys of the text form: a list of plain values becomes one value, joined with commas; a
+// list of objects becomes a count and numbered items.
 func (p *parser) flatten(path string, value gjson.Result) {
 	switch {
 	case value.IsObject():
@@ -114,7 +114,8 @@
 	p.values[path] = strings.Join(texts, ",")
 }
 
-// scalarText is a plain value as text. Blanks and commas separate in the text form, so strings lose theirs.
+// scalarText returns a plain value in the text form. Spaces and commas in strings become underscores, because they are
+// separators there.
 func scalarText(value gjson.Result) string {
 	if value.Type != gjson.String {
 		return value.Raw
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// The meaning of weights, and whether loads are reported, decide how servers are compared.
+// How servers are compared depends on whether weights change and whether loads are reported.
 func TestSettingsOfLoad(t *testing.T) {
 	for text, want := range map[string][2]bool{
 		"": {}, "weights=nominal\nspecifics.tells_load=false": {}, "weights=live": {true, false},
@@ -93,7 +93,7 @@
 		text := strings.Replace(minimal, key+"=", key+"=x", 1)
 		_, err := ParseText([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), wanted.text) || !errors.Is(err, wanted.kind) {
-			t.Errorf("%s unreadable: %v", key, err)
+			t.Errorf("invalid value of %s: %v", key, err)
 		}
 	}
 	var kept []string
@@ -129,8 +129,8 @@
 	}
 	want := []KeyError{
 		{"rank", "missing", ErrMissing},
-		{"rules.cold", `"-1" is not a number that can be used`, ErrNotNumber},
-		{"limits.most_tries", "0 is not over 0", ErrNotPositive},
+		{"rules.cold", `"-1" is not a number from 0 to 1e+15`, ErrNotNumber},
+		{"limits.most_tries", "0 is not greater than 0", ErrNotPositive},
 	}
 	var got []KeyError
 	for _, problem := range invalid.Problems {
@@ -143,14 +143,14 @@
 	if !errors.As(err, &first) || first.Key != "rank" || !errors.Is(err, ErrNotPositive) || errors.Is(err, ErrTooMany) {
 		t.Errorf("%v, %v", first, err)
 	}
-	const all = "settings: rank: missing\nrules.cold: \"-1\" is not a number that can be used\n" +
-		"limits.most_tries: 0 is not over 0"
+	const all = "settings: rank: missing\nrules.cold: \"-1\" is not a number from 0 to 1e+15\n" +
+		"limits.most_tries: 0 is not greater than 0"
 	if err.Error() != all {
 		t.Errorf("%q; want %q", err, all)
 	}
 }
 
-// The same settings as the configuration of a real balancer has them.
+// minimalJSON holds the settings of minimal in the form of a balancer's configuration file.
 const minimalJSON = `{"balancers":2,"rank":1,"zone":1,"dcs":["a","b"],"discovery":"ask",
 "limits":{"most_tries":6,"probes":true},
 "rules":{"cold":23000000,"cold_from":0.16,"drain_grace":500000,"overload_factor":3.0,"tip_after":1000000},
@@ -166,7 +166,7 @@
 	}
 	for _, bad := range []string{"", "[]", "{", "7", `{"rank":"x"}`, `{"request_classes":{"count":-1}}`} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	}
 }
 
-// Each kind of broken file that a reload may bring is rejected as a whole, with the key at fault named.
+// A broken configuration file, as a reload may find it, is rejected as a whole, with an error that names the key.
 func TestBrokenSettingsAreRejected(t *testing.T) {
 	good := `{"balancers":2,"rank":1,"zone":1,"dcs":["a"],"discovery":"push",
 		"limits":{"most_tries":3},"rules":{"cold":1,"cold_from":0.2,"drain_grace":1,"overload_factor":2,"tip_after":1},
@@ -196,7 +196,7 @@
 		{"short of a key", strings.Replace(good, `"deadline":1000,`, ``, 1), "request_classes.0.deadline: missing"},
 		{
 			"deadline not over 0", strings.Replace(good, `"deadline":1000`, `"deadline":0`, 1),
-			"request_classes.0.deadline: 0 is not over 0",
+			"request_classes.0.deadline: 0 is not greater than 0",
 		},
 		{
 			"deadline below 0", strings.Replace(good, `"deadline":1000`, `"deadline":-5`, 1),
@@ -204,10 +204,10 @@
 		},
 		{
 			"attempts not over 0", strings.Replace(good, `"most_tries":3`, `"most_tries":0`, 1),
-			"limits.most_tries: 0 is not over 0",
+			"limits.most_tries: 0 is not greater than 0",
 		},
 		{"an unknown effect", strings.Replace(good, `"read_like"`, `"sometimes"`, 1), "request_classes.0.effect:"},
-		{"a class named twice", strings.Replace(good, `"watch"`, `"sync"`, 1), `"sync" is named twice`},
+		{"a class named twice", strings.Replace(good, `"watch"`, `"sync"`, 1), `class name "sync" is used twice`},
 	} {
 		if _, err := ParseJSON([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v; want %q", c.name, err, c.want)
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -9,14 +9,14 @@
 
 // Flags of a request.
 const (
-	flagHint          = 1
+	flagLoadHint      = 1
 	flagRetry         = 2
 	flagMidConnection = 8
 	flagReconnected   = 16
 )
 
-// decodeEvent decodes the records that are events of one balancer. Fields of a Go literal are read in the order in
-// which they are written, so each literal gives its fields in the order of the wire.
+// decodeEvent decodes a record that is an event for a balancer. Go evaluates the calls in a composite literal in the
+// order in which they are written, so each literal lists its fields in the order of the record.
 func decodeEvent(code uint16, f *fields) (decision.Event, error) {
 	switch code {
 	case eventTimerFired:
@@ -98,13 +98,13 @@
 }
 
 func setFlags(r *decision.Request, flags uint8) {
-	r.HasLoadHint = flags&flagHint != 0
+	r.HasLoadHint = flags&flagLoadHint != 0
 	r.Retry = flags&flagRetry != 0
 	r.MidConnection = flags&flagMidConnection != 0
 	r.Reconnected = flags&flagReconnected != 0
 }
 
-// decodeStatus reads how an attempt or a probe has ended; codes are the simulator's, after those of HTTP.
+// decodeStatus reads how an attempt or a probe ended. The simulator's codes are modelled on HTTP status codes.
 func decodeStatus(f *fields) (outcome.Status, error) {
 	switch code := f.uint16(); code {
 	case 200:
@@ -124,15 +124,16 @@
 	case 598:
 		return outcome.Reset, nil
 	default:
-		return 0, fmt.Errorf("%w: outcome code %d is none of those known", ErrMalformedRecord, code)
+		return 0, fmt.Errorf("%w: unknown outcome code %d", ErrMalformedRecord, code)
 	}
 }
 
-// decodeLoadReport reads a server's load report: a count, and a fixed number of values of which as many are set.
+// decodeLoadReport reads a server's load report: a count, then a fixed number of values, of which the first count are
+// valid.
 func decodeLoadReport(f *fields) (decision.LoadReport, error) {
 	report := decision.LoadReport{Count: int(f.uint8())}
 	if report.Count > len(report.Values) {
-		return report, fmt.Errorf("%w: load report of %d values, %d at most",
+		return report, fmt.Errorf("%w: load report has %d values, more than %d",
 			ErrMalformedRecord, report.Count, len(report.Values))
 	}
 	for i := range report.Values {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -15,20 +15,20 @@
 	headerSize  = 20 // of a batch: sequence, length, count, clock
 	eventSize   = 40
 	actionSize  = 16
-	entrySize   = 22 // of a server in a list
+	entrySize   = 22 // of a server list entry
 	replyHeader = 12 // sequence, length, count
 
-	minBatchLength = 12 // what a batch's length field counts of the header itself: count and clock
-	minReplyLength = 4  // what a reply's length field counts of the header itself: count
+	minBatchLength = 12 // header bytes that a batch's length field includes: count and clock
+	minReplyLength = 4  // header bytes that a reply's length field includes: count
 
-	maxFrame = 1 << 28 // bound of a batch's length field
-	readStep = 1 << 20 // read at once, so that a wrong length costs no memory
+	maxFrame = 1 << 28 // largest allowed value of a batch's length field
+	readStep = 1 << 20 // buffer growth per read, so that a false length allocates no memory
 )
 
-// Batch is one frame of events.
+// Batch is one frame of event records.
 type Batch struct {
 	Sequence uint32
-	Count    int             // records
+	Count    int             // number of records
 	Now      decision.Micros // the simulation's clock
 	records  []byte
 	tail     []byte
@@ -40,11 +40,11 @@
 	buf    []byte
 }
 
-// NewReader returns a Reader of source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source io.Reader) *Reader { return &Reader{source: source} }
 
-// Next reads one batch. It returns io.EOF where the stream ends between two batches, an error that wraps
-// io.ErrUnexpectedEOF where it ends within one, and ErrMalformedFrame for a header that can't be true.
+// Next reads one batch. It returns io.EOF if the stream ends between two batches, an error that wraps
+// io.ErrUnexpectedEOF if it ends within one, and ErrMalformedFrame for a header with impossible values.
 func (r *Reader) Next() (Batch, error) {
 	var header [headerSize]byte
 	n, err := io.ReadFull(r.source, header[:])
@@ -66,7 +66,7 @@
 	return b, nil
 }
 
-// parseHeader reads a batch's header; size is how many bytes follow it.
+// parseHeader reads a batch's header; size is the number of bytes that follow it.
 func parseHeader(header []byte) (b Batch, size int, err error) {
 	f := fields{bytes: header}
 	b.Sequence = f.uint32()
@@ -74,11 +74,11 @@
 	b.Count = int(f.uint32())
 	b.Now = decision.Micros(f.uint64())
 	if length < minBatchLength || length > maxFrame {
-		return b, 0, fmt.Errorf("%w: batch %d: length %d is not within %d to %d",
+		return b, 0, fmt.Errorf("%w: batch %d: length %d is not in the range %d to %d",
 			ErrMalformedFrame, b.Sequence, length, minBatchLength, maxFrame)
 	}
 	if b.Now < 0 {
-		return b, 0, fmt.Errorf("%w: batch %d: clock %d is over its range",
+		return b, 0, fmt.Errorf("%w: batch %d: clock %d is out of range",
 			ErrMalformedFrame, b.Sequence, uint64(b.Now))
 	}
 	size = length - minBatchLength
@@ -89,7 +89,7 @@
 	return b, size, nil
 }
 
-// fill reads size bytes into the buffer, and grows it only as they come.
+// fill reads size bytes into the buffer, which grows only as they arrive.
 func (r *Reader) fill(size int) error {
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// grow lengthens the buffer by n bytes. Its capacity at least doubles where it is too small.
+// grow extends the buffer by n bytes. If it must reallocate, it at least doubles the capacity.
 func (r *Reader) grow(n int) {
 	have := len(r.buf)
 	if cap(r.buf) < have+n {
@@ -117,26 +117,26 @@
 	r.buf = r.buf[:have+n]
 }
 
-// tailItems is count items of the given size in the tail, at an offset, where reference gives offset and count.
+// tailItems returns the items of the tail that reference selects; each is size bytes long.
 func (b Batch) tailItems(reference reference, size int) ([]byte, error) {
 	start := uint64(reference.offset)
 	end := start + uint64(reference.count)*uint64(size)
 	if end > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("%w: %d items of %d bytes at offset %d pass the end of the tail of %d bytes",
+		return nil, fmt.Errorf("%w: %d items of %d bytes at offset %d exceed the tail of %d bytes",
 			ErrMalformedRecord, reference.count, size, start, len(b.tail))
 	}
 	return b.tail[start:end], nil
 }
 
-// fields reads the fields of a header or record one after another. The caller reads no more than there are.
+// fields reads the fields of a header or record one after another. Reading past the end panics.
 type fields struct {
-	bytes []byte
-	at    int
+	bytes  []byte
+	offset int
 }
 
 func (f *fields) next(n int) []byte {
-	field := f.bytes[f.at : f.at+n]
-	f.at += n
+	field := f.bytes[f.offset : f.offset+n]
+	f.offset += n
 	return field
 }
 
@@ -147,7 +147,7 @@
 func (f *fields) float32() float32        { return math.Float32frombits(f.uint32()) }
 func (f *fields) micros() decision.Micros { return decision.Micros(f.uint32()) }
 
-// reference names items in the tail.
+// reference selects items in the tail: the offset in bytes, and the number of items.
 type reference struct{ offset, count uint32 }
 
 func (f *fields) reference() reference {
@@ -155,11 +155,11 @@
 	return reference{offset: offset, count: f.uint32()}
 }
 
-// checkPadding checks that all bytes behind the fields that were read are zero.
+// checkPadding checks that all bytes after the fields that were read are zero.
 func (f *fields) checkPadding() error {
-	for i := f.at; i < len(f.bytes); i++ {
+	for i := f.offset; i < len(f.bytes); i++ {
 		if f.bytes[i] != 0 {
-			return fmt.Errorf("%w: byte %d is padding but not zero", ErrMalformedRecord, i)
+			return fmt.Errorf("%w: padding byte %d is not zero", ErrMalformedRecord, i)
 		}
 	}
 	return nil
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -8,10 +8,10 @@
 	"spurspread/decision"
 )
 
-// MaxLists is how many server lists there are, by number from 0.
+// MaxLists is the number of server lists that can be defined; they are numbered from 0.
 const MaxLists = 16
 
-// Codes of event records; the simulator's own words behind them.
+// Codes of event records. The comments give the simulator's own names.
 const (
 	eventStart              = 1000 // boot
 	eventTimerFired         = 1010 // elapsed
@@ -29,33 +29,34 @@
 	eventProbeResult        = 1130 // check result
 )
 
-// Record is one event record of a batch. Which of the other fields are set depends on Kind.
+// Record is one event record of a batch. The comment of each field names the kinds of records that set it.
 type Record struct {
 	Kind         RecordKind
 	Instance     uint16                 // SelectInstance
 	ListNumber   uint8                  // ServerList, ListUpdate; below MaxLists
 	Entries      []decision.ServerEntry // ServerList
 	Seed         uint64                 // Start
-	SettingsText []byte                 // Start: the settings; valid as long as the batch
+	SettingsText []byte                 // Start: the settings as text; valid as long as the batch
 	ListKind     decision.UpdateKind    // ListUpdate
 	Event        decision.Event         // BalancerEvent
 }
 
-// RecordKind is what a record is for.
+// RecordKind is the purpose of a record.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	SelectInstance RecordKind = iota // the records behind it are for this instance
+	SelectInstance RecordKind = iota // the following records are for this instance
 	ServerList                       // defines a server list by number, for all instances
 	Start                            // starts the instance
-	Stop                             // ends the instance
-	ListUpdate                       // the instance receives a server list that was defined
+	Stop                             // stops the instance
+	ListUpdate                       // the instance receives a server list that was defined before
 	BalancerEvent                    // an event for the instance's balancer
-	Ignored                          // nothing that a balancer here uses
+	Ignored                          // a record that the balancers do not use
 )
 
-// Record decodes record i of the batch, from 0. It returns ErrMalformedRecord or ErrUnknownEvent, with the place.
+// Record decodes record i of the batch, counted from 0. It returns an error that wraps ErrMalformedRecord or
+// ErrUnknownEvent and names the batch, the record and its code.
 func (b Batch) Record(i int) (Record, error) {
 	record := b.records[i*eventSize : (i+1)*eventSize]
 	r, err := b.decode(record)
@@ -95,7 +96,7 @@
 	var err error
 	r.Entries, err = b.decodeEntries(f.reference())
 	if err == nil && r.ListNumber >= MaxLists {
-		err = fmt.Errorf("%w: list number %d is over %d", ErrMalformedRecord, r.ListNumber, MaxLists-1)
+		err = fmt.Errorf("%w: list number %d is over the maximum of %d", ErrMalformedRecord, r.ListNumber, MaxLists-1)
 	}
 	return r, errors.Join(err, f.checkPadding())
 }
@@ -110,9 +111,10 @@
 func decodeListUpdate(f *fields) (Record, error) {
 	r := Record{Kind: ListUpdate, ListNumber: f.uint8(), ListKind: decision.UpdateKind(f.uint8())}
 	if r.ListKind > decision.UpdateFailed || r.ListNumber >= MaxLists {
-		return Record{}, fmt.Errorf("%w: list %d of kind %d is neither", ErrMalformedRecord, r.ListNumber, r.ListKind)
+		return Record{}, fmt.Errorf("%w: list number %d or update kind %d is out of range",
+			ErrMalformedRecord, r.ListNumber, r.ListKind)
 	}
-	_ = f.uint64() // the list's generation, which balancers do not use
+	_ = f.uint64() // the list's generation, which the balancers do not use
 	return r, f.checkPadding()
 }
 
@@ -152,10 +154,10 @@
 		StartedAt:   decision.Micros(f.uint64()),
 	}
 	if entry.State > decision.Ready {
-		return entry, fmt.Errorf("state %d is none of those known", entry.State)
+		return entry, fmt.Errorf("unknown server state %d", entry.State)
 	}
 	if entry.StartedAt < 0 {
-		return entry, errors.New("start time is over the range of a clock")
+		return entry, errors.New("start time is out of range")
 	}
 	return entry, nil
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,7 +8,7 @@
 	"spurspread/decision"
 )
 
-// Codes of action records; the simulator's own words behind them.
+// Codes of action records. The comments give the simulator's own names.
 const (
 	actionWatchDiscovery  = 1000 // watch
 	actionFetchServerList = 1010 // snapshot
@@ -22,10 +22,10 @@
 	actionSetTimer        = 1130 // remind
 )
 
-// Reply collects the actions that answer one batch. It reuses its buffer.
+// Reply encodes the actions that answer one batch. It reuses its buffer.
 type Reply struct {
 	buf   []byte
-	count uint32 // records
+	count uint32 // number of records
 }
 
 // Begin starts the reply to the batch with the given sequence number.
@@ -35,15 +35,15 @@
 	binary.LittleEndian.PutUint32(r.buf, sequence)
 }
 
-// Bytes is the complete frame, valid until the next Begin.
+// Bytes returns the complete frame, which is valid until the next call of Begin.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[4:], uint32(len(r.buf)-replyHeader+minReplyLength))
 	binary.LittleEndian.PutUint32(r.buf[8:], r.count)
 	return r.buf
 }
 
-// Add appends the actions of one instance; nothing where there are none. It returns ErrUnknownAction, after which the
-// reply must not be sent.
+// Add appends the actions of one instance; without actions it appends nothing. After an error, which wraps
+// ErrUnknownAction, the reply must not be sent.
 func (r *Reply) Add(instance uint16, actions []decision.Action) error {
 	if len(actions) == 0 {
 		return nil
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// recordWriter writes the fields of one action record one after another; what is not written stays zero.
+// recordWriter writes the fields of one action record one after another; the bytes after them stay zero.
 type recordWriter struct{ rest []byte }
 
 func (r *Reply) newRecord(code uint16) recordWriter {
@@ -137,7 +137,7 @@
 	w.rest = w.rest[8:]
 }
 
-// micros writes a span, bounded to what 32 bits hold: 0 to some 71 minutes.
+// micros writes a duration, limited to the range of 32 bits: 0 to about 71 minutes.
 func (w *recordWriter) micros(v decision.Micros) {
 	w.uint32(uint32(min(max(v, 0), math.MaxUint32)))
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -18,8 +18,8 @@
 
 var le = binary.LittleEndian
 
-// rec builds an event record from hex, padded to its size.
-func rec(t testing.TB, text string) []byte {
+// encodeRecord returns an event record from hexadecimal text, padded to its size.
+func encodeRecord(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil || len(b) > eventSize {
@@ -28,20 +28,20 @@
 	return append(b, make([]byte, eventSize-len(b))...)
 }
 
-// frame builds a batch from records and a tail.
-func frame(seq uint32, now uint64, tail []byte, recs ...[]byte) []byte {
-	body := append(bytes.Join(recs, nil), tail...)
-	out := le.AppendUint32(nil, seq)
+// encodeBatch returns a batch of the records and the tail.
+func encodeBatch(sequence uint32, now uint64, tail []byte, records ...[]byte) []byte {
+	body := append(bytes.Join(records, nil), tail...)
+	out := le.AppendUint32(nil, sequence)
 	out = le.AppendUint32(out, uint32(minBatchLength+len(body)))
-	out = le.AppendUint32(out, uint32(len(recs)))
+	out = le.AppendUint32(out, uint32(len(records)))
 	out = le.AppendUint64(out, now)
 	return append(out, body...)
 }
 
-// one decodes a single record with its tail.
-func one(t *testing.T, tail []byte, record string) (Record, error) {
+// decodeOne decodes the only record of a batch with the given tail.
+func decodeOne(t *testing.T, tail []byte, record string) (Record, error) {
 	t.Helper()
-	b, err := NewReader(bytes.NewReader(frame(1, 5, tail, rec(t, record)))).Next()
+	b, err := NewReader(bytes.NewReader(encodeBatch(1, 5, tail, encodeRecord(t, record)))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 			}, Server: 9},
 		},
 	} {
-		got, err := one(t, nil, c.record)
+		got, err := decodeOne(t, nil, c.record)
 		if err != nil || got.Kind != BalancerEvent || !reflect.DeepEqual(got.Event, c.want) {
 			t.Errorf("%s: %v, %#v, want %#v", name, err, got.Event, c.want)
 		}
@@ -117,7 +117,7 @@
 	tail, _ := hex.DecodeString(
 		"074a1203000000020000803f00000000000000000000" + "f211902c010000020000c03f000020145d0000000000",
 	)
-	got, err := one(t, tail, "4204 00 00000000 02000000")
+	got, err := decodeOne(t, tail, "4204 00 00000000 02000000")
 	want := []decision.ServerEntry{
 		{Server: 0x03124a07, StableID: 0x03124a07, State: decision.Ready, Weight: 1},
 		{Server: 0x2c9011f2, StableID: 0x2c9011f2, Zone: 1, State: decision.Ready, Weight: 1.5, StartedAt: 0x5d1420},
@@ -125,21 +125,21 @@
 	if err != nil || got.Kind != ServerList || !reflect.DeepEqual(got.Entries, want) {
 		t.Errorf("server list: %v, %+v", err, got.Entries)
 	}
-	if got, err = one(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != ListUpdate ||
+	if got, err = decodeOne(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != ListUpdate ||
 		got.ListKind != decision.UpdateCached {
 		t.Errorf("list update: %v, %+v", err, got)
 	}
-	if got, err = one(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil || got.Kind != Start ||
-		got.Seed != 9 || string(got.SettingsText) != "a=b" {
+	if got, err = decodeOne(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil ||
+		got.Kind != Start || got.Seed != 9 || string(got.SettingsText) != "a=b" {
 		t.Errorf("start: %v, %+v", err, got)
 	}
-	if got, err = one(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
+	if got, err = decodeOne(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
 		t.Errorf("select instance: %v, %+v", err, got)
 	}
-	if got, err = one(t, nil, "1004"); err != nil || got.Kind != Stop {
+	if got, err = decodeOne(t, nil, "1004"); err != nil || got.Kind != Stop {
 		t.Errorf("stop: %v, %+v", err, got)
 	}
-	if got, err = one(t, []byte("hi"), "2404 01000000 00000000 02000000"); err != nil || got.Kind != Ignored {
+	if got, err = decodeOne(t, []byte("hi"), "2404 01000000 00000000 02000000"); err != nil || got.Kind != Ignored {
 		t.Errorf("message from a peer: %v, %+v", err, got)
 	}
 }
@@ -147,7 +147,7 @@
 func TestActionsByteForByte(t *testing.T) {
 	var r Reply
 	r.Begin(12)
-	acts := []decision.Action{
+	actions := []decision.Action{
 		decision.StartAttempt{ID: 0x5d3a91c4, Timeout: 80000, Server: 0x03124a07},
 		decision.SetTimer{Delay: 500000, Token: 77},
 		decision.WatchDiscovery{On: true},
@@ -159,7 +159,7 @@
 		decision.ProbeServer{Server: 7},
 		decision.StartAttempt{ID: 8, Timeout: -1},
 	}
-	if err := r.Add(3, acts); err != nil {
+	if err := r.Add(3, actions); err != nil {
 		t.Fatal(err)
 	}
 	want := "0c000000 b4000000 0b000000" +
@@ -192,7 +192,7 @@
 }
 
 func TestMalformed(t *testing.T) {
-	good := frame(1, 5, nil, rec(t, "1004"))
+	good := encodeBatch(1, 5, nil, encodeRecord(t, "1004"))
 	long := append([]byte(nil), good...)
 	le.PutUint32(long[4:], 1<<31)
 	short := append([]byte(nil), good...)
@@ -205,13 +205,14 @@
 	}{
 		"header cut": {good[:7], io.ErrUnexpectedEOF}, "body cut": {good[:30], io.ErrUnexpectedEOF},
 		"oversized": {long, ErrMalformedFrame}, "undersized": {short, ErrMalformedFrame},
-		"too many records": {count, ErrMalformedFrame}, "clock": {frame(1, math.MaxUint64, nil), ErrMalformedFrame},
+		"too many records": {count, ErrMalformedFrame},
+		"clock":            {encodeBatch(1, math.MaxUint64, nil), ErrMalformedFrame},
 	} {
 		if _, err := NewReader(bytes.NewReader(c.in)).Next(); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := one(t, nil, "0100"); !errors.Is(err, ErrUnknownEvent) {
+	if _, err := decodeOne(t, nil, "0100"); !errors.Is(err, ErrUnknownEvent) {
 		t.Errorf("unknown code: %v", err)
 	}
 	for name, record := range map[string]string{
@@ -225,15 +226,15 @@
 		"settings past tail": "e803 0900000000000000 00000000 03000000",
 		"message past tail":  "2404 01000000 00000000 02000000",
 	} {
-		if _, err := one(t, nil, record); !errors.Is(err, ErrMalformedRecord) {
+		if _, err := decodeOne(t, nil, record); !errors.Is(err, ErrMalformedRecord) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A wrong length costs no memory before the bytes have come.
+// A batch whose length field is too large must not allocate memory for bytes that never arrive.
 func TestWrongLengthAllocatesLittle(t *testing.T) {
-	in := frame(1, 5, nil)
+	in := encodeBatch(1, 5, nil)
 	le.PutUint32(in[4:], maxFrame)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -244,26 +245,29 @@
 	}
 }
 
-// FuzzFrame feeds the decoder any bytes: it may reject them, but never panic.
+// FuzzFrame checks that the decoder rejects or decodes any input without a panic, and that a server list has no more
+// entries than the input has room for.
 func FuzzFrame(f *testing.F) {
-	f.Add(frame(1, 5, nil))
+	f.Add(encodeBatch(1, 5, nil))
 	f.Add(
-		frame(
+		encodeBatch(
 			2,
 			5,
 			[]byte("two servers known"),
-			rec(f, "6004 0300"),
-			rec(f, "1004"),
-			rec(f, "e803 09 00000000000000 00000000 03000000"),
+			encodeRecord(f, "6004 0300"),
+			encodeRecord(f, "1004"),
+			encodeRecord(f, "e803 09 00000000000000 00000000 03000000"),
 		),
 	)
-	f.Add(frame(3, 5, make([]byte, 44), rec(f, "4204 00 00000000 02000000"), rec(f, "5604 00 02 29")))
-	f.Add(frame(4, 5, nil, rec(f, "fc03 c4913a5d 00 074a1203 c800 44480000 01 04"), rec(f, "4c04 01")))
-	f.Add(frame(5, 5, nil, rec(f, "4204 00 ffffffff ffffffff"))[:50])
+	f.Add(encodeBatch(3, 5, make([]byte, 44),
+		encodeRecord(f, "4204 00 00000000 02000000"), encodeRecord(f, "5604 00 02 29")))
+	f.Add(encodeBatch(4, 5, nil,
+		encodeRecord(f, "fc03 c4913a5d 00 074a1203 c800 44480000 01 04"), encodeRecord(f, "4c04 01")))
+	f.Add(encodeBatch(5, 5, nil, encodeRecord(f, "4204 00 ffffffff ffffffff"))[:50])
 	f.Fuzz(func(t *testing.T, in []byte) {
-		rd := NewReader(bytes.NewReader(in))
+		reader := NewReader(bytes.NewReader(in))
 		for {
-			b, err := rd.Next()
+			b, err := reader.Next()
 			if err != nil {
 				return
 			}
