--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,14 +13,15 @@
 	"spurspread/internal/eventloop"
 )
 
-// serve runs an admin server on a loop of its own, with a lifecycle that commands change, until the test ends.
+// serve runs an admin server on its own event loop until the test ends, and returns its address. Commands change the
+// state of a lifecycle.
 func serve(t *testing.T) string {
 	t.Helper()
 	addr, _ := serveCounted(t)
 	return addr
 }
 
-// serveCounted is serve, and also returns a function that counts the open connections.
+// serveCounted is like serve, and also returns a function that reports the number of open connections.
 func serveCounted(t *testing.T) (string, func() int) {
 	t.Helper()
 	l, err := eventloop.New()
@@ -53,15 +54,15 @@
 	return s.Addr().String(), connections
 }
 
-// call sends text, ends its side where end is set, and returns the reply line.
-func call(t *testing.T, addr, send string, end bool) string {
+// sendCommand sends text, closes its side if end is set, and returns the reply line.
+func sendCommand(t *testing.T, addr, send string, end bool) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a broken server ends the test
+	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // so that the test fails if the server does not reply
 	if _, err := c.Write([]byte(send)); err != nil {
 		t.Fatal(err)
 	}
@@ -95,21 +96,22 @@
 		{"\xff\xfe\n", false, "-ERR not text"},
 		{strings.Repeat("P", 200) + "\r\n", false, "-ERR line too long"},
 		{strings.Repeat("P", 200), false, "-ERR line too long"},
-		// read as one line; this handler has no records
+		// accepted as one line, but this handler does not support records
 		{"RECORD n " + strings.Repeat("v", 90) + "\r\n", false, "-ERR unknown call"},
 		{"RECORD n " + strings.Repeat("v", 200), false, "-ERR line too long"},
 		{"PIN", true, "-ERR a call without its line end"},
 		{"PIN", false, "-ERR no whole call within 0.8 s"},
 		{"", false, "-ERR no whole call within 0.8 s"},
-		{"PING\r\nPING\r\nLAMEDUCK\r\n", false, "+OK serving"}, // one command a connection
+		{"PING\r\nPING\r\nLAMEDUCK\r\n", false, "+OK serving"}, // one command per connection
 	} {
-		if got := call(t, addr, c.send, c.end); got != c.want {
+		if got := sendCommand(t, addr, c.send, c.end); got != c.want {
 			t.Errorf("%q (end %v): %q; want %q", c.send, c.end, got, c.want)
 		}
 	}
 }
 
-// Clients that connect and send nothing delay nobody, however many come.
+// Clients that connect and send nothing do not delay the commands of others, even if there are more of them than
+// MaxConnections.
 func TestSilentConnectionsDelayNobody(t *testing.T) {
 	addr, connections := serveCounted(t)
 	var silent []net.Conn
@@ -126,13 +128,14 @@
 		}
 	}()
 	start := time.Now()
-	if got := call(t, addr, "PING\r\n", false); got != "+OK serving" {
+	if got := sendCommand(t, addr, "PING\r\n", false); got != "+OK serving" {
 		t.Fatalf("PING among silent connections: %q", got)
 	}
 	if n := connections(); n > admin.MaxConnections {
 		t.Errorf("%d connections are open; at most %d", n, admin.MaxConnections)
 	}
-	// Each silent one gets a reply and is closed, displaced or by its timeout; none keeps a descriptor.
+	// Each silent connection gets a reply and is closed, either displaced or by its timeout, so none keeps a
+	// descriptor.
 	for i, c := range silent {
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 		answer, _ := bufio.NewReader(c).ReadString('\n')
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// commandTimeout is for a complete command, from the connection on: each reply is due within 1 s.
+	// commandTimeout bounds the time from accepting a connection to its complete command, since clients expect a reply
+	// within 1 s.
 	commandTimeout eventloop.Micros = 800_000
-	// lingerTimeout is how long a client may take to close after its reply. Closing with unread bytes would reset the
-	// connection, and the client could lose the reply.
+	// lingerTimeout is the time that a client has to close after its reply. If the server closed first with unread
+	// bytes, the connection would be reset, and the client could lose the reply.
 	lingerTimeout eventloop.Micros = 1_000_000
-	// maxDiscardBytes bounds what a client sends after its command; one that sends more is disconnected.
+	// maxDiscardBytes bounds the data after a command; a client that sends more is disconnected.
 	maxDiscardBytes = 4 << 10
 
 	lineEnd = "\r\n"
 )
 
-// connState is where a connection is in its life.
+// connState is the state of a connection.
 type connState uint8
 
 const (
-	connReceiving connState = iota // the command is not complete
-	connReplied                    // the reply is written; the client is given time to read it and to close
+	connReceiving connState = iota // the command is incomplete
+	connReplied                    // the reply is written; the client has lingerTimeout to close
 	connClosed
 )
 
@@ -36,25 +37,26 @@
 	server     *Server
 	conn       *eventloop.Conn
 	state      connState
-	peerClosed bool // the client has ended its side
+	peerClosed bool // the client has closed its side
 	line       [lifecycle.MaxRecordLine + len(lineEnd)]byte
-	length     int           // bytes of line that have come
-	discarded  int           // bytes that came after the command
+	length     int           // bytes of line received so far
+	discarded  int           // bytes received after the command
 	queueEntry *list.Element // in Server.unanswered, while connReceiving
 	timer      eventloop.Ref
 }
 
-// Connected is part of eventloop.Owner; the server dials nobody.
+// Connected is part of eventloop.Owner. It is never called, since the server opens no connections.
 func (c *connection) Connected(*eventloop.Conn, error) {}
 
-// Flushed is part of eventloop.Owner.
+// Flushed is part of eventloop.Owner. It closes the connection once the reply is written and the client has closed its
+// side.
 func (c *connection) Flushed(*eventloop.Conn) {
 	if c.state == connReplied && c.peerClosed {
 		c.close()
 	}
 }
 
-// Readable is part of eventloop.Owner.
+// Readable is part of eventloop.Owner. It reads the command, and discards anything after it.
 func (c *connection) Readable(*eventloop.Conn) {
 	for c.state != connClosed {
 		n, err := c.conn.Read(c.readBuffer())
@@ -62,7 +64,7 @@
 		case errors.Is(err, eventloop.ErrAgain):
 			return
 		case err != nil:
-			c.peerEnded(errors.Is(err, io.EOF))
+			c.handlePeerClosed(errors.Is(err, io.EOF))
 			return
 		case c.state == connReplied:
 			c.discard(n)
@@ -79,7 +81,7 @@
 	return c.line[c.length:c.lineLimit()]
 }
 
-// lineLimit is how many bytes the line may have with its end, judged by how it begins.
+// lineLimit returns the maximum length of the line with its end. It depends on the command at the start of the line.
 func (c *connection) lineLimit() int { return lifecycle.LineLimit(c.line[:c.length]) + len(lineEnd) }
 
 func (c *connection) discard(n int) {
@@ -89,7 +91,7 @@
 	}
 }
 
-// received takes n further bytes of the command, and replies once it is complete or too long.
+// received handles n further bytes of the command, and replies once it is complete or too long.
 func (c *connection) received(n int) {
 	c.length += n
 	end := bytes.IndexByte(c.line[:c.length], '\n')
@@ -107,11 +109,11 @@
 	c.reply(c.server.handle(command))
 }
 
-// peerEnded handles the end of the client's side: in good order, or by an error.
-func (c *connection) peerEnded(inOrder bool) {
+// handlePeerClosed handles the end of the client's side, by a regular close or by an error.
+func (c *connection) handlePeerClosed(regular bool) {
 	c.peerClosed = true
 	switch {
-	case !inOrder:
+	case !regular:
 		c.close()
 	case c.state == connReceiving && c.length > 0:
 		c.reject(ErrUnterminated)
@@ -124,8 +126,8 @@
 
 func (c *connection) reject(reason error) { c.reply("-ERR " + reason.Error()) }
 
-// reply writes the reply, ends the server's side and gives the client lingerTimeout to close. Only the first reply of a
-// connection is written.
+// reply writes the reply, closes the server's side and gives the client lingerTimeout to close. Only the first call for
+// a connection has an effect.
 func (c *connection) reply(line string) {
 	if c.state != connReceiving {
 		return
@@ -150,7 +152,7 @@
 		c.server.unanswered.Remove(c.queueEntry)
 	}
 	c.state = connClosed
-	c.server.open--
+	c.server.connections--
 	c.server.loop.Cancel(&c.timer)
 	c.conn.Close()
 }
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -1,5 +1,6 @@
-// Package lineproto is the codec of the line protocol between clients, balancer and servers. It parses in place: what
-// it returns points into the caller's buffer. It knows no sockets, keeps no state but Scanner's, and decides nothing.
+// Package lineproto is the codec of the line protocol between clients, balancers and servers. It parses in place: the
+// slices that it returns point into the caller's buffer. It uses no sockets, makes no decisions, and keeps no state
+// except in a Scanner.
 package lineproto
 
 import (
@@ -10,17 +11,17 @@
 	"strconv"
 )
 
-// MaxLine is how long a line may be, with its end.
+// MaxLine is the maximum length of a line in bytes, with its CR LF.
 const MaxLine = 4096
 
-// What may be wrong with a line.
+// Errors of a line.
 var (
 	ErrLineTooLong = errors.New("line is over 4 KiB")
 	ErrMalformed   = errors.New("line is malformed")
 )
 
-// SplitLine finds the first line of buf. n is its length with its end, 0 while the end was not received. The error is
-// ErrLineTooLong or ErrMalformed.
+// SplitLine returns the first line of buf without its CR LF. n is the line's length with CR LF; 0 means that buf does
+// not hold the whole line yet. The error is ErrLineTooLong, or ErrMalformed for a line that ends in LF without CR.
 func SplitLine(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxLine)], '\n')
 	if end < 0 {
@@ -35,7 +36,7 @@
 	return buf[:end-1], end + 1, nil
 }
 
-// ClientVerb is what a client's first line requests.
+// ClientVerb is the verb of a client's first line.
 type ClientVerb uint8
 
 // The verbs of a first line.
@@ -45,7 +46,7 @@
 	VerbPing
 )
 
-// ParseVerb returns what a client's first line requests; Unknown where it is neither OPEN nor PING.
+// ParseVerb returns the verb of a client's first line: VerbUnknown unless it is OPEN with arguments or PING without.
 func ParseVerb(text []byte) ClientVerb {
 	verb, _, more := bytes.Cut(text, []byte(" "))
 	switch {
@@ -57,37 +58,38 @@
 	return VerbUnknown
 }
 
-// Open is a client's first line. Its slices, and the offsets of d's value, are of the line that was parsed. The
-// names in the comments are those of the line.
+// Open holds the arguments of a client's OPEN line. Its slices point into the parsed line, and its offsets refer to it.
+// The comments begin with the argument's name in the line.
 type Open struct {
-	ID                         uint64 // new for every connection
+	ID                         uint64 // unique for every connection
 	Key                        uint64
 	Group                      uint64  // g
 	Class                      []byte  // c
-	CurrentServer              []byte  // at: the server that holds the connection already
-	DeadlineMillis             int64   // d: the client's deadline, milliseconds from now
-	DeadlineStart, DeadlineEnd int     // offsets of d's value in the line
-	Retry                      bool    // r=1
-	Reconnected                bool    // again=1: the client came back after a break or a move
+	CurrentServer              []byte  // at: id of the server that has the connection already
+	DeadlineMillis             int64   // d: the client's deadline, in milliseconds from now
+	DeadlineStart, DeadlineEnd int     // d: offsets of the value in the line
+	Retry                      bool    // r=1: a retry by the client
+	Reconnected                bool    // again=1: the client reconnects after a break or a move
 	LoadHint                   float64 // h: the connection's usual load
 	HasLoadHint                bool
-	Tenant                     uint64 // owner; 0 where none is named
-	Token                      []byte // tok: "ask" or a resume token, of a client that takes tokens
-	Cursor                     []byte // cur: the number of the last message that the client has
+	Tenant                     uint64 // owner: 0 if the line names none
+	Token                      []byte // tok: "ask" or a resume token; only from clients that support tokens
+	Cursor                     []byte // cur: the number of the last message that the client received
 }
 
-// maxWord is how long an id or a key may be.
-const maxWord = 64
+// maxWordLength is the maximum length of an id or a key in bytes.
+const maxWordLength = 64
 
-// ParseOpen parses "OPEN ID KEY name=value,...". It ignores names that it does not know and is strict with all others:
-// what a server could not use would come back as the server's error. The error is ErrMalformed.
+// ParseOpen parses "OPEN ID KEY name=value,...". It ignores unknown names and checks the values of known ones strictly:
+// a server would answer an invalid value with an error, which would look like a failure of the server. The error is
+// ErrMalformed.
 func ParseOpen(text []byte) (Open, error) {
 	o := Open{DeadlineMillis: -1}
 	fields := bytes.SplitN(text, []byte(" "), 4)
-	if len(fields) != 4 || string(fields[0]) != "OPEN" || !word(fields[1]) || !word(fields[2]) {
+	if len(fields) != 4 || string(fields[0]) != "OPEN" || !isWord(fields[1]) || !isWord(fields[2]) {
 		return o, ErrMalformed
 	}
-	o.ID, o.Key = number(fields[1]), number(fields[2])
+	o.ID, o.Key = parseID(fields[1]), parseID(fields[2])
 	at := len(text) - len(fields[3])
 	for at <= len(text) {
 		end := len(text)
@@ -95,7 +97,7 @@
 			end = at + i
 		}
 		name, value, ok := bytes.Cut(text[at:end], []byte("="))
-		if !ok || len(name) == 0 || !printable(text[at:end]) {
+		if !ok || len(name) == 0 || !isPrintable(text[at:end]) {
 			return o, ErrMalformed
 		}
 		if err := o.set(string(name), value, end); err != nil {
@@ -123,7 +125,7 @@
 		}
 		o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd = int64(v), end-len(value), end
 	case "g":
-		o.Group = number(value)
+		o.Group = parseID(value)
 	case "r":
 		o.Retry = string(value) == "1"
 	case "again":
@@ -131,7 +133,7 @@
 	case "at":
 		o.CurrentServer = value
 	case "owner":
-		o.Tenant = number(value)
+		o.Tenant = parseID(value)
 	case "tok":
 		o.Token = value
 	case "cur":
@@ -146,9 +148,9 @@
 	return nil
 }
 
-func word(b []byte) bool { return len(b) > 0 && len(b) <= maxWord && printable(b) }
+func isWord(b []byte) bool { return len(b) > 0 && len(b) <= maxWordLength && isPrintable(b) }
 
-func printable(b []byte) bool {
+func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
@@ -157,8 +159,9 @@
 	return true
 }
 
-// number reads a key: hexadecimal as clients send it, else any word by its hash, since keys are only compared.
-func number(word []byte) uint64 {
+// parseID returns the number for an id or a key: the value of a hexadecimal number, which is the usual form, or the
+// hash of any other word. Ids and keys are only compared, so the hash serves as well.
+func parseID(word []byte) uint64 {
 	if v, err := strconv.ParseUint(string(word), 16, 64); err == nil {
 		return v
 	}
@@ -167,23 +170,24 @@
 	return h.Sum64()
 }
 
-// ServerVerb is the kind of a server's line.
+// ServerVerb is the kind of a line from a server.
 type ServerVerb uint8
 
-// The kinds of a server's lines.
+// The kinds of lines from a server.
 const (
 	Other ServerVerb = iota
 	Up
-	Bye // BYE
+	Bye
 	Move
 	Err
 	Busy
 	Pong
 	Load
-	Stale // a token is not honoured
+	Stale // the server rejects the resume token
 )
 
-// ParseServerLine returns the kind of a server's line, and the value of a LOAD line (0 for others).
+// ParseServerLine returns the kind of a line from a server, and the value of a LOAD line (0 for all others). UP without
+// an argument and LOAD without a valid value are Other.
 func ParseServerLine(text []byte) (ServerVerb, float64) {
 	verb, rest, more := bytes.Cut(text, []byte(" "))
 	switch string(verb) {
@@ -211,8 +215,8 @@
 	return Other, 0
 }
 
-// NumberField returns the number under a name in a line's last word, as in "PONG queue=2,x0=0.61". It returns false
-// where the name is missing, or its value negative or not a finite number.
+// NumberField returns the value of a name in the argument of a line, such as x0 in "PONG queue=2,x0=0.61". It returns
+// false if the name is missing, or its value is negative or not a finite number.
 func NumberField(text []byte, name string) (float64, bool) {
 	_, rest, _ := bytes.Cut(text, []byte(" "))
 	for len(rest) > 0 {
@@ -226,13 +230,14 @@
 	return 0, false
 }
 
-// Argument is the last word of a line, as STALE's reason is.
+// Argument returns the text after the verb of a line, such as the reason in a STALE line; nil if there is none.
 func Argument(text []byte) []byte {
 	_, word, _ := bytes.Cut(text, []byte(" "))
 	return word
 }
 
-// ResumeCursor reads the cursor after which a server continues, from an UP line that ends in "from=N".
+// ResumeCursor returns N of an UP line that ends in "from=N": the cursor after which the server continues the stream.
+// It returns false for any other line.
 func ResumeCursor(up []byte) (uint64, bool) {
 	i := bytes.LastIndexByte(up, ' ')
 	digits, ok := bytes.CutPrefix(up[i+1:], []byte("from="))
@@ -242,7 +247,7 @@
 	return ParseCursor(digits)
 }
 
-// ParseCursor reads the number of a message.
+// ParseCursor parses the number of a message: at most 19 decimal digits, without leading zeros.
 func ParseCursor(digits []byte) (uint64, bool) {
 	if len(digits) == 0 || len(digits) > 19 || digits[0] == '0' && len(digits) > 1 {
 		return 0, false
@@ -257,7 +262,7 @@
 	return n, true
 }
 
-// MessageNumber reads the number of a message, which begins with "#N ".
+// MessageNumber returns N of a message, a line that begins with "#N ". It returns false for any other line.
 func MessageNumber(text []byte) (uint64, bool) {
 	if len(text) == 0 || text[0] != '#' {
 		return 0, false
@@ -269,7 +274,7 @@
 	return ParseCursor(digits)
 }
 
-// AppendBusy appends the refusal, with how long the client should stay away where that is not 0.
+// AppendBusy appends a BUSY line, with the time in milliseconds after which the client may retry unless that is 0.
 func AppendBusy(to []byte, millis int64) []byte {
 	to = append(to, "BUSY"...)
 	if millis > 0 {
@@ -278,8 +283,8 @@
 	return append(to, '\r', '\n')
 }
 
-// Scanner follows the lines of a stream that is forwarded as it is received. It buffers only the start of a line,
-// enough to recognise its verb.
+// Scanner finds the lines of a stream that is forwarded as it is received. It buffers only the start of the current
+// line, enough to recognise the verb.
 type Scanner struct {
 	head [48]byte
 	n    int // length of the line so far
@@ -288,7 +293,8 @@
 // AtLineStart reports whether the stream is at the start of a line.
 func (s *Scanner) AtLineStart() bool { return s.n == 0 }
 
-// Feed handles the next bytes and calls each with the start of every line that they complete.
+// Feed processes the next bytes of the stream. It calls each for every line that ends in them, with the start of the
+// line without CR LF, which is valid only during the call.
 func (s *Scanner) Feed(b []byte, each func(start []byte)) {
 	for len(b) > 0 {
 		part, ended := b, false
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-func TestCut(t *testing.T) {
+func TestSplitLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, text string
 		n        int
 		err      error
 	}{
-		"whole":          {"PING\r\nmore", "PING", 6, nil},
-		"empty":          {"\r\n", "", 2, nil},
-		"half":           {"OPEN ab", "", 0, nil},
-		"half end":       {"PING\r", "", 0, nil},
-		"no CR":          {"PING\n", "", 5, ErrMalformed},
-		"lone LF":        {"\n", "", 1, ErrMalformed},
-		"longest":        {strings.Repeat("x", MaxLine-2) + "\r\n", strings.Repeat("x", MaxLine-2), MaxLine, nil},
-		"over":           {strings.Repeat("x", MaxLine-1) + "\r\n", "", 0, ErrLineTooLong},
-		"over, no end":   {strings.Repeat("x", MaxLine), "", 0, ErrLineTooLong},
-		"nearly, no end": {strings.Repeat("x", MaxLine-1), "", 0, nil},
+		"complete":         {"PING\r\nmore", "PING", 6, nil},
+		"empty":            {"\r\n", "", 2, nil},
+		"partial":          {"OPEN ab", "", 0, nil},
+		"partial end":      {"PING\r", "", 0, nil},
+		"no CR":            {"PING\n", "", 5, ErrMalformed},
+		"lone LF":          {"\n", "", 1, ErrMalformed},
+		"longest":          {strings.Repeat("x", MaxLine-2) + "\r\n", strings.Repeat("x", MaxLine-2), MaxLine, nil},
+		"too long":         {strings.Repeat("x", MaxLine-1) + "\r\n", "", 0, ErrLineTooLong},
+		"too long, no end": {strings.Repeat("x", MaxLine), "", 0, ErrLineTooLong},
+		"longest, no end":  {strings.Repeat("x", MaxLine-1), "", 0, nil},
 	} {
 		text, n, err := SplitLine([]byte(c.in))
 		if string(text) != c.text || n != c.n || !errors.Is(err, c.err) {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFirst(t *testing.T) {
+func TestParseVerb(t *testing.T) {
 	for in, want := range map[string]ClientVerb{
 		"PING": VerbPing, "OPEN a b c=d": VerbOpen, "OPEN": VerbUnknown, "PING x": VerbUnknown, "open a": VerbUnknown,
 		"":               VerbUnknown,
@@ -69,12 +69,12 @@
 		"OPEN " + strings.Repeat("a", 65) + " b c=x,d=1", "OPEN a b c=x,d=1,h=NaN", "OPEN a b c=x,h=z", "OPEN a b c=",
 	} {
 		if _, err := ParseOpen([]byte(bad)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q passed: %v", bad, err)
+			t.Errorf("%q was not rejected as malformed: %v", bad, err)
 		}
 	}
 }
 
-func TestServer(t *testing.T) {
+func TestParseServerLine(t *testing.T) {
 	for in, want := range map[string]ServerVerb{
 		"UP abc": Up, "UP": Other, "UP ": Other, "BYE": Bye, "MOVE": Move, "ERR": Err, "BUSY 20": Busy,
 		"BUSY": Busy, "PONG": Pong,
@@ -93,7 +93,7 @@
 	}
 }
 
-// However the stream is split, the scanner sees the same lines.
+// The scanner finds the same lines however the stream is split into reads.
 func TestScannerSplits(t *testing.T) {
 	long := strings.Repeat("y", 3*MaxLine)
 	stream := "one\r\n\r\nLOAD 3\r\n" + long + "\r\nBYE\r\nhal"
@@ -104,12 +104,12 @@
 			s.Feed([]byte(stream[at:min(at+step, len(stream))]), func(l []byte) { got = append(got, string(l)) })
 		}
 		if want := "one||LOAD 3|" + long[:48] + "|BYE"; strings.Join(got, "|") != want || s.AtLineStart() {
-			t.Fatalf("step %d: %q, between %v", step, got, s.AtLineStart())
+			t.Fatalf("reads of %d bytes: lines %q, at line start %v", step, got, s.AtLineStart())
 		}
 	}
 }
 
-// Whatever a first line holds, what is read from it lies within it.
+// For any line that ParseOpen accepts, the offsets of the deadline and the cursor match the text of the line.
 func FuzzParseOpen(f *testing.F) {
 	for _, s := range []string{
 		"OPEN 9b1f 7f3a c=sync,d=2000,g=5c", "OPEN 9b1f 7f3a c=sync,d=2000,tok=ask",
@@ -127,7 +127,7 @@
 		if o.DeadlineStart < 0 || o.DeadlineEnd > len(text) || o.DeadlineStart > o.DeadlineEnd ||
 			strconv.FormatInt(o.DeadlineMillis, 10) != strings.TrimLeft(string(text[o.DeadlineStart:o.DeadlineEnd]),
 				"0") && o.DeadlineMillis != 0 {
-			t.Errorf("%q: d is %d, at %d to %d", text, o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd)
+			t.Errorf("%q: deadline %d at offsets %d to %d", text, o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd)
 		}
 		if n, ok := ParseCursor(o.Cursor); ok && strconv.FormatUint(n, 10) != string(o.Cursor) {
 			t.Errorf("%q: cursor %d", text, n)
@@ -135,8 +135,9 @@
 	})
 }
 
-// A server's line is one thing, whatever it holds.
-func FuzzServer(f *testing.F) {
+// Any line from a server has one kind: only LOAD has a value, a message has no verb, and message numbers and cursors
+// match the text of the line.
+func FuzzParseServerLine(f *testing.F) {
 	for _, s := range []string{
 		"UP r1 from=41", "UP", "UP from=1", "STALE gone", "LOAD 1e9", "LOAD -1", "#17 x",
 		"#017 x", "#", "MOVE", "BUSY 300",
