--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -311,7 +311,7 @@
 		text[70] = 'B'
 	}
 	if code, _, errOut := command(t, "token", "inspect", "--site="+file, string(text)); code != exitFailed ||
-		!strings.Contains(errOut, "seal") {
+		!strings.Contains(errOut, "token authentication failed") {
 		t.Errorf("%d, %q", code, errOut)
 	}
 }
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// maxQueuedLines bounds what a reader of the log may be behind; further lines are dropped.
+	// maxQueuedLines is the number of lines that may wait to be written; further lines are dropped.
 	maxQueuedLines = 256
-	// flushTimeout is how long Close waits for lines that are queued.
+	// flushTimeout is the time that Close waits for queued lines to be written.
 	flushTimeout = 100 * time.Millisecond
 )
 
-// AsyncWriter writes lines from a goroutine of its own and drops those that it can't keep up with, so that a stalled
-// reader of the log never blocks the event loop. Close ends the goroutine; Write must not be called after it.
+// AsyncWriter writes lines from its own goroutine, so that a stalled reader of the log never blocks the event loop. It
+// drops lines when its queue is full. Close ends the goroutine; Write must not be called after Close.
 type AsyncWriter struct {
 	lines chan []byte
 	done  chan struct{} // closed when the goroutine has ended
 }
 
-// NewAsyncWriter returns an AsyncWriter to out. Errors of out are ignored: there is no place to report them.
+// NewAsyncWriter returns an AsyncWriter that writes to out. It ignores errors of out, since there is no other place to
+// report them.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
-	go w.run(out) // owned by w: Close ends it and waits for it, within flushTimeout
+	go w.run(out) // Close ends it and waits for it, for at most flushTimeout
 	return w
 }
 
@@ -33,7 +34,7 @@
 	}
 }
 
-// Write queues a copy of line, or drops it where the queue is full. It never blocks and never fails.
+// Write queues a copy of line, or drops line if the queue is full. It never blocks and never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -42,8 +43,8 @@
 	return len(line), nil
 }
 
-// Close has the queued lines written, and waits for that at most 100 ms. A writer that is blocked for longer is left
-// behind: the process is about to end.
+// Close waits until the queued lines are written, but at most flushTimeout. After that it gives up on lines that are
+// still queued, because the process is about to end.
 func (w *AsyncWriter) Close() {
 	close(w.lines)
 	select {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -7,16 +7,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Format is how lines are written.
+// Format is the format of log lines.
 type Format string
 
 // The formats.
 const (
 	Text Format = "text" // key=value pairs
-	JSON Format = "json" // an object a line, with time, level, msg and the fields
+	JSON Format = "json" // one object per line, with time, level, msg and the fields
 )
 
-// New returns a logger that writes to out. A format other than JSON is Text.
+// New returns a logger that writes to out. Any format other than JSON means Text.
 func New(out io.Writer, format Format) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,7 +14,7 @@
 	return len(b), nil
 }
 
-// A log that nobody reads must not delay the event loop, nor the end of the program.
+// A stalled reader of the log must neither delay the event loop nor prevent the end of the program.
 func TestStalledReaderBlocksNothing(t *testing.T) {
 	s := stalledWriter{make(chan struct{})}
 	defer close(s.release)
--- a/internal/logging/page_test.go
+++ b/internal/logging/page_test.go
@@ -14,7 +14,7 @@
 
 const page = "../../docs/operate/logging.md"
 
-// sources are the files of packages that log, beside this package's own.
+// sources returns the non-test files of all packages that log.
 func sources(t *testing.T) []string {
 	t.Helper()
 	var files []string
@@ -28,7 +28,7 @@
 	return slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
 }
 
-// literals returns the string literals that pick selects in a file.
+// literals returns the values of the string literals that pick selects in a file. pick may return nil.
 func literals(t *testing.T, file string, pick func(ast.Node) ast.Expr) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
@@ -50,7 +50,7 @@
 	return texts
 }
 
-// message is the first argument of a call of Info, Warn or Error.
+// message returns the first argument if n is a call of Info, Warn or Error, otherwise nil.
 func message(n ast.Node) ast.Expr {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -63,7 +63,7 @@
 	return call.Args[0]
 }
 
-// fieldName is the value of a constant.
+// fieldName returns the value if n declares a single constant or variable, otherwise nil.
 func fieldName(n ast.Node) ast.Expr {
 	if spec, ok := n.(*ast.ValueSpec); ok && len(spec.Values) == 1 {
 		return spec.Values[0]
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// The operators' page has every message and every field that is logged, and no message that is not.
+// The operators' page lists every message and every field that is logged, and no other message.
 func TestPageListsTheLog(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(logged) < 20 {
-		t.Errorf("only %d messages were found", len(logged))
+		t.Errorf("found only %d messages", len(logged))
 	}
 	_, table, _ := strings.Cut(messages, "## Messages")
 	table, fields, _ := strings.Cut(table, "## Fields")
@@ -97,12 +97,12 @@
 		m, isRow := strings.CutPrefix(line, "| `")
 		m, _, _ = strings.Cut(m, "`")
 		if isRow && !slices.Contains(logged, strings.TrimSuffix(m, ": ...")) {
-			t.Errorf("message %q of %s is not logged", m, page)
+			t.Errorf("message %q on %s is not logged", m, page)
 		}
 	}
 	names := literals(t, "fields.go", fieldName)
 	if len(names) < 30 {
-		t.Errorf("only %d fields were found", len(names))
+		t.Errorf("found only %d fields", len(names))
 	}
 	for _, name := range names {
 		if !strings.Contains(fields, "`"+name) {
--- a/internal/restartproto/announcement.go
+++ b/internal/restartproto/announcement.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// maxAnnouncementBytes bounds the file.
+// maxAnnouncementBytes is the maximum size of an announcement file.
 const maxAnnouncementBytes = 4 << 10
 
 // Announcement names the process that serves a listen address.
 type Announcement struct {
 	Version int    `json:"version"`
-	PID     int    `json:"pid"`    // of the process that serves
+	PID     int    `json:"pid"`    // process that serves
 	Listen  string `json:"listen"` // the address that clients connect to
-	Since   int64  `json:"since"`  // when it began to serve, Unix milliseconds
+	Since   int64  `json:"since"`  // when it began to serve, in Unix milliseconds
 }
 
-// AnnouncementPath is the file for a listen address in dir. The address is part of its name, so that balancers of
-// several addresses on one machine do not mix.
+// AnnouncementPath returns the path of the announcement for a listen address in dir. The address is part of the file
+// name, so that balancers with different addresses on one machine do not interfere.
 func AnnouncementPath(dir string, listen netip.AddrPort) string {
 	return fmt.Sprintf("%s.json", basePath(dir, listen))
 }
 
-// basePath is the path that the files and the socket for a listen address have in common, without extension.
+// basePath returns the common path, without extension, of the files and the socket for a listen address.
 func basePath(dir string, listen netip.AddrPort) string {
 	name := strings.NewReplacer(":", "_", "[", "", "]", "").Replace(listen.String())
 	return filepath.Join(dir, fmt.Sprintf("spurspread-%s.v%d", name, Version))
 }
 
-// WriteAnnouncement replaces the file at path, and sets the version. Errors are those of the file system.
+// WriteAnnouncement replaces the file at path with a, and sets its version. Errors are those of the file system.
 func WriteAnnouncement(path string, a Announcement) error {
 	a.Version = Version
 	return replaceFile(path, a)
@@ -46,14 +46,14 @@
 	return a, checkVersion(path, a.Version)
 }
 
-// IsSuccessor decides whether a names a successor of the process self on the listen address: another process, still
-// alive, that serves the same address. Then self may stop listening at once, for the kernel gives new connections to
-// the successor.
+// IsSuccessor reports whether a names a successor of the process self: another process that is still alive and serves
+// the same listen address. Then self may stop listening at once, because the kernel gives new connections to the
+// successor.
 func IsSuccessor(a Announcement, self int, listen netip.AddrPort, alive func(pid int) bool) bool {
 	return a.Version == Version && a.Listen == listen.String() && isOtherProcess(a.PID, self, alive)
 }
 
-// isOtherProcess reports whether pid is a living process other than self.
+// isOtherProcess reports whether pid is a running process other than self.
 func isOtherProcess(pid, self int, alive func(pid int) bool) bool {
 	return pid > 0 && pid != self && alive(pid)
 }
--- a/internal/restartproto/announcement_test.go
+++ b/internal/restartproto/announcement_test.go
@@ -29,7 +29,7 @@
 	}
 	left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".spurspread-handover-*"))
 	if len(left) > 0 {
-		t.Errorf("temporary files are left: %v", left)
+		t.Errorf("temporary files remain: %v", left)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}{
 		{"another process on the address", good, true},
 		{"this process itself", Announcement{Version: Version, PID: 7, Listen: listenAddr.String()}, false},
-		{"a process that has gone", Announcement{Version: Version, PID: 13, Listen: listenAddr.String()}, false},
+		{"a process that has ended", Announcement{Version: Version, PID: 13, Listen: listenAddr.String()}, false},
 		{"another address", Announcement{Version: Version, PID: 42, Listen: "127.0.0.1:8082"}, false},
 		{"no announcement", Announcement{}, false},
 	} {
--- a/internal/restartproto/file.go
+++ b/internal/restartproto/file.go
@@ -11,11 +11,11 @@
 	"syscall"
 )
 
-// Version is the version of both files' form. A file of another version is not read.
+// Version is the format version of both files. A file of another version is rejected.
 const Version = 1
 
-// replaceFile writes value as JSON beside path and renames it over path, so that a reader sees the old value or the new
-// one, never part of one.
+// replaceFile writes value as JSON to a temporary file beside path and renames it to path, so that a reader sees either
+// the old value or the new one, never part of one.
 func replaceFile(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// readFile reads JSON of at most maxBytes into value, and accepts no unknown field.
+// readFile reads JSON of at most maxBytes into value. It rejects unknown fields.
 func readFile(path string, maxBytes int64, value any) error {
-	// Whatever else lies at the path, a FIFO above all, may never answer: opened like this it does not block.
+	// Without O_NONBLOCK, opening a FIFO or another special file could block forever.
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return err
--- a/internal/restartproto/file_test.go
+++ b/internal/restartproto/file_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A path that never answers, as a FIFO without a writer, holds up neither the start nor the end of a process.
+// A FIFO without a writer at the path of a file must not block a process that starts or stops.
 func TestFIFOIsNotWaitedFor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fifo")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -28,7 +28,7 @@
 				t.Errorf("%v, want %v", err, ErrNotRegular)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("still waiting for a writer of the FIFO")
+			t.Fatal("blocked on a FIFO without a writer")
 		}
 	}
 }
--- a/internal/restartproto/golden_test.go
+++ b/internal/restartproto/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Other versions of the program read these: the exact bytes of both files, of an offer and of its answer.
+// Other versions of the program read both files, offers and answers, so their exact bytes must not change.
 func TestStableForm(t *testing.T) {
 	dir := t.TempDir()
 	announcement, list := AnnouncementPath(dir, listenAddr), ServerListPath(dir, listenAddr)
--- a/internal/restartproto/offer.go
+++ b/internal/restartproto/offer.go
@@ -9,17 +9,18 @@
 	"strconv"
 )
 
-// OfferVersion is the version of an offer's form. An offer of another version is rejected.
+// OfferVersion is the format version of offers. An offer of another version is rejected.
 const OfferVersion = 1
 
-// maxUnanswered bounds the client's lines without a reply that an offer can describe.
+// maxUnanswered bounds the number of client lines without a reply that an offer can list.
 const maxUnanswered = 64
 
-// ConnectionOffer describes an established connection to the process that is to take it over, beside its two sockets:
-// the client's, then the server's. Times are ages in microseconds, since each process has a clock of its own.
+// ConnectionOffer describes an established connection to the process that shall take it over. It is sent with two
+// sockets, first the client's, then the server's. Times are ages in microseconds, because the processes have different
+// clocks.
 type ConnectionOffer struct {
 	Version        int     `json:"version"`
-	Ref            uint32  `json:"ref"` // the old process's number for it, returned in the answer
+	Ref            uint32  `json:"ref"` // the old process's reference, returned in the answer
 	ID             uint64  `json:"id"`
 	Key            uint64  `json:"key"`
 	Group          uint64  `json:"group"`
@@ -29,24 +30,24 @@
 	Retry          bool    `json:"retry"`
 	Reconnected    bool    `json:"returned"`
 	Server         string  `json:"target"`  // the server's instance id
-	EndStatus      uint8   `json:"verdict"` // the outcome.Status that the last reply means if the connection ends now
+	EndStatus      uint8   `json:"verdict"` // outcome.Status if the connection ended now, by its last reply
 	SinceLastReply int64   `json:"quiet"`   // age of the server's last line
-	Unanswered     []int64 `json:"waiting"` // ages of the client's lines without a reply, oldest first
+	Unanswered     []int64 `json:"waiting"` // ages of the client lines without a reply, oldest first
 }
 
-// SocketPath is the Unix socket at which the process that serves a listen address accepts offers.
+// SocketPath returns the path of the Unix socket on which the process that serves a listen address accepts offers.
 func SocketPath(dir string, listen netip.AddrPort) string {
 	return basePath(dir, listen) + ".sock"
 }
 
-// Encode is the offer as a packet, with the version set.
+// Encode returns the offer as a packet, and sets its version.
 func (o ConnectionOffer) Encode() ([]byte, error) {
 	o.Version = OfferVersion
 	return json.Marshal(o)
 }
 
-// DecodeOffer reads a packet. It returns ErrMalformed, ErrTrailingData, ErrVersion, ErrIncomplete or ErrOutOfRange, and
-// with each of them the Ref as far as it could be read, so that the offer can be rejected.
+// DecodeOffer parses a packet. It returns ErrMalformed, ErrTrailingData, ErrVersion, ErrIncomplete or ErrOutOfRange.
+// Along with an error it returns the Ref if that could be read, so that the offer can be rejected.
 func DecodeOffer(packet []byte) (ConnectionOffer, error) {
 	var o ConnectionOffer
 	decoder := json.NewDecoder(bytes.NewReader(packet))
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// EncodeAnswer is the packet that accepts or rejects the offer with the given Ref.
+// EncodeAnswer returns the packet that accepts or rejects the offer with the given Ref.
 func EncodeAnswer(ref uint32, accepted bool) []byte {
 	sign := byte('-')
 	if accepted {
@@ -84,7 +85,7 @@
 	return strconv.AppendUint([]byte{sign}, uint64(ref), 10)
 }
 
-// DecodeAnswer reads an answer. It returns ErrMalformedAnswer.
+// DecodeAnswer parses an answer. The error is ErrMalformedAnswer.
 func DecodeAnswer(packet []byte) (ref uint32, accepted bool, err error) {
 	if len(packet) == 0 || packet[0] != '+' && packet[0] != '-' {
 		return 0, false, fmt.Errorf("%w: %.40q", ErrMalformedAnswer, packet)
--- a/internal/restartproto/offer_test.go
+++ b/internal/restartproto/offer_test.go
@@ -12,8 +12,8 @@
 func sampleOffer() ConnectionOffer {
 	return ConnectionOffer{
 		Version: OfferVersion, Ref: 1<<32 - 1, ID: 1<<64 - 1, Key: 1 << 63, Group: 7, Class: "index-sync",
-		LoadHint: 1.5, HasLoadHint: true, Retry: true, Reconnected: true, Server: "s-1", EndStatus: 3, SinceLastReply: 5,
-		Unanswered: []int64{9, 0},
+		LoadHint: 1.5, HasLoadHint: true, Retry: true, Reconnected: true, Server: "s-1", EndStatus: 3,
+		SinceLastReply: 5, Unanswered: []int64{9, 0},
 	}
 }
 
@@ -31,8 +31,8 @@
 	}
 }
 
-// An offer that is incomplete, of another version or out of range is rejected; its Ref is returned where it could be
-// read.
+// An offer that is malformed, incomplete, of another version or out of range is rejected. Its Ref is returned if it
+// could be read.
 func TestDecodeOfferRejects(t *testing.T) {
 	good, err := sampleOffer().Encode()
 	if err != nil {
@@ -45,13 +45,13 @@
 	}{
 		{"another version", `"version":1`, `"version":2`, "version 2", ErrVersion},
 		{"an unknown field", `"version":1`, `"version":1,"x":0`, "unknown field", ErrMalformed},
-		{"no target", `"s-1"`, `""`, "no target", ErrIncomplete},
+		{"no server", `"s-1"`, `""`, "no target", ErrIncomplete},
 		{"no class", `"index-sync"`, `""`, "no target or class", ErrIncomplete},
-		{"an age below 0", `"quiet":5`, `"quiet":-5`, "out of range", ErrOutOfRange},
-		{"a line's age below 0", `[9,0]`, `[9,-1]`, "out of range", ErrOutOfRange},
+		{"a negative age", `"quiet":5`, `"quiet":-5`, "out of range", ErrOutOfRange},
+		{"a negative age of a line", `[9,0]`, `[9,-1]`, "out of range", ErrOutOfRange},
 		{"too many lines", `[9,0]`, "[" + many + "]", "out of range", ErrOutOfRange},
 		{"an id over 64 bits", `"id":`, `"id":9`, "cannot unmarshal", ErrMalformed},
-		{"two of them", `]}`, `]}{}`, "more than one", ErrTrailingData},
+		{"two values", `]}`, `]}{}`, "more than one", ErrTrailingData},
 		{"cut off", `]}`, ``, "unexpected EOF", ErrMalformed},
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
@@ -59,7 +59,7 @@
 		if err == nil || !strings.Contains(err.Error(), c.want) || !errors.Is(err, c.kind) {
 			t.Errorf("%s: %v; want %q, %v", c.name, err, c.want, c.kind)
 		}
-		if got.Ref != 1<<32-1 && c.name != "cut off" { // JSON without its end yields nothing
+		if got.Ref != 1<<32-1 && c.name != "cut off" { // the decoder sets no fields from truncated JSON
 			t.Errorf("%s: ref %d", c.name, got.Ref)
 		}
 	}
@@ -74,12 +74,12 @@
 	}
 	for _, text := range []string{"", "+", "7", "*7", "+x", "-4294967296", "+ 7", "++7"} {
 		if _, _, err := DecodeAnswer([]byte(text)); !errors.Is(err, ErrMalformedAnswer) {
-			t.Errorf("%q is no answer: %v", text, err)
+			t.Errorf("%q was not rejected as a malformed answer: %v", text, err)
 		}
 	}
 }
 
-// Any packet is rejected or decoded, and what is decoded is encoded to the same value.
+// Any packet is either rejected or decoded, and a decoded offer survives encoding and decoding unchanged.
 func FuzzDecodeOffer(f *testing.F) {
 	good, err := sampleOffer().Encode()
 	if err != nil {
--- a/internal/restartproto/serverlist_test.go
+++ b/internal/restartproto/serverlist_test.go
@@ -32,7 +32,7 @@
 	long := want
 	long.Snapshot = []byte(`"` + strings.Repeat("a", maxServerListBytes) + `"`)
 	if err := WriteServerList(path, long); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a list over the bound: %v", err)
+		t.Errorf("a list over the maximum size: %v", err)
 	}
 	for text, kind := range map[string]error{
 		"": ErrMalformed, "{}": ErrVersion, `{"version":2,"pid":1}`: ErrVersion, `{"version":1,"x":1}`: ErrMalformed,
@@ -47,20 +47,20 @@
 	}
 }
 
-// Only the list of a living process on the same address with the same discovery can be inherited.
+// Only the list of a running process with the same listen address and the same discovery can be inherited.
 func TestCanInherit(t *testing.T) {
 	alive := func(pid int) bool { return pid != 13 }
 	good := ServerList{PID: 42, Listen: listenAddr.String(), Discovery: discoveryAddr.String()}
-	for name, spoil := range map[string]func(*ServerList){
-		"nothing wrong": nil, "itself": func(l *ServerList) { l.PID = 7 }, "nobody": func(l *ServerList) { l.PID = 0 },
+	for name, change := range map[string]func(*ServerList){
+		"unchanged": nil, "itself": func(l *ServerList) { l.PID = 7 }, "no process": func(l *ServerList) { l.PID = 0 },
 		"dead": func(l *ServerList) { l.PID = 13 }, "another address": func(l *ServerList) { l.Listen = "127.0.0.1:1" },
 		"another discovery": func(l *ServerList) { l.Discovery = "127.0.0.1:1" },
 	} {
 		l := good
-		if spoil != nil {
-			spoil(&l)
+		if change != nil {
+			change(&l)
 		}
-		if got := CanInherit(l, 7, listenAddr, discoveryAddr, alive); got != (spoil == nil) {
+		if got := CanInherit(l, 7, listenAddr, discoveryAddr, alive); got != (change == nil) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,22 +1,21 @@
-// Package token is the codec of resume tokens: it seals a token into one word of text and opens it again. It knows no
-// sockets, no clock and no claims: whether a token that opens may be honoured is decided by decision/resume.
+// Package token is the codec of resume tokens: it encrypts a token into one word of text and decrypts it again. It uses
+// no sockets and no clock. Whether a valid token may still be used to resume is decided by decision/resume.
 //
 // A token's text is base64 (RFC 4648, section 5, without padding) of
 //
 //	1 byte    version, 1
-//	4 bytes   the key's fingerprint: the first bytes of its SHA-256
-//	24 bytes  nonce, drawn at random; its first 16 bytes are the token's id
-//	n bytes   the body, sealed by XChaCha20-Poly1305 with all before it as additional data
+//	4 bytes   the key's fingerprint: the first bytes of its SHA-256 hash
+//	24 bytes  random nonce; its first 16 bytes are the token's id
+//	n bytes   the body, encrypted by XChaCha20-Poly1305 with all bytes before it as additional data
 //
-// and the body, all numbers big-endian, is
+// where the body is, with all numbers big-endian,
 //
-//	8 x 8 bytes  the fields IssuedAt to ServerStarted of Token, in their order
-//	1 + n bytes  the class's name, its length first
-//	1 + n bytes  the id of the server that it names, its length first
-//	0 to 2       zero bytes, so that the whole is a multiple of three bytes
+//	8 x 8 bytes  the fields IssuedAt to ServerStarted of Token, in that order
+//	1 + n bytes  length and name of the class
+//	1 + n bytes  length and id of the server that may accept the token
+//	0 to 2 bytes zero, so that the total length is a multiple of three
 //
-// There is one text for a token and a nonce: no other text opens to the same. A text that does not open costs no
-// allocation, whatever it is.
+// A token with a given nonce has exactly one valid text. Rejecting a text does not allocate memory.
 package token
 
 import (
@@ -31,122 +30,124 @@
 	"golang.org/x/crypto/chacha20poly1305"
 )
 
-// Limits of the texts within a token, and of the whole. A token leaves room for the rest of a first line of 4 KiB.
+// Maximum lengths in bytes of a name within a token, and of a token's text. A token leaves enough room for the rest of
+// a client's first line, which has at most 4 KiB.
 const (
 	MaxName = 64
 	MaxText = maxBytes / 3 * 4
 
-	version  = 1
-	keySize  = 4
-	head     = 1 + keySize + chacha20poly1305.NonceSizeX
-	numbers  = 8 * 8
-	minBody  = numbers + 2
-	maxBytes = (head + minBody + 2*MaxName + chacha20poly1305.Overhead + 2) / 3 * 3
-	minBytes = head + minBody + chacha20poly1305.Overhead
+	version         = 1
+	fingerprintSize = 4
+	headerSize      = 1 + fingerprintSize + chacha20poly1305.NonceSizeX
+	numbersSize     = 8 * 8
+	minBodySize     = numbersSize + 2
+	maxBytes        = (headerSize + minBodySize + 2*MaxName + chacha20poly1305.Overhead + 2) / 3 * 3
+	minBytes        = headerSize + minBodySize + chacha20poly1305.Overhead
 )
 
 // Errors of Open. Each is final: no retry of the same text can succeed.
 var (
-	ErrMalformed  = errors.New("no token")                             // not the form of a token
-	ErrUnknownKey = errors.New("sealed with a key that is not listed") // withdrawn, or never known
-	ErrForged     = errors.New("seal is broken")                       // forged, altered or cut off
+	ErrMalformed  = errors.New("malformed token")                     // does not have the format of a token
+	ErrUnknownKey = errors.New("token is sealed with an unknown key") // the key was removed, or never known
+	ErrForged     = errors.New("token authentication failed")         // forged, altered or truncated
 )
 
-// ID identifies a token: the first bytes of its nonce.
+// ID identifies a token. It is the first bytes of the nonce.
 type ID [16]byte
 
-// Token is the content of a token. Class and Server point into the ring's buffer after Open.
+// Token is the content of a token. After KeyRing.Open, Class and Server point into the ring's buffer.
 type Token struct {
 	ID            ID
 	IssuedAt      int64  // Unix time in milliseconds
-	ExpiresAt     int64  // Unix time in milliseconds; not honoured from then on
-	Stream        uint64 // the stream, through all its moves
-	Key           uint64 // Key, Group and Tenant are those of the client's first line
+	ExpiresAt     int64  // Unix time in milliseconds, from which on the token is rejected
+	Stream        uint64 // identifies the stream, and stays the same through all its moves
+	Key           uint64 // Key, Group and Tenant are from the client's first line
 	Group         uint64
 	Tenant        uint64
-	LastSequence  uint64 // number of the last message that was forwarded: no cursor can be beyond it
-	ServerStarted int64  // when the named server started, Unix time in milliseconds, as discovery lists it
+	LastSequence  uint64 // number of the last message that was forwarded, which no client's cursor can exceed
+	ServerStarted int64  // start time of Server as listed by discovery, Unix time in milliseconds
 	Class         []byte
-	Server        []byte // the one server that may honour it
+	Server        []byte // id of the only server that may accept the token
 }
 
-// Key is one key of a ring.
+// Key is one key of a KeyRing.
 type Key struct {
 	Secret  [chacha20poly1305.KeySize]byte
-	Primary bool // tokens are sealed with it, and not only opened
+	Primary bool // new tokens are sealed with it; other keys only open tokens
 }
 
-// KeyRing seals with one key and opens with any of several. It is not for use by several goroutines at once.
+// KeyRing seals tokens with its primary key and opens tokens sealed with any of its keys. It is not safe for concurrent
+// use.
 type KeyRing struct {
-	keys       []ringKey
-	sealingKey int
-	buf        [maxBytes]byte // what Open decodes into
+	keys    []ringKey
+	primary int            // index of the primary key
+	buf     [maxBytes]byte // decoded text of the last call of Open
 }
 
 type ringKey struct {
-	id   [keySize]byte
-	aead cipher.AEAD
+	fingerprint [fingerprintSize]byte
+	aead        cipher.AEAD
 }
 
-// NewKeyRing returns a ring of keys. It fails unless exactly one of them issues tokens and no two are the same.
+// NewKeyRing returns a ring of keys. It fails unless exactly one key is primary and all keys differ.
 func NewKeyRing(keys []Key) (*KeyRing, error) {
-	r := &KeyRing{sealingKey: -1}
+	r := &KeyRing{primary: -1}
 	for i, k := range keys {
 		aead, err := chacha20poly1305.NewX(k.Secret[:])
 		if err != nil {
 			return nil, err
 		}
 		sum := sha256.Sum256(k.Secret[:])
-		id := [keySize]byte(sum[:])
-		if r.find(id[:]) != nil {
-			return nil, fmt.Errorf("token: key %d has the fingerprint %x of one before it", i, id)
+		fingerprint := [fingerprintSize]byte(sum[:])
+		if r.find(fingerprint[:]) != nil {
+			return nil, fmt.Errorf("token: key %d has the same fingerprint %x as an earlier key", i, fingerprint)
 		}
-		if k.Primary && r.sealingKey >= 0 {
-			return nil, errors.New("token: two keys mint")
+		if k.Primary && r.primary >= 0 {
+			return nil, errors.New("token: more than one primary key")
 		}
 		if k.Primary {
-			r.sealingKey = i
+			r.primary = i
 		}
-		r.keys = append(r.keys, ringKey{id, aead})
+		r.keys = append(r.keys, ringKey{fingerprint, aead})
 	}
-	if r.sealingKey < 0 {
-		return nil, errors.New("token: no key mints")
+	if r.primary < 0 {
+		return nil, errors.New("token: no primary key")
 	}
 	return r, nil
 }
 
-func (r *KeyRing) find(id []byte) cipher.AEAD {
+func (r *KeyRing) find(fingerprint []byte) cipher.AEAD {
 	for i := range r.keys {
-		if string(r.keys[i].id[:]) == string(id) {
+		if string(r.keys[i].fingerprint[:]) == string(fingerprint) {
 			return r.keys[i].aead
 		}
 	}
 	return nil
 }
 
-// Seal appends the text of t to dst and sets t.ID. It panics if the name of the class or server is over MaxName, which
-// callers check.
+// Seal appends the text of t to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which callers
+// must check.
 func (r *KeyRing) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
-	copy(raw[1:], r.keys[r.sealingKey].id[:])
-	nonce := raw[1+keySize : head]
+	copy(raw[1:], r.keys[r.primary].fingerprint[:])
+	nonce := raw[1+fingerprintSize : headerSize]
 	_, _ = rand.Read(nonce) // never fails
 	copy(t.ID[:], nonce)
-	body := raw[head:head]
+	body := raw[headerSize:headerSize]
 	for _, n := range t.numbers() {
 		body = binary.BigEndian.AppendUint64(body, n)
 	}
 	for _, name := range [][]byte{t.Class, t.Server} {
 		if len(name) > MaxName {
-			panic("token: a name is too long")
+			panic("token: class or server name is too long")
 		}
 		body = append(append(body, byte(len(name))), name...)
 	}
-	for (head+len(body)+chacha20poly1305.Overhead)%3 != 0 {
+	for (headerSize+len(body)+chacha20poly1305.Overhead)%3 != 0 {
 		body = append(body, 0)
 	}
-	all := r.keys[r.sealingKey].aead.Seal(raw[:head], nonce, body, raw[:head])
+	all := r.keys[r.primary].aead.Seal(raw[:headerSize], nonce, body, raw[:headerSize])
 	return base64.RawURLEncoding.AppendEncode(dst, all)
 }
 
@@ -163,23 +164,23 @@
 	}
 }
 
-// plain holds the letters of base64 in its URL form.
-var plain = func() (set [256]bool) {
+// base64URLAlphabet holds the characters of URL-safe base64.
+var base64URLAlphabet = func() (set [256]bool) {
 	for _, c := range []byte("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_") {
 		set[c] = true
 	}
 	return set
 }()
 
-// Open parses a token's text into t. What t then points to is valid until the next Open. After an error (ErrMalformed,
-// ErrUnknownKey or ErrForged) t is undefined.
+// Open decrypts a token's text into t. The slices of t are valid until the next call of Open. After an error, which is
+// ErrMalformed, ErrUnknownKey or ErrForged, t is undefined.
 func (r *KeyRing) Open(text []byte, t *Token) error {
-	// Checked before decoding: the decoder ignores line ends, and its errors cost an allocation.
+	// Check before decoding, because the decoder ignores line ends and allocates memory for its errors.
 	if len(text) > MaxText || len(text)%4 != 0 {
 		return ErrMalformed
 	}
 	for _, c := range text {
-		if !plain[c] {
+		if !base64URLAlphabet[c] {
 			return ErrMalformed
 		}
 	}
@@ -188,12 +189,12 @@
 		return ErrMalformed
 	}
 	raw := r.buf[:n]
-	aead := r.find(raw[1 : 1+keySize])
+	aead := r.find(raw[1 : 1+fingerprintSize])
 	if aead == nil {
 		return ErrUnknownKey
 	}
-	nonce, sealed := raw[1+keySize:head], raw[head:]
-	body, err := aead.Open(sealed[:0], nonce, sealed, raw[:head])
+	nonce, sealed := raw[1+fingerprintSize:headerSize], raw[headerSize:]
+	body, err := aead.Open(sealed[:0], nonce, sealed, raw[:headerSize])
 	if err != nil {
 		return ErrForged
 	}
@@ -201,7 +202,7 @@
 	return t.read(body)
 }
 
-// read reads a body that was sealed by a holder of the key.
+// read parses a decrypted body. Even a body sealed by a holder of the key may be invalid.
 func (t *Token) read(body []byte) error {
 	var n [8]uint64
 	for i := range n {
@@ -215,7 +216,7 @@
 	t.Tenant = n[5]
 	t.LastSequence = n[6]
 	t.ServerStarted = int64(n[7])
-	rest := body[numbers:]
+	rest := body[numbersSize:]
 	for _, name := range []*[]byte{&t.Class, &t.Server} {
 		if len(rest) == 0 || len(rest) <= int(rest[0]) || rest[0] > MaxName {
 			return ErrMalformed
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-func secret(b byte) (k [32]byte) {
+func repeatedSecret(b byte) (k [32]byte) {
 	for i := range k {
 		k[i] = b
 	}
 	return k
 }
 
-func ring(t testing.TB, keys ...Key) *KeyRing {
+func newKeyRing(t testing.TB, keys ...Key) *KeyRing {
 	t.Helper()
 	r, err := NewKeyRing(keys)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return r
 }
 
-func some() Token {
+func sampleToken() Token {
 	return Token{
 		IssuedAt: 1_800_000_000_000, ExpiresAt: 1_800_000_060_000, Stream: 7, Key: 0x7f3a9c21e0b4d655, Group: 5,
 		Tenant: 9, LastSequence: 41, ServerStarted: 1_799_999_999_999, Class: []byte("index-sync"),
@@ -36,14 +36,14 @@
 	}
 }
 
-func equal(a, b Token) bool {
+func equalTokens(a, b Token) bool {
 	return a.ID == b.ID && a.numbers() == b.numbers() && bytes.Equal(a.Class, b.Class) &&
 		bytes.Equal(a.Server, b.Server)
 }
 
-// Whatever a token says comes back, and its text is one word that fits into a first line.
+// Opening a sealed token returns the same content, and its text is at most MaxText long.
 func TestSealOpen(t *testing.T) {
-	r := ring(t, Key{secret(1), true})
+	r := newKeyRing(t, Key{repeatedSecret(1), true})
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SliceOfN(rapid.Byte(), 0, MaxName)
 		n := rapid.Uint64()
@@ -57,7 +57,7 @@
 		}
 		text := r.Seal(nil, &in)
 		var out Token
-		if err := r.Open(text, &out); err != nil || !equal(in, out) {
+		if err := r.Open(text, &out); err != nil || !equalTokens(in, out) {
 			t.Fatalf("%v: %+v, %+v", err, in, out)
 		}
 		if len(text) > MaxText {
@@ -66,9 +66,10 @@
 	})
 }
 
-// A fixed text, sealed by hand with the page's words alone, opens: the encoding does not change under our feet.
+// A text that is built here by the documented format, without Seal, can be opened. So the format can't change
+// unnoticed.
 func TestStableForm(t *testing.T) {
-	key := secret(3)
+	key := repeatedSecret(3)
 	raw := []byte{1}
 	sum := sha256.Sum256(key[:])
 	raw = append(raw, sum[:4]...)
@@ -85,27 +86,27 @@
 	}
 	text := base64.RawURLEncoding.EncodeToString(aead.Seal(raw, raw[5:29], body, raw))
 	var got Token
-	if err := ring(t, Key{key, true}).Open([]byte(text), &got); err != nil {
+	if err := newKeyRing(t, Key{key, true}).Open([]byte(text), &got); err != nil {
 		t.Fatal(err)
 	}
-	want := some()
+	want := sampleToken()
 	copy(want.ID[:], bytes.Repeat([]byte{0xab}, 16))
-	if !equal(got, want) {
+	if !equalTokens(got, want) {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Every text but the one that was sealed is refused, with the reason that it has, and costs no allocation.
-func TestRefused(t *testing.T) {
-	old, now := Key{secret(1), false}, Key{secret(2), true}
-	r := ring(t, old, now)
-	tok := some()
+// Any text other than a sealed one is rejected with the right error, and without an allocation.
+func TestRejected(t *testing.T) {
+	previous, current := Key{repeatedSecret(1), false}, Key{repeatedSecret(2), true}
+	r := newKeyRing(t, previous, current)
+	tok := sampleToken()
 	good := r.Seal(nil, &tok)
-	old.Primary = true
-	older := ring(t, old).Seal(nil, &tok)
+	previous.Primary = true
+	older := newKeyRing(t, previous).Seal(nil, &tok)
 	var out Token
 	if err := r.Open(older, &out); err != nil {
-		t.Errorf("sealed with the key before: %v", err)
+		t.Errorf("sealed with the previous key: %v", err)
 	}
 	change := func(at int) []byte {
 		b := bytes.Clone(good)
@@ -116,21 +117,21 @@
 		text []byte
 		want error
 	}{
-		"nothing":            {nil, ErrMalformed},
-		"a word":             {[]byte("abcd"), ErrMalformed},
-		"garbage":            {bytes.Repeat([]byte{0xff}, 200), ErrMalformed},
-		"letters":            {bytes.Repeat([]byte("A"), 200), ErrMalformed},
-		"too long":           {bytes.Repeat([]byte("A"), 4000), ErrMalformed},
-		"a line end in it":   {append(append(bytes.Clone(good[:8]), "\r\n\r\n"...), good[8:]...), ErrMalformed},
-		"another version":    {change(0), ErrMalformed},
-		"another key":        {change(2), ErrUnknownKey},
-		"another nonce":      {change(12), ErrForged},
-		"another body":       {change(60), ErrForged},
-		"another seal":       {change(len(good) - 1), ErrForged},
-		"cut by four":        {good[:len(good)-4], ErrForged},
-		"cut by one":         {good[:len(good)-1], ErrMalformed},
-		"longer":             {append(bytes.Clone(good), "AAAA"...), ErrForged},
-		"of a withdrawn key": {ring(t, Key{secret(9), true}).Seal(nil, &tok), ErrUnknownKey},
+		"nothing":           {nil, ErrMalformed},
+		"a word":            {[]byte("abcd"), ErrMalformed},
+		"garbage":           {bytes.Repeat([]byte{0xff}, 200), ErrMalformed},
+		"letters":           {bytes.Repeat([]byte("A"), 200), ErrMalformed},
+		"too long":          {bytes.Repeat([]byte("A"), 4000), ErrMalformed},
+		"a line end inside": {append(append(bytes.Clone(good[:8]), "\r\n\r\n"...), good[8:]...), ErrMalformed},
+		"another version":   {change(0), ErrMalformed},
+		"another key":       {change(2), ErrUnknownKey},
+		"another nonce":     {change(12), ErrForged},
+		"another body":      {change(60), ErrForged},
+		"another seal":      {change(len(good) - 1), ErrForged},
+		"cut by four":       {good[:len(good)-4], ErrForged},
+		"cut by one":        {good[:len(good)-1], ErrMalformed},
+		"longer":            {append(bytes.Clone(good), "AAAA"...), ErrForged},
+		"of a removed key":  {newKeyRing(t, Key{repeatedSecret(9), true}).Seal(nil, &tok), ErrUnknownKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := r.Open(c.text, &out); !errors.Is(err, c.want) {
@@ -143,12 +144,12 @@
 	}
 }
 
-func TestRings(t *testing.T) {
+func TestNewKeyRing(t *testing.T) {
 	for name, keys := range map[string][]Key{
-		"no key":         nil,
-		"none mints":     {{secret(1), false}},
-		"two mint":       {{secret(1), true}, {secret(2), true}},
-		"the same twice": {{secret(1), true}, {secret(1), false}},
+		"no key":             nil,
+		"no primary key":     {{repeatedSecret(1), false}},
+		"two primary keys":   {{repeatedSecret(1), true}, {repeatedSecret(2), true}},
+		"the same key twice": {{repeatedSecret(1), true}, {repeatedSecret(1), false}},
 	} {
 		if _, err := NewKeyRing(keys); err == nil {
 			t.Errorf("%s: no error", name)
@@ -156,10 +157,11 @@
 	}
 }
 
-// Nothing but what was sealed opens, and what opens has one text.
+// Only sealed texts open. A text that opens but is not among those sealed here, such as one from another fuzzing
+// process, must hold the same token.
 func FuzzOpen(f *testing.F) {
-	r := ring(f, Key{secret(1), true})
-	tok := some()
+	r := newKeyRing(f, Key{repeatedSecret(1), true})
+	tok := sampleToken()
 	f.Add(r.Seal(nil, &tok))
 	f.Add([]byte("AQAA"))
 	f.Add(bytes.Repeat([]byte("A"), MaxText))
@@ -177,24 +179,24 @@
 	})
 }
 
-// A body that a holder of the key sealed badly is refused as well.
+// A body is rejected if it has bytes beyond its fields and padding, even when a holder of the key sealed it.
 func FuzzBody(f *testing.F) {
-	f.Add(make([]byte, minBody))
-	f.Add(append(make([]byte, numbers), 65, 0))
-	f.Add(append(make([]byte, numbers), 0, 0, 0, 1))
+	f.Add(make([]byte, minBodySize))
+	f.Add(append(make([]byte, numbersSize), 65, 0))
+	f.Add(append(make([]byte, numbersSize), 0, 0, 0, 1))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if len(body) < minBody {
+		if len(body) < minBodySize {
 			return
 		}
 		var out Token
-		if out.read(body) == nil && len(body) > minBody+len(out.Class)+len(out.Server)+2 {
+		if out.read(body) == nil && len(body) > minBodySize+len(out.Class)+len(out.Server)+2 {
 			t.Errorf("%x read as %+v", body, out)
 		}
 	})
 }
 
 func BenchmarkSeal(b *testing.B) {
-	r, tok := ring(b, Key{secret(1), true}), some()
+	r, tok := newKeyRing(b, Key{repeatedSecret(1), true}), sampleToken()
 	dst := make([]byte, 0, MaxText)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -203,7 +205,7 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	r, tok := ring(b, Key{secret(2), false}, Key{secret(1), true}), some()
+	r, tok := newKeyRing(b, Key{repeatedSecret(2), false}, Key{repeatedSecret(1), true}), sampleToken()
 	text := r.Seal(nil, &tok)
 	var out Token
 	b.ReportAllocs()
@@ -215,7 +217,7 @@
 }
 
 func BenchmarkRefuse(b *testing.B) {
-	r, tok := ring(b, Key{secret(1), true}), some()
+	r, tok := newKeyRing(b, Key{repeatedSecret(1), true}), sampleToken()
 	text := r.Seal(nil, &tok)
 	text[60] ^= 1
 	var out Token
