--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// The messages as RFC 4253 and 4254 give them, for an independent party to read and write.
+// The messages of RFC 4253 and RFC 4254 as structs that golang.org/x/crypto/ssh, an independent implementation, can
+// encode and decode.
 type (
 	disconnect struct {
 		Reason            uint32 `sshtype:"1"`
@@ -86,8 +87,9 @@
 	}
 )
 
-// pairs are a message of ours and the same as the independent party has it.
-func pairs(a, b, c uint32, s, t []byte, yes bool) []struct {
+// messagePairs returns one message of each type, both as a Message and as the struct for the independent
+// implementation.
+func messagePairs(a, b, c uint32, s, t []byte, yes bool) []struct {
 	ours Message
 	rfc  any
 } {
@@ -121,11 +123,12 @@
 	}
 }
 
-// Every message is written as the independent party writes it, and read back, from a packet that keeps the rules.
-func TestAgainstIndependentParty(t *testing.T) {
+// Every message is encoded like by the independent implementation, in a packet with valid length and padding, and can
+// be parsed again.
+func TestAgainstIndependentImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, s := rapid.Uint32(), rapid.SliceOfN(rapid.Byte(), 0, 300)
-		for _, p := range pairs(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"), s.Draw(t, "s"), s.Draw(t, "t"),
+		for _, p := range messagePairs(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"), s.Draw(t, "s"), s.Draw(t, "t"),
 			rapid.Bool().Draw(t, "yes")) {
 			packet := Append(nil, &p.ours)
 			payload, size, err := SplitPacket(packet)
@@ -139,17 +142,18 @@
 			if err := Parse(payload, &got); err != nil {
 				t.Fatalf("%+v: %v", p.ours, err)
 			}
-			if d := cmp.Diff(normal(p.ours), normal(got)); d != "" {
+			if d := cmp.Diff(normalize(p.ours), normalize(got)); d != "" {
 				t.Fatal(d)
 			}
 			if cut := rapid.IntRange(1, len(payload)-1+1).Draw(t, "cut"); cut < len(payload) && len(payload) > 1 {
-				_ = Parse(payload[:cut], &got) // whatever it is, it is read or refused
+				_ = Parse(payload[:cut], &got) // must not panic; it may parse or fail
 			}
 		}
 	})
 }
 
-func normal(m Message) Message {
+// normalize replaces empty slices by nil, for comparison.
+func normalize(m Message) Message {
 	for _, b := range []*[]byte{&m.Name, &m.Data} {
 		if len(*b) == 0 {
 			*b = nil
@@ -158,7 +162,7 @@
 	return m
 }
 
-func TestCutPacket(t *testing.T) {
+func TestSplitPacket(t *testing.T) {
 	good := Append(nil, &Message{Type: EOF, Channel: 7})
 	with := func(length uint32, pad byte) []byte {
 		b := append([]byte(nil), good...)
@@ -171,23 +175,23 @@
 		n   int
 		err error
 	}{
-		"good":               {append(bytes.Clone(good), 1, 2, 3), len(good), nil},
-		"nothing":            {nil, 0, nil},
-		"a part of a length": {good[:3], 0, nil},
-		"a length":           {good[:4], 0, nil},
-		"all but one byte":   {good[:len(good)-1], 0, nil},
-		"length 0":           {with(0, 4), 0, ErrLength},
-		"length 1":           {with(1, 4), 0, ErrLength},
-		"length 2^31":        {with(1<<31, 4), 0, ErrLength},
-		"length 2^32-1":      {with(1<<32-1, 4), 0, ErrLength},
-		"length 2^32-4":      {with(1<<32-4, 4), 0, ErrLength},
-		"no multiple of 8":   {with(13, 4), 0, ErrLength},
-		"over the largest":   {with(MaxPacket-4+8, 4), 0, ErrLength},
-		"the largest":        {with(34996-34996%8+4, 4)[:5], 0, nil},
-		"no padding":         {with(12, 0), 0, ErrPad},
-		"padding 3":          {with(12, 3), 0, ErrPad},
-		"only padding":       {with(12, 11), 0, ErrPad},
-		"padding too long":   {with(12, 255), 0, ErrPad},
+		"good":                {append(bytes.Clone(good), 1, 2, 3), len(good), nil},
+		"nothing":             {nil, 0, nil},
+		"a part of a length":  {good[:3], 0, nil},
+		"a length":            {good[:4], 0, nil},
+		"all but one byte":    {good[:len(good)-1], 0, nil},
+		"length 0":            {with(0, 4), 0, ErrLength},
+		"length 1":            {with(1, 4), 0, ErrLength},
+		"length 2^31":         {with(1<<31, 4), 0, ErrLength},
+		"length 2^32-1":       {with(1<<32-1, 4), 0, ErrLength},
+		"length 2^32-4":       {with(1<<32-4, 4), 0, ErrLength},
+		"not a multiple of 8": {with(13, 4), 0, ErrLength},
+		"over the largest":    {with(MaxPacket-4+8, 4), 0, ErrLength},
+		"the largest":         {with(34996-34996%8+4, 4)[:5], 0, nil},
+		"no padding":          {with(12, 0), 0, ErrPad},
+		"padding 3":           {with(12, 3), 0, ErrPad},
+		"only padding":        {with(12, 11), 0, ErrPad},
+		"padding too long":    {with(12, 255), 0, ErrPad},
 	} {
 		payload, n, err := SplitPacket(c.in)
 		if n != c.n || !errors.Is(err, c.err) || (n > 0) != (payload != nil) {
@@ -196,7 +200,7 @@
 	}
 }
 
-func TestCutIdent(t *testing.T) {
+func TestSplitIdentification(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, text string
 		n        int
@@ -219,8 +223,9 @@
 	}
 }
 
-// Data written round its bytes is the packet that Append makes, and neither way costs an allocation.
-func TestDataHead(t *testing.T) {
+// A header from PutDataHeader, the data and the padding are the same bytes as the packet from Append. Encoding and
+// parsing a DATA message allocates no memory.
+func TestPutDataHeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "data")
 		var head DataHeader
@@ -243,16 +248,17 @@
 		buf = Append(buf[:0], &m)
 		payload, _, _ := SplitPacket(packet)
 		if Parse(payload, &read) != nil || len(read.Data) != len(data) {
-			t.Fatal("not read")
+			t.Fatal("packet was not parsed")
 		}
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// Whatever a payload is, it is refused, or the independent party reads the same from it.
+// Any payload is either rejected or survives encoding and parsing unchanged. The independent implementation
+// decodes the same from a DATA message.
 func FuzzParse(f *testing.F) {
-	for _, p := range pairs(1, 2, 3, []byte("name"), []byte("data"), true) {
+	for _, p := range messagePairs(1, 2, 3, []byte("name"), []byte("data"), true) {
 		f.Add(ssh.Marshal(p.rfc))
 	}
 	f.Add([]byte{90, 0, 0, 0, 200})
@@ -271,8 +277,8 @@
 			t.Fatalf("%+v: %v", m, err)
 		}
 		var same Message
-		if err := Parse(back, &same); m.Type != Ignore && m.Type != Debug && known(m.Type) &&
-			(err != nil || cmp.Diff(normal(m), normal(same)) != "") {
+		if err := Parse(back, &same); m.Type != Ignore && m.Type != Debug && isKnownType(m.Type) &&
+			(err != nil || cmp.Diff(normalize(m), normalize(same)) != "") {
 			t.Errorf("%x: %+v, %+v, %v", payload, m, same, err)
 		}
 		if m.Type == Data {
@@ -285,12 +291,12 @@
 	})
 }
 
-func known(t Type) bool {
+func isKnownType(t Type) bool {
 	return t >= Disconnect && t <= ServiceAccept || t >= GlobalRequest && t <= RequestFailure ||
 		t >= Open && t <= Failure
 }
 
-func FuzzCutPacket(f *testing.F) {
+func FuzzSplitPacket(f *testing.F) {
 	f.Add(Append(nil, &Message{Type: EOF, Channel: 7}))
 	f.Add([]byte{0, 0, 0, 12, 255})
 	f.Fuzz(func(t *testing.T, buf []byte) {
--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -5,7 +5,7 @@
 // Type is a message's number (RFC 4253, section 12, and RFC 4254, section 9).
 type Type byte
 
-// The message types that are used; others are answered by Unimplemented.
+// The message types that are used. A message of any other type is answered with Unimplemented.
 const (
 	Disconnect     Type = 1
 	Ignore         Type = 2
@@ -29,7 +29,7 @@
 	Failure        Type = 100
 )
 
-// Reasons for refusing to open a channel (RFC 4254, section 5.1).
+// Reasons of OpenFailure (RFC 4254, section 5.1).
 const (
 	AdministrativelyProhibited uint32 = 1
 	ConnectFailed              uint32 = 2
@@ -37,7 +37,7 @@
 	ResourceShortage           uint32 = 4
 )
 
-// Reasons for ending a connection (RFC 4253, section 11.1).
+// Reasons of Disconnect (RFC 4253, section 11.1).
 const (
 	ProtocolError       uint32 = 2
 	ServiceNotAvailable uint32 = 7
@@ -53,30 +53,31 @@
 	Keepalive = "keepalive@spurspread"
 )
 
-// Message is one message of any type. Its type decides which fields are used; slices point into the packet.
+// Message is a message of any type. Each field is used by the types that its comment names. The slices of a parsed
+// message point into the packet.
 type Message struct {
 	Type      Type
-	Channel   uint32 // the recipient's number for the channel; for Open the sender's
-	Sender    uint32 // OpenConfirm: the sender's number
+	Channel   uint32 // the channel's number at the recipient; for Open, at the sender
+	Sender    uint32 // OpenConfirm: the channel's number at the sender
 	Window    uint32 // Open, OpenConfirm: the initial window; WindowAdjust: bytes to add
-	MaxPacket uint32 // Open, OpenConfirm: data that one message may carry to the sender
+	MaxPacket uint32 // Open, OpenConfirm: the most data that the sender accepts in one message
 	Code      uint32 // Disconnect, OpenFailure: reason; ExtendedData: kind; Unimplemented: sequence number
 	Name      []byte // ServiceRequest, ServiceAccept, GlobalRequest, Request, Open: the name
-	// Data, ExtendedData: data; Open, OpenConfirm, Request, GlobalRequest: their own; OpenFailure, Disconnect:
-	// description
+	// Data, ExtendedData: the data; Open, OpenConfirm, Request, GlobalRequest, RequestSuccess: data specific to the
+	// type; OpenFailure, Disconnect: the description
 	Data      []byte
 	WantReply bool // GlobalRequest, Request
 }
 
-// reader reads the fields of a payload in order. bad is set once a field is cut off.
+// reader reads the fields of a payload in order. truncated is set if the payload ends within a field.
 type reader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	truncated bool
 }
 
-func (r *reader) u32() uint32 {
+func (r *reader) readUint32() uint32 {
 	if len(r.b) < 4 {
-		r.bad = true
+		r.truncated = true
 		return 0
 	}
 	v := binary.BigEndian.Uint32(r.b)
@@ -84,10 +85,10 @@
 	return v
 }
 
-func (r *reader) text() []byte {
-	n := r.u32()
-	if r.bad || uint64(n) > uint64(len(r.b)) {
-		r.bad = true
+func (r *reader) readString() []byte {
+	n := r.readUint32()
+	if r.truncated || uint64(n) > uint64(len(r.b)) {
+		r.truncated = true
 		return nil
 	}
 	v := r.b[:n]
@@ -95,9 +96,9 @@
 	return v
 }
 
-func (r *reader) flag() bool {
+func (r *reader) readBool() bool {
 	if len(r.b) < 1 {
-		r.bad = true
+		r.truncated = true
 		return false
 	}
 	v := r.b[0] != 0
@@ -105,13 +106,13 @@
 	return v
 }
 
-func (r *reader) rest() []byte {
+func (r *reader) readRest() []byte {
 	v := r.b
 	r.b = nil
 	return v
 }
 
-// Parse parses a packet's payload. Of a type that is not used it sets Type alone, which is no error. The error is
+// Parse parses a packet's payload into m. For a type that is not used it sets only Type, without an error. The error is
 // ErrTruncated or ErrTrailingData.
 func Parse(payload []byte, m *Message) error {
 	if len(payload) == 0 {
@@ -123,7 +124,7 @@
 		return nil
 	}
 	switch {
-	case r.bad:
+	case r.truncated:
 		return ErrTruncated
 	case len(r.b) > 0:
 		return ErrTrailingData
@@ -131,29 +132,29 @@
 	return nil
 }
 
-// connectionMessage parses a message that concerns the connection as a whole. It returns false for other types.
+// connectionMessage parses the fields of a message about the connection as a whole. It returns false for other types.
 func (r *reader) connectionMessage(m *Message) bool {
 	switch m.Type {
 	case Disconnect:
-		m.Code = r.u32()
-		m.Data = r.text()
-		r.text() // the description's language
+		m.Code = r.readUint32()
+		m.Data = r.readString()
+		r.readString() // the description's language
 	case Ignore:
-		r.text()
+		r.readString()
 	case Unimplemented:
-		m.Code = r.u32()
+		m.Code = r.readUint32()
 	case Debug:
-		r.flag()
-		r.text()
-		r.text()
+		r.readBool()
+		r.readString()
+		r.readString()
 	case ServiceRequest, ServiceAccept:
-		m.Name = r.text()
+		m.Name = r.readString()
 	case GlobalRequest:
-		m.Name = r.text()
-		m.WantReply = r.flag()
-		m.Data = r.rest()
+		m.Name = r.readString()
+		m.WantReply = r.readBool()
+		m.Data = r.readRest()
 	case RequestSuccess:
-		m.Data = r.rest()
+		m.Data = r.readRest()
 	case RequestFailure:
 	default:
 		return false
@@ -161,55 +162,56 @@
 	return true
 }
 
-// channelMessage parses a message that concerns one channel. It returns false for other types.
+// channelMessage parses the fields of a message about one channel. It returns false for other types.
 func (r *reader) channelMessage(m *Message) bool {
 	switch m.Type {
 	case Open:
-		m.Name = r.text()
-		m.Channel = r.u32()
-		m.Window = r.u32()
-		m.MaxPacket = r.u32()
-		m.Data = r.rest()
+		m.Name = r.readString()
+		m.Channel = r.readUint32()
+		m.Window = r.readUint32()
+		m.MaxPacket = r.readUint32()
+		m.Data = r.readRest()
 	case OpenConfirm:
-		m.Channel = r.u32()
-		m.Sender = r.u32()
-		m.Window = r.u32()
-		m.MaxPacket = r.u32()
-		m.Data = r.rest()
+		m.Channel = r.readUint32()
+		m.Sender = r.readUint32()
+		m.Window = r.readUint32()
+		m.MaxPacket = r.readUint32()
+		m.Data = r.readRest()
 	case OpenFailure:
-		m.Channel = r.u32()
-		m.Code = r.u32()
-		m.Data = r.text()
-		r.text() // the description's language
+		m.Channel = r.readUint32()
+		m.Code = r.readUint32()
+		m.Data = r.readString()
+		r.readString() // the description's language
 	case WindowAdjust:
-		m.Channel = r.u32()
-		m.Window = r.u32()
+		m.Channel = r.readUint32()
+		m.Window = r.readUint32()
 	case Data:
-		m.Channel = r.u32()
-		m.Data = r.text()
+		m.Channel = r.readUint32()
+		m.Data = r.readString()
 	case ExtendedData:
-		m.Channel = r.u32()
-		m.Code = r.u32()
-		m.Data = r.text()
+		m.Channel = r.readUint32()
+		m.Code = r.readUint32()
+		m.Data = r.readString()
 	case EOF, Close, Success, Failure:
-		m.Channel = r.u32()
+		m.Channel = r.readUint32()
 	case Request:
-		m.Channel = r.u32()
-		m.Name = r.text()
-		m.WantReply = r.flag()
-		m.Data = r.rest()
+		m.Channel = r.readUint32()
+		m.Name = r.readString()
+		m.WantReply = r.readBool()
+		m.Data = r.readRest()
 	default:
 		return false
 	}
 	return true
 }
 
-// ParseString parses a string that is all of b, as the data of Open is. The error is ErrTruncated or ErrTrailingData.
+// ParseString returns the string that b holds and nothing else, such as the data of Open. The error is ErrTruncated or
+// ErrTrailingData.
 func ParseString(b []byte) ([]byte, error) {
 	r := reader{b: b}
-	v := r.text()
+	v := r.readString()
 	switch {
-	case r.bad:
+	case r.truncated:
 		return nil, ErrTruncated
 	case len(r.b) > 0:
 		return nil, ErrTrailingData
@@ -219,56 +221,56 @@
 
 // Append appends a message to dst as one packet.
 func Append(dst []byte, m *Message) []byte {
-	dst, at := BeginPacket(dst)
+	dst, start := BeginPacket(dst)
 	dst = append(dst, byte(m.Type))
 	switch m.Type {
 	case Disconnect:
-		dst = u32(dst, m.Code)
-		dst = text(text(dst, m.Data), nil)
+		dst = appendUint32(dst, m.Code)
+		dst = appendString(appendString(dst, m.Data), nil)
 	case Ignore:
-		dst = text(dst, m.Data)
+		dst = appendString(dst, m.Data)
 	case Unimplemented:
-		dst = u32(dst, m.Code)
+		dst = appendUint32(dst, m.Code)
 	case Debug:
-		dst = text(text(append(dst, 0), m.Data), nil)
+		dst = appendString(appendString(append(dst, 0), m.Data), nil)
 	case ServiceRequest, ServiceAccept:
-		dst = text(dst, m.Name)
+		dst = appendString(dst, m.Name)
 	case GlobalRequest:
-		dst = append(flag(text(dst, m.Name), m.WantReply), m.Data...)
+		dst = append(appendBool(appendString(dst, m.Name), m.WantReply), m.Data...)
 	case RequestSuccess:
 		dst = append(dst, m.Data...)
 	case Open:
-		dst = u32(u32(u32(text(dst, m.Name), m.Channel), m.Window), m.MaxPacket)
+		dst = appendUint32(appendUint32(appendUint32(appendString(dst, m.Name), m.Channel), m.Window), m.MaxPacket)
 		dst = append(dst, m.Data...)
 	case OpenConfirm:
-		dst = u32(u32(u32(u32(dst, m.Channel), m.Sender), m.Window), m.MaxPacket)
+		dst = appendUint32(appendUint32(appendUint32(appendUint32(dst, m.Channel), m.Sender), m.Window), m.MaxPacket)
 		dst = append(dst, m.Data...)
 	case OpenFailure:
-		dst = text(text(u32(u32(dst, m.Channel), m.Code), m.Data), nil)
+		dst = appendString(appendString(appendUint32(appendUint32(dst, m.Channel), m.Code), m.Data), nil)
 	case WindowAdjust:
-		dst = u32(u32(dst, m.Channel), m.Window)
+		dst = appendUint32(appendUint32(dst, m.Channel), m.Window)
 	case Data:
-		dst = text(u32(dst, m.Channel), m.Data)
+		dst = appendString(appendUint32(dst, m.Channel), m.Data)
 	case ExtendedData:
-		dst = text(u32(u32(dst, m.Channel), m.Code), m.Data)
+		dst = appendString(appendUint32(appendUint32(dst, m.Channel), m.Code), m.Data)
 	case EOF, Close, Success, Failure:
-		dst = u32(dst, m.Channel)
+		dst = appendUint32(dst, m.Channel)
 	case Request:
-		dst = append(flag(text(u32(dst, m.Channel), m.Name), m.WantReply), m.Data...)
+		dst = append(appendBool(appendString(appendUint32(dst, m.Channel), m.Name), m.WantReply), m.Data...)
 	}
-	return EndPacket(dst, at)
+	return EndPacket(dst, start)
 }
 
-func u32(dst []byte, v uint32) []byte { return binary.BigEndian.AppendUint32(dst, v) }
+func appendUint32(dst []byte, v uint32) []byte { return binary.BigEndian.AppendUint32(dst, v) }
 
-func text(dst, v []byte) []byte { return append(u32(dst, uint32(len(v))), v...) }
+func appendString(dst, v []byte) []byte { return append(appendUint32(dst, uint32(len(v))), v...) }
 
-func flag(dst []byte, v bool) []byte {
+func appendBool(dst []byte, v bool) []byte {
 	if v {
 		return append(dst, 1)
 	}
 	return append(dst, 0)
 }
 
-// AppendString appends a string to dst, in the form that String parses.
-func AppendString(dst, v []byte) []byte { return text(dst, v) }
+// AppendString appends a string to dst, in the format that ParseString parses.
+func AppendString(dst, v []byte) []byte { return appendString(dst, v) }
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -1,7 +1,7 @@
-// Package channel is the codec of multiplexed channels: SSH's binary packets (RFC 4253, sections 4.2 and 6) without
-// cipher, MAC and compression, and the messages of its connection protocol (RFC 4254) that docs/protocol/channels.md
-// uses. It reads in place: what it returns points into the caller's buffer. It knows no sockets, keeps no state of any
-// channel, and decides nothing.
+// Package channel is the codec of multiplexed channels: the binary packets of SSH (RFC 4253, sections 4.2 and 6)
+// without encryption, MAC and compression, and the messages of the SSH connection protocol (RFC 4254) that
+// docs/protocol/channels.md describes. It parses in place: the slices that it returns point into the caller's buffer.
+// It uses no sockets, keeps no state, and makes no decisions.
 package channel
 
 import (
@@ -10,22 +10,22 @@
 	"errors"
 )
 
-// Limits of RFC 4253.
+// Limits of RFC 4253, and sizes of fields, in bytes.
 const (
-	MaxIdent   = 255    // an identification line, with its end
-	MaxPacket  = 35_000 // a whole packet, with its length and padding
-	minPacket  = 16
-	block      = 8
-	minPad     = 4
-	lengthSize = 4
-	headSize   = lengthSize + 1 // length and padding length
-	dataFields = 9              // type, channel and length of a DATA packet
+	MaxIdent       = 255    // an identification line, with its end
+	MaxPacket      = 35_000 // a whole packet, including its length and padding
+	minPacketSize  = 16
+	blockSize      = 8
+	minPadding     = 4
+	lengthSize     = 4
+	headerSize     = lengthSize + 1 // length and padding length
+	dataFieldsSize = 9              // type, channel and data length of a DATA packet
 )
 
-// Prefix begins an identification line. A first line that does not begin so is a plain client's.
+// Prefix begins an identification line. A first line with any other beginning comes from a client of the line protocol.
 const Prefix = "SSH-"
 
-// Errors of what a peer sends. Each ends the connection.
+// Protocol errors of a peer. Each ends the connection. The texts are sent to the peer, and so are part of the protocol.
 var (
 	ErrIdent        = errors.New("identification is not SSH-2.0")
 	ErrLength       = errors.New("packet length is not one that may be")
@@ -34,8 +34,9 @@
 	ErrTrailingData = errors.New("message has bytes behind its end")
 )
 
-// SplitIdentification finds a peer's identification line. n is its length with its end, 0 while the end was not
-// received. Both CR LF and a lone LF end it (RFC 4253, section 4.2). The error is ErrIdent.
+// SplitIdentification returns a peer's identification line at the start of buf, without its line end, which is CR LF or
+// LF (RFC 4253, section 4.2). n is the line's length with its end; 0 means that buf does not hold the whole line yet.
+// The error is ErrIdent.
 func SplitIdentification(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxIdent)], '\n')
 	if end < 0 {
@@ -56,82 +57,83 @@
 	return text, end + 1, nil
 }
 
-// SplitPacket finds the first packet of buf. n is its whole length, 0 while it is incomplete. The error is ErrLength or
-// ErrPad.
+// SplitPacket returns the payload of the packet at the start of buf. n is the length of the whole packet; 0 means that
+// buf does not hold it completely yet. The error is ErrLength or ErrPad.
 func SplitPacket(buf []byte) (payload []byte, n int, err error) {
 	if len(buf) < lengthSize {
 		return nil, 0, nil
 	}
 	length := binary.BigEndian.Uint32(buf)
-	// Checked before the rest has come: nobody is to wait for a packet whose length is invalid.
-	if length < minPacket-lengthSize || length > MaxPacket-lengthSize || (length+lengthSize)%block != 0 {
+	// Check the length first, so that the peer's error is found without waiting for the rest of the packet.
+	if length < minPacketSize-lengthSize || length > MaxPacket-lengthSize || (length+lengthSize)%blockSize != 0 {
 		return nil, 0, ErrLength
 	}
-	if len(buf) < headSize {
+	if len(buf) < headerSize {
 		return nil, 0, nil
 	}
 	pad := uint32(buf[lengthSize])
-	if pad < minPad || pad+1 >= length {
+	if pad < minPadding || pad+1 >= length {
 		return nil, 0, ErrPad
 	}
 	n = int(length) + lengthSize
 	if len(buf) < n {
 		return nil, 0, nil
 	}
-	return buf[headSize : n-int(pad)], n, nil
+	return buf[headerSize : n-int(pad)], n, nil
 }
 
-// BeginPacket appends a packet's head to dst and returns it with the place of the head; End completes the packet.
-func BeginPacket(dst []byte) (out []byte, at int) {
+// BeginPacket appends an empty packet header to dst. It returns the extended slice and the offset at which the packet
+// starts. The caller appends the payload, then calls EndPacket with that offset.
+func BeginPacket(dst []byte) (out []byte, start int) {
 	return append(dst, 0, 0, 0, 0, 0), len(dst)
 }
 
-// EndPacket completes the packet that began at at.
-func EndPacket(dst []byte, at int) []byte {
-	size := len(dst) - at
+// EndPacket completes the packet that starts at offset start: it appends the padding and fills in the header.
+func EndPacket(dst []byte, start int) []byte {
+	size := len(dst) - start
 	pad := padding(size)
-	dst = append(dst, zeros[:pad]...)
-	putHead(dst[at:], size, pad)
+	dst = append(dst, zeroPadding[:pad]...)
+	putHeader(dst[start:], size, pad)
 	return dst
 }
 
-// padding returns how many bytes of padding follow a packet of size bytes with its head: the whole is a multiple of
-// block and at least minPacket, the padding at least minPad.
+// padding returns the number of padding bytes after a packet whose header and payload have size bytes together. It is
+// at least minPadding, and makes the length of the whole packet a multiple of blockSize and at least minPacketSize.
 func padding(size int) int {
-	pad := block - size%block
-	if pad < minPad {
-		pad += block
+	pad := blockSize - size%blockSize
+	if pad < minPadding {
+		pad += blockSize
 	}
-	if size+pad < minPacket {
-		pad += block
+	if size+pad < minPacketSize {
+		pad += blockSize
 	}
 	return pad
 }
 
-// putHead writes the head of a packet of size bytes, head included, and its padding.
-func putHead(head []byte, size, pad int) {
-	binary.BigEndian.PutUint32(head, uint32(size+pad-lengthSize))
-	head[lengthSize] = byte(pad)
+// putHeader writes the header of a packet with pad bytes of padding, whose header and payload have size bytes together.
+func putHeader(header []byte, size, pad int) {
+	binary.BigEndian.PutUint32(header, uint32(size+pad-lengthSize))
+	header[lengthSize] = byte(pad)
 }
 
-// MaxData is how many bytes of data one packet of ours carries at most: what every peer has to accept (RFC 4253,
+// MaxData is the maximum length of the data in one sent packet, in bytes. Every peer must accept that much (RFC 4253,
 // section 6.1).
 const MaxData = 32 << 10
 
-// DataHeader is what precedes the data of a DATA packet.
-type DataHeader [headSize + dataFields]byte
+// DataHeader holds the part of a DATA packet before the data.
+type DataHeader [headerSize + dataFieldsSize]byte
 
 // PutDataHeader writes the header of a DATA packet with n bytes of data, and returns the padding that follows the data.
 // A caller writes header, data and padding one after another, without copying the data into a packet.
-func PutDataHeader(head *DataHeader, id uint32, n int) (pad []byte) {
-	size := len(head) + n
+func PutDataHeader(header *DataHeader, id uint32, n int) (pad []byte) {
+	size := len(header) + n
 	padded := padding(size)
-	putHead(head[:], size, padded)
-	head[headSize] = byte(Data)
-	binary.BigEndian.PutUint32(head[headSize+1:], id)
-	binary.BigEndian.PutUint32(head[headSize+5:], uint32(n))
-	return zeros[:padded]
+	putHeader(header[:], size, padded)
+	header[headerSize] = byte(Data)
+	binary.BigEndian.PutUint32(header[headerSize+1:], id)
+	binary.BigEndian.PutUint32(header[headerSize+5:], uint32(n))
+	return zeroPadding[:padded]
 }
 
-// zeros is the padding of all packets, which nobody writes to.
-var zeros [minPacket + block]byte
+// zeroPadding is the padding of all packets. It is never modified.
+var zeroPadding [minPacketSize + blockSize]byte
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -1,4 +1,4 @@
-// Package docscheck holds the pages that name code against the code. It has nothing but this test.
+// Package docscheck tests that the symbols and paths named in the documentation exist. It contains only tests.
 package docscheck
 
 import (
@@ -15,11 +15,12 @@
 
 const root = "../.."
 
-// symbols are the declared names of a package: functions, types, constants, variables, and "Type.Member" for methods,
-// fields and methods of interfaces.
+// symbols is the set of names that a package declares: functions, types, constants and variables, and "Type.Member" for
+// fields and methods.
 type symbols map[string]bool
 
-// declared returns the names of all packages of the module, by the package's name. Packages of one name share an entry.
+// declared returns the symbols of all packages of the module, by the name of the package. Packages with the same name
+// share an entry.
 func declared(t *testing.T) map[string]symbols {
 	t.Helper()
 	all := map[string]symbols{}
@@ -63,7 +64,7 @@
 	}
 }
 
-// receiver is "Type." for a method, and nothing for a function.
+// receiver returns "Type." for a method, and "" for a function.
 func receiver(decl *ast.FuncDecl) string {
 	if decl.Recv == nil {
 		return ""
@@ -115,10 +116,10 @@
 	folder   = regexp.MustCompile(`^(?:decision|internal|cmd|lab|docs|deploy)/[\w./-]*$`)
 )
 
-// minSymbols is how many symbols a page has to name that leads to the code.
+// minSymbols is the minimum number of symbols on a page whose purpose is to lead readers to the code.
 const minSymbols = 30
 
-// pages are the pages that name code, and how many symbols each has to name at least.
+// pages returns the pages to check, and the minimum number of symbols that each must name.
 func pages(t *testing.T) map[string]int {
 	t.Helper()
 	all := map[string]int{
@@ -139,7 +140,7 @@
 	return all
 }
 
-// Each code span that names a symbol of a package of this module, or a path of the repository, names one that there is.
+// Every symbol of a package of this module, and every path of the repository, that a page names in a code span exists.
 func TestPagesNameWhatExists(t *testing.T) {
 	packages := declared(t)
 	for page, want := range pages(t) {
@@ -150,7 +151,7 @@
 		checked := 0
 		for number, line := range strings.Split(string(text), "\n") {
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
-				if isSymbol, problem := check(packages, span[1]); problem != "" {
+				if isSymbol, problem := checkSpan(packages, span[1]); problem != "" {
 					t.Errorf("%s:%d: %s", page, number+1, problem)
 				} else if isSymbol {
 					checked++
@@ -158,14 +159,14 @@
 			}
 		}
 		if checked < want {
-			t.Errorf("%s names %d symbols; it is to name the rules and terms by their symbols", page, checked)
+			t.Errorf("%s names only %d symbols; it must name rules and terms by their symbols", page, checked)
 		}
 	}
 }
 
-// check looks up what a code span names. It reports whether that is a symbol of a package of this module, and what is
-// wrong with it; a span that names neither a symbol nor a path is never wrong.
-func check(packages map[string]symbols, span string) (isSymbol bool, problem string) {
+// checkSpan checks the symbol or path that a code span names. It reports whether the span names a symbol of a package
+// of this module, and the problem, "" if there is none. A span that names neither a symbol nor a path has no problem.
+func checkSpan(packages map[string]symbols, span string) (isSymbol bool, problem string) {
 	if folder.MatchString(span) {
 		if _, err := os.Stat(filepath.Join(root, span)); err != nil {
 			return false, "there is no " + span
--- a/internal/layering/deploy_test.go
+++ b/internal/layering/deploy_test.go
@@ -11,7 +11,7 @@
 
 const root = "../.."
 
-// deployPaths are the paths that the deploy file lists under a key.
+// deployPaths returns the paths that the deploy file lists under key.
 func deployPaths(t *testing.T, key string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -29,7 +29,8 @@
 	return paths
 }
 
-// The deploy file's policy is the core and what it imports of this module, file by file; its node is what there is.
+// The deploy file lists under policy exactly the files of the core and of the packages of this module that the core
+// imports. All paths under node exist.
 func TestDeployFileNamesWhatExists(t *testing.T) {
 	for _, path := range deployPaths(t, "node") {
 		if _, err := os.Stat(filepath.Join(root, path)); err != nil {
@@ -38,7 +39,7 @@
 	}
 	var want []string
 	for _, pkg := range deps(t, "spurspread/decision") {
-		if !under(pkg, "spurspread") {
+		if !isUnder(pkg, "spurspread") {
 			continue
 		}
 		files, err := filepath.Glob(filepath.Join(root, strings.TrimPrefix(pkg, "spurspread/"), "*.go"))
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -1,4 +1,4 @@
-// Package layering holds the layout: who may import whom. It has nothing but this test.
+// Package layering tests which packages of this module may import which others. It contains only tests.
 package layering
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// deps lists all that packages need, themselves included.
+// deps returns the packages and all their direct and indirect dependencies.
 func deps(t *testing.T, packages ...string) []string {
 	t.Helper()
 	out, err := exec.Command("go", append([]string{"list", "-deps"}, packages...)...).Output()
@@ -18,12 +18,13 @@
 	return strings.Fields(string(out))
 }
 
-func under(path string, folders ...string) bool {
+// isUnder reports whether path is one of the folders or inside one of them.
+func isUnder(path string, folders ...string) bool {
 	return slices.ContainsFunc(folders, func(f string) bool { return path == f || strings.HasPrefix(path, f+"/") })
 }
 
-// leaves have what all decisions share. They know nothing of this module, and everybody may know them.
-var leaves = []string{
+// sharedPackages are used by many decisions. They import nothing of this module, and any package may import them.
+var sharedPackages = []string{
 	"spurspread/decision/monotime",
 	"spurspread/decision/outcome",
 	"spurspread/decision/backoff",
@@ -31,20 +32,20 @@
 	"spurspread/decision/answercause",
 }
 
-// corePolicies are the policies that the core asks. They know neither it nor each other.
+// corePolicies are the policies that the core uses. They import neither the core nor each other.
 var corePolicies = []string{
 	"spurspread/decision/polling", "spurspread/decision/slowstart", "spurspread/decision/latency",
 	"spurspread/decision/serverload", "spurspread/decision/fleetsize", "spurspread/decision/retry",
 	"spurspread/decision/concurrency",
 }
 
-// Decisions have no clock, sockets, files or goroutines. The core knows its policies; nobody else knows another
-// decision.
+// Decisions use no clock, sockets, files or goroutines. The core imports its policies; no other decision imports
+// another one.
 func TestDecisionsArePure(t *testing.T) {
-	barred := []string{"os", "net", "time", "io/fs", "sync", "syscall", "context", "log", "math/rand", "crypto/rand"}
+	forbidden := []string{"os", "net", "time", "io/fs", "sync", "syscall", "context", "log", "math/rand", "crypto/rand"}
 	for _, d := range deps(t, "spurspread/decision/...") {
-		if under(d, "spurspread") && !under(d, "spurspread/decision") {
-			t.Errorf("a decision needs %s", d)
+		if isUnder(d, "spurspread") && !isUnder(d, "spurspread/decision") {
+			t.Errorf("a decision depends on %s", d)
 		}
 	}
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}}: {{join .Imports " "}}`, "spurspread/decision/...").
@@ -55,23 +56,24 @@
 	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 		pkg, imports, _ := strings.Cut(line, ": ")
 		for _, i := range strings.Fields(imports) {
-			if slices.Contains(barred, i) {
+			if slices.Contains(forbidden, i) {
 				t.Errorf("%s imports %s", pkg, i)
 			}
-			if !under(i, "spurspread") || slices.Contains(leaves, i) && !slices.Contains(leaves, pkg) {
+			if !isUnder(i, "spurspread") ||
+				slices.Contains(sharedPackages, i) && !slices.Contains(sharedPackages, pkg) {
 				continue
 			}
 			if pkg != "spurspread/decision" || !slices.Contains(corePolicies, i) {
-				t.Errorf("%s knows the insides of %s", pkg, i)
+				t.Errorf("%s must not import %s", pkg, i)
 			}
 		}
 	}
 }
 
-// The data plane stays small, and knows neither the control plane nor the laboratory.
+// The data plane depends neither on the control plane and the laboratory nor on large packages that it does not need.
 func TestDataPlane(t *testing.T) {
 	for _, d := range deps(t, "spurspread/cmd/spurspread", "spurspread/cmd/spurspread-sim") {
-		if under(
+		if isUnder(
 			d,
 			"spurspread/lab",
 			"spurspread/internal/control",
@@ -80,12 +82,12 @@
 			"crypto/tls",
 			"gonum.org",
 		) {
-			t.Errorf("the data plane needs %s", d)
+			t.Errorf("the data plane depends on %s", d)
 		}
 	}
 }
 
-// packages lists the packages that a pattern names.
+// packages returns the packages that match a pattern.
 func packages(t *testing.T, pattern string) []string {
 	t.Helper()
 	out, err := exec.Command("go", "list", pattern).Output()
@@ -95,18 +97,18 @@
 	return strings.Fields(string(out))
 }
 
-// scalePackage is the one package of the laboratory that runs the production transport, for members of a scale run
-// that have no process of their own, and with it the event loop.
+// scalePackage is the only package of the laboratory that may use the event loop: it runs the production transport for
+// members of a scale run that have no process of their own.
 const scalePackage = "spurspread/lab/scale"
 
-// Each package knows only those below it.
+// Each package depends only on packages of lower layers.
 func TestLayers(t *testing.T) {
-	laboratory := []string{
+	forbiddenInLab := []string{
 		"spurspread/internal/proxy",
 		"spurspread/internal/eventloop",
 		"spurspread/internal/lineproto",
 	}
-	layers := map[string][]string{
+	forbiddenImports := map[string][]string{
 		"spurspread/internal/eventloop": {
 			"spurspread/internal/lineproto",
 			"spurspread/internal/proxy",
@@ -121,13 +123,13 @@
 	}
 	for _, pkg := range packages(t, "spurspread/lab/...") {
 		if pkg != scalePackage {
-			layers[pkg] = laboratory
+			forbiddenImports[pkg] = forbiddenInLab
 		}
 	}
-	for pkg, barred := range layers {
+	for pkg, forbidden := range forbiddenImports {
 		for _, d := range deps(t, pkg) {
-			if under(d, barred...) && !slices.Contains(leaves, d) {
-				t.Errorf("%s needs %s", pkg, d)
+			if isUnder(d, forbidden...) && !slices.Contains(sharedPackages, d) {
+				t.Errorf("%s must not depend on %s", pkg, d)
 			}
 		}
 	}
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -43,8 +43,8 @@
 	return len(line), nil
 }
 
-// Close waits until the queued lines are written, but at most flushTimeout. After that it gives up on lines that are
-// still queued, because the process is about to end.
+// Close waits until the queued lines are written, but at most 100 ms (flushTimeout). After that it gives up on lines
+// that are still queued, because the process is about to end.
 func (w *AsyncWriter) Close() {
 	close(w.lines)
 	select {
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -64,7 +64,7 @@
 	ReceiveWindowBytes = "receive_window_bytes" // bytes that peers may send, plus buffered bytes from them
 	QueuedBytes        = "queued_bytes"         // bytes that are buffered for clients and servers
 	MuxUpstreamsFailed = "mux_upstreams_failed" // counter: MuxUpstreams that broke or could not be opened
-	CorrelatedFailures = "correlated_failures"  // counter: attempts that failed with the same connection as an earlier one
+	CorrelatedFailures = "correlated_failures"  // counter: further attempts that failed with such a connection
 )
 
 // Fields about the membership of balancers.
--- a/internal/siteconfig/doc.go
+++ b/internal/siteconfig/doc.go
@@ -1,8 +1,8 @@
-// Package siteconfig reads the site file, XML as deploy/spurspread.xsd says: the project's own settings of one
-// installation. What the platform gives a balancer is in the platform's JSON (package settings); the site file has what
-// the platform knows nothing of, and turns each of it on.
+// Package siteconfig reads the site file, an XML file with the program's own settings for one installation. Settings
+// that the platform provides are in the platform's JSON (package settings). The site file has all others; each part of
+// it turns a feature on. Its schema is deploy/spurspread.xsd.
 //
-// Load reads a file with the secrets that it names. Types here mirror the XML: the tags have each attribute's name,
-// default, bounds and documentation, and Schema prints them as XSD. Go names are the project's terms; XML names are
-// fixed by the files in use. The package must not know who uses the settings.
+// Load reads a file together with the key files that it names. The types of this package mirror the XML: their tags
+// hold the name, default, bounds and documentation of each attribute, from which Schema generates the schema. XML names
+// can't change, because existing files use them. The package must not depend on the packages that use the settings.
 package siteconfig
--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// SecretSize is the length of a key, in bytes.
+	// SecretSize is the length of a key in bytes.
 	SecretSize = 32
 
-	secretDigits     = 2 * SecretSize // in a key file
+	secretDigits     = 2 * SecretSize // hexadecimal digits in a key file
 	maxKeyFileSize   = 2 * secretDigits
-	permissionsOther = 0o077 // of the group and others
+	permissionsOther = 0o077 // permission bits of the group and of others
 	fingerprintSize  = 4     // bytes
 
 	usePrimary = "mint"
 
-	makeKey = "make one: spurspread token key FILE" // how to mend most faults of a key file
+	makeKey = "make one: spurspread token key FILE" // the fix for most errors about a key file
 )
 
-// Keys are the keys that seal tokens, or the fleet's datagrams. Exactly one is primary.
+// Keys holds the keys for tokens or for the fleet's datagrams. Exactly one of them is primary.
 type Keys struct {
 	Key []*Key `xml:"key" least:"1" most:"8" doc:"a key; what is sealed with one that is not listed is refused"`
 }
 
-// Key is one of Keys. To rotate: add the new one as 'accept' on all machines, then make it 'mint', and remove the old
-// one when the last token that it has sealed has expired.
+// Key is one of Keys. To rotate keys, add the new key as 'accept' on all machines, then change it to 'mint' and the old
+// key to 'accept', and remove the old key after the last token that it sealed has expired.
 type Key struct {
 	ID   xmlconfig.Name `xml:"id,attr" use:"required" key:"keys" doc:"what the key is called in logs"`
 	File xmlconfig.Path `xml:"file,attr" use:"required" doc:"a file of 64 hexadecimal digits that nobody else may read"`
 	Use  string         `xml:"use,attr" use:"required" enum:"mint,accept" doc:"mint: new tokens are sealed with it, too; one key of all does that"`
 
-	Secret [SecretSize]byte `xml:"-"` // the content of File
+	Secret [SecretSize]byte `xml:"-"` // the secret read from File
 }
 
-// IsPrimary reports whether new tokens, or datagrams, are sealed with the key. Other keys only open what is sealed.
+// IsPrimary reports whether the key seals new tokens or datagrams. All other keys only open them.
 func (k *Key) IsPrimary() bool { return k.Use == usePrimary }
 
-// Fingerprint identifies a key by its content, so that machines that name it differently can compare.
+// Fingerprint returns an identifier of a key that depends only on the secret, so that keys can be compared between
+// machines that give them different names.
 func Fingerprint(secret [SecretSize]byte) string {
 	sum := sha256.Sum256(secret[:])
 	return fmt.Sprintf("%x", sum[:fingerprintSize])
 }
 
-// Check reads the key files and checks that exactly one key is primary and that all differ.
+// Check reads the key files, and checks that exactly one key is primary and that all keys differ.
 func (k *Keys) Check(file *xmlconfig.File) {
 	primaries := 0
 	seen := map[[SecretSize]byte]xmlconfig.Name{}
@@ -76,8 +77,8 @@
 	}
 }
 
-// load reads the key's file, relative to the site file, into Secret. It returns false and reports the fault where the
-// file can't be used.
+// load reads the key file into Secret; its path is relative to the site file. If the file can't be used, load reports
+// the error to file and returns false.
 func (k *Key) load(file *xmlconfig.File) bool {
 	path := string(k.File)
 	if !filepath.IsAbs(path) {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// checkFile checks that path is a small regular file that only its owner may use.
+// checkFile checks that path is a small regular file to which only its owner has access.
 func (k *Key) checkFile(file *xmlconfig.File, path string) bool {
 	info, err := os.Stat(path)
 	switch {
@@ -122,7 +123,7 @@
 	return false
 }
 
-// withoutPath is an error of the file system without the path, which the fault names already.
+// withoutPath removes the path from an error of the file system, since the reported error names the key file already.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -16,30 +16,31 @@
 
 const schemaFile = "../../deploy/spurspread.xsd"
 
-// folder is a directory for site files, with the key files that the files in testdata name.
-func folder(t *testing.T) string {
+// siteDir returns a directory for site files, with the key files that the files in testdata name.
+func siteDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	put := func(name, text string, mode os.FileMode) {
+	write := func(name, text string, mode os.FileMode) {
 		path := filepath.Join(dir, name)
 		if err := errors.Join(os.WriteFile(path, []byte(text), mode), os.Chmod(path, mode)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i := range 9 {
-		put(fmt.Sprint("k", i+1), strings.Repeat(fmt.Sprint("0", i), SecretSize)+"\n", 0o600)
+		write(fmt.Sprint("k", i+1), strings.Repeat(fmt.Sprint("0", i), SecretSize)+"\n", 0o600)
 	}
-	put("open", strings.Repeat("ab", SecretSize), 0o644)
-	put("short", "0123456789\n", 0o600)
-	put("large", strings.Repeat("a", 5000), 0o600)
-	put("nohex", strings.Repeat("zz", SecretSize), 0o600)
+	write("open", strings.Repeat("ab", SecretSize), 0o644)
+	write("short", "0123456789\n", 0o600)
+	write("large", strings.Repeat("a", 5000), 0o600)
+	write("nohex", strings.Repeat("zz", SecretSize), 0o600)
 	if err := os.Mkdir(filepath.Join(dir, "folder"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// validates reports whether xmllint, which is independent of the reader, finds a file valid against the schema.
+// validates reports whether a file is valid against the schema according to xmllint, which is independent of this
+// package's parser.
 func validates(t *testing.T, path string) bool {
 	t.Helper()
 	out, err := exec.Command("xmllint", "--nonet", "--noout", "--schema", schemaFile, path).CombinedOutput()
@@ -47,7 +48,7 @@
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatalf("xmllint (Debian: libxml2-utils): %v", err)
 	}
-	// 1: not well-formed, 3: not valid; anything else is a fault of the schema or the call
+	// exit codes 1: not well-formed, 3 and 4: not valid; any other: the schema or the call is wrong
 	if err != nil && exit.ExitCode() != 1 && exit.ExitCode() != 3 && exit.ExitCode() != 4 {
 		t.Fatalf("xmllint: %v: %s", err, out)
 	}
@@ -56,13 +57,14 @@
 
 var expectation = regexp.MustCompile(`<!-- want (.*) -->\n<!-- schema (refuses|accepts) -->`)
 
-// Every broken file is rejected with a message for each fault that names its line; the schema rejects what it can.
+// Every broken file is rejected with exactly the expected errors and their line numbers. The schema rejects or accepts
+// it as the file says, since it can't express all rules.
 func TestBroken(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.xml")
 	if err != nil || len(files) < 25 {
 		t.Fatal(len(files), err)
 	}
-	dir := folder(t)
+	dir := siteDir(t)
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".xml"), func(t *testing.T) {
 			text, err := os.ReadFile(file)
@@ -71,22 +73,22 @@
 			}
 			want := expectation.FindSubmatch(text)
 			if want == nil {
-				t.Fatal("the file has no comment with the expected faults")
+				t.Fatal("the file has no comment with the expected errors")
 			}
 			path := filepath.Join(dir, filepath.Base(file))
 			if err := os.WriteFile(path, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			_, err = Load(path)
-			var faults xmlconfig.FieldErrors
-			if !errors.As(err, &faults) {
+			var fieldErrors xmlconfig.FieldErrors
+			if !errors.As(err, &fieldErrors) {
 				t.Fatalf("%v", err)
 			}
 			lines := strings.Split(string(want[1]), " | ")
-			if len(faults) != len(lines) {
-				t.Errorf("%d faults, want %d:\n%v", len(faults), len(lines), err)
+			if len(fieldErrors) != len(lines) {
+				t.Errorf("%d errors, want %d:\n%v", len(fieldErrors), len(lines), err)
 			}
-			for i, f := range faults {
+			for i, f := range fieldErrors {
 				if i >= len(lines) {
 					break
 				}
@@ -103,12 +105,12 @@
 	}
 }
 
-// What the reader accepts, the schema accepts; the schema in deploy is the one that the program prints.
+// A file that Load accepts is valid against the schema, and the schema in deploy is the one that the program prints.
 func TestAccepted(t *testing.T) {
 	if text, err := os.ReadFile(schemaFile); err != nil || !bytes.Equal(text, Schema()) {
 		t.Errorf("%s is not what `spurspread site schema` prints (%v)", schemaFile, err)
 	}
-	dir := folder(t)
+	dir := siteDir(t)
 	const keys = `<keys><key id="f" file="k1" use="mint"/></keys></fleet>`
 	for name, body := range map[string]string{
 		"least": `name="x"/>`,
@@ -138,7 +140,7 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if s, err = Load("../../deploy/spurspread.xml"); err != nil || s.Resume != nil {
-		t.Errorf("the site file in deploy turns something on: %+v, %v", s, err)
+		t.Errorf("the site file in deploy turns a feature on: %+v, %v", s, err)
 	}
 }
 
@@ -151,8 +153,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		err := xmlconfig.Read("fuzz.xml", text, document(), &Site{})
-		var faults xmlconfig.FieldErrors
-		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
+		var fieldErrors xmlconfig.FieldErrors
+		if err != nil && (!errors.As(err, &fieldErrors) || len(fieldErrors) == 0) {
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/xmlconfig/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -10,7 +10,7 @@
 	"unicode"
 )
 
-// node is one element as it stands in the file.
+// node is an element of the file.
 type node struct {
 	name     string
 	line     int
@@ -18,28 +18,30 @@
 	children []*node
 }
 
+// attribute is an attribute of an element in the file.
 type attribute struct {
 	name, value string
 	line        int
 }
 
-// tree is the document as far as it was read.
-type tree struct {
+// treeBuilder builds the tree of elements from the tokens of a file.
+type treeBuilder struct {
 	f     *File
 	d     Document
 	root  *node
-	open  []*node // elements whose end has not come, outermost first
-	count int     // of elements
+	open  []*node // elements that are not closed yet, outermost first
+	count int     // number of elements
 }
 
-// parse reads the text into nodes. What is no well-formed XML ends it; all else is noted and read on.
+// parse parses the text into nodes and returns the root, or nil if it could not read on. Parsing stops if the text is
+// not well-formed XML or over a limit; after other errors it continues, in order to report all of them.
 func (f *File) parse(text []byte, d Document) *node {
 	if len(text) > maxBytes {
-		f.addError(place{line: 1}, "split it", "the file has %d bytes, over %d", len(text), maxBytes)
+		f.addError(location{line: 1}, "split the file", "the file has %d bytes, over %d", len(text), maxBytes)
 		return nil
 	}
 	dec := xml.NewDecoder(bytes.NewReader(text))
-	t := &tree{f: f, d: d}
+	t := &treeBuilder{f: f, d: d}
 	for {
 		from := dec.InputOffset()
 		line, _ := dec.InputPos()
@@ -48,16 +50,16 @@
 			break
 		}
 		if err != nil {
-			f.syntax(err, line)
+			f.addSyntaxError(err, line)
 			return nil
 		}
-		if !t.take(tok, text[from:dec.InputOffset()], line) {
+		if !t.addToken(tok, text[from:dec.InputOffset()], line) {
 			return nil
 		}
 	}
 	if t.root == nil && len(f.errors) == 0 {
 		f.addError(
-			place{line: 1},
+			location{line: 1},
 			fmt.Sprintf("begin with <%s xmlns=%q>", d.Root, d.Namespace),
 			"the file holds no element",
 		)
@@ -65,32 +67,33 @@
 	return t.root
 }
 
-// take adds a token, which begins on a line and is written as raw. It returns false where nothing more is to be read.
-func (t *tree) take(tok xml.Token, raw []byte, line int) bool {
+// addToken adds a token, which starts on the given line; raw is its text in the file. It returns false if parsing must
+// stop.
+func (t *treeBuilder) addToken(tok xml.Token, raw []byte, line int) bool {
 	switch tok := tok.(type) {
 	case xml.StartElement:
-		return t.begin(tok, raw, line)
+		return t.startElement(tok, raw, line)
 	case xml.EndElement:
 		t.open = t.open[:len(t.open)-1]
 	case xml.CharData:
-		t.chars(tok, line)
+		t.charData(tok, line)
 	case xml.Directive:
-		t.f.addError(place{line: line}, "remove it", "a document type is not read")
+		t.f.addError(location{line: line}, "remove it", "a document type is not read")
 		return false
 	case xml.ProcInst:
 		if tok.Target != "xml" {
-			t.f.addError(place{line: line}, "remove it", "the instruction <?%s?> is not read", tok.Target)
+			t.f.addError(location{line: line}, "remove it", "the instruction <?%s?> is not read", tok.Target)
 		}
 	}
 	return true
 }
 
-// begin adds an element to the one that it stands in. It returns false where nothing more is to be read.
-func (t *tree) begin(tok xml.StartElement, raw []byte, line int) bool {
+// startElement adds an element to its parent. It returns false if parsing must stop.
+func (t *treeBuilder) startElement(tok xml.StartElement, raw []byte, line int) bool {
 	if t.count++; t.count > maxElements || len(t.open) >= maxDepth {
 		t.f.addError(
-			place{line, tok.Name.Local},
-			"make it smaller",
+			location{line, tok.Name.Local},
+			"reduce the number of elements, or their depth",
 			"over %d elements, or %d inside each other",
 			maxElements,
 			maxDepth,
@@ -98,9 +101,9 @@
 		return false
 	}
 	n := &node{name: tok.Name.Local, line: line}
-	n.attrs = t.f.located(tok, raw, line)
+	n.attrs = t.f.locateAttributes(tok, raw, line)
 	if tok.Name.Space != t.d.Namespace {
-		t.f.addError(place{line, n.name}, fmt.Sprintf("put xmlns=%q on the root element", t.d.Namespace),
+		t.f.addError(location{line, n.name}, fmt.Sprintf("put xmlns=%q on the root element", t.d.Namespace),
 			"the element is not of this kind of file")
 		if t.root == nil {
 			return false
@@ -108,13 +111,13 @@
 	}
 	switch {
 	case len(t.open) > 0:
-		outer := t.open[len(t.open)-1]
-		outer.children = append(outer.children, n)
+		parent := t.open[len(t.open)-1]
+		parent.children = append(parent.children, n)
 	case t.root == nil && n.name == t.d.Root:
 		t.root = n
 	default:
 		t.f.addError(
-			place{line, n.name},
+			location{line, n.name},
 			fmt.Sprintf("the root element is <%s>, once", t.d.Root),
 			"not the root element of this kind of file",
 		)
@@ -124,8 +127,9 @@
 	return true
 }
 
-// chars notes text between elements, which no file has, at the line of its first character that is not white space.
-func (t *tree) chars(text xml.CharData, line int) {
+// charData reports text between elements, which is never valid, at the line of its first character that is not white
+// space.
+func (t *treeBuilder) charData(text xml.CharData, line int) {
 	rest := bytes.TrimSpace(text)
 	if len(rest) == 0 {
 		return
@@ -136,33 +140,35 @@
 	if len(t.open) > 0 {
 		where = t.open[len(t.open)-1].name
 	}
-	t.f.addError(place{line + skipped, where}, "put values into attributes", "text %q between elements", short(rest))
+	t.f.addError(location{line + skipped, where}, "put values into attributes",
+		"text %q between elements", truncate(rest))
 }
 
-func (f *File) syntax(err error, line int) {
+func (f *File) addSyntaxError(err error, line int) {
 	var bad *xml.SyntaxError
 	if errors.As(err, &bad) {
-		f.addError(place{line: bad.Line}, "correct the markup", "not well-formed XML: %s", bad.Msg)
+		f.addError(location{line: bad.Line}, "correct the markup", "not well-formed XML: %s", bad.Msg)
 		return
 	}
-	f.addError(place{line: line}, "save it as UTF-8", "not readable: %v", err)
+	f.addError(location{line: line}, "save it as UTF-8", "not readable: %v", err)
 }
 
-func short(b []byte) string {
+// truncate shortens text that is quoted in an error.
+func truncate(b []byte) string {
 	if len(b) > 24 {
 		return string(b[:24]) + "..."
 	}
 	return string(b)
 }
 
-// located gives the attributes of an element with their lines, from the raw text of its tag, which is well-formed.
-// The decoder resolves what their values hold, but does not say where they stand.
-func (f *File) located(tok xml.StartElement, tag []byte, line int) []attribute {
+// locateAttributes returns the attributes of an element with their line numbers. The decoder provides the values but
+// not the lines, which are found in the text of the tag. The tag must be well-formed.
+func (f *File) locateAttributes(tok xml.StartElement, tag []byte, line int) []attribute {
 	var out []attribute
 	lines := attributeLines(tag, line)
 	for i, a := range tok.Attr {
 		if a.Name.Local == "xmlns" || a.Name.Space == "xmlns" {
-			continue // what it declares shows in the names of elements
+			continue // a namespace declaration; its effect is in Name.Space of the elements
 		}
 		at := line
 		if i < len(lines) {
@@ -170,7 +176,7 @@
 		}
 		if a.Name.Space != "" {
 			f.addError(
-				place{at, tok.Name.Local + "@" + a.Name.Local},
+				location{at, tok.Name.Local + "@" + a.Name.Local},
 				"remove it",
 				"attributes of other namespaces are not read",
 			)
@@ -181,7 +187,7 @@
 	return out
 }
 
-// attributeLines tells on which line each attribute of a tag begins.
+// attributeLines returns the line on which each attribute of a tag begins; line is that of the tag.
 func attributeLines(tag []byte, line int) []int {
 	var lines []int
 	for i := 0; i < len(tag); i++ {
--- a/internal/xmlconfig/schema.go
+++ b/internal/xmlconfig/schema.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// Schema writes the XSD 1.0 schema of the documents that Read fills structs like of from. It refuses no file that Read
-// accepts; what it can't say (bounds of values with units, rules of Checkers, files that are named) is left to Read.
+// Schema returns the XSD 1.0 schema of the files that Read parses into a struct of the same type as of; doc is the
+// documentation of the schema. The schema accepts every file that Read accepts. It also accepts some that Read rejects,
+// because it can't express the bounds of values with units, the rules of Checkers, and checks of files that are named.
 func Schema(d Document, of any, doc string) []byte {
 	w := &writer{}
 	t := reflect.TypeOf(of)
@@ -22,13 +23,14 @@
 	)
 	w.doc(doc)
 	w.open(`<xs:element name=%q>`, d.Root)
-	w.complex(t)
-	w.identities(t)
+	w.complexType(t)
+	w.identityConstraints(t)
 	w.close("xs:element")
 	w.close("xs:schema")
 	return w.buf.Bytes()
 }
 
+// writer writes indented XML.
 type writer struct {
 	buf   bytes.Buffer
 	depth int
@@ -55,50 +57,50 @@
 		return
 	}
 	var escaped bytes.Buffer
-	_ = xml.EscapeText(&escaped, []byte(text)) // a buffer takes all
+	_ = xml.EscapeText(&escaped, []byte(text)) // a bytes.Buffer never fails
 	w.line("<xs:annotation><xs:documentation>%s</xs:documentation></xs:annotation>", escaped.String())
 }
 
-func (w *writer) complex(t reflect.Type) {
-	s := shapeOf(t)
+func (w *writer) complexType(t reflect.Type) {
+	spec := elementSpecOf(t)
 	w.open("<xs:complexType>")
-	if len(s.children) > 0 {
-		many := s.children[0].repeated
-		for _, m := range s.children {
-			if m.repeated != many {
+	if len(spec.children) > 0 {
+		repeated := spec.children[0].repeated
+		for _, m := range spec.children {
+			if m.repeated != repeated {
 				panic("form: " + t.String() + " mixes single and repeated elements")
 			}
 		}
 		group := "xs:all"
-		if many {
+		if repeated {
 			group = "xs:choice"
-			least := 0
-			if len(s.children) == 1 {
-				least = s.children[0].minCount
+			minOccurs := 0
+			if len(spec.children) == 1 {
+				minOccurs = spec.children[0].minCount
 			}
-			w.open(`<xs:choice minOccurs="%d" maxOccurs="unbounded">`, least)
+			w.open(`<xs:choice minOccurs="%d" maxOccurs="unbounded">`, minOccurs)
 		} else {
 			w.open("<xs:all>")
 		}
-		for _, m := range s.children {
-			least := ""
-			if !many && !m.required {
-				least = ` minOccurs="0"`
+		for _, m := range spec.children {
+			minOccurs := ""
+			if !repeated && !m.required {
+				minOccurs = ` minOccurs="0"`
 			}
-			w.open(`<xs:element name=%q%s>`, m.name, least)
+			w.open(`<xs:element name=%q%s>`, m.name, minOccurs)
 			w.doc(m.doc)
-			w.complex(m.inner())
+			w.complexType(m.structType())
 			w.close("xs:element")
 		}
 		w.close(group)
 	}
-	for _, m := range s.attrs {
+	for _, m := range spec.attrs {
 		w.attribute(m)
 	}
 	w.close("xs:complexType")
 }
 
-func (w *writer) attribute(m member) {
+func (w *writer) attribute(m fieldSpec) {
 	use := ""
 	switch {
 	case m.required:
@@ -109,11 +111,11 @@
 	w.open(`<xs:attribute name=%q%s>`, m.name, use)
 	doc := m.doc
 	if m.min != "" || m.max != "" {
-		doc = strings.TrimSpace(doc + " (" + m.span() + ")")
+		doc = strings.TrimSpace(doc + " (" + m.boundsText() + ")")
 	}
 	w.doc(doc)
 	w.open("<xs:simpleType>")
-	// Whole numbers have their bounds in the schema, too; of values with units it can't know the size.
+	// The schema can express the bounds of integers, but not those of values with units.
 	if m.typ.Kind() == reflect.Int {
 		w.open(`<xs:restriction base="xs:integer">`)
 		for _, b := range [][2]string{{"xs:minInclusive", m.min}, {"xs:maxInclusive", m.max}} {
@@ -132,14 +134,15 @@
 	w.close("xs:attribute")
 }
 
-// identities writes what must be unique in the file, and what must name something in it.
-func (w *writer) identities(root reflect.Type) {
+// identityConstraints writes the constraints for the key and ref tags: names that must be unique in the file, and
+// references to them.
+func (w *writer) identityConstraints(root reflect.Type) {
 	keys, refs := map[string][]string{}, map[string][]string{}
 	var order []string
 	var walk func(t reflect.Type, path string)
 	walk = func(t reflect.Type, path string) {
-		s := shapeOf(t)
-		for _, m := range s.attrs {
+		spec := elementSpecOf(t)
+		for _, m := range spec.attrs {
 			for _, set := range []struct {
 				name string
 				to   map[string][]string
@@ -153,25 +156,26 @@
 				set.to[set.name] = append(set.to[set.name], path+"\x00"+m.name)
 			}
 		}
-		for _, m := range s.children {
+		for _, m := range spec.children {
 			at := "f:" + m.name
 			if path != "" {
 				at = path + "/" + at
 			}
-			walk(m.inner(), at)
+			walk(m.structType(), at)
 		}
 	}
 	walk(root, "")
 	for _, set := range order {
-		w.identity("key", set, "", union(set, keys[set]))
+		w.identityConstraint("key", set, "", joinPaths(set, keys[set]))
 		for i, r := range refs[set] {
-			w.identity("keyref", fmt.Sprintf("%s-%d", set, i+1), fmt.Sprintf(` refer="f:%s"`, set), r)
+			w.identityConstraint("keyref", fmt.Sprintf("%s-%d", set, i+1), fmt.Sprintf(` refer="f:%s"`, set), r)
 		}
 	}
 }
 
-// union is one place for several that define names of one set, each by the same attribute.
-func union(set string, places []string) string {
+// joinPaths combines the XPath expressions of all elements that define names of a set. All must define them by the same
+// attribute. A place is an XPath, a zero byte and the name of the attribute.
+func joinPaths(set string, places []string) string {
 	if len(places) == 0 {
 		panic("form: nothing defines " + set)
 	}
@@ -187,7 +191,7 @@
 	return strings.Join(paths, "|") + "\x00" + attr
 }
 
-func (w *writer) identity(kind, name, more, at string) {
+func (w *writer) identityConstraint(kind, name, more, at string) {
 	path, field, _ := strings.Cut(at, "\x00")
 	w.open("<xs:%s name=%q%s>", kind, name, more)
 	w.line("<xs:selector xpath=%q/>", path)
--- a/internal/xmlconfig/value.go
+++ b/internal/xmlconfig/value.go
@@ -13,50 +13,51 @@
 	"time"
 )
 
-// A value is what an attribute may hold: the types below, string with an enum tag, int and bool.
+// value is implemented by the attribute types of this package. Besides these, an attribute may be a string with an enum
+// tag, an int or a bool.
 type value interface {
 	encoding.TextUnmarshaler
-	pattern() string // a regular expression, alike in Go and XSD
-	sample() string
-	kind() string
-	size() float64 // for bounds
+	pattern() string     // a regular expression with the same meaning in Go and XSD
+	sample() string      // an example of a valid value
+	description() string // the kind of value, in errors
+	size() float64       // the number to which bounds apply
 }
 
-var errValue = errors.New("not such a value")
+var errInvalidValue = errors.New("invalid value")
 
-// valueError is a value of the right form that can't be used.
+// valueError reports a well-formed value that is not allowed.
 type valueError struct{ what, fix string }
 
 func (b valueError) Error() string { return b.what }
 
-// Name names something within a file or a deployment: letters, digits, dot, dash and underscore, at most 64.
+// Name is a name within a file or a deployment: at most 64 letters, digits, dots, dashes and underscores.
 type Name string
 
-// Text is a line of text for people, at most 256 characters.
+// Text is one line of text for humans, at most 256 characters.
 type Text string
 
-// Path is a file's path, relative to the folder of the file that names it unless it begins with a slash.
+// Path is the path of a file. Unless it begins with a slash, it is relative to the folder of the configuration file.
 type Path string
 
-// Address is an IP address with a port; port 0 takes any.
+// Address is an IP address with a port; port 0 means any free port.
 type Address string
 
-// HostPort is a host, by name or IP address, with a port.
+// HostPort is a host name or IP address with a port.
 type HostPort string
 
-// Duration is a span of time, written as a number with its unit: us, ms, s, m or h.
+// Duration is a duration, written as a number with a unit: us, ms, s, m or h.
 type Duration time.Duration
 
-// Size is a number of bytes, written with its unit: B, KiB, MiB or GiB.
+// Size is a number of bytes, written with a unit: B, KiB, MiB or GiB.
 type Size int64
 
-// Rate is a number of events a second, written with its unit: /s, /min or /h.
+// Rate is a number of events per second, written with a unit: /s, /min or /h.
 type Rate float64
 
-// Share is a part of a whole, written in per cent.
+// Share is a fraction, written as a percentage: 15% is 0.15.
 type Share float64
 
-// Number is a plain number without a unit, not below zero.
+// Number is a number without a unit, not negative.
 type Number float64
 
 const numeral = `[0-9]{1,12}(\.[0-9]{1,9})?`
@@ -85,16 +86,16 @@
 func (*Share) sample() string    { return "15%" }
 func (*Number) sample() string   { return "1.5" }
 
-func (*Name) kind() string     { return "name (letters, digits, '.', '-' and '_')" }
-func (*Text) kind() string     { return "text of one line" }
-func (*Path) kind() string     { return "path" }
-func (*Address) kind() string  { return "address and port" }
-func (*HostPort) kind() string { return "host and port" }
-func (*Duration) kind() string { return "span of time with its unit (us, ms, s, m, h)" }
-func (*Size) kind() string     { return "number of bytes with its unit (B, KiB, MiB, GiB)" }
-func (*Rate) kind() string     { return "rate with its unit (/s, /min, /h)" }
-func (*Share) kind() string    { return "share in per cent" }
-func (*Number) kind() string   { return "number" }
+func (*Name) description() string     { return "name (letters, digits, '.', '-' and '_')" }
+func (*Text) description() string     { return "text of one line" }
+func (*Path) description() string     { return "path" }
+func (*Address) description() string  { return "address and port" }
+func (*HostPort) description() string { return "host and port" }
+func (*Duration) description() string { return "span of time with its unit (us, ms, s, m, h)" }
+func (*Size) description() string     { return "number of bytes with its unit (B, KiB, MiB, GiB)" }
+func (*Rate) description() string     { return "rate with its unit (/s, /min, /h)" }
+func (*Share) description() string    { return "share in per cent" }
+func (*Number) description() string   { return "number" }
 
 func (*Name) size() float64       { return 0 }
 func (*Text) size() float64       { return 0 }
@@ -107,119 +108,119 @@
 func (v *Share) size() float64    { return float64(*v) }
 func (v *Number) size() float64   { return float64(*v) }
 
-// UnmarshalText reads a name.
+// UnmarshalText sets the name.
 func (v *Name) UnmarshalText(b []byte) error { *v = Name(b); return nil }
 
-// UnmarshalText reads a line of text.
+// UnmarshalText sets the text.
 func (v *Text) UnmarshalText(b []byte) error { *v = Text(b); return nil }
 
-// UnmarshalText reads a path.
+// UnmarshalText sets the path.
 func (v *Path) UnmarshalText(b []byte) error { *v = Path(b); return nil }
 
-// UnmarshalText reads an address; whether it can be one of this machine's shows only when it is used.
+// UnmarshalText sets the address. It does not check whether the address exists on this machine.
 func (v *Address) UnmarshalText(b []byte) error { *v = Address(b); return nil }
 
-// UnmarshalText reads a place; whether there is such a host shows only when it is looked up.
+// UnmarshalText sets host and port. It does not look up the host.
 func (v *HostPort) UnmarshalText(b []byte) error { *v = HostPort(b); return nil }
 
 var (
-	spans = map[string]float64{"us": 1e3, "ms": 1e6, "s": 1e9, "m": 60e9, "h": 3600e9}
-	sizes = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-	rates = map[string]float64{"/s": 1, "/min": 1.0 / 60, "/h": 1.0 / 3600}
+	timeUnits = map[string]float64{"us": 1e3, "ms": 1e6, "s": 1e9, "m": 60e9, "h": 3600e9}
+	sizeUnits = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+	rateUnits = map[string]float64{"/s": 1, "/min": 1.0 / 60, "/h": 1.0 / 3600}
 )
 
-// scaled reads a number with a unit.
-func scaled(b []byte, units map[string]float64, most float64) (float64, error) {
+// parseWithUnit parses a number with one of the units, and returns their product. A product over maximum is invalid.
+func parseWithUnit(b []byte, units map[string]float64, maximum float64) (float64, error) {
 	text := string(b)
 	end := strings.IndexFunc(text, func(r rune) bool { return r != '.' && (r < '0' || r > '9') })
 	if end < 0 {
-		return 0, errValue
+		return 0, errInvalidValue
 	}
 	v, err := strconv.ParseFloat(text[:end], 64)
 	unit, ok := units[text[end:]]
-	if err != nil || !ok || v*unit > most {
-		return 0, errValue
+	if err != nil || !ok || v*unit > maximum {
+		return 0, errInvalidValue
 	}
 	return v * unit, nil
 }
 
-// UnmarshalText reads a span of time.
+// UnmarshalText parses a duration with its unit.
 func (v *Duration) UnmarshalText(b []byte) error {
-	d, err := scaled(b, spans, math.MaxInt64/2)
+	d, err := parseWithUnit(b, timeUnits, math.MaxInt64/2)
 	*v = Duration(d)
 	return err
 }
 
-// UnmarshalText reads a number of bytes.
+// UnmarshalText parses a number of bytes with its unit.
 func (v *Size) UnmarshalText(b []byte) error {
-	d, err := scaled(b, sizes, 1<<60)
+	d, err := parseWithUnit(b, sizeUnits, 1<<60)
 	*v = Size(d)
 	return err
 }
 
-// UnmarshalText reads a rate.
+// UnmarshalText parses a rate with its unit.
 func (v *Rate) UnmarshalText(b []byte) error {
-	d, err := scaled(b, rates, 1e12)
+	d, err := parseWithUnit(b, rateUnits, 1e12)
 	*v = Rate(d)
 	return err
 }
 
-// UnmarshalText reads a share.
+// UnmarshalText parses a percentage.
 func (v *Share) UnmarshalText(b []byte) error {
-	d, err := scaled(b, map[string]float64{"%": 0.01}, 1e6)
+	d, err := parseWithUnit(b, map[string]float64{"%": 0.01}, 1e6)
 	*v = Share(d)
 	return err
 }
 
-// UnmarshalText reads a number.
+// UnmarshalText parses a number.
 func (v *Number) UnmarshalText(b []byte) error {
 	d, err := strconv.ParseFloat(string(b), 64)
 	*v = Number(d)
 	return err
 }
 
-// Std is the span as the standard library has it.
+// Std returns the duration as a time.Duration.
 func (v Duration) Std() time.Duration { return time.Duration(v) }
 
-// Micros is the span in microseconds.
+// Micros returns the duration in microseconds.
 func (v Duration) Micros() int64 { return time.Duration(v).Microseconds() }
 
-// member is one field of an element.
-type member struct {
-	name          string
-	index         int
-	doc           string
-	required      bool
-	defaultValue  string
-	min, max      string
-	enum          []string
-	key, ref      string
-	repeated      bool
-	minCount      int
-	maxCount      int
-	typ           reflect.Type
-	nestedPattern *regexp.Regexp
+// fieldSpec describes an attribute or a child element by the tags of its struct field.
+type fieldSpec struct {
+	name            string
+	index           int
+	doc             string
+	required        bool
+	defaultValue    string
+	min, max        string
+	enum            []string
+	key, ref        string
+	repeated        bool
+	minCount        int
+	maxCount        int
+	typ             reflect.Type
+	compiledPattern *regexp.Regexp
 }
 
-// shape is what an element may hold.
-type shape struct {
-	attrs, children []member
+// elementSpec describes the attributes and children of an element.
+type elementSpec struct {
+	attrs, children []fieldSpec
 }
 
-func (s *shape) attr(name string) (member, bool)  { return find(s.attrs, name) }
-func (s *shape) child(name string) (member, bool) { return find(s.children, name) }
-func (s *shape) attrNames() []string              { return names(s.attrs, "%s") }
-func (s *shape) childNames() []string             { return names(s.children, "<%s>") }
+func (s *elementSpec) attr(name string) (fieldSpec, bool)  { return find(s.attrs, name) }
+func (s *elementSpec) child(name string) (fieldSpec, bool) { return find(s.children, name) }
+func (s *elementSpec) attrNames() []string                 { return names(s.attrs, "%s") }
+func (s *elementSpec) childNames() []string                { return names(s.children, "<%s>") }
 
-func find(of []member, name string) (member, bool) {
-	i := slices.IndexFunc(of, func(m member) bool { return m.name == name })
+func find(of []fieldSpec, name string) (fieldSpec, bool) {
+	i := slices.IndexFunc(of, func(m fieldSpec) bool { return m.name == name })
 	if i < 0 {
-		return member{}, false
+		return fieldSpec{}, false
 	}
 	return of[i], true
 }
 
-func names(of []member, as string) []string {
+func names(of []fieldSpec, as string) []string {
 	var out []string
 	for _, m := range of {
 		out = append(out, fmt.Sprintf(as, m.name))
@@ -227,16 +228,16 @@
 	return out
 }
 
-// shapeOf reads a struct's tags. What is wrong with them is a fault of the program, found by any use.
-func shapeOf(t reflect.Type) *shape {
-	s := &shape{}
+// elementSpecOf reads the tags of a struct. Invalid tags are errors of the program, and cause a panic at the first use.
+func elementSpecOf(t reflect.Type) *elementSpec {
+	s := &elementSpec{}
 	for i := range t.NumField() {
 		f := t.Field(i)
 		name, attr, _ := strings.Cut(f.Tag.Get("xml"), ",")
 		if name == "" || name == "-" {
 			continue
 		}
-		m := member{
+		m := fieldSpec{
 			name: name, index: i, doc: f.Tag.Get("doc"), required: f.Tag.Get("use") == "required",
 			defaultValue: f.Tag.Get("default"), min: f.Tag.Get("min"), max: f.Tag.Get("max"), key: f.Tag.Get("key"),
 			ref: f.Tag.Get("ref"), typ: f.Type,
@@ -245,7 +246,7 @@
 			m.enum = strings.Split(e, ",")
 		}
 		if attr == "attr" {
-			m.nestedPattern = regexp.MustCompile(`^(?:` + m.pattern() + `)$`)
+			m.compiledPattern = regexp.MustCompile(`^(?:` + m.pattern() + `)$`)
 			s.attrs = append(s.attrs, m)
 			continue
 		}
@@ -258,23 +259,26 @@
 	return s
 }
 
-// open gives the struct that a child element fills.
-func (m member) open(v reflect.Value) reflect.Value {
+// childStruct returns the struct for a child element; v is the struct of its parent. For optional and repeated children
+// it allocates a new one.
+func (m fieldSpec) childStruct(v reflect.Value) reflect.Value {
 	field := v.Field(m.index)
 	switch field.Kind() {
 	case reflect.Pointer:
 		field.Set(reflect.New(m.typ.Elem()))
 		return field.Elem()
 	case reflect.Slice:
-		// Addresses of what was read must stay, for they name places in the file: so a slice holds pointers.
-		one := reflect.New(m.typ.Elem().Elem())
-		field.Set(reflect.Append(field, one))
-		return one.Elem()
+		// File.locations refers to structs by their addresses, so a slice must hold pointers: appending to it would
+		// move structs.
+		child := reflect.New(m.typ.Elem().Elem())
+		field.Set(reflect.Append(field, child))
+		return child.Elem()
 	}
 	return field
 }
 
-func (m member) inner() reflect.Type {
+// structType returns the type of the struct for a child element.
+func (m fieldSpec) structType() reflect.Type {
 	switch m.typ.Kind() {
 	case reflect.Pointer:
 		return m.typ.Elem()
@@ -284,12 +288,12 @@
 	return m.typ
 }
 
-func (m member) value() (value, bool) {
+func (m fieldSpec) value() (value, bool) {
 	v, ok := reflect.New(m.typ).Interface().(value)
 	return v, ok
 }
 
-func (m member) pattern() string {
+func (m fieldSpec) pattern() string {
 	if v, ok := m.value(); ok {
 		return v.pattern()
 	}
@@ -306,7 +310,7 @@
 	panic("form: " + m.name + " has a type that no attribute can have")
 }
 
-func (m member) sample() string {
+func (m fieldSpec) sample() string {
 	switch v, ok := m.value(); {
 	case m.defaultValue != "":
 		return m.defaultValue
@@ -322,9 +326,9 @@
 	return "1"
 }
 
-func (m member) kind() string {
+func (m fieldSpec) description() string {
 	if v, ok := m.value(); ok {
-		return v.kind()
+		return v.description()
 	}
 	switch m.typ.Kind() {
 	case reflect.Bool:
@@ -335,10 +339,10 @@
 	return "word of " + strings.Join(m.enum, ", ")
 }
 
-// read gives an attribute's value and, where it has one, its size.
-func (m member) read(text string) (reflect.Value, float64, error) {
-	if !m.nestedPattern.MatchString(text) {
-		return reflect.Value{}, 0, errValue
+// parse returns an attribute's value, and its size if the type has bounds, else 0.
+func (m fieldSpec) parse(text string) (reflect.Value, float64, error) {
+	if !m.compiledPattern.MatchString(text) {
+		return reflect.Value{}, 0, errInvalidValue
 	}
 	to := reflect.New(m.typ)
 	if v, ok := to.Interface().(value); ok {
@@ -360,8 +364,8 @@
 	return to.Elem(), 0, nil
 }
 
-func (m member) set(v reflect.Value, text string) error {
-	got, size, err := m.read(text)
+func (m fieldSpec) set(v reflect.Value, text string) error {
+	got, size, err := m.parse(text)
 	if err != nil {
 		return err
 	}
@@ -372,20 +376,20 @@
 		if bound.text == "" {
 			continue
 		}
-		_, limit, err := m.read(bound.text)
+		_, limit, err := m.parse(bound.text)
 		if err != nil {
 			panic("form: bound of " + m.name + ": " + err.Error())
 		}
 		if bound.sign*(size-limit) < 0 {
-			return valueError{fmt.Sprintf("%s is %s %s", text, bound.word, bound.text), "write " + m.span()}
+			return valueError{fmt.Sprintf("%s is %s %s", text, bound.word, bound.text), "write " + m.boundsText()}
 		}
 	}
 	v.Set(got)
 	return nil
 }
 
-// span says in words what an attribute's bounds allow.
-func (m member) span() string {
+// boundsText describes the range that an attribute's bounds allow.
+func (m fieldSpec) boundsText() string {
 	switch {
 	case m.max == "":
 		return m.min + " or more"
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -1,19 +1,18 @@
-// Package xmlconfig reads XML configuration files strictly into Go structs and writes the schema (XSD 1.0) of the same
-// structs, so that reader and schema can't drift apart. It knows the syntax of a file, and nothing of what any file
-// means.
+// Package xmlconfig reads XML configuration files strictly into Go structs, and writes the schema (XSD 1.0) of the same
+// structs, so that reader and schema can't drift apart. It does not depend on the meaning of any file.
 //
-// A struct is an element. Its fields are attributes or child elements, told apart by the tag xml:
+// A struct describes an element. The xml tag of a field says whether it is an attribute or a child element:
 //
 //	Life  xmlconfig.Duration `xml:"life,attr" default:"60s" min:"1s" max:"10m" doc:"how long a token lasts"`
-//	Use   string        `xml:"use,attr" enum:"mint,accept" use:"required"`
-//	ID    xmlconfig.Name     `xml:"id,attr" use:"required" key:"keys"`   // unique among all keys of the file
-//	By    xmlconfig.Name     `xml:"by,attr" ref:"keys"`                  // must name one of them
-//	Drain Drain         `xml:"drain"`                               // must be there
-//	Trace *Trace        `xml:"trace"`                               // may be there, once
-//	Keys  []Key         `xml:"key" most:"8" least:"1"`              // repeated
+//	Use   string             `xml:"use,attr" enum:"mint,accept" use:"required"`
+//	ID    xmlconfig.Name     `xml:"id,attr" use:"required" key:"keys"` // unique in the set "keys" of the file
+//	By    xmlconfig.Name     `xml:"by,attr" ref:"keys"`                // must be in that set
+//	Drain Drain              `xml:"drain"`                             // must be present
+//	Trace *Trace             `xml:"trace"`                             // may be present once
+//	Keys  []*Key             `xml:"key" most:"8" least:"1"`            // repeated
 //
-// An element holds either single children, in any order, or repeated ones, never both: XSD 1.0 can say no more.
-// An attribute that is absent has its default, or its zero value where it has none.
+// The children of an element are either all single, in any order, or all repeated, because XSD 1.0 can't express a
+// mixture in any order. An absent attribute has its default, or the zero value if it has no default.
 package xmlconfig
 
 import (
@@ -27,25 +26,25 @@
 	"strings"
 )
 
-// Bounds of a file; one that is larger is refused before it costs memory or time.
+// Limits of a file. A file over a limit is rejected early, so that it takes little memory and time.
 const (
 	maxBytes       = 8 << 20
 	maxDepth       = 16
 	maxElements    = 200_000
 	maxErrors      = 100
-	maxSuggestions = 8 // names that an error about a reference suggests
+	maxSuggestions = 8 // names that the error about a reference suggests
 )
 
 // FieldError is one error in a file.
 type FieldError struct {
 	File  string
 	Line  int
-	Where string // the element, and its attribute where it is one's fault: "key@file"
-	What  string
-	Fix   string
+	Where string // the element, and the attribute if the error concerns one: "key@file"
+	What  string // the problem
+	Fix   string // how to correct it
 }
 
-// Error returns one line: file, line, place, what is wrong, how to correct it.
+// Error returns one line with file, line number, element, problem and correction.
 func (f FieldError) Error() string {
 	where := ""
 	if f.Where != "" {
@@ -54,10 +53,10 @@
 	return fmt.Sprintf("%s:%d: %s%s; %s", f.File, f.Line, where, f.What, f.Fix)
 }
 
-// FieldErrors are all errors of a file, by line.
+// FieldErrors holds all errors of a file, ordered by line.
 type FieldErrors []FieldError
 
-// Error returns a line for each error.
+// Error returns one line for each error.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -66,36 +65,38 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is a struct with rules of its own, beyond what tags can say. Check is called once the whole file is read,
-// for inner elements first, and reports errors with File.AddError.
+// Checker is implemented by structs with rules that tags can't express. Check is called after the whole file was read
+// without errors, for inner elements first. It reports errors with File.AddError.
 type Checker interface{ Check(f *File) }
 
-// File is one file that is being read.
+// File is a file while it is being read.
 type File struct {
-	Name   string
-	errors FieldErrors
-	at     map[any]place // by the address of the field or struct that was filled
-	keys   map[string]map[string]int
-	refs   []reference
-	checks []Checker
+	Name      string
+	errors    FieldErrors
+	locations map[any]location          // by the address of the filled field or struct
+	keys      map[string]map[string]int // line of each name, by set
+	refs      []reference
+	checks    []Checker
 }
 
-type place struct {
+// location is a position in the file.
+type location struct {
 	line  int
-	where string
+	where string // as FieldError.Where
 }
 
+// reference is the value of an attribute that must be a name in a set.
 type reference struct {
 	set, name string
-	at        place
+	at        location
 }
 
-// Load reads the file at path.
+// Load reads the file at path into to, like Read. Errors of the file system are returned unchanged.
 func Load(path string, d Document, to any) error {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxBytes {
 		what := fmt.Sprintf("the file has %d bytes, over %d", info.Size(), maxBytes)
-		return FieldErrors{{File: path, Line: 1, What: what, Fix: "split it"}}
+		return FieldErrors{{File: path, Line: 1, What: what, Fix: "split the file"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -104,17 +105,17 @@
 	return Read(path, text, d, to)
 }
 
-// Document names the root element of a kind of file and its namespace.
+// Document describes a kind of file by the name of its root element and the namespace.
 type Document struct{ Root, Namespace string }
 
-// Read fills to, a pointer to a struct with zero values, from text. The error is of type FieldErrors and holds all
-// that is wrong; to is undefined then.
+// Read parses text into to, a pointer to a struct with zero values; name is the file's name in errors. The error, of
+// type FieldErrors, holds all problems found, up to a limit. After an error the struct is undefined.
 func Read(name string, text []byte, d Document, to any) error {
-	f := &File{Name: name, at: map[any]place{}, keys: map[string]map[string]int{}}
+	f := &File{Name: name, locations: map[any]location{}, keys: map[string]map[string]int{}}
 	if root := f.parse(text, d); root != nil {
 		f.fill(root, reflect.ValueOf(to).Elem())
-		f.resolve()
-		if len(f.errors) == 0 { // rules build on values that could be read
+		f.checkReferences()
+		if len(f.errors) == 0 { // rules rely on valid values
 			for _, c := range f.checks {
 				c.Check(f)
 			}
@@ -127,56 +128,57 @@
 	return f.errors
 }
 
-// AddError notes what is wrong with a field or struct that was filled, given by its address.
+// AddError reports a problem, in the form of fmt.Sprintf(what, args...), and its correction. field is the address of
+// the filled field or struct with the problem.
 func (f *File) AddError(field any, fix, what string, args ...any) {
-	f.addError(f.at[field], fix, what, args...)
+	f.addError(f.locations[field], fix, what, args...)
 }
 
-func (f *File) addError(at place, fix, what string, args ...any) {
+func (f *File) addError(at location, fix, what string, args ...any) {
 	if len(f.errors) < maxErrors {
 		f.errors = append(f.errors, FieldError{f.Name, max(at.line, 1), at.where, fmt.Sprintf(what, args...), fix})
 	}
 }
 
-// fill reads one element into v, a struct.
+// fill reads an element into the struct v.
 func (f *File) fill(n *node, v reflect.Value) {
-	here := place{n.line, n.name}
-	f.at[v.Addr().Interface()] = here
-	shape := shapeOf(v.Type())
-	f.attributes(n, shape, v)
+	here := location{n.line, n.name}
+	f.locations[v.Addr().Interface()] = here
+	spec := elementSpecOf(v.Type())
+	f.fillAttributes(n, spec, v)
 	seen := map[string]int{}
-	for _, kid := range n.children {
-		m, ok := shape.child(kid.name)
+	for _, child := range n.children {
+		m, ok := spec.child(child.name)
 		if !ok {
 			f.addError(
-				place{kid.line, kid.name},
-				oneOf("remove it, or use", shape.childNames()),
+				location{child.line, child.name},
+				suggest("remove it, or use", spec.childNames()),
 				"unknown element inside <%s>",
 				n.name,
 			)
 			continue
 		}
-		seen[kid.name]++
-		if !m.repeated && seen[kid.name] > 1 {
-			f.addError(place{kid.line, kid.name}, "keep one of them", "stands twice inside <%s>", n.name)
+		seen[child.name]++
+		if !m.repeated && seen[child.name] > 1 {
+			f.addError(location{child.line, child.name}, "remove all but one", "stands twice inside <%s>", n.name)
 			continue
 		}
-		f.fill(kid, m.open(v))
+		f.fill(child, m.childStruct(v))
 	}
-	for _, m := range shape.children {
-		switch had := seen[m.name]; {
-		case m.required && had == 0, had < m.minCount:
+	for _, m := range spec.children {
+		switch count := seen[m.name]; {
+		case m.required && count == 0, count < m.minCount:
 			f.addError(
 				here,
 				fmt.Sprintf("add <%s>", m.name),
 				"has %d of the elements <%s>, at least %d %s needed",
-				had,
+				count,
 				m.name,
 				max(m.minCount, 1),
 				plural(max(m.minCount, 1), "is", "are"),
 			)
-		case m.maxCount > 0 && had > m.maxCount:
-			f.addError(here, "remove some", "has %d elements <%s>, over %d", had, m.name, m.maxCount)
+		case m.maxCount > 0 && count > m.maxCount:
+			f.addError(here, "remove some", "has %d elements <%s>, over %d", count, m.name, m.maxCount)
 		}
 	}
 	if c, ok := v.Addr().Interface().(Checker); ok {
@@ -191,55 +193,58 @@
 	return many
 }
 
-func oneOf(verb string, names []string) string {
+// suggest returns the fix for an unknown name: verb with the valid names, or removal if there are none.
+func suggest(verb string, names []string) string {
 	if len(names) == 0 {
 		return "remove it"
 	}
 	return verb + " " + strings.Join(names, ", ")
 }
 
-func (f *File) attributes(n *node, shape *shape, v reflect.Value) {
+// fillAttributes reads the attributes of an element into v, and sets the defaults of absent ones.
+func (f *File) fillAttributes(n *node, spec *elementSpec, v reflect.Value) {
 	given := map[string]bool{}
 	for _, a := range n.attrs {
-		at := place{a.line, n.name + "@" + a.name}
-		m, ok := shape.attr(a.name)
+		at := location{a.line, n.name + "@" + a.name}
+		m, ok := spec.attr(a.name)
 		switch {
 		case !ok:
-			f.addError(at, oneOf("remove it, or use", shape.attrNames()), "unknown attribute")
+			f.addError(at, suggest("remove it, or use", spec.attrNames()), "unknown attribute")
 		case given[a.name]:
-			f.addError(at, "keep one of them", "stands twice")
+			f.addError(at, "remove all but one", "stands twice")
 		default:
-			f.attribute(at, m, a.value, v.Field(m.index))
+			f.fillAttribute(at, m, a.value, v.Field(m.index))
 		}
 		given[a.name] = true
 	}
-	for _, m := range shape.attrs {
+	for _, m := range spec.attrs {
 		if given[m.name] {
 			continue
 		}
-		at := place{n.line, n.name + "@" + m.name}
-		f.at[v.Field(m.index).Addr().Interface()] = at
+		at := location{n.line, n.name + "@" + m.name}
+		f.locations[v.Field(m.index).Addr().Interface()] = at
 		switch {
 		case m.required:
 			f.addError(at, fmt.Sprintf("add %s=%q", m.name, m.sample()), "missing")
 		case m.defaultValue != "":
 			if err := m.set(v.Field(m.index), m.defaultValue); err != nil {
-				// a fault of the struct, found by any test of it
+				// an error in the tags of the struct, which any test that reads it finds
 				panic("xmlconfig: default of " + at.where + ": " + err.Error())
 			}
 		}
 	}
 }
 
-func (f *File) attribute(at place, m member, text string, v reflect.Value) {
-	f.at[v.Addr().Interface()] = at
+// fillAttribute reads the value of one attribute into its field v.
+func (f *File) fillAttribute(at location, m fieldSpec, text string, v reflect.Value) {
+	f.locations[v.Addr().Interface()] = at
 	if err := m.set(v, text); err != nil {
 		var bad valueError
 		if errors.As(err, &bad) {
 			f.addError(at, bad.fix, "%s", bad.what)
 			return
 		}
-		f.addError(at, "write it like "+strconv.Quote(m.sample()), "%q is no %s", text, m.kind())
+		f.addError(at, "write it like "+strconv.Quote(m.sample()), "%q is no %s", text, m.description())
 		return
 	}
 	if m.key != "" {
@@ -248,8 +253,8 @@
 			set = map[string]int{}
 			f.keys[m.key] = set
 		}
-		if line, had := set[text]; had {
-			f.addError(at, "give it another", "%q is used already, in line %d", text, line)
+		if line, duplicate := set[text]; duplicate {
+			f.addError(at, "use another value", "%q is used already, in line %d", text, line)
 		} else {
 			set[text] = at.line
 		}
@@ -259,8 +264,8 @@
 	}
 }
 
-// resolve looks whether what is referred to is there.
-func (f *File) resolve() {
+// checkReferences reports references to names that the file does not define.
+func (f *File) checkReferences() {
 	for _, r := range f.refs {
 		if _, ok := f.keys[r.set][r.name]; !ok {
 			var names []string
@@ -277,10 +282,11 @@
 	}
 }
 
-// Defaults fills a struct as an element without attributes would. Attributes that have no default keep their values.
+// Defaults sets the attributes of a struct that have defaults, and leaves all others unchanged. to is a pointer to the
+// struct.
 func Defaults(to any) {
 	v := reflect.ValueOf(to).Elem()
-	for _, m := range shapeOf(v.Type()).attrs {
+	for _, m := range elementSpecOf(v.Type()).attrs {
 		if m.defaultValue == "" {
 			continue
 		}
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// All that is wrong is told at once, by line, with a way to mend it.
-func TestAllFaultsAtOnce(t *testing.T) {
+// All errors of a file are reported together, ordered by line, each with a correction.
+func TestAllErrorsAtOnce(t *testing.T) {
 	text := doc("name=\"main\"\nwait=\"5\"\nroom=\"2MB\"\nnonsense=\"1\"", `<nodes>
 <node id="a" cores="65"/>
 <node id="a"/>
@@ -100,11 +100,11 @@
 <other/>`)
 	err := Read("f.xml", []byte(text), document, &fleet{})
 	var got []string
-	var faults FieldErrors
-	if !errors.As(err, &faults) {
+	var fieldErrors FieldErrors
+	if !errors.As(err, &fieldErrors) {
 		t.Fatalf("not field errors: %v", err)
 	}
-	for _, f := range faults {
+	for _, f := range fieldErrors {
 		got = append(got, fmt.Sprintf("%d %s", f.Line, f.Where))
 		if f.Fix == "" || f.What == "" || !strings.HasPrefix(f.Error(), "f.xml:") {
 			t.Errorf("%+v", f)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestRejected(t *testing.T) {
 	one := `<nodes><node id="a"/></nodes>`
 	for text, want := range map[string]string{
 		"":                                      "f.xml:1: the file holds no element",
@@ -153,7 +153,7 @@
 	}
 }
 
-// Whatever a file holds, it is read or refused with faults that have a line within it.
+// Any file is either accepted or rejected with errors whose line numbers are within the file.
 func TestAnyFile(t *testing.T) {
 	parts := []string{
 		"<fleet xmlns=\"urn:test\"", " name=\"m\"", " wait='1s'", ">", "/>", "\n", "<nodes>", "</nodes>",
@@ -163,14 +163,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.SampledFrom(parts), 0, 40).Draw(t, "parts"), "")
 		err := Read("f.xml", []byte(text), document, &fleet{})
-		var faults FieldErrors
-		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
+		var fieldErrors FieldErrors
+		if err != nil && (!errors.As(err, &fieldErrors) || len(fieldErrors) == 0) {
 			t.Fatalf("%v", err)
 		}
 		if err == nil {
 			return
 		}
-		for _, f := range faults {
+		for _, f := range fieldErrors {
 			if f.Line < 1 || f.Line > strings.Count(text, "\n")+1 {
 				t.Fatalf("%q: %v", text, f)
 			}
