--- a/cmd/spurspread/siteconfig.go
+++ b/cmd/spurspread/siteconfig.go
@@ -8,7 +8,7 @@
 	"spurspread/internal/token"
 )
 
-// resumeConfig is the proxy's configuration of resume tokens; nil where they are off.
+// resumeConfig returns the proxy's configuration of resume tokens, or nil if they are off.
 func resumeConfig(site *siteconfig.Site) (*proxy.ResumeConfig, error) {
 	r := site.Resume
 	if r == nil {
@@ -19,7 +19,7 @@
 		return nil, err
 	}
 	return &proxy.ResumeConfig{
-		Ring:          ring,
+		KeyRing:       ring,
 		TokenLifetime: r.Lifetime.Std().Milliseconds(),
 		ClockSkew:     r.Skew.Std().Milliseconds(),
 		MaxClaims:     r.MaxClaims,
@@ -35,25 +35,26 @@
 	return token.NewKeyRing(ring)
 }
 
-// channelsConfig is the proxy's configuration of multiplexed channels; nil where they are off.
+// channelsConfig returns the proxy's configuration of multiplexed channels, or nil if they are off.
 func channelsConfig(site *siteconfig.Site) *proxy.ChannelConfig {
 	c := site.Channels
 	if c == nil {
 		return nil
 	}
 	return &proxy.ChannelConfig{
-		Downstreams:    c.Clients,
-		Upstreams:      c.Upstreams,
-		Version:        version(),
-		MaxChannels:    c.MaxChannels,
-		OpensPerSecond: float64(c.OpenRate),
-		Window:         uint32(c.Window),
-		SetupTimeout:   eventloop.Micros(c.FirstPacket.Micros()),
-		IdleTimeout:    eventloop.Micros(c.Idle.Micros()),
-		Pool:           poolLimits(c.UpstreamPool),
+		AcceptDownstream: c.Clients,
+		UseUpstream:      c.Upstreams,
+		Version:          version(),
+		MaxChannels:      c.MaxChannels,
+		OpensPerSecond:   float64(c.OpenRate),
+		Window:           uint32(c.Window),
+		SetupTimeout:     eventloop.Micros(c.FirstPacket.Micros()),
+		IdleTimeout:      eventloop.Micros(c.Idle.Micros()),
+		Pool:             poolLimits(c.UpstreamPool),
 	}
 }
 
+// poolLimits returns the limits of the pool of connections to servers; pool may be nil, for the defaults.
 func poolLimits(pool *siteconfig.UpstreamPool) upstreampool.Limits {
 	if pool == nil {
 		pool = siteconfig.DefaultUpstreamPool()
