--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Every message is encoded like by the independent implementation, in a packet with valid length and padding, and can
-// be parsed again.
+// Every message is encoded exactly as by the independent implementation, in a packet with valid length and padding, and
+// can be parsed again.
 func TestAgainstIndependentImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, s := rapid.Uint32(), rapid.SliceOfN(rapid.Byte(), 0, 300)
--- a/internal/restartproto/file_test.go
+++ b/internal/restartproto/file_test.go
@@ -9,7 +9,7 @@
 )
 
 // A FIFO without a writer at the path of a file must not block a process that starts or stops.
-func TestFIFOIsNotWaitedFor(t *testing.T) {
+func TestFIFODoesNotBlock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fifo")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/restartproto/offer.go
+++ b/internal/restartproto/offer.go
@@ -15,7 +15,7 @@
 // maxUnanswered bounds the number of client lines without a reply that an offer can list.
 const maxUnanswered = 64
 
-// ConnectionOffer describes an established connection to the process that shall take it over. It is sent with two
+// ConnectionOffer describes an established connection to the process that takes it over. It is sent with two
 // sockets, first the client's, then the server's. Times are ages in microseconds, because the processes have different
 // clocks.
 type ConnectionOffer struct {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -22,7 +22,7 @@
 	minReplyLength = 4  // header bytes that a reply's length field includes: count
 
 	maxFrame = 1 << 28 // largest allowed value of a batch's length field
-	readStep = 1 << 20 // buffer growth per read, so that a false length allocates no memory
+	readStep = 1 << 20 // buffer growth per read, so that a false length does not allocate maxFrame bytes
 )
 
 // Batch is one frame of event records.
--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -17,14 +17,14 @@
 	// SecretSize is the length of a key in bytes.
 	SecretSize = 32
 
-	secretDigits     = 2 * SecretSize // hexadecimal digits in a key file
-	maxKeyFileSize   = 2 * secretDigits
-	permissionsOther = 0o077 // permission bits of the group and of others
-	fingerprintSize  = 4     // bytes
+	secretDigits        = 2 * SecretSize // hexadecimal digits in a key file
+	maxKeyFileSize      = 2 * secretDigits
+	nonOwnerPermissions = 0o077 // permission bits of the group and of others
+	fingerprintSize     = 4     // bytes
 
 	usePrimary = "mint"
 
-	makeKey = "make one: spurspread token key FILE" // the fix for most errors about a key file
+	makeKeyFix = "create a key file with: spurspread token key FILE" // the fix for most errors about a key file
 )
 
 // Keys holds the keys for tokens or for the fleet's datagrams. Exactly one of them is primary.
@@ -67,8 +67,8 @@
 			continue
 		}
 		if other, duplicate := seen[key.Secret]; duplicate {
-			file.AddError(&key.File, "make a key of its own: spurspread token key FILE", "holds the same key as %q",
-				other)
+			file.AddError(&key.File, "create another key file with: spurspread token key FILE",
+				"holds the same key as %q", other)
 		}
 		seen[key.Secret] = key.ID
 	}
@@ -89,16 +89,16 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		file.AddError(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+		file.AddError(&k.File, makeKeyFix, "can't be read: %v", withoutPath(err))
 		return false
 	}
 	text = bytes.TrimSpace(text)
 	if len(text) != secretDigits {
-		file.AddError(&k.File, makeKey, "has %d characters and not %d hexadecimal digits", len(text), secretDigits)
+		file.AddError(&k.File, makeKeyFix, "has %d characters and not %d hexadecimal digits", len(text), secretDigits)
 		return false
 	}
 	if _, err := hex.Decode(k.Secret[:], text); err != nil {
-		file.AddError(&k.File, makeKey, "holds something else than hexadecimal digits")
+		file.AddError(&k.File, makeKeyFix, "holds something else than hexadecimal digits")
 		return false
 	}
 	return true
@@ -109,14 +109,14 @@
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		file.AddError(&k.File, makeKey, "can't be read: %v", withoutPath(err))
+		file.AddError(&k.File, makeKeyFix, "can't be read: %v", withoutPath(err))
 	case !info.Mode().IsRegular():
-		file.AddError(&k.File, makeKey, "%s is no plain file", k.File)
-	case info.Mode().Perm()&permissionsOther != 0:
+		file.AddError(&k.File, makeKeyFix, "%s is no plain file", k.File)
+	case info.Mode().Perm()&nonOwnerPermissions != 0:
 		fix := "chmod 600 " + string(k.File)
 		file.AddError(&k.File, fix, "others may read it or write it (mode %04o)", info.Mode().Perm())
 	case info.Size() > maxKeyFileSize:
-		file.AddError(&k.File, makeKey, "has %d bytes and not %d hexadecimal digits", info.Size(), secretDigits)
+		file.AddError(&k.File, makeKeyFix, "has %d bytes and not %d hexadecimal digits", info.Size(), secretDigits)
 	default:
 		return true
 	}
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -10,10 +10,10 @@
 //
 // where the body is, with all numbers big-endian,
 //
-//	8 x 8 bytes  the fields IssuedAt to ServerStarted of Token, in that order
-//	1 + n bytes  length and name of the class
-//	1 + n bytes  length and id of the server that may accept the token
-//	0 to 2 bytes zero, so that the total length is a multiple of three
+//	8 x 8 bytes   the fields IssuedAt to ServerStarted of Token, in that order
+//	1 + n bytes   length and name of the class
+//	1 + n bytes   length and id of the server that may accept the token
+//	0 to 2 bytes  zeros, so that the total length is a multiple of three
 //
 // A token with a given nonce has exactly one valid text. Rejecting a text does not allocate memory.
 package token
--- a/internal/xmlconfig/parse.go
+++ b/internal/xmlconfig/parse.go
@@ -33,8 +33,9 @@
 	count int     // number of elements
 }
 
-// parse parses the text into nodes and returns the root, or nil if it could not read on. Parsing stops if the text is
-// not well-formed XML or over a limit; after other errors it continues, in order to report all of them.
+// parse parses the text into nodes and returns the root, or nil if there is none or parsing had to stop. It stops if
+// the text is not well-formed XML, is over a limit, or has content that can't belong to this kind of file. After other
+// errors it continues, in order to report all of them.
 func (f *File) parse(text []byte, d Document) *node {
 	if len(text) > maxBytes {
 		f.addError(location{line: 1}, "split the file", "the file has %d bytes, over %d", len(text), maxBytes)
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -128,8 +128,8 @@
 	return f.errors
 }
 
-// AddError reports a problem, in the form of fmt.Sprintf(what, args...), and its correction. field is the address of
-// the filled field or struct with the problem.
+// AddError adds an error about a field or struct that was filled, given by its address. what, formatted with args, is
+// the problem, and fix the correction.
 func (f *File) AddError(field any, fix, what string, args ...any) {
 	f.addError(f.locations[field], fix, what, args...)
 }
