--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -2,6 +2,6 @@
 // on one line, and gets one reply line, which begins with +OK or -ERR. Connections are limited in duration, bytes and
 // number, so that clients that send nothing, an incomplete line or garbage do not delay others.
 //
-// The package depends on the event loop and on package lifecycle, which parses commands. It must not know what a
-// command does: the Handler carries it out.
+// The package depends on the event loop and on package lifecycle, which parses commands. The Handler carries out
+// the commands; this package must not depend on their effects.
 package admin
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -19,8 +19,8 @@
 	done  chan struct{} // closed when the goroutine has ended
 }
 
-// NewAsyncWriter returns an AsyncWriter that writes to out. It ignores errors of out, since there is no other place to
-// report them.
+// NewAsyncWriter returns an AsyncWriter that writes to out. It ignores errors of out, because they can't be reported
+// elsewhere.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run(out) // Close ends it and waits for it, for at most flushTimeout
@@ -43,8 +43,8 @@
 	return len(line), nil
 }
 
-// Close waits until the queued lines are written, but at most 100 ms (flushTimeout). After that it gives up on lines
-// that are still queued, because the process is about to end.
+// Close waits at most 100 ms (flushTimeout) until the queued lines are written. Lines that are still queued then are
+// lost, because the process is about to end.
 func (w *AsyncWriter) Close() {
 	close(w.lines)
 	select {
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -36,7 +36,7 @@
 	ListNumber   uint8                  // ServerList, ListUpdate; below MaxLists
 	Entries      []decision.ServerEntry // ServerList
 	Seed         uint64                 // Start
-	SettingsText []byte                 // Start: the settings as text; valid as long as the batch
+	SettingsText []byte                 // Start: the settings as text; points into the batch
 	ListKind     decision.UpdateKind    // ListUpdate
 	Event        decision.Event         // BalancerEvent
 }
