--- a/lab/scale/hollow_group.go
+++ b/lab/scale/stub_group.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	sampleMicros      = 100_000 // interval of a loop's samples, microseconds
-	samplesPerTraffic = 10      // each so many samples one has the traffic of the last second
-	lagTimerMicros    = 10_000  // interval of the timer whose lateness is measured, microseconds
+	sampleMicros      = 100_000 // interval between the samples of a loop, microseconds
+	samplesPerTraffic = 10      // one sample in this number contains the traffic of the last second
+	lagTimerMicros    = 10_000  // interval of the timer whose lag is measured, microseconds
 )
 
-// hollowGroup is an event loop with its hollow members. All but newHollowGroup and has run on the loop.
-type hollowGroup struct {
+// stubGroup is an event loop with its stub members. All its methods but has run on the loop.
+type stubGroup struct {
 	loop         *eventloop.Loop
-	number       int // within the process
+	number       int // index of the loop within the process
 	setup        *Setup
 	links        *Links
 	keyring      *packet.Keyring
-	members      []*hollowMember
-	memberByAddr map[netip.Addr]int // all members of the fleet: each has an address of its own
+	members      []*stubMember
+	memberByAddr map[netip.Addr]int // all members of the fleet, each of which has its own address
 	memberByName map[string]int
 	zoneByID     map[zonedirectory.ID]int
 	samples      chan<- *Sample
 
-	pending     *Sample // what is observed until the next sample
-	traffic     Traffic // of the present second
+	pending     *Sample // collects observations until the next sample
+	traffic     Traffic // since the last sample with traffic
 	sampleCount int
-	periods     int64     // number of membership.TickInterval that have passed
-	lagDue      time.Time // when the lag timer should fire next
+	periods     int64     // number of periods of membership.TickInterval that have passed
+	lagDue      time.Time // time at which the lag timer is due next
 }
 
-func newHollowGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*hollowGroup, error) {
+// newStubGroup creates a loop with stub members, none of which is started yet.
+func newStubGroup(setup *Setup, number int, members []int, samples chan<- *Sample) (*stubGroup, error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
@@ -46,7 +47,7 @@
 		return nil, err
 	}
 	topology := &setup.Topology
-	g := &hollowGroup{
+	g := &stubGroup{
 		loop:         loop,
 		number:       number,
 		setup:        setup,
@@ -66,17 +67,17 @@
 		g.zoneByID[topology.Site(zone).ID()] = zone
 	}
 	for _, member := range members {
-		g.members = append(g.members, &hollowMember{group: g, index: member})
+		g.members = append(g.members, &stubMember{group: g, index: member})
 	}
 	g.resetTraffic()
 	return g, nil
 }
 
 // has returns whether a member belongs to this loop. It may be called from any goroutine.
-func (g *hollowGroup) has(member int) bool { return g.find(member) != nil }
+func (g *stubGroup) has(member int) bool { return g.find(member) != nil }
 
-// find returns the member of this loop with an index, or nil.
-func (g *hollowGroup) find(member int) *hollowMember {
+// find returns the member of this loop with an index, or nil if it belongs to another loop.
+func (g *stubGroup) find(member int) *stubMember {
 	for _, own := range g.members {
 		if own.index == member {
 			return own
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// run serves the loop until it is stopped.
-func (g *hollowGroup) run() error {
+// run runs the loop until it is stopped.
+func (g *stubGroup) run() error {
 	repeat(g.loop, sampleMicros, g.emitSample)
 	repeat(g.loop, membership.TickInterval, func() { g.periods++ })
 	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
@@ -94,8 +95,8 @@
 	return g.loop.Run()
 }
 
-// repeat has a loop call do at an interval. The next call is scheduled before do runs, so that its duration does not
-// add to the interval.
+// repeat calls do on a loop at an interval. It schedules the next call before do runs, so that the duration of do does
+// not add to the interval.
 func repeat(loop *eventloop.Loop, interval eventloop.Micros, do func()) {
 	loop.After(interval, func() {
 		repeat(loop, interval, do)
@@ -103,8 +104,8 @@
 	})
 }
 
-// measureLag measures how late a timer fires, the other work of the loop included.
-func (g *hollowGroup) measureLag() {
+// measureLag records the lag of a timer, which includes the time that the loop spends on other work.
+func (g *stubGroup) measureLag() {
 	late := time.Since(g.lagDue).Microseconds()
 	g.pending.LagMicros = append(g.pending.LagMicros, max(late, 0))
 	g.lagDue = time.Now().Add(lagTimerMicros * time.Microsecond)
@@ -112,7 +113,7 @@
 }
 
 // execute carries out a command.
-func (g *hollowGroup) execute(command *Command) {
+func (g *stubGroup) execute(command *Command) {
 	if command.Action == ActionLink {
 		g.links.Set(command.From, command.To, command.applyTo)
 		return
@@ -122,8 +123,8 @@
 	}
 }
 
-// emitSample sends what has changed at the members since the last sample.
-func (g *hollowGroup) emitSample() {
+// emitSample sends the changes at the members since the last sample.
+func (g *stubGroup) emitSample() {
 	sample := g.pending
 	sample.Loop = g.number
 	sample.At = time.Now().UnixMicro()
@@ -147,7 +148,7 @@
 }
 
 // addTraffic adds the traffic of the last second to a sample.
-func (g *hollowGroup) addTraffic(sample *Sample) {
+func (g *stubGroup) addTraffic(sample *Sample) {
 	for i, member := range g.members {
 		g.traffic.Sent[i] = member.sentBytes
 		g.traffic.Received[i] = member.receivedBytes
@@ -161,8 +162,8 @@
 	g.resetTraffic()
 }
 
-// resetTraffic begins a second without traffic.
-func (g *hollowGroup) resetTraffic() {
+// resetTraffic resets the counts of traffic.
+func (g *stubGroup) resetTraffic() {
 	realMembers := g.setup.Topology.RealMembers
 	g.traffic = Traffic{
 		Sent:          make([]int64, len(g.members)),
@@ -173,9 +174,9 @@
 	}
 }
 
-// countRealTraffic counts a datagram that a member sent or received, if it is a real one: its own process has no
-// socket that counts.
-func (g *hollowGroup) countRealTraffic(member, sent, received int) {
+// countRealTraffic counts a datagram that a member sent or received, if it is a real member: the sockets of real
+// members do not count.
+func (g *stubGroup) countRealTraffic(member, sent, received int) {
 	if !g.setup.Topology.Real(member) {
 		return
 	}
