--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -51,7 +51,7 @@
 func (e *side) Ready()        { e.ready = true }
 func (e *side) PingAnswered() { e.pingsAnswered++ }
 func (e *side) Admit([]byte) (uint32, string) {
-	return channel.NoResources, e.rejectReason
+	return channel.ResourceShortage, e.rejectReason
 }
 
 func (e *side) Open(ch *Channel, data []byte) {
@@ -163,7 +163,7 @@
 	a := client.open("OPEN 1")
 	exchange(t, client, server)
 	b := server.streams[0]
-	if line, err := channel.String([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
+	if line, err := channel.ParseString([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
 		t.Fatalf("%q, %v", b.opened, err)
 	}
 	b.ch.Confirm([]byte("UP r"))
@@ -189,7 +189,7 @@
 	rejected, reset, closed := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
 	closed.ch.Close()
 	exchange(t, client, server)
-	server.streams[1].ch.Reject(channel.NoResources, []byte("BUSY 70"))
+	server.streams[1].ch.Reject(channel.ResourceShortage, []byte("BUSY 70"))
 	server.streams[2].ch.Confirm(nil)
 	server.streams[3].ch.Confirm(nil)
 	exchange(t, client, server)
@@ -340,8 +340,8 @@
 
 // packet returns a packet with the given payload.
 func packet(payload ...byte) []byte {
-	b, at := channel.Begin(nil)
-	return channel.End(append(b, payload...), at)
+	b, at := channel.BeginPacket(nil)
+	return channel.EndPacket(append(b, payload...), at)
 }
 
 // The answer to an unknown message carries its sequence number, and requests are answered in order.
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	why := resume.Malformed
-	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.HeldBy) == 0 {
+	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.CurrentServer) == 0 {
 		// Check the seal first: a claim takes memory, which a forged token must not use up.
 		why = s.openToken(r.open.Token)
 	}
@@ -164,7 +164,7 @@
 	if x == nil {
 		return true
 	}
-	x.lastMessage, x.numbered = lineproto.EstablishedSequence(up)
+	x.lastMessage, x.numbered = lineproto.ResumeCursor(up)
 	if !x.pinned {
 		return true
 	}
