--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -13,32 +13,32 @@
 	"spurspread/internal/lineproto"
 )
 
-// Each StartAttempt has one outcome, distinguished as the protocol says, and its attempt is closed before the next one
+// Each attempt reports one outcome, derived from the server's answer, and closes its connection before the next attempt
 // starts.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(*peer)
 		want   outcome.Status
 	}{
-		"error":      {func(p *peer) { p.say("ERR\r\n") }, outcome.ErrorResponse},
-		"full":       {func(p *peer) { p.say("BUSY\r\n") }, outcome.ServerFull},
-		"sent away":  {func(p *peer) { p.say("MOVE\r\n") }, outcome.Cancelled},
-		"odd":        {func(p *peer) { p.say("\x00\xff what\r\n") }, outcome.ErrorResponse},
-		"endless":    {func(p *peer) { p.say(strings.Repeat("x", lineproto.MaxLine)) }, outcome.ErrorResponse},
-		"ended":      {func(p *peer) { _ = p.Close() }, outcome.Reset},
+		"error":      {func(p *peer) { p.send("ERR\r\n") }, outcome.ErrorResponse},
+		"full":       {func(p *peer) { p.send("BUSY\r\n") }, outcome.ServerFull},
+		"moved":      {func(p *peer) { p.send("MOVE\r\n") }, outcome.Cancelled},
+		"unknown":    {func(p *peer) { p.send("\x00\xff what\r\n") }, outcome.ErrorResponse},
+		"too long":   {func(p *peer) { p.send(strings.Repeat("x", lineproto.MaxLine)) }, outcome.ErrorResponse},
+		"closed":     {func(p *peer) { _ = p.Close() }, outcome.Reset},
 		"reset":      {func(p *peer) { _ = p.SetLinger(0); _ = p.Close() }, outcome.Reset},
 		"no answer":  {func(*peer) {}, outcome.TimedOut},
-		"UP, no end": {func(p *peer) { p.say("UP r1") }, outcome.TimedOut},
+		"cut off UP": {func(p *peer) { p.send("UP r1") }, outcome.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
-			giveUp := decision.Micros(longTimeout)
+			timeout := decision.Micros(longTimeout)
 			if c.want == outcome.TimedOut {
-				giveUp = 100_000
+				timeout = 100_000
 			}
-			g := newHarness(t, 2, func(ev decision.Event) []decision.Action {
+			h := newHarness(t, 2, func(ev decision.Event) []decision.Action {
 				switch ev := ev.(type) {
 				case decision.Request:
-					return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: giveUp}}
+					return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: timeout}}
 				case decision.AttemptEnded:
 					if !ev.RequestClosed {
 						return []decision.Action{decision.StartAttempt{ID: ev.ID, Timeout: longTimeout, Server: 1}}
@@ -46,101 +46,102 @@
 				}
 				return nil
 			}, nil)
-			client := g.client(openLine)
-			first := g.acceptUpstream(0)
-			first.line()
+			client := h.connect(openLine)
+			first := h.acceptUpstream(0)
+			first.readLine()
 			c.answer(first)
-			if o := event[decision.AttemptEnded](g); o.Status != c.want || o.RequestClosed || o.Attempt != 0 ||
+			if o := await[decision.AttemptEnded](h); o.Status != c.want || o.RequestClosed || o.Attempt != 0 ||
 				o.Server != 0 {
-				t.Errorf("%+v, want status %d", o, c.want)
+				t.Errorf("got %+v, want status %d of attempt 0 at server 0, request not closed", o, c.want)
 			}
-			second := g.acceptUpstream(1)
-			second.line()
-			second.say("UP r2\r\n")
-			client.want("UP r2\r\n")
+			second := h.acceptUpstream(1)
+			second.readLine()
+			second.send("UP r2\r\n")
+			client.expect("UP r2\r\n")
 			if name == "no answer" {
-				first.ended(true) // one attempt at a time
+				first.expectEnd(true) // one attempt at a time
 			}
-			if e := event[decision.Established](g); e.Attempt != 1 || e.Server != 1 {
-				t.Errorf("%+v", e)
+			if e := await[decision.Established](h); e.Attempt != 1 || e.Server != 1 {
+				t.Errorf("got %+v, want attempt 1 at server 1", e)
 			}
 		})
 	}
 }
 
-func TestFailedDialNeverRan(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	g.check(g.servers[0].Close())
-	g.client(openLine)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || o.RequestClosed {
-		t.Errorf("%+v", o)
+// A refused connection is reported as ConnectFailed: the request was not sent, so it can't have been executed.
+func TestFailedDialIsConnectFailed(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	h.check(h.servers[0].Close())
+	h.connect(openLine)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.ConnectFailed || o.RequestClosed {
+		t.Errorf("got %+v, want status %d, request not closed", o, outcome.ConnectFailed)
 	}
 }
 
-// What the decision core has given up on is answered at once, with its retry delay, and an attempt that is out brings
-// its outcome.
+// Reject and Fail are answered at once, Reject with its retry delay, and the attempt cancelled before reports its
+// outcome.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		last func(id uint32) decision.Action
-		want string
+		final func(id uint32) decision.Action
+		want  string
 	}{
-		"refused": {
+		"rejected": {
 			func(id uint32) decision.Action { return decision.Reject{ID: id, RetryAfter: 340_000} },
 			"BUSY 340\r\n",
 		},
-		"bare":   {func(id uint32) decision.Action { return decision.Reject{ID: id} }, "BUSY\r\n"},
-		"failed": {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
+		"rejected without delay": {func(id uint32) decision.Action { return decision.Reject{ID: id} }, "BUSY\r\n"},
+		"failed":                 {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
 	} {
-		g := newHarness(t, 1, func(ev decision.Event) []decision.Action {
+		h := newHarness(t, 1, func(ev decision.Event) []decision.Action {
 			if q, ok := ev.(decision.Request); ok {
 				return []decision.Action{
 					decision.StartAttempt{ID: q.ID, Timeout: longTimeout},
 					decision.CancelAttempt{ID: q.ID},
-					c.last(q.ID),
+					c.final(q.ID),
 				}
 			}
 			return nil
 		}, nil)
-		client := g.client(openLine)
-		client.want(c.want)
-		client.ended(true)
-		if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled {
-			t.Errorf("%s: %+v", name, o)
+		client := h.connect(openLine)
+		client.expect(c.want)
+		client.expectEnd(true)
+		if o := await[decision.AttemptEnded](h); o.Status != outcome.Cancelled {
+			t.Errorf("%s: got %+v, want status %d", name, o, outcome.Cancelled)
 		}
 	}
 }
 
-// That this machine has no descriptor left is no evidence against a server.
+// A dial that fails because this process has no descriptors left is no evidence against the server.
 func TestDescriptorExhaustionIsInconclusive(t *testing.T) {
 	for err, want := range map[error]outcome.Status{
 		unix.EMFILE:       outcome.Inconclusive,
 		unix.ECONNREFUSED: outcome.ConnectFailed,
 	} {
 		if got := dialOutcome(fmt.Errorf("connect: %w", err)); got != want {
-			t.Errorf("%v: %d", err, got)
+			t.Errorf("dialOutcome(%v) = %d, want %d", err, got, want)
 		}
 	}
 }
 
-// An attempt whose first line is not out whole can't have run.
-func TestUnsentAttemptNeverRan(t *testing.T) {
-	for sent, want := range map[bool]outcome.Status{false: outcome.ConnectFailed, true: outcome.Reset} {
-		if got := attemptoutcome.OfUnanswered(outcome.Reset, sent); got != want {
-			t.Errorf("sent %v: %d", sent, got)
+// A server can't have executed a request that was not written completely, so a reset counts as a failed connect.
+func TestResetBeforeWriteIsConnectFailed(t *testing.T) {
+	for written, want := range map[bool]outcome.Status{false: outcome.ConnectFailed, true: outcome.Reset} {
+		if got := attemptoutcome.OfUnanswered(outcome.Reset, written); got != want {
+			t.Errorf("reset with written = %v: outcome %d, want %d", written, got, want)
 		}
 	}
 }
 
-// A client that leaves before it is served takes its attempt with it.
-func TestClientLeavesEarly(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client := g.client(openLine)
-	server := g.acceptUpstream(0)
-	server.line()
-	g.check(client.Close())
-	server.ended(true)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
-		t.Errorf("%+v", o)
+// If the client disconnects before the server has answered, the attempt is cancelled and its connection closed.
+func TestClientLeavesDuringAttempt(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	client := h.connect(openLine)
+	server := h.acceptUpstream(0)
+	server.readLine()
+	h.check(client.Close())
+	server.expectEnd(true)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.Cancelled || !o.RequestClosed {
+		t.Errorf("got %+v, want status %d of a closed request", o, outcome.Cancelled)
 	}
-	event[decision.RequestCancelled](g)
+	await[decision.RequestCancelled](h)
 }
--- a/internal/proxy/buffers_test.go
+++ b/internal/proxy/buffers_test.go
@@ -6,17 +6,17 @@
 	"spurspread/decision/overload"
 )
 
-// However many requests come, the buffers of their clients and servers together stay within an eighth of the memory,
-// also where no limit of descriptors tells how many may come.
-func TestSlowReadersStayWithinTheirMemory(t *testing.T) {
+// However many requests there are, the data buffered for slow clients and servers stays within an eighth of the memory
+// limit, even if no limit on descriptors bounds the number of requests.
+func TestBufferedDataIsBounded(t *testing.T) {
 	const memory, clients = 16 << 20, 400
-	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.MemoryLimit = memory })
+	h := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.MemoryLimit = memory })
 	for i := range clients {
-		g.pendingRequest(i)
+		h.pendingRequest(i)
 		var readers, each int
-		g.inLoop(func() { readers, each = overload.SlowReaders(0, g.proxy.requests.len()), g.proxy.buffers.maxPending })
+		h.onLoop(func() { readers, each = overload.SlowReaders(0, h.proxy.requests.len()), h.proxy.buffers.maxPending })
 		if readers*each > memory/8 {
-			t.Fatalf("%d slow readers keep up to %d bytes of %d", readers, readers*each, memory/8)
+			t.Fatalf("up to %d bytes buffered for %d slow readers, want at most %d", readers*each, readers, memory/8)
 		}
 	}
 }
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -13,94 +13,96 @@
 	"spurspread/lab/sshchan"
 )
 
-// A client's connection that ends takes its channels with it, in kind, and nothing else.
-func TestClientConnectionEnds(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c, other := g.connection(), g.connection()
-	var servers []*duplex
+// When a client closes its multiplexed connection, the requests on all its channels end gracefully; those of other
+// connections go on.
+func TestClientClosesMuxConnection(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c, other := h.connectMux(), h.connectMux()
+	var servers []*lineStream
 	var upstream *sshchan.Conn
 	for i, from := range []*sshchan.Conn{c, c, other} {
 		ch, err := from.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 		if upstream == nil {
-			upstream = g.acceptMux(0)
+			upstream = h.acceptMux(0)
 		}
 		s := upstream.Accept()
-		g.check(s.Confirm("UP r"))
-		g.answered(ch, true, 0, "UP r")
-		servers = append(servers, g.overChannel(s))
+		h.check(s.Confirm("UP r"))
+		h.expectOpenReply(ch, true, 0, "UP r")
+		servers = append(servers, h.channelStream(s))
 	}
-	g.check(c.Close())
-	servers[0].ended(true)
-	servers[1].ended(true)
-	servers[2].say("still there\r\n")
+	h.check(c.Close())
+	servers[0].expectEnd(true)
+	servers[1].expectEnd(true)
+	servers[2].send("still there\r\n")
 }
 
-// A planned stop moves every channel, and then disconnects.
+// A planned stop moves the clients of all channels and then disconnects all multiplexed connections.
 func TestDrainChannels(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c, idle := g.connection(), g.connection()
-	var clients []*duplex
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c, idle := h.connectMux(), h.connectMux()
+	var clients []*lineStream
 	var upstream *sshchan.Conn
 	for i := range 4 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 		if upstream == nil {
-			upstream = g.acceptMux(0)
+			upstream = h.acceptMux(0)
 		}
-		g.check(upstream.Accept().Confirm("UP r"))
-		g.answered(ch, true, 0, "UP r")
-		clients = append(clients, g.overChannel(ch))
+		h.check(upstream.Accept().Confirm("UP r"))
+		h.expectOpenReply(ch, true, 0, "UP r")
+		clients = append(clients, h.channelStream(ch))
 	}
-	g.loop.Post(g.proxy.Drain)
+	h.loop.Post(h.proxy.Drain)
 	for _, d := range clients {
-		d.moved()
+		d.expectMove()
 	}
 	for _, conn := range []*sshchan.Conn{c, idle} {
 		if ch := conn.Accept(); ch != nil || conn.DisconnectReason != "11 the balancer stops" {
-			t.Errorf("%q", conn.DisconnectReason)
+			t.Errorf("disconnected with %q, want the reason that the balancer stops", conn.DisconnectReason)
 		}
 	}
-	err := <-g.stopped
-	g.stopped <- err
-	g.check(err)
+	err := <-h.stopped
+	h.stopped <- err
+	h.check(err)
 }
 
-// The loop doesn't stop before a connection whose last channel has just ended has read DISCONNECT, nor one that came
-// late.
-func TestDisconnectBeforeTheStop(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c := g.connection()
+// Before the loop stops, DISCONNECT is sent also on connections whose last channel has just ended and on those opened
+// during the drain.
+func TestDisconnectBeforeStop(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c := h.connectMux()
 	ch, err := c.Open("OPEN a1 7 c=sync,d=60000")
-	g.check(err)
-	g.check(g.acceptMux(0).Accept().Confirm("UP r"))
-	g.answered(ch, true, 0, "UP r")
+	h.check(err)
+	h.check(h.acceptMux(0).Accept().Confirm("UP r"))
+	h.expectOpenReply(ch, true, 0, "UP r")
 	var late *sshchan.Conn
-	g.inLoop(g.proxy.Drain)
-	late = g.connection()
-	g.inLoop(func() {
-		g.proxy.drain.startedAt -= 2 * drainschedule.MinDuration // that time is over
-		g.onlyRequest().startMove(outcome.Cancelled, true)
-		g.proxy.drain.checkFinished()
+	h.onLoop(h.proxy.Drain)
+	late = h.connectMux()
+	h.onLoop(func() {
+		h.proxy.drain.startedAt -= 2 * drainschedule.MinDuration // the minimum duration is over
+		h.onlyRequest().startMove(outcome.Cancelled, true)
+		h.proxy.drain.checkFinished()
 	})
-	g.overChannel(ch).moved()
+	h.channelStream(ch).expectMove()
 	for _, conn := range []*sshchan.Conn{c, late} {
 		if ch := conn.Accept(); ch != nil || conn.DisconnectReason != "11 the balancer stops" {
-			t.Errorf("%q", conn.DisconnectReason)
+			t.Errorf("disconnected with %q, want the reason that the balancer stops", conn.DisconnectReason)
 		}
 	}
-	g.stops()
+	h.waitStopped()
 }
 
-// A drain of one server moves the channels that are there, with their tokens; the connection stays for the others.
+// When one server is listed as draining, the channels with requests at that server are moved, with tokens. The client's
+// connection and its other channels go on.
 func TestDrainOneServer(t *testing.T) {
-	g := newResumeHarness(t, channelsOn)
-	c := g.connection()
-	var clients []*duplex
+	h := newResumeHarness(t, enableChannels)
+	c := h.connectMux()
+	var clients []*lineStream
 	for i, at := range []int{0, 1} {
-		first := strings.Replace(trimmed(tokenRequestLine), "OPEN 1", fmt.Sprint("OPEN 1", i), 1)
-		g.inLoop(func() {
-			g.decide = func(ev decision.Event) []decision.Action {
+		first := strings.Replace(trimLineEnd(tokenRequestLine), "OPEN 1", fmt.Sprint("OPEN 1", i), 1)
+		h.onLoop(func() {
+			h.decide = func(ev decision.Event) []decision.Action {
 				if q, ok := ev.(decision.Request); ok {
 					return []decision.Action{
 						decision.StartAttempt{ID: q.ID, Timeout: longTimeout, Server: uint32(at)},
@@ -110,35 +112,36 @@
 			}
 		})
 		ch, err := c.Open(first)
-		g.check(err)
-		s := g.acceptMux(at).Accept()
-		g.check(s.Confirm("UP r from=0"))
-		g.answered(ch, true, 0, "UP r from=0")
-		clients = append(clients, g.overChannel(ch))
+		h.check(err)
+		s := h.acceptMux(at).Accept()
+		h.check(s.Confirm("UP r from=0"))
+		h.expectOpenReply(ch, true, 0, "UP r from=0")
+		clients = append(clients, h.channelStream(ch))
 		if i == 1 {
 			defer func() {
 				_, err := s.Write([]byte("#1 a\r\n"))
-				g.check(err)
-				clients[1].want("#1 a\r\n")
+				h.check(err)
+				clients[1].expect("#1 a\r\n")
 			}()
 		}
 	}
-	g.listDraining(0)
-	if clients[0].moved() == "" {
-		t.Error("no token")
+	h.listAsDraining(0)
+	if clients[0].expectMove() == "" {
+		t.Error("client was moved without a token")
 	}
 	if c.Err() != nil {
-		t.Error(c.Err())
+		t.Error("client connection ended:", c.Err())
 	}
 }
 
-// A client that says nothing is asked, and ended in the end; one that answers stays.
+// A client that is idle on a multiplexed connection gets a keepalive request; the connection is closed if the client
+// does not answer.
 func TestKeepalive(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	client, _ := g.pair(true, true)
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	client, _ := h.establishStreams(true, true)
 	age := func(by eventloop.Micros) (over bool) {
-		g.inLoop(func() {
-			for m := range g.proxy.listener.muxConns {
+		h.onLoop(func() {
+			for m := range h.proxy.listener.muxConns {
 				m.lastReceived -= by
 				m.checkIdle()
 				over = m.closed
@@ -147,36 +150,36 @@
 		return over
 	}
 	if age(40 * monotime.Second) {
-		t.Error("ended before it was asked")
+		t.Error("closed before the keepalive request was sent")
 	}
-	for quiet := eventloop.Micros(1); quiet > 0; { // its answer has arrived
-		g.inLoop(func() {
-			for m := range g.proxy.listener.muxConns {
-				if quiet = 0; m.lastReceived < g.loop.Now()-monotime.Second {
+	for quiet := eventloop.Micros(1); quiet > 0; { // until the client's answer has arrived
+		h.onLoop(func() {
+			for m := range h.proxy.listener.muxConns {
+				if quiet = 0; m.lastReceived < h.loop.Now()-monotime.Second {
 					quiet = 1
 				}
 			}
 		})
 	}
 	if !age(61 * monotime.Second) {
-		t.Error("never ended")
+		t.Error("not closed though the client stayed idle")
 	}
-	client.ended(true)
+	client.expectEnd(true)
 }
 
-// Short of descriptors, connections without channels go first.
-func TestIdleConnectionsGoFirst(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { plainUpstreams(cfg); cfg.MaxDescriptors = 40 })
-	client, server := g.pair(true, false)
+// When descriptors are short, multiplexed connections without channels are evicted before those with channels.
+func TestUnusedMuxConnectionsAreEvictedFirst(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { enableDownstreamChannels(cfg); cfg.MaxDescriptors = 40 })
+	client, server := h.establishStreams(true, false)
 	for range 60 {
-		p := g.client("SSH-2.0-x\r\n")
+		p := h.connect("SSH-2.0-x\r\n")
 		_ = p
 	}
-	client.say("T 1\r\n")
-	server.want("T 1\r\n")
+	client.send("T 1\r\n")
+	server.expect("T 1\r\n")
 	evicted, open := 0, 0
-	g.inLoop(func() { evicted, open = g.proxy.stats.evicted, g.loop.Descriptors() })
+	h.onLoop(func() { evicted, open = h.proxy.stats.evicted, h.loop.Descriptors() })
 	if evicted < 30 || open > 40 {
-		t.Errorf("%d evicted, %d descriptors", evicted, open)
+		t.Errorf("%d evicted, %d descriptors open, want at least 30 and at most 40", evicted, open)
 	}
 }
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -18,7 +18,8 @@
 	"spurspread/lab/sshchan"
 )
 
-func channelsOn(cfg *Config) {
+// enableChannels turns on multiplexed connections to clients and servers.
+func enableChannels(cfg *Config) {
 	cfg.Channels = &ChannelConfig{
 		AcceptDownstream: true, UseUpstream: true, Version: "test", MaxChannels: 100, OpensPerSecond: 1000,
 		Window: 32 << 10, SetupTimeout: 2 * monotime.Second, IdleTimeout: 30 * monotime.Second,
@@ -32,227 +33,232 @@
 	}
 }
 
-func plainUpstreams(cfg *Config) {
-	channelsOn(cfg)
+// enableDownstreamChannels turns on multiplexed connections to clients only.
+func enableDownstreamChannels(cfg *Config) {
+	enableChannels(cfg)
 	cfg.Channels.UseUpstream = false
 }
 
-// connection is a client's connection with channels.
-func (g *harness) connection() *sshchan.Conn {
-	g.t.Helper()
-	raw, err := net.Dial("tcp", g.proxy.Addr().String())
-	g.check(err)
-	g.check(raw.SetDeadline(time.Now().Add(patience)))
+// connectMux opens a client's multiplexed connection.
+func (h *harness) connectMux() *sshchan.Conn {
+	h.t.Helper()
+	raw, err := net.Dial("tcp", h.proxy.Addr().String())
+	h.check(err)
+	h.check(raw.SetDeadline(time.Now().Add(testTimeout)))
 	c, err := sshchan.Client(raw, 32<<10)
-	g.check(err)
-	g.t.Cleanup(func() { _ = c.Close() })
+	h.check(err)
+	h.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-// acceptMux takes the next connection at server i as one with channels.
-func (g *harness) acceptMux(i int) *sshchan.Conn {
-	g.t.Helper()
-	p := g.acceptUpstream(i)
-	if got := p.line(); got != "SSH-2.0-spurspread_test\r\n" {
-		g.t.Fatalf("identified as %q", got)
+// acceptMux accepts the next connection at server i, which must be a multiplexed one.
+func (h *harness) acceptMux(i int) *sshchan.Conn {
+	h.t.Helper()
+	p := h.acceptUpstream(i)
+	if got := p.readLine(); got != "SSH-2.0-spurspread_test\r\n" {
+		h.t.Fatalf("got identification line %q, want SSH-2.0-spurspread_test", got)
 	}
 	c, err := sshchan.Server(p.TCPConn, p.rd, 32<<10)
-	g.check(err)
+	h.check(err)
 	return c
 }
 
-// duplex is a stream of lines from either kind of connection, as a test sees it.
-type duplex struct {
-	g     *harness
-	ch    *sshchan.Channel
-	plain *peer
-	rd    *bufio.Reader
+// lineStream is the test's end of a request: a plain connection, or a channel of a multiplexed one.
+type lineStream struct {
+	h     *harness
+	ch    *sshchan.Channel // nil for a plain connection
+	plain *peer            // nil for a channel
+	rd    *bufio.Reader    // of ch
 }
 
-func (g *harness) overChannel(ch *sshchan.Channel) *duplex {
-	return &duplex{g: g, ch: ch, rd: bufio.NewReader(ch)}
+// channelStream returns the channel as a lineStream.
+func (h *harness) channelStream(ch *sshchan.Channel) *lineStream {
+	return &lineStream{h: h, ch: ch, rd: bufio.NewReader(ch)}
 }
 
-func (d *duplex) say(text string) {
-	d.g.t.Helper()
+func (d *lineStream) send(text string) {
+	d.h.t.Helper()
 	if d.plain != nil {
-		d.plain.say(text)
+		d.plain.send(text)
 		return
 	}
 	_, err := d.ch.Write([]byte(text))
-	d.g.check(err)
+	d.h.check(err)
 }
 
-func (d *duplex) want(text string) {
-	d.g.t.Helper()
+func (d *lineStream) expect(text string) {
+	d.h.t.Helper()
 	rd := d.rd
 	if d.plain != nil {
 		rd = d.plain.rd
 	}
 	if got, err := rd.ReadString('\n'); got != text {
-		d.g.t.Fatalf("got %q (%v), want %q", got, err, text)
+		d.h.t.Fatalf("got %q (%v), want %q", got, err, text)
 	}
 }
 
-// ended waits for the end, in order or broken off.
-func (d *duplex) ended(plain bool) {
-	d.g.t.Helper()
+// expectEnd waits for the end: EOF if eof is true, else a reset.
+func (d *lineStream) expectEnd(eof bool) {
+	d.h.t.Helper()
 	if d.plain != nil {
-		d.plain.ended(plain)
+		d.plain.expectEnd(eof)
 		return
 	}
-	if b, err := d.rd.ReadByte(); errors.Is(err, io.EOF) != plain || err == nil {
-		d.g.t.Fatalf("ended with %q, %v; plain %v", b, err, plain)
+	if b, err := d.rd.ReadByte(); errors.Is(err, io.EOF) != eof || err == nil {
+		d.h.t.Fatalf("channel ended with byte %q, %v, want EOF: %v", b, err, eof)
 	}
 }
 
-// moved wants the client sent away, and returns the token.
-func (d *duplex) moved() string {
-	d.g.t.Helper()
+// expectMove waits until the client is moved and returns the token; empty for none.
+func (d *lineStream) expectMove() string {
+	d.h.t.Helper()
 	if d.plain != nil {
-		got := strings.TrimSuffix(d.plain.line(), "\r\n")
+		got := strings.TrimSuffix(d.plain.readLine(), "\r\n")
 		if !strings.HasPrefix(got, "MOVE") {
-			d.g.t.Fatalf("%q", got)
+			d.h.t.Fatalf("got %q, want MOVE", got)
 		}
-		d.plain.ended(true)
+		d.plain.expectEnd(true)
 		return strings.TrimPrefix(strings.TrimPrefix(got, "MOVE"), " ")
 	}
-	d.ended(true)
+	d.expectEnd(true)
 	token, moved := d.ch.Moved()
 	if !moved {
-		d.g.t.Fatal("ended without being moved")
+		d.h.t.Fatal("channel ended without MOVE")
 	}
 	return token
 }
 
-func (d *duplex) closeWrite() {
+func (d *lineStream) closeWrite() {
 	if d.plain != nil {
-		d.g.check(d.plain.CloseWrite())
+		d.h.check(d.plain.CloseWrite())
 		return
 	}
-	d.g.check(d.ch.CloseWrite())
+	d.h.check(d.ch.CloseWrite())
 }
 
-func (d *duplex) close() {
+func (d *lineStream) close() {
 	if d.plain != nil {
-		d.g.check(d.plain.Close())
+		d.h.check(d.plain.Close())
 		return
 	}
-	d.g.check(d.ch.Close())
+	d.h.check(d.ch.Close())
 }
 
-func (d *duplex) reset() {
+func (d *lineStream) reset() {
 	if d.plain != nil {
-		d.g.check(d.plain.SetLinger(0))
-		d.g.check(d.plain.Close())
+		d.h.check(d.plain.SetLinger(0))
+		d.h.check(d.plain.Close())
 		return
 	}
-	d.g.check(d.ch.Reset())
+	d.h.check(d.ch.Reset())
 }
 
-// answered wants the answer to an open.
-func (g *harness) answered(ch *sshchan.Channel, up bool, code uint32, text string) {
-	g.t.Helper()
+// expectOpenReply waits for the reply to a channel's open request, which must have these values. code is that of a
+// refusal.
+func (h *harness) expectOpenReply(ch *sshchan.Channel, up bool, code uint32, text string) {
+	h.t.Helper()
 	select {
 	case a := <-ch.Answered():
 		if a.Up != up || a.Code != code || a.Line != text {
-			g.t.Fatalf("%+v, want %v %d %q", a, up, code, text)
+			h.t.Fatalf("open answered with %+v, want up %v, code %d, line %q", a, up, code, text)
 		}
-	case <-time.After(patience):
-		g.t.Fatal("no answer")
+	case <-time.After(testTimeout):
+		h.t.Fatal("open request was not answered")
 	}
 }
 
-func trimmed(text string) string { return strings.TrimSuffix(text, "\r\n") }
+func trimLineEnd(text string) string { return strings.TrimSuffix(text, "\r\n") }
 
-// pair brings a stream up with either kind of connection on both sides.
-func (g *harness) pair(clientMux, serverMux bool) (client, server *duplex) {
-	g.t.Helper()
+// establishStreams establishes a request at server 0 and returns both ends. Each side is a channel or a plain
+// connection.
+func (h *harness) establishStreams(clientMux, serverMux bool) (client, server *lineStream) {
+	h.t.Helper()
 	if clientMux {
-		c := g.connection()
-		ch, err := c.Open(trimmed(openLine))
-		g.check(err)
-		client = g.overChannel(ch)
+		c := h.connectMux()
+		ch, err := c.Open(trimLineEnd(openLine))
+		h.check(err)
+		client = h.channelStream(ch)
 	} else {
-		client = &duplex{g: g, plain: g.client(openLine)}
+		client = &lineStream{h: h, plain: h.connect(openLine)}
 	}
 	if serverMux {
-		ch := g.acceptMux(0).Accept()
+		ch := h.acceptMux(0).Accept()
 		if !strings.HasPrefix(ch.Line, openLine[:19]) {
-			g.t.Fatalf("%q", ch.Line)
+			h.t.Fatalf("server got %q, want the request line", ch.Line)
 		}
-		g.check(ch.Confirm("UP r1 from=0"))
-		server = g.overChannel(ch)
+		h.check(ch.Confirm("UP r1 from=0"))
+		server = h.channelStream(ch)
 	} else {
-		p := g.acceptUpstream(0)
-		if got := p.line(); strings.HasPrefix(got, "SSH-") { // asked whether it speaks channels
-			g.check(p.Close())
-			p = g.acceptUpstream(0)
-			p.line()
+		p := h.acceptUpstream(0)
+		if got := p.readLine(); strings.HasPrefix(got, "SSH-") { // asks whether the server supports channels
+			h.check(p.Close())
+			p = h.acceptUpstream(0)
+			p.readLine()
 		}
-		p.say("UP r1 from=0\r\n")
-		server = &duplex{g: g, plain: p}
+		p.send("UP r1 from=0\r\n")
+		server = &lineStream{h: h, plain: p}
 	}
 	if clientMux {
-		g.answered(client.ch, true, 0, "UP r1 from=0")
+		h.expectOpenReply(client.ch, true, 0, "UP r1 from=0")
 	} else {
-		client.want("UP r1 from=0\r\n")
+		client.expect("UP r1 from=0\r\n")
 	}
 	return client, server
 }
 
-// All four pairs of connections pass lines, ends in kind, and moves, and the decision core hears the same.
-func TestPairs(t *testing.T) {
+// Plain connections and channels can be combined in all four ways: lines, closes, resets and moves are forwarded, and
+// the decision core gets the same outcomes.
+func TestPlainAndChannelPairs(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(client, server *duplex)
+		end  func(client, server *lineStream)
 		want outcome.Status
 	}{
-		"server ends":   {func(c, s *duplex) { s.close(); c.ended(true) }, outcome.Reset},
-		"server resets": {func(c, s *duplex) { s.reset(); c.ended(false) }, outcome.Reset},
-		"client resets": {func(c, s *duplex) { c.reset(); s.ended(false) }, outcome.Cancelled},
-		"client ends": {func(c, s *duplex) {
+		"server closes": {func(c, s *lineStream) { s.close(); c.expectEnd(true) }, outcome.Reset},
+		"server resets": {func(c, s *lineStream) { s.reset(); c.expectEnd(false) }, outcome.Reset},
+		"client resets": {func(c, s *lineStream) { c.reset(); s.expectEnd(false) }, outcome.Cancelled},
+		"client half-closes": {func(c, s *lineStream) {
 			c.closeWrite()
-			s.ended(true)
-			s.say("more\r\nBYE\r\n")
+			s.expectEnd(true)
+			s.send("more\r\nBYE\r\n")
 			s.close()
-			c.want("more\r\n")
-			c.want("BYE\r\n")
-			c.ended(true)
+			c.expect("more\r\n")
+			c.expect("BYE\r\n")
+			c.expectEnd(true)
 		}, outcome.OK},
-		"both end at once": {func(c, s *duplex) { c.close(); s.close() }, 255},
-		"core moves": {func(c, s *duplex) {
-			c.g.inLoop(func() { c.g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(c.g).ref)}) })
-			if token := c.moved(); token != "" {
-				c.g.t.Errorf("token %q", token)
+		"both close at once": {func(c, s *lineStream) { c.close(); s.close() }, 255},
+		"core moves": {func(c, s *lineStream) {
+			c.h.onLoop(func() { c.h.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(c.h).ref)}) })
+			if token := c.expectMove(); token != "" {
+				c.h.t.Errorf("moved with token %q, want none", token)
 			}
 		}, outcome.Cancelled},
-		"server sends away": {func(c, s *duplex) {
+		"server moves": {func(c, s *lineStream) {
 			if s.ch != nil {
-				c.g.check(s.ch.Move(""))
+				c.h.check(s.ch.Move(""))
 			} else {
-				s.say("MOVE\r\n")
+				s.send("MOVE\r\n")
 				s.close()
 			}
-			c.moved()
+			c.expectMove()
 		}, outcome.Cancelled},
 	} {
 		for _, clientMux := range []bool{false, true} {
 			for _, serverMux := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, client %v, server %v", name, clientMux, serverMux), func(t *testing.T) {
-					g := newHarness(t, 1, sendToFirst, channelsOn)
-					client, server := g.pair(clientMux, serverMux)
-					client.say("T 1\r\n")
-					server.want("T 1\r\n")
-					server.say("LOAD 3\r\nOK 1\r\n")
-					client.want("LOAD 3\r\n")
-					client.want("OK 1\r\n")
+					h := newHarness(t, 1, sendToFirst, enableChannels)
+					client, server := h.establishStreams(clientMux, serverMux)
+					client.send("T 1\r\n")
+					server.expect("T 1\r\n")
+					server.send("LOAD 3\r\nOK 1\r\n")
+					client.expect("LOAD 3\r\n")
+					client.expect("OK 1\r\n")
 					c.end(client, server)
-					if o := event[decision.AttemptEnded](g); !o.RequestClosed || c.want != 255 && o.Status != c.want {
-						t.Errorf("%+v, want status %d", o, c.want)
+					if o := await[decision.AttemptEnded](h); !o.RequestClosed || c.want != 255 && o.Status != c.want {
+						t.Errorf("got %+v, want status %d of a closed request", o, c.want)
 					}
 					for {
 						left := 0
-						g.inLoop(func() { left = g.proxy.requests.len() })
+						h.onLoop(func() { left = h.proxy.requests.len() })
 						if left == 0 {
 							break
 						}
@@ -263,44 +269,44 @@
 	}
 }
 
-// Tokens pass over channels as over plain lines.
+// Resume tokens work over channels as over plain connections.
 func TestTokensOverChannels(t *testing.T) {
-	g := newResumeHarness(t, channelsOn)
-	c := g.connection()
-	ch, err := c.Open(trimmed(tokenRequestLine))
-	g.check(err)
-	upstream := g.acceptMux(0)
+	h := newResumeHarness(t, enableChannels)
+	c := h.connectMux()
+	ch, err := c.Open(trimLineEnd(tokenRequestLine))
+	h.check(err)
+	upstream := h.acceptMux(0)
 	s := upstream.Accept()
-	g.check(s.Confirm("UP r1 from=0"))
-	g.answered(ch, true, 0, "UP r1 from=0")
-	server, client := g.overChannel(s), g.overChannel(ch)
-	server.say("#1 a\r\n#2 b\r\n#3 half a mes")
-	client.want("#1 a\r\n")
-	client.want("#2 b\r\n")
-	g.listDraining(0)
-	word := client.moved()
+	h.check(s.Confirm("UP r1 from=0"))
+	h.expectOpenReply(ch, true, 0, "UP r1 from=0")
+	server, client := h.channelStream(s), h.channelStream(ch)
+	server.send("#1 a\r\n#2 b\r\n#3 half a mes")
+	client.expect("#1 a\r\n")
+	client.expect("#2 b\r\n")
+	h.listAsDraining(0)
+	word := client.expectMove()
 	if word == "" {
-		t.Fatal("no token")
+		t.Fatal("client was moved without a token")
 	}
-	again, err := c.Open(trimmed(comeLine + word))
-	g.check(err)
-	next := g.acceptMux(1).Accept()
+	again, err := c.Open(trimLineEnd(resumeLine + word))
+	h.check(err)
+	next := h.acceptMux(1).Accept()
 	if !strings.HasSuffix(next.Line, ",cur=2,tok="+word) {
-		t.Fatalf("%q", next.Line)
+		t.Fatalf("server 1 got %q, want the cursor and the token at its end", next.Line)
 	}
-	g.check(next.Confirm("UP r2 from=2"))
-	g.answered(again, true, 0, "UP r2 from=2")
-	twice, err := c.Open(trimmed(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word))
-	g.check(err)
-	g.answered(twice, false, sshchan.Failed, "STALE taken")
+	h.check(next.Confirm("UP r2 from=2"))
+	h.expectOpenReply(again, true, 0, "UP r2 from=2")
+	twice, err := c.Open(trimLineEnd(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word))
+	h.check(err)
+	h.expectOpenReply(twice, false, sshchan.Failed, "STALE taken")
 	if upstream.Err() != nil {
-		t.Error("the upstream connection ended with one of its channels:", upstream.Err())
+		t.Error("upstream connection ended together with one of its channels:", upstream.Err())
 	}
 }
 
-// What an open may be answered.
-func TestRejectedChannels(t *testing.T) {
-	g := newHarness(t, 1, func(ev decision.Event) []decision.Action {
+// An open request of a channel that can't be served is refused with the code and the text of its reason.
+func TestChannelOpenReplies(t *testing.T) {
+	h := newHarness(t, 1, func(ev decision.Event) []decision.Action {
 		switch ev := ev.(type) {
 		case decision.Request:
 			switch ev.Key {
@@ -315,52 +321,53 @@
 		}
 		return nil
 	}, func(cfg *Config) {
-		channelsOn(cfg)
+		enableChannels(cfg)
 		cfg.Channels.MaxChannels, cfg.Channels.OpensPerSecond = 3, 8
-		cfg.Settings.Decision.MaxRetryAfter = 150_000 // less than is ever drawn
+		cfg.Settings.Decision.MaxRetryAfter = 150_000 // below every randomized delay
 	})
-	c := g.connection()
+	c := h.connectMux()
 	id := 0
 	open := func(format string) *sshchan.Channel {
 		id++
 		ch, err := c.Open(strings.Replace(format, "ID", fmt.Sprint("a", id), 1))
-		g.check(err)
+		h.check(err)
 		return ch
 	}
-	g.answered(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 70")
-	g.answered(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.Failed, "ERR")
-	g.answered(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.Failed, "ERR")
-	g.answered(open("PING"), false, 1, "ERR")
-	g.answered(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
-	stands := open("OPEN ID 3 c=sync,d=5000")
-	upstream := g.acceptMux(0)
+	h.expectOpenReply(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 70")
+	h.expectOpenReply(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.Failed, "ERR")
+	h.expectOpenReply(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.Failed, "ERR")
+	h.expectOpenReply(open("PING"), false, 1, "ERR")
+	h.expectOpenReply(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
+	served := open("OPEN ID 3 c=sync,d=5000")
+	upstream := h.acceptMux(0)
 	server := upstream.Accept()
-	g.check(server.Confirm("UP r"))
-	g.answered(stands, true, 0, "UP r")
+	h.check(server.Confirm("UP r"))
+	h.expectOpenReply(served, true, 0, "UP r")
 	busy := open("OPEN ID 4 c=sync,d=5000")
-	g.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
-	g.answered(busy, false, sshchan.Failed, "ERR") // as this program answers an outcome
+	h.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
+	h.expectOpenReply(busy, false, sshchan.Failed, "ERR") // the test's core fails a request whose attempt has ended
 	open("OPEN ID 5 c=sync,d=5000")
-	// Eight opens were done: the bucket is empty. Later there is room for one more, and then three are held.
-	g.answered(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
-	if got := event[decision.AttemptEnded](g); got.Status != outcome.ServerFull {
-		t.Errorf("%+v", got)
+	// Eight channels were opened, which is the limit per second.
+	h.expectOpenReply(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
+	if got := await[decision.AttemptEnded](h); got.Status != outcome.ServerFull {
+		t.Errorf("got %+v, want status %d", got, outcome.ServerFull)
 	}
 }
 
-// What is wrong is told with DISCONNECT, or not at all but the end, and nobody else notices.
+// A multiplexed connection that breaks the protocol is ended with DISCONNECT and the reason, or just closed, and other
+// connections are not affected.
 func TestBadChannelClients(t *testing.T) {
-	g := newHarness(
+	h := newHarness(
 		t,
 		1,
 		sendToFirst,
-		func(cfg *Config) { channelsOn(cfg); cfg.Channels.SetupTimeout = 100 * monotime.Millisecond },
+		func(cfg *Config) { enableChannels(cfg); cfg.Channels.SetupTimeout = 100 * monotime.Millisecond },
 	)
-	client, server := g.pair(true, true)
-	goodbye := func(what string, c *sshchan.Conn, want string) {
+	client, server := h.establishStreams(true, true)
+	expectDisconnect := func(what string, c *sshchan.Conn, want string) {
 		t.Helper()
 		if ch := c.Accept(); ch != nil || !strings.Contains(c.DisconnectReason, want) {
-			t.Errorf("%s: %q, want %q", what, c.DisconnectReason, want)
+			t.Errorf("%s: disconnected with %q, want %q", what, c.DisconnectReason, want)
 		}
 	}
 	for what, b := range map[string][]byte{
@@ -369,48 +376,48 @@
 		"a huge length":   {0x7f, 0xff, 0xff, 0xff, 4},
 		"endless garbage": bytes.Repeat([]byte{0xee}, 100_000),
 	} {
-		c := g.connection()
-		_ = c.Raw(b) // it may be cut off meanwhile
-		goodbye(what, c, "2 packet length is not one that may be")
+		c := h.connectMux()
+		_ = c.Raw(b) // fails if the proxy closes the connection during the write
+		expectDisconnect(what, c, "2 packet length is not one that may be")
 	}
-	c := g.connection()
-	g.check(c.Payload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
-	goodbye("data on no channel", c, "2 message 94 for channel 9, which there is not")
-	c = g.connection()
-	g.check(c.Payload([]byte{21})) // NEWKEYS
-	g.check(c.Payload([]byte{200, 1, 2, 3}))
+	c := h.connectMux()
+	h.check(c.Payload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
+	expectDisconnect("data on no channel", c, "2 message 94 for channel 9, which there is not")
+	c = h.connectMux()
+	h.check(c.Payload([]byte{21})) // NEWKEYS
+	h.check(c.Payload([]byte{200, 1, 2, 3}))
 	ch, err := c.Open("OPEN 77 6 c=sync,d=5000")
-	g.check(err)
+	h.check(err)
 	_ = ch
-	silent := g.client("SSH-2.0-x\r\n")
-	if got := silent.line(); got != "SSH-2.0-spurspread_test\r\n" {
-		t.Errorf("%q", got)
+	silent := h.connect("SSH-2.0-x\r\n")
+	if got := silent.readLine(); got != "SSH-2.0-spurspread_test\r\n" {
+		t.Errorf("got identification line %q, want SSH-2.0-spurspread_test", got)
 	}
 	if rest, err := io.ReadAll(silent.rd); err != nil ||
 		!bytes.Contains(rest, []byte("the service was not asked for in time")) {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("got %q, %v, want a disconnect because no service was requested", rest, err)
 	}
 	for _, bad := range []string{"SSH-1.5-old\r\n", "SSH-2.0-" + strings.Repeat("x", 300) + "\r\n"} {
-		p := g.client(bad)
+		p := h.connect(bad)
 		if rest, _ := io.ReadAll(p.rd); len(rest) > 0 {
-			t.Errorf("%q answered %q", bad[:10], rest)
+			t.Errorf("identification %q answered with %q, want nothing", bad[:10], rest)
 		}
 	}
-	client.say("T 1\r\n")
-	server.want("T 1\r\n")
-	server.say("OK\r\n")
-	client.want("OK\r\n")
-	for until := time.Now().Add(patience); c.Unknown() != 2; time.Sleep(time.Millisecond) {
+	client.send("T 1\r\n")
+	server.expect("T 1\r\n")
+	server.send("OK\r\n")
+	client.expect("OK\r\n")
+	for until := time.Now().Add(testTimeout); c.Unknown() != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d messages told to be unknown", c.Unknown())
+			t.Fatalf("%d messages answered as unknown, want 2", c.Unknown())
 		}
 	}
 }
 
-// Channels off: a greeting is a first line like any other.
+// Without channels in the configuration, a client's SSH identification line is answered like any malformed first line.
 func TestChannelsOff(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client := g.client("SSH-2.0-x\r\n")
-	client.want("ERR\r\n")
-	client.ended(true)
+	h := newHarness(t, 1, sendToFirst, nil)
+	client := h.connect("SSH-2.0-x\r\n")
+	client.expect("ERR\r\n")
+	client.expectEnd(true)
 }
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -11,207 +11,209 @@
 	"spurspread/lab/sshchan"
 )
 
-// A client that does not read one channel, and a server that does not, stop their own senders and nobody else; what is
-// kept meanwhile is bounded.
+// A client or a server that stops reading one channel stalls only the sender on that channel, and the data buffered for
+// it is bounded.
 func TestStalledChannels(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c := g.connection()
-	var clients, servers []*duplex
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c := h.connectMux()
+	var clients, servers []*lineStream
 	var upstream *sshchan.Conn
 	for i := range 3 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 		if upstream == nil {
-			upstream = g.acceptMux(0)
+			upstream = h.acceptMux(0)
 		}
 		s := upstream.Accept()
-		g.check(s.Confirm("UP r"))
-		g.answered(ch, true, 0, "UP r")
-		clients, servers = append(clients, g.overChannel(ch)), append(servers, g.overChannel(s))
+		h.check(s.Confirm("UP r"))
+		h.expectOpenReply(ch, true, 0, "UP r")
+		clients, servers = append(clients, h.channelStream(ch)), append(servers, h.channelStream(s))
 	}
-	clients[0].ch.Hold(true) // reads, but gives nothing back, as a reader that has stalled
+	clients[0].ch.Hold(true) // reads but never grows the window, like a stalled reader
 	servers[1].ch.Hold(true)
 	line := strings.Repeat("x", 98) + "\r\n"
 	const lines = 20_000
-	for _, from := range []*duplex{servers[0], clients[1]} {
+	for _, from := range []*lineStream{servers[0], clients[1]} {
 		go func() { _, _ = from.ch.Write([]byte(strings.Repeat(line, lines))) }()
 	}
 	for i := range 200 {
-		clients[2].say(fmt.Sprintf("T %d\r\n", i))
-		servers[2].want(fmt.Sprintf("T %d\r\n", i))
-		servers[2].say(fmt.Sprintf("OK %d\r\n", i))
-		clients[2].want(fmt.Sprintf("OK %d\r\n", i))
-		kept := 0
-		g.inLoop(func() {
-			for s := range g.proxy.requests.all {
-				kept += s.downstream.Pending() + s.attempt.upstream.Pending()
+		clients[2].send(fmt.Sprintf("T %d\r\n", i))
+		servers[2].expect(fmt.Sprintf("T %d\r\n", i))
+		servers[2].send(fmt.Sprintf("OK %d\r\n", i))
+		clients[2].expect(fmt.Sprintf("OK %d\r\n", i))
+		buffered := 0
+		h.onLoop(func() {
+			for r := range h.proxy.requests.all {
+				buffered += r.downstream.Pending() + r.attempt.upstream.Pending()
 			}
 		})
-		if most := 2 * (g.proxy.buffers.maxPending + len(g.proxy.buffers.read)); kept > most {
-			t.Fatalf("%d bytes kept, over %d", kept, most)
+		if limit := 2 * (h.proxy.buffers.maxPending + len(h.proxy.buffers.read)); buffered > limit {
+			t.Fatalf("%d bytes buffered, want at most %d", buffered, limit)
 		}
 	}
 	clients[0].ch.Hold(false)
 	servers[1].ch.Hold(false)
 	for range lines {
-		clients[0].want(line)
-		servers[1].want(line)
+		clients[0].expect(line)
+		servers[1].expect(line)
 	}
 }
 
-// A multiplexed upstream connection that breaks ends each of its channels with one outcome, and is one piece of
-// evidence. Attempts that still wait for a multiplexed connection were never sent.
+// When a multiplexed upstream connection breaks, each attempt on it reports one outcome, and only one of these counts
+// against the server.
 func TestMuxUpstreamBreaks(t *testing.T) {
-	const n = 30 // fewer than have a second connection opened ahead of need
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c := g.connection()
+	const n = 30 // few enough that the proxy opens no second connection in advance
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c := h.connectMux()
 	var clients []*sshchan.Channel
 	var upstream *sshchan.Conn
 	for i := range n {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 		if upstream == nil {
-			upstream = g.acceptMux(0)
+			upstream = h.acceptMux(0)
 		}
 		s := upstream.Accept()
-		if clients = append(clients, ch); i < n-5 { // some are not answered yet
-			g.check(s.Confirm("UP r"))
-			g.answered(ch, true, 0, "UP r")
+		if clients = append(clients, ch); i < n-5 { // the last 5 are not answered
+			h.check(s.Confirm("UP r"))
+			h.expectOpenReply(ch, true, 0, "UP r")
 		}
 	}
-	g.check(upstream.Abort())
-	evidence, outcomes := 0, map[uint32]int{}
+	h.check(upstream.Abort())
+	counted, outcomes := 0, map[uint32]int{}
 	for range n {
-		o := event[decision.AttemptEnded](g)
+		o := await[decision.AttemptEnded](h)
 		if o.Status != outcome.Reset {
-			t.Errorf("%+v", o)
+			t.Errorf("got %+v, want status %d", o, outcome.Reset)
 		}
 		if outcomes[o.ID]++; outcomes[o.ID] > 1 {
-			t.Errorf("two outcomes of %d", o.ID)
+			t.Errorf("request %d has more than one outcome", o.ID)
 		}
 		if !o.CauseAlreadyReported {
-			evidence++
+			counted++
 		}
 	}
-	if evidence != 1 {
-		t.Errorf("%d pieces of evidence", evidence)
+	if counted != 1 {
+		t.Errorf("%d outcomes count against the server, want 1", counted)
 	}
 	for _, ch := range clients[:n-5] {
-		d := g.overChannel(ch)
-		d.ended(false)
+		d := h.channelStream(ch)
+		d.expectEnd(false)
 	}
 	if c.Err() != nil {
-		t.Error("the client's connection ended with the upstream connection")
+		t.Error("client connection ended together with the upstream connection:", c.Err())
 	}
-	// The next comes too soon for another connection, and is told so without one more piece of evidence.
+	// The next attempt fails at once, since it is too early for a new connection; it does not count against the server.
 	_, err := c.Open("OPEN b1 7 c=sync,d=60000")
-	g.check(err)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.ConnectFailed || !o.CauseAlreadyReported {
-		t.Errorf("%+v", o)
+	h.check(err)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.ConnectFailed || !o.CauseAlreadyReported {
+		t.Errorf("got %+v, want status %d with its cause already reported", o, outcome.ConnectFailed)
 	}
 }
 
-// Attempts that wait for a multiplexed connection that can't be opened were never sent; the first is the evidence.
+// When a multiplexed connection can't be opened, all attempts that wait for it report ConnectFailed, since they were
+// never sent, and only one of them counts against the server.
 func TestMuxUpstreamRefused(t *testing.T) {
-	g := newHarness(t, 1, nil, channelsOn)
-	g.check(g.servers[0].Close())
-	c := g.connection()
+	h := newHarness(t, 1, nil, enableChannels)
+	h.check(h.servers[0].Close())
+	c := h.connectMux()
 	const n = 5
 	for i := range n {
 		_, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 	}
 	var ids []uint32
 	for range n {
-		ids = append(ids, event[decision.Request](g).ID)
+		ids = append(ids, await[decision.Request](h).ID)
 	}
-	g.inLoop(func() {
+	h.onLoop(func() {
 		for _, id := range ids {
-			g.proxy.apply(decision.StartAttempt{ID: id, Timeout: longTimeout})
+			h.proxy.apply(decision.StartAttempt{ID: id, Timeout: longTimeout})
 		}
 	})
-	evidence := 0
+	counted := 0
 	for range n {
-		o := event[decision.AttemptEnded](g)
+		o := await[decision.AttemptEnded](h)
 		if o.Status != outcome.ConnectFailed {
-			t.Errorf("%+v", o)
+			t.Errorf("got %+v, want status %d", o, outcome.ConnectFailed)
 		}
 		if !o.CauseAlreadyReported {
-			evidence++
+			counted++
 		}
 	}
-	if evidence != 1 {
-		t.Errorf("%d pieces of evidence", evidence)
+	if counted != 1 {
+		t.Errorf("%d outcomes count against the server, want 1", counted)
 	}
 }
 
-// A server that speaks plain lines only is asked once; the attempt that asked goes on as a plain one.
-func TestPlainServers(t *testing.T) {
+// A server without support for channels is asked for them only once, and the attempt that asked goes on over a plain
+// connection.
+func TestServerWithoutChannels(t *testing.T) {
 	for name, answer := range map[string]func(p *peer){
 		"closes": func(p *peer) { _ = p.Close() },
-		"errs":   func(p *peer) { p.say("ERR\r\n") },
+		"error":  func(p *peer) { p.send("ERR\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, sendToFirst, channelsOn)
-			first := g.client(openLine)
-			asked := g.acceptUpstream(0)
-			if got := asked.line(); !strings.HasPrefix(got, "SSH-2.0-") {
-				t.Fatalf("%q", got)
+			h := newHarness(t, 1, sendToFirst, enableChannels)
+			first := h.connect(openLine)
+			asked := h.acceptUpstream(0)
+			if got := asked.readLine(); !strings.HasPrefix(got, "SSH-2.0-") {
+				t.Fatalf("server got %q, want an SSH identification line", got)
 			}
 			answer(asked)
-			server := g.acceptUpstream(0)
-			server.line()
-			server.say("UP r1\r\n")
-			first.want("UP r1\r\n")
-			second := g.client(another)
-			server = g.acceptUpstream(0)
-			if got := server.line(); !strings.HasPrefix(got, "OPEN 9b20") {
-				t.Errorf("asked again: %q", got)
+			server := h.acceptUpstream(0)
+			server.readLine()
+			server.send("UP r1\r\n")
+			first.expect("UP r1\r\n")
+			second := h.connect(otherOpenLine)
+			server = h.acceptUpstream(0)
+			if got := server.readLine(); !strings.HasPrefix(got, "OPEN 9b20") {
+				t.Errorf("server got %q, want the second request line on a plain connection", got)
 			}
-			server.say("UP r2\r\n")
-			second.want("UP r2\r\n")
+			server.send("UP r2\r\n")
+			second.expect("UP r2\r\n")
 			for range 2 {
-				if o := event[decision.Established](g); o.Attempt != 0 {
-					t.Errorf("the question counted as an attempt: %+v", o)
+				if o := await[decision.Established](h); o.Attempt != 0 {
+					t.Errorf("got %+v, want attempt 0: asking for channels is no attempt", o)
 				}
 			}
 		})
 	}
 }
 
-// A server that says nothing any more on a multiplexed connection is given up, its clients are moved, and that is one
-// piece of evidence.
+// When a server no longer answers on a multiplexed connection, the connection is closed and its clients are moved. Only
+// one of the outcomes counts against the server.
 func TestSilentMuxUpstream(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, channelsOn)
-	c := g.connection()
-	var clients []*duplex
+	h := newHarness(t, 1, sendToFirst, enableChannels)
+	c := h.connectMux()
+	var clients []*lineStream
 	var upstream *sshchan.Conn
 	for i := range 3 {
 		ch, err := c.Open(fmt.Sprintf("OPEN a%d 7 c=sync,d=60000", i))
-		g.check(err)
+		h.check(err)
 		if upstream == nil {
-			upstream = g.acceptMux(0)
+			upstream = h.acceptMux(0)
 		}
-		g.check(upstream.Accept().Confirm("UP r"))
-		g.answered(ch, true, 0, "UP r")
-		clients = append(clients, g.overChannel(ch))
+		h.check(upstream.Accept().Confirm("UP r"))
+		h.expectOpenReply(ch, true, 0, "UP r")
+		clients = append(clients, h.channelStream(ch))
 	}
-	g.inLoop(func() {
-		for _, t := range g.proxy.upstreams.conns {
+	h.onLoop(func() {
+		for _, t := range h.proxy.upstreams.conns {
 			t.lastReceived -= keepalive.UpstreamTimeout
 			t.checkAlive()
 		}
 	})
-	evidence := 0
+	counted := 0
 	for _, d := range clients {
-		d.moved()
-		if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset {
-			t.Errorf("%+v", o)
+		d.expectMove()
+		if o := await[decision.AttemptEnded](h); o.Status != outcome.Reset {
+			t.Errorf("got %+v, want status %d", o, outcome.Reset)
 		} else if !o.CauseAlreadyReported {
-			evidence++
+			counted++
 		}
 	}
-	if evidence != 1 {
-		t.Errorf("%d pieces of evidence", evidence)
+	if counted != 1 {
+		t.Errorf("%d outcomes count against the server, want 1", counted)
 	}
 }
--- a/internal/proxy/connect_timeout_test.go
+++ b/internal/proxy/connect_timeout_test.go
@@ -9,41 +9,41 @@
 	"spurspread/decision/outcome"
 )
 
-// A loop that was held up finds a connection's deadline passed before it reads that the connection has come up: the
-// attempt goes on, and its server is not taken for dead. The server accepts while the loop stands, so that the
-// order is the same every time.
-func TestConnectedBehindItsDeadline(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
-	client, s := g.pendingRequest(1)
-	g.check(g.servers[0].SetDeadline(time.Now().Add(patience)))
+// If the loop is delayed, it may handle an attempt's connect timeout before the event of its established connection.
+// The attempt must go on, and must not be reported as a failed connect. The server accepts while the loop is blocked,
+// so the order is the same in every run.
+func TestConnectTimeoutBeforeConnectEvent(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
+	client, r := h.pendingRequest(1)
+	h.check(h.servers[0].SetDeadline(time.Now().Add(testTimeout)))
 	var at net.Conn
 	var err error
-	g.inLoop(func() {
-		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Server: 0})
-		at, err = g.servers[0].Accept()
+	h.onLoop(func() {
+		h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Server: 0})
+		at, err = h.servers[0].Accept()
 	})
-	server := g.peer(at, err)
-	if got := server.line(); got[:10] != openLineWithID(1)[:10] {
-		t.Fatalf("the server was sent %q", got)
+	server := h.newPeer(at, err)
+	if got := server.readLine(); got[:10] != openLineWithID(1)[:10] {
+		t.Fatalf("server got %q, want the request line with id 1", got)
 	}
-	server.say("UP 1\r\n")
-	client.want("UP 1\r\n")
+	server.send("UP 1\r\n")
+	client.expect("UP 1\r\n")
 }
 
-// The same of a probe: what answers is not told to be dead.
-func TestProbeConnectedBehindItsDeadline(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
-	g.check(g.servers[0].SetDeadline(time.Now().Add(patience)))
+// The same for a probe: a server that answers must not be reported as failed.
+func TestProbeTimeoutBeforeConnectEvent(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
+	h.check(h.servers[0].SetDeadline(time.Now().Add(testTimeout)))
 	var at net.Conn
 	var err error
-	g.inLoop(func() {
-		g.proxy.apply(decision.ProbeServer{Server: 0})
-		at, err = g.servers[0].Accept()
+	h.onLoop(func() {
+		h.proxy.apply(decision.ProbeServer{Server: 0})
+		at, err = h.servers[0].Accept()
 	})
-	server := g.peer(at, err)
-	server.want("PING\r\n")
-	server.say("PONG\r\n")
-	if p := event[decision.ProbeResult](g); p.Status != outcome.OK {
-		t.Fatalf("%+v", p)
+	server := h.newPeer(at, err)
+	server.expect("PING\r\n")
+	server.send("PONG\r\n")
+	if p := await[decision.ProbeResult](h); p.Status != outcome.OK {
+		t.Fatalf("got %+v, want status %d", p, outcome.OK)
 	}
 }
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -13,71 +13,73 @@
 	"spurspread/internal/lineproto"
 )
 
-// A client that does not wait for its answer is told so and never served: what it sends would be taken for lines of a
-// connection that is established. The answer ends plainly, as closing with unread bytes would be a reset.
-func TestEarlyBytes(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	behind := g.client(openLine + strings.Repeat("too early\r\n", 10_000))
-	behind.want("ERR\r\n")
-	behind.ended(true)
-	late := g.client(another)
-	server := g.acceptUpstream(0)
-	server.line()
-	// Both are there when the loop looks, whichever it sees first.
-	g.inLoop(func() {
-		late.say("too early\r\n")
-		server.say("UP r1\r\n")
+// A client that sends data before it has its answer gets ERR and is not served: its server would take the data for
+// lines of an established connection. The connection then ends with EOF; closing it with unread data would be a reset.
+func TestDataBeforeAnswer(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	pipelined := h.connect(openLine + strings.Repeat("too early\r\n", 10_000))
+	pipelined.expect("ERR\r\n")
+	pipelined.expectEnd(true)
+	late := h.connect(otherOpenLine)
+	server := h.acceptUpstream(0)
+	server.readLine()
+	// Both have arrived when the loop goes on; it may read either first.
+	h.onLoop(func() {
+		late.send("too early\r\n")
+		server.send("UP r1\r\n")
 	})
-	late.want("ERR\r\n")
-	late.ended(true)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
-		t.Errorf("%+v", o)
+	late.expect("ERR\r\n")
+	late.expectEnd(true)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.Cancelled || !o.RequestClosed {
+		t.Errorf("got %+v, want status %d of a closed request", o, outcome.Cancelled)
 	}
 }
 
-// The id is new for every connection. Passed on, one that another has would come back as a server's error.
+// A client must use a new id for every connection. The proxy rejects a repeated id itself; a server would answer ERR,
+// which would count as its fault.
 func TestRepeatedID(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client, server := g.establish()
-	g.client(openLine).want("ERR\r\n")
-	server.say("BYE\r\n")
-	g.check(server.Close())
-	client.want("BYE\r\n")
-	client.ended(true)
-	g.client(openLine).want("ERR\r\n")
+	h := newHarness(t, 1, sendToFirst, nil)
+	client, server := h.establish()
+	h.connect(openLine).expect("ERR\r\n")
+	server.send("BYE\r\n")
+	h.check(server.Close())
+	client.expect("BYE\r\n")
+	client.expectEnd(true)
+	h.connect(openLine).expect("ERR\r\n")
 	known := requestids.New()
 	for id := range uint64(3 * requestids.MaxFinished) {
 		if !known.Add(id) || known.Add(id) {
-			t.Fatalf("id %d", id)
+			t.Fatalf("id %d: not added once", id)
 		}
 		known.Finish(id)
 	}
 	if known.Len() != requestids.MaxFinished || known.Add(3*requestids.MaxFinished-1) || !known.Add(0) {
-		t.Errorf("%d ids", known.Len())
+		t.Errorf("%d ids kept, want the latest %d", known.Len(), requestids.MaxFinished)
 	}
 }
 
-// Whoever says nothing whole is gone within 3 s of connecting, also behind a ping. Who has begun to ask is told so.
-func TestSilentClients(t *testing.T) {
-	g := newHarness(t, 0, nil, nil)
+// A client without a complete first line is disconnected within 3 s of connecting, even if it has sent a ping before.
+// If it has sent part of a line, it gets ERR first.
+func TestIncompleteFirstLine(t *testing.T) {
+	h := newHarness(t, 0, nil, nil)
 	began := time.Now()
-	silent, half := g.client(""), g.client("OPEN 9b1f 7f3a c=sy")
-	pinged := g.client("PING\r\nOPEN 9b1f")
-	pinged.want("PONG\r\n")
-	half.want("ERR\r\n")
-	pinged.want("ERR\r\n")
+	silent, half := h.connect(""), h.connect("OPEN 9b1f 7f3a c=sy")
+	pinged := h.connect("PING\r\nOPEN 9b1f")
+	pinged.expect("PONG\r\n")
+	half.expect("ERR\r\n")
+	pinged.expect("ERR\r\n")
 	for _, c := range []*peer{silent, half, pinged} {
-		c.ended(true)
+		c.expectEnd(true)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("after %v", took)
+		t.Errorf("clients disconnected after %v, want at most 3 s", took)
 	}
 }
 
-// A client that sends on and on after its answer is cut off soon, and never kept in memory.
-func TestEndlessLine(t *testing.T) {
-	g := newHarness(t, 0, nil, nil)
-	client := g.client("")
+// A client that keeps sending after its answer is disconnected soon, and its data is not kept in memory.
+func TestEndlessFirstLine(t *testing.T) {
+	h := newHarness(t, 0, nil, nil)
+	client := h.connect("")
 	block := []byte(strings.Repeat("k", 1<<20))
 	sent := 0
 	for range 60 {
@@ -87,140 +89,140 @@
 		}
 	}
 	if sent == 60<<20 {
-		t.Error("all of it was taken")
+		t.Errorf("the proxy accepted all %d bytes", sent)
 	}
 	left := -1
-	for until := time.Now().Add(patience); left != 0 && time.Now().Before(until); {
-		g.inLoop(func() { left = g.proxy.requests.len() })
+	for until := time.Now().Add(testTimeout); left != 0 && time.Now().Before(until); {
+		h.onLoop(func() { left = h.proxy.requests.len() })
 	}
 	if left != 0 {
-		t.Errorf("%d requests left", left)
+		t.Errorf("%d requests left, want 0", left)
 	}
 }
 
-// A silent crowd uses up no descriptors: the oldest goes when one is needed, the health checker's connection and those
-// that are served stay.
-func TestCrowd(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = 64 })
-	front := g.client("PING\r\n")
-	front.want("PONG\r\n")
-	front.say("PING\r\n")
-	front.want("PONG\r\n")
-	served, server := g.establish()
-	var crowd []*peer
+// Many idle clients don't exhaust the descriptors: the oldest are evicted when descriptors are short, while a health
+// checker's connection and established connections stay.
+func TestManyIdleClients(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = 64 })
+	checker := h.connect("PING\r\n")
+	checker.expect("PONG\r\n")
+	checker.send("PING\r\n")
+	checker.expect("PONG\r\n")
+	served, server := h.establish()
+	var idle []*peer
 	for i := range 120 {
-		crowd = append(crowd, g.client([]string{"", "PING\r\n"}[i%2]))
+		idle = append(idle, h.connect([]string{"", "PING\r\n"}[i%2]))
 	}
-	crowd[0].ended(true)
-	g.client(another)
-	g.acceptUpstream(0).line()
-	front.say("PING\r\n")
-	front.want("PONG\r\n")
-	server.say("still there\r\n")
-	served.want("still there\r\n")
-	g.inLoop(func() {
-		if n := g.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
-			t.Errorf("%d descriptors", n)
+	idle[0].expectEnd(true)
+	h.connect(otherOpenLine)
+	h.acceptUpstream(0).readLine()
+	checker.send("PING\r\n")
+	checker.expect("PONG\r\n")
+	server.send("still there\r\n")
+	served.expect("still there\r\n")
+	h.onLoop(func() {
+		if n := h.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
+			t.Errorf("%d descriptors open, want at most %d", n, 64-overload.ReservedDescriptors)
 		}
 	})
 }
 
-// Whatever a first line is, it is answered and the proxy goes on.
+// Every malformed first line is answered with ERR, and the proxy goes on serving others.
 func TestBadFirstLines(t *testing.T) {
-	g := newHarness(t, 0, nil, nil)
+	h := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
 		"\r\n", "\n", "OPEN\r\n", "OPEN a b c=nobody,d=5\r\n", "OPEN a b d=5\r\n", "OPEN a b c=sync\n",
 		"GET / HTTP/1.1\r\n", "\x00\x01\r\n", strings.Repeat("x", lineproto.MaxLine),
 	} {
-		client := g.client(bad)
-		client.want("ERR\r\n")
-		client.ended(true)
+		client := h.connect(bad)
+		client.expect("ERR\r\n")
+		client.expectEnd(true)
 	}
-	pipelined := g.client(strings.Repeat("PING\r\n", 300))
-	pipelined.want("ERR\r\n")
-	client := g.client("PING\r\nPI")
-	client.want("PONG\r\n")
-	client.say("NG\r\n")
-	client.want("PONG\r\n")
+	pipelined := h.connect(strings.Repeat("PING\r\n", 300))
+	pipelined.expect("ERR\r\n")
+	client := h.connect("PING\r\nPI")
+	client.expect("PONG\r\n")
+	client.send("NG\r\n")
+	client.expect("PONG\r\n")
 }
 
-// Short of descriptors, clients are rejected and not cut off.
-func TestShortOfDescriptors(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = overload.ReservedDescriptors + 2 })
-	if got := g.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("%q", got)
+// When descriptors are short, clients are rejected with BUSY rather than just disconnected.
+func TestRejectedWhenDescriptorsShort(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.MaxDescriptors = overload.ReservedDescriptors + 2 })
+	if got := h.connect(openLine).readLine(); !strings.HasPrefix(got, "BUSY ") {
+		t.Errorf("got %q, want BUSY with a retry delay", got)
 	}
 }
 
-// What is more than the settings let a balancer hold is rejected before the decision core hears of it.
-func TestHoldsNoMoreThanItMay(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 1 })
-	g.establish()
-	if got := g.client(another).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("%q", got)
+// Requests beyond the limit of held requests are rejected by the proxy itself.
+func TestMaxHeldRequests(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 1 })
+	h.establish()
+	if got := h.connect(otherOpenLine).readLine(); !strings.HasPrefix(got, "BUSY ") {
+		t.Errorf("got %q, want BUSY with a retry delay", got)
 	}
 }
 
-// idle is how many idle connections of a class there are, read on the loop.
-func (g *harness) idle(class overload.EvictionClass) int {
-	return g.proxy.listener.idle.classes[class].Len()
+// idleCount returns the number of idle connections of a class. It must be called on the loop.
+func (h *harness) idleCount(class overload.EvictionClass) int {
+	return h.proxy.listener.idle.classes[class].Len()
 }
 
-// firstIdle is the oldest connection that has sent no request, read on the loop.
-func (g *harness) firstIdle() *downstreamConn {
-	return g.proxy.listener.idle.oldest(overload.NoRequest)
+// oldestIdle returns the oldest connection that has sent no request. It must be called on the loop.
+func (h *harness) oldestIdle() *downstreamConn {
+	return h.proxy.listener.idle.oldest(overload.NoRequest)
 }
 
-// waitRead waits until the proxy has one connection that has said nothing.
-func (g *harness) waitRead() {
-	g.t.Helper()
-	g.until(func() bool { return g.idle(overload.NoRequest) == 1 })
+// waitForIdle waits until the proxy has exactly one connection without a request.
+func (h *harness) waitForIdle() {
+	h.t.Helper()
+	h.waitUntil(func() bool { return h.idleCount(overload.NoRequest) == 1 })
 }
 
-// A client that goes on sending reads its answer all the same: nothing is closed over what it sent, until its time
-// is up.
-func TestFloodBehindTheAnswer(t *testing.T) {
-	g := newHarness(t, 0, nil, nil)
-	p := g.client("")
-	g.waitRead()
-	g.inLoop(func() {
-		d := g.firstIdle()
-		p.say("nonsense\r\n")
+// A client that keeps sending can still read its answer: the proxy does not close the connection because of the excess
+// data, which would reset it, until the client's time to read the answer is over.
+func TestClientKeepsSendingAfterAnswer(t *testing.T) {
+	h := newHarness(t, 0, nil, nil)
+	p := h.connect("")
+	h.waitForIdle()
+	h.onLoop(func() {
+		d := h.oldestIdle()
+		p.send("nonsense\r\n")
 		d.Readable(d.conn)
 		block := strings.Repeat("k", 64<<10)
 		for more := 2; !d.closed && more > 0; {
-			p.say(block)
+			p.send(block)
 			if d.Readable(d.conn); overload.StopsReading(d.discardedBytes) {
 				more--
 			}
 		}
 		if d.closed {
-			t.Error("closed over what its client sends")
+			t.Error("connection closed because its client keeps sending")
 		}
 	})
 	if answer, err := io.ReadAll(p); string(answer) != "ERR\r\n" || err != nil {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("client read %q, %v, want ERR and EOF", answer, err)
 	}
 }
 
-// A connection that goes for want of descriptors, just as its client asks, is answered first; one that has said
-// nothing sees a plain end.
+// When a connection is evicted because descriptors are short, a request that has arrived on it but is not yet read is
+// rejected with BUSY. A connection without a request just ends with EOF.
 func TestRequestReadOnEviction(t *testing.T) {
-	g := newHarness(t, 0, nil, nil)
-	asks, silent := g.client(""), g.client("")
-	g.until(func() bool { return g.idle(overload.NoRequest) == 2 })
-	g.inLoop(func() {
-		asks.say(openLine)
-		g.proxy.cfg.MaxDescriptors = 1
-		g.proxy.listener.evictIdle()
-		if n := g.idle(overload.NoRequest) + g.idle(overload.Answered); n != 0 {
-			t.Errorf("%d connections stay", n)
+	h := newHarness(t, 0, nil, nil)
+	asks, silent := h.connect(""), h.connect("")
+	h.waitUntil(func() bool { return h.idleCount(overload.NoRequest) == 2 })
+	h.onLoop(func() {
+		asks.send(openLine)
+		h.proxy.cfg.MaxDescriptors = 1
+		h.proxy.listener.evictIdle()
+		if n := h.idleCount(overload.NoRequest) + h.idleCount(overload.Answered); n != 0 {
+			t.Errorf("%d idle connections left, want 0", n)
 		}
 	})
-	if got := asks.line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("%q", got)
+	if got := asks.readLine(); !strings.HasPrefix(got, "BUSY ") {
+		t.Errorf("got %q, want BUSY with a retry delay", got)
 	}
-	asks.ended(true)
-	silent.ended(true)
-	g.noOutcome()
+	asks.expectEnd(true)
+	silent.expectEnd(true)
+	h.expectNoRequest()
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -18,8 +18,8 @@
 	"spurspread/internal/settings"
 )
 
-// patience bounds every wait of these tests; no test relies on its passing.
-const patience = 10 * time.Second
+// testTimeout bounds every wait in these tests; no test depends on it expiring.
+const testTimeout = 10 * time.Second
 
 const harnessSettings = `{"balancers":1,"rank":0,"zone":0,"dcs":["a","b"],"skus":["m"],"discovery":"ask",
 "limits":{"most_tries":4,"probes":true,"may_cancel":true,"retry_after":true,"max_retry_after":1000000,
@@ -28,40 +28,42 @@
 "request_classes":[{"name":"sync","slo":300000,"deadline":60000000,"effect":"read_like","streaming":true}],
 "specifics":{"mode":"proxy","message_aim":[50000],"tells_delay":true}}`
 
-// harness is a proxy on a loop of its own, whose decisions a test writes; it runs between real sockets.
+// harness runs a proxy on its own event loop, between real sockets. Either the test or the real decision core makes the
+// decisions.
 type harness struct {
-	cachedList []byte // the list that the proxy started with
+	cachedList []byte // the server list that the proxy started with
 	t          *testing.T
 	proxy      *Proxy
 	loop       *eventloop.Loop
-	decide     func(decision.Event) []decision.Action
-	core       *decision.Balancer // decides in place of the test, where there is one
-	events     chan decision.Event
+	decide     func(decision.Event) []decision.Action // the test's decisions; nil decides nothing
+	core       *decision.Balancer                     // decides in place of the test; nil for none
+	events     chan decision.Event                    // all events for the core, except server lists
 	stopped    chan error
 	servers    []*net.TCPListener
 }
 
-// Handle is part of decisionCore. The lists are not kept: no test waits for one.
-func (g *harness) Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action {
+// Handle is part of decisionCore. It queues each event for the test, except server lists, which no test waits for.
+func (h *harness) Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action {
 	if _, ok := ev.(decision.ServerListUpdate); !ok {
-		g.events <- ev
+		h.events <- ev
 	}
-	if g.core != nil {
-		return g.core.Handle(now, ev, out)
+	if h.core != nil {
+		return h.core.Handle(now, ev, out)
 	}
-	if g.decide != nil {
-		out = append(out, g.decide(ev)...)
+	if h.decide != nil {
+		out = append(out, h.decide(ev)...)
 	}
 	return out
 }
 
-// newHarness starts a proxy that knows n servers, s0, s1 and so on. change may alter its configuration.
+// newHarness starts a proxy whose cached server list has n servers: s0, s1 and so on. decide makes the decisions; nil
+// decides nothing. change, if not nil, may alter the configuration.
 func newHarness(t *testing.T, n int, decide func(decision.Event) []decision.Action, change func(*Config)) *harness {
 	t.Helper()
 	return startHarness(t, n, decide, change, false)
 }
 
-// newHarnessWithCore is newHarness with the program's own decision core.
+// newHarnessWithCore is newHarness with the real decision core.
 func newHarnessWithCore(t *testing.T, n int, change func(*Config)) *harness {
 	t.Helper()
 	return startHarness(t, n, nil, change, true)
@@ -72,54 +74,54 @@
 	n int,
 	decide func(decision.Event) []decision.Action,
 	change func(*Config),
-	own bool,
+	realCore bool,
 ) *harness {
 	t.Helper()
-	g := &harness{t: t, decide: decide, events: make(chan decision.Event, 1000), stopped: make(chan error, 1)}
+	h := &harness{t: t, decide: decide, events: make(chan decision.Event, 1000), stopped: make(chan error, 1)}
 	var known []string
 	for i := range n {
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		g.check(err)
+		h.check(err)
 		t.Cleanup(func() { _ = ln.Close() })
-		g.servers = append(g.servers, ln)
+		h.servers = append(h.servers, ln)
 		known = append(known, listEntry(fmt.Sprint("s", i), ln.Addr().String(), "Ready"))
 	}
 	set, err := settings.ParseJSON([]byte(harnessSettings))
-	g.check(err)
+	h.check(err)
 	cfg := Config{
-		Settings: set, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: closedPort(t),
+		Settings: set, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: unusedAddr(t),
 		CachedList: []byte(`{"generation":1,"reset":true,"instances":[` + strings.Join(known, ",") + `]}`),
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	g.cachedList = cfg.CachedList
-	g.loop, err = eventloop.New()
-	g.check(err)
-	if own {
-		cfg.Settings.Decision.AllowProbes = false // a probe would be taken for an attempt
-		g.core = decision.New(cfg.Settings.Decision, 1, decision.Micros(g.loop.Now()))
+	h.cachedList = cfg.CachedList
+	h.loop, err = eventloop.New()
+	h.check(err)
+	if realCore {
+		cfg.Settings.Decision.AllowProbes = false // tests would take a probe's connection for an attempt's
+		h.core = decision.New(cfg.Settings.Decision, 1, decision.Micros(h.loop.Now()))
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.AddHook(transitionHook{t})
-	g.proxy, err = start(g.loop, cfg, log, g)
-	g.check(err)
+	h.proxy, err = start(h.loop, cfg, log, h)
+	h.check(err)
 	go func() {
 		err := errors.New("a check failed on the loop")
-		defer func() { g.stopped <- err }()
-		err = g.loop.Run()
+		defer func() { h.stopped <- err }()
+		err = h.loop.Run()
 	}()
 	t.Cleanup(func() {
-		g.loop.Post(g.loop.Stop)
-		if err := <-g.stopped; err != nil {
+		h.loop.Post(h.loop.Stop)
+		if err := <-h.stopped; err != nil {
 			t.Error(err)
 		}
 	})
-	return g
+	return h
 }
 
-// transitionHook fails the test if a request makes a transition that the table does not have.
+// transitionHook fails the test if a request makes a transition that transitionAllowed forbids.
 type transitionHook struct{ t *testing.T }
 
 // Levels is part of logrus.Hook.
@@ -133,6 +135,7 @@
 	return nil
 }
 
+// listEntry returns a server's entry in a list, encoded as discovery sends it. state is its lifecycle state.
 func listEntry(id, addr, state string) string {
 	return fmt.Sprintf(
 		`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m","lifecycle":%q,"weight":1}`,
@@ -142,8 +145,8 @@
 	)
 }
 
-// closedPort is an address at which nobody listens.
-func closedPort(t *testing.T) netip.AddrPort {
+// unusedAddr returns an address at which no process listens.
+func unusedAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,97 +156,101 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// inLoop has the loop call f and waits until it has.
-func (g *harness) inLoop(f func()) {
+// onLoop calls f on the loop's goroutine and waits until it has returned.
+func (h *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	g.loop.Post(func() {
+	h.loop.Post(func() {
 		defer close(done)
 		f()
 	})
 	<-done
 }
 
-func (g *harness) check(err error) {
-	g.t.Helper()
+// check ends the test if err is not nil.
+func (h *harness) check(err error) {
+	h.t.Helper()
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-// event waits for the next event of type T; others before it are passed over.
-func event[T decision.Event](g *harness) T {
-	g.t.Helper()
-	for late := time.After(patience); ; {
+// await waits for the next event of type T and drops all events before it.
+func await[T decision.Event](h *harness) T {
+	h.t.Helper()
+	for late := time.After(testTimeout); ; {
 		select {
-		case ev := <-g.events:
+		case ev := <-h.events:
 			if e, ok := ev.(T); ok {
 				return e
 			}
 		case <-late:
 			var none T
-			g.t.Fatalf("no %T came", none)
+			h.t.Fatalf("no %T event arrived", none)
 			return none
 		}
 	}
 }
 
-// peer is a client, or a connection that a server accepted.
+// peer is the test's end of a connection to the proxy: a client's, or that of a server that accepted the connection.
 type peer struct {
-	g *harness
+	h *harness
 	*net.TCPConn
 	rd *bufio.Reader
 }
 
-func (g *harness) peer(c net.Conn, err error) *peer {
-	g.t.Helper()
-	g.check(err)
-	g.check(c.SetDeadline(time.Now().Add(patience)))
-	g.t.Cleanup(func() { _ = c.Close() })
-	return &peer{g, c.(*net.TCPConn), bufio.NewReader(c)}
+// newPeer wraps a new connection; a non-nil err ends the test.
+func (h *harness) newPeer(c net.Conn, err error) *peer {
+	h.t.Helper()
+	h.check(err)
+	h.check(c.SetDeadline(time.Now().Add(testTimeout)))
+	h.t.Cleanup(func() { _ = c.Close() })
+	return &peer{h, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// client connects to the listener and says text.
-func (g *harness) client(text string) *peer {
-	g.t.Helper()
-	p := g.peer(net.Dial("tcp", g.proxy.Addr().String()))
-	p.say(text)
+// connect connects to the proxy and sends text.
+func (h *harness) connect(text string) *peer {
+	h.t.Helper()
+	p := h.newPeer(net.Dial("tcp", h.proxy.Addr().String()))
+	p.send(text)
 	return p
 }
 
-// acceptUpstream takes the next connection at server i.
-func (g *harness) acceptUpstream(i int) *peer {
-	g.t.Helper()
-	g.check(g.servers[i].SetDeadline(time.Now().Add(patience)))
-	return g.peer(g.servers[i].Accept())
+// acceptUpstream accepts the next connection at server i.
+func (h *harness) acceptUpstream(i int) *peer {
+	h.t.Helper()
+	h.check(h.servers[i].SetDeadline(time.Now().Add(testTimeout)))
+	return h.newPeer(h.servers[i].Accept())
 }
 
-func (p *peer) say(text string) {
-	p.g.t.Helper()
+func (p *peer) send(text string) {
+	p.h.t.Helper()
 	_, err := p.Write([]byte(text))
-	p.g.check(err)
+	p.h.check(err)
 }
 
-func (p *peer) line() string {
-	p.g.t.Helper()
+// readLine reads a line and returns it with its line end.
+func (p *peer) readLine() string {
+	p.h.t.Helper()
 	text, err := p.rd.ReadString('\n')
 	if err != nil {
-		p.g.t.Fatalf("after %q: %v", text, err)
+		p.h.t.Fatalf("read line: got %q, then %v", text, err)
 	}
 	return text
 }
 
-func (p *peer) want(text string) {
-	p.g.t.Helper()
-	if got := p.line(); got != text {
-		p.g.t.Fatalf("got %q, want %q", got, text)
+// expect reads a line, which must be text, with its line end.
+func (p *peer) expect(text string) {
+	p.h.t.Helper()
+	if got := p.readLine(); got != text {
+		p.h.t.Fatalf("got %q, want %q", got, text)
 	}
 }
 
-// ended waits for the end of the connection, which must be plain, or a reset.
-func (p *peer) ended(plain bool) {
-	p.g.t.Helper()
-	if _, err := p.rd.ReadByte(); errors.Is(err, io.EOF) != plain || errors.Is(err, net.ErrClosed) || isTimeout(err) {
-		p.g.t.Fatalf("ended with %v, plain %v", err, plain)
+// expectEnd waits for the end of the connection: EOF if eof is true, else a reset.
+func (p *peer) expectEnd(eof bool) {
+	p.h.t.Helper()
+	if _, err := p.rd.ReadByte(); errors.Is(err, io.EOF) != eof || errors.Is(err, net.ErrClosed) || isTimeout(err) {
+		p.h.t.Fatalf("connection ended with %v, want EOF: %v", err, eof)
 	}
 }
 
@@ -253,14 +260,14 @@
 }
 
 const (
-	openLine = "OPEN 9b1f 7f3a c=sync,d=60000,x=y,g=5c\r\n"
-	another  = "OPEN 9b20 7f3a c=sync,d=60000\r\n"
+	openLine      = "OPEN 9b1f 7f3a c=sync,d=60000,x=y,g=5c\r\n"
+	otherOpenLine = "OPEN 9b20 7f3a c=sync,d=60000\r\n"
 )
 
-// longTimeout is a time-out that no test waits for.
+// longTimeout is the timeout, in microseconds, of attempts that are not to time out during a test.
 const longTimeout = 30_000_000
 
-// sendToFirst sends every request to server 0, and nothing twice.
+// sendToFirst starts one attempt at server 0 for each request and retries nothing.
 func sendToFirst(ev decision.Event) []decision.Action {
 	if q, ok := ev.(decision.Request); ok {
 		return []decision.Action{decision.StartAttempt{ID: q.ID, Timeout: longTimeout}}
@@ -268,14 +275,14 @@
 	return nil
 }
 
-// establish brings a connection up at server 0.
-func (g *harness) establish() (client, server *peer) {
-	g.t.Helper()
-	client = g.client(openLine)
-	server = g.acceptUpstream(0)
-	server.line()
-	server.say("UP r1\r\n")
-	client.want("UP r1\r\n")
-	event[decision.Established](g)
+// establish establishes a request at server 0 and returns both ends of its connection.
+func (h *harness) establish() (client, server *peer) {
+	h.t.Helper()
+	client = h.connect(openLine)
+	server = h.acceptUpstream(0)
+	server.readLine()
+	server.send("UP r1\r\n")
+	client.expect("UP r1\r\n")
+	await[decision.Established](h)
 	return client, server
 }
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -11,137 +11,139 @@
 	"spurspread/decision/lifecycle"
 )
 
-// adminCall makes a command of the admin listener on the loop and returns its answer.
-func (g *harness) adminCall(c lifecycle.CommandKind) (answer string) {
-	g.inLoop(func() { answer = g.proxy.HandleAdminCommand(c) })
+// adminCommand carries out an admin command and returns the reply.
+func (h *harness) adminCommand(c lifecycle.CommandKind) (answer string) {
+	h.onLoop(func() { answer = h.proxy.HandleAdminCommand(c) })
 	return answer
 }
 
-// pinged is what a health checker is answered.
-func (g *harness) pinged() string {
-	g.t.Helper()
-	p := g.client("PING\r\n")
+// ping sends a health checker's ping and returns the answer.
+func (h *harness) ping() string {
+	h.t.Helper()
+	p := h.connect("PING\r\n")
 	defer func() { _ = p.Close() }()
-	return p.line()
+	return p.readLine()
 }
 
-// A lame duck moves every established connection, tells health checkers that it wants no clients, stays, and takes
-// clients again at REJOIN.
+// A lame duck moves all established connections and fails health checks, but keeps running. After REJOIN it serves
+// clients again.
 func TestLameDuckMovesAllAndStays(t *testing.T) {
-	const standing = 200
-	g := newHarness(t, 1, sendToFirst, nil)
+	const connections = 200
+	h := newHarness(t, 1, sendToFirst, nil)
 	var clients []*peer
-	for i := range standing {
-		c := g.client(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", 0x1000+i))
-		server := g.acceptUpstream(0)
-		server.line()
-		server.say("UP r1\r\n")
-		c.want("UP r1\r\n")
+	for i := range connections {
+		c := h.connect(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", 0x1000+i))
+		server := h.acceptUpstream(0)
+		server.readLine()
+		server.send("UP r1\r\n")
+		c.expect("UP r1\r\n")
 		clients = append(clients, c)
 	}
-	if got := g.adminCall(lifecycle.CommandLameDuck); got != "+OK lameduck" {
-		t.Fatalf("LAMEDUCK: %q", got)
+	if got := h.adminCommand(lifecycle.CommandLameDuck); got != "+OK lameduck" {
+		t.Fatalf("LAMEDUCK answered %q, want +OK lameduck", got)
 	}
-	if got := g.pinged(); got != "ERR\r\n" {
-		t.Errorf("a front's PING during the drain: %q", got)
+	if got := h.ping(); got != "ERR\r\n" {
+		t.Errorf("ping during the drain answered %q, want ERR", got)
 	}
-	if got := g.adminCall(lifecycle.CommandLameDuck); got != "+OK lameduck" {
-		t.Errorf("LAMEDUCK twice: %q", got)
+	if got := h.adminCommand(lifecycle.CommandLameDuck); got != "+OK lameduck" {
+		t.Errorf("second LAMEDUCK answered %q, want +OK lameduck", got)
 	}
 	began := time.Now()
 	for i, c := range clients {
-		if got := c.line(); got != "MOVE\r\n" {
-			t.Fatalf("client %d: %q", i, got)
+		if got := c.readLine(); got != "MOVE\r\n" {
+			t.Fatalf("client %d got %q, want MOVE", i, got)
 		}
-		c.ended(true)
+		c.expectEnd(true)
 	}
-	t.Logf("%d moved in %v", standing, time.Since(began))
+	t.Logf("%d moved in %v", connections, time.Since(began))
 	select {
-	case err := <-g.stopped:
-		g.stopped <- err
+	case err := <-h.stopped:
+		h.stopped <- err
 		t.Fatalf("a lame duck stopped: %v", err)
 	default:
 	}
-	if got := g.adminCall(lifecycle.CommandRejoin); got != "+OK serving" {
-		t.Errorf("REJOIN: %q", got)
+	if got := h.adminCommand(lifecycle.CommandRejoin); got != "+OK serving" {
+		t.Errorf("REJOIN answered %q, want +OK serving", got)
 	}
-	if got := g.pinged(); got != "PONG\r\n" {
-		t.Errorf("a front's PING after REJOIN: %q", got)
+	if got := h.ping(); got != "PONG\r\n" {
+		t.Errorf("ping after REJOIN answered %q, want PONG", got)
 	}
-	c, _ := g.establish() // served, and not moved
-	c.say("\r\n")
-	if g.lifecycleState() != lifecycle.Serving {
-		t.Errorf("duty %v", g.lifecycleState())
+	c, _ := h.establish() // served again
+	c.send("\r\n")
+	if h.lifecycleState() != lifecycle.Serving {
+		t.Errorf("state after REJOIN is %v, want %v", h.lifecycleState(), lifecycle.Serving)
 	}
 }
 
-// A drain that is cancelled at once moves nobody; SIGTERM after it still moves all and stops.
-func TestRejoinCancelsTheMoves(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client, server := g.establish()
-	g.inLoop(func() {
-		g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
-		g.proxy.HandleAdminCommand(lifecycle.CommandRejoin)
+// REJOIN cancels the moves that LAMEDUCK has scheduled. A planned stop after that still moves all connections.
+func TestRejoinCancelsMoves(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	client, server := h.establish()
+	h.onLoop(func() {
+		h.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
+		h.proxy.HandleAdminCommand(lifecycle.CommandRejoin)
 	})
-	time.Sleep(3500 * time.Millisecond) // past all that the drain had planned
-	server.say("LINE 1\r\n")
-	if got := client.line(); got != "LINE 1\r\n" {
-		t.Fatalf("after a drain taken back: %q", got)
+	time.Sleep(3500 * time.Millisecond) // longer than a lame duck's drain takes
+	server.send("LINE 1\r\n")
+	if got := client.readLine(); got != "LINE 1\r\n" {
+		t.Fatalf("client got %q after a cancelled drain, want LINE 1", got)
 	}
-	g.loop.Post(g.proxy.Drain)
-	client.want("MOVE\r\n")
-	if got := g.adminCall(lifecycle.CommandRejoin); !strings.HasPrefix(got, "-ERR") {
-		t.Errorf("REJOIN while stopping: %q", got)
+	h.loop.Post(h.proxy.Drain)
+	client.expect("MOVE\r\n")
+	if got := h.adminCommand(lifecycle.CommandRejoin); !strings.HasPrefix(got, "-ERR") {
+		t.Errorf("REJOIN during a stop answered %q, want -ERR", got)
 	}
-	client.ended(true)
+	client.expectEnd(true)
 	_ = client.Close()
-	err := <-g.stopped
-	g.stopped <- err
-	g.check(err)
+	err := <-h.stopped
+	h.stopped <- err
+	h.check(err)
 }
 
-// SIGTERM during a lame duck leaves less time than it had planned: its moves come sooner, and nobody is cut off.
-func TestTermDuringLameDuck(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.Classes[0].Deadline = 600_000 })
+// A planned stop of a lame duck may leave less time than the lame duck had for its moves. The moves are then made
+// sooner, so that no client is disconnected without MOVE.
+func TestStopDuringLameDuck(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.Decision.Classes[0].Deadline = 600_000 })
 	var clients []*peer
 	for i := range 30 {
-		c, _ := g.establishID(0x1000 + i)
+		c, _ := h.establishWithID(0x1000 + i)
 		clients = append(clients, c)
 	}
-	g.inLoop(func() {
-		g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
-		g.proxy.Drain()
+	h.onLoop(func() {
+		h.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
+		h.proxy.Drain()
 	})
 	for i, c := range clients {
-		if got := c.line(); got != "MOVE\r\n" {
-			t.Fatalf("client %d: %q", i, got)
+		if got := c.readLine(); got != "MOVE\r\n" {
+			t.Fatalf("client %d got %q, want MOVE", i, got)
 		}
-		c.ended(true)
+		c.expectEnd(true)
 		_ = c.Close()
 	}
-	g.stops()
+	h.waitStopped()
 }
 
-// lifecycleState is read on the loop.
-func (g *harness) lifecycleState() (d lifecycle.State) {
-	g.inLoop(func() { d = g.proxy.LifecycleState() })
+// lifecycleState returns the proxy's state.
+func (h *harness) lifecycleState() (d lifecycle.State) {
+	h.onLoop(func() { d = h.proxy.LifecycleState() })
 	return d
 }
 
-// In a hot restart a balancer closes its listener at once, moves what is established and stops; it rejects nothing new.
+// In a hot restart the old process closes its listener at once instead of rejecting new clients, moves its established
+// connections and stops. Here there is no successor to transfer them to.
 func TestHotRestartClosesTheListener(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client, _ := g.establish()
-	addr := g.proxy.Addr().String()
-	g.hotRestart(filepath.Join(t.TempDir(), "none"), 1)
-	client.want("MOVE\r\n")
+	h := newHarness(t, 1, sendToFirst, nil)
+	client, _ := h.establish()
+	addr := h.proxy.Addr().String()
+	h.hotRestart(filepath.Join(t.TempDir(), "none"), 1)
+	client.expect("MOVE\r\n")
 	if c, err := net.Dial("tcp", addr); err == nil {
 		_ = c.Close()
-		t.Errorf("still listening after the hand-over")
+		t.Errorf("listener still open after the hot restart began")
 	}
-	client.ended(true)
+	client.expectEnd(true)
 	_ = client.Close()
-	err := <-g.stopped
-	g.stopped <- err
-	g.check(err)
+	err := <-h.stopped
+	h.stopped <- err
+	h.check(err)
 }
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -9,76 +9,77 @@
 	"spurspread/decision/monotime"
 )
 
-// A server that tells how long messages take says so with LOAD lines. Read as a connection's load, which the decision
-// core has no use for, they left clients on slow servers.
-func TestLoadLineIsTheMetricThatSettingsPromise(t *testing.T) {
+// LOAD lines carry a message latency unless the settings say that servers report their load. Message latencies taken
+// for load would be ignored by the decision core, and clients would stay on slow servers.
+func TestLoadLineMetricKind(t *testing.T) {
 	for _, c := range []struct {
-		tellsLoad bool
-		want      decision.MetricKind
+		reportsLoad bool
+		want        decision.MetricKind
 	}{{false, decision.MessageLatencyMetric}, {true, decision.LoadMetric}} {
-		g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsLoad = c.tellsLoad })
-		client, server := g.establish()
-		server.say("LOAD 192.5\r\n")
-		client.want("LOAD 192.5\r\n")
-		if n := event[decision.ConnectionMetric](g); n.Kind != c.want || n.Value != 192.5 || n.Server != 0 {
-			t.Errorf("tells load %v: %+v", c.tellsLoad, n)
+		h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsLoad = c.reportsLoad })
+		client, server := h.establish()
+		server.send("LOAD 192.5\r\n")
+		client.expect("LOAD 192.5\r\n")
+		if n := await[decision.ConnectionMetric](h); n.Kind != c.want || n.Value != 192.5 || n.Server != 0 {
+			t.Errorf("ReportsLoad %v: got %+v, want kind %v, value 192.5, server 0", c.reportsLoad, n, c.want)
 		}
 	}
 }
 
-// A slow reader costs a bounded buffer: its server is left alone until it has caught up.
+// The data buffered for a slow client is bounded: its server is not read until the client has caught up. Meanwhile the
+// server neither counts as unresponsive nor has its message latency measured.
 func TestSlowReader(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client, server := g.establish()
+	h := newHarness(t, 1, sendToFirst, nil)
+	client, server := h.establish()
 	const lines = 200_000
-	g.check(client.SetReadBuffer(256 << 10))
+	h.check(client.SetReadBuffer(256 << 10))
 	go func() {
 		_, _ = server.Write([]byte(strings.Repeat("0123456789abcdef0123456789abcdef\r\n", lines)))
 	}()
-	kept := 0
-	look := func() { kept = firstRequest(g).downstream.Pending() }
-	for until := time.Now().Add(patience); kept == 0 && time.Now().Before(until); {
-		g.inLoop(look)
+	pending := 0
+	readPending := func() { pending = firstRequest(h).downstream.Pending() }
+	for until := time.Now().Add(testTimeout); pending == 0 && time.Now().Before(until); {
+		h.onLoop(readPending)
 	}
 	for range 300 {
-		if g.inLoop(look); kept == 0 || kept > g.proxy.buffers.maxPending+len(g.proxy.buffers.read) {
-			t.Fatalf("%d bytes kept", kept)
+		if h.onLoop(readPending); pending == 0 || pending > h.proxy.buffers.maxPending+len(h.proxy.buffers.read) {
+			t.Fatalf("%d bytes buffered, want some, but within the limit", pending)
 		}
 	}
-	silent := 0
-	g.inLoop(func() { // nor is it the server that brings nothing back
-		s := firstRequest(g)
-		s.removeAnswered(len(s.sentAt))
-		s.lastReply = 1
-		s.awaitReply(1)
-		g.proxy.latencies.sweep()
-		s.removeAnswered(len(s.sentAt))
-		silent = g.proxy.stats.unresponsive
+	unresponsive := 0
+	h.onLoop(func() { // the server must not count as unresponsive either
+		r := firstRequest(h)
+		r.removeAnswered(len(r.sentAt))
+		r.lastReply = 1
+		r.awaitReply(1)
+		h.proxy.latencies.sweep()
+		r.removeAnswered(len(r.sentAt))
+		unresponsive = h.proxy.stats.unresponsive
 	})
-	if silent != 0 {
-		t.Fatal("a slow reader was taken for a silent server")
+	if unresponsive != 0 {
+		t.Fatal("server of a slow client counted as unresponsive")
 	}
-	client.say("T 1\r\n")
-	server.want("T 1\r\n")
+	client.send("T 1\r\n")
+	server.expect("T 1\r\n")
 	defer func() {
 		samples := 0
-		g.inLoop(func() { samples = g.proxy.latencies.forServer(0).delay.Samples() })
+		h.onLoop(func() { samples = h.proxy.latencies.forServer(0).delay.Samples() })
 		if samples > 0 {
 			t.Errorf(
-				"a line that waited for its client to read was timed: %d",
-				g.proxy.latencies.forServer(0).delay.Samples(),
+				"%d latencies measured on lines that waited for a slow client, want 0",
+				h.proxy.latencies.forServer(0).delay.Samples(),
 			)
 		}
 	}()
 	for i := range lines {
-		if got := client.line(); got != "0123456789abcdef0123456789abcdef\r\n" {
+		if got := client.readLine(); got != "0123456789abcdef0123456789abcdef\r\n" {
 			t.Fatalf("line %d: %q", i, got)
 		}
 	}
 }
 
-// The protocol's limit for a connection that brings nothing back is 7 s.
-func TestSilent(t *testing.T) {
+// A server is unresponsive if it leaves a client's lines without a reply for 7 s, as the protocol says.
+func TestUnresponsiveServer(t *testing.T) {
 	at := func(state requestState, lastReply monotime.Micros, sentAt ...monotime.Micros) *request {
 		return &request{state: state, establishedStream: establishedStream{lastReply: lastReply, sentAt: sentAt}}
 	}
@@ -87,34 +88,35 @@
 		request *request
 		want    bool
 	}{
-		"no line":         {at(stateEstablished, 0), false},
-		"answered lately": {at(stateEstablished, 15*sec, 15*sec), false},
-		"just sent":       {at(stateEstablished, 0, 19*sec), false},
-		"nothing back":    {at(stateEstablished, 13*sec, 15*sec), true},
-		"half-closed":     {at(stateHalfClosed, 13*sec, 15*sec), false},
+		"no line":      {at(stateEstablished, 0), false},
+		"recent reply": {at(stateEstablished, 15*sec, 15*sec), false},
+		"just sent":    {at(stateEstablished, 0, 19*sec), false},
+		"no reply":     {at(stateEstablished, 13*sec, 15*sec), true},
+		"half-closed":  {at(stateHalfClosed, 13*sec, 15*sec), false},
 	} {
 		if got := c.request.isUnresponsive(20 * monotime.Second); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: isUnresponsive = %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// Where nobody expects reports of slow messages, what lines took is not kept: it would grow for as long as lines come.
+// Message latencies are not kept if the settings don't ask for reports of slow messages: since nothing would read them,
+// they would grow without limit.
 func TestDelaysAreDiscardedWithoutReports(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsDelay = false })
-	client, server := g.establish()
+	h := newHarness(t, 1, sendToFirst, func(cfg *Config) { cfg.Settings.ReportsDelay = false })
+	client, server := h.establish()
 	for range 3 {
-		client.say("T 1\r\n")
-		server.want("T 1\r\n")
-		server.say("T 1\r\n")
-		client.want("T 1\r\n")
+		client.send("T 1\r\n")
+		server.expect("T 1\r\n")
+		server.send("T 1\r\n")
+		client.expect("T 1\r\n")
 	}
 	kept := -1
-	g.inLoop(func() {
-		g.proxy.latencies.sweep()
-		kept = g.proxy.latencies.forServer(0).delay.Samples()
+	h.onLoop(func() {
+		h.proxy.latencies.sweep()
+		kept = h.proxy.latencies.forServer(0).delay.Samples()
 	})
 	if kept != 0 {
-		t.Fatalf("%d times are kept", kept)
+		t.Fatalf("%d latencies kept, want 0", kept)
 	}
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -12,146 +12,149 @@
 	"spurspread/decision/outcome"
 )
 
-// These tests make events meet in one order every time: what a peer does inside inLoop happens while the loop
-// waits, so that all of it waits when the loop goes on. docs/design/ordering.md has the table of states and
-// events.
+// These tests fix the order in which concurrent events are handled: what a peer does inside onLoop happens while the
+// loop is blocked, so that all of it has arrived when the loop goes on. docs/design/ordering.md has the table of states
+// and events.
 
-// openLineWithID is a client's first line with an id of its own.
+// openLineWithID returns a request line with the given id.
 func openLineWithID(id int) string { return fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", id) }
 
-// pendingRequest is a request that the decision core keeps without an attempt; it returns its client and the request.
-func (g *harness) pendingRequest(id int) (*peer, *request) {
-	g.t.Helper()
-	client := g.client(openLineWithID(id))
-	q := event[decision.Request](g)
-	var s *request
-	g.inLoop(func() { s, _ = g.proxy.requests.get(q.ID) })
-	return client, s
+// pendingRequest sends a request for which decideNothing starts no attempt, and returns its client and the request.
+func (h *harness) pendingRequest(id int) (*peer, *request) {
+	h.t.Helper()
+	client := h.connect(openLineWithID(id))
+	q := await[decision.Request](h)
+	var r *request
+	h.onLoop(func() { r, _ = h.proxy.requests.get(q.ID) })
+	return client, r
 }
 
-// decideNothing is a decision core that decides nothing: a test does.
+// decideNothing makes no decisions; the test applies actions itself.
 func decideNothing(decision.Event) []decision.Action { return nil }
 
-// noRequest checks that the next connection at server 0 ends without a byte.
-func (g *harness) noRequest() {
-	g.t.Helper()
-	if b, err := io.ReadAll(g.acceptUpstream(0)); len(b) > 0 || isTimeout(err) {
-		g.t.Fatalf("the server was sent %q, %v", b, err)
+// expectNothingSent checks that nothing is sent on the next connection at server 0.
+func (h *harness) expectNothingSent() {
+	h.t.Helper()
+	if b, err := io.ReadAll(h.acceptUpstream(0)); len(b) > 0 || isTimeout(err) {
+		h.t.Fatalf("server got %q, %v, want nothing", b, err)
 	}
 }
 
-// noOutcome checks that the decision core has had no request.
-func (g *harness) noOutcome() {
-	g.t.Helper()
-	for len(g.events) > 0 {
-		if ev, ok := (<-g.events).(decision.Request); ok {
-			g.t.Fatalf("the core was asked about %+v", ev)
+// expectNoRequest checks that none of the events waiting in the queue is a request for the decision core.
+func (h *harness) expectNoRequest() {
+	h.t.Helper()
+	for len(h.events) > 0 {
+		if ev, ok := (<-h.events).(decision.Request); ok {
+			h.t.Fatalf("decision core got %+v, want no request", ev)
 		}
 	}
 }
 
-// outcome waits for the one outcome of an attempt.
-func (g *harness) outcome(want outcome.Status, closed bool) {
-	g.t.Helper()
-	if o := event[decision.AttemptEnded](g); o.Status != want || o.RequestClosed != closed {
-		g.t.Fatalf("%+v, want status %d, closed %v", o, want, closed)
+// expectOutcome waits for an attempt's outcome, which must have these values.
+func (h *harness) expectOutcome(want outcome.Status, closed bool) {
+	h.t.Helper()
+	if o := await[decision.AttemptEnded](h); o.Status != want || o.RequestClosed != closed {
+		h.t.Fatalf("got %+v, want status %d, request closed %v", o, want, closed)
 	}
 }
 
-// gone are the ways in which a client leaves.
-var gone = map[string]func(*peer){
-	"ends":             func(p *peer) { _ = p.Close() },
-	"ends its side":    func(p *peer) { _ = p.CloseWrite() },
-	"resets":           func(p *peer) { _ = p.SetLinger(0); _ = p.Close() },
-	"ends, behind":     func(p *peer) { p.say("x"); _ = p.Close() },
-	"ends, far behind": func(p *peer) { p.say(strings.Repeat("x", 64<<10)); _ = p.Close() },
+// disconnects holds the ways in which a client can disconnect.
+var disconnects = map[string]func(*peer){
+	"closes":                  func(p *peer) { _ = p.Close() },
+	"half-closes":             func(p *peer) { _ = p.CloseWrite() },
+	"resets":                  func(p *peer) { _ = p.SetLinger(0); _ = p.Close() },
+	"sends a byte and closes": func(p *peer) { p.send("x"); _ = p.Close() },
+	"sends 64 KiB and closes": func(p *peer) { p.send(strings.Repeat("x", 64<<10)); _ = p.Close() },
 }
 
-// A client that left while its request waited, for a place, a retry's pause or a change of the server list, is not
-// forwarded: its end is there, unread, when the decision core decides to send.
-func TestLeftWhileItWaited(t *testing.T) {
-	for name, leave := range gone {
+// A client disconnects while its request waits for a server, for a retry's delay or for a change of the server list.
+// The EOF has arrived but is not yet read when the decision core starts an attempt: the request must not be sent.
+func TestClientLeavesWhilePending(t *testing.T) {
+	for name, leave := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, decideNothing, nil)
-			client, s := g.pendingRequest(1)
-			g.inLoop(func() {
+			h := newHarness(t, 1, decideNothing, nil)
+			client, r := h.pendingRequest(1)
+			h.onLoop(func() {
 				leave(client)
-				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
+				h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
 			})
-			g.outcome(outcome.Inconclusive, true)
-			_, other := g.pendingRequest(2)
-			g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(other.ref), Timeout: longTimeout}) })
-			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-				t.Errorf("the server was sent %q", got)
+			h.expectOutcome(outcome.Inconclusive, true)
+			_, other := h.pendingRequest(2)
+			h.onLoop(func() { h.proxy.apply(decision.StartAttempt{ID: uint32(other.ref), Timeout: longTimeout}) })
+			if got := h.acceptUpstream(0).readLine(); !strings.HasPrefix(got, "OPEN 0002 ") {
+				t.Errorf("server got %q, want the request line with id 2", got)
 			}
 		})
 	}
 }
 
-// Nor is one that left while its connection came up: that is there in the same turn as its end, and is seen first.
-func TestLeftWhileItConnected(t *testing.T) {
-	for name, leave := range gone {
+// A client disconnects while its attempt is connecting. The loop handles the established connection in the same turn as
+// the EOF, and first: the request must not be sent.
+func TestClientLeavesWhileConnecting(t *testing.T) {
+	for name, leave := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, decideNothing, nil)
-			client, s := g.pendingRequest(1)
-			g.inLoop(func() {
-				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
+			h := newHarness(t, 1, decideNothing, nil)
+			client, r := h.pendingRequest(1)
+			h.onLoop(func() {
+				h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
 				leave(client)
 			})
-			g.outcome(outcome.Cancelled, true)
-			g.noRequest()
+			h.expectOutcome(outcome.Cancelled, true)
+			h.expectNothingSent()
 		})
 	}
 }
 
-// A client that asked and left while its connection still waited to be accepted is not forwarded.
-func TestLeftBeforeItWasAccepted(t *testing.T) {
-	for _, name := range []string{"ends", "ends its side", "ends, behind", "ends, far behind"} {
+// A client sends its request and disconnects while its connection is still in the accept queue: the request must not be
+// sent to a server.
+func TestClientLeavesBeforeAccept(t *testing.T) {
+	for _, name := range []string{"closes", "half-closes", "sends a byte and closes", "sends 64 KiB and closes"} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarnessWithCore(t, 1, nil)
-			g.inLoop(func() { gone[name](g.client(openLineWithID(1))) })
-			g.client(openLineWithID(2))
-			if got := g.acceptUpstream(0).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-				t.Errorf("the server was sent %q", got)
+			h := newHarnessWithCore(t, 1, nil)
+			h.onLoop(func() { disconnects[name](h.connect(openLineWithID(1))) })
+			h.connect(openLineWithID(2))
+			if got := h.acceptUpstream(0).readLine(); !strings.HasPrefix(got, "OPEN 0002 ") {
+				t.Errorf("server got %q, want the request line with id 2", got)
 			}
 		})
 	}
 }
 
-// Nor is one sent to a second server that left in the turn in which the first one refused, though that is read first.
-func TestLeftAsItsServerRejected(t *testing.T) {
-	for name, refuse := range map[string]func(*peer){
-		"full":  func(p *peer) { p.say("BUSY\r\n") },
-		"error": func(p *peer) { p.say("ERR\r\n") },
+// A client disconnects in the same turn of the loop in which its server rejects the request, and the rejection is read
+// first: the request must not be sent to a second server.
+func TestClientLeavesAsServerRejects(t *testing.T) {
+	for name, reject := range map[string]func(*peer){
+		"full":  func(p *peer) { p.send("BUSY\r\n") },
+		"error": func(p *peer) { p.send("ERR\r\n") },
 		"reset": func(p *peer) { _ = p.SetLinger(0); _ = p.Close() },
 	} {
-		for way, leave := range gone {
+		for way, leave := range disconnects {
 			t.Run(name+", "+way, func(t *testing.T) {
-				g := newHarnessWithCore(t, 2, nil)
-				client := g.client(openLineWithID(1))
-				server := g.acceptUpstream(g.chosen())
-				server.line()
-				g.inLoop(func() {
-					refuse(server)
+				h := newHarnessWithCore(t, 2, nil)
+				client := h.connect(openLineWithID(1))
+				server := h.acceptUpstream(h.waitForAttempt())
+				server.readLine()
+				h.onLoop(func() {
+					reject(server)
 					leave(client)
 				})
-				g.until(func() bool { return g.proxy.requests.len() == 0 })
-				g.client(openLineWithID(2))
-				if got := g.acceptUpstream(g.chosen()).line(); !strings.HasPrefix(got, "OPEN 0002 ") {
-					t.Errorf("a server was sent %q", got)
+				h.waitUntil(func() bool { return h.proxy.requests.len() == 0 })
+				h.connect(openLineWithID(2))
+				if got := h.acceptUpstream(h.waitForAttempt()).readLine(); !strings.HasPrefix(got, "OPEN 0002 ") {
+					t.Errorf("server got %q, want the request line with id 2", got)
 				}
 			})
 		}
 	}
 }
 
-// chosen waits for an attempt and tells which server it goes to.
-func (g *harness) chosen() (at int) {
-	g.t.Helper()
-	g.until(func() bool {
-		for s := range g.proxy.requests.all {
-			if s.attempt != nil {
-				at = int(s.attempt.server.Number)
+// waitForAttempt waits until a request has an attempt and returns the number of the attempt's server.
+func (h *harness) waitForAttempt() (at int) {
+	h.t.Helper()
+	h.waitUntil(func() bool {
+		for r := range h.proxy.requests.all {
+			if r.attempt != nil {
+				at = int(r.attempt.server.Number)
 				return true
 			}
 		}
@@ -160,148 +163,150 @@
 	return at
 }
 
-// A client that names its server and left before that is listed is not connected to it, its end still unread.
-func TestLeftBeforeItsServerWasListed(t *testing.T) {
-	for name, leave := range gone {
+// A client names its server and disconnects before the server is listed. When the server is listed, the EOF is not yet
+// read: the proxy must not connect to the server.
+func TestClientLeavesBeforeServerIsListed(t *testing.T) {
+	for name, leave := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, decideNothing, nil)
-			client := g.client("OPEN a b c=sync,d=60000,at=s9\r\n")
-			g.waitAccepted(1)
-			g.inLoop(func() {
+			h := newHarness(t, 1, decideNothing, nil)
+			client := h.connect("OPEN a b c=sync,d=60000,at=s9\r\n")
+			h.waitAccepted(1)
+			h.onLoop(func() {
 				leave(client)
-				c, err := g.proxy.servers.list.Apply(
+				c, err := h.proxy.servers.list.Apply(
 					[]byte(
 						`{"generation":2,"instances":[` + listEntry(
 							"s9",
-							g.servers[0].Addr().String(),
+							h.servers[0].Addr().String(),
 							"Ready",
 						) + `]}`,
 					),
 				)
-				g.check(err)
-				before := g.loop.Descriptors()
-				if g.proxy.servers.Listed(c); g.loop.Descriptors() > before {
-					t.Error("its server is connected to")
+				h.check(err)
+				before := h.loop.Descriptors()
+				if h.proxy.servers.Listed(c); h.loop.Descriptors() > before {
+					t.Errorf("%d descriptors open, want %d: no connection to the server", h.loop.Descriptors(), before)
 				}
 			})
 		})
 	}
 }
 
-// A retry whose window has gone by when its connection is up is never written.
-func TestSendWindowCountsAtTheWriting(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, nil)
-	_, s := g.pendingRequest(1)
-	g.inLoop(func() {
-		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout, WriteTimeout: 1000})
-		waitFor(2 * time.Millisecond)
+// An attempt whose write timeout has passed by the time it is connected must not send the request.
+func TestWriteTimeoutPassesWhileConnecting(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, nil)
+	_, r := h.pendingRequest(1)
+	h.onLoop(func() {
+		h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout, WriteTimeout: 1000})
+		busyWait(2 * time.Millisecond)
 	})
-	g.outcome(outcome.Inconclusive, false)
-	g.noRequest()
+	h.expectOutcome(outcome.Inconclusive, false)
+	h.expectNothingSent()
 }
 
-// waitFor lets time go by for all that counts it by the clock.
-func waitFor(span time.Duration) {
+// busyWait blocks the goroutine that calls it, usually the loop's, until span has passed.
+func busyWait(span time.Duration) {
 	for began := time.Now(); time.Since(began) < span; {
 	}
 }
 
-// between acts once between the moment in which an attempt is told that it is connected and its first write: there the
-// proxy looks at its client.
-type between struct {
+// readHook is a downstream that calls act at its first Read. An attempt reads from its client after it is connected and
+// before it writes the request, so act runs in between.
+type readHook struct {
 	downstream
 	act func()
 }
 
-func (b *between) Read(buf []byte) (int, error) {
+func (b *readHook) Read(buf []byte) (int, error) {
 	b.act()
 	b.act = func() {}
 	return b.downstream.Read(buf)
 }
 
-// A connection that is reset before the first line could be written is one that never ran.
-func TestLineThatCouldNotBeWritten(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, nil)
-	_, s := g.pendingRequest(1)
-	g.inLoop(func() {
-		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-		server := g.acceptUpstream(0)
-		s.downstream = &between{s.downstream, func() {
-			g.check(server.SetLinger(0))
-			g.check(server.Close())
+// If the server resets the connection before the request is written, the outcome is ConnectFailed, as the server can't
+// have executed it.
+func TestServerResetsBeforeWrite(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, nil)
+	_, r := h.pendingRequest(1)
+	h.onLoop(func() {
+		h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
+		server := h.acceptUpstream(0)
+		r.downstream = &readHook{r.downstream, func() {
+			h.check(server.SetLinger(0))
+			h.check(server.Close())
 		}}
 	})
-	g.outcome(outcome.ConnectFailed, false)
+	h.expectOutcome(outcome.ConnectFailed, false)
 }
 
-// An answer counts whatever comes behind it in the same turn, and only the first.
-func TestAnswerAndEndInOneTurn(t *testing.T) {
+// The server's first complete line is its answer, whatever arrives after it in the same turn of the loop.
+func TestAnswerAndCloseInOneTurn(t *testing.T) {
 	reset := func(p *peer) { _ = p.SetLinger(0); _ = p.Close() }
 	for name, c := range map[string]struct {
 		act  func(*peer)
 		want outcome.Status
 	}{
-		"full, then reset":       {func(p *peer) { p.say("BUSY\r\n"); reset(p) }, outcome.ServerFull},
-		"full, then ended":       {func(p *peer) { p.say("BUSY\r\n"); _ = p.Close() }, outcome.ServerFull},
-		"error, then reset":      {func(p *peer) { p.say("ERR\r\n"); reset(p) }, outcome.ErrorResponse},
-		"full, then up":          {func(p *peer) { p.say("BUSY\r\nUP r1\r\n") }, outcome.ServerFull},
-		"error, then full":       {func(p *peer) { p.say("ERR\r\nBUSY\r\n") }, outcome.ErrorResponse},
-		"part of full, then end": {func(p *peer) { p.say("BUS"); _ = p.Close() }, outcome.Reset},
-		"full without its end":   {func(p *peer) { p.say("BUSY"); reset(p) }, outcome.Reset},
-		"endless":                {func(p *peer) { p.say(strings.Repeat("U", 64<<10)) }, outcome.ErrorResponse},
+		"full, then reset":      {func(p *peer) { p.send("BUSY\r\n"); reset(p) }, outcome.ServerFull},
+		"full, then closed":     {func(p *peer) { p.send("BUSY\r\n"); _ = p.Close() }, outcome.ServerFull},
+		"error, then reset":     {func(p *peer) { p.send("ERR\r\n"); reset(p) }, outcome.ErrorResponse},
+		"full, then up":         {func(p *peer) { p.send("BUSY\r\nUP r1\r\n") }, outcome.ServerFull},
+		"error, then full":      {func(p *peer) { p.send("ERR\r\nBUSY\r\n") }, outcome.ErrorResponse},
+		"part of full, closed":  {func(p *peer) { p.send("BUS"); _ = p.Close() }, outcome.Reset},
+		"full without line end": {func(p *peer) { p.send("BUSY"); reset(p) }, outcome.Reset},
+		"line too long":         {func(p *peer) { p.send(strings.Repeat("U", 64<<10)) }, outcome.ErrorResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, sendToFirst, nil)
-			client := g.client(openLine)
-			server := g.acceptUpstream(0)
-			server.line()
-			g.inLoop(func() { c.act(server) })
-			g.outcome(c.want, false)
-			g.inLoop(func() { g.proxy.apply(decision.Fail{ID: uint32(firstRequest(g).ref)}) })
-			client.want("ERR\r\n")
-			client.ended(true)
-			for len(g.events) > 0 {
-				if ev, ok := (<-g.events).(decision.Established); ok {
-					t.Errorf("%+v after the outcome", ev)
+			h := newHarness(t, 1, sendToFirst, nil)
+			client := h.connect(openLine)
+			server := h.acceptUpstream(0)
+			server.readLine()
+			h.onLoop(func() { c.act(server) })
+			h.expectOutcome(c.want, false)
+			h.onLoop(func() { h.proxy.apply(decision.Fail{ID: uint32(firstRequest(h).ref)}) })
+			client.expect("ERR\r\n")
+			client.expectEnd(true)
+			for len(h.events) > 0 {
+				if ev, ok := (<-h.events).(decision.Established); ok {
+					t.Errorf("got %+v after the attempt ended", ev)
 				}
 			}
 		})
 	}
 }
 
-// An answer that is there when its attempt's time is up counts: it came in the very turn in which the timer is due.
-func TestAnswerInTheTurnOfTheTimer(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, nil)
-	client, s := g.pendingRequest(1)
-	g.inLoop(func() { g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout}) })
-	server := g.acceptUpstream(0)
-	server.line()
-	g.inLoop(func() {
-		s.attempt.deadline = g.loop.Now() + monotime.Millisecond
-		s.attempt.awaitAnswer()
-		g.loop.After(0, func() { server.say("UP r1\r\n") }) // due before the timer, in one turn with it
-		waitFor(2 * time.Millisecond)
+// An answer that arrives in the same turn of the loop in which the attempt's timer is due still counts.
+func TestAnswerInTurnOfTimeout(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, nil)
+	client, r := h.pendingRequest(1)
+	h.onLoop(func() { h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout}) })
+	server := h.acceptUpstream(0)
+	server.readLine()
+	h.onLoop(func() {
+		r.attempt.deadline = h.loop.Now() + monotime.Millisecond
+		r.attempt.awaitAnswer()
+		h.loop.After(0, func() { server.send("UP r1\r\n") }) // due before the attempt's timer, in the same turn
+		busyWait(2 * time.Millisecond)
 	})
-	event[decision.Established](g)
-	client.want("UP r1\r\n")
+	await[decision.Established](h)
+	client.expect("UP r1\r\n")
 }
 
-// waitAccepted waits until so many requests have been accepted.
-func (g *harness) waitAccepted(n int) {
-	g.t.Helper()
-	g.until(func() bool { return g.proxy.stats.accepted >= n })
+// waitAccepted waits until the proxy has accepted n requests since its start.
+func (h *harness) waitAccepted(n int) {
+	h.t.Helper()
+	h.waitUntil(func() bool { return h.proxy.stats.accepted >= n })
 }
 
-// until waits for something to hold in the loop.
-func (g *harness) until(holds func() bool) {
-	g.t.Helper()
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+// waitUntil waits until holds, called on the loop, returns true.
+func (h *harness) waitUntil(holds func() bool) {
+	h.t.Helper()
+	for late := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var now bool
-		if g.inLoop(func() { now = holds() }); now {
+		if h.onLoop(func() { now = holds() }); now {
 			return
 		}
 		if time.Now().After(late) {
-			g.t.Fatal("it did not come to hold")
+			h.t.Fatalf("condition not met within %v", testTimeout)
 		}
 	}
 }
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -7,36 +7,36 @@
 	"spurspread/decision/outcome"
 )
 
-// Each probe brings one result.
+// Each probe reports one result, also if the server does not answer.
 func TestProbes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   outcome.Status
 	}{
 		"alive":  {"PONG\r\n", outcome.OK},
-		"sick":   {"ERR\r\n", outcome.ErrorResponse},
-		"barred": {"NO\r\n", outcome.ErrorResponse},
-		"ended":  {"", outcome.Reset},
+		"error":  {"ERR\r\n", outcome.ErrorResponse},
+		"other":  {"NO\r\n", outcome.ErrorResponse},
+		"closed": {"", outcome.Reset},
 	} {
-		g := newHarness(t, 1, nil, nil)
-		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
-		server := g.acceptUpstream(0)
-		server.want("PING\r\n")
-		server.say(c.answer)
-		g.check(server.Close())
-		if p := event[decision.ProbeResult](g); p.Status != c.want || p.Server != 0 {
-			t.Errorf("%s: %+v", name, p)
+		h := newHarness(t, 1, nil, nil)
+		h.loop.Post(func() { h.proxy.apply(decision.ProbeServer{Server: 0}) })
+		server := h.acceptUpstream(0)
+		server.expect("PING\r\n")
+		server.send(c.answer)
+		h.check(server.Close())
+		if p := await[decision.ProbeResult](h); p.Status != c.want || p.Server != 0 {
+			t.Errorf("%s: got %+v, want status %d of server 0", name, p, c.want)
 		}
 	}
-	g := newHarness(t, 1, nil, func(cfg *Config) { cfg.Settings.ConnectTimeout = 500_000 })
-	g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
-	if p := event[decision.ProbeResult](g); p.Status != outcome.TimedOut {
-		t.Errorf("silent: %+v", p)
+	h := newHarness(t, 1, nil, func(cfg *Config) { cfg.Settings.ConnectTimeout = 500_000 })
+	h.loop.Post(func() { h.proxy.apply(decision.ProbeServer{Server: 0}) })
+	if p := await[decision.ProbeResult](h); p.Status != outcome.TimedOut {
+		t.Errorf("silent server: got %+v, want status %d", p, outcome.TimedOut)
 	}
 }
 
-// Where load reports are promised a probe asks for one and passes it on in the settings' order, or nothing of one that
-// can't be read.
+// If the settings configure load reports, a probe asks the server for one. The values are passed on in the order of the
+// settings' columns; a report that is incomplete or malformed is dropped as a whole.
 func TestProbesReturnLoadReports(t *testing.T) {
 	for answer, want := range map[string]decision.LoadReport{
 		"PONG depth=2,tps=0.431,x0=1.25\r\n":   {Count: 3, Values: [4]float32{2, 0.431, 1.25}},
@@ -47,18 +47,18 @@
 		"PONG depth=2,tps=1,x0=-1\r\n":         {},
 		"PONG depth=2,tps=1,x0=NaN,x0=1\r\n":   {},
 	} {
-		g := newHarness(
+		h := newHarness(
 			t,
 			1,
 			nil,
 			func(cfg *Config) { cfg.Settings.Decision.LoadReportColumns = []string{"depth", "tps", "x0"} },
 		)
-		g.loop.Post(func() { g.proxy.apply(decision.ProbeServer{Server: 0}) })
-		server := g.acceptUpstream(0)
-		server.want("STATS\r\n")
-		server.say(answer)
-		if p := event[decision.ProbeResult](g); p.Status != outcome.OK || p.LoadReport != want {
-			t.Errorf("%q: %+v", answer, p)
+		h.loop.Post(func() { h.proxy.apply(decision.ProbeServer{Server: 0}) })
+		server := h.acceptUpstream(0)
+		server.expect("STATS\r\n")
+		server.send(answer)
+		if p := await[decision.ProbeResult](h); p.Status != outcome.OK || p.LoadReport != want {
+			t.Errorf("%q: got %+v, want load report %+v", answer, p, want)
 		}
 	}
 }
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -9,80 +9,81 @@
 	"spurspread/decision/outcome"
 )
 
-// A change of the server list while a connection came up counts before the first line goes out on it.
-func TestRecalledBeforeTheLine(t *testing.T) {
+// If the server's listing changes while an attempt is connecting, the attempt ends before the request is sent.
+func TestListChangeEndsUnsentAttempt(t *testing.T) {
 	for name, entry := range map[string]string{
-		"drains":       `"lifecycle":"Terminating"`,
-		"is gone":      `"lifecycle":"Gone"`,
-		"began anew":   `"lifecycle":"Ready","startedAtMs":1700000000000`,
-		"is elsewhere": `"lifecycle":"Ready","hostPort":"127.0.0.1:1"`,
-		"not in list":  "",
+		"draining":   `"lifecycle":"Terminating"`,
+		"gone":       `"lifecycle":"Gone"`,
+		"restarted":  `"lifecycle":"Ready","startedAtMs":1700000000000`,
+		"moved":      `"lifecycle":"Ready","hostPort":"127.0.0.1:1"`,
+		"not listed": "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, decideNothing, nil)
-			_, s := g.pendingRequest(1)
+			h := newHarness(t, 1, decideNothing, nil)
+			_, r := h.pendingRequest(1)
 			list := `{"generation":2,"reset":true,"instances":[]}`
 			if entry != "" {
 				if !strings.Contains(entry, "hostPort") {
-					entry += fmt.Sprintf(`,"hostPort":%q`, g.servers[0].Addr())
+					entry += fmt.Sprintf(`,"hostPort":%q`, h.servers[0].Addr())
 				}
 				list = fmt.Sprintf(`{"generation":2,"instances":[{"instanceId":"s0","weight":1,%s}]}`, entry)
 			}
-			g.inLoop(func() {
-				g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-				c, err := g.proxy.servers.list.Apply([]byte(list))
-				g.check(err)
-				g.proxy.servers.Listed(c)
+			h.onLoop(func() {
+				h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
+				c, err := h.proxy.servers.list.Apply([]byte(list))
+				h.check(err)
+				h.proxy.servers.Listed(c)
 			})
-			g.outcome(outcome.Inconclusive, false)
-			g.noRequest()
+			h.expectOutcome(outcome.Inconclusive, false)
+			h.expectNothingSent()
 		})
 	}
 }
 
-// A server that is listed otherwise only in what does not matter keeps what is on its way.
-func TestNotRecalledForOtherChanges(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, nil)
-	_, s := g.pendingRequest(1)
-	g.inLoop(func() {
-		g.proxy.apply(decision.StartAttempt{ID: uint32(s.ref), Timeout: longTimeout})
-		c, err := g.proxy.servers.list.Apply(
+// A change of the listing that does not matter to the attempt, such as of the weight, does not end it.
+func TestUnrelatedListChangeKeepsAttempt(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, nil)
+	_, r := h.pendingRequest(1)
+	h.onLoop(func() {
+		h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
+		c, err := h.proxy.servers.list.Apply(
 			[]byte(
 				`{"generation":2,"instances":[` + strings.Replace(
-					listEntry("s0", g.servers[0].Addr().String(), "Ready"),
+					listEntry("s0", h.servers[0].Addr().String(), "Ready"),
 					`"weight":1`,
 					`"weight":2`,
 					1,
 				) + `]}`,
 			),
 		)
-		g.check(err)
-		g.proxy.servers.Listed(c)
+		h.check(err)
+		h.proxy.servers.Listed(c)
 	})
-	g.acceptUpstream(0).line()
+	h.acceptUpstream(0).readLine()
 }
 
-// Once the first line is out, its attempt is not cancelled: it may have run, and its answer counts.
-func TestNotRecalledOnceSent(t *testing.T) {
+// Once the request is sent, a change of the server's listing does not end the attempt: the server may have executed the
+// request, and its answer counts.
+func TestListChangeKeepsSentAttempt(t *testing.T) {
 	for name, entry := range map[string]string{
-		"drains":  `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Terminating"}`,
-		"is gone": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Gone"}`,
-		"began anew": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Ready",` +
+		"draining": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Terminating"}`,
+		"gone":     `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Gone"}`,
+		"restarted": `{"instanceId":"s0","hostPort":"127.0.0.1:1","weight":1,"lifecycle":"Ready",` +
 			`"startedAtMs":1700000000000}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 1, sendToFirst, nil)
-			client := g.client(openLine)
-			server := g.acceptUpstream(0)
-			server.line()
-			g.inLoop(func() {
-				c, err := g.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
-				g.check(err)
-				g.proxy.servers.Listed(c)
-				server.say("UP r1\r\n")
+			h := newHarness(t, 1, sendToFirst, nil)
+			client := h.connect(openLine)
+			server := h.acceptUpstream(0)
+			server.readLine()
+			h.onLoop(func() {
+				c, err := h.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
+				h.check(err)
+				h.proxy.servers.Listed(c)
+				server.send("UP r1\r\n")
 			})
-			client.want("UP r1\r\n")
-			event[decision.Established](g)
+			client.expect("UP r1\r\n")
+			await[decision.Established](h)
 		})
 	}
 }
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -9,63 +9,64 @@
 	"spurspread/internal/eventloop"
 )
 
-// A request set has what was put in and not taken out again, each once, and knows where.
+// A request set holds each request that was added and not removed exactly once, and each request's index is its
+// position. each yields all members, also if members are removed while it runs.
 func TestRequestSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := requestSet{index: func(s *request) *int32 { return &s.awaitingReplyIndex }}
+		set := requestSet{index: func(r *request) *int32 { return &r.awaitingReplyIndex }}
 		all := make([]*request, 8)
 		for i := range all {
 			all[i] = &request{}
 		}
 		in := map[*request]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			s := rapid.SampledFrom(all).Draw(t, "request")
-			if in[s] = rapid.Bool().Draw(t, "add"); in[s] {
-				q.add(s)
+			r := rapid.SampledFrom(all).Draw(t, "request")
+			if in[r] = rapid.Bool().Draw(t, "add"); in[r] {
+				set.add(r)
 			} else {
-				q.remove(s)
+				set.remove(r)
 			}
 		}
-		for _, s := range all {
-			if slices.Contains(q.members, s) != in[s] || in[s] && q.members[s.awaitingReplyIndex-1] != s ||
-				!in[s] && s.awaitingReplyIndex != 0 {
-				t.Fatalf("%v in %v, place %d", in[s], q.members, s.awaitingReplyIndex)
+		for _, r := range all {
+			if slices.Contains(set.members, r) != in[r] || in[r] && set.members[r.awaitingReplyIndex-1] != r ||
+				!in[r] && r.awaitingReplyIndex != 0 {
+				t.Fatalf("want member: %v, in %v, index %d", in[r], set.members, r.awaitingReplyIndex)
 			}
 		}
-		if seen := slices.Collect(q.each); len(seen) != len(slices.Compact(slices.Clone(q.members))) {
-			t.Fatalf("%d yielded of %d", len(seen), len(q.members))
+		if seen := slices.Collect(set.each); len(seen) != len(slices.Compact(slices.Clone(set.members))) {
+			t.Fatalf("each yielded %d requests, want %d", len(seen), len(set.members))
 		}
-		// Whoever leaves while all are looked at, those that stay are seen.
+		// Members may be removed during an iteration; those that stay must still be yielded.
 		seen := map[*request]bool{}
-		for s := range q.each {
-			seen[s] = true
+		for r := range set.each {
+			seen[r] = true
 			other := rapid.SampledFrom(all).Draw(t, "other")
 			in[other] = in[other] && seen[other]
 			if seen[other] {
-				q.remove(other)
+				set.remove(other)
 			}
 		}
-		for s, stays := range in {
-			if stays && !seen[s] {
-				t.Fatal("one that stayed was not yielded")
+		for r, stays := range in {
+			if stays && !seen[r] {
+				t.Fatal("each did not yield a request that stayed a member")
 			}
 		}
 	})
 }
 
-// Requests are in the sets that concern them, and in none once they are over.
+// A request is in the sets that its state requires, and in none once it is closed.
 func TestRequestSetsFollowRequests(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	look := func(want [3]int) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	expect := func(want [3]int) {
 		t.Helper()
 		var got [3]int
-		for until := eventloop.Micros(0); got != want && until < 500; until++ { // lines come a moment later
-			g.inLoop(
+		for until := eventloop.Micros(0); got != want && until < 500; until++ { // the loop reads lines with a delay
+			h.onLoop(
 				func() {
 					got = [3]int{
-						len(g.proxy.requests.unanswered.members),
-						len(g.proxy.requests.awaitingReply.members),
-						len(g.proxy.latencies.forServer(0).established.members),
+						len(h.proxy.requests.unanswered.members),
+						len(h.proxy.requests.awaitingReply.members),
+						len(h.proxy.latencies.forServer(0).established.members),
 					}
 				},
 			)
@@ -74,16 +75,16 @@
 			t.Fatalf("unanswered, awaiting a reply, established: %v, want %v", got, want)
 		}
 	}
-	client, server := g.establish()
-	look([3]int{0, 0, 1})
-	client.say("T 1\r\n")
-	server.want("T 1\r\n")
-	look([3]int{0, 1, 1})
-	server.say("T 1\r\n")
-	client.want("T 1\r\n")
-	look([3]int{0, 0, 1})
+	client, server := h.establish()
+	expect([3]int{0, 0, 1})
+	client.send("T 1\r\n")
+	server.expect("T 1\r\n")
+	expect([3]int{0, 1, 1})
+	server.send("T 1\r\n")
+	client.expect("T 1\r\n")
+	expect([3]int{0, 0, 1})
 	_ = client.Close()
-	server.ended(true)
+	server.expectEnd(true)
 	_ = server.Close()
-	look([3]int{})
+	expect([3]int{})
 }
--- a/internal/proxy/request_state_test.go
+++ b/internal/proxy/request_state_test.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Of all transitions only those of the table are allowed; nothing follows the end, and nothing goes back to the start.
+// transitionAllowed allows exactly the transitions of this table: none leaves stateClosed or returns to stateNew.
 func TestTransitions(t *testing.T) {
 	allowed := map[requestState][]requestState{
 		stateNew:          {statePending, stateReattaching, stateClosed},
@@ -25,14 +25,14 @@
 		}
 		for to := range stateClosed + 2 {
 			if got := transitionAllowed(from, to); got != want[to] {
-				t.Errorf("%v to %v: %v", from, to, got)
+				t.Errorf("transitionAllowed(%v, %v) = %v, want %v", from, to, got, want[to])
 			}
 		}
 	}
 }
 
-// The decision core knows a request once it is placed or established, and goes on to know it.
-func TestCoreKnowsWhatIsPlacedOrEstablished(t *testing.T) {
+// A request is registered with the decision core once it is pending or established, and stays registered.
+func TestRequestIsRegistered(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.AddHook(transitionHook{t})
@@ -52,7 +52,7 @@
 		for i, to := range c.path {
 			r.transition(to)
 			if r.registered != c.want[i] || r.state != to {
-				t.Errorf("%v, step %d: core knows %v", c.path, i, r.registered)
+				t.Errorf("%v, step %d: registered = %v in %v, want %v", c.path, i, r.registered, r.state, c.want[i])
 			}
 		}
 	}
--- a/internal/proxy/resume_keys_test.go
+++ b/internal/proxy/resume_keys_test.go
@@ -12,144 +12,145 @@
 	"spurspread/internal/token"
 )
 
-// A drain that is cancelled moves nobody any more.
-func TestDrainCancelled(t *testing.T) {
-	g := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * monotime.Second })
+// When a server that was listed as draining is listed as ready again, the moves that are still scheduled are cancelled.
+func TestServerDrainCancelled(t *testing.T) {
+	h := newResumeHarness(t, func(cfg *Config) { cfg.Resume.DrainSpread = 2 * monotime.Second })
 	var clients []*peer
 	var last *peer
 	for i := range 8 {
-		c := g.client(strings.Replace(tokenRequestLine, "OPEN 1", fmt.Sprint("OPEN 1", i), 1))
-		last = g.acceptUpstream(0)
-		last.line()
-		last.say("UP r1 from=0\r\n")
-		c.want("UP r1 from=0\r\n")
+		c := h.connect(strings.Replace(tokenRequestLine, "OPEN 1", fmt.Sprint("OPEN 1", i), 1))
+		last = h.acceptUpstream(0)
+		last.readLine()
+		last.send("UP r1 from=0\r\n")
+		c.expect("UP r1 from=0\r\n")
 		clients = append(clients, c)
 	}
-	addr := g.servers[0].Addr().String()
-	g.listDraining(0)
-	g.list(listEntry("s0", addr, "Ready"))
+	addr := h.servers[0].Addr().String()
+	h.listAsDraining(0)
+	h.applyList(listEntry("s0", addr, "Ready"))
 	moved, due := 0, 0
-	g.inLoop(func() {
-		moved = g.proxy.stats.moved
-		_, next := g.proxy.resumption.drains.Due(g.loop.Now()+10*monotime.Second, nil)
+	h.onLoop(func() {
+		moved = h.proxy.stats.moved
+		_, next := h.proxy.resumption.drains.Due(h.loop.Now()+10*monotime.Second, nil)
 		due = int(next)
 	})
 	if moved == len(clients) || due >= 0 {
-		t.Errorf("%d moved, next due %d", moved, due)
+		t.Errorf("%d of %d moved, next move due at %d, want fewer moved and none due", moved, len(clients), due)
 	}
 }
 
-// A client that leaves before any attempt was made leaves its token as it was.
-func TestTokenWithdrawn(t *testing.T) {
-	g := newResumeHarness(t, nil)
+// A client that disconnects before any attempt was made does not use up its token: the token is accepted once more.
+func TestTokenUnusedWithoutAttempt(t *testing.T) {
+	h := newResumeHarness(t, nil)
 	hold := true
-	g.inLoop(func() {
-		g.decide = func(ev decision.Event) []decision.Action {
+	h.onLoop(func() {
+		h.decide = func(ev decision.Event) []decision.Action {
 			if hold {
 				return nil
 			}
 			return sendOrMove(ev)
 		}
 	})
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
-	client := g.client(comeLine + word + "\r\n")
-	event[decision.Request](g)
-	g.check(client.Close())
-	event[decision.RequestCancelled](g)
-	g.inLoop(func() { hold = false })
-	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	server := g.acceptUpstream(1)
-	server.line()
-	server.say("UP r from=2\r\n")
-	again.want("UP r from=2\r\n")
-	g.check(again.Close())
-	server.ended(true)
-	g.check(server.Close())
-	event[decision.AttemptEnded](g)
-	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
-	third.want("STALE spent\r\n")
+	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	client := h.connect(resumeLine + word + "\r\n")
+	await[decision.Request](h)
+	h.check(client.Close())
+	await[decision.RequestCancelled](h)
+	h.onLoop(func() { hold = false })
+	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	server := h.acceptUpstream(1)
+	server.readLine()
+	server.send("UP r from=2\r\n")
+	again.expect("UP r from=2\r\n")
+	h.check(again.Close())
+	server.expectEnd(true)
+	h.check(server.Close())
+	await[decision.AttemptEnded](h)
+	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	third.expect("STALE spent\r\n")
 }
 
-// Keys rotate by reload: the old one opens until it is withdrawn; what a balancer knows of tokens stays.
+// A reload changes the keys: tokens of an old key are accepted until the key is removed, and streams go on. A reload
+// that turns resumption off leaves established streams open and moves them without a token.
 func TestKeysRotate(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	old, fresh := token.Key{Secret: keyOf(1)}, token.Key{Secret: keyOf(2), Issues: true}
-	client, _ := g.establishResumable()
+	h := newResumeHarness(t, nil)
+	old, fresh := token.Key{Secret: testKey(1)}, token.Key{Secret: testKey(2), Issues: true}
+	client, _ := h.establishResumable()
 	reload := func(keys ...token.Key) {
-		ring := ringWith(t, keys...)
-		g.inLoop(func() {
-			cfg, set := g.proxy.cfg, *g.proxy.cfg.Resume
+		ring := newRing(t, keys...)
+		h.onLoop(func() {
+			cfg, set := h.proxy.cfg, *h.proxy.cfg.Resume
 			set.KeyRing = ring
 			cfg.Resume = &set
-			g.proxy.Reload(cfg)
+			h.proxy.Reload(cfg)
 		})
 	}
 	minting := old
 	minting.Issues = true
-	before := g.seal(ringWith(t, minting), nil)
+	before := h.seal(newRing(t, minting), nil)
 	reload(old, fresh)
-	g.listDraining(0)
-	after := client.moved()
+	h.listAsDraining(0)
+	after := client.expectMove()
 	var opened token.Token
-	if err := ringWith(t, fresh).Open([]byte(after), &opened); err != nil || opened.LastSequence != 2 ||
+	if err := newRing(t, fresh).Open([]byte(after), &opened); err != nil || opened.LastSequence != 2 ||
 		string(opened.Server) != "s1" {
-		t.Errorf("%+v, %v", opened, err)
+		t.Errorf("opened token %+v, %v, want last sequence 2 and server s1", opened, err)
 	}
-	again := g.client(comeLine + before + "\r\n")
-	server := g.acceptUpstream(1)
-	server.line()
-	server.say("UP r from=2\r\n")
-	again.want("UP r from=2\r\n")
+	again := h.connect(resumeLine + before + "\r\n")
+	server := h.acceptUpstream(1)
+	server.readLine()
+	server.send("UP r from=2\r\n")
+	again.expect("UP r from=2\r\n")
 	reload(fresh)
-	withdrawn := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + before + "\r\n")
-	withdrawn.want("STALE key\r\n")
-	g.inLoop(func() {
-		cfg := g.proxy.cfg
+	withdrawn := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + before + "\r\n")
+	withdrawn.expect("STALE key\r\n")
+	h.onLoop(func() {
+		cfg := h.proxy.cfg
 		cfg.Resume = nil
-		g.proxy.Reload(cfg) // off: established streams go on, and are moved without a token
+		h.proxy.Reload(cfg) // resumption is off from now on
 	})
-	g.listDraining(1)
-	server.say("#3 c\r\nMOVE\r\n")
-	again.want("#3 c\r\n")
-	again.want("MOVE\r\n")
+	h.listAsDraining(1)
+	server.send("#3 c\r\nMOVE\r\n")
+	again.expect("#3 c\r\n")
+	again.expect("MOVE\r\n")
 }
 
-// A line that no message can be is passed on as it comes, and its connection ends in kind.
+// A line longer than any message is forwarded as it arrives, and its connection ends as usual: here with a reset.
 func TestMessageTooLong(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	client, server := g.establishResumable()
-	server.say(strings.Repeat("x", lineproto.MaxLine+10))
+	h := newResumeHarness(t, nil)
+	client, server := h.establishResumable()
+	server.send(strings.Repeat("x", lineproto.MaxLine+10))
 	if _, err := client.rd.Peek(lineproto.MaxLine); err != nil {
 		t.Fatal(err)
 	}
-	g.check(server.SetLinger(0))
-	g.check(server.Close())
+	h.check(server.SetLinger(0))
+	h.check(server.Close())
 	for {
 		if _, err := client.rd.ReadByte(); err != nil {
 			break
 		}
 	}
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.Reset {
-		t.Errorf("%+v", o)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.Reset {
+		t.Errorf("got %+v, want status %d", o, outcome.Reset)
 	}
 }
 
-// Clients that present garbage at full speed are all answered, and cost neither memory nor anyone's connection.
+// Many clients with malformed tokens are all answered. They leave no claims behind and don't disturb other connections.
 func TestGarbageTokens(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	client, server := g.establishResumable()
+	h := newResumeHarness(t, nil)
+	client, server := h.establishResumable()
 	for i := range 500 {
-		c := g.client(
-			strings.Replace(comeLine, "OPEN 2", fmt.Sprint("OPEN a", i), 1) + strings.Repeat("A", 320) + "\r\n",
+		c := h.connect(
+			strings.Replace(resumeLine, "OPEN 2", fmt.Sprint("OPEN a", i), 1) + strings.Repeat("A", 320) + "\r\n",
 		)
-		c.want("STALE malformed\r\n")
+		c.expect("STALE malformed\r\n")
 		_ = c.Close()
 	}
-	server.say("#3 c\r\n")
-	client.want("#3 c\r\n")
-	g.inLoop(func() {
-		if p, l, s := g.proxy.resumption.tokens.Counts(); p+l+s != 0 {
-			t.Errorf("%d claims", p+l+s)
+	server.send("#3 c\r\n")
+	client.expect("#3 c\r\n")
+	h.onLoop(func() {
+		if p, l, s := h.proxy.resumption.tokens.Counts(); p+l+s != 0 {
+			t.Errorf("%d claims held, want 0", p+l+s)
 		}
 	})
 }
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -11,12 +11,14 @@
 	"spurspread/internal/token"
 )
 
-func keyOf(b byte) (k [32]byte) {
+// testKey returns a secret that begins with b and is zero otherwise.
+func testKey(b byte) (k [32]byte) {
 	k[0] = b
 	return k
 }
 
-func ringWith(t *testing.T, keys ...token.Key) *token.Ring {
+// newRing returns a key ring of these keys.
+func newRing(t *testing.T, keys ...token.Key) *token.Ring {
 	t.Helper()
 	r, err := token.NewRing(keys)
 	if err != nil {
@@ -25,7 +27,8 @@
 	return r
 }
 
-// sendOrMove sends what is pinned where it is pinned to, all else to server 0, and has what leaves go to server 1.
+// sendOrMove starts an attempt at the pinned server, or at server 0 without one; rejects a request whose attempt
+// failed; and moves clients to server 1, or to server 0 if they may stay there.
 func sendOrMove(ev decision.Event) []decision.Action {
 	switch ev := ev.(type) {
 	case decision.Request:
@@ -44,12 +47,12 @@
 	return nil
 }
 
-// newResumeHarness has two servers, s0 and s1, and a site file that allows tokens.
+// newResumeHarness starts a proxy with two servers, s0 and s1, and resumption turned on.
 func newResumeHarness(t *testing.T, change func(*Config)) *harness {
 	t.Helper()
 	return newHarness(t, 2, sendOrMove, func(cfg *Config) {
 		cfg.Resume = &ResumeConfig{
-			KeyRing:       ringWith(t, token.Key{Secret: keyOf(1), Issues: true}),
+			KeyRing:       newRing(t, token.Key{Secret: testKey(1), Issues: true}),
 			TokenLifetime: 60_000,
 			ClockSkew:     2000,
 			MaxClaims:     100,
@@ -61,111 +64,116 @@
 	})
 }
 
+// tokenRequestLine asks for a token; resumeLine, with a token and a line end appended, resumes the same stream.
 const (
 	tokenRequestLine = "OPEN 1 7f c=sync,d=60000,g=5c,owner=o,tok=ask\r\n"
-	comeLine         = "OPEN 2 7f c=sync,d=60000,g=5c,owner=o,again=1,cur=2,tok="
+	resumeLine       = "OPEN 2 7f c=sync,d=60000,g=5c,owner=o,again=1,cur=2,tok="
 )
 
-// establishResumable brings a stream up at server 0 and lets two messages pass.
-func (g *harness) establishResumable() (client, server *peer) {
-	g.t.Helper()
-	client = g.client(tokenRequestLine)
-	server = g.acceptUpstream(0)
-	if got := server.line(); !strings.HasSuffix(got, ",tok=ask\r\n") {
-		g.t.Fatalf("%q", got)
+// establishResumable establishes a resumable stream at server 0 and forwards two messages to the client.
+func (h *harness) establishResumable() (client, server *peer) {
+	h.t.Helper()
+	client = h.connect(tokenRequestLine)
+	server = h.acceptUpstream(0)
+	if got := server.readLine(); !strings.HasSuffix(got, ",tok=ask\r\n") {
+		h.t.Fatalf("server got %q, want the client's request for a token", got)
 	}
-	server.say("UP r1 from=0\r\n#1 a\r\nLOAD 3\r\n")
-	client.want("UP r1 from=0\r\n")
-	client.want("#1 a\r\n")
-	client.want("LOAD 3\r\n")
-	server.say("#2 b\r\n")
-	client.want("#2 b\r\n")
+	server.send("UP r1 from=0\r\n#1 a\r\nLOAD 3\r\n")
+	client.expect("UP r1 from=0\r\n")
+	client.expect("#1 a\r\n")
+	client.expect("LOAD 3\r\n")
+	server.send("#2 b\r\n")
+	client.expect("#2 b\r\n")
 	return client, server
 }
 
-// moved reads MOVE with a token, and the end.
-func (p *peer) moved() string {
-	p.g.t.Helper()
-	got := p.line()
+// expectMove reads MOVE with a token and then EOF, and returns the token.
+func (p *peer) expectMove() string {
+	p.h.t.Helper()
+	got := p.readLine()
 	word, ok := strings.CutPrefix(strings.TrimSuffix(got, "\r\n"), "MOVE ")
 	if !ok || len(word) > token.MaxText {
-		p.g.t.Fatalf("%q", got)
+		p.h.t.Fatalf("got %q, want MOVE with a token of at most %d bytes", got, token.MaxText)
 	}
-	p.ended(true)
+	p.expectEnd(true)
 	return word
 }
 
-func (g *harness) list(entries ...string) {
-	g.t.Helper()
-	g.inLoop(func() {
-		c, err := g.proxy.servers.list.Apply(
+// applyList applies an update of the server list with these entries.
+func (h *harness) applyList(entries ...string) {
+	h.t.Helper()
+	h.onLoop(func() {
+		c, err := h.proxy.servers.list.Apply(
 			[]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`),
 		)
 		if err == nil {
-			g.proxy.servers.Listed(c)
+			h.proxy.servers.Listed(c)
 		}
 	})
 }
 
-func (g *harness) listDraining(i int) {
-	g.list(listEntry([]string{"s0", "s1"}[i], g.servers[i].Addr().String(), "Terminating"))
+// listAsDraining lists server i as draining.
+func (h *harness) listAsDraining(i int) {
+	h.applyList(listEntry([]string{"s0", "s1"}[i], h.servers[i].Addr().String(), "Terminating"))
 }
 
-// Whatever ends a connection, a client that takes tokens is told where to go on, and goes on there.
-func TestStreamGoesOn(t *testing.T) {
+// However a connection ends, a client that takes tokens is moved with one, and can resume its stream through another
+// balancer at the server named in the token.
+func TestStreamResumes(t *testing.T) {
 	for name, c := range map[string]struct {
-		end func(g *harness, server *peer)
+		end func(h *harness, server *peer)
 		to  int
 	}{
-		"the server is listed as draining": {func(g *harness, _ *peer) { g.listDraining(0) }, 1},
-		"the server sends its clients away": {
-			func(_ *harness, s *peer) { s.say("MOVE\r\n"); _ = s.Close() },
+		"the server is listed as draining": {func(h *harness, _ *peer) { h.listAsDraining(0) }, 1},
+		"the server moves its clients": {
+			func(_ *harness, s *peer) { s.send("MOVE\r\n"); _ = s.Close() },
 			1,
 		},
 		"the server dies": {
 			func(_ *harness, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
 			1,
 		},
-		"the server just ends": {func(_ *harness, s *peer) { _ = s.Close() }, 1},
+		"the server closes": {func(_ *harness, s *peer) { _ = s.Close() }, 1},
 		"the server dies in the middle of a message": {
-			func(_ *harness, s *peer) { s.say("#3 half a mes"); _ = s.Close() },
+			func(_ *harness, s *peer) { s.send("#3 half a mes"); _ = s.Close() },
 			1,
 		},
-		"the server falls silent": {func(g *harness, _ *peer) {
-			g.inLoop(func() { s := firstRequest(g); s.lastReply = 1; s.awaitReply(1); g.proxy.latencies.sweep() })
+		"the server is unresponsive": {func(h *harness, _ *peer) {
+			h.onLoop(func() { r := firstRequest(h); r.lastReply = 1; r.awaitReply(1); h.proxy.latencies.sweep() })
 		}, 1},
-		"the balancer stops": {func(g *harness, _ *peer) { g.loop.Post(g.proxy.Drain) }, 0},
+		"the balancer stops": {func(h *harness, _ *peer) { h.loop.Post(h.proxy.Drain) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
-			client, server := g.establishResumable()
-			c.end(g, server)
-			word := client.moved()
-			// The next balancer shares nothing with the first but the key and the list.
-			other.list(
-				listEntry("s0", g.servers[0].Addr().String(), "Ready"),
-				listEntry("s1", g.servers[1].Addr().String(), "Ready"),
+			h, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
+			client, server := h.establishResumable()
+			c.end(h, server)
+			word := client.expectMove()
+			// The other balancer shares only the key and the server list with the first.
+			other.applyList(
+				listEntry("s0", h.servers[0].Addr().String(), "Ready"),
+				listEntry("s1", h.servers[1].Addr().String(), "Ready"),
 			)
-			again := other.client(comeLine + word + "\r\n")
-			next := g.acceptUpstream(c.to)
-			if got := next.line(); !strings.HasPrefix(got, "OPEN 2 7f c=sync,d=") ||
+			again := other.connect(resumeLine + word + "\r\n")
+			next := h.acceptUpstream(c.to)
+			if got := next.readLine(); !strings.HasPrefix(got, "OPEN 2 7f c=sync,d=") ||
 				!strings.HasSuffix(got, ",g=5c,owner=o,again=1,cur=2,tok="+word+"\r\n") {
-				t.Fatalf("%q", got)
+				t.Fatalf("server got %q, want the request line with cursor 2 and the token", got)
 			}
-			if q := event[decision.Request](other); !q.Pinned || !q.Resumable || q.PinnedServer != uint32(c.to) ||
+			if q := await[decision.Request](other); !q.Pinned || !q.Resumable || q.PinnedServer != uint32(c.to) ||
 				!q.Reconnected {
-				t.Errorf("%+v", q)
+				t.Errorf("got %+v, want a reconnected, resumable request pinned to server %d", q, c.to)
 			}
-			next.say("UP r2 from=2\r\n#3 c\r\n")
-			again.want("UP r2 from=2\r\n")
-			again.want("#3 c\r\n")
-			other.listDraining(c.to)
-			again.moved() // and on it goes
+			next.send("UP r2 from=2\r\n#3 c\r\n")
+			again.expect("UP r2 from=2\r\n")
+			again.expect("#3 c\r\n")
+			other.listAsDraining(c.to)
+			again.expectMove() // the resumed stream can be moved again
 		})
 	}
 }
 
-// Without the site file, or without the client's asking, every byte is as it was.
+// If the site file turns resumption off, or the client does not ask for a token, all lines are forwarded unchanged and
+// MOVE carries no token.
 func TestTokensOff(t *testing.T) {
 	off := func(cfg *Config) { cfg.Resume = nil }
 	for name, c := range map[string]struct {
@@ -174,37 +182,37 @@
 	}{
 		"not in the site file": {off, tokenRequestLine}, "not asked for": {nil, openLine},
 		"odd names, not in the site file": {off, "OPEN 1 7f c=sync,d=60000,tok=,cur=x,owner=\r\n"},
-		"a token, not in the site file":   {off, comeLine + "abcd\r\n"},
+		"a token, not in the site file":   {off, resumeLine + "abcd\r\n"},
 	} {
-		g := newResumeHarness(t, c.change)
-		client := g.client(c.first)
-		server := g.acceptUpstream(0)
-		if got := server.line(); got[:19] != c.first[:19] ||
+		h := newResumeHarness(t, c.change)
+		client := h.connect(c.first)
+		server := h.acceptUpstream(0)
+		if got := server.readLine(); got[:19] != c.first[:19] ||
 			got[strings.Index(got, ",d=")+8:] != c.first[strings.Index(c.first, ",d=")+8:] {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: server got %q, want %q but for the deadline", name, got, c.first)
 		}
-		server.say("UP r1 from=0\r\n#1 a\r\nhalf a")
-		client.want("UP r1 from=0\r\n")
-		client.want("#1 a\r\n")
+		server.send("UP r1 from=0\r\n#1 a\r\nhalf a")
+		client.expect("UP r1 from=0\r\n")
+		client.expect("#1 a\r\n")
 		if got, err := client.rd.Peek(6); string(got) != "half a" || err != nil {
-			t.Errorf("%s: %q, %v", name, got, err)
+			t.Errorf("%s: client got %q, %v, want the incomplete line", name, got, err)
 		}
-		g.listDraining(0)
-		server.say(" line\r\nMOVE\r\n")
-		g.check(server.Close())
-		client.want("half a line\r\n")
-		client.want("MOVE\r\n")
-		client.ended(true)
+		h.listAsDraining(0)
+		server.send(" line\r\nMOVE\r\n")
+		h.check(server.Close())
+		client.expect("half a line\r\n")
+		client.expect("MOVE\r\n")
+		client.expectEnd(true)
 	}
 }
 
-// seal makes a token as a balancer would, changed by a test.
-func (g *harness) seal(ring *token.Ring, change func(*token.Token)) string {
+// seal returns a token for resumeLine, sealed as a balancer would; change, if not nil, may alter it before.
+func (h *harness) seal(ring *token.Ring, change func(*token.Token)) string {
 	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
-	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / monotime.Millisecond) })
+	h.onLoop(func() { t.IssuedAt = int64(h.loop.Now() / monotime.Millisecond) })
 	t.ExpiresAt = t.IssuedAt + 60_000
 	first, err := lineproto.ParseOpen([]byte(strings.TrimSuffix(tokenRequestLine, "\r\n")))
-	g.check(err)
+	h.check(err)
 	t.Tenant = first.Tenant
 	if change != nil {
 		change(&t)
@@ -212,16 +220,17 @@
 	return string(ring.Seal(nil, &t))
 }
 
-// What is wrong with a token is told at once; neither the decision core nor any server learns of it.
+// A token that can't be accepted is answered at once with STALE and the reason; neither the decision core nor any
+// server gets the request.
 func TestTokenRejected(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	ring := ringWith(t, token.Key{Secret: keyOf(1), Issues: true})
-	with := func(change func(*token.Token)) string { return comeLine + g.seal(ring, change) }
+	h := newResumeHarness(t, nil)
+	ring := newRing(t, token.Key{Secret: testKey(1), Issues: true})
+	with := func(change func(*token.Token)) string { return resumeLine + h.seal(ring, change) }
 	for name, c := range map[string]struct{ first, why string }{
-		"garbage":         {comeLine + "garbage", "malformed"},
+		"garbage":         {resumeLine + "garbage", "malformed"},
 		"altered":         {strings.Replace(with(nil), "tok=AQ", "tok=Ag", 1), "malformed"},
-		"cut":             {with(nil)[:len(with(nil))-4], "forged"},
-		"withdrawn key":   {comeLine + g.seal(ringWith(t, token.Key{Secret: keyOf(9), Issues: true}), nil), "key"},
+		"cut off":         {with(nil)[:len(with(nil))-4], "forged"},
+		"withdrawn key":   {resumeLine + h.seal(newRing(t, token.Key{Secret: testKey(9), Issues: true}), nil), "key"},
 		"expired":         {with(func(t *token.Token) { t.ExpiresAt = t.IssuedAt }), "expired"},
 		"from the future": {with(func(t *token.Token) { t.IssuedAt += 10_000 }), "early"},
 		"other tenant":    {with(func(t *token.Token) { t.Tenant++ }), "tenant"},
@@ -233,89 +242,90 @@
 		"started since":   {with(func(t *token.Token) { t.ServerStarted = 5 }), "gone"},
 		"no cursor":       {strings.Replace(with(nil), "cur=2,", "", 1), "malformed"},
 		"a bad cursor":    {strings.Replace(with(nil), "cur=2,", "cur=02,", 1), "malformed"},
-		"where it stood":  {strings.Replace(with(nil), "cur=2,", "cur=2,at=s1,", 1), "malformed"},
+		"names a server":  {strings.Replace(with(nil), "cur=2,", "cur=2,at=s1,", 1), "malformed"},
 	} {
-		// Every id is new.
-		client := g.client(strings.Replace(c.first, "OPEN 2", "OPEN "+strings.ReplaceAll(name, " ", "_"), 1) + "\r\n")
-		if got := client.line(); got != "STALE "+c.why+"\r\n" {
-			t.Errorf("%s: %q, want %s", name, got, c.why)
+		// Each request needs a new id.
+		client := h.connect(strings.Replace(c.first, "OPEN 2", "OPEN "+strings.ReplaceAll(name, " ", "_"), 1) + "\r\n")
+		if got := client.readLine(); got != "STALE "+c.why+"\r\n" {
+			t.Errorf("%s: got %q, want STALE %s", name, got, c.why)
 		}
-		client.ended(true)
+		client.expectEnd(true)
 	}
-	g.listDraining(1)
-	late := g.client(with(nil) + "\r\n")
-	late.want("STALE gone\r\n")
-	if len(g.events) > 0 {
-		t.Errorf("the core was notified of %+v", <-g.events)
+	h.listAsDraining(1)
+	late := h.connect(with(nil) + "\r\n")
+	late.expect("STALE gone\r\n")
+	if len(h.events) > 0 {
+		t.Errorf("decision core got %+v, want nothing", <-h.events)
 	}
-	told := 0
-	g.inLoop(func() {
-		for _, n := range g.proxy.resumption.tokens.Rejected {
-			told += n
+	rejected := 0
+	h.onLoop(func() {
+		for _, n := range h.proxy.resumption.tokens.Rejected {
+			rejected += n
 		}
 	})
-	if told != 17 {
-		t.Errorf("%d refusals counted", told)
+	if rejected != 17 {
+		t.Errorf("%d rejections counted, want 17", rejected)
 	}
 }
 
-// What becomes of a token that went on to its server, and what it is good for after that.
-func TestTokenAttempts(t *testing.T) {
+// After an attempt with a token, the client gets the answer first. If it presents the token once more, it gets the
+// answer again; an empty one means that the token is still valid.
+func TestTokenAfterAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer       func(server *peer)
 		first, again string
 	}{
-		"stands": {func(s *peer) { s.say("UP r from=2\r\n") }, "UP r from=2\r\n", "STALE taken\r\n"},
-		"full":   {func(s *peer) { s.say("BUSY\r\n"); _ = s.Close() }, "BUSY 70\r\n", ""},
-		"its log is too short": {
-			func(s *peer) { s.say("STALE gap\r\n"); _ = s.Close() },
+		"established": {func(s *peer) { s.send("UP r from=2\r\n") }, "UP r from=2\r\n", "STALE taken\r\n"},
+		"full":        {func(s *peer) { s.send("BUSY\r\n"); _ = s.Close() }, "BUSY 70\r\n", ""},
+		"server lacks messages": {
+			func(s *peer) { s.send("STALE gap\r\n"); _ = s.Close() },
 			"STALE gap\r\n",
 			"STALE spent\r\n",
 		},
-		"another has it": {func(s *peer) { s.say("STALE taken\r\n") }, "STALE taken\r\n", "STALE spent\r\n"},
+		"taken by another client": {func(s *peer) { s.send("STALE taken\r\n") }, "STALE taken\r\n", "STALE spent\r\n"},
 		"resets": {
 			func(s *peer) { _ = s.SetLinger(0); _ = s.Close() },
 			"STALE unsure\r\n",
 			"STALE spent\r\n",
 		},
-		"errs": {func(s *peer) { s.say("ERR\r\n") }, "STALE unsure\r\n", "STALE spent\r\n"},
-		"odd reason": {
-			func(s *peer) { s.say("STALE whatever\r\n") },
+		"error": {func(s *peer) { s.send("ERR\r\n") }, "STALE unsure\r\n", "STALE spent\r\n"},
+		"unknown reason": {
+			func(s *peer) { s.send("STALE whatever\r\n") },
 			"STALE unsure\r\n",
 			"STALE spent\r\n",
 		},
-		"knows no tokens": {func(s *peer) { s.say("UP r\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
-		"goes on elsewhere": {
-			func(s *peer) { s.say("UP r from=7\r\n") },
+		"server without tokens": {func(s *peer) { s.send("UP r\r\n") }, "STALE unsupported\r\n", "STALE spent\r\n"},
+		"other sequence number": {
+			func(s *peer) { s.send("UP r from=7\r\n") },
 			"STALE unsupported\r\n",
 			"STALE spent\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newResumeHarness(t, nil)
-			word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
-			client := g.client(comeLine + word + "\r\n")
-			server := g.acceptUpstream(1)
-			server.line()
-			// At the same time, in the same balancer: no second attempt.
-			twin := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-			twin.want("STALE taken\r\n")
+			h := newResumeHarness(t, nil)
+			word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+			client := h.connect(resumeLine + word + "\r\n")
+			server := h.acceptUpstream(1)
+			server.readLine()
+			// While the attempt runs, this balancer makes no second one with the same token.
+			twin := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+			twin.expect("STALE taken\r\n")
 			c.answer(server)
-			client.want(c.first)
-			again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+			client.expect(c.first)
+			again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
 			if c.again != "" {
-				again.want(c.again)
+				again.expect(c.again)
 				return
 			}
-			g.acceptUpstream(1).line() // it is as good as before
+			h.acceptUpstream(1).readLine() // the token is still valid
 		})
 	}
 }
 
-// An attempt that was given up may still run: its client starts over, this balancer refuses the token from then on, and
-// at another one only the server can know.
-func TestTokenTimesOut(t *testing.T) {
-	hasty := func(ev decision.Event) []decision.Action {
+// The server may have executed a request whose attempt timed out. The client must start over without its token, and
+// this balancer rejects the token from then on. Another balancer forwards it, and the server rejects it.
+func TestTokenAfterTimeout(t *testing.T) {
+	shortTimeout := func(ev decision.Event) []decision.Action {
 		acts := sendOrMove(ev)
 		for i, a := range acts {
 			if s, ok := a.(decision.StartAttempt); ok {
@@ -325,58 +335,59 @@
 		}
 		return acts
 	}
-	g, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
-	g.inLoop(func() { g.decide = hasty })
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
-	client := g.client(comeLine + word + "\r\n")
-	server := g.acceptUpstream(1)
-	server.line()
-	client.want("STALE unsure\r\n")
-	server.ended(true)
-	if o := event[decision.AttemptEnded](g); o.Status != outcome.TimedOut || o.RequestClosed {
-		t.Errorf("%+v", o)
+	h, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
+	h.onLoop(func() { h.decide = shortTimeout })
+	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	client := h.connect(resumeLine + word + "\r\n")
+	server := h.acceptUpstream(1)
+	server.readLine()
+	client.expect("STALE unsure\r\n")
+	server.expectEnd(true)
+	if o := await[decision.AttemptEnded](h); o.Status != outcome.TimedOut || o.RequestClosed {
+		t.Errorf("got %+v, want status %d, request not closed", o, outcome.TimedOut)
 	}
-	again := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	again.want("STALE spent\r\n")
-	other.list(
-		listEntry("s0", g.servers[0].Addr().String(), "Ready"),
-		listEntry("s1", g.servers[1].Addr().String(), "Ready"),
+	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	again.expect("STALE spent\r\n")
+	other.applyList(
+		listEntry("s0", h.servers[0].Addr().String(), "Ready"),
+		listEntry("s1", h.servers[1].Addr().String(), "Ready"),
 	)
-	elsewhere := other.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
-	next := g.acceptUpstream(1)
-	next.line()
-	next.say("STALE taken\r\n")
-	elsewhere.want("STALE taken\r\n")
+	elsewhere := other.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	next := h.acceptUpstream(1)
+	next.readLine()
+	next.send("STALE taken\r\n")
+	elsewhere.expect("STALE taken\r\n")
 }
 
-// What is left of a request whose token was given back must not give back the claim of the next.
+// A rejected request releases its claim on the token. When its connection closes later, it must not release the claim
+// of the next request with the same token.
 func TestTokenReleasedOnce(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	word := g.seal(ringWith(t, token.Key{Secret: keyOf(1), Issues: true}), nil)
-	first := g.client(comeLine + word + "\r\n")
-	server := g.acceptUpstream(1)
-	server.line()
-	server.say("BUSY\r\n")
-	first.want("BUSY 70\r\n")
-	second := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
-	next := g.acceptUpstream(1)
-	next.line()
-	g.check(first.Close())
-	for closed := false; !closed; { // the first request is there until it has seen that
-		g.inLoop(func() { closed = g.proxy.requests.len() == 1 })
+	h := newResumeHarness(t, nil)
+	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	first := h.connect(resumeLine + word + "\r\n")
+	server := h.acceptUpstream(1)
+	server.readLine()
+	server.send("BUSY\r\n")
+	first.expect("BUSY 70\r\n")
+	second := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	next := h.acceptUpstream(1)
+	next.readLine()
+	h.check(first.Close())
+	for closed := false; !closed; { // until the first request has ended
+		h.onLoop(func() { closed = h.proxy.requests.len() == 1 })
 	}
-	third := g.client(strings.Replace(comeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
-	third.want("STALE taken\r\n")
-	next.say("UP r from=2\r\n")
-	second.want("UP r from=2\r\n")
+	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	third.expect("STALE taken\r\n")
+	next.send("UP r from=2\r\n")
+	second.expect("UP r from=2\r\n")
 }
 
-// A stream that is served to its end has ended, and does not go on.
-func TestStreamEnds(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	client, server := g.establishResumable()
-	server.say("BYE\r\n")
-	g.check(server.Close())
-	client.want("BYE\r\n")
-	client.ended(true)
+// A stream that the server has ended with BYE ends for the client, too, which is not moved.
+func TestFinishedStreamIsNotMoved(t *testing.T) {
+	h := newResumeHarness(t, nil)
+	client, server := h.establishResumable()
+	server.send("BYE\r\n")
+	h.check(server.Close())
+	client.expect("BYE\r\n")
+	client.expectEnd(true)
 }
--- a/internal/proxy/retryafter_test.go
+++ b/internal/proxy/retryafter_test.go
@@ -8,42 +8,42 @@
 	"spurspread/decision/timeouts"
 )
 
-// Clients that the proxy itself rejects at one instant are not asked to come back at one instant.
-func TestRejectedClientsComeBackSpread(t *testing.T) {
+// Clients that the proxy itself rejects get different retry delays, so that they don't all come back at the same time.
+func TestRetryDelaysAreSpread(t *testing.T) {
 	const clients, parts = 500, 8
-	g := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 0 })
-	var comeBack [parts]int
+	h := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.Decision.MaxHeldRequests = 0 })
+	var retries [parts]int
 	for i := range clients {
-		text, named := strings.CutPrefix(strings.TrimSpace(g.client(openLineWithID(i)).line()), "BUSY ")
+		text, ok := strings.CutPrefix(strings.TrimSpace(h.connect(openLineWithID(i)).readLine()), "BUSY ")
 		millis, err := strconv.Atoi(text)
-		if !named || err != nil || millis < 200 || millis > 600 {
-			t.Fatalf("rejected with %q", text)
+		if !ok || err != nil || millis < 200 || millis > 600 {
+			t.Fatalf("rejected with retry delay %q, want 200 to 600 ms", text)
 		}
-		comeBack[(millis-200)*parts/401]++
+		retries[(millis-200)*parts/401]++
 	}
-	for part, n := range comeBack {
+	for part, n := range retries {
 		if n > 2*clients/parts {
-			t.Errorf("%d of %d come back in part %d of %d", n, clients, part, parts)
+			t.Errorf("%d of %d retry in part %d of %d, want at most %d", n, clients, part, parts, 2*clients/parts)
 		}
 	}
 }
 
-// Where the settings allow no advice none is given, by the proxy as by the core.
-func TestNoAdviceWhereNoneIsAllowed(t *testing.T) {
-	g := newHarness(t, 1, decideNothing, func(cfg *Config) {
+// If the settings forbid retry delays, the proxy's own rejections have none either.
+func TestNoRetryDelayIfForbidden(t *testing.T) {
+	h := newHarness(t, 1, decideNothing, func(cfg *Config) {
 		cfg.Settings.Decision.MaxHeldRequests = 0
 		cfg.Settings.Decision.AllowRetryAfter = false
 	})
-	g.client(openLine).want("BUSY\r\n")
+	h.connect(openLine).expect("BUSY\r\n")
 }
 
-// A client whose server can't be reached for the whole of its wait costs few attempts.
+// A request that reattaches to a server that stays unreachable makes only few attempts before it is given up.
 func TestReattachingBacksOff(t *testing.T) {
 	attempts := 0
 	for waited := timeouts.Reattach(timeouts.MaxReattach); waited > 0; attempts++ {
 		waited -= timeouts.ReattachRetry(attempts+1, 0)
 	}
 	if attempts > 20 {
-		t.Errorf("%d attempts in %d s", attempts, timeouts.MaxReattach/1_000_000)
+		t.Errorf("%d attempts in %d s, want at most 20", attempts, timeouts.MaxReattach/1_000_000)
 	}
 }
--- a/internal/proxy/retryscope_test.go
+++ b/internal/proxy/retryscope_test.go
@@ -9,8 +9,9 @@
 	"spurspread/internal/settings"
 )
 
-// A request whose key only one zone or cell knows, and that may have been executed, goes to no other one: not to a zone
-// 256 further in the settings, not from one zone that they don't have to another, not to a cell 65,536 further.
+// A request whose idempotency key is known to one zone or cell only, and that may have been executed, is not retried in
+// another one. Zones and cells must not be mixed up: not zones 256 apart in the settings, not two zones that are not in
+// the settings, not cells 65,536 apart.
 func TestKeyedRetryStaysInItsScope(t *testing.T) {
 	var zones []string
 	for i := range 300 {
@@ -26,7 +27,7 @@
 		"cells far apart": {"cell", `"zone":"z0","cell":65543`, `"zone":"z0","cell":7`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarnessWithCore(t, 2, func(cfg *Config) {
+			h := newHarnessWithCore(t, 2, func(cfg *Config) {
 				rule := `"effect":"idempotency_key","key_scope":"` + c.scope + `","window":500000`
 				set, err := settings.ParseJSON([]byte(strings.Replace(listed, `"effect":"read_like"`, rule, 1)))
 				if err != nil {
@@ -36,47 +37,47 @@
 				list := strings.Replace(string(cfg.CachedList), `"zone":"a"`, c.first, 1)
 				cfg.CachedList = []byte(strings.Replace(list, `"zone":"a"`, c.next, 1))
 			})
-			client := g.client(openLine)
-			accepted := make(chan *peer, len(g.servers))
-			for _, server := range g.servers {
+			client := h.connect(openLine)
+			accepted := make(chan *peer, len(h.servers))
+			for _, server := range h.servers {
 				go func() {
 					if conn, err := server.Accept(); err == nil {
-						accepted <- g.peer(conn, nil)
+						accepted <- h.newPeer(conn, nil)
 					}
 				}()
 			}
 			first := <-accepted
-			first.line()
-			g.check(first.SetLinger(0))
-			g.check(first.Close()) // a reset: it may have run
-			client.want("ERR\r\n")
+			first.readLine()
+			h.check(first.SetLinger(0))
+			h.check(first.Close()) // a reset: the request may have been executed
+			client.expect("ERR\r\n")
 			if len(accepted) > 0 {
-				t.Error("sent to the other scope")
+				t.Errorf("retried in another %s, want no retry", c.scope)
 			}
 		})
 	}
 }
 
-// Reloaded settings that list zones in another order leave each server in its zone, before discovery tells anything.
+// After a reload with the zones in another order, each server is still in its zone, even before discovery sends a list.
 func TestReloadKeepsServersInTheirZones(t *testing.T) {
-	g := newHarnessWithCore(t, 2, func(cfg *Config) {
+	h := newHarnessWithCore(t, 2, func(cfg *Config) {
 		list, inA := string(cfg.CachedList), `"zone":"a"`
 		second := strings.LastIndex(list, inA)
 		cfg.CachedList = []byte(list[:second] + `"zone":"b"` + list[second+len(inA):])
 	})
 	reordered := strings.Replace(harnessSettings, `"zone":0,"dcs":["a","b"]`, `"zone":2,"dcs":["c","b","a"]`, 1)
 	set, err := settings.ParseJSON([]byte(reordered))
-	g.check(err)
-	g.inLoop(func() {
-		cfg := g.proxy.cfg
+	h.check(err)
+	h.onLoop(func() {
+		cfg := h.proxy.cfg
 		cfg.Settings = set
-		g.proxy.Reload(cfg)
+		h.proxy.Reload(cfg)
 	})
 	for i := range 5 {
-		g.client(openLineWithID(i))
-		server := g.acceptUpstream(0)
-		server.line()
-		server.say("UP r1\r\n")
-		event[decision.Established](g)
+		h.connect(openLineWithID(i))
+		server := h.acceptUpstream(0)
+		server.readLine()
+		server.send("UP r1\r\n")
+		await[decision.Established](h)
 	}
 }
--- a/internal/proxy/scale_bench_test.go
+++ b/internal/proxy/scale_bench_test.go
@@ -12,13 +12,13 @@
 	"spurspread/internal/eventloop"
 )
 
-// benchSizes are the numbers of established connections over which a cost is looked at.
+// benchSizes are the numbers of established connections to measure with.
 var benchSizes = []int{2_000, 5_000, 20_000, 80_000}
 
-// benchServers are the servers that they are established at.
+// benchServers is the number of servers over which these connections are spread.
 const benchServers = 400
 
-// proxyWithRequests is a proxy with n established requests that have no sockets, busy of them with an unanswered line.
+// proxyWithRequests returns a proxy with n established requests without sockets; busy of them have an unanswered line.
 func proxyWithRequests(b *testing.B, n, busy int) *Proxy {
 	b.Helper()
 	l, err := eventloop.New()
@@ -56,7 +56,7 @@
 	return p
 }
 
-// A sweep comes five times a second, and nothing else of the loop has its turn meanwhile.
+// BenchmarkSweep measures the sweep, which runs five times a second and blocks the loop meanwhile.
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Each change of the server list has the requests without an answer looked at.
+// BenchmarkListed measures a change of the server list, for which all requests without an answer are checked.
 func BenchmarkListed(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// So many lines were answered in the last second, of all servers together.
+// BenchmarkDelay measures the estimate of message latency, by the number of lines answered in the last second.
 func BenchmarkDelay(b *testing.B) {
 	for _, lines := range []int{2_000, 20_000, 70_000} {
 		b.Run(fmt.Sprint(lines), func(b *testing.B) {
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -12,75 +12,76 @@
 	"spurspread/internal/discovery"
 )
 
-// A changed server list is saved once for changes that come together, whole, without what is gone, and under the
-// address that it came from; after a move not until the new address has answered.
+// Changes of the server list that come together are saved once: the whole list, without removed servers, under the
+// discovery address that it came from. After a change of that address, nothing is saved until the new address has sent
+// a list.
 func TestListIsSaved(t *testing.T) {
-	kept := make(chan string, 10)
-	g := newHarness(t, 2, sendToFirst, func(cfg *Config) {
-		cfg.SaveList = func(at netip.AddrPort, list []byte) { kept <- at.String() + " " + string(list) }
+	saved := make(chan string, 10)
+	h := newHarness(t, 2, sendToFirst, func(cfg *Config) {
+		cfg.SaveList = func(at netip.AddrPort, list []byte) { saved <- at.String() + " " + string(list) }
 	})
 	var at string
-	g.inLoop(func() {
-		at = g.proxy.cfg.Discovery.String()
+	h.onLoop(func() {
+		at = h.proxy.cfg.Discovery.String()
 		for _, entries := range []string{
 			listEntry("s0", "127.0.0.1:2", "Terminating"),
 			`{"instanceId":"s1","lifecycle":"Gone"},` + listEntry("s2", "127.0.0.1:1", "Ready"),
 		} {
-			c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
-			g.check(err)
-			g.proxy.servers.Listed(c)
+			c, err := h.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
+			h.check(err)
+			h.proxy.servers.Listed(c)
 		}
 	})
-	got := <-kept
+	got := <-saved
 	again := discovery.NewServerList()
 	c, err := again.Apply([]byte(strings.TrimPrefix(got, at+" ")))
 	if err != nil || !c.Full || len(c.Servers) != 2 {
-		t.Fatalf("%q: %+v, %v", got, c, err)
+		t.Fatalf("saved list %q parsed as %+v, %v, want all of 2 servers", got, c, err)
 	}
-	g.inLoop(func() {
+	h.onLoop(func() {
 		for _, want := range c.Servers {
-			have := *g.proxy.servers.list.ByID([]byte(want.ID))
+			have := *h.proxy.servers.list.ByID([]byte(want.ID))
 			have.Number = want.Number
 			if have != *want {
-				t.Errorf("%+v, want %+v", *want, have)
+				t.Errorf("saved server %+v, want %+v", *want, have)
 			}
 		}
-		g.proxy.servers.client.ChangeAddress(g.proxy.cfg.Discovery)
-		g.proxy.servers.Listed(discovery.Update{})
-		g.proxy.servers.save()
+		h.proxy.servers.client.ChangeAddress(h.proxy.cfg.Discovery)
+		h.proxy.servers.Listed(discovery.Update{})
+		h.proxy.servers.save()
 	})
-	g.inLoop(func() {})
-	if len(kept) != 0 {
-		t.Errorf("%q", <-kept)
+	h.onLoop(func() {})
+	if len(saved) != 0 {
+		t.Errorf("saved %q before the new address sent a list", <-saved)
 	}
 }
 
-// A process whose first request comes long after its start does not send it by the list that it started with: it asks
-// discovery first, and the server that is gone meanwhile gets nothing.
+// If the first request arrives long after the start, the cached server list may be outdated: the request waits for
+// discovery and is not sent to a server that is gone by then.
 func TestFirstRequestWaitsForDiscovery(t *testing.T) {
-	a := newAgent(t)
-	a.g = newHarnessWithCore(t, 1, func(cfg *Config) { cfg.Discovery = a.addr() })
-	g := a.g
+	a := newDiscoveryStub(t)
+	a.h = newHarnessWithCore(t, 1, func(cfg *Config) { cfg.Discovery = a.addr() })
+	h := a.h
 	now, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	g.check(err)
+	h.check(err)
 	t.Cleanup(func() { _ = now.Close() })
-	g.inLoop(func() {
-		startedAt := g.loop.Now() - 5*monotime.Second
-		g.core = decision.New(g.proxy.cfg.Settings.Decision, 1, startedAt)
-		cached, err := g.proxy.servers.list.Apply(g.cachedList)
-		g.check(err)
-		g.proxy.core.dispatch(g.proxy.servers.updateEvent(decision.UpdateCached, cached))
+	h.onLoop(func() {
+		startedAt := h.loop.Now() - 5*monotime.Second
+		h.core = decision.New(h.proxy.cfg.Settings.Decision, 1, startedAt)
+		cached, err := h.proxy.servers.list.Apply(h.cachedList)
+		h.check(err)
+		h.proxy.core.dispatch(h.proxy.servers.updateEvent(decision.UpdateCached, cached))
 	})
-	client := g.client(openLine)
-	a.watch(1, `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"Gone"},`+
+	client := h.connect(openLine)
+	a.acceptWatch(1, `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"Gone"},`+
 		listEntry("s1", now.Addr().String(), "Ready")+`]}`)
-	g.check(now.SetDeadline(time.Now().Add(patience)))
-	server := g.peer(now.Accept())
-	server.line()
-	server.say("UP r1\r\n")
-	client.want("UP r1\r\n")
-	g.check(g.servers[0].SetDeadline(time.Now()))
-	if _, err := g.servers[0].Accept(); !isTimeout(err) {
-		t.Errorf("the server that is gone got a connection, %v", err)
+	h.check(now.SetDeadline(time.Now().Add(testTimeout)))
+	server := h.newPeer(now.Accept())
+	server.readLine()
+	server.send("UP r1\r\n")
+	client.expect("UP r1\r\n")
+	h.check(h.servers[0].SetDeadline(time.Now()))
+	if _, err := h.servers[0].Accept(); !isTimeout(err) {
+		t.Errorf("accept at the removed server: %v, want a timeout", err)
 	}
 }
