--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -14,39 +14,40 @@
 	"spurspread/internal/settings"
 )
 
-// A planned stop rejects what is new, moves what is established, and ends the loop.
+// A planned stop rejects new requests, moves established connections and then stops the loop.
 func TestDrain(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	client, _ := g.establish()
-	g.loop.Post(g.proxy.Drain)
-	late := g.client(another)
-	if got := late.line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("new while draining: %q", got)
+	h := newHarness(t, 1, sendToFirst, nil)
+	client, _ := h.establish()
+	h.loop.Post(h.proxy.Drain)
+	late := h.connect(otherOpenLine)
+	if got := late.readLine(); !strings.HasPrefix(got, "BUSY ") {
+		t.Errorf("new request during the drain answered with %q, want BUSY", got)
 	}
-	client.want("MOVE\r\n")
-	client.ended(true)
-	g.check(client.Close())
-	g.check(late.Close())
-	err := <-g.stopped
-	g.stopped <- err
-	g.check(err)
-	g.noOutcome()
+	client.expect("MOVE\r\n")
+	client.expectEnd(true)
+	h.check(client.Close())
+	h.check(late.Close())
+	err := <-h.stopped
+	h.stopped <- err
+	h.check(err)
+	h.expectNoRequest()
 }
 
-// idempotencyRules are a class's retry rules, and what a client is told whose attempt may have run.
+// idempotencyRules are retry rules of a class, with the final answer to a request that may have been executed: BUSY
+// lets the client retry, ERR does not. In the case "not sent" the request can't have been executed.
 var idempotencyRules = map[string]struct {
-	rule     string
-	promised string
+	rule       string
+	wantAnswer string
 }{
-	"read like":                  {`"effect":"read_like"`, "BUSY"},
-	"key that all know":          {`"effect":"idempotency_key","key_scope":"all","window":500000`, "BUSY"},
-	"key that one zone knows":    {`"effect":"idempotency_key","key_scope":"zone","window":500000`, "ERR"},
-	"key that one cell knows":    {`"effect":"idempotency_key","key_scope":"cell","window":500000`, "ERR"},
-	"must not happen twice":      {`"effect":"non_idempotent"`, "ERR"},
-	"must not, and was not sent": {`"effect":"non_idempotent"`, "BUSY"},
+	"read-like":                {`"effect":"read_like"`, "BUSY"},
+	"key known everywhere":     {`"effect":"idempotency_key","key_scope":"all","window":500000`, "BUSY"},
+	"key known in one zone":    {`"effect":"idempotency_key","key_scope":"zone","window":500000`, "ERR"},
+	"key known in one cell":    {`"effect":"idempotency_key","key_scope":"cell","window":500000`, "ERR"},
+	"non-idempotent":           {`"effect":"non_idempotent"`, "ERR"},
+	"non-idempotent, not sent": {`"effect":"non_idempotent"`, "BUSY"},
 }
 
-// withClassRule has the one class follow the rule.
+// withClassRule returns a change of the configuration that gives the only class this rule.
 func withClassRule(t *testing.T, rule string) func(*Config) {
 	set, err := settings.ParseJSON([]byte(strings.Replace(harnessSettings, `"effect":"read_like"`, rule, 1)))
 	if err != nil {
@@ -55,8 +56,9 @@
 	return func(cfg *Config) { cfg.Settings = set }
 }
 
-// What a planned stop answers promises no more than the class allows: an attempt that is out may have run, or may yet.
-func TestStopPromisesNoMoreThanTheClassAllows(t *testing.T) {
+// A planned stop answers a pending request as the class's retry rules allow: the server may have executed the request
+// of an attempt in progress, or may do so later.
+func TestFinalAnswerOfPendingRequestOnStop(t *testing.T) {
 	for name, c := range idempotencyRules {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -64,219 +66,219 @@
 			if strings.HasSuffix(name, "not sent") {
 				servers = 0
 			}
-			g := newHarnessWithCore(t, servers, withClassRule(t, c.rule))
-			client := g.client(openLine)
-			event[decision.Request](g)
+			h := newHarnessWithCore(t, servers, withClassRule(t, c.rule))
+			client := h.connect(openLine)
+			await[decision.Request](h)
 			for i := range servers {
-				g.acceptUpstream(i).line()
+				h.acceptUpstream(i).readLine()
 			}
-			g.loop.Post(g.proxy.Drain)
-			if got := client.line(); !strings.HasPrefix(got, c.promised) {
-				t.Errorf("%q, want %s", got, c.promised)
+			h.loop.Post(h.proxy.Drain)
+			if got := client.readLine(); !strings.HasPrefix(got, c.wantAnswer) {
+				t.Errorf("got %q, want %s", got, c.wantAnswer)
 			}
-			client.ended(true)
+			client.expectEnd(true)
 			_ = client.Close()
-			g.stops()
+			h.waitStopped()
 		})
 	}
 }
 
-// Nor does what is answered at once to a request that goes where its client says.
-func TestDrainRejectsByTheClass(t *testing.T) {
+// The same for a request that is reattaching, which a drain answers at once.
+func TestFinalAnswerOfReattachingRequestOnDrain(t *testing.T) {
 	for name, c := range idempotencyRules {
 		t.Run(name, func(t *testing.T) {
-			g := newHarnessWithCore(t, 1, withClassRule(t, c.rule))
-			at := "s0"
+			h := newHarnessWithCore(t, 1, withClassRule(t, c.rule))
+			server := "s0"
 			if strings.HasSuffix(name, "not sent") {
-				at = "nobody"
+				server = "unlisted"
 			}
-			client := g.client("OPEN a b c=sync,d=60000,at=" + at + "\r\n")
-			if at == "s0" {
-				g.acceptUpstream(0).line()
+			client := h.connect("OPEN a b c=sync,d=60000,at=" + server + "\r\n")
+			if server == "s0" {
+				h.acceptUpstream(0).readLine()
 			} else {
-				g.waitAccepted(1)
+				h.waitAccepted(1)
 			}
-			g.inLoop(func() { g.proxy.drain.begin() })
-			if got := client.line(); !strings.HasPrefix(got, c.promised) {
-				t.Errorf("%q, want %s", got, c.promised)
+			h.onLoop(func() { h.proxy.drain.begin() })
+			if got := client.readLine(); !strings.HasPrefix(got, c.wantAnswer) {
+				t.Errorf("got %q, want %s", got, c.wantAnswer)
 			}
 		})
 	}
 }
 
-// A request read after the stop began is answered and never forwarded: whole and unread when it begins, in pieces
-// round it, on a connection that had said nothing, in the accept queue.
-func TestRequestsAroundTheStop(t *testing.T) {
-	for name, act := range map[string]func(g *harness) []*peer{
-		"unread": func(g *harness) (all []*peer) {
-			p := g.client("")
-			g.waitRead()
-			g.inLoop(func() {
-				p.say(openLine)
-				g.proxy.Drain()
+// A request that is read after a planned stop has begun is rejected with BUSY and not forwarded, wherever it was when
+// the stop began: in the socket's buffer, partly read, not yet sent, or in the accept queue.
+func TestRequestsReadDuringStop(t *testing.T) {
+	for name, act := range map[string]func(h *harness) []*peer{
+		"unread": func(h *harness) (all []*peer) {
+			p := h.connect("")
+			h.waitForIdle()
+			h.onLoop(func() {
+				p.send(openLine)
+				h.proxy.Drain()
 			})
 			return []*peer{p}
 		},
-		"in pieces": func(g *harness) []*peer {
-			p := g.client(openLine[:20])
-			g.until(func() bool {
-				return g.idle(overload.NoRequest) == 1 && len(g.firstIdle().firstLine) == 20
+		"in pieces": func(h *harness) []*peer {
+			p := h.connect(openLine[:20])
+			h.waitUntil(func() bool {
+				return h.idleCount(overload.NoRequest) == 1 && len(h.oldestIdle().firstLine) == 20
 			})
-			g.inLoop(g.proxy.Drain)
-			p.say(openLine[20:30])
-			g.until(func() bool {
-				return len(g.firstIdle().firstLine) == 30
+			h.onLoop(h.proxy.Drain)
+			p.send(openLine[20:30])
+			h.waitUntil(func() bool {
+				return len(h.oldestIdle().firstLine) == 30
 			})
-			p.say(openLine[30:])
+			p.send(openLine[30:])
 			return []*peer{p}
 		},
-		"silent until then": func(g *harness) []*peer {
-			p := g.client("")
-			g.waitRead()
-			g.inLoop(g.proxy.Drain)
-			p.say(openLine)
+		"idle before the stop": func(h *harness) []*peer {
+			p := h.connect("")
+			h.waitForIdle()
+			h.onLoop(h.proxy.Drain)
+			p.send(openLine)
 			return []*peer{p}
 		},
-		"behind a front's ping": func(g *harness) []*peer {
-			p := g.client("PING\r\n")
-			p.want("PONG\r\n")
-			g.inLoop(func() {
-				g.proxy.Drain()
-				p.say(openLine)
+		"after a health checker's ping": func(h *harness) []*peer {
+			p := h.connect("PING\r\n")
+			p.expect("PONG\r\n")
+			h.onLoop(func() {
+				h.proxy.Drain()
+				p.send(openLine)
 			})
 			return []*peer{p}
 		},
-		"in the accept queue": func(g *harness) (all []*peer) {
-			g.inLoop(func() {
-				for i := range 100 { // more than are accepted in one turn
-					all = append(all, g.client(openLineWithID(i)))
+		"in the accept queue": func(h *harness) (all []*peer) {
+			h.onLoop(func() {
+				for i := range 100 { // more than the proxy accepts in one turn
+					all = append(all, h.connect(openLineWithID(i)))
 				}
-				g.proxy.Drain()
+				h.proxy.Drain()
 			})
 			return all
 		},
-		"in the accept queue as the listener closes": func(g *harness) (all []*peer) {
-			g.inLoop(func() {
-				g.proxy.Drain()
+		"in the accept queue as the listener closes": func(h *harness) (all []*peer) {
+			h.onLoop(func() {
+				h.proxy.Drain()
 				for i := range 100 {
-					all = append(all, g.client(openLineWithID(i)))
+					all = append(all, h.connect(openLineWithID(i)))
 				}
-				g.proxy.listener.close()
+				h.proxy.listener.close()
 			})
 			return all
 		},
-		"sent as its connection was found silent, late in the stop": func(g *harness) []*peer {
-			p := g.client("")
-			g.waitRead()
-			g.inLoop(func() {
-				g.proxy.Drain()
-				g.proxy.drain.startedAt -= drainschedule.MinDuration + drainschedule.CheckInterval
-				g.proxy.drain.checkFinished()
-				p.say(openLine)
+		"sent while idle connections are closed late in the stop": func(h *harness) []*peer {
+			p := h.connect("")
+			h.waitForIdle()
+			h.onLoop(func() {
+				h.proxy.Drain()
+				h.proxy.drain.startedAt -= drainschedule.MinDuration + drainschedule.CheckInterval
+				h.proxy.drain.checkFinished()
+				p.send(openLine)
 			})
 			return []*peer{p}
 		},
-		"unread as resting connections are ended": func(g *harness) []*peer {
-			p := g.client("")
-			g.waitRead()
-			g.inLoop(func() {
-				g.proxy.Drain()
-				p.say(openLine)
-				g.proxy.listener.closeIdle(0)
+		"unread when idle connections are closed": func(h *harness) []*peer {
+			p := h.connect("")
+			h.waitForIdle()
+			h.onLoop(func() {
+				h.proxy.Drain()
+				p.send(openLine)
+				h.proxy.listener.closeIdle(0)
 			})
 			return []*peer{p}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarnessWithCore(t, 1, nil)
-			for _, p := range act(g) {
-				if got := p.line(); !strings.HasPrefix(got, "BUSY ") {
-					t.Fatalf("%q", got)
+			h := newHarnessWithCore(t, 1, nil)
+			for _, p := range act(h) {
+				if got := p.readLine(); !strings.HasPrefix(got, "BUSY ") {
+					t.Fatalf("got %q, want BUSY with a retry delay", got)
 				}
-				p.ended(true)
+				p.expectEnd(true)
 				_ = p.Close()
 			}
-			g.stops()
-			g.noOutcome()
+			h.waitStopped()
+			h.expectNoRequest()
 		})
 	}
 }
 
-// A connection that rests until the balancer ends it sees a plain end, also if a request of its own crosses that
-// end, and also if only half a line had come.
-func TestRestingConnectionsEndPlainly(t *testing.T) {
-	t.Run("crossing", func(t *testing.T) {
+// An idle connection that the proxy closes ends with EOF and not with a reset, even if the client sends a request at
+// the same time. With part of a first line it gets ERR before.
+func TestIdleConnectionsEndWithEOF(t *testing.T) {
+	t.Run("request sent as it closes", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithCore(t, 1, nil)
-		p := g.client("")
-		g.waitRead()
-		g.inLoop(func() {
-			g.proxy.Drain()
-			g.proxy.listener.closeIdle(0)
-			p.say(openLine)
+		h := newHarnessWithCore(t, 1, nil)
+		p := h.connect("")
+		h.waitForIdle()
+		h.onLoop(func() {
+			h.proxy.Drain()
+			h.proxy.listener.closeIdle(0)
+			p.send(openLine)
 		})
-		p.ended(true)
-		g.inLoop(func() { p.say("more\r\n") }) // a reset would have come before this
-		p.ended(true)
+		p.expectEnd(true)
+		h.onLoop(func() { p.send("more\r\n") }) // after this, a reset would have arrived
+		p.expectEnd(true)
 		_ = p.Close()
-		g.stops()
-		g.noOutcome()
+		h.waitStopped()
+		h.expectNoRequest()
 	})
-	t.Run("half a line", func(t *testing.T) {
+	t.Run("part of a line", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithCore(t, 1, nil)
-		p := g.client(openLine[:20])
-		p.want("ERR\r\n")
-		p.ended(true)
+		h := newHarnessWithCore(t, 1, nil)
+		p := h.connect(openLine[:20])
+		p.expect("ERR\r\n")
+		p.expectEnd(true)
 		_ = p.Close()
 	})
-	t.Run("to the end of the loop", func(t *testing.T) {
+	t.Run("until the loop stops", func(t *testing.T) {
 		t.Parallel()
-		g := newHarnessWithCore(t, 1, nil)
-		p, q := g.client(""), g.client("PING\r\n")
-		q.want("PONG\r\n")
-		g.loop.Post(g.proxy.Drain)
-		p.ended(true)
-		q.ended(true)
+		h := newHarnessWithCore(t, 1, nil)
+		p, q := h.connect(""), h.connect("PING\r\n")
+		q.expect("PONG\r\n")
+		h.loop.Post(h.proxy.Drain)
+		p.expectEnd(true)
+		q.expectEnd(true)
 		_, _ = p.Close(), q.Close()
-		g.stops()
+		h.waitStopped()
 	})
 }
 
-// SIGTERM again, and a hot restart behind it, change nothing that a stop has begun.
+// A second planned stop, or a hot restart, has no effect once a planned stop has begun.
 func TestStopTwice(t *testing.T) {
-	g := newHarnessWithCore(t, 1, nil)
-	client, _ := g.establish()
+	h := newHarnessWithCore(t, 1, nil)
+	client, _ := h.establish()
 	var began eventloop.Micros
-	g.inLoop(func() {
-		g.proxy.Drain()
-		began = g.proxy.drain.startedAt
+	h.onLoop(func() {
+		h.proxy.Drain()
+		began = h.proxy.drain.startedAt
 	})
-	g.inLoop(func() {
-		g.proxy.Drain()
-		g.proxy.HotRestart("nowhere", 1)
-		if d := g.proxy.drain; d.startedAt != began || d.handingOver || d.generation != 1 {
-			t.Errorf("%+v", d)
+	h.onLoop(func() {
+		h.proxy.Drain()
+		h.proxy.HotRestart("nowhere", 1)
+		if d := h.proxy.drain; d.startedAt != began || d.handingOver || d.generation != 1 {
+			t.Errorf("drain is %+v, want it unchanged since %d", d, began)
 		}
 	})
-	if got := g.client(another).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("%q", got)
+	if got := h.connect(otherOpenLine).readLine(); !strings.HasPrefix(got, "BUSY ") {
+		t.Errorf("new request during the drain answered with %q, want BUSY", got)
 	}
-	client.want("MOVE\r\n")
-	client.ended(true)
+	client.expect("MOVE\r\n")
+	client.expectEnd(true)
 	_ = client.Close()
-	g.stops()
+	h.waitStopped()
 }
 
-// Settings read again while a request waits: what its client is told goes by the class as it was when it asked,
-// also where that class now has another number, other rules, or is gone.
-func TestSettingsReloadedWhileARequestWaits(t *testing.T) {
+// A reload of the settings while a request is pending: its final answer still follows the retry rules that its class
+// had when it arrived, even if the class has other rules or another index now, or was removed.
+func TestReloadWhileRequestIsPending(t *testing.T) {
 	const strict = `"effect":"non_idempotent"`
 	for name, after := range map[string]string{
 		"other rules": harnessSettings,
-		"gone":        strings.Replace(harnessSettings, `"name":"sync"`, `"name":"other"`, 1),
-		"other number": strings.Replace(harnessSettings, `[{"name":"sync"`,
+		"removed":     strings.Replace(harnessSettings, `"name":"sync"`, `"name":"other"`, 1),
+		"other index": strings.Replace(harnessSettings, `[{"name":"sync"`,
 			`[{"name":"other","slo":1,"deadline":9000000,"effect":"read_like","streaming":true},{"name":"sync"`, 1),
 		"one attempt": strings.Replace(harnessSettings, `"most_tries":4`, `"most_tries":1`, 1),
 	} {
@@ -286,136 +288,136 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := newHarnessWithCore(t, 1, withClassRule(t, strict))
-			free, named := g.client(openLine), g.client("OPEN a b c=sync,d=60000,at=s0\r\n")
-			g.acceptUpstream(0).line()
-			g.acceptUpstream(0).line()
-			g.inLoop(func() {
-				cfg := g.proxy.cfg
+			h := newHarnessWithCore(t, 1, withClassRule(t, strict))
+			pending, reattaching := h.connect(openLine), h.connect("OPEN a b c=sync,d=60000,at=s0\r\n")
+			h.acceptUpstream(0).readLine()
+			h.acceptUpstream(0).readLine()
+			h.onLoop(func() {
+				cfg := h.proxy.cfg
 				cfg.Settings = set
-				g.proxy.Reload(cfg)
-				g.proxy.Drain()
+				h.proxy.Reload(cfg)
+				h.proxy.Drain()
 			})
-			free.want("ERR\r\n")
-			named.want("ERR\r\n")
-			_, _ = free.Close(), named.Close()
-			g.stops()
+			pending.expect("ERR\r\n")
+			reattaching.expect("ERR\r\n")
+			_, _ = pending.Close(), reattaching.Close()
+			h.waitStopped()
 		})
 	}
 }
 
-// A request with an attempt out when the balancer begins to leave is served all the same, once, and moved after it
-// is established.
-func TestAnswerWhileLeaving(t *testing.T) {
-	for name, leave := range map[string]func(*harness){
-		"stop":      func(g *harness) { g.proxy.Drain() },
-		"lame duck": func(g *harness) { g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck) },
-		"lame duck, then stop": func(g *harness) {
-			g.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
-			g.proxy.Drain()
+// If a drain begins while a request's attempt is in progress and the server then accepts the request, the request is
+// established as usual and its client moved after the first lines.
+func TestServerAcceptsDuringDrain(t *testing.T) {
+	for name, startDrain := range map[string]func(*harness){
+		"stop":      func(h *harness) { h.proxy.Drain() },
+		"lame duck": func(h *harness) { h.proxy.HandleAdminCommand(lifecycle.CommandLameDuck) },
+		"lame duck, then stop": func(h *harness) {
+			h.proxy.HandleAdminCommand(lifecycle.CommandLameDuck)
+			h.proxy.Drain()
 		},
-		"hand-over to nobody": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
+		"hot restart without successor": func(h *harness) { h.proxy.HotRestart("nowhere", 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarnessWithCore(t, 1, nil)
-			client := g.client(openLine)
-			server := g.acceptUpstream(0)
-			server.line()
-			g.inLoop(func() {
-				leave(g)
-				server.say("UP r1\r\nfirst\r\n")
+			h := newHarnessWithCore(t, 1, nil)
+			client := h.connect(openLine)
+			server := h.acceptUpstream(0)
+			server.readLine()
+			h.onLoop(func() {
+				startDrain(h)
+				server.send("UP r1\r\nfirst\r\n")
 			})
-			client.want("UP r1\r\n")
-			client.want("first\r\n")
-			client.want("MOVE\r\n")
-			client.ended(true)
-			server.ended(true)
+			client.expect("UP r1\r\n")
+			client.expect("first\r\n")
+			client.expect("MOVE\r\n")
+			client.expectEnd(true)
+			server.expectEnd(true)
 		})
 	}
 }
 
-// A client that is to be moved in the middle of a line waits for its end, but not for ever; and what ends
-// meanwhile, ends.
-func TestWhileALineIsUnderWay(t *testing.T) {
+// A client that is to be moved in the middle of a line from its server is moved once the line is complete. If the line
+// is never completed, the connection is reset after a while; and if client or server close meanwhile, it ends as usual.
+func TestMoveInMiddleOfLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(client, server *peer)
 		seen func(client, server *peer)
 		want outcome.Status
 	}{
-		"never ends": {func(_, _ *peer) {}, func(c, s *peer) {
-			c.ended(false) // no MOVE can be said
-			s.ended(true)
+		"never completed": {func(_, _ *peer) {}, func(c, s *peer) {
+			c.expectEnd(false) // MOVE can't be sent in the middle of a line
+			s.expectEnd(true)
 		}, outcome.Cancelled},
-		"server ends": {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.ended(true) }, outcome.Reset},
+		"server closes": {func(_, s *peer) { _ = s.Close() }, func(c, _ *peer) { c.expectEnd(true) }, outcome.Reset},
 		"server resets": {
 			func(_, s *peer) { _ = s.SetLinger(0); _ = s.Close() },
-			func(c, _ *peer) { c.ended(false) },
+			func(c, _ *peer) { c.expectEnd(false) },
 			outcome.Reset,
 		},
 		"client resets": {
 			func(c, _ *peer) { _ = c.SetLinger(0); _ = c.Close() },
-			func(_, s *peer) { s.ended(false) },
+			func(_, s *peer) { s.expectEnd(false) },
 			outcome.Cancelled,
 		},
 		"moved again": {
-			func(c, s *peer) { c.g.inLoop(func() { firstRequest(c.g).move(outcome.Cancelled) }); s.say("\r\n") },
+			func(c, s *peer) { c.h.onLoop(func() { firstRequest(c.h).move(outcome.Cancelled) }); s.send("\r\n") },
 			func(c, s *peer) {
-				c.want("\r\n")
-				c.want("MOVE\r\n")
-				c.ended(true)
+				c.expect("\r\n")
+				c.expect("MOVE\r\n")
+				c.expectEnd(true)
 			}, outcome.Cancelled,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarness(t, 1, sendToFirst, nil)
-			client, server := g.establish()
-			server.say("half")
+			h := newHarness(t, 1, sendToFirst, nil)
+			client, server := h.establish()
+			server.send("half")
 			half := make([]byte, 4)
 			if _, err := io.ReadFull(client.rd, half); err != nil {
 				t.Fatal(err)
 			}
-			g.inLoop(func() { g.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(g).ref)}) })
+			h.onLoop(func() { h.proxy.apply(decision.MoveConnection{ID: uint32(firstRequest(h).ref)}) })
 			c.act(client, server)
 			c.seen(client, server)
-			g.outcome(c.want, true)
-			for len(g.events) > 0 {
-				if ev, ok := (<-g.events).(decision.AttemptEnded); ok {
-					t.Errorf("a second outcome: %+v", ev)
+			h.expectOutcome(c.want, true)
+			for len(h.events) > 0 {
+				if ev, ok := (<-h.events).(decision.AttemptEnded); ok {
+					t.Errorf("got a second outcome: %+v", ev)
 				}
 			}
 		})
 	}
 }
 
-// Settings read again during a planned stop don't shorten it: established connections are moved as was planned, and
-// not cut off.
-func TestSettingsReloadedDuringAStop(t *testing.T) {
-	for name, leave := range map[string]func(*harness){
-		"stop":      func(g *harness) { g.proxy.Drain() },
-		"hand-over": func(g *harness) { g.proxy.HotRestart("nowhere", 1) },
+// A reload of the settings during a planned stop must not shorten the stop: established connections are moved as
+// scheduled and not disconnected without MOVE.
+func TestReloadDuringStop(t *testing.T) {
+	for name, startDrain := range map[string]func(*harness){
+		"stop":        func(h *harness) { h.proxy.Drain() },
+		"hot restart": func(h *harness) { h.proxy.HotRestart("nowhere", 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarness(t, 1, sendToFirst, nil)
-			client, _ := g.establish()
+			h := newHarness(t, 1, sendToFirst, nil)
+			client, _ := h.establish()
 			set, err := settings.ParseJSON(
 				[]byte(strings.Replace(harnessSettings, `"deadline":60000000`, `"deadline":100000`, 1)),
 			)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.inLoop(func() {
-				leave(g)
-				cfg := g.proxy.cfg
+			h.onLoop(func() {
+				startDrain(h)
+				cfg := h.proxy.cfg
 				cfg.Settings = set
-				g.proxy.Reload(cfg)
+				h.proxy.Reload(cfg)
 			})
-			client.want("MOVE\r\n")
-			client.ended(true)
+			client.expect("MOVE\r\n")
+			client.expectEnd(true)
 			_ = client.Close()
-			g.stops()
+			h.waitStopped()
 		})
 	}
 }
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -17,59 +17,61 @@
 	"spurspread/internal/restartproto"
 )
 
-// successor is a second proxy with the same list of servers, which takes established connections at the path.
-func (g *harness) successor() (next *harness, path string) {
-	g.t.Helper()
-	next = newHarness(g.t, 0, sendToFirst, func(cfg *Config) { cfg.CachedList = g.cachedList })
-	path = filepath.Join(g.t.TempDir(), "taking.sock")
-	next.inLoop(func() { g.check(next.proxy.AcceptTransfers(path)) })
+// successor starts a second proxy with the same server list, which accepts transferred connections at the path.
+func (h *harness) successor() (next *harness, path string) {
+	h.t.Helper()
+	next = newHarness(h.t, 0, sendToFirst, func(cfg *Config) { cfg.CachedList = h.cachedList })
+	path = filepath.Join(h.t.TempDir(), "transfer.sock")
+	next.onLoop(func() { h.check(next.proxy.AcceptTransfers(path)) })
 	return next, path
 }
 
-// hotRestart has the proxy end for process pid's sake.
-func (g *harness) hotRestart(path string, pid int) {
-	g.loop.Post(func() { g.proxy.HotRestart(path, pid) })
+// hotRestart starts a hot restart with process pid, listening at path, as the successor.
+func (h *harness) hotRestart(path string, pid int) {
+	h.loop.Post(func() { h.proxy.HotRestart(path, pid) })
 }
 
-// establishID brings up a connection with an id of its own.
-func (g *harness) establishID(id int) (client, server *peer) {
-	g.t.Helper()
-	client = g.client(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000,g=5c\r\n", id))
-	server = g.acceptUpstream(0)
-	server.line()
-	server.say("UP r1\r\n")
-	client.want("UP r1\r\n")
+// establishWithID establishes a request with the given id at server 0.
+func (h *harness) establishWithID(id int) (client, server *peer) {
+	h.t.Helper()
+	client = h.connect(fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000,g=5c\r\n", id))
+	server = h.acceptUpstream(0)
+	server.readLine()
+	server.send("UP r1\r\n")
+	client.expect("UP r1\r\n")
 	return client, server
 }
 
-func (g *harness) stops() {
-	g.t.Helper()
-	err := <-g.stopped
-	g.stopped <- err
-	g.check(err)
+// waitStopped waits until the loop has stopped without an error.
+func (h *harness) waitStopped() {
+	h.t.Helper()
+	err := <-h.stopped
+	h.stopped <- err
+	h.check(err)
 }
 
-// Streams that run while a new version takes over go on as if nothing were: every line arrives once and in order, both
-// ways, nobody is moved, and each attempt has had one outcome.
+// Established connections are transferred to the successor in a hot restart while lines are sent in both directions.
+// Every line must arrive once and in order, no client is moved, and each attempt reports one outcome.
 func TestConnectionsTransferToTheSuccessor(t *testing.T) {
 	const streams, lines = 60, 400
-	g := newHarness(t, 1, sendToFirst, nil)
-	next, path := g.successor()
+	h := newHarness(t, 1, sendToFirst, nil)
+	next, path := h.successor()
 	var pairs [][2]*peer
 	for i := range streams {
-		client, server := g.establishID(0x1000 + i)
+		client, server := h.establishWithID(0x1000 + i)
 		pairs = append(pairs, [2]*peer{client, server})
 	}
 	for range streams {
-		event[decision.Established](g)
+		await[decision.Established](h)
 	}
-	var all, halfway sync.WaitGroup
+	var all, quarter sync.WaitGroup
 	for _, p := range pairs {
-		for way := range 2 {
-			from, to := p[way], p[1-way]
+		for direction := range 2 {
+			from, to := p[direction], p[1-direction]
 			all.Go(func() {
 				for i := range lines {
-					// In pieces, so that some stand in the middle of a line when they are looked at.
+					// Some lines are sent in two pieces, so that some connections are in the middle of a line when they
+					// are offered.
 					if text := fmt.Sprintf("line %d\r\n", i); i%3 == 0 {
 						_, _ = from.Write([]byte(text[:4]))
 						_, _ = from.Write([]byte(text[4:]))
@@ -78,16 +80,16 @@
 					}
 				}
 			})
-			halfway.Add(1)
+			quarter.Add(1)
 			all.Go(func() {
 				for i := range lines {
 					if i == lines/4 {
-						halfway.Done()
+						quarter.Done()
 					}
 					if got, err := to.rd.ReadString('\n'); got != fmt.Sprintf("line %d\r\n", i) {
-						t.Errorf("line %d came as %q, %v", i, got, err)
+						t.Errorf("line %d arrived as %q, %v", i, got, err)
 						if i < lines/4 {
-							halfway.Done()
+							quarter.Done()
 						}
 						return
 					}
@@ -95,204 +97,208 @@
 			})
 		}
 	}
-	halfway.Wait()
-	g.hotRestart(path, os.Getpid())
+	quarter.Wait()
+	h.hotRestart(path, os.Getpid())
 	all.Wait()
-	g.stops()
+	h.waitStopped()
 	outcomes := map[uint32]int{}
-	for len(g.events) > 0 {
-		if o, ok := (<-g.events).(decision.AttemptEnded); ok {
+	for len(h.events) > 0 {
+		if o, ok := (<-h.events).(decision.AttemptEnded); ok {
 			outcomes[o.ID]++
 			if o.Status != outcome.Cancelled || !o.RequestClosed {
-				t.Errorf("%+v", o)
+				t.Errorf("got %+v, want status %d of a closed request", o, outcome.Cancelled)
 			}
 		}
 	}
-	if len(outcomes) != streams || g.proxy.stats.transferredOut != streams || g.proxy.stats.moved != 0 {
+	if len(outcomes) != streams || h.proxy.stats.transferredOut != streams || h.proxy.stats.moved != 0 {
 		t.Errorf(
-			"%d outcomes, %d transferred, %d moved",
+			"%d outcomes, %d transferred, %d moved, want all transferred with one outcome each",
 			len(outcomes),
-			g.proxy.stats.transferredOut,
-			g.proxy.stats.moved,
+			h.proxy.stats.transferredOut,
+			h.proxy.stats.moved,
 		)
 	}
 	opened := map[uint32]bool{}
 	for range streams {
-		o := event[decision.ExistingConnection](next)
+		o := await[decision.ExistingConnection](next)
 		opened[o.ID] = true
 		if o.Server != 0 || o.Key != 0x7f3a || o.Group != 0x5c {
-			t.Errorf("%+v", o)
+			t.Errorf("got %+v, want server 0, key 7f3a, group 5c", o)
 		}
 	}
 	if len(opened) != streams {
-		t.Errorf("%d are known to the successor", len(opened))
+		t.Errorf("successor reports %d existing connections, want %d", len(opened), streams)
 	}
-	// They are the successor's in all: ends are passed on in kind, and it moves them when it goes itself.
-	g.check(pairs[0][1].Close())
-	pairs[0][0].ended(true)
-	g.check(pairs[1][0].SetLinger(0))
-	g.check(pairs[1][0].Close())
-	pairs[1][1].ended(false)
+	// The successor forwards EOF and reset on them, and moves them when it is stopped itself.
+	h.check(pairs[0][1].Close())
+	pairs[0][0].expectEnd(true)
+	h.check(pairs[1][0].SetLinger(0))
+	h.check(pairs[1][0].Close())
+	pairs[1][1].expectEnd(false)
 	next.loop.Post(next.proxy.Drain)
 	for _, p := range pairs[2:] {
-		p[0].want("MOVE\r\n")
-		p[0].ended(true)
+		p[0].expect("MOVE\r\n")
+		p[0].expectEnd(true)
 	}
 }
 
-// What the successor can't or doesn't take stays with the old process and is moved, between two lines.
+// Connections that the successor can't or doesn't accept stay with the old process, which moves their clients at the
+// end of a line.
 func TestNotTransferredIsMoved(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		peer  func(*harness) (path string, pid int) // the other side
-		first func(client, server *peer)            // said before the hot restart
-		then  string                                // said by the server after it
+		name   string
+		start  func(*harness) (path string, pid int) // starts the successor, if there is one
+		before func(client, server *peer)            // called before the hot restart
+		after  string                                // sent by the server after it
 	}{
 		{
-			name: "nobody there",
-			peer: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() },
+			name:  "no successor",
+			start: func(*harness) (string, int) { return filepath.Join(t.TempDir(), "none"), os.Getpid() },
 		},
-		{name: "another process than announced", peer: func(g *harness) (string, int) {
-			_, path := g.successor()
+		{name: "a process with another pid", start: func(h *harness) (string, int) {
+			_, path := h.successor()
 			return path, 1
 		}},
-		{name: "a successor on its way out", peer: func(g *harness) (string, int) {
-			next, path := g.successor()
-			next.adminCall(lifecycle.CommandLameDuck)
+		{name: "a successor that is a lame duck", start: func(h *harness) (string, int) {
+			next, path := h.successor()
+			next.adminCommand(lifecycle.CommandLameDuck)
 			return path, os.Getpid()
 		}},
-		{name: "a successor that doesn't know the server", peer: func(g *harness) (string, int) {
-			g.cachedList = []byte(`{"generation":1,"reset":true,"instances":[]}`)
-			_, path := g.successor()
+		{name: "a successor that doesn't know the server", start: func(h *harness) (string, int) {
+			h.cachedList = []byte(`{"generation":1,"reset":true,"instances":[]}`)
+			_, path := h.successor()
 			return path, os.Getpid()
 		}},
-		{name: "a successor short of descriptors", peer: func(g *harness) (string, int) {
-			next, path := g.successor()
-			next.inLoop(func() { next.proxy.cfg.MaxDescriptors = 1 })
+		{name: "a successor short of descriptors", start: func(h *harness) (string, int) {
+			next, path := h.successor()
+			next.onLoop(func() { next.proxy.cfg.MaxDescriptors = 1 })
 			return path, os.Getpid()
 		}},
-		{name: "a successor that never answers", peer: silentSuccessor(nil)},
-		{name: "a successor that dies", peer: silentSuccessor(func(link *eventloop.Packets) { link.Close() })},
+		{name: "a successor that never answers", start: stubSuccessor(nil)},
+		{name: "a successor that dies", start: stubSuccessor(func(link *eventloop.Packets) { link.Close() })},
 		{
-			name: "a successor that talks nonsense",
-			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) }),
+			name:  "a successor that sends garbage",
+			start: stubSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) }),
 		},
 		{
-			name: "a successor that takes another",
-			peer: silentSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
+			name:  "a successor that accepts another connection",
+			start: stubSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
 		},
-		{name: "a line under way", peer: func(g *harness) (string, int) {
-			_, path := g.successor()
+		{name: "a line in progress", start: func(h *harness) (string, int) {
+			_, path := h.successor()
 			return path, os.Getpid()
-		}, first: func(client, server *peer) {
-			server.say("ha")
+		}, before: func(client, server *peer) {
+			server.send("ha")
 			two := make([]byte, 2)
 			_, err := client.rd.Read(two)
-			client.g.check(err)
-		}, then: "lf\r\n"},
+			client.h.check(err)
+		}, after: "lf\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, 1, sendToFirst, nil)
-			path, pid := c.peer(g)
-			client, server := g.establish()
-			if c.first != nil {
-				c.first(client, server)
+			h := newHarness(t, 1, sendToFirst, nil)
+			path, pid := c.start(h)
+			client, server := h.establish()
+			if c.before != nil {
+				c.before(client, server)
 			}
-			g.hotRestart(path, pid)
-			if c.then != "" {
-				for done := false; !done; { // all the while it is looked at, and can't pass
-					g.inLoop(
-						func() { done = g.proxy.drain.transfer != nil && g.proxy.drain.transfer.plan.Draining() },
+			h.hotRestart(path, pid)
+			if c.after != "" {
+				for done := false; !done; { // until then it is tried again and again, and can't be offered
+					h.onLoop(
+						func() { done = h.proxy.drain.transfer != nil && h.proxy.drain.transfer.plan.Draining() },
 					)
 				}
-				server.say(c.then)
-				client.want(c.then)
+				server.send(c.after)
+				client.expect(c.after)
 			}
-			client.want("MOVE\r\n")
-			client.ended(true)
+			client.expect("MOVE\r\n")
+			client.expectEnd(true)
 			_ = client.Close()
-			if o := event[decision.AttemptEnded](g); o.Status != outcome.Cancelled || !o.RequestClosed {
-				t.Errorf("%+v", o)
+			if o := await[decision.AttemptEnded](h); o.Status != outcome.Cancelled || !o.RequestClosed {
+				t.Errorf("got %+v, want status %d of a closed request", o, outcome.Cancelled)
 			}
-			g.stops()
-			if g.proxy.stats.transferredOut != 0 {
-				t.Errorf("%d transferred", g.proxy.stats.transferredOut)
+			h.waitStopped()
+			if h.proxy.stats.transferredOut != 0 {
+				t.Errorf("%d connections transferred, want 0", h.proxy.stats.transferredOut)
 			}
 		})
 	}
 }
 
-// While the successor has not answered, nobody reads the connection; what came meanwhile is passed on once it is clear
-// who has it.
-func TestNothingIsReadWhileOffered(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	path, pid := silentSuccessor(nil)(g)
-	client, server := g.establish()
-	g.hotRestart(path, pid)
+// A connection is not read while it is offered to the successor, since either process may own it. What arrives
+// meanwhile is forwarded once that is settled: here by the old process, as the successor never answers.
+func TestOfferedConnectionIsNotRead(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	path, pid := stubSuccessor(nil)(h)
+	client, server := h.establish()
+	h.hotRestart(path, pid)
 	for offered := 0; offered == 0; {
-		g.inLoop(func() {
-			if p := g.proxy.drain.transfer; p != nil {
-				offered = map[bool]int{true: 1}[g.onlyRequest().state == stateTransferring]
+		h.onLoop(func() {
+			if p := h.proxy.drain.transfer; p != nil {
+				offered = map[bool]int{true: 1}[h.onlyRequest().state == stateTransferring]
 			}
 		})
 	}
-	client.say("from the client\r\n")
-	server.say("from the server\r\n")
-	server.want("from the client\r\n")
-	client.want("from the server\r\n")
-	client.want("MOVE\r\n")
-	client.ended(true)
+	client.send("from the client\r\n")
+	server.send("from the server\r\n")
+	server.expect("from the client\r\n")
+	client.expect("from the server\r\n")
+	client.expect("MOVE\r\n")
+	client.expectEnd(true)
 }
 
-// How long a server has said nothing is told to the successor: silence begun under the old process still ends in time.
-func TestSilenceIsTransferred(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	next, path := g.successor()
-	client, server := g.establish()
-	client.say("anybody?\r\n")
-	server.want("anybody?\r\n")
-	g.inLoop(func() {
-		s := g.onlyRequest()
-		s.lastReply -= 10 * monotime.Second
-		s.sentAt[0] -= 10 * monotime.Second
+// The time since the server's last reply is transferred to the successor, so that a server that became unresponsive
+// under the old process is still detected in time.
+func TestTimeSinceReplyIsTransferred(t *testing.T) {
+	h := newHarness(t, 1, sendToFirst, nil)
+	next, path := h.successor()
+	client, server := h.establish()
+	client.send("anybody?\r\n")
+	server.expect("anybody?\r\n")
+	h.onLoop(func() {
+		r := h.onlyRequest()
+		r.lastReply -= 10 * monotime.Second
+		r.sentAt[0] -= 10 * monotime.Second
 	})
-	quiet := make(chan eventloop.Micros, 1)
-	next.inLoop(func() {
+	sinceReply := make(chan eventloop.Micros, 1)
+	next.onLoop(func() {
 		next.decide = func(ev decision.Event) []decision.Action {
 			if _, ok := ev.(decision.ExistingConnection); ok {
-				quiet <- next.loop.Now() - next.onlyRequest().lastReply
+				sinceReply <- next.loop.Now() - next.onlyRequest().lastReply
 			}
 			return nil
 		}
 	})
-	g.hotRestart(path, os.Getpid())
-	if age := <-quiet; age < 10*monotime.Second {
-		t.Errorf("silent for %d µs, as far as the successor knows", age)
+	h.hotRestart(path, os.Getpid())
+	if age := <-sinceReply; age < 10*monotime.Second {
+		t.Errorf("successor has the last reply %d µs ago, want at least 10 s", age)
 	}
-	client.want("MOVE\r\n")
-	client.ended(true)
-	next.inLoop(func() {
+	client.expect("MOVE\r\n")
+	client.expectEnd(true)
+	next.onLoop(func() {
 		if next.proxy.stats.transferredIn != 1 || next.proxy.stats.unresponsive != 1 {
-			t.Errorf("%+v", next.proxy.stats)
+			t.Errorf("successor counts %+v, want 1 transferred in and 1 unresponsive", next.proxy.stats)
 		}
 	})
 }
 
-// silentSuccessor is a process that takes offers and answers in its own way, or not at all.
-func silentSuccessor(answer func(*eventloop.Packets)) func(*harness) (string, int) {
-	return func(g *harness) (string, int) {
-		path := filepath.Join(g.t.TempDir(), "mute.sock")
-		g.inLoop(func() {
-			_, err := g.loop.ListenPackets(
+// stubSuccessor starts a successor that does not serve offered connections. answer is called for each offer; nil never
+// answers.
+func stubSuccessor(answer func(*eventloop.Packets)) func(*harness) (string, int) {
+	return func(h *harness) (string, int) {
+		path := filepath.Join(h.t.TempDir(), "stub.sock")
+		h.onLoop(func() {
+			_, err := h.loop.ListenPackets(
 				path,
 				func(*eventloop.Packets) eventloop.PacketOwner { return scriptedSuccessor{answer} },
 			)
-			g.check(err)
+			h.check(err)
 		})
 		return path, os.Getpid()
 	}
 }
 
+// scriptedSuccessor handles the packets of stubSuccessor.
 type scriptedSuccessor struct{ answer func(*eventloop.Packets) }
 
 func (scriptedSuccessor) Ended(link *eventloop.Packets) { link.Close() }
@@ -305,19 +311,20 @@
 	}
 }
 
-// What comes to the socket and is no established connection is refused, holds no descriptor, and hurts nobody.
+// A packet at the successor's socket that is no valid offer is refused, leaves no descriptor open, and does not disturb
+// other connections.
 func TestBadOffers(t *testing.T) {
-	g := newHarness(t, 1, sendToFirst, nil)
-	_, path := g.successor()
-	client, server := g.establish()
+	h := newHarness(t, 1, sendToFirst, nil)
+	_, path := h.successor()
+	client, server := h.establish()
 	good := restartproto.ConnectionOffer{Ref: 9, ID: 1, Class: "sync", Server: "s0"}
 	packet, err := good.Encode()
-	g.check(err)
+	h.check(err)
 	answers := make(chan string, 1)
 	var link *eventloop.Packets
-	g.inLoop(func() {
-		link, err = g.loop.DialPackets(path, os.Getpid(), packetRecorder(answers))
-		g.check(err)
+	h.onLoop(func() {
+		link, err = h.loop.DialPackets(path, os.Getpid(), packetRecorder(answers))
+		h.check(err)
 	})
 	for _, c := range []struct {
 		name, text string
@@ -329,51 +336,52 @@
 		{"no sockets", string(packet), 0, "-9"},
 		{"one socket", string(packet), 1, "-9"},
 	} {
-		g.inLoop(func() {
+		h.onLoop(func() {
 			conns := []*eventloop.Conn{
-				g.onlyRequest().downstream.(*downstreamConn).conn,
-				g.onlyRequest().attempt.upstream.(*eventloop.Conn),
+				h.onlyRequest().downstream.(*downstreamConn).conn,
+				h.onlyRequest().attempt.upstream.(*eventloop.Conn),
 			}
-			g.check(link.Send([]byte(c.text), conns[:c.conns]...))
+			h.check(link.Send([]byte(c.text), conns[:c.conns]...))
 		})
 		if got := <-answers; got != c.want {
-			t.Errorf("%s: %q", c.name, got)
+			t.Errorf("%s: answered %q, want %q", c.name, got, c.want)
 		}
 	}
-	server.say("still there\r\n")
-	client.want("still there\r\n")
-	for _, want := range []string{"+9", "-9"} { // a second one of the same id is not new
-		g.inLoop(func() {
-			s := g.onlyRequest()
-			g.check(link.Send(packet, s.downstream.(*downstreamConn).conn, s.attempt.upstream.(*eventloop.Conn)))
+	server.send("still there\r\n")
+	client.expect("still there\r\n")
+	for _, want := range []string{"+9", "-9"} { // the same id is accepted only once
+		h.onLoop(func() {
+			r := h.onlyRequest()
+			h.check(link.Send(packet, r.downstream.(*downstreamConn).conn, r.attempt.upstream.(*eventloop.Conn)))
 		})
 		if got := <-answers; got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("offer answered %q, want %q", got, want)
 		}
 	}
 }
 
-// Who takes tokens is moved with one, and does not pass: the successor would know nothing of its stream.
+// A resumable stream is moved with a token and not transferred, since an offer carries no state of the stream.
 func TestResumableStreamsAreNotTransferred(t *testing.T) {
-	g := newResumeHarness(t, nil)
-	_, path := g.successor()
-	client, _ := g.establishResumable()
-	g.hotRestart(path, os.Getpid())
-	client.moved()
-	g.stops()
-	if g.proxy.stats.transferredOut != 0 {
-		t.Errorf("%d transferred", g.proxy.stats.transferredOut)
+	h := newResumeHarness(t, nil)
+	_, path := h.successor()
+	client, _ := h.establishResumable()
+	h.hotRestart(path, os.Getpid())
+	client.expectMove()
+	h.waitStopped()
+	if h.proxy.stats.transferredOut != 0 {
+		t.Errorf("%d connections transferred, want 0", h.proxy.stats.transferredOut)
 	}
 }
 
+// packetRecorder sends the packets that arrive to the channel.
 type packetRecorder chan string
 
 func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
 func (h packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
 
-// onlyRequest is the one request there is, read on the loop.
-func (g *harness) onlyRequest() (s *request) {
-	for s = range g.proxy.requests.all {
+// onlyRequest returns the only request in the table; nil if it is empty. It must be called on the loop.
+func (h *harness) onlyRequest() (r *request) {
+	for r = range h.proxy.requests.all {
 	}
-	return s
+	return r
 }
