--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -93,11 +93,11 @@
 		"failed":                 {func(id uint32) decision.Action { return decision.Fail{ID: id} }, "ERR\r\n"},
 	} {
 		h := newHarness(t, 1, func(ev decision.Event) []decision.Action {
-			if q, ok := ev.(decision.Request); ok {
+			if req, ok := ev.(decision.Request); ok {
 				return []decision.Action{
-					decision.StartAttempt{ID: q.ID, Timeout: longTimeout},
-					decision.CancelAttempt{ID: q.ID},
-					c.final(q.ID),
+					decision.StartAttempt{ID: req.ID, Timeout: longTimeout},
+					decision.CancelAttempt{ID: req.ID},
+					c.final(req.ID),
 				}
 			}
 			return nil
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -103,9 +103,9 @@
 		first := strings.Replace(trimLineEnd(tokenRequestLine), "OPEN 1", fmt.Sprint("OPEN 1", i), 1)
 		h.onLoop(func() {
 			h.decide = func(ev decision.Event) []decision.Action {
-				if q, ok := ev.(decision.Request); ok {
+				if req, ok := ev.(decision.Request); ok {
 					return []decision.Action{
-						decision.StartAttempt{ID: q.ID, Timeout: longTimeout, Server: uint32(at)},
+						decision.StartAttempt{ID: req.ID, Timeout: longTimeout, Server: uint32(at)},
 					}
 				}
 				return sendOrMove(ev)
@@ -139,29 +139,29 @@
 func TestKeepalive(t *testing.T) {
 	h := newHarness(t, 1, sendToFirst, enableChannels)
 	client, _ := h.establishStreams(true, true)
-	age := func(by eventloop.Micros) (over bool) {
+	advance := func(span eventloop.Micros) (closed bool) {
 		h.onLoop(func() {
 			for m := range h.proxy.listener.muxConns {
-				m.lastReceived -= by
+				m.lastReceived -= span
 				m.checkIdle()
-				over = m.closed
+				closed = m.closed
 			}
 		})
-		return over
+		return closed
 	}
-	if age(40 * monotime.Second) {
+	if advance(40 * monotime.Second) {
 		t.Error("closed before the keepalive request was sent")
 	}
-	for quiet := eventloop.Micros(1); quiet > 0; { // until the client's answer has arrived
+	for waiting := eventloop.Micros(1); waiting > 0; { // until the client's answer has arrived
 		h.onLoop(func() {
 			for m := range h.proxy.listener.muxConns {
-				if quiet = 0; m.lastReceived < h.loop.Now()-monotime.Second {
-					quiet = 1
+				if waiting = 0; m.lastReceived < h.loop.Now()-monotime.Second {
+					waiting = 1
 				}
 			}
 		})
 	}
-	if !age(61 * monotime.Second) {
+	if !advance(61 * monotime.Second) {
 		t.Error("not closed though the client stayed idle")
 	}
 	client.expectEnd(true)
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -76,85 +76,85 @@
 	return &lineStream{h: h, ch: ch, rd: bufio.NewReader(ch)}
 }
 
-func (d *lineStream) send(text string) {
-	d.h.t.Helper()
-	if d.plain != nil {
-		d.plain.send(text)
+func (s *lineStream) send(text string) {
+	s.h.t.Helper()
+	if s.plain != nil {
+		s.plain.send(text)
 		return
 	}
-	_, err := d.ch.Write([]byte(text))
-	d.h.check(err)
+	_, err := s.ch.Write([]byte(text))
+	s.h.check(err)
 }
 
-func (d *lineStream) expect(text string) {
-	d.h.t.Helper()
-	rd := d.rd
-	if d.plain != nil {
-		rd = d.plain.rd
+func (s *lineStream) expect(text string) {
+	s.h.t.Helper()
+	rd := s.rd
+	if s.plain != nil {
+		rd = s.plain.rd
 	}
 	if got, err := rd.ReadString('\n'); got != text {
-		d.h.t.Fatalf("got %q (%v), want %q", got, err, text)
+		s.h.t.Fatalf("got %q (%v), want %q", got, err, text)
 	}
 }
 
 // expectEnd waits for the end: EOF if eof is true, else a reset.
-func (d *lineStream) expectEnd(eof bool) {
-	d.h.t.Helper()
-	if d.plain != nil {
-		d.plain.expectEnd(eof)
+func (s *lineStream) expectEnd(eof bool) {
+	s.h.t.Helper()
+	if s.plain != nil {
+		s.plain.expectEnd(eof)
 		return
 	}
-	if b, err := d.rd.ReadByte(); errors.Is(err, io.EOF) != eof || err == nil {
-		d.h.t.Fatalf("channel ended with byte %q, %v, want EOF: %v", b, err, eof)
+	if b, err := s.rd.ReadByte(); errors.Is(err, io.EOF) != eof || err == nil {
+		s.h.t.Fatalf("channel ended with byte %q, %v, want EOF: %v", b, err, eof)
 	}
 }
 
 // expectMove waits until the client is moved and returns the token; empty for none.
-func (d *lineStream) expectMove() string {
-	d.h.t.Helper()
-	if d.plain != nil {
-		got := strings.TrimSuffix(d.plain.readLine(), "\r\n")
+func (s *lineStream) expectMove() string {
+	s.h.t.Helper()
+	if s.plain != nil {
+		got := strings.TrimSuffix(s.plain.readLine(), "\r\n")
 		if !strings.HasPrefix(got, "MOVE") {
-			d.h.t.Fatalf("got %q, want MOVE", got)
+			s.h.t.Fatalf("got %q, want MOVE", got)
 		}
-		d.plain.expectEnd(true)
+		s.plain.expectEnd(true)
 		return strings.TrimPrefix(strings.TrimPrefix(got, "MOVE"), " ")
 	}
-	d.expectEnd(true)
-	token, moved := d.ch.Moved()
+	s.expectEnd(true)
+	token, moved := s.ch.Moved()
 	if !moved {
-		d.h.t.Fatal("channel ended without MOVE")
+		s.h.t.Fatal("channel ended without MOVE")
 	}
 	return token
 }
 
-func (d *lineStream) closeWrite() {
-	if d.plain != nil {
-		d.h.check(d.plain.CloseWrite())
+func (s *lineStream) closeWrite() {
+	if s.plain != nil {
+		s.h.check(s.plain.CloseWrite())
 		return
 	}
-	d.h.check(d.ch.CloseWrite())
+	s.h.check(s.ch.CloseWrite())
 }
 
-func (d *lineStream) close() {
-	if d.plain != nil {
-		d.h.check(d.plain.Close())
+func (s *lineStream) close() {
+	if s.plain != nil {
+		s.h.check(s.plain.Close())
 		return
 	}
-	d.h.check(d.ch.Close())
+	s.h.check(s.ch.Close())
 }
 
-func (d *lineStream) reset() {
-	if d.plain != nil {
-		d.h.check(d.plain.SetLinger(0))
-		d.h.check(d.plain.Close())
+func (s *lineStream) reset() {
+	if s.plain != nil {
+		s.h.check(s.plain.SetLinger(0))
+		s.h.check(s.plain.Close())
 		return
 	}
-	d.h.check(d.ch.Reset())
+	s.h.check(s.ch.Reset())
 }
 
-// expectOpenReply waits for the reply to a channel's open request, which must have these values. code is that of a
-// refusal.
+// expectOpenReply waits for the reply to a channel's open request, which must have these values; code is 0 if up is
+// true.
 func (h *harness) expectOpenReply(ch *sshchan.Channel, up bool, code uint32, text string) {
 	h.t.Helper()
 	select {
@@ -284,19 +284,19 @@
 	client.expect("#1 a\r\n")
 	client.expect("#2 b\r\n")
 	h.listAsDraining(0)
-	word := client.expectMove()
-	if word == "" {
+	tok := client.expectMove()
+	if tok == "" {
 		t.Fatal("client was moved without a token")
 	}
-	again, err := c.Open(trimLineEnd(resumeLine + word))
+	again, err := c.Open(trimLineEnd(resumeLine + tok))
 	h.check(err)
 	next := h.acceptMux(1).Accept()
-	if !strings.HasSuffix(next.Line, ",cur=2,tok="+word) {
+	if !strings.HasSuffix(next.Line, ",cur=2,tok="+tok) {
 		t.Fatalf("server 1 got %q, want the cursor and the token at its end", next.Line)
 	}
 	h.check(next.Confirm("UP r2 from=2"))
 	h.expectOpenReply(again, true, 0, "UP r2 from=2")
-	twice, err := c.Open(trimLineEnd(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word))
+	twice, err := c.Open(trimLineEnd(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok))
 	h.check(err)
 	h.expectOpenReply(twice, false, sshchan.Failed, "STALE taken")
 	if upstream.Err() != nil {
@@ -323,7 +323,7 @@
 	}, func(cfg *Config) {
 		enableChannels(cfg)
 		cfg.Channels.MaxChannels, cfg.Channels.OpensPerSecond = 3, 8
-		cfg.Settings.Decision.MaxRetryAfter = 150_000 // below every randomized delay
+		cfg.Settings.Decision.MaxRetryAfter = 150_000 // caps every randomized delay
 	})
 	c := h.connectMux()
 	id := 0
@@ -347,7 +347,8 @@
 	h.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
 	h.expectOpenReply(busy, false, sshchan.Failed, "ERR") // the test's core fails a request whose attempt has ended
 	open("OPEN ID 5 c=sync,d=5000")
-	// Eight channels were opened, which is the limit per second.
+	// Eight opens have emptied the token bucket. Once it holds a token again, one more open is admitted, and then three
+	// channels are open, which is the other limit.
 	h.expectOpenReply(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
 	if got := await[decision.AttemptEnded](h); got.Status != outcome.ServerFull {
 		t.Errorf("got %+v, want status %d", got, outcome.ServerFull)
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -49,7 +49,7 @@
 	known := requestids.New()
 	for id := range uint64(3 * requestids.MaxFinished) {
 		if !known.Add(id) || known.Add(id) {
-			t.Fatalf("id %d: not added once", id)
+			t.Fatalf("id %d was not added exactly once", id)
 		}
 		known.Finish(id)
 	}
@@ -127,7 +127,8 @@
 	})
 }
 
-// Every malformed first line is answered with ERR, and the proxy goes on serving others.
+// Every malformed first line is answered with ERR, and the proxy goes on serving others. Pings must not be pipelined,
+// but may arrive in pieces.
 func TestBadFirstLines(t *testing.T) {
 	h := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -177,13 +177,13 @@
 // await waits for the next event of type T and drops all events before it.
 func await[T decision.Event](h *harness) T {
 	h.t.Helper()
-	for late := time.After(testTimeout); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
 		case ev := <-h.events:
 			if e, ok := ev.(T); ok {
 				return e
 			}
-		case <-late:
+		case <-timeout:
 			var none T
 			h.t.Fatalf("no %T event arrived", none)
 			return none
@@ -269,8 +269,8 @@
 
 // sendToFirst starts one attempt at server 0 for each request and retries nothing.
 func sendToFirst(ev decision.Event) []decision.Action {
-	if q, ok := ev.(decision.Request); ok {
-		return []decision.Action{decision.StartAttempt{ID: q.ID, Timeout: longTimeout}}
+	if req, ok := ev.(decision.Request); ok {
+		return []decision.Action{decision.StartAttempt{ID: req.ID, Timeout: longTimeout}}
 	}
 	return nil
 }
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -124,9 +124,9 @@
 }
 
 // lifecycleState returns the proxy's state.
-func (h *harness) lifecycleState() (d lifecycle.State) {
-	h.onLoop(func() { d = h.proxy.LifecycleState() })
-	return d
+func (h *harness) lifecycleState() (s lifecycle.State) {
+	h.onLoop(func() { s = h.proxy.LifecycleState() })
+	return s
 }
 
 // In a hot restart the old process closes its listener at once instead of rejecting new clients, moves its established
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -23,9 +23,9 @@
 func (h *harness) pendingRequest(id int) (*peer, *request) {
 	h.t.Helper()
 	client := h.connect(openLineWithID(id))
-	q := await[decision.Request](h)
+	req := await[decision.Request](h)
 	var r *request
-	h.onLoop(func() { r, _ = h.proxy.requests.get(q.ID) })
+	h.onLoop(func() { r, _ = h.proxy.requests.get(req.ID) })
 	return client, r
 }
 
@@ -217,10 +217,10 @@
 	act func()
 }
 
-func (b *readHook) Read(buf []byte) (int, error) {
-	b.act()
-	b.act = func() {}
-	return b.downstream.Read(buf)
+func (k *readHook) Read(buf []byte) (int, error) {
+	k.act()
+	k.act = func() {}
+	return k.downstream.Read(buf)
 }
 
 // If the server resets the connection before the request is written, the outcome is ConnectFailed, as the server can't
@@ -300,12 +300,12 @@
 // waitUntil waits until holds, called on the loop, returns true.
 func (h *harness) waitUntil(holds func() bool) {
 	h.t.Helper()
-	for late := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		var now bool
-		if h.onLoop(func() { now = holds() }); now {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		var met bool
+		if h.onLoop(func() { met = holds() }); met {
 			return
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			h.t.Fatalf("condition not met within %v", testTimeout)
 		}
 	}
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -13,10 +13,10 @@
 		answer string
 		want   outcome.Status
 	}{
-		"alive":  {"PONG\r\n", outcome.OK},
-		"error":  {"ERR\r\n", outcome.ErrorResponse},
-		"other":  {"NO\r\n", outcome.ErrorResponse},
-		"closed": {"", outcome.Reset},
+		"alive":   {"PONG\r\n", outcome.OK},
+		"error":   {"ERR\r\n", outcome.ErrorResponse},
+		"unknown": {"NO\r\n", outcome.ErrorResponse},
+		"closed":  {"", outcome.Reset},
 	} {
 		h := newHarness(t, 1, nil, nil)
 		h.loop.Post(func() { h.proxy.apply(decision.ProbeServer{Server: 0}) })
--- a/internal/proxy/pushed_test.go
+++ b/internal/proxy/pushed_test.go
@@ -28,15 +28,15 @@
 	return &discoveryStub{ln: ln}
 }
 
-func (a *discoveryStub) addr() netip.AddrPort { return netip.MustParseAddrPort(a.ln.Addr().String()) }
+func (d *discoveryStub) addr() netip.AddrPort { return netip.MustParseAddrPort(d.ln.Addr().String()) }
 
 // acceptWatch accepts the next watch, which must start after the index, and sends one object on it.
-func (a *discoveryStub) acceptWatch(index int, object string) *peer {
-	a.h.t.Helper()
-	a.h.check(a.ln.SetDeadline(time.Now().Add(testTimeout)))
-	p := a.h.newPeer(a.ln.Accept())
+func (d *discoveryStub) acceptWatch(index int, object string) *peer {
+	d.h.t.Helper()
+	d.h.check(d.ln.SetDeadline(time.Now().Add(testTimeout)))
+	p := d.h.newPeer(d.ln.Accept())
 	if want := fmt.Sprintf("GET /api/targets?stream=1&index=%d HTTP/1.1\r\n", index); p.readLine() != want {
-		a.h.t.Fatalf("watch does not begin with %q", want)
+		d.h.t.Fatalf("watch does not begin with %q", want)
 	}
 	for p.readLine() != "\r\n" {
 	}
@@ -48,12 +48,12 @@
 // waitForState waits until server 0 is listed in this state.
 func (h *harness) waitForState(want discovery.ServerState) {
 	h.t.Helper()
-	for late := time.Now().Add(testTimeout); ; {
+	for deadline := time.Now().Add(testTimeout); ; {
 		var got discovery.ServerState
 		if h.onLoop(func() { got = h.proxy.servers.list.ByNumber(0).State }); got == want {
 			return
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			h.t.Fatalf("server 0 is %v, want %v", got, want)
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -10,7 +10,7 @@
 )
 
 // A request set holds each request that was added and not removed exactly once, and each request's index is its
-// position. each yields all members, also if members are removed while it runs.
+// position. The method each yields all members, also if members are removed while it runs.
 func TestRequestSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := requestSet{index: func(r *request) *int32 { return &r.awaitingReplyIndex }}
--- a/internal/proxy/resume_keys_test.go
+++ b/internal/proxy/resume_keys_test.go
@@ -51,13 +51,13 @@
 			return sendOrMove(ev)
 		}
 	})
-	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
-	client := h.connect(resumeLine + word + "\r\n")
+	tok := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	client := h.connect(resumeLine + tok + "\r\n")
 	await[decision.Request](h)
 	h.check(client.Close())
 	await[decision.RequestCancelled](h)
 	h.onLoop(func() { hold = false })
-	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok + "\r\n")
 	server := h.acceptUpstream(1)
 	server.readLine()
 	server.send("UP r from=2\r\n")
@@ -66,7 +66,7 @@
 	server.expectEnd(true)
 	h.check(server.Close())
 	await[decision.AttemptEnded](h)
-	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + tok + "\r\n")
 	third.expect("STALE spent\r\n")
 }
 
@@ -85,9 +85,9 @@
 			h.proxy.Reload(cfg)
 		})
 	}
-	minting := old
-	minting.Issues = true
-	before := h.seal(newRing(t, minting), nil)
+	issuing := old
+	issuing.Issues = true
+	before := h.seal(newRing(t, issuing), nil)
 	reload(old, fresh)
 	h.listAsDraining(0)
 	after := client.expectMove()
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -91,12 +91,12 @@
 func (p *peer) expectMove() string {
 	p.h.t.Helper()
 	got := p.readLine()
-	word, ok := strings.CutPrefix(strings.TrimSuffix(got, "\r\n"), "MOVE ")
-	if !ok || len(word) > token.MaxText {
+	tok, ok := strings.CutPrefix(strings.TrimSuffix(got, "\r\n"), "MOVE ")
+	if !ok || len(tok) > token.MaxText {
 		p.h.t.Fatalf("got %q, want MOVE with a token of at most %d bytes", got, token.MaxText)
 	}
 	p.expectEnd(true)
-	return word
+	return tok
 }
 
 // applyList applies an update of the server list with these entries.
@@ -117,8 +117,8 @@
 	h.applyList(listEntry([]string{"s0", "s1"}[i], h.servers[i].Addr().String(), "Terminating"))
 }
 
-// However a connection ends, a client that takes tokens is moved with one, and can resume its stream through another
-// balancer at the server named in the token.
+// However the server or the balancer ends a connection, a client that takes tokens is moved with a token, and can
+// resume its stream through another balancer at the server that the token names.
 func TestStreamResumes(t *testing.T) {
 	for name, c := range map[string]struct {
 		end func(h *harness, server *peer)
@@ -147,21 +147,21 @@
 			h, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
 			client, server := h.establishResumable()
 			c.end(h, server)
-			word := client.expectMove()
+			tok := client.expectMove()
 			// The other balancer shares only the key and the server list with the first.
 			other.applyList(
 				listEntry("s0", h.servers[0].Addr().String(), "Ready"),
 				listEntry("s1", h.servers[1].Addr().String(), "Ready"),
 			)
-			again := other.connect(resumeLine + word + "\r\n")
+			again := other.connect(resumeLine + tok + "\r\n")
 			next := h.acceptUpstream(c.to)
 			if got := next.readLine(); !strings.HasPrefix(got, "OPEN 2 7f c=sync,d=") ||
-				!strings.HasSuffix(got, ",g=5c,owner=o,again=1,cur=2,tok="+word+"\r\n") {
+				!strings.HasSuffix(got, ",g=5c,owner=o,again=1,cur=2,tok="+tok+"\r\n") {
 				t.Fatalf("server got %q, want the request line with cursor 2 and the token", got)
 			}
-			if q := await[decision.Request](other); !q.Pinned || !q.Resumable || q.PinnedServer != uint32(c.to) ||
-				!q.Reconnected {
-				t.Errorf("got %+v, want a reconnected, resumable request pinned to server %d", q, c.to)
+			if ev := await[decision.Request](other); !ev.Pinned || !ev.Resumable || ev.PinnedServer != uint32(c.to) ||
+				!ev.Reconnected {
+				t.Errorf("got %+v, want a reconnected, resumable request pinned to server %d", ev, c.to)
 			}
 			next.send("UP r2 from=2\r\n#3 c\r\n")
 			again.expect("UP r2 from=2\r\n")
@@ -268,8 +268,8 @@
 	}
 }
 
-// After an attempt with a token, the client gets the answer first. If it presents the token once more, it gets the
-// answer again; an empty one means that the token is still valid.
+// How an attempt with a token ends decides whether the token can be used once more. first is the answer to the client,
+// again the answer to a later request with the same token; again is empty if the token is still valid.
 func TestTokenAfterAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer       func(server *peer)
@@ -303,16 +303,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newResumeHarness(t, nil)
-			word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
-			client := h.connect(resumeLine + word + "\r\n")
+			tok := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+			client := h.connect(resumeLine + tok + "\r\n")
 			server := h.acceptUpstream(1)
 			server.readLine()
 			// While the attempt runs, this balancer makes no second one with the same token.
-			twin := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+			twin := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok + "\r\n")
 			twin.expect("STALE taken\r\n")
 			c.answer(server)
 			client.expect(c.first)
-			again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+			again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + tok + "\r\n")
 			if c.again != "" {
 				again.expect(c.again)
 				return
@@ -337,8 +337,8 @@
 	}
 	h, other := newResumeHarness(t, nil), newResumeHarness(t, nil)
 	h.onLoop(func() { h.decide = shortTimeout })
-	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
-	client := h.connect(resumeLine + word + "\r\n")
+	tok := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	client := h.connect(resumeLine + tok + "\r\n")
 	server := h.acceptUpstream(1)
 	server.readLine()
 	client.expect("STALE unsure\r\n")
@@ -346,13 +346,13 @@
 	if o := await[decision.AttemptEnded](h); o.Status != outcome.TimedOut || o.RequestClosed {
 		t.Errorf("got %+v, want status %d, request not closed", o, outcome.TimedOut)
 	}
-	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	again := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok + "\r\n")
 	again.expect("STALE spent\r\n")
 	other.applyList(
 		listEntry("s0", h.servers[0].Addr().String(), "Ready"),
 		listEntry("s1", h.servers[1].Addr().String(), "Ready"),
 	)
-	elsewhere := other.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	elsewhere := other.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + tok + "\r\n")
 	next := h.acceptUpstream(1)
 	next.readLine()
 	next.send("STALE taken\r\n")
@@ -363,26 +363,26 @@
 // of the next request with the same token.
 func TestTokenReleasedOnce(t *testing.T) {
 	h := newResumeHarness(t, nil)
-	word := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
-	first := h.connect(resumeLine + word + "\r\n")
+	tok := h.seal(newRing(t, token.Key{Secret: testKey(1), Issues: true}), nil)
+	first := h.connect(resumeLine + tok + "\r\n")
 	server := h.acceptUpstream(1)
 	server.readLine()
 	server.send("BUSY\r\n")
 	first.expect("BUSY 70\r\n")
-	second := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + word + "\r\n")
+	second := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok + "\r\n")
 	next := h.acceptUpstream(1)
 	next.readLine()
 	h.check(first.Close())
 	for closed := false; !closed; { // until the first request has ended
 		h.onLoop(func() { closed = h.proxy.requests.len() == 1 })
 	}
-	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + word + "\r\n")
+	third := h.connect(strings.Replace(resumeLine, "OPEN 2", "OPEN 4", 1) + tok + "\r\n")
 	third.expect("STALE taken\r\n")
 	next.send("UP r from=2\r\n")
 	second.expect("UP r from=2\r\n")
 }
 
-// A stream that the server has ended with BYE ends for the client, too, which is not moved.
+// A stream that the server ends with BYE just ends for the client, without MOVE.
 func TestFinishedStreamIsNotMoved(t *testing.T) {
 	h := newResumeHarness(t, nil)
 	client, server := h.establishResumable()
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -36,14 +36,14 @@
 	again := discovery.NewServerList()
 	c, err := again.Apply([]byte(strings.TrimPrefix(got, at+" ")))
 	if err != nil || !c.Full || len(c.Servers) != 2 {
-		t.Fatalf("saved list %q parsed as %+v, %v, want all of 2 servers", got, c, err)
+		t.Fatalf("saved list %q parsed as %+v, %v, want a full list of 2 servers", got, c, err)
 	}
 	h.onLoop(func() {
-		for _, want := range c.Servers {
-			have := *h.proxy.servers.list.ByID([]byte(want.ID))
-			have.Number = want.Number
-			if have != *want {
-				t.Errorf("saved server %+v, want %+v", *want, have)
+		for _, parsed := range c.Servers {
+			listed := *h.proxy.servers.list.ByID([]byte(parsed.ID))
+			listed.Number = parsed.Number
+			if listed != *parsed {
+				t.Errorf("saved server %+v, want %+v", *parsed, listed)
 			}
 		}
 		h.proxy.servers.client.ChangeAddress(h.proxy.cfg.Discovery)
@@ -62,9 +62,9 @@
 	a := newDiscoveryStub(t)
 	a.h = newHarnessWithCore(t, 1, func(cfg *Config) { cfg.Discovery = a.addr() })
 	h := a.h
-	now, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	newServer, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	h.check(err)
-	t.Cleanup(func() { _ = now.Close() })
+	t.Cleanup(func() { _ = newServer.Close() })
 	h.onLoop(func() {
 		startedAt := h.loop.Now() - 5*monotime.Second
 		h.core = decision.New(h.proxy.cfg.Settings.Decision, 1, startedAt)
@@ -74,9 +74,9 @@
 	})
 	client := h.connect(openLine)
 	a.acceptWatch(1, `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"Gone"},`+
-		listEntry("s1", now.Addr().String(), "Ready")+`]}`)
-	h.check(now.SetDeadline(time.Now().Add(testTimeout)))
-	server := h.newPeer(now.Accept())
+		listEntry("s1", newServer.Addr().String(), "Ready")+`]}`)
+	h.check(newServer.SetDeadline(time.Now().Add(testTimeout)))
+	server := h.newPeer(newServer.Accept())
 	server.readLine()
 	server.send("UP r1\r\n")
 	client.expect("UP r1\r\n")
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -34,7 +34,7 @@
 }
 
 // idempotencyRules are retry rules of a class, with the final answer to a request that may have been executed: BUSY
-// lets the client retry, ERR does not. In the case "not sent" the request can't have been executed.
+// lets the client retry, ERR does not. In the case that ends with "not sent" it can't have been executed.
 var idempotencyRules = map[string]struct {
 	rule       string
 	wantAnswer string
@@ -219,7 +219,7 @@
 			p.send(openLine)
 		})
 		p.expectEnd(true)
-		h.onLoop(func() { p.send("more\r\n") }) // after this, a reset would have arrived
+		h.onLoop(func() { p.send("more\r\n") }) // a reset would have arrived by then
 		p.expectEnd(true)
 		_ = p.Close()
 		h.waitStopped()
@@ -233,7 +233,7 @@
 		p.expectEnd(true)
 		_ = p.Close()
 	})
-	t.Run("until the loop stops", func(t *testing.T) {
+	t.Run("until the stop ends", func(t *testing.T) {
 		t.Parallel()
 		h := newHarnessWithCore(t, 1, nil)
 		p, q := h.connect(""), h.connect("PING\r\n")
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -302,12 +302,12 @@
 type scriptedSuccessor struct{ answer func(*eventloop.Packets) }
 
 func (scriptedSuccessor) Ended(link *eventloop.Packets) { link.Close() }
-func (d scriptedSuccessor) Packet(link *eventloop.Packets, _ []byte, fds []int) {
+func (s scriptedSuccessor) Packet(link *eventloop.Packets, _ []byte, fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
-	if d.answer != nil {
-		d.answer(link)
+	if s.answer != nil {
+		s.answer(link)
 	}
 }
 
@@ -377,7 +377,7 @@
 type packetRecorder chan string
 
 func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
-func (h packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { h <- string(b) }
+func (r packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { r <- string(b) }
 
 // onlyRequest returns the only request in the table; nil if it is empty. It must be called on the loop.
 func (h *harness) onlyRequest() (r *request) {
--- a/internal/proxy/unserved_test.go
+++ b/internal/proxy/unserved_test.go
@@ -14,11 +14,11 @@
 // Each final answer that the proxy itself gives is counted by class and cause, in the statistics and the admin reply.
 func TestUnservedIsCountedByCause(t *testing.T) {
 	h := newHarness(t, 1, func(ev decision.Event) []decision.Action {
-		if q, ok := ev.(decision.Request); ok {
-			return []decision.Action{decision.Reject{ID: q.ID, Cause: answercause.NoCapacity}}
+		if req, ok := ev.(decision.Request); ok {
+			return []decision.Action{decision.Reject{ID: req.ID, Cause: answercause.NoCapacity}}
 		}
 		return nil
-	}, func(cfg *Config) { cfg.Settings.Decision.MaxRetryAfter = 150_000 }) // below every randomized delay
+	}, func(cfg *Config) { cfg.Settings.Decision.MaxRetryAfter = 150_000 }) // caps every randomized delay
 	for _, line := range []string{
 		openLine, openLine, "OPEN 9b21 7f3a c=none,d=60000\r\n", "HELLO\r\n", otherOpenLine + "x\r\n",
 	} {
