--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Reject and Fail are answered at once, Reject with its retry delay, and the attempt cancelled before reports its
-// outcome.
+// Reject and Fail are answered at once, Reject with its retry delay. The attempt that was cancelled just before still
+// reports its outcome.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		final func(id uint32) decision.Action
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -348,7 +348,7 @@
 	h.expectOpenReply(busy, false, sshchan.Failed, "ERR") // the test's core fails a request whose attempt has ended
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens have emptied the token bucket. Once it holds a token again, one more open is admitted, and then three
-	// channels are open, which is the other limit.
+	// channels are open, which is MaxChannels.
 	h.expectOpenReply(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
 	if got := await[decision.AttemptEnded](h); got.Status != outcome.ServerFull {
 		t.Errorf("got %+v, want status %d", got, outcome.ServerFull)
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -129,7 +129,7 @@
 	if len(opened) != streams {
 		t.Errorf("successor reports %d existing connections, want %d", len(opened), streams)
 	}
-	// The successor forwards EOF and reset on them, and moves them when it is stopped itself.
+	// The successor forwards EOF and reset on the transferred connections, and moves them when it is stopped itself.
 	h.check(pairs[0][1].Close())
 	pairs[0][0].expectEnd(true)
 	h.check(pairs[1][0].SetLinger(0))
@@ -203,7 +203,7 @@
 			}
 			h.hotRestart(path, pid)
 			if c.after != "" {
-				for done := false; !done; { // until then it is tried again and again, and can't be offered
+				for done := false; !done; { // until then the incomplete line prevents an offer
 					h.onLoop(
 						func() { done = h.proxy.drain.transfer != nil && h.proxy.drain.transfer.plan.Draining() },
 					)
