--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -178,8 +178,8 @@
 	client.send("T 1\r\n")
 	server.expect("T 1\r\n")
 	evicted, open := 0, 0
-	h.onLoop(func() { evicted, open = h.proxy.stats.evicted, h.loop.Descriptors() })
+	h.onLoop(func() { evicted, open = h.proxy.stats.evicted, h.loop.OpenSockets() })
 	if evicted < 30 || open > 40 {
-		t.Errorf("%d evicted, %d descriptors open, want at least 30 and at most 40", evicted, open)
+		t.Errorf("%d evicted, %d sockets open, want at least 30 and at most 40", evicted, open)
 	}
 }
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -121,8 +121,8 @@
 	server.send("still there\r\n")
 	served.expect("still there\r\n")
 	h.onLoop(func() {
-		if n := h.loop.Descriptors(); n > 64-overload.ReservedDescriptors {
-			t.Errorf("%d descriptors open, want at most %d", n, 64-overload.ReservedDescriptors)
+		if n := h.loop.OpenSockets(); n > 64-overload.ReservedDescriptors {
+			t.Errorf("%d sockets open, want at most %d", n, 64-overload.ReservedDescriptors)
 		}
 	})
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -183,9 +183,9 @@
 					),
 				)
 				h.check(err)
-				before := h.loop.Descriptors()
-				if h.proxy.servers.Listed(c); h.loop.Descriptors() > before {
-					t.Errorf("%d descriptors open, want %d: no connection to the server", h.loop.Descriptors(), before)
+				before := h.loop.OpenSockets()
+				if h.proxy.servers.ListUpdated(c); h.loop.OpenSockets() > before {
+					t.Errorf("%d sockets open, want %d: no connection to the server", h.loop.OpenSockets(), before)
 				}
 			})
 		})
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -130,7 +130,7 @@
 			[]byte(`{"generation":2,"instances":[` + listEntry("late", addr, "Terminating") + `]}`),
 		)
 		if err == nil {
-			h.proxy.servers.Listed(c)
+			h.proxy.servers.ListUpdated(c)
 		}
 	})
 	server := h.acceptUpstream(0)
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -32,7 +32,7 @@
 				h.proxy.apply(decision.StartAttempt{ID: uint32(r.ref), Timeout: longTimeout})
 				c, err := h.proxy.servers.list.Apply([]byte(list))
 				h.check(err)
-				h.proxy.servers.Listed(c)
+				h.proxy.servers.ListUpdated(c)
 			})
 			h.expectOutcome(outcome.Inconclusive, false)
 			h.expectNothingSent()
@@ -57,7 +57,7 @@
 			),
 		)
 		h.check(err)
-		h.proxy.servers.Listed(c)
+		h.proxy.servers.ListUpdated(c)
 	})
 	h.acceptUpstream(0).readLine()
 }
@@ -79,7 +79,7 @@
 			h.onLoop(func() {
 				c, err := h.proxy.servers.list.Apply([]byte(`{"generation":2,"instances":[` + entry + `]}`))
 				h.check(err)
-				h.proxy.servers.Listed(c)
+				h.proxy.servers.ListUpdated(c)
 				server.send("UP r1\r\n")
 			})
 			client.expect("UP r1\r\n")
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -107,7 +107,7 @@
 			[]byte(`{"generation":9,"instances":[` + strings.Join(entries, ",") + `]}`),
 		)
 		if err == nil {
-			h.proxy.servers.Listed(c)
+			h.proxy.servers.ListUpdated(c)
 		}
 	})
 }
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -29,7 +29,7 @@
 		} {
 			c, err := h.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
 			h.check(err)
-			h.proxy.servers.Listed(c)
+			h.proxy.servers.ListUpdated(c)
 		}
 	})
 	got := <-saved
@@ -47,7 +47,7 @@
 			}
 		}
 		h.proxy.servers.client.ChangeAddress(h.proxy.cfg.Discovery)
-		h.proxy.servers.Listed(discovery.Update{})
+		h.proxy.servers.ListUpdated(discovery.Update{})
 		h.proxy.servers.save()
 	})
 	h.onLoop(func() {})
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -175,14 +175,16 @@
 			return path, os.Getpid()
 		}},
 		{name: "a successor that never answers", start: stubSuccessor(nil)},
-		{name: "a successor that dies", start: stubSuccessor(func(link *eventloop.Packets) { link.Close() })},
+		{name: "a successor that dies", start: stubSuccessor(func(link *eventloop.PacketConn) { link.Close() })},
 		{
 			name:  "a successor that sends garbage",
-			start: stubSuccessor(func(link *eventloop.Packets) { _ = link.Send([]byte("yes")) }),
+			start: stubSuccessor(func(link *eventloop.PacketConn) { _ = link.Send([]byte("yes")) }),
 		},
 		{
-			name:  "a successor that accepts another connection",
-			start: stubSuccessor(func(link *eventloop.Packets) { _ = link.Send(restartproto.EncodeAnswer(7, true)) }),
+			name: "a successor that accepts another connection",
+			start: stubSuccessor(
+				func(link *eventloop.PacketConn) { _ = link.Send(restartproto.EncodeAnswer(7, true)) },
+			),
 		},
 		{name: "a line in progress", start: func(h *harness) (string, int) {
 			_, path := h.successor()
@@ -284,13 +286,13 @@
 
 // stubSuccessor starts a successor that does not serve offered connections. answer is called for each offer; nil never
 // answers.
-func stubSuccessor(answer func(*eventloop.Packets)) func(*harness) (string, int) {
+func stubSuccessor(answer func(*eventloop.PacketConn)) func(*harness) (string, int) {
 	return func(h *harness) (string, int) {
 		path := filepath.Join(h.t.TempDir(), "stub.sock")
 		h.onLoop(func() {
 			_, err := h.loop.ListenPackets(
 				path,
-				func(*eventloop.Packets) eventloop.PacketOwner { return scriptedSuccessor{answer} },
+				func(*eventloop.PacketConn) eventloop.PacketOwner { return scriptedSuccessor{answer} },
 			)
 			h.check(err)
 		})
@@ -299,10 +301,10 @@
 }
 
 // scriptedSuccessor handles the packets of stubSuccessor.
-type scriptedSuccessor struct{ answer func(*eventloop.Packets) }
+type scriptedSuccessor struct{ answer func(*eventloop.PacketConn) }
 
-func (scriptedSuccessor) Ended(link *eventloop.Packets) { link.Close() }
-func (s scriptedSuccessor) Packet(link *eventloop.Packets, _ []byte, fds []int) {
+func (scriptedSuccessor) Ended(link *eventloop.PacketConn) { link.Close() }
+func (s scriptedSuccessor) Packet(link *eventloop.PacketConn, _ []byte, fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
@@ -321,7 +323,7 @@
 	packet, err := good.Encode()
 	h.check(err)
 	answers := make(chan string, 1)
-	var link *eventloop.Packets
+	var link *eventloop.PacketConn
 	h.onLoop(func() {
 		link, err = h.loop.DialPackets(path, os.Getpid(), packetRecorder(answers))
 		h.check(err)
@@ -376,8 +378,8 @@
 // packetRecorder sends the packets that arrive to the channel.
 type packetRecorder chan string
 
-func (packetRecorder) Ended(link *eventloop.Packets)                    { link.Close() }
-func (r packetRecorder) Packet(_ *eventloop.Packets, b []byte, _ []int) { r <- string(b) }
+func (packetRecorder) Ended(link *eventloop.PacketConn)                    { link.Close() }
+func (r packetRecorder) Packet(_ *eventloop.PacketConn, b []byte, _ []int) { r <- string(b) }
 
 // onlyRequest returns the only request in the table; nil if it is empty. It must be called on the loop.
 func (h *harness) onlyRequest() (r *request) {
