--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -266,12 +266,12 @@
 		}
 		a.proxy.loop.Cancel(&a.timer)
 		r.establish(text)
-	case lineproto.Goaway:
+	case lineproto.Bye:
 		// The request is already served completely: the server's line is the final answer.
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
-		r.handleTokenRejection(lineproto.LastWord(text))
+		r.handleTokenRejection(lineproto.Argument(text))
 	default:
 		status, known := answerOutcome(verb)
 		if !known {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -104,7 +104,7 @@
 	if !r.handleToken() {
 		return
 	}
-	if len(r.open.HeldBy) > 0 {
+	if len(r.open.CurrentServer) > 0 {
 		r.startReattaching()
 	} else {
 		r.place()
@@ -142,7 +142,7 @@
 		LoadHint:    r.open.LoadHint,
 		HasLoadHint: r.open.HasLoadHint,
 		Retry:       r.open.Retry,
-		Reconnected: r.open.Returned,
+		Reconnected: r.open.Reconnected,
 	}
 	if r.resumable != nil {
 		ev.Resumable = true
