--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -298,7 +298,7 @@
 	h.expectOpenReply(again, true, 0, "UP r2 from=2")
 	twice, err := c.Open(trimLineEnd(strings.Replace(resumeLine, "OPEN 2", "OPEN 3", 1) + tok))
 	h.check(err)
-	h.expectOpenReply(twice, false, sshchan.Failed, "STALE taken")
+	h.expectOpenReply(twice, false, sshchan.ConnectFailed, "STALE taken")
 	if upstream.Err() != nil {
 		t.Error("upstream connection ended together with one of its channels:", upstream.Err())
 	}
@@ -333,9 +333,9 @@
 		h.check(err)
 		return ch
 	}
-	h.expectOpenReply(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 70")
-	h.expectOpenReply(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.Failed, "ERR")
-	h.expectOpenReply(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.Failed, "ERR")
+	h.expectOpenReply(open("OPEN ID 1 c=sync,d=5000"), false, sshchan.ResourceShortage, "BUSY 70")
+	h.expectOpenReply(open("OPEN ID 2 c=sync,d=5000"), false, sshchan.ConnectFailed, "ERR")
+	h.expectOpenReply(open("OPEN ID 3 c=nobody,d=5000"), false, sshchan.ConnectFailed, "ERR")
 	h.expectOpenReply(open("PING"), false, 1, "ERR")
 	h.expectOpenReply(open("OPEN ID 3 c=sync,d=5000\r\nT 1"), false, 1, "ERR")
 	served := open("OPEN ID 3 c=sync,d=5000")
@@ -344,12 +344,13 @@
 	h.check(server.Confirm("UP r"))
 	h.expectOpenReply(served, true, 0, "UP r")
 	busy := open("OPEN ID 4 c=sync,d=5000")
-	h.check(upstream.Accept().Refuse(sshchan.Shortage, "BUSY"))
-	h.expectOpenReply(busy, false, sshchan.Failed, "ERR") // the test's core fails a request whose attempt has ended
+	h.check(upstream.Accept().Refuse(sshchan.ResourceShortage, "BUSY"))
+	// The test's core fails a request whose attempt has ended.
+	h.expectOpenReply(busy, false, sshchan.ConnectFailed, "ERR")
 	open("OPEN ID 5 c=sync,d=5000")
 	// Eight opens have emptied the token bucket. Once it holds a token again, one more open is admitted, and then three
 	// channels are open, which is MaxChannels.
-	h.expectOpenReply(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.Shortage, "BUSY 150")
+	h.expectOpenReply(open("OPEN ID 6 c=sync,d=5000"), false, sshchan.ResourceShortage, "BUSY 150")
 	if got := await[decision.AttemptEnded](h); got.Status != outcome.ServerFull {
 		t.Errorf("got %+v, want status %d", got, outcome.ServerFull)
 	}
@@ -378,15 +379,15 @@
 		"endless garbage": bytes.Repeat([]byte{0xee}, 100_000),
 	} {
 		c := h.connectMux()
-		_ = c.Raw(b) // fails if the proxy closes the connection during the write
+		_ = c.WriteRaw(b) // fails if the proxy closes the connection during the write
 		expectDisconnect(what, c, "2 packet length is not one that may be")
 	}
 	c := h.connectMux()
-	h.check(c.Payload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
+	h.check(c.WritePayload([]byte{94, 0, 0, 0, 9, 0, 0, 0, 1, 'x'}))
 	expectDisconnect("data on no channel", c, "2 message 94 for channel 9, which there is not")
 	c = h.connectMux()
-	h.check(c.Payload([]byte{21})) // NEWKEYS
-	h.check(c.Payload([]byte{200, 1, 2, 3}))
+	h.check(c.WritePayload([]byte{21})) // NEWKEYS
+	h.check(c.WritePayload([]byte{200, 1, 2, 3}))
 	ch, err := c.Open("OPEN 77 6 c=sync,d=5000")
 	h.check(err)
 	_ = ch
@@ -408,9 +409,9 @@
 	server.expect("T 1\r\n")
 	server.send("OK\r\n")
 	client.expect("OK\r\n")
-	for until := time.Now().Add(testTimeout); c.Unknown() != 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); c.Unimplemented() != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d messages answered as unknown, want 2", c.Unknown())
+			t.Fatalf("%d messages answered as unknown, want 2", c.Unimplemented())
 		}
 	}
 }
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -29,8 +29,8 @@
 		h.expectOpenReply(ch, true, 0, "UP r")
 		clients, servers = append(clients, h.channelStream(ch)), append(servers, h.channelStream(s))
 	}
-	clients[0].ch.Hold(true) // reads but never grows the window, like a stalled reader
-	servers[1].ch.Hold(true)
+	clients[0].ch.WithholdCredit(true) // reads but never grows the window, like a stalled reader
+	servers[1].ch.WithholdCredit(true)
 	line := strings.Repeat("x", 98) + "\r\n"
 	const lines = 20_000
 	for _, from := range []*lineStream{servers[0], clients[1]} {
@@ -51,8 +51,8 @@
 			t.Fatalf("%d bytes buffered, want at most %d", buffered, limit)
 		}
 	}
-	clients[0].ch.Hold(false)
-	servers[1].ch.Hold(false)
+	clients[0].ch.WithholdCredit(false)
+	servers[1].ch.WithholdCredit(false)
 	for range lines {
 		clients[0].expect(line)
 		servers[1].expect(line)
