--- a/cmd/spurspread-lab/virtual.go
+++ b/cmd/spurspread-lab/virtual.go
@@ -81,7 +81,7 @@
 
 // builder makes the members: those of the project or of another algorithm, with a fault if one is named.
 func (c *virtualCmd) builder() (build detectorBuilder, err error) {
-	build = simulation.Members(seedsOfMembers)
+	build = simulation.BalancerMembers(seedsOfMembers)
 	if c.Way != "" {
 		build = simulation.Alternatives()[c.Way]
 		if build == nil {
@@ -111,7 +111,7 @@
 		seed := c.Seed + uint64(i)
 		members := c.membersFor(seed)
 		group.Go(func() (err error) {
-			results[i], err = simulation.Play(script, members, seed, build, log)
+			results[i], err = simulation.Run(script, members, seed, build, log)
 			return err
 		})
 	}
--- a/lab/barrier/barrier.go
+++ b/lab/barrier/barrier.go
@@ -9,8 +9,8 @@
 	open chan struct{} // closed while the barrier is open; nil if it has never been shut
 }
 
-// Shut makes Pass wait from now on.
-func (b *Barrier) Shut() {
+// Close makes Pass wait from now on.
+func (b *Barrier) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.open == nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Pass waits while the barrier is shut.
-func (b *Barrier) Pass() {
+// Wait waits while the barrier is shut.
+func (b *Barrier) Wait() {
 	b.mu.Lock()
 	open := b.open
 	b.mu.Unlock()
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -216,7 +216,7 @@
 	defer close(done)
 	go sendLines(k, done)
 	for {
-		c.Reads.Pass()
+		c.Reads.Wait()
 		text, err := k.reader.ReadSlice('\n')
 		if err != nil {
 			if token, moved := k.moved(); moved {
--- a/lab/experiment/steps.go
+++ b/lab/experiment/steps.go
@@ -57,7 +57,7 @@
 		return pl.measureOthers(ctx, s)
 	case "hold-clients":
 		for _, c := range pl.firstClients {
-			c.Reads.Shut()
+			c.Reads.Close()
 		}
 	case "release-clients":
 		for _, c := range pl.firstClients {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -29,16 +29,16 @@
 // any goroutine.
 type Proxy struct {
 	addrs []netip.AddrPort // where each process receives datagrams
-	links [][]*pair        // by sender and receiver; nil from a process to itself
+	links [][]*proxyLink   // by sender and receiver; nil from a process to itself
 	wg    sync.WaitGroup
 
-	mu     sync.Mutex // of the links' state, too
-	rng    *rand.Rand
-	record bool
+	mu        sync.Mutex // of the links' state, too
+	rng       *rand.Rand
+	recording bool
 }
 
-// pair is the link from one process to another, and the socket at which the first reaches the second.
-type pair struct {
+// proxyLink is the link from one process to another, and the socket at which the first reaches the second.
+type proxyLink struct {
 	link.Link
 	from, to       int
 	conn           *net.UDPConn
@@ -52,22 +52,22 @@
 func New(addrs []netip.AddrPort, seed uint64) (*Proxy, error) {
 	p := &Proxy{addrs: addrs, rng: rand.New(rand.NewPCG(seed, linkStream))}
 	for from := range addrs {
-		row, err := p.listenRow(from)
+		row, err := p.listenFrom(from)
 		p.links = append(p.links, row)
 		if err != nil {
 			return nil, errors.Join(err, p.Close())
 		}
 	}
-	p.each(func(l *pair) {
+	p.forEachLink(func(l *proxyLink) {
 		p.wg.Add(1)
 		go p.forward(l)
 	})
 	return p, nil
 }
 
-// listenRow opens the sockets at which one process reaches the others. After an error it has those that were opened.
-func (p *Proxy) listenRow(from int) ([]*pair, error) {
-	row := make([]*pair, len(p.addrs))
+// listenFrom opens the sockets at which one process reaches the others. After an error it has those that were opened.
+func (p *Proxy) listenFrom(from int) ([]*proxyLink, error) {
+	row := make([]*proxyLink, len(p.addrs))
 	for to := range p.addrs {
 		if from == to {
 			continue
@@ -76,13 +76,13 @@
 		if err != nil {
 			return row, fmt.Errorf("link from %d to %d: %w", from, to, err)
 		}
-		row[to] = &pair{from: from, to: to, conn: conn}
+		row[to] = &proxyLink{from: from, to: to, conn: conn}
 	}
 	return row, nil
 }
 
-// each calls a function with each link, by senders and then receivers.
-func (p *Proxy) each(do func(l *pair)) {
+// forEachLink calls a function with each link, by senders and then receivers.
+func (p *Proxy) forEachLink(do func(l *proxyLink)) {
 	for _, row := range p.links {
 		for _, l := range row {
 			if l != nil {
@@ -92,14 +92,14 @@
 	}
 }
 
-// Via is the address at which one process reaches another.
-func (p *Proxy) Via(from, to int) netip.AddrPort {
+// LinkAddr is the address at which one process reaches another.
+func (p *Proxy) LinkAddr(from, to int) netip.AddrPort {
 	return p.links[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
 // forward forwards what comes to a link's socket until it is closed: from the link's sender, and the answers of its
 // receiver, which are sent over the opposite link.
-func (p *Proxy) forward(l *pair) {
+func (p *Proxy) forward(l *proxyLink) {
 	defer p.wg.Done()
 	buf := make([]byte, maxDatagram)
 	for {
@@ -117,17 +117,17 @@
 }
 
 // transmit sends a datagram from a socket to the receiver of a link, as the link's state has it.
-func (p *Proxy) transmit(conn *net.UDPConn, l *pair, datagram []byte) {
+func (p *Proxy) transmit(conn *net.UDPConn, l *proxyLink, datagram []byte) {
 	p.mu.Lock()
 	l.sentBytes += int64(len(datagram))
-	if p.record && len(l.recorded) < maxRecorded {
+	if p.recording && len(l.recorded) < maxRecorded {
 		l.recorded = append(l.recorded, slices.Clone(datagram))
 	}
-	waits := make([]time.Duration, l.Times(p.rng))
+	waits := make([]time.Duration, l.DrawCopies(p.rng))
 	for i := range waits {
-		waits[i] = l.Wait(p.rng)
+		waits[i] = l.DrawDelay(p.rng)
 	}
-	l.Spoil(p.rng, datagram)
+	l.Corrupt(p.rng, datagram)
 	l.deliveredBytes += int64(len(waits) * len(datagram))
 	p.mu.Unlock()
 	// A datagram to a process that does not run is lost, as in any network.
@@ -141,8 +141,8 @@
 	}
 }
 
-// Set changes the links from some processes to others, one way.
-func (p *Proxy) Set(from, to []int, change func(*link.Link)) {
+// UpdateLinks changes the links from some processes to others, one way.
+func (p *Proxy) UpdateLinks(from, to []int, change func(*link.Link)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range from {
@@ -158,7 +158,7 @@
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.each(func(l *pair) { l.Link = link.Link{} })
+	p.forEachLink(func(l *proxyLink) { l.Link = link.Link{} })
 }
 
 // Partitioned lists the links that are partitioned, as from and to.
@@ -166,7 +166,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	partitioned := map[[2]int]bool{}
-	p.each(func(l *pair) {
+	p.forEachLink(func(l *proxyLink) {
 		if l.Partitioned {
 			partitioned[[2]int{l.from, l.to}] = true
 		}
@@ -174,21 +174,21 @@
 	return partitioned
 }
 
-// Record begins to record datagrams, or ends it.
-func (p *Proxy) Record(on bool) {
+// SetRecording begins to record datagrams, or ends it.
+func (p *Proxy) SetRecording(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record = on
+	p.recording = on
 }
 
 // Replay sends all recorded datagrams again to their receivers, without loss or delay, and returns how many these
 // were.
 func (p *Proxy) Replay() (count int) {
 	p.mu.Lock()
-	recorded := map[*pair][][]byte{}
-	p.each(func(l *pair) { recorded[l] = l.recorded })
+	recorded := map[*proxyLink][][]byte{}
+	p.forEachLink(func(l *proxyLink) { recorded[l] = l.recorded })
 	p.mu.Unlock()
-	p.each(func(l *pair) {
+	p.forEachLink(func(l *proxyLink) {
 		for _, datagram := range recorded[l] {
 			_, _ = l.conn.WriteToUDPAddrPort(datagram, p.addrs[l.to])
 			count++
@@ -197,28 +197,28 @@
 	return count
 }
 
-// Bytes is what each process has sent so far.
-func (p *Proxy) Bytes() []int64 {
+// SentBytes is what each process has sent so far.
+func (p *Proxy) SentBytes() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sent := make([]int64, len(p.addrs))
-	p.each(func(l *pair) { sent[l.from] += l.sentBytes })
+	p.forEachLink(func(l *proxyLink) { sent[l.from] += l.sentBytes })
 	return sent
 }
 
-// Received is what was delivered to each process so far.
-func (p *Proxy) Received() []int64 {
+// DeliveredBytes is what was delivered to each process so far.
+func (p *Proxy) DeliveredBytes() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delivered := make([]int64, len(p.addrs))
-	p.each(func(l *pair) { delivered[l.to] += l.deliveredBytes })
+	p.forEachLink(func(l *proxyLink) { delivered[l.to] += l.deliveredBytes })
 	return delivered
 }
 
 // Close ends all links, and waits until nothing is forwarded any more.
 func (p *Proxy) Close() error {
 	var errs []error
-	p.each(func(l *pair) { errs = append(errs, l.conn.Close()) })
+	p.forEachLink(func(l *proxyLink) { errs = append(errs, l.conn.Close()) })
 	p.wg.Wait()
 	return errors.Join(errs...)
 }
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -21,8 +21,8 @@
 	losing bool // the present state of losses in a row
 }
 
-// Times draws how often the next message comes: not at all, once or twice.
-func (l *Link) Times(rng *rand.Rand) int {
+// DrawCopies draws how often the next message comes: not at all, once or twice.
+func (l *Link) DrawCopies(rng *rand.Rand) int {
 	if l.loses(rng) {
 		return 0
 	}
@@ -50,16 +50,16 @@
 	return l.losing
 }
 
-// Wait draws how long a message takes.
-func (l *Link) Wait(rng *rand.Rand) time.Duration {
+// DrawDelay draws how long a message takes.
+func (l *Link) DrawDelay(rng *rand.Rand) time.Duration {
 	if l.Jitter <= 0 {
 		return l.Delay
 	}
 	return l.Delay + time.Duration(rng.Int64N(int64(l.Jitter)))
 }
 
-// Spoil draws whether a byte of a message is changed, and which, and changes it in place.
-func (l *Link) Spoil(rng *rand.Rand, message []byte) {
+// Corrupt draws whether a byte of a message is changed, and which, and changes it in place.
+func (l *Link) Corrupt(rng *rand.Rand, message []byte) {
 	if l.Corrupted > 0 && len(message) > 0 && rng.Float64() < l.Corrupted {
 		message[rng.IntN(len(message))] ^= byte(1 + rng.IntN(255))
 	}
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -44,12 +44,12 @@
 	}
 	var measured [variants]*procs.Proc
 	for variant, n := range [variants]int{withoutMembership: 1, withMembership: r.trial.Processes} {
-		f, err := r.costFleet(filepath.Join(r.dir, fmt.Sprint(variant)), n, known)
+		f, err := r.newCostFleet(filepath.Join(r.dir, fmt.Sprint(variant)), n, known)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		f.Apart = variant == withoutMembership
+		f.WithoutMembership = variant == withoutMembership
 		if err := f.Start(); err != nil {
 			return err
 		}
@@ -96,9 +96,9 @@
 	return known, stop, nil
 }
 
-// costFleet prepares n processes. Each has the trial's number of balancers in its settings, so that what one may send
-// does not depend on n.
-func (r *run) costFleet(dir string, n int, known []any) (*procs.Fleet, error) {
+// newCostFleet prepares n processes, which are not started. All have the trial's number of balancers in their settings,
+// so that the rate limits of one balancer do not depend on n.
+func (r *run) newCostFleet(dir string, n int, known []any) (*procs.Fleet, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, err
 	}
@@ -106,8 +106,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Known = known
-	f.Change = func(_ int, config map[string]any) {
+	f.KnownServers = known
+	f.ModifyConfig = func(_ int, config map[string]any) {
 		settings := config["settings"].(map[string]any)
 		settings["balancers"] = r.trial.Processes
 		class := settings["request_classes"].([]any)[0].(map[string]any)
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -93,15 +93,15 @@
 			Notes:      map[string]string{},
 		},
 	}
-	if err := r.runNamed(ctx); err != nil {
+	if err := r.runTrial(ctx); err != nil {
 		return nil, err
 	}
 	t.Bounds.Check(r.report)
 	return r.report, nil
 }
 
-// runNamed runs the trial's script: one of this package, or one of lab/scenario.
-func (r *run) runNamed(ctx context.Context) error {
+// runTrial runs the trial's script: one of this package, or one of lab/scenario.
+func (r *run) runTrial(ctx context.Context) error {
 	switch r.trial.Script {
 	case "rates":
 		return r.runRates(ctx)
@@ -146,7 +146,7 @@
 	if err := f.Start(); err != nil {
 		return err
 	}
-	s := procs.NewStage(f, r.options.Seed)
+	s := procs.NewTestbed(f, r.options.Seed)
 	defer s.Close()
 	defer context.AfterFunc(ctx, f.Close)()
 	t := scenario.New(s, r.log)
@@ -157,7 +157,7 @@
 	if err := s.Run(s.Now()); err != nil {
 		return err
 	}
-	s.Changed = t.Changed
+	s.OnStateChange = t.StateChanged
 	s.CountBytes()
 	t.WatchViews()
 	until := s.Now() + script(t) + scenario.SettleTime
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -19,16 +19,16 @@
 
 // The emulated servers: some warm ones, and one that warms so slowly that it is cold for the whole of the trial.
 const (
-	warmNodes  = 3
-	coldSpan   = 100 * time.Second // until it is warm
-	coldFrom   = 0.13              // its part of a warm server's capacity at its start
-	coldFactor = 3.0               // how many times the members' budget of one server it may get
+	warmNodes       = 3
+	warmUpTime      = 100 * time.Second // until it is warm
+	initialCapacity = 0.13              // its part of a warm server's capacity at its start
+	coldFactor      = 3.0               // how many times the members' budget of one server it may get
 )
 
 // The budget of a cold server from the members of its zone, all of them together: decision/slowstart.
 const (
-	budgetRate = 3.8 // set-ups per second
-	budgetPart = 0.6
+	budgetRate  = 3.8 // set-ups per second
+	budgetShare = 0.6
 )
 
 const (
@@ -39,10 +39,10 @@
 	openTimeout = 3 * time.Second
 	// phaseTime is the time before the faults, half of the time with them, and the time after them.
 	phaseTime = 20 * time.Second
-	// countSpan is the span over which set-ups are compared with the budget: over a shorter one chance decides.
-	countSpan = 10 * time.Second
-	countStep = time.Second
-	dirMode   = 0o700
+	// countWindow is the span over which set-ups are compared with the budget: over a shorter one chance decides.
+	countWindow     = 10 * time.Second
+	countWindowStep = time.Second
+	dirMode         = 0o700
 	// faultStream selects the random sequence of the faults; other users of the seed select others.
 	faultStream = 0x7261746573
 )
@@ -83,14 +83,14 @@
 		return err
 	}
 	defer f.Close()
-	f.Apart = withoutMembership
-	f.Change = ratesConfig
+	f.WithoutMembership = withoutMembership
+	f.ModifyConfig = ratesConfig
 	s, err := startServers(time.Now())
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	f.Known = s.discoveryList()
+	f.KnownServers = s.discoveryList()
 	if err := f.Start(); err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 func ratesConfig(_ int, config map[string]any) {
 	settings := config["settings"].(map[string]any)
 	settings["balancers"] = 1
-	settings["rules"].(map[string]any)["cold"] = coldSpan.Microseconds()
+	settings["rules"].(map[string]any)["cold"] = warmUpTime.Microseconds()
 	settings["stats"] = map[string]any{"via": "on_probe", "columns": []string{"queue", "qps", "x0"}}
 	settings["fees"] = map[string]any{"probe": 0.004}
 }
@@ -145,13 +145,13 @@
 	for _, i := range paused {
 		f.Procs[i].Pause()
 	}
-	f.Net.Set(partitioned, all, func(l *link.Link) { l.Partitioned = true })
+	f.Proxy.UpdateLinks(partitioned, all, func(l *link.Link) { l.Partitioned = true })
 	sleep(ctx, 2*phaseTime)
 	r.log("paused members go on, links are good again")
 	for _, i := range paused {
 		f.Procs[i].Continue()
 	}
-	f.Net.Heal()
+	f.Proxy.Heal()
 	sleep(ctx, phaseTime)
 	at.end = time.Now()
 	return at
@@ -199,9 +199,9 @@
 func (s *servers) addFigures(r *report.Report, prefix string, at phases) {
 	cold := s.nodes[warmNodes]
 	overBudget := 0.0
-	for from := at.begin; from.Add(countSpan).Before(at.end); from = from.Add(countStep) {
-		setUps := float64(cold.setUpsBetween(from, from.Add(countSpan)))
-		overBudget = max(overBudget, setUps/setUpBudget(from.Sub(s.coldStarted), countSpan))
+	for from := at.begin; from.Add(countWindow).Before(at.end); from = from.Add(countWindowStep) {
+		setUps := float64(cold.setUpsBetween(from, from.Add(countWindow)))
+		overBudget = max(overBudget, setUps/setUpBudget(from.Sub(s.coldStarted), countWindow))
 	}
 	r.Figures[prefix+"cold_set_ups"] = float64(cold.setUpsBetween(at.begin, at.end))
 	r.Figures[prefix+"cold_set_ups_over_budget"] = overBudget
@@ -229,8 +229,8 @@
 	const step = 100 * time.Millisecond
 	sum := 0.0
 	for t := from; t < from+span; t += step {
-		warm := math.Min(coldFrom+(1-coldFrom)*t.Seconds()/coldSpan.Seconds(), 1)
-		sum += budgetPart * budgetRate * coldFactor * warm * step.Seconds()
+		warm := math.Min(initialCapacity+(1-initialCapacity)*t.Seconds()/warmUpTime.Seconds(), 1)
+		sum += budgetShare * budgetRate * coldFactor * warm * step.Seconds()
 	}
 	return sum
 }
@@ -262,7 +262,7 @@
 				case <-time.After(time.Duration(rng.Int64N(int64(clientMaxPause)))):
 				}
 				p := f.Procs[int(nextProc.Add(1))%len(f.Procs)]
-				if p.Runs() && openAndHold(p.Listen, fmt.Sprintf("%x", lastID.Add(1)), quit) {
+				if p.Running() && openAndHold(p.Listen, fmt.Sprintf("%x", lastID.Add(1)), quit) {
 					served.Add(1)
 				}
 			}
--- a/lab/members/virtual.go
+++ b/lab/members/virtual.go
@@ -64,7 +64,7 @@
 	var group errgroup.Group
 	for i, script := range scripts {
 		group.Go(func() (err error) {
-			results[i], err = simulation.Play(script, members, seed, simulation.Members(virtualSeeds), nil)
+			results[i], err = simulation.Run(script, members, seed, simulation.BalancerMembers(virtualSeeds), nil)
 			return err
 		})
 	}
@@ -106,7 +106,7 @@
 		script: func(seconds float64) scenario.Script {
 			return scenario.SinglePauses(time.Duration(seconds * float64(time.Second)))
 		},
-		measure: func(result *scenario.Result) float64 { return float64(result.HeldDead) / pausesPerScript },
+		measure: func(result *scenario.Result) float64 { return float64(result.DeclaredDead) / pausesPerScript },
 	})
 }
 
@@ -139,7 +139,7 @@
 
 // meansOf is the mean of what one algorithm reached over all seeds, for each value.
 func (c *comparison) meansOf(algorithm string, seed uint64) []float64 {
-	build := simulation.Members(virtualSeeds)
+	build := simulation.BalancerMembers(virtualSeeds)
 	if algorithm != "members" {
 		build = simulation.Alternatives()[algorithm]
 	}
@@ -151,7 +151,7 @@
 		for k := range chartSeeds {
 			group.Go(func() error {
 				script := c.script(value)
-				result := simulation.PlayScript(algorithm, script, chartMembers, seed+uint64(k), build, nil)
+				result := simulation.RunScript(algorithm, script, chartMembers, seed+uint64(k), build, nil)
 				measured[i][k] = c.measure(result)
 				return nil
 			})
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -57,7 +57,7 @@
 
 // write writes lines, unless the node hangs: then it waits.
 func (c *conn) write(text string) {
-	c.node.running.Pass()
+	c.node.running.Wait()
 	_, _ = c.recorded.Write([]byte(text)) // the reader sees an error as the connection's end
 }
 
@@ -67,7 +67,7 @@
 		c.write(text + "\r\n")
 		return
 	}
-	c.node.running.Pass()
+	c.node.running.Wait()
 	c.recorded.Note(text, true)
 	word, _, _ := strings.Cut(text, " ")
 	switch word {
@@ -86,7 +86,7 @@
 		c.write(wordMove + "\r\n")
 		return
 	}
-	c.node.running.Pass()
+	c.node.running.Wait()
 	c.recorded.Note(wordMove, true)
 	_ = c.channel.Move("")
 }
@@ -169,7 +169,7 @@
 // admit decides whether the stream is established. If it is not, the first line has been answered.
 func (c *conn) admit() bool {
 	n := c.node
-	n.running.Pass()
+	n.running.Wait()
 	if reason := c.claimToken(); reason != resume.Accepted {
 		c.answer("STALE " + reason.String())
 		return false
@@ -182,7 +182,7 @@
 		}
 	}
 	time.Sleep(n.cfg.SetUp)
-	n.running.Pass()
+	n.running.Wait()
 	select {
 	case <-c.peerClosed: // the client gave up, and its token can be used again
 		refused = true
@@ -323,7 +323,7 @@
 func (c *conn) sendDue(cursor uint64) (uint64, error) {
 	index := c.node.cfg.Index
 	key := c.request.Key
-	c.node.running.Pass()
+	c.node.running.Wait()
 	now := time.Now()
 	lines := c.sendBuffer[:0]
 	for range maxBatch {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -180,10 +180,10 @@
 }
 
 // Hang makes it do nothing at all, with all its connections open, until Wake.
-func (n *Node) Hang() { n.running.Shut() }
+func (n *Node) Hang() { n.running.Close() }
 
 // StopReading makes it read nothing, while it goes on sending, until Wake.
-func (n *Node) StopReading() { n.reading.Shut() }
+func (n *Node) StopReading() { n.reading.Close() }
 
 // Wake ends Hang and StopReading.
 func (n *Node) Wake() {
@@ -269,8 +269,8 @@
 // Read implements net.Conn.
 func (p pausableConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
-	p.node.running.Pass()
-	p.node.reading.Pass()
+	p.node.running.Wait()
+	p.node.reading.Wait()
 	return n, err
 }
 
--- a/lab/procs/config.go
+++ b/lab/procs/config.go
@@ -18,7 +18,7 @@
 func (p *Proc) writeSite() error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `<spurspread xmlns="urn:spurspread:site:1" name="rig">%s`, p.fleet.Site)
-	if !p.fleet.Apart {
+	if !p.fleet.WithoutMembership {
 		p.writeMembership(&b)
 	}
 	b.WriteString("\n</spurspread>\n")
@@ -35,7 +35,7 @@
 	b.WriteString("</seeds><reach>")
 	for i, other := range f.Procs {
 		if i != p.index {
-			fmt.Fprintf(b, `<member name="%s" at="%s"/>`, other.Name, f.Net.Via(p.index, i))
+			fmt.Fprintf(b, `<member name="%s" at="%s"/>`, other.Name, f.Proxy.LinkAddr(p.index, i))
 		}
 	}
 	fmt.Fprintf(b, `</reach><keys><key id="rig" file="%s" use="mint"/></keys></fleet>`, f.keyPath())
@@ -43,10 +43,10 @@
 
 // zoneAttributes are the attributes of <fleet> for the process's region and zone.
 func (p *Proc) zoneAttributes() (attributes string) {
-	if p.fleet.Place == nil {
+	if p.fleet.ZoneOf == nil {
 		return ""
 	}
-	region, zone := p.fleet.Place(p.index)
+	region, zone := p.fleet.ZoneOf(p.index)
 	if region != "" {
 		attributes += fmt.Sprintf(` region="%s"`, region)
 	}
@@ -63,7 +63,7 @@
 	}
 	for seed := range min(f.seedCount, len(f.Procs)) {
 		if seed != i {
-			seeds = append(seeds, f.Net.Via(i, seed))
+			seeds = append(seeds, f.Proxy.LinkAddr(i, seed))
 		}
 	}
 	return seeds
@@ -90,12 +90,12 @@
 		"known": map[string]any{
 			"generation": 0,
 			"reset":      true,
-			"instances":  append([]any{}, p.fleet.Known...),
+			"instances":  append([]any{}, p.fleet.KnownServers...),
 		},
 		"settings": p.settings(),
 	}
-	if p.fleet.Change != nil {
-		p.fleet.Change(p.index, config)
+	if p.fleet.ModifyConfig != nil {
+		p.fleet.ModifyConfig(p.index, config)
 	}
 	return config
 }
--- a/lab/procs/fleet.go
+++ b/lab/procs/fleet.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	secretBytes  = 32
-	secretByte   = 0x5a
-	dirMode      = 0o700
-	fileMode     = 0o600
-	awaitPolling = 20 * time.Millisecond // between two looks at an awaited condition
+	secretBytes       = 32
+	secretByte        = 0x5a
+	dirMode           = 0o700
+	fileMode          = 0o600
+	awaitPollInterval = 20 * time.Millisecond // between two looks at an awaited condition
 )
 
 // Fleet is some processes, and the links between them. Its exported fields are set before Start.
 type Fleet struct {
 	Program string // path of the executable
 	Dir     string // of its files
-	Net     *faultproxy.Proxy
+	Proxy   *faultproxy.Proxy
 	Procs   []*Proc
 	// Site is added to each site file, within the root element.
 	Site string
-	// Apart leaves membership out of the site files: no process knows of another.
-	Apart bool
-	// Known is the list of nodes in each process's configuration, as discovery writes it.
-	Known []any
-	// Change changes a process's configuration before it is written, see Proc.config; nil changes nothing.
-	Change func(i int, config map[string]any)
-	// Place is the region and zone of a process; nil, or an empty zone, puts it in none.
-	Place func(i int) (region, zone string)
+	// WithoutMembership leaves membership out of the site files: no process knows of another.
+	WithoutMembership bool
+	// KnownServers is the list of nodes in each process's configuration, as discovery writes it.
+	KnownServers []any
+	// ModifyConfig changes a process's configuration before it is written, see Proc.config; nil changes nothing.
+	ModifyConfig func(i int, config map[string]any)
+	// ZoneOf is the region and zone of a process; nil, or an empty zone, puts it in none.
+	ZoneOf func(i int) (region, zone string)
 	// Seeds are the seed addresses in a process's site file; nil: the first few processes.
 	Seeds func(i int) []netip.AddrPort
 
@@ -49,13 +49,13 @@
 	addrs     []netip.AddrPort // where each process receives datagrams
 }
 
-// Secret is the key that seals the datagrams of all fleets.
-func Secret() []byte { return bytes.Repeat([]byte{secretByte}, secretBytes) }
+// SealingKey is the key that seals the datagrams of all fleets.
+func SealingKey() []byte { return bytes.Repeat([]byte{secretByte}, secretBytes) }
 
 // New prepares n processes that are not started, at free loopback addresses. The first seeds of them are the seeds of
 // all. The seed is that of the proxy's random draws.
 func New(program, dir string, n, seeds int, seed uint64) (*Fleet, error) {
-	ips, err := Loopbacks(n)
+	ips, err := FreeLoopbacks(n)
 	if err != nil {
 		return nil, err
 	}
@@ -73,12 +73,12 @@
 		f.addrs = append(f.addrs, netip.AddrPortFrom(ip, fleetPort))
 		f.Procs = append(f.Procs, p)
 	}
-	key := hex.EncodeToString(Secret()) + "\n"
+	key := hex.EncodeToString(SealingKey()) + "\n"
 	if err := os.WriteFile(f.keyPath(), []byte(key), fileMode); err != nil {
 		return nil, err
 	}
 	var err error
-	if f.Net, err = faultproxy.New(f.addrs, seed); err != nil {
+	if f.Proxy, err = faultproxy.New(f.addrs, seed); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -107,7 +107,7 @@
 		p.Continue()
 		p.Kill()
 	}
-	_ = f.Net.Close()
+	_ = f.Proxy.Close()
 }
 
 // ErrAwait is the error of a condition that did not hold in time.
@@ -115,7 +115,7 @@
 
 // Await polls a condition until it holds. After the timeout it returns ErrAwait with the condition's name.
 func Await(timeout time.Duration, condition string, holds func() bool) error {
-	for end := time.Now().Add(timeout); !holds(); time.Sleep(awaitPolling) {
+	for end := time.Now().Add(timeout); !holds(); time.Sleep(awaitPollInterval) {
 		if time.Now().After(end) {
 			return fmt.Errorf("%w within %v: %s", ErrAwait, timeout, condition)
 		}
@@ -131,15 +131,15 @@
 		isAlive[f.Procs[i].Name] = true
 	}
 	for _, p := range f.Procs {
-		if p.Runs() && isAlive[p.Name] && !f.viewShows(p, isAlive) {
+		if p.Running() && isAlive[p.Name] && !f.viewMatches(p, isAlive) {
 			return false
 		}
 	}
 	return true
 }
 
-// viewShows reports whether a process's view has exactly the given members alive, and all others dead or left.
-func (f *Fleet) viewShows(p *Proc, isAlive map[string]bool) bool {
+// viewMatches reports whether a process's view has exactly the given members alive, and all others dead or left.
+func (f *Fleet) viewMatches(p *Proc, isAlive map[string]bool) bool {
 	v, err := p.View()
 	if err != nil {
 		return false
--- a/lab/procs/loopback.go
+++ b/lab/procs/loopback.go
@@ -18,21 +18,21 @@
 const FleetPort = fleetPort
 
 const (
-	addrsPerNet     = 250 // loopback addresses that are used of each 256
-	loopbackRetries = 20  // networks that are tried
+	addrsPerSubnet = 250 // loopback addresses that are used of each 256
+	maxSubnetTries = 20  // networks that are tried
 )
 
-// Loopbacks finds n loopback addresses on which the ports of a process are free. Addresses in 127.0.0.0/8 need no
+// FreeLoopbacks finds n loopback addresses on which the ports of a process are free. Addresses in 127.0.0.0/8 need no
 // setting up, and outgoing connections come from 127.0.0.1, so that nothing takes a port between its check and its
 // use.
-func Loopbacks(n int) ([]netip.Addr, error) {
+func FreeLoopbacks(n int) ([]netip.Addr, error) {
 	var err error
-	for range loopbackRetries {
+	for range maxSubnetTries {
 		second := byte(64 + rand.IntN(128))
-		third := rand.IntN(256 - n/addrsPerNet)
+		third := rand.IntN(256 - n/addrsPerSubnet)
 		var all []netip.Addr
 		for i := range n {
-			ip := netip.AddrFrom4([4]byte{127, second, byte(third + i/addrsPerNet), byte(i%addrsPerNet + 1)})
+			ip := netip.AddrFrom4([4]byte{127, second, byte(third + i/addrsPerSubnet), byte(i%addrsPerSubnet + 1)})
 			if err = checkFree(ip); err != nil {
 				break
 			}
--- a/lab/procs/proc.go
+++ b/lab/procs/proc.go
@@ -18,8 +18,8 @@
 const (
 	// startTimeout bounds how long a process may take until it answers.
 	startTimeout = 20 * time.Second
-	// startPolling is the pause between two calls of a process that starts.
-	startPolling = 5 * time.Millisecond
+	// startPollInterval is the pause between two calls of a process that starts.
+	startPollInterval = 5 * time.Millisecond
 	// stopTimeout bounds a planned stop; after it the process is killed.
 	stopTimeout = 20 * time.Second
 	// tailLines is how many lines of a process's log are kept for error messages.
@@ -43,7 +43,7 @@
 	cmd       *exec.Cmd
 	done      chan struct{} // closed when the process has ended
 	tail      []string
-	stopped   bool // paused
+	paused    bool // paused
 	onLogLine func(line string)
 }
 
@@ -87,10 +87,10 @@
 	p.cmd = cmd
 	p.done = done
 	p.tail = nil
-	p.stopped = false
+	p.paused = false
 	p.mu.Unlock()
 	go p.followLog(cmd, log, done)
-	return p.awaitAnswer(done)
+	return p.awaitReady(done)
 }
 
 // followLog reads a process's log until its end, and closes done once the process has ended.
@@ -104,7 +104,7 @@
 	close(done)
 }
 
-// recordLogLine keeps a line for Tail, and returns the function that handles it, if there is one.
+// recordLogLine keeps a line for LogTail, and returns the function that handles it, if there is one.
 func (p *Proc) recordLogLine(line string) (handle func(line string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,19 +115,19 @@
 	return p.onLogLine
 }
 
-// awaitAnswer waits until the management address answers.
-func (p *Proc) awaitAnswer(done <-chan struct{}) error {
-	for end := time.Now().Add(startTimeout); ; time.Sleep(startPolling) {
+// awaitReady waits until the management address answers.
+func (p *Proc) awaitReady(done <-chan struct{}) error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(startPollInterval) {
 		if _, err := p.Admin("PING"); err == nil {
 			return nil
 		}
 		select {
 		case <-done:
-			return fmt.Errorf("%w: %s ended at its start: %v", ErrStart, p.Name, p.Tail())
+			return fmt.Errorf("%w: %s ended at its start: %v", ErrStart, p.Name, p.LogTail())
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %s never answered: %v", ErrStart, p.Name, p.Tail())
+			return fmt.Errorf("%w: %s never answered: %v", ErrStart, p.Name, p.LogTail())
 		}
 	}
 }
@@ -142,8 +142,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Tail is the end of its log, tailLines lines at most.
-func (p *Proc) Tail() []string {
+// LogTail is the end of its log, tailLines lines at most.
+func (p *Proc) LogTail() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.tail)
@@ -156,11 +156,11 @@
 	p.onLogLine = handle
 }
 
-// Runs reports whether its process has not ended and is not paused.
-func (p *Proc) Runs() bool {
+// Running reports whether its process has not ended and is not paused.
+func (p *Proc) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.stopped {
+	if p.cmd == nil || p.paused {
 		return false
 	}
 	select {
@@ -180,9 +180,9 @@
 	}
 	switch s {
 	case syscall.SIGSTOP:
-		p.stopped = true
+		p.paused = true
 	case syscall.SIGCONT:
-		p.stopped = false
+		p.paused = false
 	}
 }
 
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("a crashed member is %s", s)
 	}
 	if code := f.Procs[3].Stop(); code != 0 {
-		t.Errorf("stopped with %d: %v", code, f.Procs[3].Tail())
+		t.Errorf("stopped with %d: %v", code, f.Procs[3].LogTail())
 	}
 	f.awaitConverged(t, "the stop is seen", 0, 1, 2)
 	if s, _ := f.state(t, 0, 3); s != "left" {
@@ -119,7 +119,7 @@
 	}
 	f.Procs[2].Continue()
 	f.awaitConverged(t, "it is back", f.all()...)
-	for _, line := range f.Procs[2].Tail() {
+	for _, line := range f.Procs[2].LogTail() {
 		if reportsDeath(line) {
 			t.Errorf("after its own pause it wrote %s", line)
 		}
@@ -135,7 +135,7 @@
 func TestOneWayPartitions(t *testing.T) {
 	f := fleet(t, 6)
 	partition := func(l *link.Link) { l.Partitioned = true }
-	f.Net.Set(f.all(), []int{5}, partition)
+	f.Proxy.UpdateLinks(f.all(), []int{5}, partition)
 	if err := Await(awaitTimeout, "one that only sends is dead", func() bool {
 		for i := range 5 {
 			if s, _ := f.state(t, i, 5); s != "dead" {
@@ -150,32 +150,32 @@
 	if err != nil || !v.Suspicions {
 		t.Errorf("a member that receives nothing does not suspect itself: %+v, %v", v, err)
 	}
-	f.Net.Heal()
+	f.Proxy.Heal()
 	f.awaitConverged(t, "it is back", f.all()...)
-	f.Net.Set([]int{0, 1, 2}, []int{3, 4, 5}, partition)
+	f.Proxy.UpdateLinks([]int{0, 1, 2}, []int{3, 4, 5}, partition)
 	for _, side := range [][2]int{{0, 3}, {3, 0}} {
 		if err := Await(awaitTimeout, "the halves are apart",
 			func() bool { s, _ := f.state(t, side[0], side[1]); return s == "dead" }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.Net.Heal()
+	f.Proxy.Heal()
 	f.awaitConverged(t, "the halves are together", f.all()...)
 }
 
 // Replayed datagrams, corrupted ones, and a flood of garbage change nothing.
 func TestReplayedAndGarbageDatagrams(t *testing.T) {
 	f := fleet(t, 3)
-	f.Net.Record(true)
+	f.Proxy.SetRecording(true)
 	f.Procs[2].Kill()
 	f.awaitConverged(t, "the crash is seen", 0, 1)
 	if err := f.Procs[2].Start(); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitConverged(t, "it is back", f.all()...)
-	f.Net.Record(false)
+	f.Proxy.SetRecording(false)
 	_, before := f.state(t, 0, 2)
-	if n := f.Net.Replay(); n < 10 {
+	if n := f.Proxy.Replay(); n < 10 {
 		t.Fatalf("%d datagrams recorded", n)
 	}
 	c, err := net.Dial("udp4", f.addrs[0].String())
@@ -185,12 +185,12 @@
 	for i := range 20000 {
 		_, _ = c.Write(make([]byte, i%1400))
 	}
-	f.Net.Set(f.all(), f.all(), func(l *link.Link) { l.Corrupted = 0.2 })
+	f.Proxy.UpdateLinks(f.all(), f.all(), func(l *link.Link) { l.Corrupted = 0.2 })
 	v, err := f.Procs[0].View()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Net.Heal()
+	f.Proxy.Heal()
 	f.awaitConverged(t, "all are there", f.all()...)
 	if s, after := v.State("n2"); s == "dead" || after < before {
 		t.Errorf("%s under %d, after %d", s, after, before)
--- a/lab/procs/stage.go
+++ b/lab/procs/testbed.go
@@ -21,33 +21,33 @@
 	viewPollInterval = 100 * time.Millisecond
 	// logLineQueue is how many log lines may wait for Run.
 	logLineQueue = 4096
-	// stageStream selects the stage's random sequence of a seed; other users of the seed select others.
-	stageStream = 0x7374616765
-	// memberChanged is in the log lines that report a member's change of state.
-	memberChanged = `"a member has changed"`
+	// testbedStream selects the stage's random sequence of a seed; other users of the seed select others.
+	testbedStream = 0x7374616765
+	// stateChangeMessage is in the log lines that report a member's change of state.
+	stateChangeMessage = `"a member has changed"`
 )
 
-// Stage is a fleet of processes as a scenario.Stage. Run calls what is scheduled in real time, one call after
+// Testbed is a fleet of processes as a scenario.Testbed. Run calls what is scheduled in real time, one call after
 // another. What the processes report of one another is taken from their logs and from their views. All methods belong
 // to the goroutine of Run.
-type Stage struct {
-	fleet     *Fleet
-	rng       *rand.Rand
-	startedAt time.Time
-	timers    timers
-	scheduled int          // timers so far
-	logLines  chan logLine // for Run
-	failed    chan error   // for Run: what kept a process from starting
-	errs      []error
-	views     []atomic.Pointer[View] // last read of each process; nil: none, or it does not run
-	quit      chan struct{}
-	wg        sync.WaitGroup
-
-	bytesBefore []int64       // that each process had sent when CountBytes was called
+type Testbed struct {
+	fleet       *Fleet
+	rng         *rand.Rand
+	startedAt   time.Time
+	timers      timers
+	timerCount  int          // timers so far
+	logLines    chan logLine // for Run
+	startErrors chan error   // for Run: what kept a process from starting
+	errs        []error
+	views       []atomic.Pointer[View] // last read of each process; nil: none, or it does not run
+	quit        chan struct{}
+	wg          sync.WaitGroup
+
+	startBytes  []int64       // that each process had sent when CountBytes was called
 	countedFrom time.Duration // when it was called
 
-	// Changed is called by Run with each state change that an observer reports.
-	Changed func(at time.Duration, observer, of int, from, to membership.State, incarnation uint64)
+	// OnStateChange is called by Run with each state change that an observer reports.
+	OnStateChange func(at time.Duration, observer, of int, from, to membership.State, incarnation uint64)
 }
 
 // logLine is a line of an observer's log that reports a change.
@@ -86,17 +86,17 @@
 	return last
 }
 
-// NewStage returns a stage of processes that run. Its time begins now.
-func NewStage(f *Fleet, seed uint64) *Stage {
-	s := &Stage{
-		fleet:     f,
-		rng:       rand.New(rand.NewPCG(seed, stageStream)),
-		startedAt: time.Now(),
-		logLines:  make(chan logLine, logLineQueue),
-		failed:    make(chan error),
-		views:     make([]atomic.Pointer[View], len(f.Procs)),
-		quit:      make(chan struct{}),
-		Changed:   func(time.Duration, int, int, membership.State, membership.State, uint64) {},
+// NewTestbed returns a stage of processes that run. Its time begins now.
+func NewTestbed(f *Fleet, seed uint64) *Testbed {
+	s := &Testbed{
+		fleet:         f,
+		rng:           rand.New(rand.NewPCG(seed, testbedStream)),
+		startedAt:     time.Now(),
+		logLines:      make(chan logLine, logLineQueue),
+		startErrors:   make(chan error),
+		views:         make([]atomic.Pointer[View], len(f.Procs)),
+		quit:          make(chan struct{}),
+		OnStateChange: func(time.Duration, int, int, membership.State, membership.State, uint64) {},
 	}
 	for i, p := range f.Procs {
 		p.OnLogLine(func(line string) { s.queueLogLine(i, line) })
@@ -107,8 +107,8 @@
 }
 
 // queueLogLine passes a line that reports a change on to Run. It is called by the goroutine that reads the log.
-func (s *Stage) queueLogLine(observer int, line string) {
-	if !strings.Contains(line, memberChanged) {
+func (s *Testbed) queueLogLine(observer int, line string) {
+	if !strings.Contains(line, stateChangeMessage) {
 		return
 	}
 	select {
@@ -119,10 +119,10 @@
 
 // pollView reads a process's view until the stage is closed. One that answers no more keeps its last view while it
 // runs.
-func (s *Stage) pollView(i int, p *Proc) {
+func (s *Testbed) pollView(i int, p *Proc) {
 	defer s.wg.Done()
 	for {
-		if p.Runs() {
+		if p.Running() {
 			if v, err := p.View(); err == nil {
 				s.views[i].Store(v)
 			}
@@ -138,7 +138,7 @@
 }
 
 // Close ends the stage. The processes go on as they are.
-func (s *Stage) Close() {
+func (s *Testbed) Close() {
 	close(s.quit)
 	s.wg.Wait()
 	for _, p := range s.fleet.Procs {
@@ -148,7 +148,7 @@
 
 // Run calls what is scheduled up to a time, which is since the stage's start. An error means that the stage failed,
 // not a member: a process did not start, or a log line could not be read.
-func (s *Stage) Run(until time.Duration) error {
+func (s *Testbed) Run(until time.Duration) error {
 	for {
 		next := until
 		if len(s.timers) > 0 {
@@ -158,7 +158,7 @@
 		case line := <-s.logLines:
 			s.handleLogLine(line)
 			continue
-		case err := <-s.failed:
+		case err := <-s.startErrors:
 			s.errs = append(s.errs, err)
 			continue
 		case <-time.After(next - s.Now()):
@@ -171,7 +171,7 @@
 }
 
 // handleLogLine passes the change that a line reports to Changed.
-func (s *Stage) handleLogLine(l logLine) {
+func (s *Testbed) handleLogLine(l logLine) {
 	var change struct {
 		Member      string `json:"member"`
 		State       string `json:"state"`
@@ -188,7 +188,7 @@
 		return
 	}
 	at := l.at.Sub(s.startedAt)
-	s.Changed(at, l.observer, member, parseState(change.Before), parseState(change.State), change.Incarnation)
+	s.OnStateChange(at, l.observer, member, parseState(change.Before), parseState(change.State), change.Incarnation)
 }
 
 // parseState is the state of that name; any other word is Unknown.
@@ -202,61 +202,63 @@
 }
 
 // Members implements scenario.Stage, as do the following methods up to StateSeen.
-func (s *Stage) Members() int { return len(s.fleet.Procs) }
+func (s *Testbed) Members() int { return len(s.fleet.Procs) }
 
 // Now is the time since the stage began.
-func (s *Stage) Now() time.Duration { return time.Since(s.startedAt) }
+func (s *Testbed) Now() time.Duration { return time.Since(s.startedAt) }
 
 // After schedules a call by Run.
-func (s *Stage) After(d time.Duration, callback func()) {
-	s.scheduled++
-	heap.Push(&s.timers, timer{s.Now() + d, s.scheduled, callback})
+func (s *Testbed) After(d time.Duration, callback func()) {
+	s.timerCount++
+	heap.Push(&s.timers, timer{s.Now() + d, s.timerCount, callback})
 }
 
 // Rand is the source from which scripts draw their faults.
-func (s *Stage) Rand() *rand.Rand { return s.rng }
+func (s *Testbed) Rand() *rand.Rand { return s.rng }
 
-// Set changes the links from some processes to others, one way.
-func (s *Stage) Set(from, to []int, change func(*link.Link)) { s.fleet.Net.Set(from, to, change) }
+// UpdateLinks changes the links from some processes to others, one way.
+func (s *Testbed) UpdateLinks(from, to []int, change func(*link.Link)) {
+	s.fleet.Proxy.UpdateLinks(from, to, change)
+}
 
 // Heal resets all links: they lose and delay nothing.
-func (s *Stage) Heal() { s.fleet.Net.Heal() }
+func (s *Testbed) Heal() { s.fleet.Proxy.Heal() }
 
 // Partitioned lists the links that are partitioned, as from and to.
-func (s *Stage) Partitioned() map[[2]int]bool { return s.fleet.Net.Partitioned() }
+func (s *Testbed) Partitioned() map[[2]int]bool { return s.fleet.Proxy.Partitioned() }
 
 // Kill ends a process with SIGKILL.
-func (s *Stage) Kill(i int) {
+func (s *Testbed) Kill(i int) {
 	s.fleet.Procs[i].Kill()
 	s.views[i].Store(nil)
 }
 
 // Stop sends SIGTERM to a process, and does not wait for its end.
-func (s *Stage) Stop(i int) { s.fleet.Procs[i].Terminate() }
+func (s *Testbed) Stop(i int) { s.fleet.Procs[i].Terminate() }
 
 // Start starts a process, and does not wait until it serves. Run returns its error.
-func (s *Stage) Start(i int) {
+func (s *Testbed) Start(i int) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		if err := s.fleet.Procs[i].Start(); err != nil {
 			select {
 			case <-s.quit: // the stage ended before the process had started
-			case s.failed <- err:
+			case s.startErrors <- err:
 			}
 		}
 	}()
 }
 
 // Pause suspends a process for a while.
-func (s *Stage) Pause(i int, d time.Duration) {
+func (s *Testbed) Pause(i int, d time.Duration) {
 	p := s.fleet.Procs[i]
 	p.Pause()
 	s.After(d, p.Continue)
 }
 
 // StateSeen is another member's state in a process's last view, Unknown if there is none.
-func (s *Stage) StateSeen(observer, of int) membership.State {
+func (s *Testbed) StateSeen(observer, of int) membership.State {
 	v := s.views[observer].Load()
 	if v == nil {
 		return membership.Unknown
@@ -266,16 +268,16 @@
 }
 
 // CountBytes begins to count what processes send, for BytesPerS.
-func (s *Stage) CountBytes() {
-	s.bytesBefore = s.fleet.Net.Bytes()
+func (s *Testbed) CountBytes() {
+	s.startBytes = s.fleet.Proxy.SentBytes()
 	s.countedFrom = s.Now()
 }
 
 // BytesPerS is what a process has sent in a second since CountBytes, on average.
-func (s *Stage) BytesPerS() float64 {
+func (s *Testbed) BytesPerS() float64 {
 	sum := int64(0)
-	for i, sent := range s.fleet.Net.Bytes() {
-		sum += sent - s.bytesBefore[i]
+	for i, sent := range s.fleet.Proxy.SentBytes() {
+		sum += sent - s.startBytes[i]
 	}
-	return float64(sum) / float64(len(s.bytesBefore)) / (s.Now() - s.countedFrom).Seconds()
+	return float64(sum) / float64(len(s.startBytes)) / (s.Now() - s.countedFrom).Seconds()
 }
--- a/lab/procs/zones_test.go
+++ b/lab/procs/zones_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Place = func(i int) (region, zone string) { return fmt.Sprint("region-", i%2), fmt.Sprint("zone-", i%2) }
+	f.ZoneOf = func(i int) (region, zone string) { return fmt.Sprint("region-", i%2), fmt.Sprint("zone-", i%2) }
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	t.Helper()
 	if err := Await(awaitTimeout, what, func() bool {
 		for i, p := range f.Procs {
-			if !p.Runs() {
+			if !p.Running() {
 				continue
 			}
 			if v, err := p.View(); err != nil || !holds(i, v) {
@@ -77,10 +77,10 @@
 		}
 	}
 	partition := func(l *link.Link) { l.Partitioned = true }
-	f.Net.Set([]int{0, 2}, []int{1, 3}, partition)
-	f.Net.Set([]int{1, 3}, []int{0, 2}, partition)
+	f.Proxy.UpdateLinks([]int{0, 2}, []int{1, 3}, partition)
+	f.Proxy.UpdateLinks([]int{1, 3}, []int{0, 2}, partition)
 	f.awaitZones(t, "neither can tell of the other", "unknown", 2)
-	f.Net.Heal()
+	f.Proxy.Heal()
 	f.awaitZones(t, "both reach each other again", "reachable", 4)
 }
 
@@ -98,7 +98,7 @@
 	f.awaitZones(t, "the zone is back", "reachable", 4)
 	for _, i := range []int{1, 3} {
 		if code := f.Procs[i].Stop(); code != 0 {
-			t.Errorf("stopped with %d: %v", code, f.Procs[i].Tail())
+			t.Errorf("stopped with %d: %v", code, f.Procs[i].LogTail())
 		}
 	}
 	f.awaitZones(t, "the zone has left", "left", 2)
--- a/lab/scale/connections/balancer.go
+++ b/lab/scale/connections/balancer.go
@@ -62,8 +62,8 @@
 		b.close()
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
-	b.fleet.Apart = true
-	b.fleet.Change = func(_ int, config map[string]any) { b.configure(config, mode, descriptors) }
+	b.fleet.WithoutMembership = true
+	b.fleet.ModifyConfig = func(_ int, config map[string]any) { b.configure(config, mode, descriptors) }
 	b.proc = b.fleet.Procs[0]
 	b.addr = netip.MustParseAddrPort(b.proc.Listen)
 	if err := b.fleet.Start(); err != nil {
--- a/lab/scale/connections/established.go
+++ b/lab/scale/connections/established.go
@@ -55,7 +55,7 @@
 	r.load.add(m.size, r.plan.setUpRate, true)
 	if !r.awaitEstablished(m.size) {
 		return fmt.Errorf("only %d are established; the balancer's log: %v",
-			r.load.totals.established.Load(), b.proc.Tail())
+			r.load.totals.established.Load(), b.proc.LogTail())
 	}
 	after := b.cost()
 	counted := r.load.take()
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -124,10 +124,10 @@
 	if f.realFleet, err = procs.NewAt(program, dir, ips, 0, f.topology.Seed); err != nil {
 		return fmt.Errorf("real members: %w", err)
 	}
-	f.realFleet.Change = func(_ int, config map[string]any) {
+	f.realFleet.ModifyConfig = func(_ int, config map[string]any) {
 		config["settings"].(map[string]any)["balancers"] = f.topology.Members
 	}
-	f.realFleet.Place = func(member int) (region, zone string) {
+	f.realFleet.ZoneOf = func(member int) (region, zone string) {
 		site := f.topology.Site(f.topology.Zone(member))
 		return site.Region, site.Zone
 	}
@@ -145,7 +145,7 @@
 	for from := range f.topology.RealMembers {
 		for to := range f.topology.RealMembers {
 			between := links.Between(f.topology.Rack(from), f.topology.Rack(to))
-			f.realFleet.Net.Set([]int{from}, []int{to}, func(l *link.Link) { *l = *between })
+			f.realFleet.Proxy.UpdateLinks([]int{from}, []int{to}, func(l *link.Link) { *l = *between })
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	var addrs []netip.AddrPort
 	for _, seed := range f.topology.Seeds(member) {
 		if f.topology.Real(seed) {
-			addrs = append(addrs, f.realFleet.Net.Via(member, seed))
+			addrs = append(addrs, f.realFleet.Proxy.LinkAddr(member, seed))
 		} else {
 			addrs = append(addrs, f.topology.Addrs[seed])
 		}
@@ -206,7 +206,7 @@
 		setup := &Setup{
 			Topology:        *f.topology,
 			Loops:           loops,
-			Secret:          procs.Secret(),
+			Secret:          procs.SealingKey(),
 			ExpectedMembers: f.topology.Members,
 			Fault:           f.injected,
 		}
@@ -263,7 +263,7 @@
 	}
 	proc := f.realFleet.Procs[member]
 	if code := proc.Stop(); code != 0 {
-		return fmt.Errorf("%s stopped with %d: %q", f.topology.Name(member), code, proc.Tail())
+		return fmt.Errorf("%s stopped with %d: %q", f.topology.Name(member), code, proc.LogTail())
 	}
 	return nil
 }
@@ -297,7 +297,7 @@
 		Loss:        f.loss,
 	}
 	f.monitor.setPartitioned(command.From, command.To, partitioned)
-	f.realFleet.Net.Set(f.realMembersIn(command.From), f.realMembersIn(command.To), command.applyTo)
+	f.realFleet.Proxy.UpdateLinks(f.realMembersIn(command.From), f.realMembersIn(command.To), command.applyTo)
 	for _, p := range f.hollowProcesses {
 		if err := p.send(command); err != nil {
 			return err
--- a/lab/scale/links.go
+++ b/lab/scale/links.go
@@ -92,8 +92,8 @@
 func (l *Links) DrawDelays(from, to int) []time.Duration {
 	between := l.Between(from, to)
 	var delays []time.Duration
-	for range between.Times(l.rng) {
-		delays = append(delays, between.Wait(l.rng))
+	for range between.DrawCopies(l.rng) {
+		delays = append(delays, between.DrawDelay(l.rng))
 	}
 	return delays
 }
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -103,7 +103,7 @@
 // pollRealOnce reads a real member's view. An answer is dropped where the process was replaced meanwhile.
 func (f *fleet) pollRealOnce(member int) {
 	proc := f.realFleet.Procs[member]
-	if !proc.Runs() {
+	if !proc.Running() {
 		return
 	}
 	pid := proc.Pid()
@@ -205,7 +205,7 @@
 func (f *fleet) sampleRealUsage(member int, at int64) {
 	state := &f.realStates[member]
 	proc := f.realFleet.Procs[member]
-	if !proc.Runs() {
+	if !proc.Running() {
 		return
 	}
 	pid := proc.Pid()
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -45,7 +45,7 @@
 		Flat:        flat,
 		Seed:        seed,
 	}
-	ips, err := procs.Loopbacks(members)
+	ips, err := procs.FreeLoopbacks(members)
 	if err != nil {
 		return nil, fmt.Errorf("addresses of %d members: %w", members, err)
 	}
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -178,7 +178,7 @@
 	if err := checkLimits(usage); err != nil {
 		f.cancel(err)
 	}
-	f.usage.addTraffic(at, f.realFleet.Net.Bytes(), f.realFleet.Net.Received())
+	f.usage.addTraffic(at, f.realFleet.Proxy.SentBytes(), f.realFleet.Proxy.DeliveredBytes())
 	for member := range f.realStates {
 		f.sampleRealUsage(member, at)
 	}
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -18,18 +18,18 @@
 	viewIntervalPerMember = time.Millisecond / 2
 )
 
-// Checker judges what members report of one another by what was done to them. Its methods belong to the goroutine of
-// the stage.
+// Checker compares what members report of one another with the faults that were injected. Its methods must be called on
+// the goroutine of the testbed.
 type Checker struct {
-	stage     Stage
+	stage     Testbed
 	log       func(format string, args ...any)
-	members   []history
+	members   []memberHistory
 	lastFault time.Duration // the last change of faults
 
 	// FalseDead counts reports that a running member is dead, though it was paused for no more than maxPause and
 	// nothing was partitioned.
 	FalseDead      int
-	HeldDead       int             // the same, however long the member was paused
+	DeclaredDead   int
 	DeadReturned   int             // dead members that were alive again without a newer incarnation
 	Flaps          int             // most returns of one member to one observer after one fault
 	DetectionTimes []time.Duration // from each crash until one member reported it
@@ -40,8 +40,8 @@
 	deadIncarnation map[[2]int]uint64 // by observer and member: the incarnation that was reported dead
 }
 
-// history is what has been done to a member. Times are those of the stage.
-type history struct {
+// memberHistory is what has been done to a member. Times are those of the testbed.
+type memberHistory struct {
 	up           bool
 	stopping     bool          // it was stopped in the planned way
 	killedAt     time.Duration // 0 while it runs
@@ -51,11 +51,11 @@
 	exempt       bool
 }
 
-func newChecker(s Stage, log func(string, ...any)) *Checker {
+func newChecker(s Testbed, log func(string, ...any)) *Checker {
 	c := &Checker{
 		stage:           s,
 		log:             log,
-		members:         make([]history, s.Members()),
+		members:         make([]memberHistory, s.Members()),
 		flapCounts:      map[[2]int]int{},
 		deadIncarnation: map[[2]int]uint64{},
 	}
@@ -78,7 +78,7 @@
 func (c *Checker) Exempt(i int) { c.members[i].exempt = true }
 
 func (c *Checker) started(i int) {
-	c.members[i] = history{up: true, exempt: c.members[i].exempt}
+	c.members[i] = memberHistory{up: true, exempt: c.members[i].exempt}
 	for key := range c.deadIncarnation {
 		if key[0] == i {
 			delete(c.deadIncarnation, key)
@@ -110,26 +110,26 @@
 	return m.up && c.stage.Now() >= m.pausedUntil
 }
 
-// mustBeAlive reports whether a report that a member is dead is false, if its pauses are not taken into account.
-func (c *Checker) mustBeAlive(m *history) bool {
+// expectedAlive reports whether a report that a member is dead is false, if its pauses are not taken into account.
+func (c *Checker) expectedAlive(m *memberHistory) bool {
 	return m.up && !m.stopping && !m.exempt && !c.partitioned
 }
 
-// Changed judges a report: the observer sees another member in a new state, under an incarnation.
-func (c *Checker) Changed(at time.Duration, observer, of int, from, to membership.State, incarnation uint64) {
+// StateChanged checks a report: at the given time the observer changed the state of member of, under an incarnation.
+func (c *Checker) StateChanged(at time.Duration, observer, of int, from, to membership.State, incarnation uint64) {
 	switch {
 	case to == membership.Dead:
 		c.reportedDead(at, observer, of, incarnation)
 	case from == membership.Dead && to == membership.Alive:
-		c.reportedBack(observer, of, incarnation)
+		c.reportedAlive(observer, of, incarnation)
 	}
 }
 
 func (c *Checker) reportedDead(at time.Duration, observer, of int, incarnation uint64) {
 	m := &c.members[of]
 	c.deadIncarnation[[2]int{observer, of}] = incarnation
-	if c.mustBeAlive(m) {
-		c.HeldDead++
+	if c.expectedAlive(m) {
+		c.DeclaredDead++
 		if m.longestPause <= maxPause {
 			c.FalseDead++
 			c.log("%d holds %d dead, which runs", observer, of)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *Checker) reportedBack(observer, of int, incarnation uint64) {
+func (c *Checker) reportedAlive(observer, of int, incarnation uint64) {
 	key := [2]int{observer, of}
 	if dead := c.deadIncarnation[key]; incarnation <= dead {
 		c.DeadReturned++
@@ -221,7 +221,7 @@
 	for observer := range c.members {
 		part := parts[observer]
 		// A member that is alone knows that it receives nothing, and declares no member dead.
-		if observer == of || !c.judges(observer) || size[part] == 1 {
+		if observer == of || !c.viewCounts(observer) || size[part] == 1 {
 			continue
 		}
 		seen := inFleet(c.stage.StateSeen(observer, of))
@@ -239,8 +239,8 @@
 	return false
 }
 
-// judges reports whether a member's view counts.
-func (c *Checker) judges(observer int) bool {
+// viewCounts reports whether a member's view counts.
+func (c *Checker) viewCounts(observer int) bool {
 	return c.running(observer) && !c.members[observer].stopping && !c.members[observer].exempt
 }
 
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -19,7 +19,7 @@
 	StopTime = 4 * time.Second
 	// JoinTime is given to members to find each other before a script begins.
 	JoinTime = 12 * time.Second
-	// SettleTime is how long a stage is observed after a script.
+	// SettleTime is how long a testbed is observed after a script.
 	SettleTime = MaxViewDivergence + 3*time.Second
 )
 
@@ -34,7 +34,7 @@
 	Hash     string // of all events, in virtual time
 
 	FalseDead         int
-	HeldDead          int
+	DeclaredDead      int
 	DeadReturned      int
 	Flaps             int
 	UndetectedCrashes int
@@ -43,14 +43,14 @@
 	BytesPerS         float64 // of one member, on average, during the script
 }
 
-// Result is what was measured so far, without Hash and BytesPerS, which the stage knows.
+// Result is what was measured so far, without Hash and BytesPerS, which the testbed knows.
 func (t *Trial) Result(name string, seed uint64) *Result {
 	return &Result{
 		Scenario:          name,
 		Members:           t.Members(),
 		Seed:              seed,
 		FalseDead:         t.FalseDead,
-		HeldDead:          t.HeldDead,
+		DeclaredDead:      t.DeclaredDead,
 		DeadReturned:      t.DeadReturned,
 		Flaps:             t.Flaps,
 		UndetectedCrashes: t.UndetectedCrashes(),
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -39,13 +39,13 @@
 // partition loses all that is sent over a link.
 func partition(l *link.Link) { l.Partitioned = true }
 
-// endFaults schedules that all links are healed.
-func (t *Trial) endFaults(at time.Duration, text string) {
+// scheduleHeal schedules that all links are healed.
+func (t *Trial) scheduleHeal(at time.Duration, text string) {
 	t.InjectFault(at, text, func() { t.Heal() })
 }
 
-// pauseOne schedules that one member is paused.
-func (t *Trial) pauseOne(at time.Duration, i int, span time.Duration) {
+// schedulePause schedules that one member is paused.
+func (t *Trial) schedulePause(at time.Duration, i int, span time.Duration) {
 	text := fmt.Sprintf("%d is paused for %d ms", i, span/time.Millisecond)
 	t.InjectFault(at, text, func() { t.Pause(i, span) })
 }
@@ -98,11 +98,11 @@
 	t.InjectFault(time.Second, fmt.Sprintf("%d loses half of all it sends and is sent", one), func() {
 		t.Exempt(one)
 		half := func(l *link.Link) { l.Loss = 0.5 }
-		t.Set([]int{one}, t.All(), half)
-		t.Set(t.All(), []int{one}, half)
+		t.UpdateLinks([]int{one}, t.All(), half)
+		t.UpdateLinks(t.All(), []int{one}, half)
 	})
 	at := t.randomTime(20*time.Second, 30*time.Second)
-	t.endFaults(at, "no longer")
+	t.scheduleHeal(at, "no longer")
 	return at
 }
 
@@ -110,21 +110,21 @@
 // by chance must not shorten the suspicion that a pause begins.
 func pauseUnderLoss(t *Trial) time.Duration {
 	t.InjectFault(time.Second, "10% of all messages are lost", func() {
-		t.Set(t.All(), t.All(), lossy(0.1))
+		t.UpdateLinks(t.All(), t.All(), lossy(0.1))
 	})
 	at := 4 * time.Second
 	for range 10 {
 		victim := t.Draw(1)[0]
 		span := t.randomTime(time.Second, 2*time.Second)
-		t.pauseOne(at, victim, span)
+		t.schedulePause(at, victim, span)
 		at += t.randomTime(span, 3*time.Second)
 	}
-	t.endFaults(at, "links are good again")
+	t.scheduleHeal(at, "links are good again")
 	return at
 }
 
 // restartMembers has members end and start again under their names within less than a period: killed, or stopped in
-// the planned way; where the stage has clocks, some of them a day behind.
+// the planned way; where the testbed has clocks, some of them a day behind.
 func restartMembers(t *Trial) time.Duration {
 	at := time.Second
 	for round := range 6 {
@@ -141,7 +141,7 @@
 			gap += StopTime
 		}
 		t.InjectFault(at+gap, fmt.Sprintf("%d starts", one), func() {
-			if c, ok := t.Stage.(ClockStepper); ok && round%3 == 1 {
+			if c, ok := t.Testbed.(ClockStepper); ok && round%3 == 1 {
 				c.StepClock(one, -24*time.Hour)
 			}
 			t.Start(one)
@@ -159,7 +159,7 @@
 	text := fmt.Sprintf("%.0f%% of all messages are lost, in rows of %.0f, the others up to %d ms late",
 		100*loss, burst, jitter/time.Millisecond)
 	t.InjectFault(time.Second, text, func() {
-		t.Set(t.All(), t.All(), func(l *link.Link) {
+		t.UpdateLinks(t.All(), t.All(), func(l *link.Link) {
 			l.Loss = loss
 			l.Burst = burst
 			l.Jitter = jitter
@@ -172,7 +172,7 @@
 		at += t.randomTime(time.Second, 3*time.Second)
 	}
 	at += 5 * time.Second
-	t.endFaults(at, "links are good again")
+	t.scheduleHeal(at, "links are good again")
 	return at
 }
 
@@ -184,18 +184,18 @@
 	at := time.Second
 	pair := t.Draw(2)
 	t.InjectFault(at, fmt.Sprintf("%d no longer hears %d", pair[1], pair[0]), func() {
-		t.Set(pair[:1], pair[1:], partition)
+		t.UpdateLinks(pair[:1], pair[1:], partition)
 	})
 	at += span
 	t.InjectFault(at, "each no longer hears the one before it", func() {
 		t.Heal()
 		t.SetPartitioned(len(all) < 4) // of three, no two reach each other both ways
 		for i := range all {
-			t.Set([]int{i}, []int{(i + 1) % len(all)}, partition)
+			t.UpdateLinks([]int{i}, []int{(i + 1) % len(all)}, partition)
 		}
 	})
 	at += span
-	at = t.healPartition(at)
+	at = t.schedulePartitionEnd(at)
 	one := t.Rand().IntN(len(all))
 	for _, c := range []struct {
 		text     string
@@ -208,16 +208,16 @@
 	} {
 		t.InjectFault(at, c.text, func() {
 			t.SetPartitioned(true)
-			t.Set(c.from, c.to, partition)
+			t.UpdateLinks(c.from, c.to, partition)
 		})
-		at = t.healPartition(at + c.span)
+		at = t.schedulePartitionEnd(at + c.span)
 	}
 	return at
 }
 
-// healPartition schedules that links are healed, and that views must agree again MaxViewDivergence later. It returns
-// when the next fault may begin.
-func (t *Trial) healPartition(at time.Duration) time.Duration {
+// schedulePartitionEnd schedules the healing of all links at the given time. From MaxViewDivergence later on, running
+// members must not be declared dead any more. It returns when the next fault may begin.
+func (t *Trial) schedulePartitionEnd(at time.Duration) time.Duration {
 	t.InjectFault(at, "links are good again", func() {
 		t.Heal()
 		t.InjectFault(MaxViewDivergence, "all is as before", func() { t.SetPartitioned(false) })
@@ -235,13 +235,13 @@
 			t.partitionInto(parts)
 		})
 		at += t.randomTime(8*time.Second, 12*time.Second)
-		t.endFaults(at, "healed")
+		t.scheduleHeal(at, "healed")
 		at += 8 * time.Second
 	}
 	t.InjectFault(at, "a link goes up and down", func() { t.SetPartitioned(false) })
 	t.flapLink(at)
 	at += 61 * time.Second
-	t.endFaults(at, "it is up")
+	t.scheduleHeal(at, "it is up")
 	return at
 }
 
@@ -250,7 +250,7 @@
 	for _, from := range t.All() {
 		for _, to := range t.All() {
 			if from%parts != to%parts {
-				t.Set([]int{from}, []int{to}, partition)
+				t.UpdateLinks([]int{from}, []int{to}, partition)
 			}
 		}
 	}
@@ -268,8 +268,8 @@
 	for i := range changes {
 		change := func(l *link.Link) { l.Partitioned = i%2 == 0 }
 		t.After(at+time.Duration(i)*interval, func() {
-			t.Set(a, b, change)
-			t.Set(b, a, change)
+			t.UpdateLinks(a, b, change)
+			t.UpdateLinks(b, a, change)
 		})
 	}
 }
@@ -304,7 +304,7 @@
 func KillsUnderLoss(loss float64) Script {
 	return func(t *Trial) time.Duration {
 		t.InjectFault(time.Second, fmt.Sprintf("%.0f%% of all messages are lost", 100*loss), func() {
-			t.Set(t.All(), t.All(), lossy(loss))
+			t.UpdateLinks(t.All(), t.All(), lossy(loss))
 		})
 		at := 3 * time.Second
 		for _, i := range t.Draw(4) {
@@ -320,7 +320,7 @@
 	return func(t *Trial) time.Duration {
 		at := time.Second
 		for _, i := range t.Draw(6) {
-			t.pauseOne(at, i, span)
+			t.schedulePause(at, i, span)
 			at += span + 3*time.Second
 		}
 		return at
--- a/lab/scenario/trial.go
+++ b/lab/scenario/trial.go
@@ -13,9 +13,9 @@
 	"spurspread/lab/link"
 )
 
-// Stage is where members run, and what can be done to them. Its methods, and the calls that After schedules, come one
-// after another. Times are since the stage began.
-type Stage interface {
+// Testbed runs the members of a fleet, and injects faults into them and their links. Its methods, and the calls that
+// After schedules, run one after another. All times are since the testbed began.
+type Testbed interface {
 	// Members is the number of members; they are numbered from 0.
 	Members() int
 	Now() time.Duration
@@ -25,7 +25,7 @@
 	Rand() *rand.Rand
 
 	// Set changes the links from some members to others, one way; Heal makes all links what they are usually.
-	Set(from, to []int, change func(*link.Link))
+	UpdateLinks(from, to []int, change func(*link.Link))
 	Heal()
 	// Partitioned lists the links that are partitioned, as from and to.
 	Partitioned() map[[2]int]bool
@@ -36,30 +36,30 @@
 	Stop(i int)
 	// Start starts a process under the name of a member that has ended.
 	Start(i int)
-	// Pause suspends a member's process for a while.
+	// Pause suspends a member's process for d.
 	Pause(i int, d time.Duration)
 
 	// StateSeen is another member's state in the view of a member that runs.
 	StateSeen(observer, of int) membership.State
 }
 
-// ClockStepper is a stage whose members' clocks can be set.
+// ClockStepper is a testbed whose members' clocks can be set.
 type ClockStepper interface {
 	// StepClock has a member's clock be off by d from its next start on.
 	StepClock(i int, d time.Duration)
 }
 
-// Trial is one script on a stage, and the checker that judges it.
+// Trial is one script on a testbed, and the checker that judges it.
 type Trial struct {
-	Stage
+	Testbed
 	*Checker
 	Log    func(format string, args ...any) // receives a line for each fault and each false report; may be nil
 	Faults []string                         // the faults, with when they came
 }
 
 // New begins a trial of members that all run, and have found each other.
-func New(s Stage, log func(string, ...any)) *Trial {
-	t := &Trial{Stage: s, Log: log}
+func New(s Testbed, log func(string, ...any)) *Trial {
+	t := &Trial{Testbed: s, Log: log}
 	t.Checker = newChecker(s, t.logEvent)
 	return t
 }
@@ -82,29 +82,29 @@
 
 // Kill ends a member's process at once.
 func (t *Trial) Kill(i int) {
-	t.Stage.Kill(i)
+	t.Testbed.Kill(i)
 	t.killed(i)
 }
 
 // Stop stops a member in the planned way. From now on it may be reported alive, or not.
 func (t *Trial) Stop(i int) {
-	t.Stage.Stop(i)
+	t.Testbed.Stop(i)
 	t.stopped(i)
 }
 
 // Start starts a process under the name of a member that has ended.
 func (t *Trial) Start(i int) {
-	t.Stage.Start(i)
+	t.Testbed.Start(i)
 	t.started(i)
 }
 
-// Pause suspends a member's process for a while.
+// Pause suspends a member's process for d.
 func (t *Trial) Pause(i int, d time.Duration) {
-	t.Stage.Pause(i, d)
+	t.Testbed.Pause(i, d)
 	t.pausedFor(i, d)
 }
 
-// All is every member.
+// All returns the numbers of all members.
 func (t *Trial) All() []int {
 	all := make([]int, t.Members())
 	for i := range all {
@@ -113,7 +113,7 @@
 	return all
 }
 
-// Draw draws n different members, or all if there are fewer, in ascending order.
+// Draw returns n different random members, or all if there are fewer, in ascending order.
 func (t *Trial) Draw(n int) []int {
 	all := t.All()
 	t.Rand().Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/lab/simulation/alternatives.go
+++ b/lab/simulation/alternatives.go
@@ -12,6 +12,6 @@
 
 // Bytes of a message without updates, and of an update, about as the balancer's datagrams have them.
 const (
-	plainSize  = 110
-	updateSize = 20
+	baseMessageSize = 110
+	updateSize      = 20
 )
--- a/lab/simulation/cluster.go
+++ b/lab/simulation/cluster.go
@@ -21,37 +21,37 @@
 const (
 	// randomStream tells a cluster's random source from others with the same seed.
 	randomStream = 0x7669727475616c
-	// startOfTime is when a cluster begins: 0 would mean never to some members.
-	startOfTime = Second
+	// startTime is when a cluster begins: 0 would mean never to some members.
+	startTime = Second
 	// maxInbox is how many datagrams wait at a paused process before more are lost.
 	maxInbox = 256
 	// maxTickDelay is by how much a tick is late at most.
 	maxTickDelay = 2 * Millisecond
-	// leaveTime is how long a process runs on that was stopped in the planned way.
-	leaveTime = 500 * Millisecond
+	// leaveDelay is how long a process runs on that was stopped in the planned way.
+	leaveDelay = 500 * Millisecond
 )
 
 // Cluster is members and the links between them. It is a scenario.Stage.
 type Cluster struct {
 	scheduler
 
-	// Bytes and Received are what each member has sent and received, Sent counts all datagrams.
-	Bytes    []int64
-	Received []int64
-	Sent     int64
+	// SentBytes and Received are what each member has sent and received, Sent counts all datagrams.
+	SentBytes     []int64
+	ReceivedBytes []int64
+	SentDatagrams int64
 	// LinkBetween decides which link there is from one member to another; nil: one for each pair, see Set.
 	LinkBetween func(from, to int) *link.Link
-	// Changed is called with what members report of one another.
-	Changed func(observer, of int, c membership.StateChange)
-
-	rng         *rand.Rand
-	build       Builder
-	members     []*member
-	indexOf     map[string]int // of members, by their names
-	clockSkew   map[int]Micros
-	links       map[[2]int]*link.Link
-	defaultLink link.Link
-	downLinks   map[[2]int]bool // as of the last change of links, nil: not known
+	// OnStateChange is called with what members report of one another.
+	OnStateChange func(observer, of int, c membership.StateChange)
+
+	rng              *rand.Rand
+	build            Builder
+	members          []*member
+	indexOf          map[string]int // of members, by their names
+	clockSkew        map[int]Micros
+	links            map[[2]int]*link.Link
+	defaultLink      link.Link
+	partitionedLinks map[[2]int]bool // as of the last change of links, nil: not known
 }
 
 // member is one member's current process.
@@ -61,7 +61,7 @@
 	up          bool
 	pausedUntil Micros
 	inbox       []delivery // while it is paused
-	starts      int
+	startCount  int
 }
 
 // delivery is a packet that has arrived.
@@ -73,16 +73,16 @@
 // NewCluster returns a cluster of n members that are not started.
 func NewCluster(n int, seed uint64, defaultLink link.Link, build Builder) *Cluster {
 	c := &Cluster{
-		scheduler:   newScheduler(startOfTime),
-		Bytes:       make([]int64, n),
-		Received:    make([]int64, n),
-		Changed:     func(int, int, membership.StateChange) {},
-		rng:         rand.New(rand.NewPCG(seed, randomStream)),
-		build:       build,
-		indexOf:     map[string]int{},
-		clockSkew:   map[int]Micros{},
-		links:       map[[2]int]*link.Link{},
-		defaultLink: defaultLink,
+		scheduler:     newScheduler(startTime),
+		SentBytes:     make([]int64, n),
+		ReceivedBytes: make([]int64, n),
+		OnStateChange: func(int, int, membership.StateChange) {},
+		rng:           rand.New(rand.NewPCG(seed, randomStream)),
+		build:         build,
+		indexOf:       map[string]int{},
+		clockSkew:     map[int]Micros{},
+		links:         map[[2]int]*link.Link{},
+		defaultLink:   defaultLink,
 	}
 	for i := range n {
 		c.members = append(c.members, &member{})
@@ -91,7 +91,7 @@
 	return c
 }
 
-// Members is how many there are.
+// Members returns the number of members.
 func (c *Cluster) Members() int { return len(c.members) }
 
 // Rand is the random source of the cluster and its scripts.
@@ -119,16 +119,16 @@
 // Start starts a member's process, or a new one under its name.
 func (c *Cluster) Start(i int) {
 	m := c.members[i]
-	m.starts++
+	m.startCount++
 	m.up = true
 	m.pausedUntil = 0
 	m.inbox = nil
-	m.detector = c.build(c, i, m.starts)
+	m.detector = c.build(c, i, m.startCount)
 	m.reported = make([]membership.State, len(c.members))
 	for other := range m.reported {
 		m.reported[other] = m.detector.StateOf(other)
 	}
-	c.scheduleTick(i, m.starts, c.jitter(membership.TickInterval))
+	c.scheduleTick(i, m.startCount, c.jitter(membership.TickInterval))
 }
 
 // Kill ends a member's process without an announcement.
@@ -143,9 +143,9 @@
 	for _, p := range m.detector.Leave(c.now) {
 		c.send(i, p)
 	}
-	start := m.starts
-	c.schedule(leaveTime, faultEvent, i, 1, func() {
-		if m.starts == start {
+	start := m.startCount
+	c.schedule(leaveDelay, faultEvent, i, 1, func() {
+		if m.startCount == start {
 			c.Kill(i)
 		}
 	})
@@ -168,7 +168,7 @@
 // waited, as the event loop does.
 func (c *Cluster) tick(i, start int) {
 	m := c.members[i]
-	if !m.up || m.starts != start {
+	if !m.up || m.startCount != start {
 		return
 	}
 	if c.now < m.pausedUntil {
@@ -190,7 +190,7 @@
 		for _, change := range changes {
 			if of, known := c.indexOf[change.Name]; known {
 				c.members[i].reported[of] = change.To
-				c.Changed(i, of, change)
+				c.OnStateChange(i, of, change)
 			}
 		}
 		for _, p := range out {
--- a/lab/simulation/detector.go
+++ b/lab/simulation/detector.go
@@ -46,8 +46,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), memberPort)
 }
 
-// Index is the member that is reached at an address.
-func Index(addr netip.AddrPort) int {
+// MemberIndex is the member that is reached at an address.
+func MemberIndex(addr netip.AddrPort) int {
 	ip := addr.Addr().As4()
 	return int(ip[1]-1)<<(2*byteBits) | int(ip[2])<<byteBits | int(ip[3])
 }
@@ -58,8 +58,8 @@
 // instanceStartBits is how many bits of an instance count the member's starts.
 const instanceStartBits = 8
 
-// Members builds members as the balancer has them. Each has the first few as seeds.
-func Members(seeds int) Builder {
+// BalancerMembers builds members as the balancer has them. Each has the first few as seeds.
+func BalancerMembers(seeds int) Builder {
 	return func(c *Cluster, i, start int) Detector {
 		clock := c.now + c.clockSkew[i]
 		cfg := membership.Config{
@@ -82,33 +82,33 @@
 func packets(out []membership.Outgoing) []Packet {
 	var all []Packet
 	for _, s := range out {
-		all = append(all, Packet{To: Index(s.To), Size: packet.SealedSize(&s.Message), Payload: s.Message})
+		all = append(all, Packet{To: MemberIndex(s.To), Size: packet.SealedSize(&s.Message), Payload: s.Message})
 	}
 	return all
 }
 
-// Tick is part of Detector.
+// Tick implements Detector.
 func (b balancerDetector) Tick(now Micros) ([]Packet, []membership.StateChange) {
 	out, changes := b.fleet.Tick(now)
 	return packets(out), changes
 }
 
-// Receive is part of Detector.
+// Receive implements Detector.
 func (b balancerDetector) Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange) {
 	out, changes := b.fleet.Receive(now, Addr(from), p.Payload.(membership.Message))
 	return packets(out), changes
 }
 
-// Leave is part of Detector.
+// Leave implements Detector.
 func (b balancerDetector) Leave(now Micros) []Packet {
 	out, _ := b.fleet.Leave(now)
 	return packets(out)
 }
 
-// StateOf is part of Detector.
+// StateOf implements Detector.
 func (b balancerDetector) StateOf(other int) membership.State {
 	return b.fleet.StateOf(MemberID(other))
 }
 
-// Incarnation is part of Detector.
+// Incarnation implements Detector.
 func (b balancerDetector) Incarnation() uint64 { return b.fleet.Incarnation() }
--- a/lab/simulation/digest_test.go
+++ b/lab/simulation/digest_test.go
@@ -6,9 +6,9 @@
 	"spurspread/lab/scenario"
 )
 
-// playDigests are the hashes of all events of one play of each script with 8 members and seed 3. They hold the
+// runDigests are the hashes of all events of one play of each script with 8 members and seed 3. They hold the
 // decisions of membership bit for bit; a change that is meant to decide otherwise renews them in a commit of its own.
-var playDigests = map[string]string{
+var runDigests = map[string]string{
 	"loss":      "762a4ad666b8ae63",
 	"one-sided": "1271da918df229d2",
 	"pause":     "392885d0b779dd9f",
@@ -20,16 +20,16 @@
 	"weak":      "f99ff8473863a643",
 }
 
-func TestPlayDigests(t *testing.T) {
-	if len(playDigests) != len(scenario.Names()) {
-		t.Errorf("%d digests for %d scripts", len(playDigests), len(scenario.Names()))
+func TestRunDigests(t *testing.T) {
+	if len(runDigests) != len(scenario.Names()) {
+		t.Errorf("%d digests for %d scripts", len(runDigests), len(scenario.Names()))
 	}
 	for _, name := range scenario.Names() {
-		r, err := Play(name, 8, 3, Members(3), nil)
+		r, err := Run(name, 8, 3, BalancerMembers(3), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Hash != playDigests[name] {
+		if r.Hash != runDigests[name] {
 			t.Errorf("%q: %q,", name, r.Hash)
 		}
 	}
--- a/lab/simulation/fault.go
+++ b/lab/simulation/fault.go
@@ -18,12 +18,12 @@
 
 // WithFault builds members as build does, all with one of Faults.
 func WithFault(name string, build Builder) Builder {
-	plant := Faults()[name]
-	return func(c *Cluster, i, start int) Detector { return plant(build(c, i, start), i) }
+	injectFault := Faults()[name]
+	return func(c *Cluster, i, start int) Detector { return injectFault(build(c, i, start), i) }
 }
 
-// rewrite changes the messages that a member sends.
-func rewrite(out []Packet, change func(*membership.Message)) []Packet {
+// rewriteMessages changes the messages that a member sends.
+func rewriteMessages(out []Packet, change func(*membership.Message)) []Packet {
 	for i := range out {
 		m := out[i].Payload.(membership.Message)
 		m.Updates = slices.Clone(m.Updates)
@@ -40,8 +40,8 @@
 	incarnation uint64
 }
 
-func (s *sameIncarnation) keep(out []Packet) []Packet {
-	return rewrite(out, func(m *membership.Message) {
+func (s *sameIncarnation) pinIncarnation(out []Packet) []Packet {
+	return rewriteMessages(out, func(m *membership.Message) {
 		if s.incarnation == 0 {
 			s.incarnation = m.Incarnation
 		}
@@ -56,12 +56,12 @@
 
 func (s *sameIncarnation) Tick(now Micros) ([]Packet, []membership.StateChange) {
 	out, changes := s.Detector.Tick(now)
-	return s.keep(out), changes
+	return s.pinIncarnation(out), changes
 }
 
 func (s *sameIncarnation) Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange) {
 	out, changes := s.Detector.Receive(now, from, p)
-	return s.keep(out), changes
+	return s.pinIncarnation(out), changes
 }
 
 // blindToPauses doesn't see that its process was paused, nor that nothing was received meanwhile: its deadlines pass
@@ -108,7 +108,7 @@
 type oneObserver struct{ Detector }
 
 func (o oneObserver) declareDead(out []Packet) []Packet {
-	return rewrite(out, func(m *membership.Message) {
+	return rewriteMessages(out, func(m *membership.Message) {
 		for i := range m.Updates {
 			if u := &m.Updates[i]; u.State == membership.Suspect && u.ReportedBy == m.From {
 				u.State = membership.Dead
--- a/lab/simulation/heartbeat.go
+++ b/lab/simulation/heartbeat.go
@@ -70,14 +70,14 @@
 	return -math.Log10(probability) > phiThreshold
 }
 
-// Tick is part of Detector.
+// Tick implements Detector.
 func (h *heartbeatDetector) Tick(now Micros) ([]Packet, []membership.StateChange) {
 	var out []Packet
 	if now >= h.nextAt {
 		h.nextAt = now + heartbeatInterval
 		for other := range h.peers {
 			if other != h.self {
-				out = append(out, Packet{To: other, Size: plainSize, Payload: heartbeat{h.incarnation}})
+				out = append(out, Packet{To: other, Size: baseMessageSize, Payload: heartbeat{h.incarnation}})
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	return change
 }
 
-// Receive is part of Detector.
+// Receive implements Detector.
 func (h *heartbeatDetector) Receive(now Micros, from int, packet Packet) ([]Packet, []membership.StateChange) {
 	p := &h.peers[from]
 	gap := float64(now - p.lastHeartbeat)
@@ -124,11 +124,11 @@
 	return nil, []membership.StateChange{h.setState(from, membership.Alive)}
 }
 
-// Leave is part of Detector.
+// Leave implements Detector.
 func (h *heartbeatDetector) Leave(Micros) []Packet { return nil }
 
-// Incarnation is part of Detector.
+// Incarnation implements Detector.
 func (h *heartbeatDetector) Incarnation() uint64 { return h.incarnation }
 
-// StateOf is part of Detector.
+// StateOf implements Detector.
 func (h *heartbeatDetector) StateOf(other int) membership.State { return h.peers[other].state }
--- a/lab/simulation/links.go
+++ b/lab/simulation/links.go
@@ -19,16 +19,16 @@
 
 // send puts a packet on its way, as often as its link says.
 func (c *Cluster) send(from int, p Packet) {
-	c.Bytes[from] += int64(p.Size)
-	c.Sent++
+	c.SentBytes[from] += int64(p.Size)
+	c.SentDatagrams++
 	if p.To < 0 || p.To >= len(c.members) || p.To == from {
 		return
 	}
 	l := c.link(from, p.To)
-	for range l.Times(c.rng) {
-		start := c.members[p.To].starts
+	for range l.DrawCopies(c.rng) {
+		start := c.members[p.To].startCount
 		c.schedule(
-			Micros(l.Wait(c.rng).Microseconds()),
+			Micros(l.DrawDelay(c.rng).Microseconds()),
 			deliveryEvent,
 			from,
 			p.To,
@@ -41,7 +41,7 @@
 func (c *Cluster) arrive(from, start int, p Packet) {
 	m := c.members[p.To]
 	switch {
-	case !m.up || m.starts != start:
+	case !m.up || m.startCount != start:
 		return
 	case c.now < m.pausedUntil || len(m.inbox) > 0:
 		if len(m.inbox) < maxInbox {
@@ -50,15 +50,15 @@
 	default:
 		c.deliver(from, p.To, p)
 	}
-	c.Received[p.To] += int64(p.Size)
+	c.ReceivedBytes[p.To] += int64(p.Size)
 }
 
 func (c *Cluster) deliver(from, to int, p Packet) {
 	c.apply(to)(c.members[to].detector.Receive(c.now, from, p))
 }
 
-// Set changes the links from some members to others, in one direction.
-func (c *Cluster) Set(from, to []int, change func(*link.Link)) {
+// UpdateLinks changes the links from some members to others, in one direction.
+func (c *Cluster) UpdateLinks(from, to []int, change func(*link.Link)) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
@@ -66,24 +66,24 @@
 			}
 		}
 	}
-	c.downLinks = nil
+	c.partitionedLinks = nil
 }
 
 // Heal makes all links what they are usually.
 func (c *Cluster) Heal() {
 	clear(c.links)
-	c.downLinks = nil
+	c.partitionedLinks = nil
 }
 
 // Partitioned lists the links that carry nothing, as from and to.
 func (c *Cluster) Partitioned() map[[2]int]bool {
-	if c.downLinks == nil {
-		c.downLinks = map[[2]int]bool{}
+	if c.partitionedLinks == nil {
+		c.partitionedLinks = map[[2]int]bool{}
 		for pair, l := range c.links {
 			if l.Partitioned {
-				c.downLinks[pair] = true
+				c.partitionedLinks[pair] = true
 			}
 		}
 	}
-	return c.downLinks
+	return c.partitionedLinks
 }
--- a/lab/simulation/randomswim.go
+++ b/lab/simulation/randomswim.go
@@ -106,10 +106,10 @@
 		}
 	}
 	s.updates = kept
-	return Packet{To: to, Size: plainSize + updateSize*len(m.updates), Payload: m}
+	return Packet{To: to, Size: baseMessageSize + updateSize*len(m.updates), Payload: m}
 }
 
-// Tick is part of Detector.
+// Tick implements Detector.
 func (s *randomSwim) Tick(now Micros) ([]Packet, []membership.StateChange) {
 	out := s.sendIndirectPings(now)
 	changes := s.expireProbe(now)
@@ -188,7 +188,7 @@
 	}}
 }
 
-// Receive is part of Detector.
+// Receive implements Detector.
 func (s *randomSwim) Receive(now Micros, from int, packet Packet) ([]Packet, []membership.StateChange) {
 	m := packet.Payload.(swimMessage)
 	var changes []membership.StateChange
@@ -229,11 +229,11 @@
 	return nil
 }
 
-// Leave is part of Detector.
+// Leave implements Detector.
 func (s *randomSwim) Leave(Micros) []Packet { return nil }
 
-// Incarnation is part of Detector.
+// Incarnation implements Detector.
 func (s *randomSwim) Incarnation() uint64 { return s.incarnation }
 
-// StateOf is part of Detector.
+// StateOf implements Detector.
 func (s *randomSwim) StateOf(other int) membership.State { return s.peers[other].state }
--- a/lab/simulation/play.go
+++ b/lab/simulation/run.go
@@ -15,13 +15,13 @@
 	linkJitter = 400 * time.Microsecond
 	// startSpan is the time within which all members are started.
 	startSpan = Second
-	// maxJoinSeconds bounds how much longer than usual members may take to find each other.
-	maxJoinSeconds = 300
+	// maxExtraJoinSeconds bounds how much longer than usual members may take to find each other.
+	maxExtraJoinSeconds = 300
 )
 
-// Play plays one of package scenario's scripts with members that build makes. The same seed brings the same events.
+// Run plays one of package scenario's scripts with members that build makes. The same seed brings the same events.
 // It returns an error where there is no such script.
-func Play(
+func Run(
 	script string,
 	members int,
 	seed uint64,
@@ -32,11 +32,11 @@
 	if !ok {
 		return nil, fmt.Errorf("no scenario %q; there are %v", script, scenario.Names())
 	}
-	return PlayScript(script, run, members, seed, build, log), nil
+	return RunScript(script, run, members, seed, build, log), nil
 }
 
-// PlayScript is Play for a script that package scenario does not list. log may be nil.
-func PlayScript(
+// RunScript is Run for a script that package scenario does not list. log may be nil.
+func RunScript(
 	name string,
 	run scenario.Script,
 	members int,
@@ -49,11 +49,11 @@
 		c.schedule(c.jitter(startSpan), faultEvent, i, 0, func() { c.Start(i) })
 	}
 	c.join()
-	clear(c.Bytes)
+	clear(c.SentBytes)
 	from := c.now
 	trial := scenario.New(c, log)
-	c.Changed = func(observer, of int, change membership.StateChange) {
-		trial.Changed(c.Now(), observer, of, change.From, change.To, change.Incarnation)
+	c.OnStateChange = func(observer, of int, change membership.StateChange) {
+		trial.StateChanged(c.Now(), observer, of, change.From, change.To, change.Incarnation)
 	}
 	trial.WatchViews()
 	last := run(trial)
@@ -67,7 +67,7 @@
 // bytesPerSecond is what each member has sent on average since then.
 func (c *Cluster) bytesPerSecond(from Micros) float64 {
 	sum := int64(0)
-	for _, bytes := range c.Bytes {
+	for _, bytes := range c.SentBytes {
 		sum += bytes
 	}
 	return float64(sum) / float64(c.Members()) / (c.now - from).Seconds()
@@ -77,7 +77,7 @@
 // all members within the budget.
 func (c *Cluster) join() {
 	c.Run(c.now + Micros(scenario.JoinTime.Microseconds()))
-	for range maxJoinSeconds {
+	for range maxExtraJoinSeconds {
 		if c.allAlive() {
 			return
 		}
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -27,7 +27,7 @@
 			t.Parallel()
 			for seed := range n {
 				members := []int{3, 5, 8, 16, 24}[seed%5]
-				r, err := Play(name, members, seed, Members(3), nil)
+				r, err := Run(name, members, seed, BalancerMembers(3), nil)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -47,23 +47,23 @@
 
 // The same seed brings the same events.
 func TestSameSeedSameEvents(t *testing.T) {
-	play := func(seed uint64) string {
-		r, err := Play("loss", 8, seed, Members(2), nil)
+	run := func(seed uint64) string {
+		r, err := Run("loss", 8, seed, BalancerMembers(2), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return fmt.Sprintf("%+v", *r)
 	}
-	if a, b := play(7), play(7); a != b {
+	if a, b := run(7), run(7); a != b {
 		t.Fatalf("%s\n%s", a, b)
 	}
-	if a, b := play(7), play(8); a == b {
+	if a, b := run(7), run(8); a == b {
 		t.Fatal("another seed brings the same")
 	}
 }
 
 // Each planted fault breaks a bound on some seed of a scenario that can show it.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreFound(t *testing.T) {
 	for fault, script := range map[string]string{
 		"same-incarnation": "loss",
 		"blind-to-pauses":  "pause",
@@ -72,7 +72,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(20) {
-				r, err := Play(script, 12, seed, WithFault(fault, Members(3)), nil)
+				r, err := Run(script, 12, seed, WithFault(fault, BalancerMembers(3)), nil)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/lab/simulation/zoned/balancer.go
+++ b/lab/simulation/zoned/balancer.go
@@ -35,7 +35,7 @@
 	for i := range out {
 		m := &out[i].Message
 		packets = append(packets, simulation.Packet{
-			To:      simulation.Index(out[i].To),
+			To:      simulation.MemberIndex(out[i].To),
 			Size:    packet.SealedSize(m) + zoneHeaderBytes,
 			Payload: payload{membershipMessage: m, id: b.id, zoneID: b.zoneID, digest: b.directory.Digest()},
 		})
@@ -48,7 +48,7 @@
 	for i := range out {
 		m := &out[i].Message
 		packets = append(packets, simulation.Packet{
-			To:      simulation.Index(out[i].To),
+			To:      simulation.MemberIndex(out[i].To),
 			Size:    packet.SealedDirectorySize(m),
 			Payload: payload{directoryMessage: m, id: b.id, zoneID: b.zoneID},
 		})
@@ -56,7 +56,7 @@
 	return packets
 }
 
-// Tick is part of simulation.Detector.
+// Tick implements simulation.Detector.
 func (b *balancer) Tick(now simulation.Micros) ([]simulation.Packet, []membership.StateChange) {
 	b.fleet.SetSeeds(b.directory.JoinSeeds(now))
 	out, changes := b.fleet.Tick(now)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Receive is part of simulation.Detector.
+// Receive implements simulation.Detector.
 func (b *balancer) Receive(
 	now simulation.Micros,
 	from int,
@@ -115,16 +115,16 @@
 	return append(packets, b.membershipPackets(out)...), changes
 }
 
-// Leave is part of simulation.Detector.
+// Leave implements simulation.Detector.
 func (b *balancer) Leave(now simulation.Micros) []simulation.Packet {
 	out, _ := b.fleet.Leave(now)
 	return b.membershipPackets(out)
 }
 
-// StateOf is part of simulation.Detector.
+// StateOf implements simulation.Detector.
 func (b *balancer) StateOf(other int) membership.State {
 	return b.fleet.StateOf(simulation.MemberID(other))
 }
 
-// Incarnation is part of simulation.Detector.
+// Incarnation implements simulation.Detector.
 func (b *balancer) Incarnation() uint64 { return b.fleet.Incarnation() }
--- a/lab/simulation/zoned/digest_test.go
+++ b/lab/simulation/zoned/digest_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// playDigests are the hashes of all events of plays with seeds 0, 1 and 2, with what each member spent. They hold the
+// runDigests are the hashes of all events of plays with seeds 0, 1 and 2, with what each member spent. They hold the
 // decisions on zones bit for bit; a change that is meant to decide otherwise renews them in a commit of its own.
-var playDigests = []string{
+var runDigests = []string{
 	"754020f1582baeec[194863 182668 150103 181643 135275 166835 148266 154304 66914 60753 49909 76069 " +
 		"159674 181753 142402 146330 185605 178081 158939 145316 168022 187016 143366 171153 154264 176997 " +
 		"167894 143019 152976 140905]",
@@ -20,18 +20,18 @@
 		"180797 140699 153851 124790]",
 }
 
-func TestPlayDigests(t *testing.T) {
-	for seed, want := range playDigests {
-		f := New(small(), uint64(seed), nil)
-		f.For(12 * time.Second)
+func TestRunDigests(t *testing.T) {
+	for seed, want := range runDigests {
+		f := New(smallFleet(), uint64(seed), nil)
+		f.RunFor(12 * time.Second)
 		f.Crash(f.Zones[1]...)
-		f.For(6 * time.Second)
+		f.RunFor(6 * time.Second)
 		f.Restart(f.Zones[1][:2]...)
 		f.SetPartition([]int{0}, []int{2}, true)
-		f.For(8 * time.Second)
+		f.RunFor(8 * time.Second)
 		f.SetPartition([]int{0}, []int{2}, false)
 		f.Leave(f.Zones[2][0])
-		f.For(8 * time.Second)
+		f.RunFor(8 * time.Second)
 		if got := fmt.Sprint(f.Hash(), f.bytes()); got != want {
 			t.Errorf("seed %d: %q", seed, got)
 		}
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -16,8 +16,8 @@
 	seedsPerZone = 2
 	// startSpan is the time within which all members are started.
 	startSpan = time.Second
-	// leaveTime is how long a process that leaves runs on.
-	leaveTime = 500 * time.Millisecond
+	// leaveDelay is how long a process that leaves runs on.
+	leaveDelay = 500 * time.Millisecond
 	// sampleInterval is how often the checker looks at the fleet.
 	sampleInterval = 50 * time.Millisecond
 	// instanceStartBits is how many bits of an instance count the member's starts.
@@ -30,30 +30,30 @@
 	checker
 
 	// Zones has the members of each zone.
-	Zones   [][]int
-	shape   Shape
-	sites   []zonedirectory.Site // of zones
-	zoneOf  []int                // the zone of each member
-	up      []bool               // whether each member's process runs
-	members []*balancer          // the processes
-	fault   *Fault               // nil: none
+	Zones    [][]int
+	topology Topology
+	sites    []zonedirectory.Site // of zones
+	zoneOf   []int                // the zone of each member
+	up       []bool               // whether each member's process runs
+	members  []*balancer          // the processes
+	fault    *Fault               // nil: none
 
-	links     [][]*link.Link  // from zone to zone
-	severed   map[[2]int]bool // members between which nothing arrives, in one direction
-	lostLinks link.Link       // between these
+	links            [][]*link.Link  // from zone to zone
+	disconnected     map[[2]int]bool // members between which nothing arrives, in one direction
+	disconnectedLink link.Link       // between these
 }
 
 // New returns a fleet whose members are started within startSpan, all with a fault where that is not nil.
-func New(shape Shape, seed uint64, fault *Fault) *Fleet {
+func New(shape Topology, seed uint64, fault *Fault) *Fleet {
 	f := &Fleet{
-		shape:     shape,
-		sites:     shape.sites(),
-		fault:     fault,
-		links:     shape.links(seed),
-		severed:   map[[2]int]bool{},
-		lostLinks: link.Link{Partitioned: true},
+		topology:         shape,
+		sites:            shape.sites(),
+		fault:            fault,
+		links:            shape.links(seed),
+		disconnected:     map[[2]int]bool{},
+		disconnectedLink: link.Link{Partitioned: true},
 	}
-	for zone, members := range shape.Members {
+	for zone, members := range shape.ZoneSizes {
 		f.Zones = append(f.Zones, nil)
 		for range members {
 			f.Zones[zone] = append(f.Zones[zone], len(f.zoneOf))
@@ -64,18 +64,18 @@
 	f.up = make([]bool, n)
 	f.members = make([]*balancer, n)
 	f.Cluster = simulation.NewCluster(n, seed, link.Link{}, f.build)
-	f.LinkBetween = f.between
-	f.begin(f)
+	f.LinkBetween = f.linkBetween
+	f.attach(f)
 	for i := range n {
 		f.After(time.Duration(f.Rand().Int64N(int64(startSpan))), func() { f.start(i) })
 	}
 	return f
 }
 
-// between is the link from one member to another.
-func (f *Fleet) between(from, to int) *link.Link {
-	if f.severed[[2]int{from, to}] {
-		return &f.lostLinks
+// linkBetween is the link from one member to another.
+func (f *Fleet) linkBetween(from, to int) *link.Link {
+	if f.disconnected[[2]int{from, to}] {
+		return &f.disconnectedLink
 	}
 	return f.links[f.zoneOf[from]][f.zoneOf[to]]
 }
@@ -124,7 +124,7 @@
 }
 
 func (f *Fleet) seeds() []netip.AddrPort {
-	zones := f.shape.SeedZones
+	zones := f.topology.SeedZones
 	if zones == nil {
 		zones = f.allZones()
 	}
@@ -161,7 +161,7 @@
 // Leave ends a process in the planned way.
 func (f *Fleet) Leave(i int) {
 	f.Stop(i)
-	f.After(leaveTime, func() { f.up[i] = false })
+	f.After(leaveDelay, func() { f.up[i] = false })
 }
 
 // SetPartition has nothing arrive from some zones at others, or all again.
@@ -175,28 +175,30 @@
 	}
 }
 
-// Sever has nothing arrive from some members at others.
-func (f *Fleet) Sever(from, to []int) {
+// Disconnect has nothing arrive from some members at others.
+func (f *Fleet) Disconnect(from, to []int) {
 	for _, a := range from {
 		for _, b := range to {
-			f.severed[[2]int{a, b}] = true
+			f.disconnected[[2]int{a, b}] = true
 		}
 	}
 }
 
-// Reconnect ends what Sever has done.
-func (f *Fleet) Reconnect() { clear(f.severed) }
+// Reconnect ends what Disconnect has done.
+func (f *Fleet) Reconnect() { clear(f.disconnected) }
 
-// In lists the zones of a region.
-func (f *Fleet) In(region int) []int { return f.zonesWhere(func(r int) bool { return r == region }) }
+// ZonesIn lists the zones of a region.
+func (f *Fleet) ZonesIn(region int) []int {
+	return f.zonesWhere(func(r int) bool { return r == region })
+}
 
-// Outside lists the zones that are not in a region.
-func (f *Fleet) Outside(region int) []int {
+// ZonesOutside lists the zones that are not in a region.
+func (f *Fleet) ZonesOutside(region int) []int {
 	return f.zonesWhere(func(r int) bool { return r != region })
 }
 
 func (f *Fleet) zonesWhere(inRegion func(region int) bool) []int {
-	return slices.DeleteFunc(f.allZones(), func(zone int) bool { return !inRegion(f.shape.Region[zone]) })
+	return slices.DeleteFunc(f.allZones(), func(zone int) bool { return !inRegion(f.topology.ZoneRegions[zone]) })
 }
 
 func (f *Fleet) allZones() []int {
@@ -237,7 +239,7 @@
 func indexes(contacts []zonedirectory.Contact) []int {
 	var members []int
 	for _, contact := range contacts {
-		members = append(members, simulation.Index(contact.Addr))
+		members = append(members, simulation.MemberIndex(contact.Addr))
 	}
 	return members
 }
@@ -247,8 +249,8 @@
 	return f.members[i].directory.Publish(simulation.Micros(f.Now().Microseconds()), name, value)
 }
 
-// For lets time pass.
-func (f *Fleet) For(d time.Duration) {
+// RunFor lets time pass.
+func (f *Fleet) RunFor(d time.Duration) {
 	until := f.Now() + d
 	for f.Now() < until {
 		next := min(until, f.Now()+sampleInterval)
@@ -257,11 +259,11 @@
 	}
 }
 
-// Until lets time pass until a condition holds, for limit at most, and returns how long that took.
-func (f *Fleet) Until(limit time.Duration, holds func() bool) time.Duration {
+// RunUntil lets time pass until a condition holds, for limit at most, and returns how long that took.
+func (f *Fleet) RunUntil(limit time.Duration, holds func() bool) time.Duration {
 	from := f.Now()
 	for !holds() && f.Now()-from < limit {
-		f.For(sampleInterval)
+		f.RunFor(sampleInterval)
 	}
 	return f.Now() - from
 }
--- a/lab/simulation/zoned/zoned_test.go
+++ b/lab/simulation/zoned/zoned_test.go
@@ -35,54 +35,55 @@
 	os.Exit(m.Run())
 }
 
-// play is a fleet that has joined, and what is checked of it.
-type play struct {
+// testRun is a fleet that has joined, and what is checked of it.
+type testRun struct {
 	*Fleet
 	t    *testing.T
 	seed uint64
 }
 
-// begin plays until all members have joined.
-func begin(t *testing.T, shape Shape, seed uint64) *play {
+// startFleet plays until all members have joined.
+func startFleet(t *testing.T, shape Topology, seed uint64) *testRun {
 	t.Helper()
-	p := &play{New(shape, seed, nil), t, seed}
-	p.For(1100 * time.Millisecond)
+	p := &testRun{New(shape, seed, nil), t, seed}
+	p.RunFor(1100 * time.Millisecond)
 	p.within(15*time.Second, "all count all after the start", p.AllReachable)
-	p.For(8 * time.Second)
-	p.Mark()
+	p.RunFor(8 * time.Second)
+	p.ResetCounts()
 	return p
 }
 
-func (p *play) errorf(format string, args ...any) {
+func (p *testRun) errorf(format string, args ...any) {
 	p.t.Helper()
 	p.t.Errorf("seed %d: %s", p.seed, fmt.Sprintf(format, args...))
 }
 
 // within fails where a condition does not hold in time.
-func (p *play) within(limit time.Duration, what string, holds func() bool) {
+func (p *testRun) within(limit time.Duration, what string, holds func() bool) {
 	p.t.Helper()
-	if took := p.Until(limit, holds); !holds() {
+	if took := p.RunUntil(limit, holds); !holds() {
 		p.errorf("not within %v: %s", took, what)
 	}
 }
 
 // checkBounds fails where a bound is broken that holds whatever happens; without changesAllowed, where any member has
 // considered a zone to be something else than before.
-func (p *play) checkBounds(changesAllowed bool) {
+func (p *testRun) checkBounds(changesAllowed bool) {
 	p.t.Helper()
-	if p.FalseDead > 0 || p.Flaps > 1 || p.Factor > membership.MaxBudgetExcess || !changesAllowed && p.Changes > 0 {
+	if p.FalseDead > 0 || p.Flaps > 1 || p.MaxBudgetSum > membership.MaxBudgetExcess ||
+		!changesAllowed && p.StateChanges > 0 {
 		p.errorf("%d falsely dead, %d flaps, %d changes of zones' states, sum of parts %.2f",
-			p.FalseDead, p.Flaps, p.Changes, p.Factor)
+			p.FalseDead, p.Flaps, p.StateChanges, p.MaxBudgetSum)
 	}
 }
 
 // count is the condition that all members of zones count so many live ones.
-func (p *play) count(zones []int, live int) func() bool {
-	return func() bool { return p.Count(zones, live, func(zonedirectory.Reachability) bool { return true }) }
+func (p *testRun) count(zones []int, live int) func() bool {
+	return func() bool { return p.AllCount(zones, live, func(zonedirectory.Reachability) bool { return true }) }
 }
 
 // mustPublish has a member publish a record.
-func (p *play) mustPublish(i int, name, value string) zonedirectory.Record {
+func (p *testRun) mustPublish(i int, name, value string) zonedirectory.Record {
 	p.t.Helper()
 	record, err := p.Publish(i, name, value)
 	if err != nil {
@@ -97,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds() {
-				c.run(begin(t, c.shape, seed))
+				c.run(startFleet(t, c.shape, seed))
 			}
 		})
 	}
@@ -106,10 +107,10 @@
 // The same seed brings the same events.
 func TestSameSeedSameEvents(t *testing.T) {
 	run := func(seed uint64) string {
-		f := New(small(), seed, nil)
-		f.For(12 * time.Second)
+		f := New(smallFleet(), seed, nil)
+		f.RunFor(12 * time.Second)
 		f.Crash(f.Zones[1]...)
-		f.For(8 * time.Second)
+		f.RunFor(8 * time.Second)
 		return f.Hash() + fmt.Sprint(f.bytes())
 	}
 	if a, b := run(7), run(7); a != b {
@@ -122,21 +123,21 @@
 
 // Planted faults break bounds: delegates that each member chooses by itself cost more than a fleet has at rest, and
 // summaries of which the last to arrive is kept make the count and the states go back and forth.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, fault := range Faults() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(5) {
-				f := New(small(), seed, fault)
-				f.For(16 * time.Second)
-				f.Mark()
-				f.For(10 * time.Second)
+				f := New(smallFleet(), seed, fault)
+				f.RunFor(16 * time.Second)
+				f.ResetCounts()
+				f.RunFor(10 * time.Second)
 				_, highest, _ := f.BytesPerS()
 				costly := highest > maxRestBytesPerS
 				f.Crash(f.Zones[1][2])
-				took := f.Until(countTime, f.AllReachable)
+				took := f.RunUntil(countTime, f.AllReachable)
 				t.Logf("seed %d: %.0f bytes a second, %v until all count the rest, %d issuers, %d flaps",
-					seed, highest, took, f.Issuers, f.Flaps)
+					seed, highest, took, f.IssuerChanges, f.Flaps)
 				if costly || took >= countTime {
 					return
 				}
@@ -149,21 +150,21 @@
 // A region that is partitioned for longer than zones are known is forgotten, by both sides, and found again by the
 // seeds.
 func TestForgottenAndFoundAgain(t *testing.T) {
-	p := begin(t, small(), 1)
-	in, out := p.In(0), p.Outside(0)
+	p := startFleet(t, smallFleet(), 1)
+	in, out := p.ZonesIn(0), p.ZonesOutside(0)
 	p.SetPartition(in, out, true)
 	p.SetPartition(out, in, true)
-	p.For(640 * time.Second)
+	p.RunFor(640 * time.Second)
 	p.within(
 		0,
 		"both sides have forgotten the other",
-		func() bool { return p.Hold(in, out, 0) && p.Hold(out, in, 0) },
+		func() bool { return p.AllSee(in, out, 0) && p.AllSee(out, in, 0) },
 	)
-	p.Mark()
+	p.ResetCounts()
 	p.SetPartition(in, out, false)
 	p.SetPartition(out, in, false)
 	p.within(15*time.Second, "all count all again", p.AllReachable)
-	p.For(20 * time.Second)
+	p.RunFor(20 * time.Second)
 	p.within(0, "all count all", p.AllReachable)
 	p.checkBounds(true)
 }
