--- a/lab/barrier/barrier.go
+++ b/lab/barrier/barrier.go
@@ -1,15 +1,15 @@
-// Package barrier suspends goroutines: those that pass a shut barrier wait until it is opened.
+// Package barrier suspends goroutines: those that reach a closed Barrier wait until it is opened.
 package barrier
 
 import "sync"
 
-// Barrier is open until it is shut. The zero Barrier is open. It may be used from several goroutines.
+// Barrier is open or closed. The zero Barrier is open. Its methods may be called from any goroutine.
 type Barrier struct {
 	mu   sync.Mutex
-	open chan struct{} // closed while the barrier is open; nil if it has never been shut
+	open chan struct{} // a closed channel while the barrier is open; nil if the barrier was never closed
 }
 
-// Close makes Pass wait from now on.
+// Close closes the barrier: calls of Wait block from now on. It does nothing for a closed barrier.
 func (b *Barrier) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -20,11 +20,11 @@
 	select {
 	case <-b.open:
 		b.open = make(chan struct{})
-	default: // shut already
+	default: // already closed
 	}
 }
 
-// Open ends all waits.
+// Open opens the barrier, and ends all waits. It does nothing for an open barrier.
 func (b *Barrier) Open() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,13 +32,13 @@
 		return
 	}
 	select {
-	case <-b.open: // open already
+	case <-b.open: // already open
 	default:
 		close(b.open)
 	}
 }
 
-// Wait waits while the barrier is shut.
+// Wait blocks until the barrier is open; it returns at once if it is.
 func (b *Barrier) Wait() {
 	b.mu.Lock()
 	open := b.open
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,6 +1,7 @@
-// Package faultproxy is a proxy for datagrams between processes, with a lab/link for each ordered pair: each
-// direction fails by itself. It loses, delays, duplicates, reorders, corrupts and partitions, and replays what it has
-// recorded. It knows addresses and bytes, and must not know what they mean.
+// Package faultproxy is a proxy for datagrams between processes. Proxy has a lab/link for each ordered pair of
+// processes, so that the two directions between two processes fail independently. It loses, delays, duplicates,
+// reorders and corrupts datagrams, partitions links, and replays recorded datagrams. It must not interpret the
+// datagrams.
 package faultproxy
 
 import (
@@ -17,27 +18,27 @@
 )
 
 const (
-	// maxRecorded datagrams of a link are recorded for Replay.
+	// maxRecorded is the number of datagrams that are recorded of each link.
 	maxRecorded = 256
-	// maxDatagram bytes of a datagram are forwarded.
+	// maxDatagram is the size of the receive buffer, in bytes; longer datagrams are truncated.
 	maxDatagram = 2048
 	// linkStream selects the random sequence of the links; other users of the seed select others.
 	linkStream = 0x637574
 )
 
-// Proxy has the links between some processes, which are numbered by their addresses. Its methods may be called from
-// any goroutine.
+// Proxy forwards datagrams between processes, which are numbered in the order of their addresses. Its methods may be
+// called from any goroutine.
 type Proxy struct {
-	addrs []netip.AddrPort // where each process receives datagrams
-	links [][]*proxyLink   // by sender and receiver; nil from a process to itself
+	addrs []netip.AddrPort // by process: where it receives datagrams
+	links [][]*proxyLink   // by sender and receiver; nil for the same process
 	wg    sync.WaitGroup
 
-	mu        sync.Mutex // of the links' state, too
+	mu        sync.Mutex // also guards the state of links
 	rng       *rand.Rand
 	recording bool
 }
 
-// proxyLink is the link from one process to another, and the socket at which the first reaches the second.
+// proxyLink is the link from one process to another. The sender reaches the receiver at the address of its socket.
 type proxyLink struct {
 	link.Link
 	from, to       int
@@ -47,8 +48,8 @@
 	deliveredBytes int64 // of the datagrams that were not lost
 }
 
-// New makes links between processes that will receive datagrams at these addresses. The seed is that of the links'
-// random draws.
+// New returns a proxy between processes that receive datagrams at the given addresses. The processes need not run yet.
+// seed is that of the links' random source.
 func New(addrs []netip.AddrPort, seed uint64) (*Proxy, error) {
 	p := &Proxy{addrs: addrs, rng: rand.New(rand.NewPCG(seed, linkStream))}
 	for from := range addrs {
@@ -65,7 +66,8 @@
 	return p, nil
 }
 
-// listenFrom opens the sockets at which one process reaches the others. After an error it has those that were opened.
+// listenFrom opens the sockets at which one process reaches the others. It returns those that it has opened also with
+// an error.
 func (p *Proxy) listenFrom(from int) ([]*proxyLink, error) {
 	row := make([]*proxyLink, len(p.addrs))
 	for to := range p.addrs {
@@ -81,7 +83,7 @@
 	return row, nil
 }
 
-// forEachLink calls a function with each link, by senders and then receivers.
+// forEachLink calls a function for each link, in the order of senders, then receivers.
 func (p *Proxy) forEachLink(do func(l *proxyLink)) {
 	for _, row := range p.links {
 		for _, l := range row {
@@ -92,13 +94,13 @@
 	}
 }
 
-// LinkAddr is the address at which one process reaches another.
+// LinkAddr returns the address at which one process reaches another through the proxy.
 func (p *Proxy) LinkAddr(from, to int) netip.AddrPort {
 	return p.links[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// forward forwards what comes to a link's socket until it is closed: from the link's sender, and the answers of its
-// receiver, which are sent over the opposite link.
+// forward forwards the datagrams that a link's socket receives, until it is closed. Datagrams from the link's receiver
+// are answers, and are sent over the opposite link.
 func (p *Proxy) forward(l *proxyLink) {
 	defer p.wg.Done()
 	buf := make([]byte, maxDatagram)
@@ -116,7 +118,8 @@
 	}
 }
 
-// transmit sends a datagram from a socket to the receiver of a link, as the link's state has it.
+// transmit sends a datagram to the receiver of a link, with the faults that the link draws. The source is conn's
+// address.
 func (p *Proxy) transmit(conn *net.UDPConn, l *proxyLink, datagram []byte) {
 	p.mu.Lock()
 	l.sentBytes += int64(len(datagram))
@@ -130,7 +133,7 @@
 	l.Corrupt(p.rng, datagram)
 	l.deliveredBytes += int64(len(waits) * len(datagram))
 	p.mu.Unlock()
-	// A datagram to a process that does not run is lost, as in any network.
+	// Errors are ignored: a datagram to a process that does not run is lost, as in any network.
 	send := func() { _, _ = conn.WriteToUDPAddrPort(datagram, p.addrs[l.to]) }
 	for _, wait := range waits {
 		if wait == 0 {
@@ -141,7 +144,7 @@
 	}
 }
 
-// UpdateLinks changes the links from some processes to others, one way.
+// UpdateLinks applies a change to the links from some processes to others, in this direction only.
 func (p *Proxy) UpdateLinks(from, to []int, change func(*link.Link)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,14 +157,14 @@
 	}
 }
 
-// Heal resets all links: they lose and delay nothing.
+// Heal resets all links: they neither lose nor delay datagrams.
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forEachLink(func(l *proxyLink) { l.Link = link.Link{} })
 }
 
-// Partitioned lists the links that are partitioned, as from and to.
+// Partitioned returns the links that are partitioned, as pairs of sender and receiver.
 func (p *Proxy) Partitioned() map[[2]int]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,15 +177,14 @@
 	return partitioned
 }
 
-// SetRecording begins to record datagrams, or ends it.
+// SetRecording sets whether datagrams are recorded for Replay.
 func (p *Proxy) SetRecording(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recording = on
 }
 
-// Replay sends all recorded datagrams again to their receivers, without loss or delay, and returns how many these
-// were.
+// Replay sends all recorded datagrams to their receivers again, without loss or delay, and returns their number.
 func (p *Proxy) Replay() (count int) {
 	p.mu.Lock()
 	recorded := map[*proxyLink][][]byte{}
@@ -197,7 +199,7 @@
 	return count
 }
 
-// SentBytes is what each process has sent so far.
+// SentBytes returns the number of bytes that each process has sent.
 func (p *Proxy) SentBytes() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,7 +208,7 @@
 	return sent
 }
 
-// DeliveredBytes is what was delivered to each process so far.
+// DeliveredBytes returns the number of bytes of the datagrams to each process that were not lost.
 func (p *Proxy) DeliveredBytes() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +217,7 @@
 	return delivered
 }
 
-// Close ends all links, and waits until nothing is forwarded any more.
+// Close closes the sockets of all links, and waits for the goroutines that forward datagrams.
 func (p *Proxy) Close() error {
 	var errs []error
 	p.forEachLink(func(l *proxyLink) { errs = append(errs, l.conn.Close()) })
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -1,6 +1,6 @@
-// Package link models one direction of a network link between two processes, and draws what becomes of each message
-// that is sent over it. It is the same for real datagrams (lab/faultproxy) and in virtual time (lab/simulation), and
-// must not know which of them it serves.
+// Package link models one direction of a network link between two processes. A Link has probabilities of faults, and
+// draws the loss, delay, duplication and corruption of each message. The model is the same for real datagrams
+// (lab/faultproxy) and in virtual time (lab/simulation); this package must not depend on either.
 package link
 
 import (
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Link is the state of one direction. A zero Link loses and delays nothing. It belongs to one goroutine at a time.
+// Link is one direction of a link. The zero Link neither loses nor delays messages. It must not be used from several
+// goroutines at once.
 type Link struct {
-	Partitioned bool          // it loses everything
-	Loss        float64       // part of all messages that is lost, from 0 to 1
-	Burst       float64       // mean number of messages that are lost in a row; up to 1: losses are independent
-	Delay       time.Duration // least time that a message takes
-	Jitter      time.Duration // up to which each message takes longer, so that messages overtake one another
-	Duplicated  float64       // part of the messages that comes twice, from 0 to 1
-	Corrupted   float64       // part of the messages of which a byte is changed, from 0 to 1
+	Partitioned bool          // all messages are lost
+	Loss        float64       // fraction of messages that are lost, from 0 to 1
+	Burst       float64       // mean number of messages that are lost in a row; up to 1, losses are independent
+	Delay       time.Duration // minimum delay of a message
+	Jitter      time.Duration // bound of each message's random additional delay, which reorders messages
+	Duplicated  float64       // fraction of messages that arrive twice, from 0 to 1
+	Corrupted   float64       // fraction of messages in which one byte is changed, from 0 to 1
 
-	losing bool // the present state of losses in a row
+	losing bool // the state of the Gilbert model, see loses
 }
 
-// DrawCopies draws how often the next message comes: not at all, once or twice.
+// DrawCopies draws how many copies of the next message arrive: 0, 1 or 2.
 func (l *Link) DrawCopies(rng *rand.Rand) int {
 	if l.loses(rng) {
 		return 0
@@ -32,8 +33,8 @@
 	return 1
 }
 
-// loses draws whether the next message is lost. Losses in a row are those of a Gilbert model: each message in the
-// losing state is lost, and that state is left with probability 1/Burst.
+// loses draws whether the next message is lost. Bursts of losses follow a Gilbert model: all messages in the losing
+// state are lost, and each message leaves that state with probability 1/Burst.
 func (l *Link) loses(rng *rand.Rand) bool {
 	if l.Partitioned {
 		return true
@@ -50,7 +51,7 @@
 	return l.losing
 }
 
-// DrawDelay draws how long a message takes.
+// DrawDelay draws the delay of a message.
 func (l *Link) DrawDelay(rng *rand.Rand) time.Duration {
 	if l.Jitter <= 0 {
 		return l.Delay
@@ -58,7 +59,7 @@
 	return l.Delay + time.Duration(rng.Int64N(int64(l.Jitter)))
 }
 
-// Corrupt draws whether a byte of a message is changed, and which, and changes it in place.
+// Corrupt draws whether a byte of a message is corrupted, and changes a random byte in place.
 func (l *Link) Corrupt(rng *rand.Rand, message []byte) {
 	if l.Corrupted > 0 && len(message) > 0 && rng.Float64() < l.Corrupted {
 		message[rng.IntN(len(message))] ^= byte(1 + rng.IntN(255))
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -17,25 +17,26 @@
 
 const (
 	costRounds    = 10
-	costRoundTime = 2 * time.Second // of each measurement of a round
-	costConns     = 32              // over which lines are echoed
-	costClients   = 16              // that set connections up
-	// costNodes are so many that a balancer's rate of filling each does not bound what is measured.
+	costRoundTime = 2 * time.Second // duration of each measurement in a round
+	costConns     = 32              // connections that echo lines
+	costClients   = 16              // clients that set up connections
+	// costNodes is so large that the balancer's limit of set-ups per server does not bound the measured rate.
 	costNodes = 150
-	// costSockets is the balancers' socket limit.
+	// costSockets is the socket limit in the balancers' configuration.
 	costSockets = 4096
 	idleTime    = 10 * time.Second
 	bytesPerMiB = 1 << 20
 )
 
-// Indexes of what is compared.
+// Indexes of the two compared variants.
 const (
 	withoutMembership = iota
 	withMembership
 	variants
 )
 
-// runCost measures one balancer with membership on, in a fleet, beside one with it off, by turns.
+// runCost measures the cost of membership: it compares a balancer that is a member of a fleet with one that has
+// membership off, in alternating measurements.
 func (r *run) runCost(ctx context.Context) error {
 	known, stop, err := startEchoServers()
 	defer stop()
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// startEchoServers starts servers that echo lines, and lists them as discovery does. stop closes those that were
-// started, also after an error.
+// startEchoServers starts servers that echo lines, and returns their list in the format of discovery. stop closes the
+// started servers; it must be called even after an error.
 func startEchoServers() (known []any, stop func(), err error) {
 	var open []net.Listener
 	stop = func() {
@@ -117,7 +118,8 @@
 	return f, nil
 }
 
-// measureIdle adds the resident memory of both, and the processor time that membership has used.
+// measureIdle adds the resident memory of both balancers to the report, and the CPU time that the one with membership
+// has used.
 func (r *run) measureIdle(measured [variants]*procs.Proc) {
 	without := deployment.Resident(measured[withoutMembership].Pid()) / bytesPerMiB
 	with := deployment.Resident(measured[withMembership].Pid()) / bytesPerMiB
@@ -129,14 +131,14 @@
 	figures["idle_mb_more"] = with - without
 }
 
-// throughput is what was measured in each round, by variant.
+// throughput has the measurements of each round, by variant.
 type throughput struct {
 	lines  [variants][]float64 // per second
-	byCPU  [variants][]float64 // lines per second of processor time
+	byCPU  [variants][]float64 // lines per second of CPU time
 	setUps [variants][]float64 // per second
 }
 
-// measure adds a round of one variant.
+// measure adds the measurements of one variant in a round.
 func (t *throughput) measure(variant int, p *procs.Proc) error {
 	lines, err := loadgen.Lines(p.Listen, p.Pid(), costConns, costRoundTime, false)
 	if err != nil {
@@ -152,7 +154,8 @@
 	return nil
 }
 
-// addTo adds medians, and the median of the rounds' ratios: a machine that changes its speed changes both of a round.
+// addTo adds the medians of the measurements, and the median of the ratios of the two variants in each round, to the
+// report. The ratio of a round is robust against changes of the machine's speed, which affect both variants.
 func (t *throughput) addTo(r *report.Report) {
 	for name, values := range map[string][variants][]float64{
 		"lines_per_s":     t.lines,
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -1,6 +1,6 @@
-// Package members runs named trials of membership on real processes of the balancer. A trial's XML file gives the
-// number of processes, the script of faults and the bounds; Find reads it, and Run returns a report. Faults and the
-// checker are those of lab/scenario; the package must not know how members exchange what they know.
+// Package members runs named trials of membership on real processes of the balancer. The XML file of a Trial has the
+// number of processes, the script of faults and the bounds; Find reads it, and Run returns a report. Most scripts, and
+// the checker, are those of lab/scenario. The package must not depend on the protocol between members.
 package members
 
 import (
@@ -24,24 +24,24 @@
 //go:embed *.xml
 var files embed.FS
 
-// document is the form of a trial's file.
+// document describes the format of a trial's file.
 func document() xmlconfig.Document {
 	return xmlconfig.Document{Root: "trial", Namespace: "urn:spurspread:trial:1"}
 }
 
-// Trial is one trial's file.
+// Trial is the content of a trial's file.
 type Trial struct {
 	Name      xmlconfig.Name    `xml:"name,attr" use:"required"`
 	About     xmlconfig.Text    `xml:"about,attr" use:"required" doc:"what it shows, in one line"`
 	Script    string            `xml:"script,attr" use:"required" enum:"pause,loss,one-sided,split,storm,quiet,weak,tired,return,rates,cost,fleet" doc:"what is done, see lab/scenario"`
 	Processes int               `xml:"processes,attr" default:"16" min:"3" max:"40"`
-	Seeds     int               `xml:"seeds,attr" default:"3" min:"1" max:"40" doc:"how many of them all others are told of at their start"`
+	Seeds     int               `xml:"seeds,attr" default:"3" min:"1" max:"40" doc:"how many of them are the seeds of all others"`
 	Bounds    experiment.Bounds `xml:"bounds"`
 }
 
 // Names returns the names of the embedded trials, sorted.
 func Names() (names []string) {
-	entries, _ := files.ReadDir(".") // embedded: it can be read
+	entries, _ := files.ReadDir(".") // can't fail: the directory is embedded
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".xml"))
 	}
@@ -49,31 +49,31 @@
 	return names
 }
 
-// ErrUnknown is the error of Find for a name that no embedded trial has.
-var ErrUnknown = errors.New("there is no trial")
+// ErrUnknown means that no embedded trial has the requested name.
+var ErrUnknown = errors.New("unknown trial")
 
-// Find returns the embedded trial of that name. A name that is not there gives ErrUnknown.
+// Find returns the embedded trial of that name. If there is none, the error wraps ErrUnknown.
 func Find(name string) (*Trial, error) {
 	text, err := files.ReadFile(name + ".xml")
 	if err != nil {
-		return nil, fmt.Errorf("%w %q; there are %s", ErrUnknown, name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w %q, expected one of %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
 	t := &Trial{}
 	return t, xmlconfig.Read(name+".xml", text, document(), t)
 }
 
-// joinTimeout bounds how long members may take to find each other.
+// joinTimeout bounds the time in which all members must find each other.
 const joinTimeout = time.Minute
 
-// run is one run of a trial.
+// run is the state of one run of a trial.
 type run struct {
 	trial   *Trial
 	options experiment.Options
-	dir     string // of the processes' files
+	dir     string // directory of the processes' files
 	report  *report.Report
 }
 
-// Run runs the trial. An error means that it could not be run; bounds that were broken are in the report.
+// Run runs the trial. An error means that it could not be run to its end. Broken bounds are part of the report.
 func (t *Trial) Run(ctx context.Context, o experiment.Options) (*report.Report, error) {
 	dir, err := os.MkdirTemp("", "spurspread-lab")
 	if err != nil {
@@ -100,7 +100,7 @@
 	return r.report, nil
 }
 
-// runTrial runs the trial's script: one of this package, or one of lab/scenario.
+// runTrial runs the trial's script, which is one of this package or of lab/scenario.
 func (r *run) runTrial(ctx context.Context) error {
 	switch r.trial.Script {
 	case "rates":
@@ -120,23 +120,23 @@
 	}
 }
 
-// newFleet prepares the trial's processes.
+// newFleet prepares the trial's processes, which are not started.
 func (r *run) newFleet(dir string) (*procs.Fleet, error) {
 	return procs.New(r.options.Program, dir, r.trial.Processes, r.trial.Seeds, r.options.Seed)
 }
 
-// awaitJoined waits until all members have found each other, or the context is done.
+// awaitJoined waits until all members have found each other. It returns nil early if the context is done.
 func awaitJoined(ctx context.Context, f *procs.Fleet, all []int) error {
-	return procs.Await(joinTimeout, "all find each other", func() bool {
+	return procs.Await(joinTimeout, "all members find each other", func() bool {
 		return ctx.Err() != nil || f.Converged(all)
 	})
 }
 
-// runScript runs one of lab/scenario's scripts.
+// runScript runs a script of lab/scenario, and adds its figures to the report.
 func (r *run) runScript(ctx context.Context) error {
 	script, ok := scenario.Find(r.trial.Script)
 	if !ok {
-		return fmt.Errorf("no scenario %q", r.trial.Script)
+		return fmt.Errorf("unknown scenario %q", r.trial.Script)
 	}
 	f, err := r.newFleet(r.dir)
 	if err != nil {
@@ -153,7 +153,7 @@
 	if err := awaitJoined(ctx, f, t.All()); err != nil {
 		return err
 	}
-	// What members reported while they joined is not judged.
+	// Discard what members have reported while they joined: the checker must not see it.
 	if err := s.Run(s.Now()); err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// addResult adds the figures of a script's result, and the chart of its detection times.
+// addResult adds the figures of a script's result and a chart of its detection times to the report.
 func (r *run) addResult(result *scenario.Result) {
 	for _, f := range result.Figures() {
 		r.report.Figures[f.Name] = f.Measured
@@ -184,7 +184,7 @@
 	r.report.Figures["crashes_seen"] = float64(len(detections))
 	r.report.Charts = []report.Chart{{
 		Name:   "seen",
-		Title:  string(r.trial.Name) + ": from a crash until a member holds it dead",
+		Title:  string(r.trial.Name) + ": time from a crash to its detection by a member",
 		X:      "members and crashes, %",
 		Y:      "ms",
 		Series: []report.Series{report.Percentiles("seen", detections)},
--- a/lab/members/node.go
+++ b/lab/members/node.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// node is an emulated server. It records when connections are set up, and when it is probed, with or without a report
-// of its load.
+// node is a stand-in server. It records the times at which connections are set up, and at which it is probed, whether
+// or not the probe asks for a load report.
 type node struct {
 	listener net.Listener
 
@@ -20,7 +20,7 @@
 	connections int
 }
 
-// startNode starts a node on a port of its own.
+// startNode starts a node on a free loopback port.
 func startNode() (*node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// instance is a server's entry as discovery writes it; started is the zero time for long ago.
+// instance returns a server's entry in the format of discovery. The zero time for started means long ago.
 func instance(i int, addr net.Addr, started time.Time) any {
 	startedMillis := int64(0)
 	if !started.IsZero() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// serve answers probes until an OPEN, and then echoes lines until the connection ends.
+// serve answers probes until it receives OPEN, and from then on echoes lines until the connection ends.
 func (n *node) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -76,14 +76,14 @@
 			switch word {
 			case "OPEN":
 				established = true
-				n.setUp()
-				defer n.ended()
+				n.recordSetUp()
+				defer n.recordEnd()
 				answer = "UP 1\r\n"
 			case "PING":
-				n.probed()
+				n.recordProbe()
 				answer = "PONG\r\n"
 			case "STATS":
-				answer = fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f\r\n", float64(n.probed())/connectionsPerLoad)
+				answer = fmt.Sprintf("PONG queue=0,qps=0,x0=%.3f\r\n", float64(n.recordProbe())/connectionsPerLoad)
 			}
 		}
 		if _, err := conn.Write([]byte(answer)); err != nil {
@@ -92,38 +92,38 @@
 	}
 }
 
-// connectionsPerLoad is how many connections a node reports as a load of 1.
+// connectionsPerLoad is the number of connections at which a node reports a load of 1.
 const connectionsPerLoad = 100
 
-func (n *node) setUp() {
+func (n *node) recordSetUp() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.setUps = append(n.setUps, time.Now())
 	n.connections++
 }
 
-func (n *node) ended() {
+func (n *node) recordEnd() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.connections--
 }
 
-// probed records a probe, and returns the number of established connections.
-func (n *node) probed() (connections int) {
+// recordProbe records a probe, and returns the number of established connections.
+func (n *node) recordProbe() (connections int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.probes = append(n.probes, time.Now())
 	return n.connections
 }
 
-// setUpsBetween counts the connections that were set up in the half-open span.
+// setUpsBetween returns the number of connections that were set up in the half-open interval [from, to).
 func (n *node) setUpsBetween(from, to time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return countBetween(n.setUps, from, to)
 }
 
-// probesBetween counts the probes in the half-open span.
+// probesBetween returns the number of probes in the half-open interval [from, to).
 func (n *node) probesBetween(from, to time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -17,15 +17,15 @@
 	"spurspread/lab/report"
 )
 
-// The emulated servers: some warm ones, and one that warms so slowly that it is cold for the whole of the trial.
+// The stand-in servers: some warm ones, and one that warms up so slowly that it stays cold during the whole trial.
 const (
 	warmNodes       = 3
-	warmUpTime      = 100 * time.Second // until it is warm
-	initialCapacity = 0.13              // its part of a warm server's capacity at its start
-	coldFactor      = 3.0               // how many times the members' budget of one server it may get
+	warmUpTime      = 100 * time.Second // from the cold server's start until it is warm
+	initialCapacity = 0.13              // the cold server's capacity at its start, as a fraction of a warm one's
+	coldFactor      = 3.0               // multiple of the members' budget of one server that the cold one may get
 )
 
-// The budget of a cold server from the members of its zone, all of them together: decision/slowstart.
+// The budget of set-ups to a cold server, for all members of its zone together; see decision/slowstart.
 const (
 	budgetRate  = 3.8 // set-ups per second
 	budgetShare = 0.6
@@ -33,13 +33,14 @@
 
 const (
 	clientCount    = 60
-	clientLifetime = time.Second // of a connection
+	clientLifetime = time.Second // how long a client holds a connection
 	clientMaxPause = 200 * time.Millisecond
-	// openTimeout bounds a client's wait for its answer: its deadline of 1.2 s, and the delay by a paused member.
+	// openTimeout bounds a client's wait for its answer: its deadline of 1.2 s, plus the delay by a paused member.
 	openTimeout = 3 * time.Second
-	// phaseTime is the time before the faults, half of the time with them, and the time after them.
+	// phaseTime is the duration of the phases before and after the faults. The faults last for 2*phaseTime.
 	phaseTime = 20 * time.Second
-	// countWindow is the span over which set-ups are compared with the budget: over a shorter one chance decides.
+	// countWindow is the window over which set-ups are compared with the budget. In a shorter one random variation
+	// would dominate.
 	countWindow     = 10 * time.Second
 	countWindowStep = time.Second
 	dirMode         = 0o700
@@ -47,16 +48,17 @@
 	faultStream = 0x7261746573
 )
 
-// Members that fail; with those that are partitioned they are the first of a random order.
+// Numbers of members that are killed, paused and partitioned. They are chosen at random.
 const (
 	killedMembers      = 4
 	pausedMembers      = 4
 	partitionedMembers = 2
 )
 
-// runRates has clients open more connections than a fleet's warm nodes take, while members are killed, paused and
-// partitioned, and compares what a cold node gets from all members with the fleet's budget. It does so with members
-// that know of each other, and with members that don't.
+// runRates checks that the members of a fleet keep their common budgets under faults. Clients open more connections
+// than the warm nodes accept, while members are killed, paused and partitioned; the set-ups to a cold node, by all
+// members together, are compared with the fleet's budget. It runs once with members that know of each other, and once
+// without membership.
 func (r *run) runRates(ctx context.Context) error {
 	for _, pass := range []struct {
 		prefix            string
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// runRatesPass runs the faults once, and adds figures whose names begin with the prefix.
+// runRatesPass runs the faults once, and adds figures to the report whose names begin with the prefix.
 func (r *run) runRatesPass(ctx context.Context, dir, prefix string, withoutMembership bool) error {
 	f, err := r.newFleet(dir)
 	if err != nil {
@@ -105,7 +107,7 @@
 	}
 	stop, served := startClients(f, r.options.Seed)
 	defer stop()
-	r.log("%d members serve", r.trial.Processes)
+	r.log("%d members serve clients", r.trial.Processes)
 	at := r.injectFaults(ctx, f, all)
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// ratesConfig changes a member's configuration: the fleet's size for members that know no other, the warming of cold
-// servers, and probes that report load.
+// ratesConfig changes a member's configuration for runRates. The number of balancers is 1, which is what a member that
+// knows no other assumes; cold servers warm up within warmUpTime; and probes ask for load reports.
 func ratesConfig(_ int, config map[string]any) {
 	settings := config["settings"].(map[string]any)
 	settings["balancers"] = 1
@@ -125,10 +127,11 @@
 	settings["fees"] = map[string]any{"probe": 0.004}
 }
 
-// phases are when clients began, when the faults did, and when it was over.
+// phases has the times at which the clients began, the faults began, and the run ended.
 type phases struct{ begin, faults, end time.Time }
 
-// injectFaults kills, pauses and partitions some of the members, drawn from the seed, and heals what can be healed.
+// injectFaults kills, pauses and partitions random members, chosen by the seed. Two phases later it resumes the paused
+// members and heals the links.
 func (r *run) injectFaults(ctx context.Context, f *procs.Fleet, all []int) (at phases) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, faultStream))
 	at.begin = time.Now()
@@ -137,7 +140,7 @@
 	killed := all[:killedMembers]
 	paused := all[killedMembers : killedMembers+pausedMembers]
 	partitioned := all[killedMembers+pausedMembers : killedMembers+pausedMembers+partitionedMembers]
-	r.log("killed %v, paused %v, heard by nobody any more %v", killed, paused, partitioned)
+	r.log("killed %v, paused %v, all datagrams from %v are lost", killed, paused, partitioned)
 	at.faults = time.Now()
 	for _, i := range killed {
 		f.Procs[i].Kill()
@@ -147,7 +150,7 @@
 	}
 	f.Proxy.UpdateLinks(partitioned, all, func(l *link.Link) { l.Partitioned = true })
 	sleep(ctx, 2*phaseTime)
-	r.log("paused members go on, links are good again")
+	r.log("paused members resume, links are good again")
 	for _, i := range paused {
 		f.Procs[i].Continue()
 	}
@@ -157,13 +160,13 @@
 	return at
 }
 
-// servers are the emulated servers; the last one is cold.
+// servers is the set of stand-in servers; the last one is cold.
 type servers struct {
 	nodes       []*node
 	coldStarted time.Time
 }
 
-// startServers starts them all. After an error none is left.
+// startServers starts all servers. If it returns an error, none is left running.
 func startServers(coldStarted time.Time) (*servers, error) {
 	s := &servers{coldStarted: coldStarted}
 	for range warmNodes + 1 {
@@ -177,7 +180,7 @@
 	return s, nil
 }
 
-// discoveryList lists them as discovery does: the warm ones started long ago.
+// discoveryList returns the server list in the format of discovery. The warm servers have started long ago.
 func (s *servers) discoveryList() (list []any) {
 	for i, n := range s.nodes {
 		started := time.Time{}
@@ -195,7 +198,8 @@
 	}
 }
 
-// addFigures adds what the servers got, and what part of its budget the cold one got.
+// addFigures adds the set-ups and probes of the servers to the report, and their ratio to the budget: for the set-ups
+// to the cold server the maximum over all windows of countWindow, and for probes the rate with faults over that before.
 func (s *servers) addFigures(r *report.Report, prefix string, at phases) {
 	cold := s.nodes[warmNodes]
 	overBudget := 0.0
@@ -214,7 +218,7 @@
 	}
 }
 
-// probesPerSecond is the rate of probes at all servers together.
+// probesPerSecond returns the rate of probes of all servers together.
 func (s *servers) probesPerSecond(from, to time.Time) float64 {
 	sum := 0
 	for _, n := range s.nodes {
@@ -223,8 +227,8 @@
 	return float64(sum) / to.Sub(from).Seconds()
 }
 
-// setUpBudget is how many set-ups the fleet's budget has for the cold node in a span that begins at some time after
-// the node's start.
+// setUpBudget returns the fleet's budget of set-ups to the cold node in a window of length span. from is the time
+// between the node's start and the beginning of the window.
 func setUpBudget(from, span time.Duration) float64 {
 	const step = 100 * time.Millisecond
 	sum := 0.0
@@ -235,7 +239,7 @@
 	return sum
 }
 
-// sleep waits for a time, or until the context is done.
+// sleep waits for d, or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -243,8 +247,9 @@
 	}
 }
 
-// startClients has clients open a connection, hold it for a while and open the next, each time at the next balancer
-// that runs. stop ends them, and served counts the connections that were established.
+// startClients starts clients that open connections one after another, hold each for clientLifetime, and pause for a
+// random time in between. All clients together use the running balancers in turn. stop ends the clients, and served
+// counts the established connections.
 func startClients(f *procs.Fleet, seed uint64) (stop func(), served *atomic.Int64) {
 	served = &atomic.Int64{}
 	var nextProc, lastID atomic.Int64
--- a/lab/members/virtual.go
+++ b/lab/members/virtual.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// virtualSeeds members are the seeds of all in virtual time.
+	// virtualSeeds is the number of members, the first ones, that are the seeds of a virtual fleet.
 	virtualSeeds = 3
-	// The algorithms are compared in fleets of chartMembers, on chartSeeds seeds each.
+	// Algorithms are compared in fleets of chartMembers members, with chartSeeds random seeds each.
 	chartMembers = 30
 	chartSeeds   = 6
-	// pausesPerScript is how many members scenario.SinglePauses pauses.
+	// pausesPerScript is the number of members that scenario.SinglePauses pauses.
 	pausesPerScript = 6
-	// detectionQuantile of detections is drawn and logged.
+	// detectionQuantile is the quantile of detection times that is charted and logged.
 	detectionQuantile = 0.99
 )
 
-// fleetSizes are the numbers of members in virtual time, the smallest first.
+// fleetSizes returns the numbers of members of the virtual fleets, the smallest first.
 func fleetSizes() []int { return []int{30, 100, 300, 1000} }
 
-// fleetScripts are the scripts that each of them runs.
+// fleetScripts returns the scripts that a fleet of each size runs.
 func fleetScripts() []string { return []string{"quiet", "loss", "pause"} }
 
-// runVirtualFleets runs scripts in virtual time, with the same bounds for any number of members, and compares the
-// project's algorithm with others.
+// runVirtualFleets runs scripts in virtual time with fleets of several sizes, under the same bounds. It also adds
+// charts that compare the balancer's membership with other algorithms.
 func (r *run) runVirtualFleets(ctx context.Context) error {
 	worst := map[string]float64{}
 	sizes := fleetSizes()
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// runFleetScripts runs each of fleetScripts once with so many members, all at the same time.
+// runFleetScripts runs all fleetScripts once, concurrently, each on a separate fleet with this number of members.
 func runFleetScripts(members int, seed uint64) ([]*scenario.Result, error) {
 	scripts := fleetScripts()
 	results := make([]*scenario.Result, len(scripts))
@@ -71,9 +71,9 @@
 	return results, group.Wait()
 }
 
-// addVirtualResult logs and adds the figures of one script, and keeps the worst of each figure.
+// addVirtualResult logs the figures of one script, adds them to the report, and updates the worst of each figure.
 func (r *run) addVirtualResult(result *scenario.Result, worst map[string]float64) {
-	r.log("%d members, %s: %.0f bytes a second, crashes seen after %.2f s, views differ for %.2f s",
+	r.log("%d members, %s: %.0f bytes/s per member, crashes detected within %.2f s, views differ for %.2f s",
 		result.Members, result.Scenario, result.BytesPerS,
 		result.DetectionQuantile(detectionQuantile).Seconds(), result.Divergence.Seconds())
 	for _, f := range result.Figures() {
@@ -85,7 +85,7 @@
 func (r *run) compareByLoss() report.Chart {
 	return r.compareAlgorithms(comparison{
 		name:   "by-loss",
-		title:  "from a crash until a member holds it dead, 99 of 100",
+		title:  "time from a crash to its detection, 99th percentile",
 		x:      "messages lost, %",
 		y:      "s",
 		values: []float64{0, 5, 10, 20, 30},
@@ -99,9 +99,9 @@
 func (r *run) compareByPause() report.Chart {
 	return r.compareAlgorithms(comparison{
 		name:   "by-pause",
-		title:  "members held dead for a pause",
+		title:  "members declared dead because of a pause",
 		x:      "pause, s",
-		y:      "observers for each pause",
+		y:      "observers per pause",
 		values: []float64{0.5, 1, 2, 3, 4, 6},
 		script: func(seconds float64) scenario.Script {
 			return scenario.SinglePauses(time.Duration(seconds * float64(time.Second)))
@@ -110,7 +110,8 @@
 	})
 }
 
-// comparison is a chart of what algorithms reach with a script, for each value of the script's parameter.
+// comparison describes a chart that compares algorithms by one measured value of a script, for several values of the
+// script's parameter.
 type comparison struct {
 	name, title string
 	x, y        string // labels of the axes
@@ -119,7 +120,7 @@
 	measure     func(*scenario.Result) float64
 }
 
-// compareAlgorithms runs the comparison with each algorithm on the same seeds.
+// compareAlgorithms runs a comparison of all algorithms on the same random seeds.
 func (r *run) compareAlgorithms(c comparison) report.Chart {
 	chart := report.Chart{
 		Name:  c.name,
@@ -137,7 +138,7 @@
 	return chart
 }
 
-// meansOf is the mean of what one algorithm reached over all seeds, for each value.
+// meansOf returns the mean measurement of one algorithm over all random seeds, for each value of the parameter.
 func (c *comparison) meansOf(algorithm string, seed uint64) []float64 {
 	build := simulation.BalancerMembers(virtualSeeds)
 	if algorithm != "members" {
@@ -157,7 +158,7 @@
 			})
 		}
 	}
-	_ = group.Wait() // none fails
+	_ = group.Wait() // the functions return no errors
 	means := make([]float64, len(c.values))
 	for i := range means {
 		for _, v := range measured[i] {
--- a/lab/netloop/conn.go
+++ b/lab/netloop/conn.go
@@ -8,31 +8,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrAgain means that a connection has nothing to read for now.
-var ErrAgain = errors.New("nothing to read for now")
+// ErrAgain means that a connection has no more data to read until the next call of Readable.
+var ErrAgain = errors.New("no data available to read")
 
-// Owner handles what its connection receives.
+// Owner handles the input of its connection.
 type Owner interface {
-	// Readable is called when there may be data, an end or an error to read. It is called once for them: the owner
-	// has to read until ErrAgain or another error. It may close the connection.
+	// Readable is called when there may be data, an end of stream or an error to read. It is not called again for the
+	// same data, so the owner must read until ErrAgain or another error. It may close the connection.
 	Readable(c *Conn)
 }
 
-// Conn is a TCP connection that never blocks. It has one registration, edge-triggered and for both directions, until
-// it is closed, so that neither a full send buffer nor an empty one costs a system call. It belongs to its loop.
+// Conn is a nonblocking TCP connection of a loop. It stays registered with epoll for both directions, edge-triggered,
+// until it is closed, so that no system call is needed when its send buffer becomes full or empty.
 type Conn struct {
 	loop     *Loop
 	fd       int // closedDescriptor once closed
 	owner    Owner
-	unsent   []byte // what the kernel has not accepted yet, in order
+	unsent   []byte // written data that the kernel has not accepted yet
 	writeErr error  // returned by Read
 }
 
-// Adopt returns a connection for a nonblocking socket, which may still be connecting. It owns the descriptor from now
-// on, and closes it where an error is returned: the kernel refused an option or the registration.
+// Adopt returns a connection for a nonblocking socket, which may still be connecting. It takes ownership of the
+// descriptor, and closes it if it returns an error, which means that the kernel refused an option or the registration.
 func (l *Loop) Adopt(fd int, owner Owner) (*Conn, error) {
 	c := &Conn{loop: l, fd: fd, owner: owner}
-	// Short messages are sent at once: a delay by Nagle's algorithm would count as the delay of what is measured.
+	// Disable Nagle's algorithm: its delay of short messages would distort the measured latencies.
 	err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err == nil {
 		err = l.register(fd, c, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP|unix.EPOLLET)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Read reads what was received into b, which must not be empty. The error is ErrAgain where there is nothing for now,
-// io.EOF after the peer's end, and otherwise that of the connection, also of an earlier Write.
+// Read reads received data into b, which must not be empty. The error is ErrAgain if no data is available, io.EOF after
+// the peer has closed its direction, or else the error of the connection or of an earlier Write.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := unix.Read(c.fd, b)
 	for errors.Is(err, unix.EINTR) {
@@ -74,8 +74,8 @@
 	return 0, ErrAgain
 }
 
-// Write sends b. It stores a copy of what the kernel does not accept at once, without a bound, and sends that later.
-// An error is returned by the next Read. On a closed connection it does nothing.
+// Write sends b. Data that the kernel does not accept at once is copied to a buffer without a size limit, and sent
+// later. An error is returned by the next Read. On a closed connection Write does nothing.
 func (c *Conn) Write(b []byte) {
 	if c.fd == closedDescriptor || c.writeErr != nil {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// send writes as much of b as the kernel accepts, and returns how much that is.
+// send writes data until the kernel accepts no more, and returns the number of bytes it has written.
 func (c *Conn) send(b []byte) (sent int) {
 	for sent < len(b) {
 		n, err := unix.Write(c.fd, b[sent:])
@@ -105,15 +105,15 @@
 	return sent
 }
 
-// flush sends what was not accepted before.
+// flush sends the buffered data.
 func (c *Conn) flush() {
 	c.unsent = c.unsent[c.send(c.unsent):]
 	if len(c.unsent) == 0 || c.writeErr != nil {
-		c.unsent = nil // a connection at rest holds no buffer
+		c.unsent = nil // an idle connection keeps no buffer
 	}
 }
 
-// Close closes the socket at once, and discards what has not been sent. On a closed connection it does nothing.
+// Close closes the socket at once and discards unsent data. On a closed connection it does nothing.
 func (c *Conn) Close() {
 	if c.fd == closedDescriptor {
 		return
--- a/lab/netloop/listener.go
+++ b/lab/netloop/listener.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// backlog is how many connections the kernel queues for a listener: many clients at once connect faster than one
-	// loop accepts.
+	// backlog is the size of a listener's accept queue. It is large, since many clients that connect at once are faster
+	// than one loop accepts.
 	backlog = 4096
-	// acceptsPerRound bounds what a listener accepts at once, so that connections are served in between.
+	// acceptsPerRound bounds the connections that a listener accepts in one round, so that others are served in
+	// between.
 	acceptsPerRound = 64
-	// acceptPause is how long a listener waits when the process has no descriptor or memory left.
+	// acceptPause is the pause before the next round when the process has no descriptor or memory left.
 	acceptPause Micros = 20_000
 )
 
-// Listener accepts connections on one address. It is registered edge-triggered: a timer has it accept the connections
-// that one round left in the queue.
+// Listener accepts connections on one address. It is registered edge-triggered, so that a timer starts the next round
+// for the connections that one round has left in the queue.
 type Listener struct {
 	loop      *Loop
 	fd        int // closedDescriptor once closed
 	addr      netip.AddrPort
 	accept    func(fd int)
-	nextRound *Timer // nil before the first
+	nextRound *Timer // nil until a round has been scheduled
 }
 
-// Listen listens on an IPv4 address, with a free port where its port is 0. accept is called with the nonblocking
-// descriptor of each connection, and has to adopt or close it. An error means that the address cannot be bound.
+// Listen listens on an IPv4 address; port 0 chooses a free port. accept is called with the nonblocking descriptor of
+// each connection, and must adopt or close it. An error means that the kernel refused the socket or the address.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(fd int)) (*Listener, error) {
 	fd, bound, err := listen(addr)
 	if err != nil {
@@ -45,7 +46,7 @@
 // listen opens a listening socket, and returns the address that it is bound to.
 func listen(addr netip.AddrPort) (fd int, bound netip.AddrPort, err error) {
 	if !addr.Addr().Is4() {
-		return closedDescriptor, bound, errors.New("no IPv4 address")
+		return closedDescriptor, bound, errors.New("not an IPv4 address")
 	}
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return fd, bound, nil
 }
 
-// boundAddr is the IPv4 address that a socket is bound to.
+// boundAddr returns the IPv4 address that a socket is bound to.
 func boundAddr(fd int) (netip.AddrPort, error) {
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -72,12 +73,12 @@
 	}
 	addr, ok := name.(*unix.SockaddrInet4)
 	if !ok {
-		return netip.AddrPort{}, fmt.Errorf("bound to %T", name)
+		return netip.AddrPort{}, fmt.Errorf("bound to a %T, expected an IPv4 address", name)
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4(addr.Addr), uint16(addr.Port)), nil
 }
 
-// Addr is the address that was bound.
+// Addr returns the bound address.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
 // ready implements handler.
@@ -91,32 +92,32 @@
 		case err == nil:
 			ln.accept(fd)
 			if ln.fd == closedDescriptor {
-				return // accept has closed the listener
+				return // accept closed the listener
 			}
 		case errors.Is(err, unix.EAGAIN):
 			return
 		case exhausted(err):
 			ln.scheduleRound(acceptPause)
 			return
-		} // any other error concerns one connection, whose client has disconnected
+		} // any other error concerns only one connection, whose client has disconnected
 	}
 	ln.scheduleRound(0)
 }
 
-// scheduleRound has the next round follow after a delay, in place of one that was scheduled.
+// scheduleRound schedules the next round after a delay, and cancels an earlier schedule.
 func (ln *Listener) scheduleRound(delay Micros) {
 	ln.loop.Cancel(ln.nextRound)
 	ln.nextRound = ln.loop.After(delay, ln.acceptRound)
 }
 
-// exhausted returns whether an error of accept means that the machine or the process has no descriptor or memory left,
+// exhausted reports whether an error of accept means that the machine or the process has no descriptor or memory left,
 // so that the next accept would fail, too.
 func exhausted(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) ||
 		errors.Is(err, unix.ENOMEM)
 }
 
-// Close stops listening; connections that wait to be accepted are reset. On a closed listener it does nothing.
+// Close stops listening; connections in the accept queue are reset. On a closed listener it does nothing.
 func (ln *Listener) Close() {
 	if ln.fd == closedDescriptor {
 		return
--- a/lab/netloop/loop.go
+++ b/lab/netloop/loop.go
@@ -1,7 +1,7 @@
-// Package netloop is the event loop of the laboratory, for load generators and stand-in servers with many
-// connections: one goroutine waits with epoll for nonblocking TCP sockets over IPv4, timers and calls posted by
-// other goroutines. It shares no code with the balancer's event loop, so that a fault of one cannot hide in the
-// other, and knows no protocol.
+// Package netloop is an event loop for load generators and stand-in servers with many connections. One goroutine waits
+// with epoll for nonblocking IPv4 TCP sockets, for timers and for calls that other goroutines post. The package knows
+// no protocol. It shares no code with the balancer's event loop, so that a fault in one can't be masked by the same
+// fault in the other.
 //
 // Create a Loop with New, open sockets with Listen or Adopt, and call Run on a goroutine. Owners handle what their
 // connections receive on that goroutine.
@@ -16,22 +16,22 @@
 )
 
 const (
-	// eventsPerWait is how many events one wait returns: enough to share the cost of the call, few enough that
-	// timers are on time.
+	// eventsPerWait is the maximum number of events that one wait returns. It amortizes the cost of the system call
+	// over many events, without delaying timers much.
 	eventsPerWait = 256
 	// maxWaitMillis bounds one wait, in milliseconds, so that the timeout fits the kernel's int for any timer.
 	maxWaitMillis = 60_000
-	// microsPerMilli converts a span to the whole milliseconds of an epoll timeout.
+	// microsPerMilli converts microseconds to the milliseconds of an epoll timeout.
 	microsPerMilli = 1000
-	// noTimeout is the epoll timeout without an end.
+	// noTimeout is the epoll timeout of a wait without time limit.
 	noTimeout = -1
 )
 
 // handler handles the epoll events of one descriptor.
 type handler interface{ ready(events uint32) }
 
-// registration is the handler of one descriptor. The generation distinguishes its events from those of a descriptor
-// that had the same number before and was closed with events still unread.
+// registration is the handler of one descriptor. The generation distinguishes its events from late events of a closed
+// descriptor that had the same number.
 type registration struct {
 	handler    handler
 	generation int32
@@ -49,7 +49,7 @@
 	posts         *postQueue
 }
 
-// New returns a loop, which holds two descriptors until Close. An error means that the kernel refused one.
+// New returns a loop, which uses two descriptors until Close. An error means that the kernel refused one.
 func New() (*Loop, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -70,19 +70,19 @@
 // their owners. Calls that are posted from then on are dropped.
 func (l *Loop) Close() error { return errors.Join(l.posts.close(), unix.Close(l.epoll)) }
 
-// Now is the time since New by the monotonic clock. It is read once for each event and each round of timers, and
-// does not advance while one is handled.
+// Now returns the monotonic time since New. The clock is read before each event and each round of timers; the time does
+// not advance while one of these is handled.
 func (l *Loop) Now() Micros { return l.now }
 
 func (l *Loop) updateNow() { l.now = time.Since(l.start).Microseconds() }
 
-// Post has the loop call f soon, after all calls that were posted before.
+// Post schedules a call of f on the loop, after all calls that were posted before.
 func (l *Loop) Post(f func()) { l.posts.post(f) }
 
-// Stop has Run return after the present round.
+// Stop makes Run return after the current round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run handles events until Stop. An error means that the kernel refused to wait.
+// Run handles events until Stop. An error means that waiting with epoll failed.
 func (l *Loop) Run() error {
 	var events [eventsPerWait]unix.EpollEvent
 	for !l.stopped {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// dispatch passes an event to the handler of its descriptor, unless that was closed since.
+// dispatch passes an event to the handler of its descriptor, unless the descriptor has been closed since.
 func (l *Loop) dispatch(event *unix.EpollEvent) {
 	r := l.registrations[event.Fd]
 	if r.handler == nil || r.generation != event.Pad {
@@ -110,8 +110,8 @@
 	r.handler.ready(event.Events)
 }
 
-// timeoutMillis is how long a wait may last, in milliseconds, rounded up so that no timer is called early; noTimeout
-// without a timer.
+// timeoutMillis returns the timeout of the next wait in milliseconds, rounded up so that no timer is called early;
+// noTimeout if there are no timers.
 func (l *Loop) timeoutMillis() int {
 	at, ok := l.timers.next()
 	if !ok {
@@ -121,7 +121,7 @@
 	return int(min(left, maxWaitMillis))
 }
 
-// register has the loop wait for events of a descriptor.
+// register makes the loop wait for the given events of a descriptor and pass them to h.
 func (l *Loop) register(fd int, h handler, events uint32) error {
 	for len(l.registrations) <= fd {
 		l.registrations = append(l.registrations, registration{})
--- a/lab/netloop/loop_test.go
+++ b/lab/netloop/loop_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// must returns a function that fails the test at an error, and else returns the value. A connection under way is no
-// error.
+// must returns a function that returns the value, or ends the test if there is an error. It ignores EINPROGRESS, the
+// result of a nonblocking connect.
 func must[T any](value T, err error) func(t *testing.T) T {
 	return func(t *testing.T) T {
 		t.Helper()
@@ -31,10 +31,10 @@
 	must(0, l.Run())(t)
 }
 
-// reader is an Owner that stores what it reads, and passes each part on.
+// reader is an Owner that stores all received data, and passes each part to onPart.
 type reader struct {
 	received []byte
-	end      error // of the connection
+	end      error // the error that ended the connection
 	onPart   func(c *Conn, part []byte)
 }
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// connect connects two owners, of which the first dials, over a listener that is closed at the end of the test.
+// connect connects two owners over a listener, which is closed at the end of the test. It returns the dialer's
+// connection.
 func connect(t *testing.T, l *Loop, dialer, accepter Owner) (*Conn, *Listener) {
 	t.Helper()
 	listener := must(l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
@@ -69,8 +70,8 @@
 	return must(l.Adopt(fd, owner))(t)
 }
 
-// Far more than the kernel's buffers hold is echoed completely and in order, though both sides write it at once; then
-// one side sees the end of the other.
+// Both sides write far more data at once than the kernel's buffers hold. It is echoed completely and in order, and then
+// the server reads the end of the client's stream.
 func TestEchoOfPartialWrites(t *testing.T) {
 	l := must(New())(t)
 	sent := make([]byte, 8<<20)
@@ -90,16 +91,17 @@
 	c.Write(sent[:1])
 	c.Write(sent[1:])
 	if len(c.unsent) == 0 {
-		t.Error("the kernel accepted all at once: no write was partial")
+		t.Error("the kernel accepted all data at once, so no write was partial")
 	}
 	run(t, l)
 	if !bytes.Equal(client.received, sent) || !errors.Is(server.end, io.EOF) {
-		t.Errorf("%d of %d bytes came back, then %v", len(client.received), len(sent), server.end)
+		t.Errorf("received %d bytes, want the %d sent ones in order; the server's stream ended with %v",
+			len(client.received), len(sent), server.end)
 	}
 }
 
-// Timers are called by their time, and those of the same time in the order in which they were set. One that was
-// cancelled, also by a call of the same round, is not called. A timer without a delay waits for the next round.
+// Timers are called in the order of their times. A cancelled timer is not called, even if a timer of the same round has
+// cancelled it. A timer without a delay, set by another timer, is called in the next round.
 func TestTimers(t *testing.T) {
 	l := must(New())(t)
 	var got, want []int
@@ -128,15 +130,15 @@
 	l.After(0, repeat)
 	l.timers.fire(0)
 	if rounds != 1 {
-		t.Errorf("%d rounds in one", rounds)
+		t.Errorf("%d calls of a timer that sets itself again in one round, want 1", rounds)
 	}
 	run(t, l)
 	if !slices.Equal(got, want) || l.Now() < 3000 {
-		t.Errorf("%d of %d timers in order, at %d", len(got), len(want), l.Now())
+		t.Errorf("%d timers called, want %d in order of their times; now %d us", len(got), len(want), l.Now())
 	}
 }
 
-// All calls that other goroutines post are made, those of each goroutine in their order.
+// All calls that other goroutines post are made, and those of one goroutine are made in order.
 func TestPost(t *testing.T) {
 	const goroutines, callsOfEach = 8, 1000
 	l := must(New())(t)
@@ -162,17 +164,17 @@
 	run(t, l)
 }
 
-// A listener that finds no descriptor free accepts once there is one, though no event follows. Events of a descriptor
-// that was closed with them unread do not reach the next one of the same number.
+// A listener that runs out of descriptors accepts its connections once there are descriptors again, although epoll
+// reports no further event. Unread events of a closed descriptor are not passed to a new one with the same number.
 func TestDescriptors(t *testing.T) {
 	l := must(New())(t)
 	events := make([]unix.EpollEvent, eventsPerWait)
-	c, listener := connect(t, l, nil, nil) // a call of an owner fails the test
+	c, listener := connect(t, l, nil, nil) // nil owners: any call of Readable panics
 	stale := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(c.fd), Pad: l.registrations[c.fd].generation}
 	c.Close()
 	c = dial(t, l, listener, nil)
 	if c.fd != int(stale.Fd) {
-		t.Errorf("descriptor %d, not %d again", c.fd, stale.Fd)
+		t.Errorf("the new connection has descriptor %d, want %d again", c.fd, stale.Fd)
 	}
 	l.dispatch(&stale)
 	c.Close()
--- a/lab/netloop/posts.go
+++ b/lab/netloop/posts.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// closedDescriptor is the number of a descriptor that was closed.
+// closedDescriptor replaces the number of a closed descriptor.
 const closedDescriptor = -1
 
 // postQueue holds the calls that other goroutines post, and wakes the loop for them with an eventfd.
@@ -16,7 +16,7 @@
 	calls []func()
 }
 
-// post appends a call, and wakes the loop unless it was woken for the calls before.
+// post appends a call, and wakes the loop unless it was already woken for calls in the queue.
 func (q *postQueue) post(f func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 	q.calls = append(q.calls, f)
 	if len(q.calls) == 1 {
-		// Fails only where the counter is full, which wakes the loop as well.
+		// This fails only if the counter is at its maximum, and then the loop is awake anyway.
 		_, _ = unix.Write(q.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 	}
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// take clears the eventfd's counter and empties the queue in one step, so that the next post wakes the loop again.
+// take resets the eventfd and empties the queue under the lock, so that the next post wakes the loop again.
 func (q *postQueue) take() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/lab/netloop/timers.go
+++ b/lab/netloop/timers.go
@@ -2,34 +2,34 @@
 
 import "container/heap"
 
-// Micros is a point in time on a loop's clock or a span, in microseconds.
+// Micros is a duration or a point in time on a loop's clock, in microseconds.
 type Micros = int64
 
 // Timer is a call that is scheduled for a time.
 type Timer struct {
 	at       Micros
-	sequence uint64 // timers of the same time are called in the order in which they were set
+	sequence uint64 // orders timers of the same time by when they were set
 	call     func() // nil once called or cancelled
-	index    int    // in the heap; notQueued once it was removed
+	index    int    // in the heap; notQueued once removed
 }
 
 // notQueued is the index of a timer that is not in the heap.
 const notQueued = -1
 
-// After has f called once the delay has passed, in a later round of the loop even where the delay is 0 or less, so that
-// a timer that sets itself again does not keep the loop from its sockets.
+// After schedules a call of f after a delay. The call is made in a later round of the loop even if the delay is 0 or
+// negative, so that a timer that sets itself again does not block the handling of sockets.
 func (l *Loop) After(delay Micros, f func()) *Timer {
 	return l.timers.set(l.now+max(delay, 0), f)
 }
 
-// Cancel cancels a timer. It does nothing for nil, and for one that was called or cancelled.
+// Cancel cancels a timer. It does nothing for nil and for a timer that was called or cancelled before.
 func (l *Loop) Cancel(t *Timer) { l.timers.cancel(t) }
 
 // timers are the timers of one loop.
 type timers struct {
 	queue    timerQueue
-	sequence uint64   // of the last timer that was set
-	due      []*Timer // of the present round
+	sequence uint64   // that of the last timer
+	due      []*Timer // timers of the current round
 }
 
 func (ts *timers) set(at Micros, f func()) *Timer {
@@ -49,7 +49,7 @@
 	}
 }
 
-// next is when the first timer is due; ok is false without timers.
+// next returns the time of the earliest timer; ok is false if there are no timers.
 func (ts *timers) next() (at Micros, ok bool) {
 	if len(ts.queue) == 0 {
 		return 0, false
@@ -57,8 +57,8 @@
 	return ts.queue[0].at, true
 }
 
-// fire calls all timers that are due. They are removed from the heap before the first is called: a timer that a call
-// sets belongs to the next round, and one that it cancels is not called.
+// fire calls all timers that are due. It removes them from the heap before the first call, so that a timer that a call
+// sets is called in the next round. A timer that a call cancels is not called.
 func (ts *timers) fire(now Micros) {
 	for len(ts.queue) > 0 && ts.queue[0].at <= now {
 		ts.due = append(ts.due, heap.Pop(&ts.queue).(*Timer))
@@ -73,7 +73,7 @@
 	ts.due = ts.due[:0]
 }
 
-// timerQueue is a heap of timers, the first one due on top. It implements heap.Interface.
+// timerQueue is a heap.Interface with the earliest timer on top.
 type timerQueue []*Timer
 
 // Len implements heap.Interface.
--- a/lab/procs/admin.go
+++ b/lab/procs/admin.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// adminTimeout bounds a call of the management address.
+// adminTimeout bounds one call of a management address.
 const adminTimeout = 3 * time.Second
 
-// ErrRefused is the error of a management call that was answered with anything but +OK.
+// ErrRefused means that the answer to a management call did not begin with +OK.
 var ErrRefused = errors.New("management call refused")
 
-// Admin makes a call of the management address, and returns the answer behind +OK. Any other answer is ErrRefused.
+// Admin sends a command to the process's management address, and returns the part of the answer after +OK. If the
+// answer does not begin with +OK, the error wraps ErrRefused.
 func (p *Proc) Admin(call string) (string, error) {
 	conn, err := net.DialTimeout("tcp", p.ManagementAddr, adminTimeout)
 	if err != nil {
@@ -38,8 +39,8 @@
 	return "", fmt.Errorf("%w: %s answered %q", ErrRefused, p.Name, answer)
 }
 
-// View is the fleet as one process reports it by MEMBERS. Live, Zones and Records are reported in fleets with zones
-// only; there, Members are those of the process's own zone.
+// View is the view of the fleet that one process reports for the command MEMBERS. Live, Zones and Records are reported
+// only in fleets with zones; there Members has only the members of the process's own zone.
 type View struct {
 	Suspicions bool    `json:"doubts"`
 	Divisor    float64 `json:"divisor"`
@@ -61,7 +62,7 @@
 	} `json:"records"`
 }
 
-// View calls MEMBERS of the process.
+// View returns the process's view, by the command MEMBERS.
 func (p *Proc) View() (*View, error) {
 	text, err := p.Admin("MEMBERS")
 	if err != nil {
@@ -71,7 +72,7 @@
 	return v, json.Unmarshal([]byte(text), v)
 }
 
-// State is a member's state and incarnation, "" and 0 for a name that the view does not have.
+// State returns a member's state and incarnation; "" and 0 if the view does not have the member.
 func (v *View) State(name string) (state string, incarnation uint64) {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -81,7 +82,7 @@
 	return "", 0
 }
 
-// ZoneState is a zone's state, "" for a zone that the view does not have.
+// ZoneState returns a zone's state; "" if the view does not have the zone.
 func (v *View) ZoneState(zone string) string {
 	for _, z := range v.Zones {
 		if z.Zone == zone {
@@ -91,7 +92,7 @@
 	return ""
 }
 
-// Record is the value of a record, "" for a name that the view does not have.
+// Record returns the value of a record; "" if the view does not have the record.
 func (v *View) Record(name string) string {
 	for _, r := range v.Records {
 		if r.Name == name {
--- a/lab/procs/config.go
+++ b/lab/procs/config.go
@@ -14,7 +14,7 @@
 
 func (p *Proc) configPath() string { return filepath.Join(p.fleet.Dir, p.Name+".json") }
 
-// writeSite writes the site file, with the process's membership of the fleet unless the fleet is without.
+// writeSite writes the site file, with a <fleet> element unless the fleet is WithoutMembership.
 func (p *Proc) writeSite() error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `<spurspread xmlns="urn:spurspread:site:1" name="rig">%s`, p.fleet.Site)
@@ -25,7 +25,7 @@
 	return os.WriteFile(p.sitePath(), b.Bytes(), fileMode)
 }
 
-// writeMembership writes the <fleet> element. The process reaches every other by a link of the proxy.
+// writeMembership writes the <fleet> element. Its <reach> maps every other process to a link of the proxy.
 func (p *Proc) writeMembership(b *bytes.Buffer) {
 	f := p.fleet
 	fmt.Fprintf(b, "\n"+`  <fleet member="%s" listen="%s"%s><seeds>`, p.Name, f.addrs[p.index], p.zoneAttributes())
@@ -41,7 +41,7 @@
 	fmt.Fprintf(b, `</reach><keys><key id="rig" file="%s" use="mint"/></keys></fleet>`, f.keyPath())
 }
 
-// zoneAttributes are the attributes of <fleet> for the process's region and zone.
+// zoneAttributes returns the attributes of <fleet> for the process's region and zone.
 func (p *Proc) zoneAttributes() (attributes string) {
 	if p.fleet.ZoneOf == nil {
 		return ""
@@ -56,7 +56,7 @@
 	return attributes
 }
 
-// seedsOf are the addresses of the first few processes, as this one reaches them, or those of Seeds.
+// seedsOf returns the seed addresses of a process: those of Seeds, or else the links to the first seedCount processes.
 func (f *Fleet) seedsOf(i int) (seeds []netip.AddrPort) {
 	if f.Seeds != nil {
 		return f.Seeds(i)
@@ -77,7 +77,7 @@
 	return os.WriteFile(p.configPath(), text, fileMode)
 }
 
-// config is the configuration that the platform would give the process, with the fleet's changes. Times are in
+// config returns the configuration that the platform would give the process, after ModifyConfig. Times are in
 // microseconds.
 func (p *Proc) config() map[string]any {
 	config := map[string]any{
--- a/lab/procs/fleet.go
+++ b/lab/procs/fleet.go
@@ -1,7 +1,9 @@
-// Package procs runs processes of the balancer as members of one fleet. Each has an address, a folder, a site file
-// and a log of its own; it can be killed, paused and started again, with its folder kept or emptied. Datagrams
-// between them pass through lab/faultproxy. The package ends only what it started, and must not know what a test
-// proves: the views of the processes are read from their management addresses and logs.
+// Package procs runs processes of the balancer as members of one Fleet. Each Proc has its own address, directory, site
+// file and log. It can be killed, paused and restarted, with its directory kept or emptied. Datagrams between the
+// processes pass through a lab/faultproxy. A Testbed runs scripts of lab/scenario on such a fleet.
+//
+// The package ends only processes that it has started. It contains no checks: it reads the processes' views from their
+// management addresses and their logs, and passes them on.
 package procs
 
 import (
@@ -23,48 +25,48 @@
 	secretByte        = 0x5a
 	dirMode           = 0o700
 	fileMode          = 0o600
-	awaitPollInterval = 20 * time.Millisecond // between two looks at an awaited condition
+	awaitPollInterval = 20 * time.Millisecond // between two checks of an awaited condition
 )
 
-// Fleet is some processes, and the links between them. Its exported fields are set before Start.
+// Fleet is a set of processes and the links between them. Its exported fields must not change after Start.
 type Fleet struct {
-	Program string // path of the executable
-	Dir     string // of its files
+	Program string // path of the balancer's executable
+	Dir     string // of all files; each process has a subdirectory
 	Proxy   *faultproxy.Proxy
 	Procs   []*Proc
-	// Site is added to each site file, within the root element.
+	// Site is XML that each site file has in its root element, before <fleet>.
 	Site string
-	// WithoutMembership leaves membership out of the site files: no process knows of another.
+	// WithoutMembership leaves <fleet> out of the site files, so that no process knows any other.
 	WithoutMembership bool
-	// KnownServers is the list of nodes in each process's configuration, as discovery writes it.
+	// KnownServers is the server list in each process's configuration, in the format of discovery.
 	KnownServers []any
-	// ModifyConfig changes a process's configuration before it is written, see Proc.config; nil changes nothing.
+	// ModifyConfig changes the configuration of process i before it is written; nil means no changes. See Proc.config.
 	ModifyConfig func(i int, config map[string]any)
-	// ZoneOf is the region and zone of a process; nil, or an empty zone, puts it in none.
+	// ZoneOf returns the region and zone of process i. If it is nil or returns empty names, the process has none.
 	ZoneOf func(i int) (region, zone string)
-	// Seeds are the seed addresses in a process's site file; nil: the first few processes.
+	// Seeds returns the seed addresses of process i. If it is nil, the first seedCount processes are the seeds.
 	Seeds func(i int) []netip.AddrPort
 
-	seedCount int              // of the first processes, which are seeds unless Seeds is set
+	seedCount int              // see New
 	addrs     []netip.AddrPort // where each process receives datagrams
 }
 
-// SealingKey is the key that seals the datagrams of all fleets.
+// SealingKey returns the key that seals the datagrams of all fleets.
 func SealingKey() []byte { return bytes.Repeat([]byte{secretByte}, secretBytes) }
 
-// New prepares n processes that are not started, at free loopback addresses. The first seeds of them are the seeds of
-// all. The seed is that of the proxy's random draws.
-func New(program, dir string, n, seeds int, seed uint64) (*Fleet, error) {
+// New prepares n processes on free loopback addresses, and does not start them. The first seedCount processes are the
+// seed members of the fleet, unless Seeds is set. randomSeed is that of the proxy's random source.
+func New(program, dir string, n, seedCount int, randomSeed uint64) (*Fleet, error) {
 	ips, err := FreeLoopbacks(n)
 	if err != nil {
 		return nil, err
 	}
-	return NewAt(program, dir, ips, seeds, seed)
+	return NewAt(program, dir, ips, seedCount, randomSeed)
 }
 
-// NewAt is New at given loopback addresses, of one process each.
-func NewAt(program, dir string, ips []netip.Addr, seeds int, seed uint64) (*Fleet, error) {
-	f := &Fleet{Program: program, Dir: dir, seedCount: seeds}
+// NewAt is New with one process on each of the given loopback addresses.
+func NewAt(program, dir string, ips []netip.Addr, seedCount int, randomSeed uint64) (*Fleet, error) {
+	f := &Fleet{Program: program, Dir: dir, seedCount: seedCount}
 	for i, ip := range ips {
 		p := newProc(f, i, ip)
 		if err := os.MkdirAll(p.Dir, dirMode); err != nil {
@@ -78,7 +80,7 @@
 		return nil, err
 	}
 	var err error
-	if f.Proxy, err = faultproxy.New(f.addrs, seed); err != nil {
+	if f.Proxy, err = faultproxy.New(f.addrs, randomSeed); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -86,7 +88,7 @@
 
 func (f *Fleet) keyPath() string { return filepath.Join(f.Dir, "key") }
 
-// Start starts all processes at the same time, and waits until each answers. It returns all their errors.
+// Start starts all processes at the same time, and waits until each answers. It returns the errors of all, joined.
 func (f *Fleet) Start() error {
 	errs := make([]error, len(f.Procs))
 	var wg sync.WaitGroup
@@ -101,7 +103,7 @@
 	return errors.Join(errs...)
 }
 
-// Close kills all processes that were started, and closes the links.
+// Close kills all processes that were started, and closes the proxy.
 func (f *Fleet) Close() {
 	for _, p := range f.Procs {
 		p.Continue()
@@ -110,10 +112,11 @@
 	_ = f.Proxy.Close()
 }
 
-// ErrAwait is the error of a condition that did not hold in time.
+// ErrAwait means that an awaited condition did not hold before the timeout.
 var ErrAwait = errors.New("condition not met")
 
-// Await polls a condition until it holds. After the timeout it returns ErrAwait with the condition's name.
+// Await polls a condition until it holds. After the timeout it returns an error that wraps ErrAwait and names the
+// condition.
 func Await(timeout time.Duration, condition string, holds func() bool) error {
 	for end := time.Now().Add(timeout); !holds(); time.Sleep(awaitPollInterval) {
 		if time.Now().After(end) {
@@ -123,8 +126,8 @@
 	return nil
 }
 
-// Converged reports whether every running process among these sees exactly these as alive, and all others as dead or
-// left.
+// Converged reports whether all running processes among the given ones see exactly the given ones as alive, and all
+// others as dead or left.
 func (f *Fleet) Converged(alive []int) bool {
 	isAlive := map[string]bool{}
 	for _, i := range alive {
@@ -138,7 +141,7 @@
 	return true
 }
 
-// viewMatches reports whether a process's view has exactly the given members alive, and all others dead or left.
+// viewMatches reports whether in a process's view exactly the given members are alive and all others are dead or left.
 func (f *Fleet) viewMatches(p *Proc, isAlive map[string]bool) bool {
 	v, err := p.View()
 	if err != nil {
--- a/lab/procs/loopback.go
+++ b/lab/procs/loopback.go
@@ -7,24 +7,23 @@
 	"net/netip"
 )
 
-// Ports of each process, on an address of its own: below those that the kernel gives to outgoing connections.
+// Ports of a process. They are below the range that the kernel assigns to outgoing connections.
 const (
 	listenPort = 7001 + iota
 	managementPort
 	fleetPort
 )
 
-// FleetPort is where each process receives datagrams of the fleet, on its own address.
+// FleetPort is the port on which a process receives datagrams of the fleet.
 const FleetPort = fleetPort
 
 const (
-	addrsPerSubnet = 250 // loopback addresses that are used of each 256
-	maxSubnetTries = 20  // networks that are tried
+	addrsPerSubnet = 250 // addresses used of each subnet of 256
+	maxSubnetTries = 20  // random subnets to try
 )
 
-// FreeLoopbacks finds n loopback addresses on which the ports of a process are free. Addresses in 127.0.0.0/8 need no
-// setting up, and outgoing connections come from 127.0.0.1, so that nothing takes a port between its check and its
-// use.
+// FreeLoopbacks returns n loopback addresses on which the ports of a process are free. Addresses in 127.0.0.0/8 need no
+// configuration. Outgoing connections use 127.0.0.1, so that none of them takes a port between its check and its use.
 func FreeLoopbacks(n int) ([]netip.Addr, error) {
 	var err error
 	for range maxSubnetTries {
@@ -42,10 +41,10 @@
 			return all, nil
 		}
 	}
-	return nil, fmt.Errorf("no %d free loopback addresses: %w", n, err)
+	return nil, fmt.Errorf("find %d free loopback addresses: %w", n, err)
 }
 
-// checkFree returns an error if a port of a process is in use at an address.
+// checkFree returns an error if one of a process's ports is in use on an address.
 func checkFree(ip netip.Addr) error {
 	for _, port := range []uint16{listenPort, managementPort} {
 		ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, port)))
--- a/lab/procs/proc.go
+++ b/lab/procs/proc.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// startTimeout bounds how long a process may take until it answers.
+	// startTimeout bounds the time from the start of a process to its first answer.
 	startTimeout = 20 * time.Second
-	// startPollInterval is the pause between two calls of a process that starts.
+	// startPollInterval is the pause between two calls to a starting process.
 	startPollInterval = 5 * time.Millisecond
 	// stopTimeout bounds a planned stop; after it the process is killed.
 	stopTimeout = 20 * time.Second
-	// tailLines is how many lines of a process's log are kept for error messages.
+	// tailLines is the number of last log lines that are kept for error messages.
 	tailLines = 40
 )
 
-// ErrStart is the error of a process that ended or did not answer within the start's time limit.
+// ErrStart means that a started process ended at once, or did not answer within startTimeout.
 var ErrStart = errors.New("the process did not start")
 
-// Proc is one member of a fleet: a process, or the next one under the same name. Its methods may be called from any
-// goroutine, except for Start, which belongs to one at a time.
+// Proc is one member of a fleet, with its current process; each Start replaces the process by a new one under the same
+// name. The methods may be called from any goroutine, but there must be only one call of Start at a time.
 type Proc struct {
 	fleet          *Fleet
 	index          int
 	Name           string
 	Listen         string // address for clients
 	ManagementAddr string
-	Dir            string // its TMPDIR, where it keeps what the next process may read
+	Dir            string // its TMPDIR, which holds the state that its next process may read
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
 	done      chan struct{} // closed when the process has ended
-	tail      []string
-	paused    bool // paused
+	tail      []string      // the last lines of the log
+	paused    bool
 	onLogLine func(line string)
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// Start starts a process, and waits until its management address answers. An error that wraps ErrStart has the end of
-// the log.
+// Start starts a process, and waits until its management address answers. An error that wraps ErrStart contains the end
+// of the log.
 func (p *Proc) Start() error {
 	if err := p.writeSite(); err != nil {
 		return err
@@ -93,18 +93,18 @@
 	return p.awaitReady(done)
 }
 
-// followLog reads a process's log until its end, and closes done once the process has ended.
+// followLog reads a process's log to its end, waits for the end of the process, and closes done.
 func (p *Proc) followLog(cmd *exec.Cmd, log io.Reader, done chan<- struct{}) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if handle := p.recordLogLine(lines.Text()); handle != nil {
 			handle(lines.Text())
 		}
 	}
-	_ = cmd.Wait() // the process state has how it ended
+	_ = cmd.Wait() // the exit status is in cmd.ProcessState
 	close(done)
 }
 
-// recordLogLine keeps a line for LogTail, and returns the function that handles it, if there is one.
+// recordLogLine stores a line for LogTail, and returns the function set by OnLogLine, or nil.
 func (p *Proc) recordLogLine(line string) (handle func(line string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +115,7 @@
 	return p.onLogLine
 }
 
-// awaitReady waits until the management address answers.
+// awaitReady waits until the management address answers. It fails if done is closed before, or after startTimeout.
 func (p *Proc) awaitReady(done <-chan struct{}) error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(startPollInterval) {
 		if _, err := p.Admin("PING"); err == nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// Pid is the process id, 0 before the first start.
+// Pid returns the process id; 0 before the first start.
 func (p *Proc) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,21 +142,21 @@
 	return p.cmd.Process.Pid
 }
 
-// LogTail is the end of its log, tailLines lines at most.
+// LogTail returns the last lines of the process's log, at most tailLines.
 func (p *Proc) LogTail() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.tail)
 }
 
-// OnLogLine sets a function that is called with each further line of the log; nil removes it.
+// OnLogLine sets the function that is called with each further line of the log; nil removes it.
 func (p *Proc) OnLogLine(handle func(line string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onLogLine = handle
 }
 
-// Running reports whether its process has not ended and is not paused.
+// Running reports whether the process was started, has not ended and is not paused.
 func (p *Proc) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +171,7 @@
 	}
 }
 
-// signal sends the process a signal, and notes whether it is paused.
+// signal sends a signal to the process, and records whether it is paused.
 func (p *Proc) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,19 +198,21 @@
 	p.wait()
 }
 
-// Terminate sends SIGTERM to the process, and does not wait for its end.
+// Terminate sends SIGTERM to the process, which it resumes if it is paused. It does not wait for the end.
 func (p *Proc) Terminate() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
 }
 
-// Stop ends the process with SIGTERM, and returns its exit code. One that does not end within stopTimeout is killed.
+// Stop ends the process with SIGTERM, and returns its exit code. It kills a process that does not end within
+// stopTimeout.
 func (p *Proc) Stop() int {
 	p.Terminate()
 	return p.wait()
 }
 
-// wait waits for the process's end and returns its exit code; 0 before the first start.
+// wait waits for the end of the process, and returns its exit code; 0 before the first start. It kills a process that
+// does not end within stopTimeout.
 func (p *Proc) wait() int {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -228,7 +230,7 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-// DeleteState empties the process's folder, so that its next start finds nothing of the earlier ones.
+// DeleteState empties the process's directory, so that its next start finds no state of earlier ones.
 func (p *Proc) DeleteState() error {
 	return errors.Join(os.RemoveAll(p.Dir), os.MkdirAll(p.Dir, dirMode))
 }
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -14,12 +14,12 @@
 	"spurspread/lab/link"
 )
 
-// awaitTimeout bounds every wait; its length is no part of what is tested.
+// awaitTimeout bounds every wait. It is generous, since the tests do not check how long anything takes.
 const awaitTimeout = 60 * time.Second
 
 var program string
 
-// TestMain builds the program once.
+// TestMain builds the balancer once for all tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "procs")
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitConverged(t, "all are there", f.all()...)
+	f.awaitConverged(t, "all members are alive", f.all()...)
 	return f
 }
 
@@ -56,7 +56,7 @@
 	return all
 }
 
-// awaitConverged waits until the running processes see exactly these as alive.
+// awaitConverged waits until the running processes among the given ones see exactly these as alive.
 func (f *Fleet) awaitConverged(t *testing.T, what string, alive ...int) {
 	t.Helper()
 	if err := Await(awaitTimeout, what, func() bool { return f.Converged(alive) }); err != nil {
@@ -77,22 +77,22 @@
 	return v.State(f.Procs[of].Name)
 }
 
-// A crash is detected by all; a process that stops announces it; both come back under newer incarnations, one of them
-// without its former state.
+// All detect a crash, and a process that stops announces this. Both are alive again after a restart; the crashed one,
+// whose state was deleted, has a newer incarnation.
 func TestCrashStopAndReturn(t *testing.T) {
 	f := fleet(t, 5)
 	_, before := f.state(t, 0, 4)
 	f.Procs[4].Kill()
-	f.awaitConverged(t, "the crash is seen", 0, 1, 2, 3)
+	f.awaitConverged(t, "all members detect the crash", 0, 1, 2, 3)
 	if s, _ := f.state(t, 0, 4); s != "dead" {
-		t.Errorf("a crashed member is %s", s)
+		t.Errorf("the state of a crashed member is %q, want dead", s)
 	}
 	if code := f.Procs[3].Stop(); code != 0 {
-		t.Errorf("stopped with %d: %v", code, f.Procs[3].LogTail())
+		t.Errorf("exit code %d after SIGTERM; last log lines: %v", code, f.Procs[3].LogTail())
 	}
-	f.awaitConverged(t, "the stop is seen", 0, 1, 2)
+	f.awaitConverged(t, "all members see the stop", 0, 1, 2)
 	if s, _ := f.state(t, 0, 3); s != "left" {
-		t.Errorf("a member that stopped is %s", s)
+		t.Errorf("the state of a stopped member is %q, want left", s)
 	}
 	if err := f.Procs[4].DeleteState(); err != nil {
 		t.Fatal(err)
@@ -102,41 +102,41 @@
 			t.Fatal(err)
 		}
 	}
-	f.awaitConverged(t, "both are back", f.all()...)
+	f.awaitConverged(t, "both members are alive again", f.all()...)
 	if _, after := f.state(t, 0, 4); after <= before {
-		t.Errorf("back under incarnation %d, after %d", after, before)
+		t.Errorf("incarnation %d after the restart, want one above %d", after, before)
 	}
 }
 
-// A process that is paused for long is dead to the others, refutes that when it continues, and takes none of them for
-// dead.
+// A process that is paused for long is declared dead by the others. When it continues, it refutes that, and declares
+// none of the others dead.
 func TestPauseAndReturn(t *testing.T) {
 	f := fleet(t, 4)
 	f.Procs[2].Pause()
-	if err := Await(awaitTimeout, "the paused one is dead",
+	if err := Await(awaitTimeout, "the paused member is declared dead",
 		func() bool { s, _ := f.state(t, 0, 2); return s == "dead" }); err != nil {
 		t.Fatal(err)
 	}
 	f.Procs[2].Continue()
-	f.awaitConverged(t, "it is back", f.all()...)
+	f.awaitConverged(t, "the member is alive again", f.all()...)
 	for _, line := range f.Procs[2].LogTail() {
 		if reportsDeath(line) {
-			t.Errorf("after its own pause it wrote %s", line)
+			t.Errorf("the paused process declared another one dead: %s", line)
 		}
 	}
 }
 
-// reportsDeath reports whether a log line has a member's death.
+// reportsDeath reports whether a log line declares a member dead.
 func reportsDeath(line string) bool { return len(line) > 0 && strings.Contains(line, `"state":"dead"`) }
 
-// Each direction of a link fails by itself. A member that can only send is dead to the others, and all converge again
-// once it receives. Halves that are partitioned one way take each other for dead, in both directions, and converge
-// once the links are healed.
+// The two directions of a link fail independently. A member that can only send is declared dead by the others, and all
+// converge again once it receives. If one half does not reach the other, both halves declare each other dead, and they
+// converge once the links are healed.
 func TestOneWayPartitions(t *testing.T) {
 	f := fleet(t, 6)
 	partition := func(l *link.Link) { l.Partitioned = true }
 	f.Proxy.UpdateLinks(f.all(), []int{5}, partition)
-	if err := Await(awaitTimeout, "one that only sends is dead", func() bool {
+	if err := Await(awaitTimeout, "the member that only sends is declared dead", func() bool {
 		for i := range 5 {
 			if s, _ := f.state(t, i, 5); s != "dead" {
 				return false
@@ -148,35 +148,35 @@
 	}
 	v, err := f.Procs[5].View()
 	if err != nil || !v.Suspicions {
-		t.Errorf("a member that receives nothing does not suspect itself: %+v, %v", v, err)
+		t.Errorf("the view of a member that receives nothing has no suspicions: %+v, %v", v, err)
 	}
 	f.Proxy.Heal()
-	f.awaitConverged(t, "it is back", f.all()...)
+	f.awaitConverged(t, "the member is alive again", f.all()...)
 	f.Proxy.UpdateLinks([]int{0, 1, 2}, []int{3, 4, 5}, partition)
 	for _, side := range [][2]int{{0, 3}, {3, 0}} {
-		if err := Await(awaitTimeout, "the halves are apart",
+		if err := Await(awaitTimeout, "the halves declare each other dead",
 			func() bool { s, _ := f.state(t, side[0], side[1]); return s == "dead" }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	f.Proxy.Heal()
-	f.awaitConverged(t, "the halves are together", f.all()...)
+	f.awaitConverged(t, "the halves converge", f.all()...)
 }
 
-// Replayed datagrams, corrupted ones, and a flood of garbage change nothing.
+// Replayed and corrupted datagrams and a flood of garbage change no member's state.
 func TestReplayedAndGarbageDatagrams(t *testing.T) {
 	f := fleet(t, 3)
 	f.Proxy.SetRecording(true)
 	f.Procs[2].Kill()
-	f.awaitConverged(t, "the crash is seen", 0, 1)
+	f.awaitConverged(t, "all members detect the crash", 0, 1)
 	if err := f.Procs[2].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitConverged(t, "it is back", f.all()...)
+	f.awaitConverged(t, "the member is alive again", f.all()...)
 	f.Proxy.SetRecording(false)
 	_, before := f.state(t, 0, 2)
 	if n := f.Proxy.Replay(); n < 10 {
-		t.Fatalf("%d datagrams recorded", n)
+		t.Fatalf("%d datagrams were replayed, want at least 10", n)
 	}
 	c, err := net.Dial("udp4", f.addrs[0].String())
 	if err != nil {
@@ -191,13 +191,13 @@
 		t.Fatal(err)
 	}
 	f.Proxy.Heal()
-	f.awaitConverged(t, "all are there", f.all()...)
+	f.awaitConverged(t, "all members are alive", f.all()...)
 	if s, after := v.State("n2"); s == "dead" || after < before {
-		t.Errorf("%s under %d, after %d", s, after, before)
+		t.Errorf("member n2 is %q under incarnation %d, before the faults under %d", s, after, before)
 	}
 }
 
-// Of two processes of one name the later one is the member.
+// If two processes have the same name, the one that started later is the member.
 func TestLaterProcessOfANameIsTheMember(t *testing.T) {
 	f := fleet(t, 3)
 	_, before := f.state(t, 0, 2)
@@ -208,14 +208,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Kill)
-	if err := Await(awaitTimeout, "the later one is known",
+	if err := Await(awaitTimeout, "the later process is the member",
 		func() bool { _, inc := f.state(t, 0, 2); return inc > before }); err != nil {
 		t.Fatal(err)
 	}
 	if code := old.Stop(); code != 0 {
-		t.Errorf("the old process ended with %d", code)
+		t.Errorf("exit code %d of the earlier process, want 0", code)
 	}
-	if err := Await(awaitTimeout, "the member goes on", func() bool {
+	if err := Await(awaitTimeout, "the member stays alive", func() bool {
 		s, _ := f.state(t, 0, 2)
 		u, err := next.View()
 		return s == "alive" && err == nil && len(u.Members) == 3
--- a/lab/procs/testbed.go
+++ b/lab/procs/testbed.go
@@ -19,38 +19,38 @@
 const (
 	// viewPollInterval is the pause between two reads of a process's view.
 	viewPollInterval = 100 * time.Millisecond
-	// logLineQueue is how many log lines may wait for Run.
+	// logLineQueue is the number of log lines that are queued for Run before their readers block.
 	logLineQueue = 4096
-	// testbedStream selects the stage's random sequence of a seed; other users of the seed select others.
+	// testbedStream selects the random sequence of a testbed; other users of the seed select others.
 	testbedStream = 0x7374616765
-	// stateChangeMessage is in the log lines that report a member's change of state.
+	// stateChangeMessage is the log message that reports a member's change of state, as a JSON string.
 	stateChangeMessage = `"a member has changed"`
 )
 
-// Testbed is a fleet of processes as a scenario.Testbed. Run calls what is scheduled in real time, one call after
-// another. What the processes report of one another is taken from their logs and from their views. All methods belong
-// to the goroutine of Run.
+// Testbed implements scenario.Testbed with a fleet of processes, in real time. Run makes the scheduled calls, one after
+// another. State changes are read from the logs of the processes, and StateSeen is answered from their last polled
+// views. All methods must be called on the goroutine of Run.
 type Testbed struct {
 	fleet       *Fleet
 	rng         *rand.Rand
 	startedAt   time.Time
 	timers      timers
-	timerCount  int          // timers so far
-	logLines    chan logLine // for Run
-	startErrors chan error   // for Run: what kept a process from starting
+	timerCount  int          // number of timers ever set
+	logLines    chan logLine // read by Run
+	startErrors chan error   // read by Run: errors of Proc.Start
 	errs        []error
-	views       []atomic.Pointer[View] // last read of each process; nil: none, or it does not run
+	views       []atomic.Pointer[View] // last view of each process; nil if there is none or the process does not run
 	quit        chan struct{}
 	wg          sync.WaitGroup
 
-	startBytes  []int64       // that each process had sent when CountBytes was called
-	countedFrom time.Duration // when it was called
+	startBytes  []int64       // bytes that each process had sent when CountBytes was called
+	countedFrom time.Duration // time of the call of CountBytes
 
 	// OnStateChange is called by Run with each state change that an observer reports.
 	OnStateChange func(at time.Duration, observer, of int, from, to membership.State, incarnation uint64)
 }
 
-// logLine is a line of an observer's log that reports a change.
+// logLine is a log line that reports a state change, with the time at which it was read.
 type logLine struct {
 	at       time.Time
 	observer int
@@ -59,12 +59,12 @@
 
 // timer is a scheduled call. Timers of the same time are called in the order in which they were scheduled.
 type timer struct {
-	at       time.Duration // since the stage's start
+	at       time.Duration // since the start of the testbed
 	sequence int
 	callback func()
 }
 
-// timers is a heap.Interface, the next timer first.
+// timers is a heap.Interface with the next timer on top.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -86,7 +86,7 @@
 	return last
 }
 
-// NewTestbed returns a stage of processes that run. Its time begins now.
+// NewTestbed returns a testbed on a fleet of running processes. Its time begins now.
 func NewTestbed(f *Fleet, seed uint64) *Testbed {
 	s := &Testbed{
 		fleet:         f,
@@ -106,7 +106,8 @@
 	return s
 }
 
-// queueLogLine passes a line that reports a change on to Run. It is called by the goroutine that reads the log.
+// queueLogLine passes a log line on to Run if it reports a state change. It is called on the goroutine that reads the
+// log.
 func (s *Testbed) queueLogLine(observer int, line string) {
 	if !strings.Contains(line, stateChangeMessage) {
 		return
@@ -117,8 +118,8 @@
 	}
 }
 
-// pollView reads a process's view until the stage is closed. One that answers no more keeps its last view while it
-// runs.
+// pollView polls a process's view until the testbed is closed. A running process that does not answer keeps its last
+// view.
 func (s *Testbed) pollView(i int, p *Proc) {
 	defer s.wg.Done()
 	for {
@@ -137,7 +138,7 @@
 	}
 }
 
-// Close ends the stage. The processes go on as they are.
+// Close ends the testbed's goroutines. It does not change the state of the processes.
 func (s *Testbed) Close() {
 	close(s.quit)
 	s.wg.Wait()
@@ -146,8 +147,8 @@
 	}
 }
 
-// Run calls what is scheduled up to a time, which is since the stage's start. An error means that the stage failed,
-// not a member: a process did not start, or a log line could not be read.
+// Run makes the scheduled calls up to the given time since the start of the testbed. An error is a failure of the
+// testbed rather than of membership: a process did not start, or a log line could not be parsed.
 func (s *Testbed) Run(until time.Duration) error {
 	for {
 		next := until
@@ -170,7 +171,7 @@
 	}
 }
 
-// handleLogLine passes the change that a line reports to Changed.
+// handleLogLine parses a log line and passes its state change to OnStateChange.
 func (s *Testbed) handleLogLine(l logLine) {
 	var change struct {
 		Member      string `json:"member"`
@@ -184,14 +185,14 @@
 		member, err = strconv.Atoi(strings.TrimPrefix(change.Member, "n"))
 	}
 	if err != nil || member < 0 || member >= len(s.fleet.Procs) {
-		s.errs = append(s.errs, fmt.Errorf("n%d wrote %q", l.observer, l.line))
+		s.errs = append(s.errs, fmt.Errorf("parse log line of member n%d: %q", l.observer, l.line))
 		return
 	}
 	at := l.at.Sub(s.startedAt)
 	s.OnStateChange(at, l.observer, member, parseState(change.Before), parseState(change.State), change.Incarnation)
 }
 
-// parseState is the state of that name; any other word is Unknown.
+// parseState returns the state of that name; Unknown for any other word.
 func parseState(word string) membership.State {
 	for s := membership.Alive; s <= membership.Left; s++ {
 		if s.String() == word {
@@ -201,30 +202,30 @@
 	return membership.Unknown
 }
 
-// Members implements scenario.Stage, as do the following methods up to StateSeen.
+// Members returns the number of processes. The methods from here to StateSeen implement scenario.Testbed.
 func (s *Testbed) Members() int { return len(s.fleet.Procs) }
 
-// Now is the time since the stage began.
+// Now returns the time since the testbed began.
 func (s *Testbed) Now() time.Duration { return time.Since(s.startedAt) }
 
-// After schedules a call by Run.
+// After schedules a call, which Run makes after a delay.
 func (s *Testbed) After(d time.Duration, callback func()) {
 	s.timerCount++
 	heap.Push(&s.timers, timer{s.Now() + d, s.timerCount, callback})
 }
 
-// Rand is the source from which scripts draw their faults.
+// Rand returns the random source of scripts.
 func (s *Testbed) Rand() *rand.Rand { return s.rng }
 
-// UpdateLinks changes the links from some processes to others, one way.
+// UpdateLinks applies a change to the links from some processes to others, in this direction only.
 func (s *Testbed) UpdateLinks(from, to []int, change func(*link.Link)) {
 	s.fleet.Proxy.UpdateLinks(from, to, change)
 }
 
-// Heal resets all links: they lose and delay nothing.
+// Heal resets all links: they neither lose nor delay datagrams.
 func (s *Testbed) Heal() { s.fleet.Proxy.Heal() }
 
-// Partitioned lists the links that are partitioned, as from and to.
+// Partitioned returns the links that are partitioned, as pairs of sender and receiver.
 func (s *Testbed) Partitioned() map[[2]int]bool { return s.fleet.Proxy.Partitioned() }
 
 // Kill ends a process with SIGKILL.
@@ -233,10 +234,10 @@
 	s.views[i].Store(nil)
 }
 
-// Stop sends SIGTERM to a process, and does not wait for its end.
+// Stop sends SIGTERM to a process, without waiting for its end.
 func (s *Testbed) Stop(i int) { s.fleet.Procs[i].Terminate() }
 
-// Start starts a process, and does not wait until it serves. Run returns its error.
+// Start starts a process, without waiting until it serves. Run returns its error.
 func (s *Testbed) Start(i int) {
 	s.wg.Add(1)
 	go func() {
@@ -250,14 +251,14 @@
 	}()
 }
 
-// Pause suspends a process for a while.
+// Pause suspends a process for d.
 func (s *Testbed) Pause(i int, d time.Duration) {
 	p := s.fleet.Procs[i]
 	p.Pause()
 	s.After(d, p.Continue)
 }
 
-// StateSeen is another member's state in a process's last view, Unknown if there is none.
+// StateSeen returns a member's state in the observer's last view; Unknown if there is no view.
 func (s *Testbed) StateSeen(observer, of int) membership.State {
 	v := s.views[observer].Load()
 	if v == nil {
@@ -267,13 +268,13 @@
 	return parseState(word)
 }
 
-// CountBytes begins to count what processes send, for BytesPerS.
+// CountBytes starts the count of sent bytes for BytesPerS.
 func (s *Testbed) CountBytes() {
 	s.startBytes = s.fleet.Proxy.SentBytes()
 	s.countedFrom = s.Now()
 }
 
-// BytesPerS is what a process has sent in a second since CountBytes, on average.
+// BytesPerS returns how many bytes a process has sent per second since CountBytes, as the mean of all processes.
 func (s *Testbed) BytesPerS() float64 {
 	sum := int64(0)
 	for i, sent := range s.fleet.Proxy.SentBytes() {
--- a/lab/procs/zones_test.go
+++ b/lab/procs/zones_test.go
@@ -9,7 +9,7 @@
 	"spurspread/lab/link"
 )
 
-// zonedFleet starts n processes, by turns in two zones of two regions. The only seed is in the first.
+// zonedFleet starts n processes, alternately in two zones of two regions. The only seed is in the first zone.
 func zonedFleet(t *testing.T, n int) *Fleet {
 	t.Helper()
 	f, err := New(program, t.TempDir(), n, 1, 1)
@@ -25,7 +25,7 @@
 	return f
 }
 
-// awaitViews waits until a condition holds of the views of all running processes.
+// awaitViews waits until a condition holds for the views of all running processes.
 func (f *Fleet) awaitViews(t *testing.T, what string, holds func(i int, v *View) bool) {
 	t.Helper()
 	if err := Await(awaitTimeout, what, func() bool {
@@ -47,7 +47,7 @@
 	}
 }
 
-// awaitZones waits until all count that many live members, and see the other zone in a state.
+// awaitZones waits until all processes count the given number of live members, and have the other zone in a state.
 func (f *Fleet) awaitZones(t *testing.T, what, state string, live int) {
 	t.Helper()
 	f.awaitViews(t, what, func(i int, v *View) bool {
@@ -56,8 +56,9 @@
 	})
 }
 
-// Two zones find each other from one seed, and a record that the command publishes in one is shown by the command in
-// the other. While they are partitioned, each sees the other as unknown; once healed, as reachable.
+// Two zones find each other through one seed. A record that the command record publishes in one zone is shown by the
+// command members in the other. While the zones are partitioned, each has the other as unknown, and afterwards again as
+// reachable.
 func TestTwoZonesOfProcesses(t *testing.T) {
 	f := zonedFleet(t, 4)
 	publish := exec.Command(program, "record", "limits", "two words", "--mgmt", f.Procs[0].ManagementAddr)
@@ -73,38 +74,39 @@
 	}
 	for _, want := range []string{"4 members live in all zones", "zone-0", "own", "two words"} {
 		if !strings.Contains(string(out), want) {
-			t.Errorf("no %q in\n%s", want, out)
+			t.Errorf("the output of the command members lacks %q:\n%s", want, out)
 		}
 	}
 	partition := func(l *link.Link) { l.Partitioned = true }
 	f.Proxy.UpdateLinks([]int{0, 2}, []int{1, 3}, partition)
 	f.Proxy.UpdateLinks([]int{1, 3}, []int{0, 2}, partition)
-	f.awaitZones(t, "neither can tell of the other", "unknown", 2)
+	f.awaitZones(t, "each zone has the other one as unknown", "unknown", 2)
 	f.Proxy.Heal()
-	f.awaitZones(t, "both reach each other again", "reachable", 4)
+	f.awaitZones(t, "both zones reach each other again", "reachable", 4)
 }
 
-// A zone that dies is unknown as a whole, without its members in any view. A zone that stops has left.
+// A zone all of whose processes are killed becomes unknown as a whole; the other zone has none of its members in its
+// views. A zone all of whose processes stop has left.
 func TestZoneDiesAndZoneStops(t *testing.T) {
 	f := zonedFleet(t, 4)
 	f.Procs[1].Kill()
 	f.Procs[3].Kill()
-	f.awaitZones(t, "the zone is lost", "unknown", 2)
+	f.awaitZones(t, "the killed zone is unknown", "unknown", 2)
 	for _, i := range []int{1, 3} {
 		if err := f.Procs[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.awaitZones(t, "the zone is back", "reachable", 4)
+	f.awaitZones(t, "the restarted zone is reachable", "reachable", 4)
 	for _, i := range []int{1, 3} {
 		if code := f.Procs[i].Stop(); code != 0 {
-			t.Errorf("stopped with %d: %v", code, f.Procs[i].LogTail())
+			t.Errorf("exit code %d after SIGTERM; last log lines: %v", code, f.Procs[i].LogTail())
 		}
 	}
 	f.awaitZones(t, "the zone has left", "left", 2)
 }
 
-// Without zones MEMBERS has no zones, and there are no records.
+// In a fleet without zones the answer to MEMBERS has no zones and no records, and RECORD is refused.
 func TestNoZones(t *testing.T) {
 	f := fleet(t, 2)
 	text, err := f.Procs[0].Admin("MEMBERS")
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxPause is a pause that must not have a member declared dead.
+	// maxPause is the longest pause for which a member must not be declared dead.
 	maxPause = 2 * time.Second
-	// minRunBetweenPauses is how long a member must have run between two pauses for them to count separately: it
-	// needs the time to refute a suspicion, of which the others may remind it after half a second only.
+	// minRunBetweenPauses is the minimum time between two pauses of a member; with less time they count as one pause.
+	// In between the member must refute a suspicion, of which the others may remind it only after half a second.
 	minRunBetweenPauses = 500 * time.Millisecond
-	// Views are compared every minViewInterval, in large fleets less often: every viewIntervalPerMember for each
-	// member, since a comparison takes a step for each pair.
+	// Views are compared every minViewInterval, or, in large fleets, every viewIntervalPerMember times the number of
+	// members, since the cost of a comparison is quadratic in that number.
 	minViewInterval       = 100 * time.Millisecond
 	viewIntervalPerMember = time.Millisecond / 2
 )
@@ -21,39 +21,39 @@
 // Checker compares what members report of one another with the faults that were injected. Its methods must be called on
 // the goroutine of the testbed.
 type Checker struct {
-	stage     Testbed
+	testbed   Testbed
 	log       func(format string, args ...any)
 	members   []memberHistory
-	lastFault time.Duration // the last change of faults
+	lastFault time.Duration // time of the last change of faults
 
-	// FalseDead counts reports that a running member is dead, though it was paused for no more than maxPause and
-	// nothing was partitioned.
+	// FalseDead counts the reports that a running member is dead, although it was paused for no longer than maxPause
+	// and no links were partitioned. DeclaredDead counts the same reports, however long the member was paused.
 	FalseDead      int
 	DeclaredDead   int
-	DeadReturned   int             // dead members that were alive again without a newer incarnation
-	Flaps          int             // most returns of one member to one observer after one fault
-	DetectionTimes []time.Duration // from each crash until one member reported it
-	Divergence     time.Duration   // the longest that views contradicted each other after the last change of faults
+	DeadReturned   int             // reports that a dead member is alive again, without a newer incarnation
+	Flaps          int             // maximum returns of one member from dead to alive at one observer, after one fault
+	DetectionTimes []time.Duration // from a crash to its report, for each report
+	Divergence     time.Duration   // longest time after the last change of faults at which views still differed
 
-	partitioned     bool // members may be declared dead since links are, or lately were, partitioned
+	partitioned     bool // links are, or recently were, partitioned: members may be declared dead
 	flapCounts      map[[2]int]int
-	deadIncarnation map[[2]int]uint64 // by observer and member: the incarnation that was reported dead
+	deadIncarnation map[[2]int]uint64 // incarnation that was reported dead, by observer and member
 }
 
-// memberHistory is what has been done to a member. Times are those of the testbed.
+// memberHistory records the faults of a member. Times are those of the testbed.
 type memberHistory struct {
 	up           bool
-	stopping     bool          // it was stopped in the planned way
+	stopping     bool          // a planned stop has begun
 	killedAt     time.Duration // 0 while it runs
 	pausedUntil  time.Duration
-	runningSince time.Duration // before its present pause, or since the pauses that count as one with it
-	longestPause time.Duration // since it was started
+	runningSince time.Duration // the start of its last pause, or of the first one that counts as one with it
+	longestPause time.Duration // since its start
 	exempt       bool
 }
 
 func newChecker(s Testbed, log func(string, ...any)) *Checker {
 	c := &Checker{
-		stage:           s,
+		testbed:         s,
 		log:             log,
 		members:         make([]memberHistory, s.Members()),
 		flapCounts:      map[[2]int]int{},
@@ -65,16 +65,17 @@
 	return c
 }
 
-// faultsChanged notes that a fault began or ended.
+// faultsChanged records that a fault began or ended.
 func (c *Checker) faultsChanged(now time.Duration) {
 	c.lastFault = now
 	clear(c.flapCounts)
 }
 
-// SetPartitioned sets whether running members may be declared dead from now on, since others can't reach them.
+// SetPartitioned sets whether running members may be declared dead from now on, because others can't reach them.
 func (c *Checker) SetPartitioned(partitioned bool) { c.partitioned = partitioned }
 
-// Exempt allows from now on that a member is declared dead, since others can hardly reach it.
+// Exempt excludes a member from checks from now on, because its links are too bad. It may be declared dead, and neither
+// its flaps nor the views of it and by it are checked.
 func (c *Checker) Exempt(i int) { c.members[i].exempt = true }
 
 func (c *Checker) started(i int) {
@@ -88,15 +89,15 @@
 
 func (c *Checker) killed(i int) {
 	c.members[i].up = false
-	c.members[i].killedAt = c.stage.Now()
+	c.members[i].killedAt = c.testbed.Now()
 }
 
-// stopped notes that a member is being stopped: it may be reported alive until it has ended, or not.
+// stopped records that a member is being stopped. Any state of it is accepted until it is started again.
 func (c *Checker) stopped(i int) { c.members[i].stopping = true }
 
 func (c *Checker) pausedFor(i int, d time.Duration) {
 	m := &c.members[i]
-	now := c.stage.Now()
+	now := c.testbed.Now()
 	if now > m.pausedUntil+minRunBetweenPauses {
 		m.runningSince = now
 	}
@@ -104,18 +105,18 @@
 	m.longestPause = max(m.longestPause, m.pausedUntil-m.runningSince)
 }
 
-// running reports whether a member's process has neither ended nor is paused.
+// running reports whether a member's process has not ended and is not paused.
 func (c *Checker) running(i int) bool {
 	m := &c.members[i]
-	return m.up && c.stage.Now() >= m.pausedUntil
+	return m.up && c.testbed.Now() >= m.pausedUntil
 }
 
-// expectedAlive reports whether a report that a member is dead is false, if its pauses are not taken into account.
+// expectedAlive reports whether it is false to declare a member dead, apart from its pauses.
 func (c *Checker) expectedAlive(m *memberHistory) bool {
 	return m.up && !m.stopping && !m.exempt && !c.partitioned
 }
 
-// StateChanged checks a report: at the given time the observer changed the state of member of, under an incarnation.
+// StateChanged checks the observer's report that another member has a new state, under an incarnation.
 func (c *Checker) StateChanged(at time.Duration, observer, of int, from, to membership.State, incarnation uint64) {
 	switch {
 	case to == membership.Dead:
@@ -132,7 +133,7 @@
 		c.DeclaredDead++
 		if m.longestPause <= maxPause {
 			c.FalseDead++
-			c.log("%d holds %d dead, which runs", observer, of)
+			c.log("member %d declares member %d dead, although it runs", observer, of)
 		}
 	}
 	if m.killedAt > 0 {
@@ -144,7 +145,7 @@
 	key := [2]int{observer, of}
 	if dead := c.deadIncarnation[key]; incarnation <= dead {
 		c.DeadReturned++
-		c.log("%d takes %d back under %d, dead under %d", observer, of, incarnation, dead)
+		c.log("member %d has member %d alive under incarnation %d, dead under %d", observer, of, incarnation, dead)
 	}
 	c.flapCounts[key]++
 	if !c.members[of].exempt && !c.members[observer].exempt {
@@ -152,15 +153,15 @@
 	}
 }
 
-// UndetectedCrashes counts the pairs of a running member and one that has ended, where the first still has the second
-// in the fleet.
+// UndetectedCrashes returns the number of pairs of a running member and an ended one, where the first still has the
+// second alive or suspect.
 func (c *Checker) UndetectedCrashes() (n int) {
 	for i := range c.members {
 		if c.members[i].up {
 			continue
 		}
 		for observer := range c.members {
-			if c.running(observer) && inFleet(c.stage.StateSeen(observer, i)) {
+			if c.running(observer) && inFleet(c.testbed.StateSeen(observer, i)) {
 				n++
 			}
 		}
@@ -168,34 +169,34 @@
 	return n
 }
 
-// inFleet reports whether a state is that of a member of the fleet.
+// inFleet reports whether a member in this state belongs to the fleet.
 func inFleet(s membership.State) bool { return s == membership.Alive || s == membership.Suspect }
 
-// WatchViews compares the views of members periodically, and keeps in Divergence how long after the last fault views
-// of members that reach each other contradicted each other.
+// WatchViews starts a periodic comparison of the members' views, which updates Divergence.
 func (c *Checker) WatchViews() {
 	interval := max(minViewInterval, time.Duration(len(c.members))*viewIntervalPerMember)
-	c.stage.After(interval, func() {
+	c.testbed.After(interval, func() {
 		if c.viewsContradict() {
-			c.Divergence = max(c.Divergence, c.stage.Now()-c.lastFaultEnd())
+			c.Divergence = max(c.Divergence, c.testbed.Now()-c.lastFaultEnd())
 		}
 		c.WatchViews()
 	})
 }
 
-// lastFaultEnd is when faults changed last, the ends of pauses included.
+// lastFaultEnd returns the time of the last change of faults, including ends of pauses.
 func (c *Checker) lastFaultEnd() time.Duration {
 	last := c.lastFault
 	for i := range c.members {
-		if m := &c.members[i]; m.pausedUntil <= c.stage.Now() {
+		if m := &c.members[i]; m.pausedUntil <= c.testbed.Now() {
 			last = max(last, m.pausedUntil)
 		}
 	}
 	return last
 }
 
-// viewsContradict reports whether two running members that reach each other both ways differ on whether a third is in
-// the fleet, or whether one of them has the other not in the fleet, or an ended member in it.
+// viewsContradict reports whether the views of any two running members, connected by links that work both ways, differ
+// on whether a third member is in the fleet. It also reports whether one of them has the other one not in the fleet, or
+// an ended member in it.
 func (c *Checker) viewsContradict() bool {
 	parts := c.partitions()
 	size := map[int]int{}
@@ -214,17 +215,18 @@
 	return false
 }
 
-// contradictOn compares the views of one member, by the part of the fleet in which the observers are.
+// contradictOn reports whether the views of one member contradict each other. parts has the part of the fleet in which
+// each observer is, and size has the number of members of each part.
 func (c *Checker) contradictOn(of int, parts []int, size map[int]int) bool {
 	m := &c.members[of]
 	seenInPart := map[int]bool{}
 	for observer := range c.members {
 		part := parts[observer]
-		// A member that is alone knows that it receives nothing, and declares no member dead.
+		// A member without any connection notices that it receives nothing, and declares no member dead.
 		if observer == of || !c.viewCounts(observer) || size[part] == 1 {
 			continue
 		}
-		seen := inFleet(c.stage.StateSeen(observer, of))
+		seen := inFleet(c.testbed.StateSeen(observer, of))
 		if other, known := seenInPart[part]; known && other != seen {
 			return true
 		}
@@ -239,17 +241,17 @@
 	return false
 }
 
-// viewCounts reports whether a member's view counts.
+// viewCounts reports whether a member's view is compared with others.
 func (c *Checker) viewCounts(observer int) bool {
 	return c.running(observer) && !c.members[observer].stopping && !c.members[observer].exempt
 }
 
-// partitions groups the running members by links that work both ways: for each member the first one of its group, -1
-// for one that does not run.
+// partitions returns the connected parts of the fleet, by links that work both ways: for each member the lowest number
+// of a member of its part, or -1 if the member does not run.
 func (c *Checker) partitions() []int {
-	lost := c.stage.Partitioned()
+	partitioned := c.testbed.Partitioned()
 	connected := func(a, b int) bool {
-		return len(lost) == 0 || !lost[[2]int{a, b}] && !lost[[2]int{b, a}]
+		return len(partitioned) == 0 || !partitioned[[2]int{a, b}] && !partitioned[[2]int{b, a}]
 	}
 	group := make([]int, len(c.members))
 	for i := range group {
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Bounds of every run of a script.
+// Bounds that every run of a script must keep.
 const (
-	MaxDetectionTime  = 4 * time.Second // from a crash until 99 of 100 observers have reported it
-	MaxViewDivergence = 5 * time.Second // of views that contradict each other, after the last change of faults
-	MaxFlaps          = 1               // of one member to one observer after one fault
-	MaxBytesPerSecond = 4096            // that a member sends, on average
+	MaxDetectionTime  = 4 * time.Second // from a crash to its report, for 99% of all reports
+	MaxViewDivergence = 5 * time.Second // time after the last change of faults at which views may still differ
+	MaxFlaps          = 1               // returns of one member from dead to alive at one observer, after one fault
+	MaxBytesPerSecond = 4096            // sent by a member, on average
 )
 
 const (
-	// StopTime is how long a planned stop may take.
+	// StopTime is the maximum duration of a planned stop.
 	StopTime = 4 * time.Second
-	// JoinTime is given to members to find each other before a script begins.
+	// JoinTime is the time for members to find each other before a script begins.
 	JoinTime = 12 * time.Second
-	// SettleTime is how long a testbed is observed after a script.
+	// SettleTime is the time for which members are still checked after the end of a script.
 	SettleTime = MaxViewDivergence + 3*time.Second
 )
 
-// detectionQuantile of all detections must be within MaxDetectionTime.
+// detectionQuantile is the fraction of detections that must be within MaxDetectionTime.
 const detectionQuantile = 0.99
 
-// Result is what one run of a script measured; see Checker.
+// Result has the measurements of one run of a script. The fields that Checker has, too, are described there.
 type Result struct {
 	Scenario string
 	Members  int
 	Seed     uint64
-	Hash     string // of all events, in virtual time
+	Hash     string // of all events in virtual time; empty for real processes
 
 	FalseDead         int
 	DeclaredDead      int
@@ -40,10 +40,10 @@
 	UndetectedCrashes int
 	DetectionTimes    []time.Duration
 	Divergence        time.Duration
-	BytesPerS         float64 // of one member, on average, during the script
+	BytesPerS         float64 // sent by one member, on average during the script
 }
 
-// Result is what was measured so far, without Hash and BytesPerS, which the testbed knows.
+// Result returns the measurements so far. The caller adds Hash and BytesPerS, which only the testbed knows.
 func (t *Trial) Result(name string, seed uint64) *Result {
 	return &Result{
 		Scenario:          name,
@@ -59,13 +59,13 @@
 	}
 }
 
-// Figure is one of a result's figures, with its bound.
+// Figure is a measured value and its upper bound.
 type Figure struct {
 	Name          string
 	Measured, Max float64
 }
 
-// Figures are all that have a bound.
+// Figures returns the values that have a bound, with the names that they have in reports.
 func (r *Result) Figures() []Figure {
 	millis := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	detection := r.DetectionQuantile(detectionQuantile)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Broken lists the bounds that do not hold.
+// Broken describes each bound that does not hold; nil if all hold.
 func (r *Result) Broken() (broken []string) {
 	for _, f := range r.Figures() {
 		if f.Measured > f.Max {
@@ -90,7 +90,7 @@
 	return broken
 }
 
-// DetectionQuantile is the time within which a part of all detections came, from 0 to 1; 0 without any.
+// DetectionQuantile returns a quantile of DetectionTimes, for a part from 0 to 1; 0 if there are none.
 func (r *Result) DetectionQuantile(part float64) time.Duration {
 	if len(r.DetectionTimes) == 0 {
 		return 0
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -9,10 +9,11 @@
 	"spurspread/lab/link"
 )
 
-// Script schedules faults of a trial's members, and returns how long it lasts after the members have joined.
+// Script schedules the faults of a trial. It returns its duration, from the call to the end of its last fault or to the
+// time at which their effects must have ended.
 type Script func(t *Trial) time.Duration
 
-// scripts are all scripts by name.
+// scripts returns all scripts by name.
 func scripts() map[string]Script {
 	return map[string]Script{
 		"pause":     pauseMembers,
@@ -27,26 +28,26 @@
 	}
 }
 
-// Find returns the script of that name; ok is false if there is none.
+// Find returns the named script; ok is false if there is none.
 func Find(name string) (script Script, ok bool) {
 	script, ok = scripts()[name]
 	return script, ok
 }
 
-// Names are the names of all scripts, sorted.
+// Names returns the names of all scripts, sorted.
 func Names() []string { return slices.Sorted(maps.Keys(scripts())) }
 
-// partition loses all that is sent over a link.
+// partition partitions a link.
 func partition(l *link.Link) { l.Partitioned = true }
 
-// scheduleHeal schedules that all links are healed.
+// scheduleHeal schedules the healing of all links.
 func (t *Trial) scheduleHeal(at time.Duration, text string) {
 	t.InjectFault(at, text, func() { t.Heal() })
 }
 
-// schedulePause schedules that one member is paused.
+// schedulePause schedules a pause of one member.
 func (t *Trial) schedulePause(at time.Duration, i int, span time.Duration) {
-	text := fmt.Sprintf("%d is paused for %d ms", i, span/time.Millisecond)
+	text := fmt.Sprintf("member %d is paused for %d ms", i, span/time.Millisecond)
 	t.InjectFault(at, text, func() { t.Pause(i, span) })
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// killOne kills one member, and does nothing else.
+// killOne kills one member, without any other fault.
 func killOne(t *Trial) time.Duration {
 	victim := t.Rand().IntN(t.Members())
 	at := t.randomTime(time.Second, 3*time.Second)
@@ -64,8 +65,9 @@
 	return at + MaxDetectionTime
 }
 
-// pauseMembers pauses one member and then a third of them, by turns, for up to 2 s and at last for up to 10 s; others
-// are paused while they would report the first ones.
+// pauseMembers pauses alternately one member and a third of the members, in eight rounds: for up to 2 s in the first
+// six rounds, and for up to 10 s in the last two. In each round other members are paused at the time at which they
+// would report the first ones.
 func pauseMembers(t *Trial) time.Duration {
 	at := time.Second
 	for round := range 8 {
@@ -81,33 +83,34 @@
 		span := t.randomTime(500*time.Millisecond, longest+1)
 		text := fmt.Sprintf("%d members are paused for %d ms", n, span/time.Millisecond)
 		t.InjectFault(at, text, func() { t.pauseAll(victims, span) })
-		// Others are paused when they would report the first ones.
+		// The other members are paused when they would report the first ones.
 		others := t.Draw(max(t.Members()/3, 1))
 		later := t.randomTime(500*time.Millisecond, 2500*time.Millisecond)
 		long := t.randomTime(time.Second, 2*time.Second+1)
-		text = fmt.Sprintf("%d others for %d ms", len(others), long/time.Millisecond)
+		text = fmt.Sprintf("%d others are paused for %d ms", len(others), long/time.Millisecond)
 		t.InjectFault(at+later, text, func() { t.pauseAll(others, long) })
 		at += max(span, later+long) + t.randomTime(2*time.Second, 4*time.Second)
 	}
 	return at
 }
 
-// loseHalfOfOne loses half of what one member sends and receives: that it declares others dead is then its own fault.
+// loseHalfOfOne loses half of the messages from and to one member. If that member fails to reach others, this must not
+// get them declared dead.
 func loseHalfOfOne(t *Trial) time.Duration {
 	one := t.Rand().IntN(t.Members())
-	t.InjectFault(time.Second, fmt.Sprintf("%d loses half of all it sends and is sent", one), func() {
+	t.InjectFault(time.Second, fmt.Sprintf("half of the messages from and to member %d are lost", one), func() {
 		t.Exempt(one)
 		half := func(l *link.Link) { l.Loss = 0.5 }
 		t.UpdateLinks([]int{one}, t.All(), half)
 		t.UpdateLinks(t.All(), []int{one}, half)
 	})
 	at := t.randomTime(20*time.Second, 30*time.Second)
-	t.scheduleHeal(at, "no longer")
+	t.scheduleHeal(at, "the member's links are good again")
 	return at
 }
 
-// pauseUnderLoss pauses one member after the other for up to 2 s while a tenth of all messages are lost: a suspicion
-// by chance must not shorten the suspicion that a pause begins.
+// pauseUnderLoss pauses ten members, one after the other, for up to 2 s while a tenth of all messages is lost. A
+// suspicion that lost messages have caused must not shorten the suspicion that begins with a pause.
 func pauseUnderLoss(t *Trial) time.Duration {
 	t.InjectFault(time.Second, "10% of all messages are lost", func() {
 		t.UpdateLinks(t.All(), t.All(), lossy(0.1))
@@ -123,14 +126,15 @@
 	return at
 }
 
-// restartMembers has members end and start again under their names within less than a period: killed, or stopped in
-// the planned way; where the testbed has clocks, some of them a day behind.
+// restartMembers ends members, alternately by a kill and by a planned stop, and restarts them under their names. The
+// restart follows less than a detection period after the kill, or after the maximum time of the stop. On a testbed that
+// is a ClockStepper, some members restart with a clock that is a day behind.
 func restartMembers(t *Trial) time.Duration {
 	at := time.Second
 	for round := range 6 {
 		one := t.Draw(1)[0]
 		gap := t.randomTime(20*time.Millisecond, 400*time.Millisecond)
-		t.InjectFault(at, fmt.Sprintf("%d ends", one), func() {
+		t.InjectFault(at, fmt.Sprintf("member %d ends", one), func() {
 			if round%2 == 0 {
 				t.Kill(one)
 				return
@@ -140,7 +144,7 @@
 		if round%2 == 1 {
 			gap += StopTime
 		}
-		t.InjectFault(at+gap, fmt.Sprintf("%d starts", one), func() {
+		t.InjectFault(at+gap, fmt.Sprintf("member %d starts", one), func() {
 			if c, ok := t.Testbed.(ClockStepper); ok && round%3 == 1 {
 				c.StepClock(one, -24*time.Hour)
 			}
@@ -151,12 +155,12 @@
 	return at
 }
 
-// killUnderLoss has messages lost, late, duplicated and out of order, and kills members meanwhile.
+// killUnderLoss kills members while messages are lost, delayed, duplicated and reordered.
 func killUnderLoss(t *Trial) time.Duration {
 	loss := 0.1 + 0.1*t.Rand().Float64()
 	burst := []float64{1, 3}[t.Rand().IntN(2)]
 	jitter := t.randomTime(time.Millisecond, 250*time.Millisecond)
-	text := fmt.Sprintf("%.0f%% of all messages are lost, in rows of %.0f, the others up to %d ms late",
+	text := fmt.Sprintf("%.0f%% of all messages are lost, in bursts of %.0f, the others are up to %d ms late",
 		100*loss, burst, jitter/time.Millisecond)
 	t.InjectFault(time.Second, text, func() {
 		t.UpdateLinks(t.All(), t.All(), func(l *link.Link) {
@@ -176,20 +180,21 @@
 	return at
 }
 
-// partitionOneWay partitions links one way: one; a ring of them; all to one member; all from one; all from one half
-// to the other.
+// partitionOneWay partitions one set of links after the other, in one direction: a single link; a ring, from each
+// member to the next; all links to one member; all links from it; all links from the first half of the members to the
+// second.
 func partitionOneWay(t *Trial) time.Duration {
 	const span = 8 * time.Second
 	all := t.All()
 	at := time.Second
 	pair := t.Draw(2)
-	t.InjectFault(at, fmt.Sprintf("%d no longer hears %d", pair[1], pair[0]), func() {
+	t.InjectFault(at, fmt.Sprintf("member %d no longer receives from member %d", pair[1], pair[0]), func() {
 		t.UpdateLinks(pair[:1], pair[1:], partition)
 	})
 	at += span
-	t.InjectFault(at, "each no longer hears the one before it", func() {
+	t.InjectFault(at, "each member no longer receives from the one before it", func() {
 		t.Heal()
-		t.SetPartitioned(len(all) < 4) // of three, no two reach each other both ways
+		t.SetPartitioned(len(all) < 4) // in a ring of three, no two members reach each other both ways
 		for i := range all {
 			t.UpdateLinks([]int{i}, []int{(i + 1) % len(all)}, partition)
 		}
@@ -202,9 +207,9 @@
 		from, to []int
 		span     time.Duration
 	}{
-		{fmt.Sprintf("%d can only send", one), all, []int{one}, span},
-		{fmt.Sprintf("%d can only receive", one), []int{one}, all, span},
-		{"the second half no longer hears the first", all[:len(all)/2], all[len(all)/2:], 10 * time.Second},
+		{fmt.Sprintf("member %d can only send", one), all, []int{one}, span},
+		{fmt.Sprintf("member %d can only receive", one), []int{one}, all, span},
+		{"the second half no longer receives from the first", all[:len(all)/2], all[len(all)/2:], 10 * time.Second},
 	} {
 		t.InjectFault(at, c.text, func() {
 			t.SetPartitioned(true)
@@ -220,32 +225,32 @@
 func (t *Trial) schedulePartitionEnd(at time.Duration) time.Duration {
 	t.InjectFault(at, "links are good again", func() {
 		t.Heal()
-		t.InjectFault(MaxViewDivergence, "all is as before", func() { t.SetPartitioned(false) })
+		t.InjectFault(MaxViewDivergence, "no member may be declared dead any more", func() { t.SetPartitioned(false) })
 	})
 	return at + 8*time.Second
 }
 
-// partitionFleet partitions the fleet into two and then three parts, and heals it; then a link fails and works again
-// every 700 ms for a minute.
+// partitionFleet partitions the fleet into two parts, heals it, and does the same with three parts. Then the links
+// between two members fail and recover in turn, every 700 ms for a minute.
 func partitionFleet(t *Trial) time.Duration {
 	at := time.Second
 	for _, parts := range []int{2, 3} {
-		t.InjectFault(at, fmt.Sprintf("cut in %d", parts), func() {
+		t.InjectFault(at, fmt.Sprintf("the fleet is partitioned into %d parts", parts), func() {
 			t.SetPartitioned(true)
 			t.partitionInto(parts)
 		})
 		at += t.randomTime(8*time.Second, 12*time.Second)
-		t.scheduleHeal(at, "healed")
+		t.scheduleHeal(at, "the partition is healed")
 		at += 8 * time.Second
 	}
-	t.InjectFault(at, "a link goes up and down", func() { t.SetPartitioned(false) })
+	t.InjectFault(at, "the links between two members begin to fail and recover", func() { t.SetPartitioned(false) })
 	t.flapLink(at)
 	at += 61 * time.Second
-	t.scheduleHeal(at, "it is up")
+	t.scheduleHeal(at, "both links work")
 	return at
 }
 
-// partitionInto partitions the fleet by each member's number modulo parts.
+// partitionInto partitions the fleet into parts, by the members' numbers modulo parts.
 func (t *Trial) partitionInto(parts int) {
 	for _, from := range t.All() {
 		for _, to := range t.All() {
@@ -256,7 +261,7 @@
 	}
 }
 
-// flapLink schedules that the links between two members fail and work by turns for a minute.
+// flapLink schedules that the links between two members fail and recover in turn for a minute.
 func (t *Trial) flapLink(at time.Duration) {
 	const (
 		changes  = 86
@@ -274,17 +279,17 @@
 	}
 }
 
-// restartMany kills seven in ten members at once, and starts them all again at once a while later.
+// restartMany kills 70% of the members at once, and restarts them all at once 8 to 12 s later.
 func restartMany(t *Trial) time.Duration {
 	victims := t.Draw(t.Members() * 7 / 10)
 	at := t.randomTime(time.Second, 2*time.Second)
-	t.InjectFault(at, fmt.Sprintf("%d of %d are killed at once", len(victims), t.Members()), func() {
+	t.InjectFault(at, fmt.Sprintf("%d of %d members are killed at once", len(victims), t.Members()), func() {
 		for _, i := range victims {
 			t.Kill(i)
 		}
 	})
 	at += t.randomTime(8*time.Second, 12*time.Second)
-	t.InjectFault(at, "they start again at once", func() {
+	t.InjectFault(at, "the killed members start again at once", func() {
 		for _, i := range victims {
 			t.Start(i)
 		}
@@ -292,7 +297,7 @@
 	return at + MaxViewDivergence
 }
 
-// lossy loses a part of all messages, and delays the others by up to 20 ms.
+// lossy returns a change of links: they lose a part of all messages, and delay the others by up to 20 ms.
 func lossy(loss float64) func(*link.Link) {
 	return func(l *link.Link) {
 		l.Loss = loss
@@ -300,7 +305,8 @@
 	}
 }
 
-// KillsUnderLoss is a script that kills four members, one after the other, while this part of all messages is lost.
+// KillsUnderLoss returns a script that kills four members, one after the other, while the given part of all messages,
+// from 0 to 1, is lost.
 func KillsUnderLoss(loss float64) Script {
 	return func(t *Trial) time.Duration {
 		t.InjectFault(time.Second, fmt.Sprintf("%.0f%% of all messages are lost", 100*loss), func() {
@@ -315,7 +321,7 @@
 	}
 }
 
-// SinglePauses is a script that pauses six members for this long, one after the other.
+// SinglePauses returns a script that pauses six members for the given time, one after the other.
 func SinglePauses(span time.Duration) Script {
 	return func(t *Trial) time.Duration {
 		at := time.Second
--- a/lab/scenario/trial.go
+++ b/lab/scenario/trial.go
@@ -1,6 +1,7 @@
-// Package scenario has scripts of faults for the members of a fleet, and a checker that judges what members then
-// report of one another. The same scripts and the same checker serve members in virtual time (lab/simulation) and
-// real processes (lab/procs), each as a Stage; the package must not know which of them it has.
+// Package scenario has scripts that inject faults into the members of a fleet, and a Checker that compares the state
+// changes that members report, and their views, with these faults. A Trial runs one script on a Testbed. There are two
+// testbeds, of members in virtual time (lab/simulation) and of real processes (lab/procs); this package must not depend
+// on which of them it runs on.
 package scenario
 
 import (
@@ -16,48 +17,49 @@
 // Testbed runs the members of a fleet, and injects faults into them and their links. Its methods, and the calls that
 // After schedules, run one after another. All times are since the testbed began.
 type Testbed interface {
-	// Members is the number of members; they are numbered from 0.
+	// Members returns the number of members; they are numbered from 0.
 	Members() int
 	Now() time.Duration
-	// After schedules a call.
+	// After schedules a call after a delay.
 	After(d time.Duration, callback func())
-	// Rand is the source from which scripts draw.
+	// Rand returns the random source of scripts.
 	Rand() *rand.Rand
 
-	// Set changes the links from some members to others, one way; Heal makes all links what they are usually.
+	// UpdateLinks applies a change to the links from some members to others, in this direction only. Heal reverts all
+	// changes.
 	UpdateLinks(from, to []int, change func(*link.Link))
 	Heal()
-	// Partitioned lists the links that are partitioned, as from and to.
+	// Partitioned returns the links that are partitioned, as pairs of sender and receiver.
 	Partitioned() map[[2]int]bool
 
 	// Kill ends a member's process at once.
 	Kill(i int)
-	// Stop makes a member announce its end, and end.
+	// Stop makes a member announce that it leaves, and end.
 	Stop(i int)
 	// Start starts a process under the name of a member that has ended.
 	Start(i int)
 	// Pause suspends a member's process for d.
 	Pause(i int, d time.Duration)
 
-	// StateSeen is another member's state in the view of a member that runs.
+	// StateSeen returns a member's state in the view of the observer, which runs.
 	StateSeen(observer, of int) membership.State
 }
 
-// ClockStepper is a testbed whose members' clocks can be set.
+// ClockStepper is a Testbed whose members' clocks can be set.
 type ClockStepper interface {
-	// StepClock has a member's clock be off by d from its next start on.
+	// StepClock sets the offset of a member's clock to d, from the member's next start on.
 	StepClock(i int, d time.Duration)
 }
 
-// Trial is one script on a testbed, and the checker that judges it.
+// Trial is one run of a script on a testbed, with its checker.
 type Trial struct {
 	Testbed
 	*Checker
-	Log    func(format string, args ...any) // receives a line for each fault and each false report; may be nil
-	Faults []string                         // the faults, with when they came
+	Log    func(format string, args ...any) // called for each fault and each false report; may be nil
+	Faults []string                         // the injected faults with their times
 }
 
-// New begins a trial of members that all run, and have found each other.
+// New returns a trial on a testbed all of whose members run and have joined. log may be nil.
 func New(s Testbed, log func(string, ...any)) *Trial {
 	t := &Trial{Testbed: s, Log: log}
 	t.Checker = newChecker(s, t.logEvent)
@@ -70,7 +72,8 @@
 	}
 }
 
-// InjectFault schedules a fault, or the end of one, and notes it for the checker and the report when it happens.
+// InjectFault schedules a fault, or the end of one, after a delay. When it happens, it is logged, added to Faults and
+// reported to the checker. text describes it.
 func (t *Trial) InjectFault(after time.Duration, text string, fault func()) {
 	t.After(after, func() {
 		t.logEvent("%s", text)
@@ -86,7 +89,7 @@
 	t.killed(i)
 }
 
-// Stop stops a member in the planned way. From now on it may be reported alive, or not.
+// Stop stops a member in the planned way. From then on the checker accepts any state of it.
 func (t *Trial) Stop(i int) {
 	t.Testbed.Stop(i)
 	t.stopped(i)
@@ -122,7 +125,7 @@
 	return drawn
 }
 
-// randomTime draws a time from the half-open span.
+// randomTime returns a random duration from the half-open interval [from, to).
 func (t *Trial) randomTime(from, to time.Duration) time.Duration {
 	return from + time.Duration(t.Rand().Int64N(int64(max(to-from, 1))))
 }
--- a/lab/simulation/alternatives.go
+++ b/lab/simulation/alternatives.go
@@ -1,7 +1,8 @@
 package simulation
 
-// Alternatives are ways that were considered and not chosen, by name, played on the same seeds, so that charts show
-// what each buys. They know all members from the start, and are as plain as the idea allows.
+// Alternatives returns the failure detectors that were considered and not chosen, by name. They run on the same seeds
+// as the balancer's members, so that charts can compare them. Each is a minimal implementation of its algorithm that
+// knows all members from the start.
 func Alternatives() map[string]Builder {
 	return map[string]Builder{
 		"heartbeats": func(c *Cluster, i, _ int) Detector { return newHeartbeatDetector(c, i, fixedTimeout) },
@@ -10,7 +11,7 @@
 	}
 }
 
-// Bytes of a message without updates, and of an update, about as the balancer's datagrams have them.
+// Sizes of a message without updates and of one update, in bytes. They approximate the balancer's datagrams.
 const (
 	baseMessageSize = 110
 	updateSize      = 20
--- a/lab/simulation/cluster.go
+++ b/lab/simulation/cluster.go
@@ -9,39 +9,41 @@
 	"spurspread/lab/link"
 )
 
-// Micros is a span, or a point in virtual time, in microseconds.
+// Micros is a duration or a point in virtual time, in microseconds.
 type Micros = monotime.Micros
 
-// Spans.
+// Durations.
 const (
 	Millisecond = monotime.Millisecond
 	Second      = monotime.Second
 )
 
 const (
-	// randomStream tells a cluster's random source from others with the same seed.
+	// randomStream selects the random sequence of a cluster; other users of the seed select others.
 	randomStream = 0x7669727475616c
-	// startTime is when a cluster begins: 0 would mean never to some members.
+	// startTime is the virtual time at which a cluster begins. It is not 0, which some members treat as "never".
 	startTime = Second
-	// maxInbox is how many datagrams wait at a paused process before more are lost.
+	// maxInbox is the number of datagrams that are queued for a paused process; further ones are lost.
 	maxInbox = 256
-	// maxTickDelay is by how much a tick is late at most.
+	// maxTickDelay bounds the random delay of each tick.
 	maxTickDelay = 2 * Millisecond
-	// leaveDelay is how long a process runs on that was stopped in the planned way.
+	// leaveDelay is the time from a planned stop to the end of the process.
 	leaveDelay = 500 * Millisecond
 )
 
-// Cluster is members and the links between them. It is a scenario.Stage.
+// Cluster is a set of simulated members and the links between them. It implements scenario.Testbed.
 type Cluster struct {
 	scheduler
 
-	// SentBytes and Received are what each member has sent and received, Sent counts all datagrams.
+	// SentBytes and ReceivedBytes count the bytes of datagrams that each member has sent and received. SentDatagrams
+	// counts the datagrams that all members have sent.
 	SentBytes     []int64
 	ReceivedBytes []int64
 	SentDatagrams int64
-	// LinkBetween decides which link there is from one member to another; nil: one for each pair, see Set.
+	// LinkBetween returns the link from one member to another. If it is nil, the cluster has a separate link for each
+	// ordered pair, which UpdateLinks changes.
 	LinkBetween func(from, to int) *link.Link
-	// OnStateChange is called with what members report of one another.
+	// OnStateChange is called with each state change that a member reports of another one.
 	OnStateChange func(observer, of int, c membership.StateChange)
 
 	rng              *rand.Rand
@@ -51,16 +53,16 @@
 	clockSkew        map[int]Micros
 	links            map[[2]int]*link.Link
 	defaultLink      link.Link
-	partitionedLinks map[[2]int]bool // as of the last change of links, nil: not known
+	partitionedLinks map[[2]int]bool // result of Partitioned, nil after a change of links
 }
 
-// member is one member's current process.
+// member is the state of one member and its current process.
 type member struct {
 	detector    Detector
-	reported    []membership.State // what it has reported of the others
+	reported    []membership.State // its last reported state of each member
 	up          bool
 	pausedUntil Micros
-	inbox       []delivery // while it is paused
+	inbox       []delivery // datagrams that arrived while it was paused
 	startCount  int
 }
 
@@ -70,7 +72,7 @@
 	packet Packet
 }
 
-// NewCluster returns a cluster of n members that are not started.
+// NewCluster returns a cluster of n members, none of which is started.
 func NewCluster(n int, seed uint64, defaultLink link.Link, build Builder) *Cluster {
 	c := &Cluster{
 		scheduler:     newScheduler(startTime),
@@ -94,18 +96,18 @@
 // Members returns the number of members.
 func (c *Cluster) Members() int { return len(c.members) }
 
-// Rand is the random source of the cluster and its scripts.
+// Rand returns the random source of the cluster and its scripts.
 func (c *Cluster) Rand() *rand.Rand { return c.rng }
 
-// Now is the time since the cluster began.
+// Now returns the current virtual time.
 func (c *Cluster) Now() time.Duration { return time.Duration(c.now) * time.Microsecond }
 
-// After has something done after a while.
+// After schedules a call after a delay.
 func (c *Cluster) After(d time.Duration, do func()) {
 	c.schedule(Micros(d.Microseconds()), faultEvent, 0, 0, do)
 }
 
-// StateSeen is what a member considers another one to be, by what it has reported; Unknown before it was started.
+// StateSeen returns the state that the observer last reported of a member; Unknown if the observer was never started.
 func (c *Cluster) StateSeen(observer, of int) membership.State {
 	if reported := c.members[observer].reported; reported != nil {
 		return reported[of]
@@ -113,10 +115,10 @@
 	return membership.Unknown
 }
 
-// StepClock has a member's clock be off by d from its next start on.
+// StepClock sets the offset of a member's clock to d, from the member's next start on.
 func (c *Cluster) StepClock(i int, d time.Duration) { c.clockSkew[i] = Micros(d.Microseconds()) }
 
-// Start starts a member's process, or a new one under its name.
+// Start starts a process for a member. It replaces an earlier process of the member.
 func (c *Cluster) Start(i int) {
 	m := c.members[i]
 	m.startCount++
@@ -134,7 +136,8 @@
 // Kill ends a member's process without an announcement.
 func (c *Cluster) Kill(i int) { c.members[i].up = false }
 
-// Stop ends it in the planned way.
+// Stop ends a member's process in the planned way: the member announces that it leaves, and its process ends leaveDelay
+// later. It does nothing for a process that has ended.
 func (c *Cluster) Stop(i int) {
 	m := c.members[i]
 	if !m.up {
@@ -151,21 +154,21 @@
 	})
 }
 
-// Pause stops a member's process for a while.
+// Pause suspends a member's process for d.
 func (c *Cluster) Pause(i int, d time.Duration) {
 	m := c.members[i]
 	m.pausedUntil = max(m.pausedUntil, c.now+Micros(d.Microseconds()))
 }
 
-// jitter draws a span under limit.
+// jitter returns a random duration below limit.
 func (c *Cluster) jitter(limit Micros) Micros { return Micros(c.rng.Int64N(int64(limit))) }
 
 func (c *Cluster) scheduleTick(i, start int, after Micros) {
 	c.schedule(after, tickEvent, i, start, func() { c.tick(i, start) })
 }
 
-// tick lets a member's process do what is due. A paused one does it when the pause ends, after reading what has
-// waited, as the event loop does.
+// tick delivers the queued datagrams to a member's process and calls its Tick. For a paused process both happen at the
+// end of the pause, in the order in which the balancer's event loop does them.
 func (c *Cluster) tick(i, start int) {
 	m := c.members[i]
 	if !m.up || m.startCount != start {
@@ -184,7 +187,7 @@
 	c.scheduleTick(i, start, membership.TickInterval+c.jitter(maxTickDelay))
 }
 
-// apply returns what carries out a member's output.
+// apply returns a function that sends a member's packets and records the state changes that it reports.
 func (c *Cluster) apply(i int) func([]Packet, []membership.StateChange) {
 	return func(out []Packet, changes []membership.StateChange) {
 		for _, change := range changes {
--- a/lab/simulation/detector.go
+++ b/lab/simulation/detector.go
@@ -8,31 +8,31 @@
 	"spurspread/internal/peer/packet"
 )
 
-// Detector is one process of a member: its failure detection and membership, however they work.
+// Detector is one process of a member, with its algorithm for failure detection and membership.
 type Detector interface {
 	Tick(now Micros) ([]Packet, []membership.StateChange)
 	Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange)
 	Leave(now Micros) []Packet
-	// StateOf is what this member considers another one to be.
+	// StateOf returns the state of another member in this one's view.
 	StateOf(other int) membership.State
-	// Incarnation is this member's own.
+	// Incarnation returns this member's own incarnation.
 	Incarnation() uint64
 }
 
-// Builder makes the process of member i of a cluster, which is its start-th one, from 1.
+// Builder creates a process of member i of a cluster. start counts the member's processes from 1.
 type Builder func(c *Cluster, i, start int) Detector
 
 // Packet is a message to a member.
 type Packet struct {
 	To      int
-	Size    int // of its datagram, in bytes
+	Size    int // bytes of its datagram
 	Payload any
 }
 
-// MemberID is the id of member i.
+// MemberID returns the id of member i.
 func MemberID(i int) membership.ID { return membership.ID(0x9e3779b97f4a7c15 * uint64(i+1)) }
 
-// Name is that of member i.
+// Name returns the name of member i.
 func Name(i int) string { return fmt.Sprint("n", i) }
 
 const (
@@ -40,26 +40,27 @@
 	byteBits   = 8
 )
 
-// Addr is where member i is reached.
+// Addr returns the address of member i.
 func Addr(i int) netip.AddrPort {
 	ip := [4]byte{127, byte(1 + i>>(2*byteBits)), byte(i >> byteBits), byte(i)}
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), memberPort)
 }
 
-// MemberIndex is the member that is reached at an address.
+// MemberIndex returns the number of the member with this address, the inverse of Addr.
 func MemberIndex(addr netip.AddrPort) int {
 	ip := addr.Addr().As4()
 	return int(ip[1]-1)<<(2*byteBits) | int(ip[2])<<byteBits | int(ip[3])
 }
 
-// balancerDetector is a member as the balancer has it.
+// balancerDetector is a member that runs the balancer's membership.
 type balancerDetector struct{ fleet *membership.Fleet }
 
-// instanceStartBits is how many bits of an instance count the member's starts.
+// instanceStartBits is the number of low bits of an instance that hold the start count.
 const instanceStartBits = 8
 
-// BalancerMembers builds members as the balancer has them. Each has the first few as seeds.
-func BalancerMembers(seeds int) Builder {
+// BalancerMembers returns a Builder of members that run the balancer's membership. The first seedCount members are the
+// seeds of all.
+func BalancerMembers(seedCount int) Builder {
 	return func(c *Cluster, i, start int) Detector {
 		clock := c.now + c.clockSkew[i]
 		cfg := membership.Config{
@@ -72,7 +73,7 @@
 				Instance: uint64(clock)<<instanceStartBits | uint64(start),
 			},
 		}
-		for seed := range seeds {
+		for seed := range seedCount {
 			cfg.Seeds = append(cfg.Seeds, Addr(seed))
 		}
 		return balancerDetector{membership.New(cfg, c.now)}
--- a/lab/simulation/digest_test.go
+++ b/lab/simulation/digest_test.go
@@ -6,8 +6,8 @@
 	"spurspread/lab/scenario"
 )
 
-// runDigests are the hashes of all events of one play of each script with 8 members and seed 3. They hold the
-// decisions of membership bit for bit; a change that is meant to decide otherwise renews them in a commit of its own.
+// runDigests has, for each script, the hash over all events of a run with 8 members and seed 3. The hashes detect every
+// change in the decisions of package membership. An intended change updates them in a separate commit.
 var runDigests = map[string]string{
 	"loss":      "762a4ad666b8ae63",
 	"one-sided": "1271da918df229d2",
--- a/lab/simulation/events.go
+++ b/lab/simulation/events.go
@@ -9,7 +9,7 @@
 	"hash/fnv"
 )
 
-// eventKind tells events apart in the hash of all of them.
+// eventKind is the kind of an event. It goes into the hash over all events.
 type eventKind uint8
 
 const (
@@ -18,16 +18,17 @@
 	faultEvent
 )
 
-// event is something that is due. Its kind and the two numbers, a member and another one or a start, are hashed.
+// event is a scheduled call. The hash covers its time, its kind and the numbers a and b. Their meaning depends on the
+// kind: a is a member or 0; b is another member, a member's start count, or 0 or 1.
 type event struct {
 	at   Micros
-	seq  uint64 // events of one moment happen in the order in which they were scheduled
+	seq  uint64 // events due at the same time run in the order in which they were scheduled
 	kind eventKind
 	a, b int
 	run  func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap.Interface with the earliest event on top.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -46,7 +47,7 @@
 	return last
 }
 
-// scheduler is virtual time: it runs events in order, and hashes them.
+// scheduler keeps virtual time: it runs events in the order of their times, and hashes them.
 type scheduler struct {
 	now    Micros
 	events eventQueue
@@ -56,13 +57,13 @@
 
 func newScheduler(now Micros) scheduler { return scheduler{now: now, hash: fnv.New64a()} }
 
-// schedule has an event happen after a while.
+// schedule schedules an event after a delay; a negative delay counts as 0.
 func (s *scheduler) schedule(after Micros, kind eventKind, a, b int, run func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: s.now + max(after, 0), seq: s.seq, kind: kind, a: a, b: b, run: run})
 }
 
-// Run lets time pass until then.
+// Run runs all events that are due until the given time, and then sets the time to it.
 func (s *scheduler) Run(until Micros) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next := heap.Pop(&s.events).(event)
@@ -82,5 +83,5 @@
 	_, _ = s.hash.Write(b) // never fails
 }
 
-// Hash is one of all events so far.
+// Hash returns a hash over all events that have run.
 func (s *scheduler) Hash() string { return fmt.Sprintf("%016x", s.hash.Sum64()) }
--- a/lab/simulation/fault.go
+++ b/lab/simulation/fault.go
@@ -6,8 +6,8 @@
 	"spurspread/decision/membership"
 )
 
-// Faults are those that can be planted in members, by name, to show that the checker finds them. Each is given a
-// detector and its member's index.
+// Faults returns the faults that can be injected into members, by name, to show that the checker finds them. Each
+// function wraps the detector of member i.
 func Faults() map[string]func(d Detector, i int) Detector {
 	return map[string]func(Detector, int) Detector{
 		"same-incarnation": func(d Detector, i int) Detector { return &sameIncarnation{Detector: d, own: MemberID(i)} },
@@ -16,13 +16,13 @@
 	}
 }
 
-// WithFault builds members as build does, all with one of Faults.
+// WithFault returns a Builder that adds the named fault of Faults to each detector of build.
 func WithFault(name string, build Builder) Builder {
 	injectFault := Faults()[name]
 	return func(c *Cluster, i, start int) Detector { return injectFault(build(c, i, start), i) }
 }
 
-// rewriteMessages changes the messages that a member sends.
+// rewriteMessages applies change to a copy of each message that a member sends.
 func rewriteMessages(out []Packet, change func(*membership.Message)) []Packet {
 	for i := range out {
 		m := out[i].Payload.(membership.Message)
@@ -33,7 +33,8 @@
 	return out
 }
 
-// sameIncarnation never announces a newer incarnation.
+// sameIncarnation is a member that never announces a newer incarnation than its first one, so that it cannot refute a
+// suspicion.
 type sameIncarnation struct {
 	Detector
 	own         membership.ID
@@ -64,8 +65,9 @@
 	return s.pinIncarnation(out), changes
 }
 
-// blindToPauses doesn't see that its process was paused, nor that nothing was received meanwhile: its deadlines pass
-// one after the other, before what has waited is read.
+// blindToPauses is a member that does not notice a pause of its process. After a pause it runs all ticks that it missed
+// before it reads the queued datagrams, so that its timeouts expire for members that did answer. During these ticks it
+// receives its last packet again and again, which hides from it that it has received nothing.
 type blindToPauses struct {
 	Detector
 	lastTick   Micros
@@ -104,7 +106,8 @@
 	return append(out, more...), append(changes, moreChanges...)
 }
 
-// oneObserver takes its own failure to reach a member for that one's death, and disseminates it.
+// oneObserver is a member that disseminates a death whenever it suspects a member itself, without waiting for other
+// observers.
 type oneObserver struct{ Detector }
 
 func (o oneObserver) declareDead(out []Packet) []Packet {
--- a/lab/simulation/heartbeat.go
+++ b/lab/simulation/heartbeat.go
@@ -8,21 +8,22 @@
 
 const (
 	heartbeatInterval = 500 * Millisecond
-	// heartbeatTimeout is longer than a pause that must be tolerated, and as short as a crash found within 4 s
-	// allows.
+	// heartbeatTimeout is longer than the pauses that must be tolerated, and short enough that crashes are detected
+	// within 4 s.
 	heartbeatTimeout = 3 * Second
-	// phiThreshold is the level of suspicion at which a member is dead: one wrong verdict in 10^8 gaps, if they were
-	// normally distributed.
+	// phiThreshold is the suspicion level at which a member is declared dead. For normally distributed gaps, one gap in
+	// 10^8 would exceed it.
 	phiThreshold = 8
-	// minDeviation is the least deviation of gaps that phiAccrual assumes.
+	// minDeviation is the minimum deviation of gaps, in microseconds, that phiAccrual assumes.
 	minDeviation = float64(heartbeatInterval) / 10
-	// gapWeight: one new gap counts for one in so many in the smoothed ones.
+	// gapWeight is the divisor of exponential smoothing: each new gap has a weight of 1/gapWeight.
 	gapWeight = 16
 	// smallestProbability keeps the logarithm finite.
 	smallestProbability = 1e-300
 )
 
-// heartbeatDetector sends all others a heartbeat, and considers those dead whose own is overdue.
+// heartbeatDetector is a member that sends heartbeats to all others, and declares a member dead whose heartbeat is
+// overdue.
 type heartbeatDetector struct {
 	self        int
 	incarnation uint64
@@ -36,7 +37,7 @@
 	state          membership.State
 	incarnation    uint64
 	lastHeartbeat  Micros
-	gap, deviation float64 // of heartbeats, smoothed, microseconds
+	gap, deviation float64 // smoothed gap between heartbeats and its deviation, in microseconds
 }
 
 type heartbeat struct{ incarnation uint64 }
@@ -60,10 +61,11 @@
 	return h
 }
 
-// fixedTimeout has one timeout for all members.
+// fixedTimeout reports whether a heartbeat is overdue by heartbeatTimeout, which is the same for all members.
 func fixedTimeout(p *heartbeatPeer, now Micros) bool { return now-p.lastHeartbeat > heartbeatTimeout }
 
-// phiAccrual weighs how unlikely a gap as long as this one is, by those seen so far.
+// phiAccrual reports whether a heartbeat is overdue by the phi accrual method: whether the present gap is improbably
+// long, given the mean and deviation of earlier gaps.
 func phiAccrual(p *heartbeatPeer, now Micros) bool {
 	z := (float64(now-p.lastHeartbeat) - p.gap) / max(p.deviation, minDeviation)
 	probability := max(0.5*math.Erfc(z/math.Sqrt2), smallestProbability)
@@ -118,8 +120,8 @@
 		p.incarnation = max(p.incarnation, incarnation)
 		return nil, nil
 	}
-	// A member is not notified that it was considered dead: it comes back by its heartbeat, under its next
-	// incarnation at least.
+	// A member does not learn that it was declared dead, and so does not increment its incarnation. Its next heartbeat
+	// makes it alive again, under an incarnation that is newer than the one that was declared dead.
 	p.incarnation = max(p.incarnation+1, incarnation)
 	return nil, []membership.StateChange{h.setState(from, membership.Alive)}
 }
--- a/lab/simulation/links.go
+++ b/lab/simulation/links.go
@@ -2,7 +2,7 @@
 
 import "spurspread/lab/link"
 
-// link is the one from a member to another.
+// link returns the link from one member to another.
 func (c *Cluster) link(from, to int) *link.Link {
 	if c.LinkBetween != nil {
 		return c.LinkBetween(from, to)
@@ -17,7 +17,8 @@
 	return l
 }
 
-// send puts a packet on its way, as often as its link says.
+// send counts a packet as sent, and schedules the arrival of its copies. The link draws their number and delays. A
+// packet to the sender itself or to an unknown member is dropped.
 func (c *Cluster) send(from int, p Packet) {
 	c.SentBytes[from] += int64(p.Size)
 	c.SentDatagrams++
@@ -37,7 +38,8 @@
 	}
 }
 
-// arrive hands a packet to the process that ran when it was sent, or has it wait while that is paused.
+// arrive delivers a packet to its member, or queues it while the member is paused. It drops a packet whose member has
+// ended or was restarted since the packet was sent.
 func (c *Cluster) arrive(from, start int, p Packet) {
 	m := c.members[p.To]
 	switch {
@@ -57,7 +59,7 @@
 	c.apply(to)(c.members[to].detector.Receive(c.now, from, p))
 }
 
-// UpdateLinks changes the links from some members to others, in one direction.
+// UpdateLinks applies a change to the links from some members to others, in this direction only.
 func (c *Cluster) UpdateLinks(from, to []int, change func(*link.Link)) {
 	for _, a := range from {
 		for _, b := range to {
@@ -69,13 +71,13 @@
 	c.partitionedLinks = nil
 }
 
-// Heal makes all links what they are usually.
+// Heal resets all links to the cluster's default.
 func (c *Cluster) Heal() {
 	clear(c.links)
 	c.partitionedLinks = nil
 }
 
-// Partitioned lists the links that carry nothing, as from and to.
+// Partitioned returns the links that are partitioned, as pairs of sender and receiver.
 func (c *Cluster) Partitioned() map[[2]int]bool {
 	if c.partitionedLinks == nil {
 		c.partitionedLinks = map[[2]int]bool{}
--- a/lab/simulation/randomswim.go
+++ b/lab/simulation/randomswim.go
@@ -13,23 +13,23 @@
 	swimProbeTimeout     = 500 * Millisecond
 	swimSuspicionTimeout = 2 * Second
 	swimHelpers          = 3
-	swimTransmitFactor   = 2 // transmits of an update for each doubling of the members
+	swimTransmitFactor   = 2 // an update is transmitted swimTransmitFactor*log2(members) times
 
 	noTarget = -1
 )
 
-// randomSwim is SWIM without Lifeguard: it pings one member drawn at random at a time, with some helpers, and one
-// failed probe begins a suspicion. Its updates go along with all messages.
+// randomSwim is a member that runs SWIM without Lifeguard. It pings one random member at a time. If there is no
+// acknowledgement, it asks helpers for indirect pings; one failed probe starts a suspicion. All messages carry updates.
 type randomSwim struct {
 	rng         *rand.Rand
 	self        int
 	incarnation uint64
 	nextProbeAt Micros
 	peers       []swimPeer
-	updates     []swimUpdate // to be disseminated
+	updates     []swimUpdate // still to be disseminated
 
-	// The probe under way.
-	target       int // noTarget where there is none
+	// The current probe.
+	target       int // noTarget if there is no probe
 	pingedAt     Micros
 	indirectSent bool
 }
@@ -38,7 +38,7 @@
 type swimPeer struct {
 	state       membership.State
 	incarnation uint64
-	since       Micros // in this state
+	since       Micros // when it entered this state
 }
 
 type swimUpdate struct {
@@ -58,8 +58,8 @@
 
 type swimMessage struct {
 	kind      swimKind
-	target    int // of an indirect ping; of an ack, who has answered
-	requester int // of an indirect ping; with a ping and its ack 1 more, 0 where there is none
+	target    int // of an indirect ping, the member to ping; of an ack, the member that answered
+	requester int // who asked for an indirect ping; in a ping and its ack that number plus 1, or 0 for a direct ping
 	updates   []swimUpdate
 }
 
--- a/lab/simulation/run.go
+++ b/lab/simulation/run.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// The links of a play: about those of one site.
+	// Delay and jitter of the links, about those within one site.
 	linkDelay  = 200 * time.Microsecond
 	linkJitter = 400 * time.Microsecond
-	// startSpan is the time within which all members are started.
+	// startSpan is the time over which the starts of the members are spread at random.
 	startSpan = Second
-	// maxExtraJoinSeconds bounds how much longer than usual members may take to find each other.
+	// maxExtraJoinSeconds bounds how much longer than scenario.JoinTime members may take to find each other.
 	maxExtraJoinSeconds = 300
 )
 
-// Run plays one of package scenario's scripts with members that build makes. The same seed brings the same events.
-// It returns an error where there is no such script.
+// Run runs the named script of package scenario on a cluster of members that build creates. The same seed produces the
+// same events. log receives a line for each fault and each false report; it may be nil. An error means that there is no
+// script of that name.
 func Run(
 	script string,
 	members int,
@@ -30,12 +31,12 @@
 ) (*scenario.Result, error) {
 	run, ok := scenario.Find(script)
 	if !ok {
-		return nil, fmt.Errorf("no scenario %q; there are %v", script, scenario.Names())
+		return nil, fmt.Errorf("unknown scenario %q, expected one of %v", script, scenario.Names())
 	}
 	return RunScript(script, run, members, seed, build, log), nil
 }
 
-// RunScript is Run for a script that package scenario does not list. log may be nil.
+// RunScript is like Run for a script that package scenario does not list. name is the script's name in the result.
 func RunScript(
 	name string,
 	run scenario.Script,
@@ -64,7 +65,7 @@
 	return result
 }
 
-// bytesPerSecond is what each member has sent on average since then.
+// bytesPerSecond returns how many bytes a member has sent per second since the given time, as the mean of all members.
 func (c *Cluster) bytesPerSecond(from Micros) float64 {
 	sum := int64(0)
 	for _, bytes := range c.SentBytes {
@@ -73,8 +74,8 @@
 	return float64(sum) / float64(c.Members()) / (c.now - from).Seconds()
 }
 
-// join runs until all members know each other: for scenario.JoinTime at least, and as long as it takes to disseminate
-// all members within the budget.
+// join runs the cluster until all members consider each other alive. It runs for at least scenario.JoinTime, and longer
+// where the rate limit of messages delays the dissemination of all members.
 func (c *Cluster) join() {
 	c.Run(c.now + Micros(scenario.JoinTime.Microseconds()))
 	for range maxExtraJoinSeconds {
@@ -85,7 +86,7 @@
 	}
 }
 
-// allAlive reports whether each member considers all others alive.
+// allAlive reports whether every member considers all others alive.
 func (c *Cluster) allAlive() bool {
 	for i := range c.members {
 		for other := range c.members {
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	"spurspread/lab/scenario"
 )
 
-// seeds is how many seeds each scenario is played with; make soak has more.
+// seeds returns the number of seeds to run each script with: 23, or the value of SPURSPREAD_SOAK.
 func seeds(t *testing.T) uint64 {
 	n, err := strconv.ParseUint(os.Getenv("SPURSPREAD_SOAK"), 10, 32)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return n
 }
 
-// Every bound holds on every seed. One that does not is reported with the command that plays it again.
+// Every bound holds on every seed. A broken bound is reported with the command that repeats the run.
 func TestScenarios(t *testing.T) {
 	n := seeds(t)
 	for _, name := range scenario.Names() {
@@ -33,7 +33,7 @@
 				}
 				for _, bound := range r.Broken() {
 					t.Errorf(
-						"%s; again: bin/spurspread-lab virtual %s --members %d --seed %d",
+						"%s; to repeat: bin/spurspread-lab virtual %s --members %d --seed %d",
 						bound,
 						name,
 						members,
@@ -45,7 +45,7 @@
 	}
 }
 
-// The same seed brings the same events.
+// The same seed produces the same events and results, and another seed others.
 func TestSameSeedSameEvents(t *testing.T) {
 	run := func(seed uint64) string {
 		r, err := Run("loss", 8, seed, BalancerMembers(2), nil)
@@ -55,14 +55,14 @@
 		return fmt.Sprintf("%+v", *r)
 	}
 	if a, b := run(7), run(7); a != b {
-		t.Fatalf("%s\n%s", a, b)
+		t.Fatalf("two runs with seed 7 differ:\n%s\n%s", a, b)
 	}
 	if a, b := run(7), run(8); a == b {
-		t.Fatal("another seed brings the same")
+		t.Fatal("seeds 7 and 8 produced the same result")
 	}
 }
 
-// Each planted fault breaks a bound on some seed of a scenario that can show it.
+// Each injected fault has a running member declared dead on some seed of a script that can show the fault.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for fault, script := range map[string]string{
 		"same-incarnation": "loss",
@@ -80,7 +80,7 @@
 					return
 				}
 			}
-			t.Errorf("nobody is falsely considered dead in 20 plays of %s", script)
+			t.Errorf("no member was falsely declared dead in 20 runs of %s", script)
 		})
 	}
 }
--- a/lab/simulation/zoned/balancer.go
+++ b/lab/simulation/zoned/balancer.go
@@ -7,11 +7,11 @@
 	"spurspread/lab/simulation"
 )
 
-// zoneHeaderBytes is how many bytes a datagram of membership has more than in a fleet without zones: the zone and the
-// digest.
+// zoneHeaderBytes is the size of the zone and the digest, which a datagram of membership has only if there are zones.
 const zoneHeaderBytes = 16
 
-// payload is a datagram's content: a message of either kind, and what all datagrams say of their sender.
+// payload is the content of a datagram: one message, of membership or of the zone directory, and the fields that every
+// datagram has about its sender.
 type payload struct {
 	membershipMessage *membership.Message
 	directoryMessage  *zonedirectory.Message
@@ -20,14 +20,14 @@
 	digest            uint64
 }
 
-// balancer is one member's process: a simulation.Detector.
+// balancer is one process of a member. It implements simulation.Detector.
 type balancer struct {
 	fleet     *membership.Fleet
 	directory *zonedirectory.Directory
 	id        membership.ID
 	zoneID    zonedirectory.ID
 	local     zonedirectory.LocalZone
-	fault     *Fault // nil: none
+	fault     *Fault // nil for none
 }
 
 func (b *balancer) membershipPackets(out []membership.Outgoing) []simulation.Packet {
@@ -71,7 +71,8 @@
 	return packets, changes
 }
 
-// updateLocal takes the view of the own zone from membership, its members only where they have changed.
+// updateLocal copies membership's view of the own zone into local, for the zone directory. It copies the members only
+// if they have changed.
 func (b *balancer) updateLocal(now simulation.Micros) {
 	local := &b.local
 	local.Unhealthy = b.fleet.Unhealthy(now)
--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -9,38 +9,40 @@
 )
 
 const (
-	// samplesPerIssuerCheck: issuers are counted in one of so many samples.
+	// samplesPerIssuerCheck: one in this many samples compares the issuers of summaries.
 	samplesPerIssuerCheck = 5
-	// byteWindowSeconds is the span, in seconds, in which bytes are counted.
+	// byteWindowSeconds is the length of the window over which the highest byte rate is measured, in seconds.
 	byteWindowSeconds = 10
 )
 
-// checker looks at a fleet from outside. All its counts begin at the last Mark but FalseDead.
+// checker samples the views of all members and counts what contradicts the injected faults. FalseDead counts from the
+// start of the fleet, everything else from the last ResetCounts.
 type checker struct {
 	fleet *Fleet
 
-	// FalseDead counts the members that another one of their zone declared dead while their process ran and nothing
-	// was severed.
+	// FalseDead counts the reports that a member of the reporter's zone is dead, although both processes run and no
+	// members are disconnected.
 	FalseDead int
-	// MaxBudgetSum is the greatest sum of all members' parts of a budget.
+	// MaxBudgetSum is the maximum, over all samples, of the sum of the members' shares of a fleet-wide budget. A
+	// member's share is the reciprocal of its rate divisor, and the ideal sum is 1.
 	MaxBudgetSum float64
 	// StateChanges counts the changes of a zone's state in the view of any member. Flaps is the maximum, over all pairs
 	// of a member and a zone, of the number of changes after the first.
 	StateChanges int
 	Flaps        int
-	// IssuerChanges counts how often a zone's summary had another issuer than before, as one member sees it.
+	// IssuerChanges counts how often a zone's summary changed its issuer, in the view of one member.
 	IssuerChanges int
 
-	states       [][]zonedirectory.Reachability // by member and zone
-	changeCounts [][]int                        // the same
+	states       [][]zonedirectory.Reachability // the last sample, by member and zone
+	changeCounts [][]int                        // changes of states, by member and zone
 	lastIssuers  map[zonedirectory.ID]zonedirectory.MemberID
 	samples      int
 
-	resetAt           simulation.Micros
-	bytesAtReset      []int64 // of each member, sent and received
-	nextSecondAt      simulation.Micros
-	bytesPerSecondEnd [][]int64 // at the end of each of the last seconds
-	maxWindowBytes    int64     // of any member in any byteWindowSeconds
+	resetAt        simulation.Micros
+	bytesAtReset   []int64 // by member, sent and received
+	nextSecondAt   simulation.Micros
+	bytesBySecond  [][]int64 // bytes of each member at the end of each of the last seconds
+	maxWindowBytes int64     // of any member in any window of byteWindowSeconds
 }
 
 func (c *checker) attach(f *Fleet) {
@@ -60,7 +62,7 @@
 	c.ResetCounts()
 }
 
-// ResetCounts begins all counts again.
+// ResetCounts sets all counts but FalseDead to 0.
 func (c *checker) ResetCounts() {
 	c.MaxBudgetSum = 0
 	c.StateChanges, c.Flaps, c.IssuerChanges = 0, 0, 0
@@ -71,13 +73,13 @@
 	c.resetAt = c.now()
 	c.bytesAtReset = c.bytes()
 	c.nextSecondAt = c.resetAt + simulation.Second
-	c.bytesPerSecondEnd = nil
+	c.bytesBySecond = nil
 	c.maxWindowBytes = 0
 }
 
 func (c *checker) now() simulation.Micros { return simulation.Micros(c.fleet.Now().Microseconds()) }
 
-// bytes are those that each member has sent and received.
+// bytes returns the bytes that each member has sent and received since the start.
 func (c *checker) bytes() []int64 {
 	bytes := make([]int64, len(c.fleet.zoneOf))
 	for i := range bytes {
@@ -86,19 +88,19 @@
 	return bytes
 }
 
-// sample looks at all members.
+// sample updates the counts from the views of all running members.
 func (c *checker) sample() {
-	parts := 0.0
+	shares := 0.0
 	for i, b := range c.fleet.members {
 		if b == nil || !c.fleet.up[i] {
 			continue
 		}
-		parts += 1 / b.directory.RateDivisor()
+		shares += 1 / b.directory.RateDivisor()
 		for zone, site := range c.fleet.sites {
 			c.recordState(i, zone, b.directory.State(site.ID()))
 		}
 	}
-	c.MaxBudgetSum = max(c.MaxBudgetSum, parts)
+	c.MaxBudgetSum = max(c.MaxBudgetSum, shares)
 	c.samples++
 	if c.samples%samplesPerIssuerCheck == 0 {
 		c.countIssuers()
@@ -109,7 +111,8 @@
 	}
 }
 
-// recordState takes what a member considers a zone to be. Zones that are found or forgotten are no changes.
+// recordState records the state of a zone in a member's view, and counts changes of it. A zone that is found or
+// forgotten does not count as a change.
 func (c *checker) recordState(i, zone int, state zonedirectory.Reachability) {
 	before := c.states[i][zone]
 	c.states[i][zone] = state
@@ -121,7 +124,7 @@
 	c.Flaps = max(c.Flaps, c.changeCounts[i][zone]-1)
 }
 
-// countIssuers counts the changes of issuers, as the last member sees them that is up.
+// countIssuers counts the changes of issuers in the view of the running member with the highest number.
 func (c *checker) countIssuers() {
 	for i, b := range slices.Backward(c.fleet.members) {
 		if !c.fleet.up[i] {
@@ -138,21 +141,21 @@
 	}
 }
 
-// countBytes takes the bytes at the end of a second.
+// countBytes records the members' bytes at the end of a second, and updates maxWindowBytes.
 func (c *checker) countBytes() {
-	c.bytesPerSecondEnd = append(c.bytesPerSecondEnd, c.bytes())
-	if len(c.bytesPerSecondEnd) <= byteWindowSeconds {
+	c.bytesBySecond = append(c.bytesBySecond, c.bytes())
+	if len(c.bytesBySecond) <= byteWindowSeconds {
 		return
 	}
-	last := c.bytesPerSecondEnd[len(c.bytesPerSecondEnd)-1]
-	for i, before := range c.bytesPerSecondEnd[0] {
+	last := c.bytesBySecond[len(c.bytesBySecond)-1]
+	for i, before := range c.bytesBySecond[0] {
 		c.maxWindowBytes = max(c.maxWindowBytes, last[i]-before)
 	}
-	c.bytesPerSecondEnd = c.bytesPerSecondEnd[1:]
+	c.bytesBySecond = c.bytesBySecond[1:]
 }
 
-// BytesPerS are the bytes a second of a member since the last ResetCounts, sent and received: on average, of the member
-// with the most, and of any in the worst ten seconds.
+// BytesPerS returns how many bytes per second a member has sent and received since the last ResetCounts: the mean and
+// the highest value of all members, and the highest of any member in any window of byteWindowSeconds.
 func (c *checker) BytesPerS() (mean, highest, worst float64) {
 	seconds := (c.now() - c.resetAt).Seconds()
 	bytes := c.bytes()
@@ -164,7 +167,7 @@
 	return mean, highest, float64(c.maxWindowBytes) / byteWindowSeconds
 }
 
-// AllReachable reports whether all members that are up consider all zones Reachable and count all that are up.
+// AllReachable reports whether every running member has all zones as Reachable and counts all running members as live.
 func (f *Fleet) AllReachable() bool {
 	up := 0
 	for _, runs := range f.up {
@@ -175,8 +178,8 @@
 	return f.AllCount(nil, up, func(s zonedirectory.Reachability) bool { return s == zonedirectory.Reachable })
 }
 
-// AllCount reports whether every running member of the given zones, or of all zones if zones is nil, counts live
-// members in the whole fleet and has every zone in an accepted state.
+// AllCount reports whether every running member of the given zones, or of all zones if zones is nil, counts this many
+// live members in the whole fleet and has every zone in an accepted state.
 func (f *Fleet) AllCount(zones []int, live int, accepted func(zonedirectory.Reachability) bool) bool {
 	for _, i := range f.MembersOf(zones) {
 		if !f.up[i] {
@@ -195,7 +198,7 @@
 	return true
 }
 
-// AllSee reports whether all members of some zones consider others to be in a state.
+// AllSee reports whether all running members of some zones have each of the other given zones in a state.
 func (f *Fleet) AllSee(zones, others []int, state zonedirectory.Reachability) bool {
 	for _, i := range f.MembersOf(zones) {
 		for _, zone := range others {
@@ -207,7 +210,7 @@
 	return true
 }
 
-// AllHaveRecord reports whether all members of some zones have a record.
+// AllHaveRecord reports whether all running members of some zones, or of all zones if zones is nil, have a record.
 func (f *Fleet) AllHaveRecord(zones []int, record zonedirectory.Record) bool {
 	for _, i := range f.MembersOf(zones) {
 		if f.up[i] && !slices.Contains(f.members[i].directory.Records(), record) {
--- a/lab/simulation/zoned/digest_test.go
+++ b/lab/simulation/zoned/digest_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// runDigests are the hashes of all events of plays with seeds 0, 1 and 2, with what each member spent. They hold the
-// decisions on zones bit for bit; a change that is meant to decide otherwise renews them in a commit of its own.
+// runDigests has the hash over all events and the bytes of each member, for runs with the seeds 0, 1 and 2. They detect
+// every change in the decisions on zones. An intended change updates them in a separate commit.
 var runDigests = []string{
 	"754020f1582baeec[194863 182668 150103 181643 135275 166835 148266 154304 66914 60753 49909 76069 " +
 		"159674 181753 142402 146330 185605 178081 158939 145316 168022 187016 143366 171153 154264 176997 " +
--- a/lab/simulation/zoned/doc.go
+++ b/lab/simulation/zoned/doc.go
@@ -1,5 +1,5 @@
-// Package zoned plays a fleet of several zones in virtual time: regions with delays between them, faults by failure
-// domain in each direction, and a checker that knows what was done. Members are what internal/peer makes of them: a
-// membership.Fleet and a zonedirectory.Directory each, whose messages go over the links of package simulation. The
-// same seed brings the same events.
+// Package zoned simulates a Fleet of several zones in virtual time, on a cluster of package simulation. It adds regions
+// with delays between them, faults of a member, a rack, a zone or a region in either direction, and a checker that
+// compares the members' views with the faults that were injected. As in internal/peer, each member has a
+// membership.Fleet and a zonedirectory.Directory. The same seed produces the same events.
 package zoned
--- a/lab/simulation/zoned/fault.go
+++ b/lab/simulation/zoned/fault.go
@@ -6,13 +6,15 @@
 	"spurspread/decision/zonedirectory"
 )
 
-// Fault is a defect that can be planted in all members, to show that the checker finds it.
+// Fault is a defect that can be injected into all members, to show that the checker finds it. Its functions may be nil.
 type Fault struct {
-	rank    func() func(zonedirectory.ID, zonedirectory.MemberID) uint64
+	// rank returns a member's replacement for the order in which delegates are chosen.
+	rank func() func(zonedirectory.ID, zonedirectory.MemberID) uint64
+	// receive changes a message before a member's directory receives it.
 	receive func(*balancer, *zonedirectory.Message)
 }
 
-// Faults are those that can be planted, by name.
+// Faults returns the faults that can be injected, by name.
 func Faults() map[string]*Fault {
 	return map[string]*Fault{
 		"rank-by-join-order": {rank: joinOrder},
@@ -20,7 +22,7 @@
 	}
 }
 
-// joinOrder ranks members by when this one has learned of them, which is another order in each.
+// joinOrder ranks members in the order in which this member has learned of them, which differs between members.
 func joinOrder() func(zonedirectory.ID, zonedirectory.MemberID) uint64 {
 	order := map[zonedirectory.MemberID]uint64{}
 	return func(_ zonedirectory.ID, id zonedirectory.MemberID) uint64 {
@@ -33,7 +35,8 @@
 	}
 }
 
-// acceptOlderVersions takes each summary of another zone that is received for a newer one than is held.
+// acceptOlderVersions raises the version of each received summary of another zone that is older than the stored one, so
+// that the directory replaces the newer summary by the older one.
 func acceptOlderVersions(b *balancer, m *zonedirectory.Message) {
 	m.Items = slices.Clone(m.Items)
 	for i, item := range m.Items {
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	// seedsPerZone is how many members of each zone all know from the start.
+	// seedsPerZone is the number of members of each zone that are seeds of the whole fleet.
 	seedsPerZone = 2
-	// startSpan is the time within which all members are started.
+	// startSpan is the time over which the starts of the members are spread at random.
 	startSpan = time.Second
-	// leaveDelay is how long a process that leaves runs on.
+	// leaveDelay is the time from a member's announcement that it leaves to the end of its process, as in package
+	// simulation.
 	leaveDelay = 500 * time.Millisecond
-	// sampleInterval is how often the checker looks at the fleet.
+	// sampleInterval is the time between two samples of the checker.
 	sampleInterval = 50 * time.Millisecond
-	// instanceStartBits is how many bits of an instance count the member's starts.
+	// instanceStartBits is the number of low bits of an instance that hold the start count.
 	instanceStartBits = 8
 )
 
-// Fleet is a fleet that is played. Its members are numbered through, zone by zone.
+// Fleet is a simulated fleet and its checker. Members are numbered from 0, zone by zone.
 type Fleet struct {
 	*simulation.Cluster
 	checker
 
-	// Zones has the members of each zone.
+	// Zones lists the members of each zone.
 	Zones    [][]int
 	topology Topology
-	sites    []zonedirectory.Site // of zones
-	zoneOf   []int                // the zone of each member
-	up       []bool               // whether each member's process runs
-	members  []*balancer          // the processes
-	fault    *Fault               // nil: none
+	sites    []zonedirectory.Site // by zone
+	zoneOf   []int                // by member
+	up       []bool               // by member: whether its process runs
+	members  []*balancer          // by member: its current process; nil before the first start
+	fault    *Fault               // nil for none
 
 	links            [][]*link.Link  // from zone to zone
-	disconnected     map[[2]int]bool // members between which nothing arrives, in one direction
-	disconnectedLink link.Link       // between these
+	disconnected     map[[2]int]bool // pairs of sender and receiver whose packets are lost
+	disconnectedLink link.Link       // the link of all these pairs
 }
 
-// New returns a fleet whose members are started within startSpan, all with a fault where that is not nil.
-func New(shape Topology, seed uint64, fault *Fault) *Fleet {
+// New returns a fleet whose members start at random times within startSpan. fault, if it is not nil, is injected into
+// all of them.
+func New(topology Topology, seed uint64, fault *Fault) *Fleet {
 	f := &Fleet{
-		topology:         shape,
-		sites:            shape.sites(),
+		topology:         topology,
+		sites:            topology.sites(),
 		fault:            fault,
-		links:            shape.links(seed),
+		links:            topology.links(seed),
 		disconnected:     map[[2]int]bool{},
 		disconnectedLink: link.Link{Partitioned: true},
 	}
-	for zone, members := range shape.ZoneSizes {
+	for zone, members := range topology.ZoneSizes {
 		f.Zones = append(f.Zones, nil)
 		for range members {
 			f.Zones[zone] = append(f.Zones[zone], len(f.zoneOf))
@@ -72,7 +74,7 @@
 	return f
 }
 
-// linkBetween is the link from one member to another.
+// linkBetween returns the link from one member to another.
 func (f *Fleet) linkBetween(from, to int) *link.Link {
 	if f.disconnected[[2]int{from, to}] {
 		return &f.disconnectedLink
@@ -80,7 +82,7 @@
 	return f.links[f.zoneOf[from]][f.zoneOf[to]]
 }
 
-// build makes a member's process.
+// build creates a process of a member. It is the cluster's simulation.Builder.
 func (f *Fleet) build(c *simulation.Cluster, i, start int) simulation.Detector {
 	now := simulation.Micros(c.Now().Microseconds())
 	site := f.sites[f.zoneOf[i]]
@@ -142,7 +144,7 @@
 	f.Start(i)
 }
 
-// Crash ends processes without an announcement.
+// Crash ends the processes of members without an announcement.
 func (f *Fleet) Crash(members ...int) {
 	for _, i := range members {
 		f.up[i] = false
@@ -150,7 +152,7 @@
 	}
 }
 
-// Restart ends processes without an announcement and starts new ones in their place.
+// Restart ends the processes of members without an announcement, and starts new ones at once.
 func (f *Fleet) Restart(members ...int) {
 	f.Crash(members...)
 	for _, i := range members {
@@ -158,13 +160,13 @@
 	}
 }
 
-// Leave ends a process in the planned way.
+// Leave ends a member's process in the planned way, with an announcement.
 func (f *Fleet) Leave(i int) {
 	f.Stop(i)
 	f.After(leaveDelay, func() { f.up[i] = false })
 }
 
-// SetPartition has nothing arrive from some zones at others, or all again.
+// SetPartition sets whether the links from some zones to others, in this direction, are partitioned.
 func (f *Fleet) SetPartition(from, to []int, partitioned bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -175,7 +177,7 @@
 	}
 }
 
-// Disconnect has nothing arrive from some members at others.
+// Disconnect drops all packets from some members to others from now on.
 func (f *Fleet) Disconnect(from, to []int) {
 	for _, a := range from {
 		for _, b := range to {
@@ -184,15 +186,15 @@
 	}
 }
 
-// Reconnect ends what Disconnect has done.
+// Reconnect reverts all calls of Disconnect.
 func (f *Fleet) Reconnect() { clear(f.disconnected) }
 
-// ZonesIn lists the zones of a region.
+// ZonesIn returns the zones of a region.
 func (f *Fleet) ZonesIn(region int) []int {
 	return f.zonesWhere(func(r int) bool { return r == region })
 }
 
-// ZonesOutside lists the zones that are not in a region.
+// ZonesOutside returns the zones that are not in a region.
 func (f *Fleet) ZonesOutside(region int) []int {
 	return f.zonesWhere(func(r int) bool { return r != region })
 }
@@ -209,7 +211,7 @@
 	return zones
 }
 
-// MembersOf lists the members of zones, of all where zones is nil.
+// MembersOf returns the members of some zones, or of all zones if zones is nil.
 func (f *Fleet) MembersOf(zones []int) []int {
 	if zones == nil {
 		zones = f.allZones()
@@ -221,7 +223,8 @@
 	return members
 }
 
-// Delegates lists the first n candidates of a zone by rank, as one of its members sees them.
+// Delegates returns the n first-ranked candidates for delegate of a zone, in the view of the zone's first running
+// member; nil if no member of the zone runs.
 func (f *Fleet) Delegates(zone, n int) []int {
 	for _, i := range f.Zones[zone] {
 		if !f.up[i] {
@@ -244,12 +247,12 @@
 	return members
 }
 
-// Publish has a member publish a record.
+// Publish publishes a record at a member.
 func (f *Fleet) Publish(i int, name, value string) (zonedirectory.Record, error) {
 	return f.members[i].directory.Publish(simulation.Micros(f.Now().Microseconds()), name, value)
 }
 
-// RunFor lets time pass.
+// RunFor runs the fleet for d, and takes the checker's samples.
 func (f *Fleet) RunFor(d time.Duration) {
 	until := f.Now() + d
 	for f.Now() < until {
@@ -259,7 +262,7 @@
 	}
 }
 
-// RunUntil lets time pass until a condition holds, for limit at most, and returns how long that took.
+// RunUntil runs the fleet until a condition holds, for limit at most, and returns the virtual time that passed.
 func (f *Fleet) RunUntil(limit time.Duration, holds func() bool) time.Duration {
 	from := f.Now()
 	for !holds() && f.Now()-from < limit {
