--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -9,28 +9,28 @@
 
 const start = 1000 * monotime.Second
 
-// Returning clients cost more while a part of the fleet is missing, each once, and as long as they are expected.
-func TestTakeReturn(t *testing.T) {
+// Returning clients cost more while a part of the fleet is missing, each once, and only while they are expected.
+func TestChargeReconnect(t *testing.T) {
 	e := New(start)
 	e.Update(start, 10)
-	e.ExpectReturn()
-	if p := e.TakeReturn(); p != 1 {
+	e.ExpectReconnect()
+	if p := e.ChargeReconnect(); p != 1 {
 		t.Fatalf("price %v while the fleet is complete", p)
 	}
 	e.Update(start+monotime.Second, 5)
-	e.ExpectReturn()
-	e.ExpectReturn()
-	prices := [3]float64{e.TakeReturn(), e.TakeReturn(), e.TakeReturn()}
-	if !e.Reduced() || prices != [3]float64{returnPrice, returnPrice, 1} {
+	e.ExpectReconnect()
+	e.ExpectReconnect()
+	prices := [3]float64{e.ChargeReconnect(), e.ChargeReconnect(), e.ChargeReconnect()}
+	if !e.Reduced() || prices != [3]float64{reconnectPrice, reconnectPrice, 1} {
 		t.Fatalf("reduced %v, prices %v", e.Reduced(), prices)
 	}
-	e.ExpectReturn()
-	if e.Update(start+12*monotime.Second, 5); e.TakeReturn() != 1 {
-		t.Fatal("still expected after the expected returns have decayed")
+	e.ExpectReconnect()
+	if e.Update(start+12*monotime.Second, 5); e.ChargeReconnect() != 1 {
+		t.Fatal("reconnect charged after the expected reconnects have decayed")
 	}
 }
 
-// A part that is missing for good is forgotten within a minute: the rest is the fleet then.
+// A part of the fleet that stays missing is forgotten within a minute: the rest counts as complete then.
 func TestMissingPartIsForgotten(t *testing.T) {
 	e, now := New(start), monotime.Micros(start)
 	e.Update(now, 10)
@@ -38,7 +38,7 @@
 		now += 500 * monotime.Millisecond
 		e.Update(now, 6)
 	}
-	if e.Reduced() || math.Abs(e.PresentPart()-1) > 1e-9 {
-		t.Fatalf("%v of the peak present", e.PresentPart())
+	if e.Reduced() || math.Abs(e.PresentFraction()-1) > 1e-9 {
+		t.Fatalf("present fraction %v, want 1 and not reduced", e.PresentFraction())
 	}
 }
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -28,7 +28,7 @@
 		} {
 			c, err := g.proxy.servers.list.Apply([]byte(`{"generation":9,"instances":[` + entries + `]}`))
 			g.check(err)
-			g.proxy.servers.Listed(c)
+			g.proxy.servers.ListUpdated(c)
 		}
 	})
 	got := <-kept
@@ -46,7 +46,7 @@
 			}
 		}
 		g.proxy.servers.client.ChangeAddress(g.proxy.cfg.Discovery)
-		g.proxy.servers.Listed(discovery.Update{})
+		g.proxy.servers.ListUpdated(discovery.Update{})
 		g.proxy.servers.save()
 	})
 	g.inLoop(func() {})
@@ -69,7 +69,7 @@
 		g.core = decision.New(g.proxy.cfg.Settings.Decision, 1, startedAt)
 		cached, err := g.proxy.servers.list.Apply(g.cachedList)
 		g.check(err)
-		g.proxy.core.dispatch(g.proxy.servers.event(decision.UpdateCached, cached))
+		g.proxy.core.dispatch(g.proxy.servers.updateEvent(decision.UpdateCached, cached))
 	})
 	client := g.client(openLine)
 	a.watch(1, `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"Gone"},`+
--- a/internal/proxy/transfer_receive.go
+++ b/internal/proxy/transfer_receive.go
@@ -12,14 +12,14 @@
 	"spurspread/internal/restartproto"
 )
 
-// transferReceiver accepts connections that an older process transfers to this one.
+// transferReceiver accepts connections that a predecessor transfers to this process.
 type transferReceiver struct{ proxy *Proxy }
 
 // Ended is part of eventloop.PacketOwner.
-func (transferReceiver) Ended(link *eventloop.Packets) { link.Close() }
+func (transferReceiver) Ended(link *eventloop.PacketConn) { link.Close() }
 
-// Packet is part of eventloop.PacketOwner: one offered connection, with its two sockets.
-func (t transferReceiver) Packet(link *eventloop.Packets, b []byte, fds []int) {
+// Packet is part of eventloop.PacketOwner: the offer of one connection, with its two sockets.
+func (t transferReceiver) Packet(link *eventloop.PacketConn, b []byte, fds []int) {
 	p := t.proxy
 	offer, err := restartproto.DecodeOffer(b)
 	if err != nil || !t.accepts(&offer, len(fds)) {
@@ -35,30 +35,30 @@
 		return
 	}
 	if link.Send(restartproto.EncodeAnswer(offer.Ref, true)) != nil {
-		// The older process has it back.
+		// The acceptance was not sent: the predecessor still owns the connection.
 		p.requests.ids.Finish(offer.ID)
 		r.releaseSockets()
 		p.requests.slots.Drop(r.ref)
 		return
 	}
 	p.stats.transferredIn++
-	p.core.dispatch(decision.ExistingConnection{Request: r.event(), Server: r.attempt.server.Number})
+	p.core.dispatch(decision.ExistingConnection{Request: r.decisionRequest(), Server: r.attempt.server.Number})
 }
 
-// accepts reports whether an offer is accepted that came with so many sockets.
+// accepts reports whether an offer is accepted that arrived with the given number of sockets.
 func (t transferReceiver) accepts(offer *restartproto.ConnectionOffer, sockets int) bool {
 	p := t.proxy
 	return hotrestart.AcceptTransfer(hotrestart.OfferedConnection{
 		Sockets:          sockets,
 		ServerListed:     p.servers.list.ByID([]byte(offer.Server)) != nil,
 		IDUnused:         !p.requests.ids.Known(offer.ID),
-		Draining:         p.drain.on,
-		DescriptorsShort: p.descriptorsShort(),
+		Draining:         p.drain.active,
+		DescriptorsShort: p.nearDescriptorLimit(),
 	})
 }
 
-// adoptConnection builds the request of an offered connection, without reading from it yet. It returns nil, with the
-// sockets closed, where that fails.
+// adoptConnection creates the request of an offered connection, without reading from it yet. On failure it closes the
+// sockets and returns nil.
 func (p *Proxy) adoptConnection(offer *restartproto.ConnectionOffer, fds []int) *request {
 	client := &downstreamConn{proxy: p}
 	r := p.transferredRequest(offer, client)
@@ -79,7 +79,7 @@
 		server.Release()
 		return nil
 	}
-	p.fitBuffersToGrowth()
+	p.updateBufferLimitsIfGrown()
 	r.joinServer()
 	for _, age := range offer.Unanswered {
 		r.awaitReply(p.loop.Now() - monotime.Micros(age))
@@ -87,14 +87,14 @@
 	return r
 }
 
-// transferredRequest is the request of an offered connection, without its sockets. It is established from the start.
+// transferredRequest returns the request of an offered connection, in stateEstablished and without its sockets.
 func (p *Proxy) transferredRequest(offer *restartproto.ConnectionOffer, client *downstreamConn) *request {
 	now := p.loop.Now()
 	r := &request{
 		proxy:      p,
 		downstream: client,
 		state:      stateEstablished,
-		coreKnows:  true,
+		registered: true,
 		open: lineproto.Open{
 			ID:          offer.ID,
 			Key:         offer.Key,
@@ -104,11 +104,11 @@
 			Retry:       offer.Retry,
 			Returned:    offer.Returned,
 		},
-		idTaken:    true,
+		idReserved: true,
 		class:      0,
 		classNames: []string{offer.Class},
 		deadline:   now,
-		established: established{
+		establishedStream: establishedStream{
 			lastReply: now - monotime.Micros(offer.SinceLastReply),
 			endStatus: outcome.Status(offer.Verdict),
 		},
@@ -117,7 +117,7 @@
 		proxy:     p,
 		request:   r,
 		server:    p.servers.list.ByID([]byte(offer.Server)),
-		began:     now,
+		startedAt: now,
 		connected: true,
 		written:   true,
 	}
