--- a/lab/procs/fleet.go
+++ b/lab/procs/fleet.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	secretBytes       = 32
-	secretByte        = 0x5a
+	sealingKeySize    = 32
+	sealingKeyByte    = 0x5a
 	dirMode           = 0o700
 	fileMode          = 0o600
 	awaitPollInterval = 20 * time.Millisecond // between two checks of an awaited condition
@@ -52,7 +52,7 @@
 }
 
 // SealingKey returns the key that seals the datagrams of all fleets.
-func SealingKey() []byte { return bytes.Repeat([]byte{secretByte}, secretBytes) }
+func SealingKey() []byte { return bytes.Repeat([]byte{sealingKeyByte}, sealingKeySize) }
 
 // New prepares n processes on free loopback addresses, and does not start them. The first seedCount processes are the
 // seed members of the fleet, unless Seeds is set. randomSeed is that of the proxy's random source.
--- a/lab/procs/testbed.go
+++ b/lab/procs/testbed.go
@@ -147,8 +147,9 @@
 	}
 }
 
-// Run makes the scheduled calls up to the given time since the start of the testbed. An error is a failure of the
-// testbed rather than of membership: a process did not start, or a log line could not be parsed.
+// Run makes the scheduled calls up to the given time since the start of the testbed, and passes state changes to
+// OnStateChange as they are reported. An error is a failure of the testbed rather than of membership: a process did not
+// start, or a log line could not be parsed.
 func (s *Testbed) Run(until time.Duration) error {
 	for {
 		next := until
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -32,7 +32,7 @@
 	DeclaredDead   int
 	DeadReturned   int             // reports that a dead member is alive again, without a newer incarnation
 	Flaps          int             // maximum returns of one member from dead to alive at one observer, after one fault
-	DetectionTimes []time.Duration // from a crash to its report, for each report
+	DetectionTimes []time.Duration // time from a crash to a member's report of it, for each report
 	Divergence     time.Duration   // longest time after the last change of faults at which views still differed
 
 	partitioned     bool // links are, or recently were, partitioned: members may be declared dead
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -8,7 +8,7 @@
 
 // Bounds that every run of a script must keep.
 const (
-	MaxDetectionTime  = 4 * time.Second // from a crash to its report, for 99% of all reports
+	MaxDetectionTime  = 4 * time.Second // from a crash to a member's report of it, for 99% of all reports
 	MaxViewDivergence = 5 * time.Second // time after the last change of faults at which views may still differ
 	MaxFlaps          = 1               // returns of one member from dead to alive at one observer, after one fault
 	MaxBytesPerSecond = 4096            // sent by a member, on average
@@ -80,7 +80,7 @@
 	}
 }
 
-// Broken describes each bound that does not hold; nil if all hold.
+// Broken returns a description of each bound that does not hold.
 func (r *Result) Broken() (broken []string) {
 	for _, f := range r.Figures() {
 		if f.Measured > f.Max {
