--- a/cmd/spurspread-sim/host.go
+++ b/cmd/spurspread-sim/host.go
@@ -102,7 +102,7 @@
 
 // start creates a balancer for the instance. Actions of an earlier balancer that are not yet in the reply are dropped.
 func (h *host) start(instance uint16, now decision.Micros, record simwire.Record) error {
-	s, err := settings.ParseText(record.Text)
+	s, err := settings.ParseText(record.SettingsText)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", instance, err)
 	}
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -38,7 +38,7 @@
 // the wire are fields of the connection, since the arguments of an interface call would be allocated at each call.
 func (ch *Channel) sendData(n int, parts ...[]byte) {
 	c := ch.conn
-	pad := channel.DataHead(&c.head, ch.peerID, n)
+	pad := channel.PutDataHeader(&c.head, ch.peerID, n)
 	ch.sendWindow -= uint32(n)
 	c.parts = append(append(append(c.parts[:0], c.head[:]), parts...), pad)
 	c.wire.Write(c.parts...)
@@ -147,7 +147,7 @@
 	ch.owner, ch.eofRequested = nil, true
 	switch ch.state {
 	case openReceived:
-		ch.Reject(channel.ConnectError, []byte("ERR"))
+		ch.Reject(channel.ConnectFailed, []byte("ERR"))
 	case openSent:
 		ch.state = abandoned // CLOSE is sent when the peer's confirmation has told its channel number
 	case established:
