--- a/lab/simulation/links.go
+++ b/lab/simulation/links.go
@@ -2,7 +2,7 @@
 
 import "spurspread/lab/link"
 
-// link is the one from a member to another.
+// link returns the link from one member to another.
 func (c *Cluster) link(from, to int) *link.Link {
 	if c.LinkBetween != nil {
 		return c.LinkBetween(from, to)
@@ -17,18 +17,19 @@
 	return l
 }
 
-// send puts a packet on its way, as often as its link says.
+// send counts a packet as sent, and schedules the arrival of its copies. The link draws their number and delays. A
+// packet to the sender itself or to an unknown member is dropped.
 func (c *Cluster) send(from int, p Packet) {
-	c.Bytes[from] += int64(p.Size)
-	c.Sent++
+	c.SentBytes[from] += int64(p.Size)
+	c.SentDatagrams++
 	if p.To < 0 || p.To >= len(c.members) || p.To == from {
 		return
 	}
 	l := c.link(from, p.To)
-	for range l.Times(c.rng) {
-		start := c.members[p.To].starts
+	for range l.DrawCopies(c.rng) {
+		start := c.members[p.To].startCount
 		c.schedule(
-			Micros(l.Wait(c.rng).Microseconds()),
+			Micros(l.DrawDelay(c.rng).Microseconds()),
 			deliveryEvent,
 			from,
 			p.To,
@@ -37,11 +38,12 @@
 	}
 }
 
-// arrive hands a packet to the process that ran when it was sent, or has it wait while that is paused.
+// arrive delivers a packet to its member, or queues it while the member is paused. It drops a packet whose member has
+// ended or was restarted since the packet was sent.
 func (c *Cluster) arrive(from, start int, p Packet) {
 	m := c.members[p.To]
 	switch {
-	case !m.up || m.starts != start:
+	case !m.up || m.startCount != start:
 		return
 	case c.now < m.pausedUntil || len(m.inbox) > 0:
 		if len(m.inbox) < maxInbox {
@@ -50,15 +52,15 @@
 	default:
 		c.deliver(from, p.To, p)
 	}
-	c.Received[p.To] += int64(p.Size)
+	c.ReceivedBytes[p.To] += int64(p.Size)
 }
 
 func (c *Cluster) deliver(from, to int, p Packet) {
 	c.apply(to)(c.members[to].detector.Receive(c.now, from, p))
 }
 
-// Set changes the links from some members to others, in one direction.
-func (c *Cluster) Set(from, to []int, change func(*link.Link)) {
+// UpdateLinks applies a change to the links from some members to others, in this direction only.
+func (c *Cluster) UpdateLinks(from, to []int, change func(*link.Link)) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
@@ -66,24 +68,24 @@
 			}
 		}
 	}
-	c.downLinks = nil
+	c.partitionedLinks = nil
 }
 
-// Heal makes all links what they are usually.
+// Heal resets all links to the cluster's default.
 func (c *Cluster) Heal() {
 	clear(c.links)
-	c.downLinks = nil
+	c.partitionedLinks = nil
 }
 
-// Partitioned lists the links that carry nothing, as from and to.
+// Partitioned returns the links that are partitioned, as pairs of sender and receiver.
 func (c *Cluster) Partitioned() map[[2]int]bool {
-	if c.downLinks == nil {
-		c.downLinks = map[[2]int]bool{}
+	if c.partitionedLinks == nil {
+		c.partitionedLinks = map[[2]int]bool{}
 		for pair, l := range c.links {
 			if l.Partitioned {
-				c.downLinks[pair] = true
+				c.partitionedLinks[pair] = true
 			}
 		}
 	}
-	return c.downLinks
+	return c.partitionedLinks
 }
