--- a/decision/health.go
+++ b/decision/health.go
@@ -289,7 +289,7 @@
 		other.budget.CapTokens(share)
 	}
 	b.demoteForSlowness(now, s)
-	if s.latency.MissesObjective(now) {
+	if s.latency.AboveMoveThreshold(now) {
 		s.pauseUntil(now + latency.ReportLifetime)
 		b.moveFromSlowServer(now, s)
 	}
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -87,9 +87,9 @@
 // SlowThreshold.
 func (e *Estimate) MeasuredSlow() bool { return e.delay > SlowThreshold }
 
-// MissesObjective reports whether the server's messages are known to be late now: its delay was above MoveThreshold
+// AboveMoveThreshold reports whether the server's messages are known to be late now: its delay was above MoveThreshold
 // less than ReportLifetime ago.
-func (e *Estimate) MissesObjective(now monotime.Micros) bool {
+func (e *Estimate) AboveMoveThreshold(now monotime.Micros) bool {
 	return e.delay > MoveThreshold && now-e.reportedAt < ReportLifetime
 }
 
--- a/decision/latency/latency_test.go
+++ b/decision/latency/latency_test.go
@@ -17,16 +17,16 @@
 // and grows slowly once its reports cease.
 func TestConnectionCapacity(t *testing.T) {
 	e := New()
-	if e.MissesObjective(start) || e.MeasuredSlow() || e.DelayKnown(start) || !math.IsInf(e.ConnectionCapacity, 1) {
+	if e.AboveMoveThreshold(start) || e.MeasuredSlow() || e.DelayKnown(start) || !math.IsInf(e.ConnectionCapacity, 1) {
 		t.Fatalf("without a report: %+v", e)
 	}
 	e.ObserveDelay(start, objective*(SlowThreshold+MoveThreshold)/2, objective, 20)
-	if e.ConnectionCapacity != 20 || !e.MeasuredSlow() || e.MissesObjective(start) {
+	if e.ConnectionCapacity != 20 || !e.MeasuredSlow() || e.AboveMoveThreshold(start) {
 		t.Fatalf("slow: %+v", e)
 	}
 	e.ObserveDelay(start+second, objective*MoveThreshold*2, objective, 20)
-	if e.ConnectionCapacity != 18 || !e.MissesObjective(start+second) ||
-		e.MissesObjective(start+second+ReportLifetime) {
+	if e.ConnectionCapacity != 18 || !e.AboveMoveThreshold(start+second) ||
+		e.AboveMoveThreshold(start+second+ReportLifetime) {
 		t.Fatalf("late: %+v", e)
 	}
 	if e.GrowCapacity(start+2*second, second); e.ConnectionCapacity != 18 {
--- a/decision/membership/dissemination.go
+++ b/decision/membership/dissemination.go
@@ -34,8 +34,8 @@
 	if f.dissemination.freshCount == 0 || f.updateBytesAvailable() < maxUpdateBytes {
 		return
 	}
-	for round := range gossipFanout {
-		receivers := f.randomPeers(1, func(p *peer) bool { return gossipEligible(now, p, round) })
+	for index := range gossipFanout {
+		receivers := f.randomPeers(1, func(p *peer) bool { return gossipEligible(now, p, index) })
 		if f.dissemination.freshCount == 0 {
 			return
 		}
@@ -50,12 +50,12 @@
 // since after a crash of many members most of the others are gone. The third requires an ack within piggybackTimeout,
 // since in a one-way partition members whose messages arrive here may receive nothing. Suspects are excluded: they are
 // pinged, and each ping carries the state that this member attributes to them.
-func gossipEligible(now monotime.Micros, p *peer, round int) bool {
+func gossipEligible(now monotime.Micros, p *peer, index int) bool {
 	if !p.isReachable() {
 		return false
 	}
 	answersLately := now-p.lastAck < piggybackTimeout
-	switch round {
+	switch index {
 	case 0:
 		return true
 	case 1:
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -54,7 +54,7 @@
 	nextProbeAt     monotime.Micros
 	lastSeq         uint32
 	trackedPeers    []*peer // checked at each Tick, see track
-	expiredProbes   map[uint32]expiredProbe
+	failedProbes    map[uint32]failedProbe
 	indirectPings   []indirectPing
 	pendingReports  []Update // failure reports still to send
 	suspectCount    int
@@ -100,7 +100,7 @@
 		peers:           map[ID]*peer{},
 		ringHash:        ringHashes(cfg.Self.ID),
 		nextProbeAt:     now,
-		expiredProbes:   map[uint32]expiredProbe{},
+		failedProbes:    map[uint32]failedProbe{},
 		nextDeadProbeAt: now + deadProbeInterval,
 		lastContact:     now,
 		updateBudget:    updateBytesBurst,
--- a/decision/membership/probe.go
+++ b/decision/membership/probe.go
@@ -30,8 +30,8 @@
 	maxIndirectPings = 128
 	// indirectPingRetention is the time after which a requested indirect ping is dropped.
 	indirectPingRetention = 2 * maxProbeTimeout
-	// expiredProbeRetention is the time after the failure of a probe in which a late ack still clears its target.
-	expiredProbeRetention = 4 * maxProbeTimeout
+	// failedProbeRetention is the time after the failure of a probe in which a late ack still clears its target.
+	failedProbeRetention = 4 * maxProbeTimeout
 
 	// suspectsPerSlowdown is the number of additional suspects for which the interval between two probes of each
 	// suspect grows by probeTimeout.
@@ -59,10 +59,10 @@
 	indirectSent bool // requested, or not needed because this probe is itself indirect
 }
 
-// expiredProbe is a probe that has failed recently.
-type expiredProbe struct {
-	target    ID
-	expiredAt monotime.Micros
+// failedProbe is a probe that has failed recently.
+type failedProbe struct {
+	target   ID
+	failedAt monotime.Micros
 }
 
 // indirectPing is a probe of target on behalf of another member.
@@ -187,7 +187,7 @@
 	}
 	if elapsed >= probeFailsAfter(expectedRTT) {
 		p.probe = nil
-		f.expiredProbes[probe.firstSeq] = expiredProbe{target: p.ID, expiredAt: now}
+		f.failedProbes[probe.firstSeq] = failedProbe{target: p.ID, failedAt: now}
 		f.reportFailure(now, p, probe)
 	}
 }
@@ -267,10 +267,10 @@
 		p.clearOwnFailure()
 		return
 	}
-	if late, found := f.expiredProbes[firstSeq]; found && late.target == id {
-		delete(f.expiredProbes, firstSeq)
+	if late, found := f.failedProbes[firstSeq]; found && late.target == id {
+		delete(f.failedProbes, firstSeq)
 		p.clearOwnFailure()
-		p.rtt = max(p.rtt, float64(now-late.expiredAt)+float64(probeTimeout)) // slow, not failed
+		p.rtt = max(p.rtt, float64(now-late.failedAt)+float64(probeTimeout)) // slow, not failed
 	}
 }
 
@@ -328,9 +328,9 @@
 // dropExpiredProbes removes expired indirect pings and failed probes that are too old to be cleared by a late ack.
 func (f *Fleet) dropExpiredProbes(now monotime.Micros) {
 	f.indirectPings = slices.DeleteFunc(f.indirectPings, func(r indirectPing) bool { return now >= r.expiresAt })
-	for seq, expired := range f.expiredProbes {
-		if now-expired.expiredAt > expiredProbeRetention {
-			delete(f.expiredProbes, seq)
+	for seq, failed := range f.failedProbes {
+		if now-failed.failedAt > failedProbeRetention {
+			delete(f.failedProbes, seq)
 		}
 	}
 }
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -23,8 +23,8 @@
 
 // Zone preferences in a selection, best first.
 const (
-	preferHome = iota
-	otherZone
+	zonePreferred = iota
+	zoneOther
 	zonePreferenceCount
 )
 
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// zonePreference returns preferHome for servers of the home zone. It also does for all servers where servers report
+// zonePreference returns zonePreferred for servers of the home zone. It also does for all servers where servers report
 // loads, since the selection weight then includes the cost of crossing zones, and for servers that warm up while a part
 // of the fleet is missing.
 func (b *Balancer) zonePreference(s *server, warmup float64) int {
 	if b.inHomeZone(s) || b.loadsReported() || (warmup < 1 && b.fleetSize.Reduced()) {
-		return preferHome
+		return zonePreferred
 	}
-	return otherZone
+	return zoneOther
 }
 
 // mayBeServedBy reports whether s is eligible for r: it is Ready, r is not pinned to another server, and after an
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -69,7 +69,7 @@
 func (b *Balancer) spareConnections(now Micros) float64 {
 	spare := 0.0
 	for _, s := range b.servers {
-		if b.acceptsMoves(now, s) && !s.latency.MissesObjective(now) && b.hasSpareCapacity(now, s, 1) {
+		if b.acceptsMoves(now, s) && !s.latency.AboveMoveThreshold(now) && b.hasSpareCapacity(now, s, 1) {
 			spare += min(s.budget.Tokens, s.latency.ConnectionCapacity-s.connectionCount())
 		}
 	}
@@ -169,7 +169,7 @@
 		return nil
 	}
 	s := r.server
-	if sameServerAllowed && s.State == Ready && !s.latency.MissesObjective(now) {
+	if sameServerAllowed && s.State == Ready && !s.latency.AboveMoveThreshold(now) {
 		return s
 	}
 	s.lastTriedBy = triedByToken(r.id)
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -73,7 +73,7 @@
 		if got := p.claim(v); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if v.Rejected[c.want] != 1 {
+		if v.Verdicts[c.want] != 1 {
 			t.Errorf("%s: not counted as %v", name, c.want)
 		}
 	}
--- a/decision/resume/validator.go
+++ b/decision/resume/validator.go
@@ -9,8 +9,8 @@
 // After each Claim that is Accepted, the caller must call Established and then Closed, or one of Release, AttemptFailed
 // and RejectedByServer.
 type Validator struct {
-	// Rejected counts verdicts by Reason since the start; at Accepted, it counts the accepted claims.
-	Rejected [reasonCount]int
+	// Verdicts counts verdicts by Reason since the start; at Accepted, it counts the accepted claims.
+	Verdicts [reasonCount]int
 
 	skew   UnixMillis
 	claims claimTable
@@ -45,7 +45,7 @@
 	if verdict == Accepted {
 		verdict = v.claims.claim(now, grant)
 	}
-	v.Rejected[verdict]++
+	v.Verdicts[verdict]++
 	return verdict
 }
 
@@ -56,7 +56,7 @@
 
 // Reject counts a rejection and returns its reason.
 func (v *Validator) Reject(why Reason) Reason {
-	v.Rejected[why]++
+	v.Verdicts[why]++
 	return why
 }
 
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -26,7 +26,7 @@
 
 // attemptForbidden reports whether no further attempt may be started for r at any server, and the cause if so. Attempts
 // are limited by Settings.MaxAttempts and by the class's retry policy. A pinned request gets a single attempt; see
-// pinnedAttemptAllowed. Any attempt after the first is subject to retryForbidden.
+// pinnedAttemptAllowed. Any attempt after the first is subject to retriesSuspended.
 func (b *Balancer) attemptForbidden(now Micros, r *request) (cause answercause.Cause, forbidden bool) {
 	switch {
 	case r.attempts >= b.settings.MaxAttempts:
@@ -36,7 +36,7 @@
 	case r.pinnedTo != nil && !pinnedAttemptAllowed(now, r):
 		return answercause.PinnedUnavailable, true
 	case r.attempts > 0:
-		return b.retryForbidden()
+		return b.retriesSuspended()
 	}
 	return answercause.Unknown, false
 }
@@ -48,9 +48,9 @@
 	return r.attempts == 0 && r.pinnedTo.State == Ready && r.deadline-now >= minAttemptTimeout
 }
 
-// retryForbidden reports whether the present state of budget and servers forbids any retry, and the cause if so. A
+// retriesSuspended reports whether the present state of budget and servers forbids any retry, and the cause if so. A
 // retry needs a token of the retry budget. While failures are shared by all servers, retries would only add load.
-func (b *Balancer) retryForbidden() (cause answercause.Cause, forbidden bool) {
+func (b *Balancer) retriesSuspended() (cause answercause.Cause, suspended bool) {
 	switch {
 	case b.retryTokens < 1:
 		return answercause.RetryBudget, true
--- a/decision/serverload/model.go
+++ b/decision/serverload/model.go
@@ -22,9 +22,9 @@
 	// LoadsReported is set if servers report the loads of connections.
 	LoadsReported bool
 
-	sizeByKind map[uint16]float64 // largest weight listed for any server of a kind
-	meanLoad   float64            // mean load of a connection, in cores
-	observed   float64            // number of connections that meanLoad follows, at most meanLoadWindow
+	sizeByMachineType map[uint16]float64 // largest weight listed for any server of a kind
+	meanLoad          float64            // mean load of a connection, in cores
+	observed          float64            // number of connections that meanLoad follows, at most meanLoadWindow
 }
 
 // Observe adds the load of one connection, in cores, to the mean.
@@ -47,15 +47,15 @@
 // SizeFromWeight derives from a listed weight the server's size, in the unit of Gauge.Size, and the number of
 // connections that all balancers have there, 0 if weights don't show it. For a weight that falls with use, the size is
 // taken to be the largest weight that any server of its kind was listed with.
-func (m *LoadModel) SizeFromWeight(kind uint16, weight float64) (size, connections float64) {
+func (m *LoadModel) SizeFromWeight(machineType uint16, weight float64) (size, connections float64) {
 	if !m.DynamicWeights {
 		return weight, 0
 	}
-	if m.sizeByKind == nil {
-		m.sizeByKind = map[uint16]float64{}
+	if m.sizeByMachineType == nil {
+		m.sizeByMachineType = map[uint16]float64{}
 	}
-	size = max(m.sizeByKind[kind], weight)
-	m.sizeByKind[kind] = size
+	size = max(m.sizeByMachineType[machineType], weight)
+	m.sizeByMachineType[machineType] = size
 	return size, size * (size/weight - 1)
 }
 
--- a/decision/serverload/selection.go
+++ b/decision/serverload/selection.go
@@ -30,9 +30,9 @@
 
 // addedUtilization returns the utilization that one more connection of this load, in cores, adds. The cost of its group
 // is included unless the server already has connections of that group.
-func (g *Gauge) addedUtilization(model *LoadModel, warmUp, load float64, hasGroup bool) float64 {
+func (g *Gauge) addedUtilization(model *LoadModel, warmUp, load float64, addsNoGroup bool) float64 {
 	added := max(load, minLoad)
-	if !hasGroup {
+	if !addsNoGroup {
 		added += model.groupCost()
 	}
 	return added / (g.Size * warmUp)
@@ -43,17 +43,17 @@
 // limit between minUtilizationLimit and maxUtilizationLimit. A connection counts as at most maxAddedFraction of the
 // limit, so that a server below half of its limit accepts any connection: one that would fill a server by itself would
 // find no better place after a rejection.
-func (g *Gauge) HasCapacityFor(model *LoadModel, warmUp, load float64, hasGroup bool, priority float64) bool {
+func (g *Gauge) HasCapacityFor(model *LoadModel, warmUp, load float64, addsNoGroup bool, priority float64) bool {
 	limit := minUtilizationLimit + (maxUtilizationLimit-minUtilizationLimit)*priority
-	added := g.addedUtilization(model, warmUp, load, hasGroup)
+	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
 	return g.Utilization(model, warmUp)+min(added, limit*maxAddedFraction) <= limit
 }
 
 // SelectionWeight returns how likely the server is selected for a connection of this load, in cores, relative to other
 // servers. It is above 0, proportional to the server's size, and falls with the connection's cost: the load that the
 // connection adds to the server as a multiple of a usual load, increased at a well utilized server and across zones.
-func (g *Gauge) SelectionWeight(model *LoadModel, warmUp, load float64, hasGroup, crossZone bool) float64 {
-	added := g.addedUtilization(model, warmUp, load, hasGroup)
+func (g *Gauge) SelectionWeight(model *LoadModel, warmUp, load float64, addsNoGroup, crossZone bool) float64 {
+	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
 	usualLoad := max(load, model.meanLoad, minLoad)
 	utilization := g.Utilization(model, warmUp) + added
 	cost := added * g.Size / usualLoad * (1 + math.Pow(utilization/costDoublesAt, utilizationExponent))
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -25,9 +25,9 @@
 		return
 	}
 	key := observationKey(d.ownZone, d.cfg.Self.ID)
-	held := d.items[key]
-	unreachable, due := d.currentObservation(held)
-	if !due || held != nil && slices.Equal(held.Observation.Unreachable, unreachable) {
+	published := d.items[key]
+	unreachable, due := d.currentObservation(published)
+	if !due || published != nil && slices.Equal(published.Observation.Unreachable, unreachable) {
 		return
 	}
 	d.observation.publishedAt = now
@@ -41,9 +41,9 @@
 
 // currentObservation returns the zones to list in this member's observation, and whether it should have one. A delegate
 // publishes one as soon as it has probed all zones; a former delegate withdraws its observation.
-func (d *Directory) currentObservation(held *entry) (unreachable []ID, due bool) {
+func (d *Directory) currentObservation(published *entry) (unreachable []ID, due bool) {
 	if d.ownRank >= Delegates {
-		return []ID{d.ownZone}, held != nil && !held.Observation.withdrawn()
+		return []ID{d.ownZone}, published != nil && !published.Observation.withdrawn()
 	}
 	if !d.observation.complete && !d.allZonesProbed() {
 		return nil, false
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -104,13 +104,13 @@
 // Introductions returns addresses of members that the local zone's summary names and the view lacks; usually there are
 // none. The owner passes them to membership.Fleet.SyncWith after each Tick.
 func (d *Directory) Introductions(now monotime.Micros) []netip.AddrPort {
-	held := d.zoneByID(d.ownZone)
-	if now < d.nextIntroductionAt || held == nil || d.ownRank >= Delegates || d.local.Leaving {
+	current := d.zoneByID(d.ownZone)
+	if now < d.nextIntroductionAt || current == nil || d.ownRank >= Delegates || d.local.Leaving {
 		return nil
 	}
 	d.nextIntroductionAt = now + introductionInterval
 	var unlisted []netip.AddrPort
-	for _, contact := range held.Contacts {
+	for _, contact := range current.Contacts {
 		if contact.ID != d.cfg.Self.ID && !d.isZonePeer(contact.ID) {
 			unlisted = append(unlisted, contact.Addr)
 		}
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -76,17 +76,17 @@
 		return
 	}
 	next := d.ownSummary()
-	held := d.zoneByID(d.ownZone)
+	current := d.zoneByID(d.ownZone)
 	conflict := &d.conflict
-	if held != nil && held.sameContent(&next) {
-		d.endConflict(now, held.Issuer)
+	if current != nil && current.sameContent(&next) {
+		d.endConflict(now, current.Issuer)
 		return
 	}
 	tooEarly := conflict.issuedAt > 0 && now-conflict.issuedAt < issueInterval && !d.lastToLeave
-	if tooEarly || now < conflict.backoffUntil || d.unreachableChanging(now, held, &next) {
+	if tooEarly || now < conflict.backoffUntil || d.unreachableChanging(now, current, &next) {
 		return
 	}
-	if held != nil && d.acceptsCompetingSummary(now, held, &next) {
+	if current != nil && d.acceptsCompetingSummary(now, current, &next) {
 		return
 	}
 	conflict.issuedAt = now
@@ -109,9 +109,9 @@
 
 // unreachableChanging reports whether to delay the next summary because the set of unreachable zones is still changing:
 // more changes usually follow at once, and issuing an incomplete set would delay the complete one by issueInterval.
-func (d *Directory) unreachableChanging(now monotime.Micros, held *zoneState, next *Summary) bool {
+func (d *Directory) unreachableChanging(now monotime.Micros, current *zoneState, next *Summary) bool {
 	conflict := &d.conflict
-	if held == nil || d.lastToLeave || slices.Equal(held.Unreachable, next.Unreachable) {
+	if current == nil || d.lastToLeave || slices.Equal(current.Unreachable, next.Unreachable) {
 		conflict.pendingSince = 0
 		return false
 	}
@@ -136,8 +136,8 @@
 
 // acceptsCompetingSummary reports whether to keep another issuer's summary for now, though this member would issue a
 // different one.
-func (d *Directory) acceptsCompetingSummary(now monotime.Micros, held *zoneState, next *Summary) bool {
-	if held.Issuer == next.Issuer || d.lastToLeave || !held.preferredOver(next) {
+func (d *Directory) acceptsCompetingSummary(now monotime.Micros, current *zoneState, next *Summary) bool {
+	if current.Issuer == next.Issuer || d.lastToLeave || !current.preferredOver(next) {
 		return false
 	}
 	return !d.mayOverride(now, next)
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -250,7 +250,7 @@
 	}
 	told := 0
 	g.inLoop(func() {
-		for _, n := range g.proxy.resumption.tokens.Rejected {
+		for _, n := range g.proxy.resumption.tokens.Verdicts {
 			told += n
 		}
 	})
