--- a/decision/actions.go
+++ b/decision/actions.go
@@ -7,8 +7,8 @@
 
 // The actions.
 type (
-	// WatchDiscovery subscribes to discovery's updates, or polls discovery again if there is a subscription. The core
-	// emits it only with On set.
+	// WatchDiscovery subscribes to discovery's updates, or polls discovery again if there is a subscription. With On
+	// unset it would end the subscription; the core always sets On.
 	WatchDiscovery struct{ On bool }
 	// FetchServerList fetches the whole server list once. The core never emits it; the simulator's wire protocol
 	// includes it.
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -5,7 +5,7 @@
 const (
 	// answerMargin is the time reserved before a request's deadline for its final answer to reach the client.
 	answerMargin = 12 * ms
-	// holdInterval is the mean time between two placement attempts of a held request.
+	// holdInterval is the mean time after which a held request is placed again.
 	holdInterval = 40 * ms
 	// minRetryAfter is the minimum time that a rejected client waits before it retries. A random part of
 	// retryAfterSpread is added, so that rejected clients do not return at the same moment.
@@ -83,8 +83,8 @@
 	b.emit(start)
 }
 
-// deadlineCause returns why a request has reached its deadline without a connection: the reason for which it is held,
-// or an attempt that took too long.
+// deadlineCause returns why a request gets its final answer, at its deadline or on RequestExpired, before it has a
+// connection: AttemptTimedOut if any attempt was started, otherwise the reason for which it is held.
 func (b *Balancer) deadlineCause(now Micros, r *request) answercause.Cause {
 	if r.state != requestWaiting || r.attempts > 0 {
 		return answercause.AttemptTimedOut
--- a/decision/answercause/answercause.go
+++ b/decision/answercause/answercause.go
@@ -5,7 +5,7 @@
 // Cause is the reason for which a request got its final answer from the balancer.
 type Cause uint8
 
-// The request was held until its time was up, and no server could take it.
+// Causes of answers to requests that were held until their deadline.
 const (
 	Unknown         Cause = iota // the caller named no cause
 	NoReadyServer                // no listed server was Ready and allowed by the class's retry policy
@@ -17,21 +17,21 @@
 // No further attempt was started.
 const (
 	Shed              Cause = iota + ListUnconfirmed + 1 // recent set-ups failed, so a part of the new ones is shed
-	AttemptTimedOut                                      // its time was up during an attempt, or just after one
+	AttemptTimedOut                                      // its deadline passed after an attempt was started
 	AttemptsUsed                                         // Settings.MaxAttempts were made
 	RetryForbidden                                       // it may have been executed, and its class forbids a retry
 	RetryBudget                                          // the retry budget was used up
 	FailuresShared                                       // all servers fail alike, so a retry would only add load
 	PinnedUnavailable                                    // the only server that may serve it was unavailable
-	ErrorConfirmed                                       // two servers answered with an error
+	ErrorConfirmed                                       // two servers answered it with an error
 )
 
 // The balancer did not place the request at all.
 const (
 	DescriptorsShort Cause = iota + ErrorConfirmed + 1 // the process is near its limit of descriptors
 	ShuttingDown                                       // the process drains
-	TooManyHeld                                        // limits.held requests are held already
-	SlotsUsed                                          // no slot for a request is free
+	TooManyHeld                                        // limits.most_held requests, established or not, exist
+	SlotsUsed                                          // the proxy's table of requests is full
 	Malformed                                          // the first line can't be parsed, or did not come in time
 	UnknownClass                                       // the settings have no such class
 	DuplicateID                                        // a request with this id was seen before
--- a/decision/attemptoutcome/attemptoutcome.go
+++ b/decision/attemptoutcome/attemptoutcome.go
@@ -27,8 +27,8 @@
 	return status
 }
 
-// OfWaiting returns the outcome of an attempt that was still waiting for a multiplexed connection when that ended with
-// status. The request was never written.
+// OfWaiting returns the outcome of an attempt that was still waiting for a multiplexed connection when that connection
+// ended with the given status. The request was never written.
 func OfWaiting(status outcome.Status) outcome.Status {
 	if status == outcome.Reset {
 		return outcome.ConnectFailed
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -3,7 +3,8 @@
 import "spurspread/decision/slowstart"
 
 // warmupFactor returns the fraction of its full capacity that a server is assumed to have. It rises linearly from
-// Settings.InitialCapacity at the server's start to 1 after Settings.WarmupTime.
+// Settings.InitialCapacity at the server's start to 1 after Settings.WarmupTime. For a server whose StartedAt is 0
+// (long ago) it is 1.
 func (b *Balancer) warmupFactor(now Micros, s *server) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= b.settings.WarmupTime {
--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -41,9 +41,9 @@
 	// slowSetupLatency is the set-up latency above which set-ups are assumed to wait for a resource that all servers
 	// share. The limit decreases while the latency is above this value, and increases while it is below.
 	slowSetupLatency = 200 * millisecond
-	// limitDecrease is the factor applied for each set-up that ends while the latency is above.
+	// limitDecrease is the factor applied for each set-up that ends while the latency is above slowSetupLatency.
 	limitDecrease = 0.8
-	// limitIncrease is the increment for each set-up that ends while the latency is below.
+	// limitIncrease is the increment for each set-up that ends while the latency is not above it.
 	limitIncrease = 1.0
 
 	minLimit     = 2.0
@@ -136,9 +136,9 @@
 func (l *Limiter) Allows(inFlight int) bool { return float64(inFlight) < l.Limit }
 
 // ShedProbability returns the probability, 0 to 1, with which a set-up is to be rejected rather than started
-// (client-side adaptive throttling). fleetShare is this balancer's part of the fleet, 0 to 1. Attempts beyond
-// throttleRatio times the established ones, plus this balancer's part of the fleet's throttleFreeAttempts, are shed.
-// While hardly any set-up succeeds, further ones would only keep the servers from recovering.
+// (client-side adaptive throttling). fleetShare is this balancer's share of the fleet, above 0 to 1. Attempts beyond
+// throttleRatio times the established ones, plus this balancer's share of throttleFreeAttempts, are shed. While hardly
+// any set-up succeeds, further ones would only keep the servers from recovering.
 func (l *Limiter) ShedProbability(fleetShare float64) float64 {
 	excess := l.attempts - throttleRatio*l.established - throttleFreeAttempts*fleetShare
 	return max(excess, 0) / (l.attempts + 1)
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -9,8 +9,8 @@
 	longUnhealthyAfter = 10 * sec
 )
 
-// onServerListUpdate applies an update to the known servers. Any kind but UpdateDelta lists all servers, so those that
-// it does not list become Removed.
+// onServerListUpdate applies an update to the known servers. UpdateFull and UpdateCached list all servers, so those
+// that they do not list become Removed. UpdateFailed changes no server, only the polling schedule.
 func (b *Balancer) onServerListUpdate(now Micros, ev ServerListUpdate) {
 	if ev.Kind == UpdateFailed {
 		b.polling.Failed(now)
@@ -32,8 +32,9 @@
 	}
 }
 
-// updateServer applies one entry of an update. A Ready server whose start time has changed has restarted: its health is
-// Unknown again and its measurements are reset.
+// updateServer applies one entry of an update. If the entry is Ready and has another start time than before, the server
+// has restarted: its health is Unknown again, and what was learned of its previous process is discarded
+// (resetAfterRestart).
 func (b *Balancer) updateServer(now Micros, entry *ServerEntry) {
 	s := b.serversByID[entry.Server]
 	switch {
@@ -81,7 +82,7 @@
 	}
 }
 
-// pollDiscovery polls discovery if a poll is due and discovery must be polled.
+// pollDiscovery polls discovery if a poll is due. It never polls if discovery pushes updates.
 func (b *Balancer) pollDiscovery(now Micros) {
 	if b.settings.PollDiscovery && b.polling.PollDue(now) {
 		b.emit(WatchDiscovery{On: true})
@@ -99,7 +100,7 @@
 	return b.polling.ListUsable(now)
 }
 
-// refreshListIfLongUnhealthy schedules a poll of discovery if a listed server has been Unhealthy for
+// refreshListIfLongUnhealthy schedules a poll of discovery if a server that is listed as Ready has been Unhealthy for
 // longUnhealthyAfter: the server may be gone and the update that removed it lost. The polling schedule limits how often
 // this happens.
 func (b *Balancer) refreshListIfLongUnhealthy(now Micros) {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -13,7 +13,7 @@
 //
 // The rules are in files of their own: placement selects a server, admission decides whether a request is placed, held
 // or answered, capacity limits new connections per server, retries limits attempts, health tracks which servers are
-// trusted, load tracks their utilization, and rebalance moves established connections.
+// healthy, load tracks their utilization, and rebalance moves established connections.
 //
 // A Balancer is not safe for concurrent use: one goroutine, usually the event loop, owns it. Handle does no I/O, never
 // blocks, starts no goroutine and reads no clock. Its random numbers come from the seed passed to New, so the same seed
@@ -26,5 +26,6 @@
 //
 // The package imports only its own subpackages: the policies (retry, concurrency, slowstart, latency, serverload,
 // fleetsize, polling), which depend neither on this package nor on each other, and small helpers and value types. It
-// must not depend on sockets, files, clocks or wire formats.
+// must not depend on sockets, files, clocks or wire formats. The remaining subpackages, such as resume, drainorder or
+// membership, hold decisions that other parts of the balancer make without the core.
 package decision
--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -1,5 +1,6 @@
 // Package drainorder decides in which order and when the connections on draining servers are moved, so that all are
-// moved in time and the moves are spread evenly.
+// moved in time and the moves are spread evenly. Package drainschedule does the same for the drain of the process
+// itself.
 //
 // It does not know sockets, clocks or the destinations of connections, and knows connections by their ids only. The
 // proxy starts a drain, adds connections that are established later, and moves the connections that Due returns,
@@ -17,7 +18,7 @@
 	"spurspread/decision/monotime"
 )
 
-// noneDue is the next time that Due returns if no move is left.
+// noneDue is what Due returns as next if no move is left.
 const noneDue monotime.Micros = -1
 
 // seedStream is the second half of the random source's seed. It makes the draws differ from those of other sources with
--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -84,9 +84,10 @@
 	return firstLineTime
 }
 
-// Finished reports whether a stopping process is done: nothing remains and MinDuration has passed, or the time is up.
-// It closes its listener when there are no requests and no multiplexed client connections. It stops once new
-// connections have had their time for a first line and the clients that have their final answer have closed.
+// Finished reports whether a stopping process is done with what remaining counts: nothing remains and MinDuration has
+// passed, or the time is up. The process closes its listener when it is done with its requests and multiplexed client
+// connections. It stops when it is also done with the new connections that may still send a first line and with the
+// clients that have not closed after their final answer.
 func Finished(elapsed, duration monotime.Micros, remaining int) bool {
 	timeUp := elapsed >= duration+shutdownGrace
 	nothingLeft := elapsed >= MinDuration && remaining == 0
--- a/decision/events.go
+++ b/decision/events.go
@@ -11,8 +11,8 @@
 // The states of a server. Only Ready servers get new connections. Connections leave a Draining server through
 // MoveRequested or, where servers report loads, through rebalancing.
 const (
-	Draining ServerState = iota
-	Removed
+	Draining ServerState = iota // finishing its connections before it stops
+	Removed                     // no longer listed
 	Ready
 )
 
@@ -21,11 +21,11 @@
 	Server      uint32 // number by which this balancer identifies the server
 	StableID    uint64 // hash of the server's id; unlike Server, the same at every balancer
 	Zone        uint32 // index in the settings' list of zones; zones not listed there have higher numbers
-	MachineType uint16
+	MachineType uint16 // number by which this balancer identifies the type
 	State       ServerState
 	Weight      float64 // relative capacity, or see Settings.DynamicWeights; 0 or less if not listed
-	Cell        uint64
-	StartedAt   Micros // 0: long ago, so that it is fully warmed up
+	Cell        uint64  // cell in which the server runs; see ScopeCell
+	StartedAt   Micros  // 0: long ago, so that it is fully warmed up
 }
 
 // UpdateKind is the kind of a ServerListUpdate. The values are part of the simulator's wire protocol.
@@ -93,7 +93,7 @@
 		ID        uint32
 		Attempt   int // the request's attempts are numbered from 0
 		Server    uint32
-		SetupTime Micros
+		SetupTime Micros // since the StartAttempt
 	}
 	// ConnectionMetric is a measurement of a connection or of an attempt under way.
 	ConnectionMetric struct {
@@ -109,9 +109,9 @@
 		Attempt              int
 		Server               uint32
 		Status               outcome.Status
-		Duration             Micros
-		RequestClosed        bool // answered, or the client has left: the request is not retried
-		CauseAlreadyReported bool // with another attempt, so it does not count against the server again
+		Duration             Micros // since the StartAttempt
+		RequestClosed        bool   // answered, or the client has left: the request is not retried
+		CauseAlreadyReported bool   // with another attempt, so it does not count against the server again
 		LoadReport           LoadReport
 	}
 	// MoveRequested reports that an established connection must be moved, usually because its server drains or has
@@ -132,7 +132,7 @@
 	ProbeResult struct {
 		Server     uint32
 		Status     outcome.Status
-		Duration   Micros
+		Duration   Micros // since the ProbeServer. Not used.
 		LoadReport LoadReport
 	}
 	// SettingsChanged replaces all settings by a validated set. Requests that arrive later refer to its classes;
--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -34,7 +34,8 @@
 // New returns the estimate for a complete fleet.
 func New(now monotime.Micros) Estimate { return Estimate{presentFraction: 1, updatedAt: now} }
 
-// Update records the capacity of all servers that are present now, in any unit that stays the same.
+// Update records the capacity of all servers that are present now, in a unit that stays the same and in which a
+// complete fleet has at least 1.
 func (e *Estimate) Update(now monotime.Micros, size float64) {
 	elapsed := float64(now-e.updatedAt) / float64(monotime.Second)
 	e.expectedReconnects *= max(1-reconnectDecay*elapsed, 0)
@@ -53,9 +54,9 @@
 func (e *Estimate) ExpectReconnect() { e.expectedReconnects++ }
 
 // ChargeReconnect returns the price of the connection of a client that connects now, in tokens of a warm server's
-// bucket. It is 1 unless the fleet is reduced and reconnects are expected. Then it is reconnectPrice, and the number of
-// expected reconnects falls by one. The remaining servers of a reduced fleet have a higher load than usual, and so
-// accept returning clients more slowly.
+// bucket (the core's admission cost). It is 1 unless the fleet is reduced and reconnects are expected. Then it is
+// reconnectPrice, and the number of expected reconnects falls by one. The remaining servers of a reduced fleet have a
+// higher load than usual, and so accept returning clients more slowly.
 func (e *Estimate) ChargeReconnect() float64 {
 	if !e.Reduced() || e.expectedReconnects < 1 {
 		return 1
--- a/decision/health.go
+++ b/decision/health.go
@@ -42,7 +42,7 @@
 	// demotionResetAfter is the time for which a server must be Connected for its next demotion to count as the first
 	// again.
 	demotionResetAfter = 10 * sec
-	// maxConcurrentProbes limits the probes in flight to all servers together.
+	// maxConcurrentProbes limits the probes under way to all servers together.
 	maxConcurrentProbes = 4
 	// maxSlowUnhealthyShare is the fraction of a zone's Ready servers that may be Unhealthy after one is demoted for
 	// slowness.
@@ -86,7 +86,8 @@
 	s.enteredAt[h] = now
 }
 
-// markConnected makes the server Connected, because an attempt or a validation succeeded or it is no longer slow.
+// markConnected makes the server Connected, because an attempt or a validation succeeded, it is no longer slow, or it
+// has a connection from before this balancer's start.
 func (b *Balancer) markConnected(now Micros, s *server) {
 	s.demotedForFailure = false
 	if s.health != healthConnected {
@@ -135,8 +136,8 @@
 	b.setupLimiter.Record(setupOutcome(status), float64(duration))
 }
 
-// setupOutcome converts an attempt's status for the concurrency limiter. A status that does not show how the server
-// handled the set-up is Inconclusive.
+// setupOutcome converts an attempt's status for the concurrency limiter. OK, ErrorResponse and TimedOut show how
+// set-ups in general proceed; every other status is Inconclusive.
 func setupOutcome(status outcome.Status) concurrency.Outcome {
 	switch status {
 	case outcome.OK:
@@ -166,7 +167,7 @@
 }
 
 // slownessShared reports whether the demotion of s would leave more than maxSlowUnhealthyShare of its zone's Ready
-// servers Unhealthy. The servers then probably have a common cause, such as a store, a link or overload, and demoting
+// servers Unhealthy. Their slowness then probably has a common cause, such as a store, a link or overload, and demoting
 // all of them would only shift the load.
 func (b *Balancer) slownessShared(s *server) bool {
 	ready, unhealthy := 0, 0
@@ -182,7 +183,8 @@
 	return float64(unhealthy+1) > maxSlowUnhealthyShare*float64(ready)
 }
 
-// demote makes a server Unhealthy and schedules its validation.
+// demote makes a server Unhealthy, for a failure or (forFailure false) for slowness, and schedules its validation. The
+// count of consecutive demotions starts over if the server was Connected for demotionResetAfter.
 func (b *Balancer) demote(now Micros, s *server, forFailure bool) {
 	if s.health == healthConnected && now-s.enteredAt[healthConnected] > demotionResetAfter {
 		s.consecutiveDemotions = 0
@@ -215,8 +217,8 @@
 }
 
 // validateServer makes an Unhealthy server Pending and probes it. If Settings.AllowProbes is not set, the next request
-// that it gets validates it instead. While maxConcurrentProbes or a probe of this server are in flight, it stays
-// Unhealthy; a later tick tries again.
+// that it gets validates it instead. The server stays Unhealthy until a later tick if it is being probed already, or if
+// maxConcurrentProbes are under way.
 func (b *Balancer) validateServer(now Micros, s *server) {
 	if b.settings.AllowProbes {
 		if b.probesUnderWay >= maxConcurrentProbes || s.probing {
@@ -227,7 +229,7 @@
 	s.setHealth(now, healthPending)
 }
 
-// probeServer emits a probe and counts it as in flight until its ProbeResult.
+// probeServer emits a probe, which is under way until its ProbeResult.
 func (b *Balancer) probeServer(s *server) {
 	s.probing = true
 	b.probesUnderWay++
@@ -252,8 +254,8 @@
 }
 
 // endValidation makes a Pending server Connected if its probe succeeded and reported a utilization of at most
-// maxValidationUtilization; otherwise it demotes the server. A probe that was never sent is inconclusive: it is
-// repeated after about minValidationDelay and does not count as a demotion.
+// maxValidationUtilization, or none (utilization 0); otherwise it demotes the server. A probe that was never sent is
+// inconclusive: it is repeated after about minValidationDelay and does not count as a demotion.
 func (b *Balancer) endValidation(now Micros, s *server, status outcome.Status, utilization float64) {
 	switch {
 	case status == outcome.Inconclusive:
@@ -267,8 +269,9 @@
 }
 
 // onMessageLatencyMetric updates the latency estimate of a server. A server that is slow is demoted, and the tokens of
-// all servers are capped at a burst, since the others are about to get its load. If it misses the shortest message
-// latency objective, it is also paused and some of its connections move. A server that is no longer slow is Connected.
+// all servers are capped at a burst, since the others are about to get its load. If its latency also exceeds the move
+// threshold (latency.MoveThreshold), it is paused and some of its connections move. A server that is no longer slow is
+// Connected.
 func (b *Balancer) onMessageLatencyMetric(now Micros, ev ConnectionMetric) {
 	s := b.serversByID[ev.Server]
 	if s == nil {
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -47,8 +47,9 @@
 }
 
 // Downstream returns the verdict on a client's connection. quiet is the time since data last arrived, idle is the
-// connection's idle time-out, and channels is the number of its channels. Without channels it is closed after the idle
-// time-out. With channels it is pinged shortly before that, and closed after twice the idle time-out.
+// connection's idle time-out, and channels is the number of its channels. The connection is pinged from one
+// DownstreamCheckInterval before the idle time-out on. It is closed after the idle time-out if it has no channels,
+// otherwise after twice that time.
 func Downstream(quiet, idle monotime.Micros, channels int) Verdict {
 	switch {
 	case quiet >= downstreamTimeoutFactor*idle:
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -1,10 +1,10 @@
-// Package latency estimates, from a server's delay reports, whether its messages are late, how many of this balancer's
-// connections it can sustain, and which fraction of its connections is too much.
+// Package latency estimates, from reports of a server's message latency, whether it is slow, how many of
+// this balancer's connections it can sustain, and which fraction of its connections is too much.
 //
 // It does not know the fleet, clocks or requests. The core keeps one Estimate per server, passes each report to
-// ObserveDelay and calls GrowCapacity once a tick. Points in time are monotime.Micros; delays and objectives are
-// microseconds as float64. Delays are kept as multiples of the shortest latency objective that any class has for its
-// messages, so that the thresholds below apply whatever the objectives are.
+// ObserveDelay and calls GrowCapacity once a tick. Points in time are monotime.Micros; message latencies, here called
+// delays, and objectives are microseconds as float64. Delays are kept as multiples of the shortest latency objective
+// that any class has for its messages, so that the thresholds below apply whatever the objectives are.
 //
 // Invariant: the capacity falls only on a report of a slow server, and grows only without a recent report.
 package latency
@@ -18,7 +18,8 @@
 const (
 	// SlowThreshold is the delay, as a fraction of the shortest objective, above which a server is slow.
 	SlowThreshold = 0.35
-	// MoveThreshold is the delay, as a fraction of an objective, above which connections are moved off a server.
+	// MoveThreshold is the delay, as a fraction of an objective, above which connections are moved off a server. Moves
+	// thus begin before the objective itself is missed.
 	MoveThreshold = 0.6
 	// ReportLifetime is the time for which a report is valid.
 	ReportLifetime = 2 * monotime.Second
@@ -27,8 +28,8 @@
 	minReportInterval = 400 * monotime.Millisecond
 	// backlogDrainTime is the time, in microseconds, within which a server's backlog should be worked off.
 	backlogDrainTime = 2 * float64(monotime.Second)
-	// capacityDecrease is the fraction of its connections that becomes the capacity of a server which misses
-	// objectives.
+	// capacityDecrease is the fraction of its connections that becomes the capacity of a server whose delay is above
+	// MoveThreshold.
 	capacityDecrease = 0.9
 	// capacityGrowth is the fraction by which the capacity grows per second without a recent report.
 	capacityGrowth = 0.05
@@ -70,7 +71,7 @@
 }
 
 // limitCapacity lowers the capacity after a report that was made with the given number of connections: to that number
-// if the server is slow, and to capacityDecrease of it if the server misses objectives.
+// if the server is slow, and to capacityDecrease of it if the delay is above MoveThreshold.
 func (e *Estimate) limitCapacity(connections float64) {
 	if e.MeasuredSlow() {
 		e.ConnectionCapacity = min(e.ConnectionCapacity, connections)
@@ -87,8 +88,8 @@
 // SlowThreshold.
 func (e *Estimate) MeasuredSlow() bool { return e.delay > SlowThreshold }
 
-// AboveMoveThreshold reports whether the server's messages are known to be late now: its delay was above MoveThreshold
-// less than ReportLifetime ago.
+// AboveMoveThreshold reports whether the server's delay is known to be above MoveThreshold now: it was in a report less
+// than ReportLifetime ago.
 func (e *Estimate) AboveMoveThreshold(now monotime.Micros) bool {
 	return e.delay > MoveThreshold && now-e.reportedAt < ReportLifetime
 }
--- a/decision/lifecycle/state.go
+++ b/decision/lifecycle/state.go
@@ -30,9 +30,9 @@
 	Reply   string // line to send to the caller, without its terminator
 }
 
-// Apply returns the transition of a command in a state. PING changes nothing and succeeds until the balancer stops.
-// LAMEDUCK in a lame duck and REJOIN while serving succeed and change nothing; after SIGTERM both fail. MEMBERS, RECORD
-// and UNSERVED are unknown here: a caller that can answer them must handle them before.
+// Apply returns the transition of a command in a state. The command PING changes nothing and succeeds until the
+// balancer stops. LAMEDUCK in a lame duck and REJOIN while serving succeed and change nothing; after SIGTERM both fail.
+// MEMBERS, RECORD and UNSERVED are unknown here: a caller that can answer them must handle them before.
 func Apply(s State, kind CommandKind) Transition {
 	switch {
 	case kind == CommandMembers || kind == CommandRecord || kind == CommandUnserved:
--- a/decision/load.go
+++ b/decision/load.go
@@ -13,7 +13,7 @@
 )
 
 // estimateLoad sets the expected load of a new request's connection: its load hint, or the mean load of a connection if
-// there is none.
+// there is none. A hint also sets the request's relativeWork and is added to the moving averages.
 func (b *Balancer) estimateLoad(r *request, ev *Request) {
 	if !ev.HasLoadHint || ev.LoadHint <= 0 {
 		r.load = b.loadModel.MeanLoad()
@@ -41,8 +41,8 @@
 }
 
 // requestLoadReports probes servers for load reports as far as the report budget and maxConcurrentProbes allow,
-// starting with the server whose report was requested least recently. It requests none if load reports have no
-// utilization column.
+// starting with the server whose report was requested least recently. It requests none if Settings.AllowProbes is not
+// set or load reports have no utilization column. In any case it samples the known utilization of all servers.
 func (b *Balancer) requestLoadReports(now Micros) {
 	for _, s := range b.servers {
 		s.load.SampleUtilization(now, &b.loadModel, b.warmupFactor(now, s))
--- a/decision/membership/antientropy.go
+++ b/decision/membership/antientropy.go
@@ -15,7 +15,8 @@
 	// addition.
 	syncInterval = 1 * monotime.Second
 	syncJitter   = syncInterval / 2
-	// unknownSenderSyncInterval replaces it after a comparison that was started by a ping from an unknown member.
+	// unknownSenderSyncInterval replaces syncInterval after a comparison that was started because of a ping from an
+	// unknown member.
 	unknownSenderSyncInterval = syncInterval / 2
 	// divergenceTolerance is the time for which a view may differ before it is compared: most updates arrive by gossip
 	// in the meantime.
--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -49,7 +49,8 @@
 	return silence > isolationTimeout
 }
 
-// checkPause restarts all suspicions and drops failed probes if this process was paused.
+// checkPause handles a pause of this process: it restarts all suspicions, drops failed probes, and makes this member
+// Unhealthy for unhealthyAfterPause.
 func (f *Fleet) checkPause(now monotime.Micros) {
 	if now-f.lastTick <= pauseThreshold {
 		return
--- a/decision/membership/deadprobe.go
+++ b/decision/membership/deadprobe.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// pingDead pings a dead member at the given address, or at its known address if the given one is invalid.
+// pingDead pings a dead member at the given address, or at its known address if the given one is invalid. It does
+// nothing within ackTimeout of the last probe or ping.
 func (f *Fleet) pingDead(now monotime.Micros, p *peer, addr netip.AddrPort) {
 	if now-p.lastProbe < ackTimeout {
 		return
--- a/decision/membership/dissemination.go
+++ b/decision/membership/dissemination.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// gossipEligible reports whether p may receive the given message of a gossip round. The first message goes to any
-// reachable member, so that members in close contact do not form a closed group. The second also requires contact,
-// since after a crash of many members most of the others are gone. The third requires an ack within piggybackTimeout,
-// since in a one-way partition members whose messages arrive here may receive nothing. Suspects are excluded: they are
-// pinged, and each ping carries the state that this member attributes to them.
+// gossipEligible reports whether p may receive one of the messages of a gossip round; index counts them from 0. The
+// first message goes to any reachable member, so that members in close contact do not form a closed group. The second
+// also requires contact, since after a crash of many members most of the others are gone. The third requires an ack
+// within piggybackTimeout, since in a one-way partition members whose messages arrive here may receive nothing.
+// Suspects are excluded: they are pinged, and each ping carries the state that this member attributes to them.
 func gossipEligible(now monotime.Micros, p *peer, index int) bool {
 	if !p.isReachable() {
 		return false
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -53,8 +53,8 @@
 	probeQueue      []*peer // still to ping in this round
 	nextProbeAt     monotime.Micros
 	lastSeq         uint32
-	trackedPeers    []*peer // checked at each Tick, see track
-	failedProbes    map[uint32]failedProbe
+	trackedPeers    []*peer                // checked at each Tick, see track
+	failedProbes    map[uint32]failedProbe // recent ones, by the sequence number of their first ping
 	indirectPings   []indirectPing
 	pendingReports  []Update // failure reports still to send
 	suspectCount    int
@@ -67,8 +67,8 @@
 	wasIsolated          bool            // isolated at the last Tick
 	confirmers           int             // other members that can confirm a failure
 	nextConfirmerCountAt monotime.Micros
-	fleetRTT             float64 // upper estimate of most round-trip times, microseconds
-	failureRatio         float64 // moving average over the latest probes
+	fleetRTT             float64 // round-trip time that most acks stay below, microseconds
+	failureRatio         float64 // fraction of the latest probes that failed, as a moving average
 	pendingSweepPings    int
 
 	// Dissemination.
--- a/decision/membership/identity.go
+++ b/decision/membership/identity.go
@@ -23,7 +23,7 @@
 	f.announceSelf()
 }
 
-// refuteFailure refutes a statement that this member is suspected, dead or departed.
+// refuteFailure refutes a statement that this member is suspected or dead, or has left.
 func (f *Fleet) refuteFailure(state State, incarnation uint64) {
 	f.refute(incarnation)
 	if state == Dead {
--- a/decision/membership/peer.go
+++ b/decision/membership/peer.go
@@ -13,8 +13,8 @@
 	// Messages received from it.
 	lastContact   monotime.Micros // last message of any kind
 	lastAck       monotime.Micros // last answer to one of this member's pings
-	reportsUsDead bool            // its last message considered this member dead or departed
-	partitioned   bool            // reportsUsDead, received within contactTimeout
+	reportsUsDead bool            // by its last message, this member is dead or has left
+	partitioned   bool            // reportsUsDead, by a message within the last contactTimeout
 	canConfirm    bool            // see countConfirmers
 
 	// Probes of it.
@@ -54,8 +54,8 @@
 	p.firstDeadPing = 0
 }
 
-// addPeer adds an unknown member. It ignores an update that declares an unknown member dead or departed, and members
-// beyond Config.MaxMembers.
+// addPeer adds an unknown member. It ignores an update that declares an unknown member dead or says that it has left,
+// and members beyond Config.MaxMembers.
 func (f *Fleet) addPeer(now monotime.Micros, u Update) {
 	known := u.State == Alive || u.State == Suspect
 	if !known || !u.Addr.IsValid() || len(f.peers) >= f.cfg.MaxMembers {
--- a/decision/membership/probe.go
+++ b/decision/membership/probe.go
@@ -36,7 +36,8 @@
 	// suspectsPerSlowdown is the number of additional suspects for which the interval between two probes of each
 	// suspect grows by probeTimeout.
 	suspectsPerSlowdown = 8
-	// ownProbeDelay is the time after which a member probes a suspect that it has not probed itself.
+	// ownProbeDelay is the time after which a member considers probing a suspect that its own probes have not found
+	// failed; see probeSuspect.
 	ownProbeDelay = 4 * monotime.Second
 
 	// A sweep probes members that this one does not watch. It is active while the moving average of failed probes
@@ -275,8 +276,8 @@
 }
 
 // probeSuspect probes a suspect again, so that it learns of the suspicion and can refute it. If this member's own probe
-// has failed, the interval is probeTimeout, and longer if there are many suspects; otherwise the first probe follows
-// after ownProbeDelay.
+// has failed, the interval is probeTimeout, and longer if there are many suspects. Otherwise this member decides every
+// ownProbeDelay whether to probe, as it does for a failure report (corroborate).
 func (f *Fleet) probeSuspect(now monotime.Micros, p *peer) {
 	if p.state != Suspect || p.probe != nil {
 		return
--- a/decision/membership/receive.go
+++ b/decision/membership/receive.go
@@ -60,7 +60,7 @@
 }
 
 // applyUpdates applies the updates of a message. From an untrusted sender it applies only updates about the sender or
-// this member, and updates with state Alive.
+// this member, and updates with state Alive. An unknown sender is trusted.
 func (f *Fleet) applyUpdates(now monotime.Micros, sender *peer, m *Message) {
 	trusted := sender == nil || sender.trusted(now)
 	for _, u := range m.Updates {
--- a/decision/membership/send.go
+++ b/decision/membership/send.go
@@ -79,9 +79,9 @@
 	f.outbox = append(f.outbox, Outgoing{To: addr, Receiver: receiver, Message: m})
 }
 
-// chargeBudget charges a message to its budget and reports whether it may be sent. Pings and acks are always sent;
-// Gossip without own updates is charged to the update budget, which was checked before; everything else needs a
-// positive control budget.
+// chargeBudget charges a message to its budget and reports whether it may be sent. Pings and acks are always sent.
+// Gossip that is still empty, and will carry updates from the dissemination queue, is charged to the update budget,
+// which was checked before. Everything else needs a positive control budget.
 func (f *Fleet) chargeBudget(m *Message) bool {
 	cost := messageOverheadBytes + bucketSumBytes*float64(len(m.BucketSums))
 	switch {
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -206,7 +206,7 @@
 
 // declareDead declares dead the suspects that this member's own probes failed to reach and whose suspicion has lasted
 // for MinSuspicionTimeout, unless inContactWithOnlyPeer. A suspect that still sends messages and reports this member
-// dead cannot be paused, and is declared dead at once.
+// dead is not just paused, and is declared dead at once.
 func (f *Fleet) declareDead(now monotime.Micros) {
 	if f.suspectCount == 0 || f.Unhealthy(now) {
 		return
--- a/decision/outcome/outcome.go
+++ b/decision/outcome/outcome.go
@@ -7,7 +7,7 @@
 
 // The statuses. Only ServerFull, ConnectFailed and Inconclusive guarantee that the request was not executed.
 const (
-	OK            Status = iota // the connection was established, or an established one was closed regularly
+	OK            Status = iota // the connection was established, or an established one was closed normally
 	ErrorResponse               // the server answered with an error
 	ServerFull                  // the server rejected the attempt without executing it
 	TimedOut                    // no answer within the attempt's time-out
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -51,8 +51,8 @@
 
 // PendingLimit returns the number of bytes that may be buffered for one slow reader. memory is the process's limit in
 // bytes, 0 if unknown. The result is an equal part of an eighth of the memory, between 2 and 32 KiB. The eighth can be
-// exceeded while very many readers are slow at once, by the lower bound and by the one read that may follow below the
-// limit.
+// exceeded while very many readers are slow at once, because of the lower bound, and because a sender is still read
+// once more if a little less than the limit is buffered.
 func PendingLimit(memory int64, slowReaders int) int {
 	if memory <= 0 || slowReaders <= 0 {
 		return MaxPendingBytes
@@ -79,11 +79,12 @@
 // answer.
 func StopsReading(discarded int) bool { return discarded > maxDiscardedBytes }
 
-// Arrival describes a request that has just been read.
+// Arrival describes a request that has just been read. Held and MaxHeld count requests that have not ended, not only
+// those that wait for a server.
 type Arrival struct {
-	DescriptorsShort bool // its connection was accepted only to be rejected, or is closed, as descriptors are short
+	DescriptorsShort bool // its connection was accepted only to reject it, or is being closed
 	ShuttingDown     bool // the process accepts no new requests
-	Held             int  // requests that the proxy has, including established ones and this one
+	Held             int  // including this one
 	MaxHeld          int  // the largest number allowed
 }
 
@@ -106,10 +107,10 @@
 
 // The classes, in the order of eviction.
 const (
-	Answered     EvictionClass = iota // the client has its final answer
-	NoRequest                         // the client has sent nothing, or one PING
-	HealthChecks                      // the client has sent several PINGs, as a health checker does
-	EvictionClasses
+	Answered        EvictionClass = iota // the client has its final answer
+	NoRequest                            // the client has sent nothing, or one PING
+	HealthChecks                         // the client has sent several PINGs, as a health checker does
+	EvictionClasses                      // number of classes
 )
 
 // ClassOf returns the eviction class of an idle connection. answered says whether the client has its final answer;
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -9,15 +9,15 @@
 
 const (
 	// groupAffinity is the factor on the selection weight of a server that already has connections of the request's
-	// group, so that the server does the work they share only once.
+	// group: the work that the connections of a group share is then done only once.
 	groupAffinity = 50
 	// groupOverhead is the number of connections that each group counts for in addition to its own, for its shared
 	// work.
 	groupOverhead = 0.5
 	// loadExponent determines how fast a server's selection weight falls with its connections; see selectionWeight.
 	loadExponent = 2.0
-	// loadOffset is the number of connections, at weight 1, up to which the selection weight hardly falls. With fewer
-	// connections, load should not spread a group over several servers.
+	// loadOffset is the number of connections, at a relative weight of 1, up to which the selection weight hardly
+	// falls. With fewer connections, load should not spread a group over several servers.
 	loadOffset = 10.0
 )
 
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// zonePreference returns zonePreferred for servers of the home zone. It also does for all servers where servers report
-// loads, since the selection weight then includes the cost of crossing zones, and for servers that warm up while a part
-// of the fleet is missing.
+// zonePreference returns zonePreferred for servers of the home zone. It also does so for all servers where servers
+// report loads, since the selection weight then includes the cost of crossing zones, and for servers that warm up while
+// a part of the fleet is missing.
 func (b *Balancer) zonePreference(s *server, warmup float64) int {
 	if b.inHomeZone(s) || b.loadsReported() || (warmup < 1 && b.fleetSize.Reduced()) {
 		return zonePreferred
--- a/decision/polling/confirmation.go
+++ b/decision/polling/confirmation.go
@@ -11,7 +11,8 @@
 )
 
 // confirmationTime returns the time after its start in which a process may place requests by the list that it started
-// with. A server of that list may have been removed before the start, so the list may be used for no longer than Grace.
+// with. A server of that list may have been removed before the start, so this time ends maxCheckInterval and
+// latenessMargin before Grace does. It is at least minConfirmationTime, even if Grace is shorter.
 func (s *Schedule) confirmationTime() monotime.Micros {
 	return max(s.Grace-maxCheckInterval-latenessMargin, minConfirmationTime)
 }
--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -81,7 +81,7 @@
 	lastAnswer       monotime.Micros
 	fastestAnswer    monotime.Micros // shortest time that an answer has taken; 0: no answer yet
 	failures         int             // number of failures in a row
-	overloadFailures int             // those of them with discoveryMayBeOverloaded
+	overloadFailures int             // those of them since discoveryMayBeOverloaded became true
 	failingSince     monotime.Micros // time of the first of these failures
 }
 
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -20,10 +20,9 @@
 	drainSharePerTick = 1. / 8
 )
 
-// moveFromSlowServer moves connections off a server that misses the shortest message latency objective. Each connection
-// moves with a probability equal to the fraction that latency.Estimate.ExcessPart finds to be too much. All balancers
-// see the same latency and move the same fraction of their connections, so it is at most maxMovedShare, and less while
-// a part of the fleet is missing.
+// moveFromSlowServer moves connections off a server whose latency exceeds the move threshold. Each connection moves
+// with the probability that latency.Estimate.ExcessFraction returns. All balancers see the same latency and move the
+// same fraction of their connections, so it is at most maxMovedShare, and less while a part of the fleet is missing.
 //
 // A connection moves only if the latency is above latency.MoveThreshold times its own class's objective, if set-ups are
 // fast, and if either another server has spare capacity or the latency is above forcedMoveLatencyRatio. Where servers
@@ -64,7 +63,7 @@
 	return s.State == Ready && now >= s.pausedUntil && healthRank(now, s) == rankHealthy
 }
 
-// spareConnections estimates how many more connections the servers that meet their message latency objective can take
+// spareConnections estimates how many more connections the servers whose latency is within the move threshold can take
 // now, limited by their tokens and by their latency.Estimate.ConnectionCapacity.
 func (b *Balancer) spareConnections(now Micros) float64 {
 	spare := 0.0
@@ -160,10 +159,10 @@
 	b.endRequest(r)
 }
 
-// moveTarget selects the server to which a resumable client is directed: the same server if that is allowed, Ready and
-// meets its message latency objective, otherwise a server selected as for a new request without admission cost. Such a
-// request needs no tokens and cannot go to a server that is warming up. The result is nil if no server can receive it
-// or the client is not resumable.
+// moveTarget selects the server to which a resumable client is directed: the same server if that is allowed, it is
+// Ready and its latency is within the move threshold, otherwise another server, selected as for a new request without
+// admission cost. Such a request needs no tokens and cannot go to a server that is warming up. The result is nil if no
+// server can receive it or the client is not resumable.
 func (b *Balancer) moveTarget(now Micros, r *request, sameServerAllowed bool) *server {
 	if !r.resumable {
 		return nil
@@ -172,6 +171,6 @@
 	if sameServerAllowed && s.State == Ready && !s.latency.AboveMoveThreshold(now) {
 		return s
 	}
-	s.lastTriedBy = triedByToken(r.id)
+	s.lastTriedBy = triedByToken(r.id) // excludes s from the selection
 	return b.pickServer(now, &request{id: r.id, class: r.class, key: r.key, group: r.group})
 }
--- a/decision/requests.go
+++ b/decision/requests.go
@@ -56,7 +56,7 @@
 	lastAttemptAt  Micros
 	lastLocation   retry.Location       // location of the last attempt's server when it started
 	attemptHistory retry.AttemptHistory // attempts that may have been executed
-	erroredServer  *server              // gave an error that is not confirmed; see errorNeedsConfirmation
+	erroredServer  *server              // gave an error that is not confirmed, see errorNeedsConfirmation; nil: none
 }
 
 // isCurrentAttempt reports whether the given attempt at the given server is the request's last one and has not ended.
@@ -219,8 +219,9 @@
 	}
 }
 
-// onAttemptEnded counts the end of an attempt or connection against its server, then ends the request, answers it or
-// places it again.
+// onAttemptEnded records the end of an attempt or connection, then ends the request, answers it or places it again. The
+// outcome affects the server's health unless it needs confirmation (errorNeedsConfirmation) or its cause was reported
+// already.
 func (b *Balancer) onAttemptEnded(now Micros, ev *AttemptEnded) {
 	r := b.requests[ev.ID]
 	if r == nil || !r.isCurrentAttempt(ev.Attempt, ev.Server) {
--- a/decision/resume/grant.go
+++ b/decision/resume/grant.go
@@ -21,13 +21,13 @@
 	ID              ID
 	IssuedAt        UnixMillis // by the issuing balancer's clock
 	ExpiresAt       UnixMillis // by the same clock
-	Class           string     // class of the stream; Key, Group and Tenant are also of the stream
+	Class           string     // these four are those of the stream
 	Key             uint64
 	Group           uint64
 	Tenant          uint64
 	LastDelivered   uint64     // cursor of the last message delivered when the token was issued
 	Server          string     // ID of the server that holds the stream
-	ServerStartedAt UnixMillis // by that server's clock; 0: earlier than the issue of any valid token
+	ServerStartedAt UnixMillis // by that server's clock; 0: before any token was issued that is still valid
 }
 
 // StreamRequest is the request with which a client presents a token.
--- a/decision/resume/validator.go
+++ b/decision/resume/validator.go
@@ -9,7 +9,7 @@
 // After each Claim that is Accepted, the caller must call Established and then Closed, or one of Release, AttemptFailed
 // and RejectedByServer.
 type Validator struct {
-	// Verdicts counts verdicts by Reason since the start; at Accepted, it counts the accepted claims.
+	// Verdicts counts the verdicts by Reason since the start; Accepted counts the accepted claims.
 	Verdicts [reasonCount]int
 
 	skew   UnixMillis
@@ -70,9 +70,9 @@
 // presented again.
 func (v *Validator) Release(id ID) { v.claims.release(id) }
 
-// AttemptFailed returns the reason that the client of an attempt that was not established gets. Accepted means that the
-// token may be presented again after a while, because the server certainly did not execute the attempt. requestSent
-// says that the last byte of the request was written to the server.
+// AttemptFailed ends the claim of an attempt that was not established, and returns the reason to send to its client.
+// Accepted means that the token may be presented again after a while, because the server certainly did not execute the
+// attempt. requestSent says that the last byte of the request was written to the server.
 func (v *Validator) AttemptFailed(id ID, status outcome.Status, requestSent bool) Reason {
 	switch status {
 	case outcome.ServerFull, outcome.Inconclusive:
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -26,7 +26,7 @@
 
 // attemptForbidden reports whether no further attempt may be started for r at any server, and the cause if so. Attempts
 // are limited by Settings.MaxAttempts and by the class's retry policy. A pinned request gets a single attempt; see
-// pinnedAttemptAllowed. Any attempt after the first is subject to retriesSuspended.
+// pinnedAttemptAllowed. No attempt after the first is started while retriesSuspended.
 func (b *Balancer) attemptForbidden(now Micros, r *request) (cause answercause.Cause, forbidden bool) {
 	switch {
 	case r.attempts >= b.settings.MaxAttempts:
@@ -48,8 +48,8 @@
 	return r.attempts == 0 && r.pinnedTo.State == Ready && r.deadline-now >= minAttemptTimeout
 }
 
-// retriesSuspended reports whether the present state of budget and servers forbids any retry, and the cause if so. A
-// retry needs a token of the retry budget. While failures are shared by all servers, retries would only add load.
+// retriesSuspended reports whether no request at all may be retried now, and the cause if so. A retry needs a token of
+// the retry budget. While failures are shared by all servers, retries would only add load.
 func (b *Balancer) retriesSuspended() (cause answercause.Cause, suspended bool) {
 	switch {
 	case b.retryTokens < 1:
@@ -104,7 +104,8 @@
 
 // errorNeedsConfirmation reports whether an attempt ended with an error that counts against its server only once
 // another server has accepted the request. An error response to an idempotent request may be caused by the request
-// itself; without confirmation, one faulty client would get all servers demoted.
+// itself; without confirmation, one faulty client would get all servers demoted. If a second server answers with an
+// error too, the request gets its final answer (answercause.ErrorConfirmed), and no server is demoted.
 func errorNeedsConfirmation(r *request, status outcome.Status) bool {
 	return status == outcome.ErrorResponse && !r.wasEstablished && r.class.Idempotency == Idempotent
 }
--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -95,9 +95,9 @@
 	return bounded && now >= deadline
 }
 
-// RetryAllowedAt reports whether the request may be sent now to a server at this location. Unless RetryForbidden, a
-// request with a key that may have been executed must stay within its deduplication scope, because servers outside of
-// it would execute it again.
+// RetryAllowedAt reports whether the request may be sent now to a server at this location. It may not if
+// RetryForbidden. Otherwise, a request with a key that may have been executed must stay within its deduplication scope,
+// because servers outside of it would execute it again.
 func (p Policy) RetryAllowedAt(history *AttemptHistory, now monotime.Micros, server Location) bool {
 	if p.RetryForbidden(history, now) {
 		return false
@@ -105,8 +105,8 @@
 	return p.SharesKeys(history, server)
 }
 
-// SharesKeys is RetryAllowedAt without regard to time. It reports whether a server at this location would discard a
-// duplicate, or no harmful duplicate can occur.
+// SharesKeys is RetryAllowedAt for a caller that has checked RetryForbidden itself. It returns false only if the
+// request has a key, may have been executed, and a server at this location would not discard the duplicate.
 func (p Policy) SharesKeys(history *AttemptHistory, server Location) bool {
 	if !history.mayHaveExecuted || p.Idempotency != IdempotentWithKey {
 		return true
--- a/decision/server.go
+++ b/decision/server.go
@@ -54,8 +54,9 @@
 	*s.setupsUnderWay--
 }
 
-// resetAfterRestart discards the measurements of the server's previous process. The server's established connections
-// and their loads stay until they are reported closed.
+// resetAfterRestart discards what was learned of the server's previous process: its demotions, connection capacity,
+// load reports and grants. Its last latency report is left to expire. The server's established connections and their
+// loads stay until they are reported closed.
 func (s *server) resetAfterRestart() {
 	s.consecutiveDemotions = 0
 	s.latency.ConnectionCapacity = math.Inf(1)
--- a/decision/serverload/model.go
+++ b/decision/serverload/model.go
@@ -19,10 +19,10 @@
 	// DynamicWeights is set if a listed weight is the server's cores divided by (1 + its connections per core).
 	// Otherwise a listed weight is the server's size.
 	DynamicWeights bool
-	// LoadsReported is set if servers report the loads of connections.
+	// LoadsReported is set if servers report the loads of connections. Not used.
 	LoadsReported bool
 
-	sizeByMachineType map[uint16]float64 // largest weight listed for any server of a kind
+	sizeByMachineType map[uint16]float64 // largest weight listed for any server of a machine type
 	meanLoad          float64            // mean load of a connection, in cores
 	observed          float64            // number of connections that meanLoad follows, at most meanLoadWindow
 }
@@ -46,7 +46,7 @@
 
 // SizeFromWeight derives from a listed weight the server's size, in the unit of Gauge.Size, and the number of
 // connections that all balancers have there, 0 if weights don't show it. For a weight that falls with use, the size is
-// taken to be the largest weight that any server of its kind was listed with.
+// taken to be the largest weight that any server of its machine type was listed with.
 func (m *LoadModel) SizeFromWeight(machineType uint16, weight float64) (size, connections float64) {
 	if !m.DynamicWeights {
 		return weight, 0
--- a/decision/serverload/selection.go
+++ b/decision/serverload/selection.go
@@ -28,8 +28,9 @@
 	maxAddedFraction = 0.5
 )
 
-// addedUtilization returns the utilization that one more connection of this load, in cores, adds. The cost of its group
-// is included unless the server already has connections of that group.
+// addedUtilization returns the utilization that one more connection of this load, in cores, adds. addsNoGroup says that
+// the connection has no group, or one of which the server has connections already; otherwise the cost of its group is
+// included.
 func (g *Gauge) addedUtilization(model *LoadModel, warmUp, load float64, addsNoGroup bool) float64 {
 	added := max(load, minLoad)
 	if !addsNoGroup {
@@ -38,11 +39,11 @@
 	return added / (g.Size * warmUp)
 }
 
-// HasCapacityFor reports whether the server can accept one more connection of this load, in cores. priority is the
-// priority weight of the connection's class divided by that of the highest class, 0 to 1; it places the utilization
-// limit between minUtilizationLimit and maxUtilizationLimit. A connection counts as at most maxAddedFraction of the
-// limit, so that a server below half of its limit accepts any connection: one that would fill a server by itself would
-// find no better place after a rejection.
+// HasCapacityFor reports whether the server can accept one more connection of this load, in cores. addsNoGroup is as
+// for addedUtilization. priority is the priority weight of the connection's class divided by that of the highest class,
+// 0 to 1; it places the utilization limit between minUtilizationLimit and maxUtilizationLimit. A connection counts as
+// at most maxAddedFraction of the limit, so that a server below half of its limit accepts any connection: one that
+// would fill a server by itself would find no better place after a rejection.
 func (g *Gauge) HasCapacityFor(model *LoadModel, warmUp, load float64, addsNoGroup bool, priority float64) bool {
 	limit := minUtilizationLimit + (maxUtilizationLimit-minUtilizationLimit)*priority
 	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
@@ -50,8 +51,9 @@
 }
 
 // SelectionWeight returns how likely the server is selected for a connection of this load, in cores, relative to other
-// servers. It is above 0, proportional to the server's size, and falls with the connection's cost: the load that the
-// connection adds to the server as a multiple of a usual load, increased at a well utilized server and across zones.
+// servers. addsNoGroup is as for addedUtilization; crossZone says that the server is in another zone. The weight is
+// above 0, proportional to the server's size, and falls with the connection's cost: the load that the connection adds
+// to the server as a multiple of a usual load, increased at a well utilized server and across zones.
 func (g *Gauge) SelectionWeight(model *LoadModel, warmUp, load float64, addsNoGroup, crossZone bool) float64 {
 	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
 	usualLoad := max(load, model.meanLoad, minLoad)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -33,7 +33,8 @@
 	Streaming        bool       // connections carry streams. Not used.
 
 	// MessageLatencyObjective is the objective for one message on an established connection; 0 means none. A server
-	// that misses it gets fewer connections and loses some of those that it has.
+	// whose latency comes close to it or exceeds it gets fewer connections (latency.SlowThreshold) and loses some of
+	// those that it has (latency.MoveThreshold).
 	MessageLatencyObjective Micros
 }
 
@@ -59,9 +60,9 @@
 	// Balancers is the number of balancers in the fleet, at least 1. Budgets that the fleet shares are divided by it: a
 	// value that is too low overloads servers, one that is too high delays clients.
 	Balancers int
-	// Zone is the home zone, whose servers are preferred.
+	// Zone is the index of the home zone, whose servers are preferred, in the list of zones; see ServerEntry.Zone.
 	Zone int
-	// Zones is the number of zones.
+	// Zones is the number of zones in that list.
 	Zones int
 
 	// PollDiscovery is set if discovery must be polled; by default it pushes updates.
@@ -85,13 +86,13 @@
 	// MaxAttempts is the maximum number of attempts for one request, at least 1. More attempts mask more failures, but
 	// add more load while servers fail.
 	MaxAttempts int
-	// MaxHeldRequests is the maximum number of requests that have not ended, whether they wait, connect or are
+	// MaxHeldRequests is the maximum number of requests that have not ended, whether they are held, connecting or
 	// established; default unlimited. The caller enforces it.
 	MaxHeldRequests int
 	AllowProbes     bool // ProbeServer may be emitted; otherwise requests validate Unhealthy servers
 	AllowCancel     bool // CancelAttempt may be emitted
 	AllowRetryAfter bool // Reject.RetryAfter may be set
-	// MaxRetryAfter is the maximum of Reject.RetryAfter; default 0.
+	// MaxRetryAfter is the maximum of Reject.RetryAfter; default 0, with which no time is stated.
 	MaxRetryAfter Micros
 	// AnswerTolerance is the time by which an answer may be late; default 0. Not used.
 	AnswerTolerance Micros
@@ -104,9 +105,9 @@
 	InitialCapacity float64
 	// WarmupTime is the time after its start at which a server has its full capacity.
 	WarmupTime Micros
-	// DrainGrace is the time after discovery's update for which a draining server may still get attempts. A balancer
-	// that has the update sends it none; the polling schedule uses the grace as time for the poll that brings the
-	// update.
+	// DrainGrace is the time after a draining server's change of state in discovery within which it may still get
+	// attempts from balancers that have not learned of the change yet. The polling schedule uses this time for the poll
+	// that brings the change; a balancer that knows of it sends no more attempts.
 	DrainGrace Micros
 	// OverloadWindow is the time for which a starting server withstands OverloadFactor times its capacity. Both
 	// determine the slow-start budget: smaller values protect servers, larger ones use them sooner.
--- a/decision/slowstart/budget.go
+++ b/decision/slowstart/budget.go
@@ -8,11 +8,11 @@
 	// that is warming up is derived from it.
 	WarmUpRate = 3.8
 	// Rate is the rate, in connections a second, at which all balancers together send connections to a warm server if
-	// each uses an equal part. With more than 1/MinFleetShare balancers, their parts add up to more.
+	// each uses an equal share. With more than 1/MinFleetShare balancers, their shares add up to more.
 	Rate = 10.5
 	// Burst is the number of connections that they send it at once, under the same condition.
 	Burst = 24.0
-	// MinFleetShare is the smallest part of Rate and Burst that a balancer has, however many there are. With less, one
+	// MinFleetShare is the smallest share of Rate and Burst that a balancer has, however many there are. With less, one
 	// of many balancers could not place the clients that reconnect to it.
 	MinFleetShare = 1 / 3.
 	// StartupTokens is the number of tokens that a balancer has for each server when it starts, until a server reports
@@ -36,8 +36,9 @@
 }
 
 // Refill adds the tokens of a warm server since the last call. scale is the server's size as a multiple of the mean
-// size, times this balancer's part of the fleet. price is the number of tokens that the next connection costs. The
-// bucket always holds at least that many, so that a high price delays a connection but never rules it out.
+// size, times this balancer's share of the fleet. price is the number of tokens that the next connection costs (the
+// core's admission cost). The bucket always holds at least that many, so that a high price delays a connection but
+// never rules it out.
 func (b *Budget) Refill(now monotime.Micros, scale, price float64) {
 	burst := max(Burst*scale, price)
 	if b.Tokens < burst {
@@ -47,8 +48,8 @@
 }
 
 // Spend charges a connection to the budget: to the grants if the server is warming up, otherwise to its tokens. work is
-// the connection's work as a multiple of the smallest possible one; perGrant is the work that one grant covers, the
-// mean; price is the number of tokens that a connection of work 1 costs.
+// the connection's work as a multiple of the mean, but at least 1; perGrant is the work that one grant covers, the mean
+// of such multiples; price is the number of tokens that a connection of work 1 costs.
 func (b *Budget) Spend(warmingUp bool, work, perGrant, price float64) {
 	if warmingUp {
 		b.GrantsLeft -= work / perGrant
@@ -58,5 +59,5 @@
 }
 
 // CapTokens discards the tokens beyond Burst times scale. The core calls it after any server has reported that it is
-// slow, because servers can't handle the number of tokens that a balancer starts with then.
+// slow: from then on, StartupTokens are more than servers can handle.
 func (b *Budget) CapTokens(scale float64) { b.Tokens = min(b.Tokens, Burst*scale) }
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -1,5 +1,6 @@
 // Package timeouts holds the time limits with which the proxy waits for clients and servers, and the rules that combine
-// several limits into one. It has no timers; the caller sets them.
+// several limits into one. It has no timers; the caller sets them. To reattach is to request a connection to a certain
+// server, which the client names.
 package timeouts
 
 import (
@@ -26,8 +27,8 @@
 	// HalfClose is the time in which a server must end a connection whose client has ended its side.
 	HalfClose = 5 * monotime.Second
 	// UnresponsiveTimeout is the time without a reply after which an established connection with unanswered lines is
-	// abandoned. It stays within the protocol's 7 s, including the time in which a line in transmission may end and the
-	// interval between two checks.
+	// abandoned. The protocol allows 7 s, which must also cover the time in which a line in transmission may end and
+	// the interval between two checks.
 	UnresponsiveTimeout = 5500 * monotime.Millisecond
 	// minReattachAttempt is the shortest time-out of an attempt at a server that the client names.
 	minReattachAttempt = 1 * monotime.Millisecond
@@ -50,8 +51,8 @@
 	muxSetupConnects = 3
 )
 
-// Request returns the time that a client waits for its request: the time that it announces, but no longer than its
-// class's deadline.
+// Request returns the time that a client waits for the answer to its request: the time that it announces, but no longer
+// than its class's deadline.
 func Request(announced, classDeadline monotime.Micros) monotime.Micros {
 	return min(announced, classDeadline)
 }
--- a/decision/upstreampool/choice.go
+++ b/decision/upstreampool/choice.go
@@ -18,7 +18,7 @@
 	Use          Kind = iota // the channel uses Connection
 	WaitForOpen              // the channel uses Connection as soon as that is established
 	PlainLines               // the channel uses a connection of its own: the server understands plain lines only
-	LimitReached             // no channel now: all connections within the limits are full
+	LimitReached             // no channel now: all connections are full, and a limit or one being opened forbids more
 	BackingOff               // no channel now: the last connection failed, and the backoff is not over
 )
 
@@ -100,7 +100,8 @@
 }
 
 // OpenAhead decides whether to open one more connection to a server before channels need it: the server has
-// connections, and openAheadFraction of their channels are in use. If so, the Choice has Open set.
+// connections, and openAheadFraction of their channels are in use. If so, the Choice has Open set; otherwise it is the
+// zero Choice.
 func (p *Pool) OpenAhead(now monotime.Micros, serverID uint32) Choice {
 	s := p.serverState(serverID)
 	if now < s.plainUntil || len(s.connections) == 0 {
--- a/decision/upstreampool/pool.go
+++ b/decision/upstreampool/pool.go
@@ -17,9 +17,9 @@
 	// stableAfter is the time for which a connection must have been established for its failure to count as the first
 	// one again.
 	stableAfter = 10 * monotime.Second
-	// unconfirmedPlainTTL is the time for which a server is assumed to understand plain lines only if it merely broke
-	// off the connection. A server that understands plain lines only does that, as it leaves the rest unread; but so
-	// does one that dies.
+	// unconfirmedPlainTTL applies to a server that merely broke off the connection: for this time it is assumed to
+	// understand plain lines only. Such a server breaks off because it leaves the rest unread; but so does a server
+	// that dies.
 	unconfirmedPlainTTL = 10 * monotime.Second
 )
 
@@ -140,7 +140,7 @@
 	p.remove(c)
 }
 
-// Closed records that a connection was closed regularly, and removes it.
+// Closed records that a connection was closed normally, and removes it.
 func (p *Pool) Closed(id uint32) {
 	if c := p.connections[id]; c != nil {
 		p.remove(c)
--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -54,8 +54,8 @@
 }
 
 // syncIfDiverged compares the directory of another zone's member, which has answered a probe, with this one:
-// immediately if atOnce is set or this directory has not changed lately, otherwise once the digests have differed for
-// divergenceTolerance. Until then the zone is probed more often.
+// immediately if atOnce is set, because the zone was not reached before, or if this directory has not changed lately;
+// otherwise once the digests have differed for divergenceTolerance. Until then the zone is probed more often.
 func (d *Directory) syncIfDiverged(now monotime.Micros, from netip.AddrPort, m *Message, l *link, atOnce bool) {
 	if m.Digest == d.globalDigest {
 		l.divergedSince = 0
@@ -227,7 +227,8 @@
 	}
 }
 
-// sendRepair sends an anti-entropy message, or drops it if the budget is exhausted.
+// sendRepair sends an anti-entropy message or an introduction, or drops it if the repair budget, which both share, is
+// exhausted.
 func (d *Directory) sendRepair(to netip.AddrPort, id MemberID, m Message) {
 	if !d.repairBudget.refill(d.now) {
 		d.Suppressed++
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -27,14 +27,14 @@
 
 	// The local zone.
 	local              LocalZone
-	zonePeers          []Member // members of local without this one
-	candidates         []Member // the first MaxContacts of local by rank
-	ownRank            int      // index of this member in candidates, MaxContacts if absent
-	settled            bool     // see updateSettled
-	synced             bool     // has synchronized with a member of the zone
-	lastToLeave        bool     // this member is the last one of its zone, and is leaving
-	leaveAnnouncements int      // times that other zones were notified of that
-	unlistedSince      monotime.Micros
+	zonePeers          []Member        // members of local without this one
+	candidates         []Member        // the first MaxContacts of local by rank
+	ownRank            int             // index of this member in candidates, MaxContacts if absent
+	settled            bool            // see updateSettled
+	synced             bool            // has synchronized with a member of the zone
+	lastToLeave        bool            // this member is the last one of its zone, and is leaving
+	leaveAnnouncements int             // times that lastToLeave was announced to other zones
+	unlistedSince      monotime.Micros // start of the present series of such messages; see recordUnlisted
 	unlistedAt         monotime.Micros // last message from a member of the local zone that is not in local
 	observation        observationState
 	conflict           issuerConflict
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -8,9 +8,9 @@
 	"spurspread/decision/monotime"
 )
 
-// Byte budgets, as average rate per second and burst: for new items within the zone, for new items to other zones, and
-// for anti-entropy. Including membership messages and received ones, a member stays under 28,000 bytes per second over
-// any ten seconds.
+// Byte budgets, as average rate per second and burst: for new items within the zone (gossip), for new items to other
+// zones (push), and for anti-entropy and introductions (repair). Including membership messages and received ones, a
+// member stays under 28,000 bytes per second over any ten seconds.
 const (
 	gossipBytesPerSecond, gossipBytesBurst = 4096, 16 << 10
 	pushBytesPerSecond, pushBytesBurst     = 4096, 16 << 10
@@ -124,7 +124,8 @@
 	return d.zonePeers[:n]
 }
 
-// pushItems sends new items to one contact of each other zone if this member is an active delegate.
+// pushItems sends new items to one contact of each other zone if this member is an active delegate. Any other member
+// only clears their pushPending, since the delegates of its zone push them.
 func (d *Directory) pushItems(now monotime.Micros) {
 	state := &d.dissemination
 	if !state.pushPending || d.isActiveDelegate() && !state.pushBudget.refill(now) {
--- a/decision/zonedirectory/doc.go
+++ b/decision/zonedirectory/doc.go
@@ -14,5 +14,5 @@
 //
 // Invariant: of each summary, observation and record, the newest version is kept regardless of the order of arrival. An
 // unreachable zone is a single fact, its Reachability, and never makes its members dead: their share of the rate
-// divisor decreases slowly, and ends no earlier than zoneRetention later.
+// divisor decreases slowly, and ends no earlier than zoneRetention after the zone became unreachable.
 package zonedirectory
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -19,7 +19,7 @@
 func (o *Observation) withdrawn() bool { return slices.Contains(o.Unreachable, o.Zone) }
 
 // publishObservation publishes an observation in the local zone if this member is a delegate and the zones that it
-// cannot reach have changed, or if it is no longer a delegate.
+// cannot reach have changed. If it is no longer a delegate, it publishes one that withdraws its last observation.
 func (d *Directory) publishObservation(now monotime.Micros) {
 	if !d.settled || d.unhealthy() || now-d.observation.publishedAt < observationInterval {
 		return
@@ -51,7 +51,8 @@
 	return d.unreachableFromHere(), true
 }
 
-// allZonesProbed reports whether a probe of each other zone has been completed since this member became a delegate.
+// allZonesProbed reports whether a probe of each other zone has been completed since this member became a delegate, and
+// if so sets observation.complete.
 func (d *Directory) allZonesProbed() bool {
 	for _, z := range d.zones {
 		if z.id != d.ownZone && len(z.Contacts) > 0 && !z.link.probed {
--- a/decision/zonedirectory/reachability.go
+++ b/decision/zonedirectory/reachability.go
@@ -10,8 +10,8 @@
 const (
 	// zoneRetention is the time for which the members of a zone count as known after it became Unknown or Left.
 	zoneRetention = 600 * monotime.Second
-	// partitionConfirmTime is the time for which only other zones must reach a zone before it becomes Partitioned. When
-	// a zone fails or a region is cut off, some zones detect that a little later than others.
+	// partitionConfirmTime is the time for which the condition for Partitioned must hold before a zone gets that state.
+	// When a zone fails or a region is cut off, some zones detect that a little later than others.
 	partitionConfirmTime = 2500 * monotime.Millisecond
 	// evaluationInterval is the time between two evaluations of the states if no new item arrives.
 	evaluationInterval = 500 * monotime.Millisecond
@@ -24,7 +24,7 @@
 const (
 	// Reachable means that a delegate of the local zone can reach the zone.
 	Reachable Reachability = iota + 1
-	// Partitioned means that only other zones can reach the zone, at least one of which the local zone can reach.
+	// Partitioned means that the local zone cannot reach the zone, but can reach another zone that does.
 	Partitioned
 	// Unknown means that no reachable zone can reach it: the zone may have failed, or be cut off from all of them.
 	Unknown
@@ -63,7 +63,7 @@
 	d.countMembers()
 }
 
-// unknownOrLeft reports whether the zone is not known to have any running member.
+// unknownOrLeft reports whether the zone is Unknown or Left: none of its members is known to be running.
 func (z *zoneState) unknownOrLeft() bool { return z.state == Unknown || z.state == Left }
 
 // countMembers counts the members of other zones. They count as live if the zone is Reachable or Partitioned.
--- a/decision/zonedirectory/seed.go
+++ b/decision/zonedirectory/seed.go
@@ -101,8 +101,9 @@
 	d.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 }
 
-// Introductions returns addresses of members that the local zone's summary names and the view lacks; usually there are
-// none. The owner passes them to membership.Fleet.SyncWith after each Tick.
+// Introductions returns the address of a member that the local zone's summary names and the view lacks, drawn at random
+// if there are several. Usually there is none. Members that are not delegates, or are leaving, get none. The owner
+// passes the result to membership.Fleet.SyncWith after each Tick.
 func (d *Directory) Introductions(now monotime.Micros) []netip.AddrPort {
 	current := d.zoneByID(d.ownZone)
 	if now < d.nextIntroductionAt || current == nil || d.ownRank >= Delegates || d.local.Leaving {
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -29,7 +29,7 @@
 
 // issuerConflict is the state of a conflict with another issuer of the local zone's summary.
 type issuerConflict struct {
-	issuedAt      monotime.Micros
+	issuedAt      monotime.Micros // time of the last summary by this member, 0 if there is none
 	conflictSince monotime.Micros // start of the current conflict, 0 if there is none
 	overridden    bool            // this member has overridden the other issuer's summary
 	backoffUntil  monotime.Micros
