--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -128,4 +128,4 @@
 type hollowMembersCmd struct{}
 
 // Run runs hollow members, controlled by commands on standard input.
-func (hollowMembersCmd) Run(s *streams) error { return scale.Hollow(os.Stdin, s.out) }
+func (hollowMembersCmd) Run(s *streams) error { return scale.RunStubMembers(os.Stdin, s.out) }
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -122,7 +122,7 @@
 	// Scratch space, kept to avoid allocations per packet.
 	msg   channel.Message
 	out   []byte
-	head  channel.Head
+	head  channel.DataHeader
 	parts [][]byte
 }
 
@@ -180,7 +180,7 @@
 	for c.stage != finished {
 		n, err := c.step(b)
 		if err == nil && c.wire.Pending() > maxUnreadReplies {
-			err = protocolError{channel.TooMany, "asks and does not read"}
+			err = protocolError{channel.TooManyConnections, "asks and does not read"}
 		}
 		if err != nil {
 			c.endWithError(err)
@@ -321,15 +321,15 @@
 	code, reason := uint32(0), ""
 	switch {
 	case !c.cfg.Server:
-		code, reason = channel.Prohibited, "ERR"
+		code, reason = channel.AdministrativelyProhibited, "ERR"
 	case string(m.Name) != channel.Stream:
-		code, reason = channel.UnknownKind, "ERR"
+		code, reason = channel.UnknownChannelType, "ERR"
 	case m.MaxPacket < minPeerPacket:
-		code, reason = channel.Prohibited, "ERR"
+		code, reason = channel.AdministrativelyProhibited, "ERR"
 	case c.channels.Len() >= c.cfg.MaxChannels:
-		code, reason = channel.NoResources, "BUSY"
+		code, reason = channel.ResourceShortage, "BUSY"
 	}
-	if reason == "" || code == channel.NoResources {
+	if reason == "" || code == channel.ResourceShortage {
 		if ownerCode, ownerReason := c.owner.Admit(m.Name); ownerReason != "" {
 			code, reason = ownerCode, ownerReason
 		}
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -58,7 +58,7 @@
 	r.firstLine = nil
 	if r.resumable == nil {
 		r.open.Class = nil
-		r.open.HeldBy = nil
+		r.open.CurrentServer = nil
 	}
 }
 
@@ -226,7 +226,7 @@
 		r.lastReply = now
 		r.resumable.recordForwarded(start)
 		switch verb, value := lineproto.ParseServerLine(start); verb {
-		case lineproto.Goaway:
+		case lineproto.Bye:
 			r.endStatus = outcome.OK
 		case lineproto.Move:
 			r.endStatus = outcome.Cancelled
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -229,11 +229,13 @@
 }
 
 // Admit is part of mux.Owner. It refuses every channel, since servers may not open any.
-func (c *muxUpstreamConn) Admit([]byte) (uint32, string) { return channel.Prohibited, "ERR" }
+func (c *muxUpstreamConn) Admit([]byte) (uint32, string) {
+	return channel.AdministrativelyProhibited, "ERR"
+}
 
 // Open is part of mux.Owner. It rejects every channel, since servers may not open any.
 func (c *muxUpstreamConn) Open(ch *mux.Channel, _ []byte) {
-	ch.Reject(channel.Prohibited, []byte("ERR"))
+	ch.Reject(channel.AdministrativelyProhibited, []byte("ERR"))
 }
 
 // PingAnswered is part of mux.Owner. It does nothing: Readable records the arrival of any data as a sign of life.
