--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency estimates, from reports of a server's message latency, whether it is slow, how many of
-// this balancer's connections it can sustain, and which fraction of its connections is too much.
+// Package latency estimates, from reports of a server's message latency, whether it is slow, how many of this
+// balancer's connections it can sustain, and which fraction of its connections is too much.
 //
 // It does not know the fleet, clocks or requests. The core keeps one Estimate per server, passes each report to
 // ObserveDelay and calls GrowCapacity once a tick. Points in time are monotime.Micros; message latencies, here called
--- a/decision/upstreampool/doc.go
+++ b/decision/upstreampool/doc.go
@@ -1,7 +1,7 @@
 // Package upstreampool manages multiplexed upstream connections, which carry the channels of many clients to one
 // server. It decides how many connections a server has, which one a new channel takes, when one more is opened ahead of
 // need and when an idle one is closed. It remembers which servers can't be reached, and which understand plain lines
-// only: a server of this kind needs a connection for each client.
+// only: a server of the latter kind needs a connection for each client.
 //
 // It does not know sockets, clocks, the contents of channels or which server is best. The proxy calls Acquire for each
 // new channel and OpenAhead afterwards, opens and closes connections as they and IdleConnections say, and reports the
