--- a/decision/membership/dissemination.go
+++ b/decision/membership/dissemination.go
@@ -34,8 +34,8 @@
 	if f.dissemination.freshCount == 0 || f.updateBytesAvailable() < maxUpdateBytes {
 		return
 	}
-	for round := range gossipFanout {
-		receivers := f.randomPeers(1, func(p *peer) bool { return gossipEligible(now, p, round) })
+	for index := range gossipFanout {
+		receivers := f.randomPeers(1, func(p *peer) bool { return gossipEligible(now, p, index) })
 		if f.dissemination.freshCount == 0 {
 			return
 		}
@@ -45,17 +45,17 @@
 	}
 }
 
-// gossipEligible reports whether p may receive the given message of a gossip round. The first message goes to any
-// reachable member, so that members in close contact do not form a closed group. The second also requires contact,
-// since after a crash of many members most of the others are gone. The third requires an ack within piggybackTimeout,
-// since in a one-way partition members whose messages arrive here may receive nothing. Suspects are excluded: they are
-// pinged, and each ping carries the state that this member attributes to them.
-func gossipEligible(now monotime.Micros, p *peer, round int) bool {
+// gossipEligible reports whether p may receive one of the messages of a gossip round; index counts them from 0. The
+// first message goes to any reachable member, so that members in close contact do not form a closed group. The second
+// also requires contact, since after a crash of many members most of the others are gone. The third requires an ack
+// within piggybackTimeout, since in a one-way partition members whose messages arrive here may receive nothing.
+// Suspects are excluded: they are pinged, and each ping carries the state that this member attributes to them.
+func gossipEligible(now monotime.Micros, p *peer, index int) bool {
 	if !p.isReachable() {
 		return false
 	}
 	answersLately := now-p.lastAck < piggybackTimeout
-	switch round {
+	switch index {
 	case 0:
 		return true
 	case 1:
--- a/decision/zonedirectory/observation.go
+++ b/decision/zonedirectory/observation.go
@@ -19,15 +19,15 @@
 func (o *Observation) withdrawn() bool { return slices.Contains(o.Unreachable, o.Zone) }
 
 // publishObservation publishes an observation in the local zone if this member is a delegate and the zones that it
-// cannot reach have changed, or if it is no longer a delegate.
+// cannot reach have changed. If it is no longer a delegate, it publishes one that withdraws its last observation.
 func (d *Directory) publishObservation(now monotime.Micros) {
 	if !d.settled || d.unhealthy() || now-d.observation.publishedAt < observationInterval {
 		return
 	}
 	key := observationKey(d.ownZone, d.cfg.Self.ID)
-	held := d.items[key]
-	unreachable, due := d.currentObservation(held)
-	if !due || held != nil && slices.Equal(held.Observation.Unreachable, unreachable) {
+	published := d.items[key]
+	unreachable, due := d.currentObservation(published)
+	if !due || published != nil && slices.Equal(published.Observation.Unreachable, unreachable) {
 		return
 	}
 	d.observation.publishedAt = now
@@ -41,9 +41,9 @@
 
 // currentObservation returns the zones to list in this member's observation, and whether it should have one. A delegate
 // publishes one as soon as it has probed all zones; a former delegate withdraws its observation.
-func (d *Directory) currentObservation(held *entry) (unreachable []ID, due bool) {
+func (d *Directory) currentObservation(published *entry) (unreachable []ID, due bool) {
 	if d.ownRank >= Delegates {
-		return []ID{d.ownZone}, held != nil && !held.Observation.withdrawn()
+		return []ID{d.ownZone}, published != nil && !published.Observation.withdrawn()
 	}
 	if !d.observation.complete && !d.allZonesProbed() {
 		return nil, false
@@ -51,7 +51,8 @@
 	return d.unreachableFromHere(), true
 }
 
-// allZonesProbed reports whether a probe of each other zone has been completed since this member became a delegate.
+// allZonesProbed reports whether a probe of each other zone has been completed since this member became a delegate, and
+// if so sets observation.complete.
 func (d *Directory) allZonesProbed() bool {
 	for _, z := range d.zones {
 		if z.id != d.ownZone && len(z.Contacts) > 0 && !z.link.probed {
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -259,7 +259,7 @@
 	}
 	rejected := 0
 	h.onLoop(func() {
-		for _, n := range h.proxy.resumption.tokens.Rejected {
+		for _, n := range h.proxy.resumption.tokens.Verdicts {
 			rejected += n
 		}
 	})
