--- a/internal/mux/channel.go
+++ b/internal/mux/channel.go
@@ -79,11 +79,11 @@
 	ch.conn.channels.Drop(ch.localID)
 }
 
-// connectionLost ends the channel after the connection has ended; orderly tells whether that ended normally.
-func (ch *Channel) connectionLost(orderly bool) {
+// connectionLost ends the channel after the connection has ended; graceful tells whether that ended normally.
+func (ch *Channel) connectionLost(graceful bool) {
 	o := ch.owner
 	unanswered := ch.state == openSent
-	ch.peerEOF, ch.peerClose = ch.peerEOF || orderly, true
+	ch.peerEOF, ch.peerClose = ch.peerEOF || graceful, true
 	ch.sendBuffer = nil
 	ch.drop()
 	if o == nil {
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -361,13 +361,13 @@
 	return ch
 }
 
-// Lost ends all channels after the connection has ended. orderly tells whether it ended normally; its channels then
+// Lost ends all channels after the connection has ended. graceful tells whether it ended normally; its channels then
 // read EOF instead of an error. The owner of each channel is notified once.
-func (c *Conn) Lost(orderly bool) {
+func (c *Conn) Lost(graceful bool) {
 	c.stage = finished
 	c.turnHead, c.turnTail = nil, nil
 	for _, ch := range c.channels.All {
-		ch.connectionLost(orderly)
+		ch.connectionLost(graceful)
 	}
 }
 
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -120,7 +120,7 @@
 	p.listener.evictIdle()
 	conn, err := p.dialServer(a.server, a)
 	if err != nil {
-		a.endNextTurn(dialOutcome(err))
+		a.scheduleEnd(dialOutcome(err))
 		return
 	}
 	a.upstream = conn
@@ -316,9 +316,9 @@
 	r.abort()
 }
 
-// endNextTurn ends the attempt in a later turn of the event loop, so that no outcome is reported while the attempt is
+// scheduleEnd ends the attempt in a later turn of the event loop, so that no outcome is reported while the attempt is
 // being started.
-func (a *attempt) endNextTurn(status outcome.Status) {
+func (a *attempt) scheduleEnd(status outcome.Status) {
 	a.timer = a.proxy.loop.After(0, func() { a.end(status) })
 }
 
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -165,7 +165,7 @@
 func (m *muxDownstreamConn) PingAnswered() {}
 
 // Admit is part of mux.Owner: it decides whether the client may open a channel. Code 0 admits it.
-func (m *muxDownstreamConn) Admit([]byte) (code uint32, why string) {
+func (m *muxDownstreamConn) Admit([]byte) (code uint32, reason string) {
 	p := m.conn.proxy
 	cfg := p.cfg.Channels
 	if m.openLimiter.Admit(p.loop.Now(), cfg.OpensPerSecond, m.mux.Len(), cfg.MaxChannels) {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -93,7 +93,7 @@
 	}
 	for r := range p.requests.all {
 		if r.state == stateReattaching {
-			r.rejectReattaching()
+			r.answerReattaching()
 		}
 	}
 }
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -101,7 +101,7 @@
 		if r.state == stateEstablished {
 			r.forwardToServer(r.proxy.buffers.read[:n])
 		} else {
-			r.rejectEarlyBytes()
+			r.failForEarlyData()
 		}
 	}
 	r.proxy.loop.After(0, r.readClient)
@@ -120,9 +120,9 @@
 	return true
 }
 
-// rejectEarlyBytes ends a request whose client sent data before it had an answer, which the protocol forbids. If the
+// failForEarlyData ends a request whose client sent data before it had an answer, which the protocol forbids. If the
 // data were forwarded, the server would take it for lines of an established connection.
-func (r *request) rejectEarlyBytes() {
+func (r *request) failForEarlyData() {
 	wasRegistered := r.registered
 	r.fail(answercause.ClientTooEarly)
 	if wasRegistered {
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -46,9 +46,9 @@
 	r.fail(answercause.ReattachFailed)
 }
 
-// rejectReattaching sends the final answer of a reattaching request at once. It does not involve the decision core,
+// answerReattaching sends the final answer of a reattaching request at once. It does not involve the decision core,
 // which does not know the request.
-func (r *request) rejectReattaching() {
+func (r *request) answerReattaching() {
 	mayHaveExecuted := r.attempt != nil && r.attempt.written
 	if r.retryPolicy.ClientRetrySafe(mayHaveExecuted) {
 		r.rejectLocally(answercause.ShuttingDown)
--- a/internal/proxy/upstream_channel.go
+++ b/internal/proxy/upstream_channel.go
@@ -20,11 +20,11 @@
 	case upstreampool.PlainLines:
 		return false
 	case upstreampool.LimitReached:
-		a.endNextTurn(outcome.ServerFull)
+		a.scheduleEnd(outcome.ServerFull)
 		return true
 	case upstreampool.BackingOff:
 		a.failureShared = true // the failed connection was already counted against the server
-		a.endNextTurn(outcome.ConnectFailed)
+		a.scheduleEnd(outcome.ConnectFailed)
 		return true
 	case upstreampool.Use, upstreampool.WaitForOpen:
 	}
@@ -41,7 +41,7 @@
 // is nil if the connection has already failed.
 func (a *attempt) joinMux(c *muxUpstreamConn, kind upstreampool.Kind) {
 	if c == nil {
-		a.endNextTurn(outcome.ConnectFailed)
+		a.scheduleEnd(outcome.ConnectFailed)
 		return
 	}
 	a.muxConn = c
@@ -65,7 +65,7 @@
 	line = append(line, tail...)
 	ch := a.muxConn.mux.Open(line[:len(line)-len(lineEnd)], upstreamChannel{a})
 	if ch == nil {
-		a.endNextTurn(outcome.ServerFull)
+		a.scheduleEnd(outcome.ServerFull)
 		return
 	}
 	a.upstream = ch
