--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -38,7 +38,7 @@
 // that neither back pressure nor a half-closed peer needs another epoll call or makes the loop spin.
 type Conn struct {
 	l          *Loop
-	fd         int
+	fd         int // -1 once closed
 	ref        Ref
 	owner      Owner
 	connecting bool
@@ -47,6 +47,7 @@
 	pending    []byte // passed to Write, not yet accepted by the kernel
 }
 
+// sockaddr returns an address in the form of package unix, and its address family.
 func sockaddr(a netip.AddrPort) (unix.Sockaddr, int) {
 	if a.Addr().Is4() || a.Addr().Is4In6() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}, unix.AF_INET
@@ -117,8 +118,9 @@
 }
 
 // CheckConnected checks whether a pending Dial has completed although its event was not handled yet, and if so notifies
-// the owner. It is for a connect timeout: since the deadlines of a turn run before the events of the next turn, after a
-// delay of the loop every pending connection would otherwise time out, including those that are established.
+// the owner. A connect timeout has to call it first: callbacks of After run before the events of the next turn are
+// received, so if the loop was delayed, the timeout may run before the event of a connection that was established in
+// time.
 func (c *Conn) CheckConnected() {
 	if c.fd < 0 || !c.connecting {
 		return
@@ -150,8 +152,9 @@
 	}
 }
 
-// Write sends the parts in one gathered write and buffers the bytes that the kernel does not accept. The caller has to
-// limit that buffer, by checking Pending. An error is reported by a later Read.
+// Write sends the parts in one gathered write and buffers the bytes that the kernel does not accept, or all while the
+// Conn is connecting. The caller has to limit that buffer, by checking Pending. An error is reported by a later Read.
+// After an error, CloseWrite or Close, Write does nothing.
 func (c *Conn) Write(parts ...[]byte) {
 	if c.fd < 0 || c.closing || c.writeErr != nil {
 		return
--- a/internal/eventloop/datagrams.go
+++ b/internal/eventloop/datagrams.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxDatagram is the maximum length of a datagram, in bytes; a longer one is dropped.
+// MaxDatagram is the maximum length of a datagram, in bytes; a longer one is dropped when it is received. It is what an
+// Ethernet frame holds, 1500 bytes, without the headers of IPv4 (20) and UDP (8).
 const MaxDatagram = 1472
 
 // datagramsPerTurn is the maximum number of datagrams received in one turn, so that a flood does not starve other
@@ -24,8 +25,8 @@
 	buf  [MaxDatagram + 1]byte
 }
 
-// ListenDatagrams binds an address, which an earlier process may share (SO_REUSEPORT). recv is called for each
-// datagram; b is valid until it returns.
+// ListenDatagrams binds a UDP socket to an address, even if an earlier process still uses the address (SO_REUSEPORT).
+// recv is called for each datagram; b is valid until it returns.
 func (l *Loop) ListenDatagrams(addr netip.AddrPort, recv func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	sa, family := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
--- a/internal/eventloop/deadlines.go
+++ b/internal/eventloop/deadlines.go
@@ -9,6 +9,7 @@
 // Micros is a point in time or a duration, in microseconds.
 type Micros = monotime.Micros
 
+// deadline is a call scheduled with Loop.After, the loop's form of a timer.
 type deadline struct {
 	at        Micros
 	seq       uint64 // deadlines at the same time run in the order in which they were set
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -61,16 +61,19 @@
 // Close closes the loop's own file descriptors. It does not close sockets.
 func (l *Loop) Close() error { return errors.Join(unix.Close(l.wakeFD), unix.Close(l.epollFD)) }
 
-// Now returns the current time: the wall time at New, advanced by the monotonic clock. It is comparable with the clocks
-// of other machines, but never jumps. It is constant while one event is handled.
+// Now returns the current time, in microseconds since 1970: the wall time at New, advanced by the monotonic clock. It
+// is comparable with the clocks of other machines, but never jumps. It is constant while one event is handled.
 func (l *Loop) Now() Micros { return l.now }
 
 func (l *Loop) updateNow() { l.now = l.startMicros + Micros(time.Since(l.startTime).Microseconds()) }
 
-// OpenSockets returns the number of open sockets, including listeners.
+// OpenSockets returns the number of open sockets, including listeners but not the loop's own two file descriptors.
 func (l *Loop) OpenSockets() int { return l.openSockets }
 
-// After schedules callback to be called once the delay has passed, in a later turn of the loop.
+// After schedules callback to be called once the delay has passed and the event or callback that is being handled has
+// returned; a negative delay counts as 0. With delay 0, callback is called at the end of the same turn if After was
+// called for a socket's event, and in the next turn if it was called from another callback. The Ref is for Cancel; it
+// is zero, and the call can't be cancelled, if maxSlots calls are pending already.
 func (l *Loop) After(delay Micros, callback func()) Ref {
 	return l.deadlines.set(l.now+max(delay, 0), callback)
 }
@@ -97,7 +100,7 @@
 // again.
 const eventsPerTurn = 256
 
-// maxSleep is the longest wait for events.
+// maxSleep is the longest wait for events while a deadline is pending; without one there is no limit.
 const maxSleep = 60_000 // milliseconds
 
 // Run runs the loop until Stop. It returns an error only if waiting for events fails.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -126,8 +126,9 @@
 	return false
 }
 
-// DrainAndClose accepts all connections in the queue and closes the listener. Just closing it would reset the queued
-// connections. It is meant for a listener that shares its address with another process, which gets all new connections.
+// DrainAndClose accepts all connections in the queue, or those for which there are descriptors, and closes the
+// listener. Just closing it would reset the queued connections. It is meant for a listener that shares its address with
+// another process, which gets all new connections.
 func (ln *Listener) DrainAndClose() {
 	for !ln.acceptSome(backlog) {
 	}
@@ -148,7 +149,7 @@
 	})
 }
 
-// Close stops listening.
+// Close stops listening. It must be called only once: its descriptor may have been reused by the time of a second call.
 func (ln *Listener) Close() {
 	ln.l.Cancel(&ln.resumeTimer)
 	ln.l.handlers.Drop(ln.ref)
--- a/internal/eventloop/packets.go
+++ b/internal/eventloop/packets.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// Close stops listening. It does not remove the path, since another process may listen there by now.
+// Close stops listening. It does not remove the path, since another process may listen there by now. It must be called
+// only once: its descriptor may have been reused by the time of a second call.
 func (ln *PacketListener) Close() {
 	ln.l.handlers.Drop(ln.ref)
 	_ = unix.Close(ln.fd)
--- a/internal/eventloop/slots.go
+++ b/internal/eventloop/slots.go
@@ -6,8 +6,8 @@
 
 const (
 	indexBits = 20
-	maxSlots  = 1 << indexBits
-	maxGen    = 1<<(32-indexBits) - 1
+	maxSlots  = 1 << indexBits        // 1,048,576
+	maxGen    = 1<<(32-indexBits) - 1 // 4,095, after which the generations of a slot repeat
 )
 
 func makeRef(index int, gen uint32) Ref { return Ref(gen<<indexBits | uint32(index)) }
--- a/internal/mux/budget.go
+++ b/internal/mux/budget.go
@@ -6,7 +6,7 @@
 type Budget struct {
 	Limit     int64  // bytes; once this many are committed, only Floor is granted
 	Floor     uint32 // bytes; the smallest window, so that every channel makes progress
-	committed int64
+	committed int64  // bytes; see Committed
 }
 
 // grantDivisor limits a window to this fraction, a sixteenth, of the remaining budget.
--- a/internal/mux/channel.go
+++ b/internal/mux/channel.go
@@ -79,7 +79,7 @@
 	ch.conn.channels.Drop(ch.localID)
 }
 
-// connectionLost ends the channel after the connection has ended; graceful tells whether that ended normally.
+// connectionLost ends the channel after the connection has ended; graceful is as for Conn.Lost.
 func (ch *Channel) connectionLost(graceful bool) {
 	o := ch.owner
 	unanswered := ch.state == openSent
--- a/internal/mux/mux.go
+++ b/internal/mux/mux.go
@@ -2,9 +2,11 @@
 // the SSH connection protocol (see internal/channel). It manages the channels and their flow control, shares the
 // connection fairly among them, and detects protocol errors of the peer.
 //
+// Channels that have to wait until they can send take turns; in each turn a channel sends one packet.
+//
 // Received bytes are passed to Conn.Feed, and bytes to send are written to a Wire. The package uses no sockets and no
-// clock and does not interpret the data on channels. A Conn must be used from one goroutine only; nothing blocks, and
-// owners are called from Feed, Flushed and Lost.
+// clock and does not interpret the data on channels. A Conn must be used from one goroutine only, and nothing blocks.
+// Owners are called from Feed, Flushed and Lost; ChannelOwner.Flushed also from Channel.Write.
 package mux
 
 import (
@@ -27,7 +29,8 @@
 	// Ready is called on a client when the peer has accepted the service. From then on channels may be opened.
 	Ready()
 	// Admit decides whether the peer may open another channel now. If reason is not empty, the channel is rejected with
-	// this reason and code (of RFC 4254). No state is allocated for the channel before.
+	// this reason and code (of RFC 4254). Admit is also called when Config.MaxChannels is reached; the channel is then
+	// rejected in any case. No state is allocated for the channel before.
 	Admit(kind []byte) (code uint32, reason string)
 	// Open is called for a channel that the peer opens. The owner calls Confirm or Reject on it, now or later.
 	Open(ch *Channel, data []byte)
@@ -95,7 +98,8 @@
 	return protocolError{channel.ProtocolError, fmt.Sprintf(format, args...)}
 }
 
-// connectionStage is the stage of a connection. A connection passes through the stages in this order.
+// connectionStage is the stage of a connection. A connection passes through the stages in this order, and may finish
+// from any of them.
 type connectionStage uint8
 
 const (
@@ -111,7 +115,7 @@
 	wire            Wire
 	owner           Owner
 	stage           connectionStage
-	buf             []byte // the received part of an incomplete packet
+	buf             []byte // the received part of an incomplete packet or identification line
 	packetsReceived uint32
 	channels        eventloop.Slots[*Channel]
 	turnHead        *Channel // first and last channel in the queue for turns
@@ -126,7 +130,8 @@
 	parts [][]byte
 }
 
-// New returns a connection. A client sends its identification line at once, a server when it has received the client's.
+// New returns a connection. A client sends its identification line and its service request at once, a server its
+// identification line when it has received the client's.
 func New(w Wire, cfg Config, o Owner) *Conn {
 	c := &Conn{cfg: cfg, wire: w, owner: o}
 	if !cfg.Server {
@@ -316,7 +321,8 @@
 }
 
 // handleOpen handles an OPEN of the peer. It checks the limits and asks the owner, and either rejects the channel or
-// passes it to the owner.
+// passes it to the owner. If the limit on channels is reached, the owner is still asked, because its reason may tell
+// the peer when to retry.
 func (c *Conn) handleOpen(m *channel.Message) {
 	code, reason := uint32(0), ""
 	switch {
@@ -361,8 +367,8 @@
 	return ch
 }
 
-// Lost ends all channels after the connection has ended. graceful tells whether it ended normally; its channels then
-// read EOF instead of an error. The owner of each channel is notified once.
+// Lost ends all channels after the connection has ended. graceful tells whether it ended with EOF or DISCONNECT rather
+// than an error; its channels then read EOF instead of an error. The owner of each channel is notified once.
 func (c *Conn) Lost(graceful bool) {
 	c.stage = finished
 	c.turnHead, c.turnTail = nil, nil
--- a/internal/mux/receive.go
+++ b/internal/mux/receive.go
@@ -37,8 +37,8 @@
 	ch.conn.cfg.Budget.committed += int64(n)
 }
 
-// consumed returns n read bytes to the budget. If at most half of the window is left, it sends the peer a grant that
-// restores the window; at more than half, a grant is not worth a message.
+// consumed returns n read bytes to the budget. If the rest of the window, unread bytes included, is at most half of its
+// target, it sends the peer a grant that restores the window; at more than half, a grant is not worth a message.
 func (ch *Channel) consumed(n int) {
 	ch.conn.cfg.Budget.committed -= int64(n)
 	if ch.state != established || ch.peerEOF || ch.peerClose || ch.sentClose || ch.conn.stage == finished {
@@ -53,7 +53,8 @@
 	ch.conn.send(&channel.Message{Type: channel.WindowAdjust, Channel: ch.peerID, Window: target - outstanding})
 }
 
-// discardUnread discards received data that will not be read, and returns its bytes to the budget.
+// discardUnread discards received data that will not be read, and returns its bytes to the budget. This includes the
+// bytes of packetData, which the caller clears if the channel may still be read.
 func (ch *Channel) discardUnread() {
 	ch.conn.cfg.Budget.committed -= int64(len(ch.receiveBuffer) + len(ch.packetData))
 	ch.receiveBuffer = nil
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// handleData handles received data. Data that no owner will read counts as consumed at once.
+// handleData handles received data. Extended data, and data that arrives after CLOSE was sent, is discarded and counts
+// as consumed at once.
 func (ch *Channel) handleData(m *channel.Message) error {
 	n := uint32(len(m.Data))
 	switch {
--- a/internal/mux/send.go
+++ b/internal/mux/send.go
@@ -25,8 +25,9 @@
 	ch.schedule()
 }
 
-// canSendNow reports whether n bytes can be sent as one packet without waiting for a turn: the buffer is empty, they
-// are within the peer's limits, and no other channel waits for a turn.
+// canSendNow reports whether n bytes can be sent as one packet without waiting for a turn: nothing is buffered, they
+// are within the peer's limits and turnBytes, no other channel waits for a turn, and the wire is below its high-water
+// mark.
 func (ch *Channel) canSendNow(n int) bool {
 	return len(ch.sendBuffer) == 0 &&
 		n <= int(min(ch.sendWindow, ch.maxSendPacket, turnBytes)) &&
@@ -77,7 +78,8 @@
 	}
 }
 
-// sendDueEnds sends EOF and CLOSE as far as they are due. It does nothing before the buffer is empty.
+// sendDueEnds sends the final request, EOF and CLOSE as far as they are due. It does nothing before the buffer is
+// empty.
 func (ch *Channel) sendDueEnds() {
 	if !ch.eofRequested || len(ch.sendBuffer) > 0 || ch.state != established || ch.sentClose {
 		return
@@ -138,8 +140,8 @@
 	}
 }
 
-// Close closes the channel at once, without EOF, and discards buffered data. The owner is not notified any more. Close
-// does nothing if ch is nil.
+// Close closes the channel at once, without EOF, and discards buffered data; a channel of the peer that is not
+// confirmed yet is rejected. The owner is not notified any more. Close does nothing if ch is nil.
 func (ch *Channel) Close() {
 	if ch == nil {
 		return
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -29,24 +29,25 @@
 	muxConn       *muxUpstreamConn
 	startedAt     monotime.Micros
 	deadline      monotime.Micros // the attempt ends then unless it is established
-	writeDeadline monotime.Micros // the request must not be written after this time; 0 for no limit
-	connected     bool
-	written       bool   // the request is written to its last byte, so the server may have executed it
-	answerBuf     []byte // received part of the server's first line
+	writeDeadline monotime.Micros // end of the time in which the request may be written; 0 for no limit
+	connected     bool            // the dedicated connection is established or the channel opened
+	written       bool            // the request is written to its last byte, so the server may have executed it
+	answerBuf     []byte          // received part of the server's first line
 	timer         eventloop.Ref
-	failureShared bool // its failure was already counted against the server with another attempt on the same connection
+	failureShared bool // ended by a failure that was already counted, so no further evidence against the server
 	ended         bool
 }
 
-// attemptLimits are the number and the time limits of a new attempt.
+// attemptLimits are the number and the time limits of a new attempt. After the write timeout the server could no longer
+// distinguish a retry from a new request, so the request must not be written any more.
 type attemptLimits struct {
 	number       int
 	timeout      monotime.Micros // from the start until the attempt must be established
 	writeTimeout monotime.Micros // from the start until the request must be written; 0 for no limit
 }
 
-// startAttempt starts an attempt that the decision core decided on. If the request can no longer use it, the attempt is
-// reported as ended at once.
+// startAttempt starts an attempt that the decision core decided on. If the request can no longer use it, or the server
+// is no longer in the list, the attempt is reported as ended at once.
 func (r *request) startAttempt(decided decision.StartAttempt) {
 	p := r.proxy
 	number := r.attempts
@@ -103,8 +104,8 @@
 	}
 }
 
-// invalidatedByListChange reports whether the attempt must end, and its request be placed anew, because its server's
-// listing has changed. The attempt must have no answer yet.
+// invalidatedByListChange reports whether the attempt must end, and its request be placed anew, because its server is
+// no longer ready, has restarted or has another address. The attempt must have no answer yet.
 func (a *attempt) invalidatedByListChange() bool {
 	return recall.Needed(recall.Attempt{
 		Placed:  a.request.state == statePending,
@@ -186,6 +187,7 @@
 			return
 		}
 		if a.written && p.loop.Now() < a.deadline {
+			// The request was written after the timer was set for writeDeadline, which no longer applies.
 			a.awaitAnswer()
 			return
 		}
@@ -196,7 +198,7 @@
 // Flushed is part of eventloop.Owner.
 func (a *attempt) Flushed(*eventloop.Conn) { a.upstreamFlushed() }
 
-// upstreamFlushed is called when all data pending for the server has been written.
+// upstreamFlushed is called when all data pending for the server has been written. It resumes reading from the client.
 func (a *attempt) upstreamFlushed() {
 	a.written = true
 	if a.request.state == stateEstablished {
@@ -207,7 +209,8 @@
 // Readable is part of eventloop.Owner.
 func (a *attempt) Readable(*eventloop.Conn) { a.readServer() }
 
-// readServer reads from the server and forwards to the client. It stops while too much data is pending for the client.
+// readServer reads from the server and forwards to the client. It stops while too much data is pending for the client;
+// downstreamFlushed resumes it.
 func (a *attempt) readServer() {
 	r := a.request
 	for range readsPerTurn {
@@ -316,8 +319,8 @@
 	r.abort()
 }
 
-// scheduleEnd ends the attempt in a later turn of the event loop, so that no outcome is reported while the attempt is
-// being started.
+// scheduleEnd ends the attempt after the current event has been handled, so that no outcome is reported while the
+// attempt is being started.
 func (a *attempt) scheduleEnd(status outcome.Status) {
 	a.timer = a.proxy.loop.After(0, func() { a.end(status) })
 }
--- a/internal/proxy/buffers.go
+++ b/internal/proxy/buffers.go
@@ -10,24 +10,25 @@
 	readSize = 8 << 10
 	// muxReadSize is the size of the read buffer for a multiplexed connection, which carries many requests, in bytes.
 	muxReadSize = 64 << 10
-	// readsPerTurn bounds the reads from one socket per turn of the event loop, so that others are not starved.
+	// readsPerTurn bounds the successive reads from one socket. More data is read after the events of other sockets, so
+	// that these are not starved.
 	readsPerTurn = 4
 )
 
 // bufferLimits owns the read buffers, which all connections share, and the limits on data buffered for slow readers.
 type bufferLimits struct {
-	read            []byte
-	muxRead         []byte // nil until channels are turned on
-	maxPending      int    // bytes buffered for one slow reader before the proxy stops reading from its sender
-	sizedForReaders int    // number of slow readers that maxPending allows for
-	windows         mux.Budget
+	read            []byte     // for connections with one request; overwritten by each read
+	muxRead         []byte     // for multiplexed connections; nil until channels are turned on
+	maxPending      int        // bytes buffered for one slow reader before the proxy stops reading from its sender
+	sizedForReaders int        // number of slow readers that maxPending allows for
+	windows         mux.Budget // for the receive windows of all channels
 }
 
 func newBufferLimits() bufferLimits {
 	return bufferLimits{read: make([]byte, readSize), maxPending: overload.MaxPendingBytes}
 }
 
-// updateBufferLimits derives maxPending from the memory limit and the number of requests.
+// updateBufferLimits derives maxPending from the memory limit, the limit on descriptors and the number of requests.
 func (p *Proxy) updateBufferLimits() {
 	p.buffers.sizedForReaders = overload.SlowReaders(p.cfg.MaxDescriptors, p.requests.len())
 	p.buffers.maxPending = overload.PendingLimit(p.cfg.MemoryLimit, p.buffers.sizedForReaders)
--- a/internal/proxy/channel_config.go
+++ b/internal/proxy/channel_config.go
@@ -24,9 +24,9 @@
 	Window uint32
 	// SetupTimeout limits the time from the greeting until the client requests the service.
 	SetupTimeout monotime.Micros
-	// IdleTimeout is the time after which a client's connection is closed if it has no channels and nothing arrives. If
-	// it has channels, the client is pinged shortly before, and the connection is closed if nothing arrives within
-	// another IdleTimeout.
+	// IdleTimeout is the time without data after which a client's connection without channels is closed; one with
+	// channels is closed after twice this time. After three quarters of it the client is pinged, whose reply counts as
+	// data.
 	IdleTimeout monotime.Micros
 	// Pool limits the multiplexed upstream connections.
 	Pool upstreampool.Limits
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -5,7 +5,8 @@
 	"spurspread/internal/eventloop"
 )
 
-// decisionCore is the interface of the decision core; tests replace it.
+// decisionCore is the interface of the decision core; tests replace it. Handle handles an event and returns out with
+// the resulting actions appended.
 type decisionCore interface {
 	Handle(now decision.Micros, ev decision.Event, out []decision.Action) []decision.Action
 }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -8,10 +8,11 @@
 // Everything runs on the goroutine of one event loop; only New, before the loop runs, may be called from elsewhere.
 // Proxy connects these components:
 //
-//   - listener: the listening socket, and the downstream connections that carry no request
+//   - listener: the listening socket, and the downstream connections that are not used by a single request: idle,
+//     lingering and multiplexed ones
 //   - requestTable: the requests, from the first line to the end of the connection
 //   - serverDirectory: service discovery and the server list
-//   - latencyTable: the message latency of each server
+//   - latencyTable: the message latency of each server, which is the time that it takes to answer a line
 //   - muxUpstreams: the multiplexed upstream connections, which several requests share
 //   - drain: planned stops, hot restarts and lame-duck mode
 //   - resumption: streams that a client can resume on another connection with a token
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -42,19 +42,19 @@
 }
 
 // downstreamConn is a client's connection: before its first line, while it carries a request or is multiplexed, and
-// while it lingers after the final answer.
+// while it lingers.
 type downstreamConn struct {
 	proxy          *Proxy
 	conn           *eventloop.Conn
 	acceptedAt     monotime.Micros
-	firstLine      []byte // received part of the first line, at most lineproto.MaxLine bytes
+	firstLine      []byte // received part of the first line or of a PING, at most lineproto.MaxLine bytes
 	pings          int    // number of pings answered
 	rejectOnly     bool   // descriptors are short: any request on the connection is rejected
 	request        *request
 	mux            *muxDownstreamConn // not nil once the connection is multiplexed
-	lingering      bool               // the final answer was sent, the client has not closed the connection yet
+	lingering      bool               // closed gracefully, but not yet closed by the client
 	closed         bool
-	discardedBytes int  // bytes that arrived after the final answer
+	discardedBytes int  // bytes that arrived while lingering
 	clientClosed   bool // the client has closed its sending side
 	idle           idlePosition
 	timer          eventloop.Ref
@@ -181,8 +181,8 @@
 	c.closeGracefully()
 }
 
-// answerPing answers a health checker's ping, the first n bytes of firstLine. During a drain the answer is ERR, so that
-// no new clients are sent here.
+// answerPing answers a health checker's ping, the first n bytes of firstLine, with PONG. During a drain the answer is
+// ERR, so that no new clients are sent here.
 func (c *downstreamConn) answerPing(n int) {
 	answer := "PONG\r\n"
 	if c.proxy.drain.active {
--- a/internal/proxy/downstream_mux.go
+++ b/internal/proxy/downstream_mux.go
@@ -107,7 +107,8 @@
 	m.conn.close()
 }
 
-// close ends all requests on the connection and closes it gracefully.
+// close ends all requests on the connection and shuts it down with downstreamConn.closeGracefully. graceful is as for
+// release.
 func (m *muxDownstreamConn) close(graceful bool) {
 	if m.closed {
 		return
@@ -164,7 +165,8 @@
 // PingAnswered is part of mux.Owner. It does nothing: feed records the arrival of any data as a sign of life.
 func (m *muxDownstreamConn) PingAnswered() {}
 
-// Admit is part of mux.Owner: it decides whether the client may open a channel. Code 0 admits it.
+// Admit is part of mux.Owner: it decides whether the client may open a channel. An empty reason admits it; otherwise
+// the reason is a BUSY line.
 func (m *muxDownstreamConn) Admit([]byte) (code uint32, reason string) {
 	p := m.conn.proxy
 	cfg := p.cfg.Channels
@@ -209,13 +211,14 @@
 	*mux.Channel
 	conn      *muxDownstreamConn
 	request   *request
-	moveToken []byte
-	sendsMove bool
-	answered  bool // the channel was rejected with the final answer, which ended it
+	moveToken []byte // token of the pending MOVE; empty for none
+	sendsMove bool   // closeGracefully sends MOVE
+	answered  bool   // the channel was rejected with the final answer, which ended it
 	released  bool
 }
 
-// release removes the channel's request from its connection's count. Only the first call has an effect.
+// release removes the channel's request from its connection's count. A connection without requests becomes idle and,
+// during a drain, is closed. Only the first call has an effect.
 func (k *downstreamChannel) release() {
 	if k.released {
 		return
@@ -279,13 +282,14 @@
 	k.Reject(code, answer)
 }
 
+// sendMove leaves it to closeGracefully to send MOVE, after the data and before EOF.
 func (k *downstreamChannel) sendMove(token []byte) {
 	k.sendsMove = true
 	k.moveToken = token
 }
 
-// closeGracefully ends the channel. If data is pending, the client gets timeouts.Linger to read it before the channel
-// is closed.
+// closeGracefully ends the channel, after MOVE if sendMove was called. If data is pending, the client gets
+// timeouts.Linger to read it before the channel is closed.
 func (k *downstreamChannel) closeGracefully() {
 	defer k.release()
 	if k.answered {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -113,7 +113,7 @@
 func (d *drain) maxIdleAge() monotime.Micros { return drainschedule.IdleAge(d.elapsed(), d.duration) }
 
 // moveEstablished schedules the moves of all established connections within span, counted from the start of the drain,
-// and then the final answers of all other requests.
+// and then the final answers of all other requests. It disconnects multiplexed connections without requests.
 func (d *drain) moveEstablished(span monotime.Micros) {
 	p := d.proxy
 	left := drainschedule.Remaining(span, d.elapsed())
@@ -143,7 +143,8 @@
 	})
 }
 
-// answerRemaining has all pending requests answered at once and moves the connections established since it began.
+// answerRemaining has all pending requests answered at once and moves the connections established since the drain
+// began.
 func (d *drain) answerRemaining() {
 	for r := range d.proxy.requests.all {
 		if r.state == statePending {
@@ -177,8 +178,10 @@
 	})
 }
 
-// checkFinished stops the loop once no connection is left or the time is up; until then it reschedules itself. It first
-// disconnects unused multiplexed connections, including those opened late or whose last channel has just ended.
+// checkFinished stops the loop once no connection is left or the time is up; until then it reschedules itself. From
+// drainschedule.MinDuration on it closes idle connections and disconnects unused multiplexed connections, including
+// those opened late or whose last channel has just ended. It closes the listener once no request and no multiplexed
+// connection is left or the time is up.
 func (d *drain) checkFinished() {
 	p := d.proxy
 	elapsed := d.elapsed()
--- a/internal/proxy/established.go
+++ b/internal/proxy/established.go
@@ -21,8 +21,8 @@
 type establishedStream struct {
 	fromClient    lineproto.Scanner
 	fromServer    lineproto.Scanner
-	sentAt        []monotime.Micros // send times of unanswered lines, oldest first; at most messagedelay.MaxTimedLines
-	lastReply     monotime.Micros   // when the last line arrived from the server
+	sentAt        []monotime.Micros // send times of the unanswered lines that are timed, oldest first
+	lastReply     monotime.Micros   // arrival of the server's last line, LOAD included; at first the time of UP
 	endStatus     outcome.Status    // outcome if the server closes the connection now, derived from its last lines
 	clientStalled bool              // too much data is pending for the client, so the server is not read
 	movePending   bool              // MOVE follows as soon as the current line from the server is complete
@@ -52,8 +52,8 @@
 	r.readClient()
 }
 
-// freeFirstLine drops all references into the first line that are no longer needed, so that the line isn't kept in
-// memory until the connection ends.
+// freeFirstLine drops the references into the first line, so that the line isn't kept in memory until the connection
+// ends. A client that takes tokens keeps it, as its token and cursor refer to the line as well.
 func (r *request) freeFirstLine() {
 	r.firstLine = nil
 	if r.resumable == nil {
@@ -84,7 +84,7 @@
 }
 
 // readClient reads from the client and forwards to the server. It stops while too much data is pending for the server.
-// A client that sends data before it has an answer is rejected.
+// The request of a client that sends data before it has an answer fails.
 func (r *request) readClient() {
 	for range readsPerTurn {
 		if !r.canReadClient() {
@@ -131,7 +131,7 @@
 }
 
 // handleClientClosed handles EOF (graceful) or a read error from the client, and passes it on to the server as EOF or
-// reset.
+// reset. A request that is not established is closed.
 func (r *request) handleClientClosed(graceful bool) {
 	if r.state != stateEstablished {
 		r.close()
@@ -164,7 +164,8 @@
 	r.attempt.readServer()
 }
 
-// forwardToServer forwards the client's bytes and records the send times of its lines.
+// forwardToServer forwards the client's bytes and records the send times of its lines. Lines beyond
+// messagedelay.MaxTimedLines unanswered ones are not timed.
 func (r *request) forwardToServer(b []byte) {
 	now := r.proxy.loop.Now()
 	r.fromClient.Feed(b, func([]byte) {
@@ -189,7 +190,8 @@
 	}
 }
 
-// forwardToClient forwards the server's bytes and evaluates the lines among them.
+// forwardToClient forwards the server's bytes and evaluates the lines among them. If a move is pending, it forwards
+// only the rest of the current line, after which the client receives MOVE.
 func (r *request) forwardToClient(b []byte) {
 	if r.buffersPartialLines() {
 		var movedByServer bool
@@ -198,7 +200,7 @@
 		}
 	}
 	if r.movePending {
-		b = firstLineOf(b) // the proxy's MOVE follows
+		b = firstLineOf(b)
 	}
 	load, reported := r.recordServerLines(b)
 	r.downstream.Write(b)
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -11,7 +11,8 @@
 // sweepInterval is the interval between checks of established connections.
 const sweepInterval = 200 * monotime.Millisecond
 
-// latencyTable owns the message latencies of all servers, indexed by server number.
+// latencyTable owns the message latencies of all servers, indexed by server number. The message latency of a server is
+// the time that it takes to answer a line of an established connection.
 type latencyTable struct {
 	proxy   *Proxy
 	servers []*serverLatency
@@ -33,7 +34,8 @@
 	return t.servers[server]
 }
 
-// sweep moves clients off unresponsive servers and reports slow servers to the core. It reschedules itself.
+// sweep moves clients off unresponsive servers and reports slow servers to the core, or discards the latencies if the
+// core expects no reports. It reschedules itself.
 func (t *latencyTable) sweep() {
 	t.proxy.loop.After(sweepInterval, t.sweep)
 	now := t.proxy.loop.Now()
--- a/internal/proxy/linebuffer.go
+++ b/internal/proxy/linebuffer.go
@@ -14,8 +14,8 @@
 }
 
 // completeLines takes bytes from the server and returns the complete lines among the buffered and the new bytes.
-// movedByServer reports that the server sent MOVE; that line is not returned, since the proxy sends the client its own
-// form of it. Once a line exceeds lineproto.MaxLine, all bytes are returned as they arrive.
+// movedByServer reports that the server sent MOVE; that line and those after it are not returned, since the proxy sends
+// the client its own form of MOVE. Once a line exceeds lineproto.MaxLine, all bytes are returned as they arrive.
 func (l *lineBuffer) completeLines(b []byte) (lines []byte, movedByServer bool) {
 	if l.passThrough {
 		return b, false
@@ -39,7 +39,7 @@
 	return b[:end], false
 }
 
-// moveLine returns the index of the first MOVE line in a sequence of complete lines; -1 if there is none.
+// moveLine returns the offset, in bytes, of the first MOVE line in a sequence of complete lines; -1 if there is none.
 func moveLine(lines []byte) int {
 	for at := 0; at < len(lines); {
 		n := bytes.IndexByte(lines[at:], '\n') + 1
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,14 +9,14 @@
 	"spurspread/internal/eventloop"
 )
 
-// listener owns the listening socket and the downstream connections that carry no request: those that have not sent a
-// first line, those that linger after their final answer, and the multiplexed ones.
+// listener owns the listening socket and the downstream connections that are not used by a single request: those that
+// have not sent a first line, those that linger, and the multiplexed ones.
 type listener struct {
 	proxy     *Proxy
 	socket    *eventloop.Listener
 	closed    bool
 	idle      idleConns
-	lingering int // number of connections whose clients have not closed after the final answer
+	lingering int // number of connections with downstreamConn.lingering set
 	muxConns  map[*muxDownstreamConn]bool
 }
 
@@ -30,7 +30,8 @@
 	return err
 }
 
-// accept accepts a connection from the accept queue.
+// accept accepts a connection from the accept queue. adopt registers its socket with the event loop for the given
+// owner; on an error it has closed the socket.
 func (l *listener) accept(adopt func(eventloop.Owner) (*eventloop.Conn, error)) {
 	l.evictIdle()
 	c := &downstreamConn{proxy: l.proxy, acceptedAt: l.proxy.loop.Now(), rejectOnly: l.proxy.nearDescriptorLimit()}
@@ -44,7 +45,8 @@
 	c.Readable(conn) // the first line has usually arrived already
 }
 
-// evictIdle closes idle connections until descriptors are no longer short or no idle connection is left.
+// evictIdle closes idle connections until descriptors are no longer short or no idle connection is left, beginning with
+// those that have their final answer. It is called before a descriptor is used.
 func (l *listener) evictIdle() {
 	for l.proxy.nearDescriptorLimit() {
 		c := l.idle.oldest(overload.Answered)
@@ -56,8 +58,8 @@
 	}
 }
 
-// closeIdle closes the connections without a request whose age is at least age. A request that has arrived but is not
-// yet read is still answered.
+// closeIdle closes the connections without a first line that were accepted at least age ago; multiplexed connections
+// stay open. A request that has arrived but is not yet read is still answered.
 func (l *listener) closeIdle(age monotime.Micros) {
 	for _, c := range l.idle.acceptedUntil(l.proxy.loop.Now() - age) {
 		l.idle.remove(c)
@@ -72,7 +74,8 @@
 	}
 }
 
-// close accepts the connections in the accept queue, which would otherwise be reset, and stops listening.
+// close accepts the connections in the accept queue, which would otherwise be reset, and stops listening. If the
+// process stops without a successor, it also closes idle connections. Later calls have no effect.
 func (l *listener) close() {
 	if l.closed {
 		return
--- a/internal/proxy/move.go
+++ b/internal/proxy/move.go
@@ -9,7 +9,8 @@
 
 // startMove moves the client of an established connection, because its server drains, is gone or is unresponsive, or
 // because this balancer drains. status is the connection's outcome; sameServerAllowed tells whether the client may
-// continue at the same server. If the client takes tokens, the decision core chooses the next server first.
+// continue at the same server. If the client takes tokens, the decision core chooses the next server first. startMove
+// does nothing if the request is not established or a move is already waiting for the end of a line.
 func (r *request) startMove(status outcome.Status, sameServerAllowed bool) {
 	if r.state != stateEstablished || r.movePending {
 		return
@@ -37,7 +38,8 @@
 }
 
 // move sends MOVE to the client and ends the request with the outcome status. In the middle of a line it waits until
-// the line is complete, for at most drainschedule.MoveLineTimeout, after which the connection is reset.
+// the line is complete, and the outcome is then outcome.Cancelled. It waits for at most drainschedule.MoveLineTimeout,
+// after which the connection is reset.
 func (r *request) move(status outcome.Status) {
 	if r.state != stateEstablished {
 		return
--- a/internal/proxy/nameinterner.go
+++ b/internal/proxy/nameinterner.go
@@ -7,7 +7,8 @@
 	next   int
 }
 
-// internAll adds names in order, so that the names of the settings at startup get their indexes as numbers.
+// internAll adds names in order, so that the names of the settings at startup get their indexes as numbers. A name that
+// is known already uses up a number, so that the indexes of those after it still match.
 func (n *nameInterner) internAll(names []string) {
 	if n.byName == nil {
 		n.byName = map[string]int{}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// parseLoadReport parses the load report in a server's answer, in the order of the settings' columns. The report is
-// empty if the value of any column is missing or invalid.
+// parseLoadReport parses the load report in a server's answer, in the order of the settings' columns, as many as a
+// report can hold. The report is empty if the value of any of them is missing or invalid.
 func parseLoadReport(text []byte, columns []string) (report decision.LoadReport) {
 	for i, name := range columns {
 		if i >= len(report.Values) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,11 +30,11 @@
 	// CachedList is the last known server list, encoded as discovery sends it; empty for none. With a list, even an
 	// outdated one, the balancer can serve requests before discovery answers; without one it must reject them.
 	CachedList []byte
-	// MaxDescriptors limits the file descriptors of the process; 0 for no limit. Idle connections are closed before
-	// the limit is reached.
+	// MaxDescriptors limits the file descriptors of the process; 0 for no limit. Close to the limit, idle connections
+	// are closed and new requests rejected.
 	MaxDescriptors int
-	// MemoryLimit is the memory available to the process, in bytes; 0 for unknown. A lower limit means smaller buffers
-	// for slow readers, and so a lower throughput to them.
+	// MemoryLimit is the memory available to the process, in bytes; 0 for unknown. The less memory there is, the
+	// smaller are the buffers for slow readers and the receive windows of channels, which lowers their throughput.
 	MemoryLimit int64
 	// Resume configures resumable streams; nil turns them off.
 	Resume *ResumeConfig
@@ -115,8 +115,9 @@
 // Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() netip.AddrPort { return p.listener.socket.Addr() }
 
-// Drain starts a planned stop: new requests are rejected, pending requests get their final answer, every established
-// connection is moved, and then the loop stops.
+// Drain starts a planned stop: new requests are rejected, every established connection is moved, and then the loop
+// stops. Pending requests are still placed; those that are not established once the moves are over get their final
+// answer.
 func (p *Proxy) Drain() { p.drain.shutDown() }
 
 // HotRestart stops like Drain, but hands over to a successor, the process pid, which listens on the same port and
@@ -144,7 +145,8 @@
 	return err
 }
 
-// fleetPosition is this balancer's rank among the balancers that share the fleet's budgets, as membership reports it.
+// fleetPosition is the size of the fleet, whose balancers share its budgets, and this balancer's rank in it, as
+// membership reports them.
 type fleetPosition struct {
 	size int // number of balancers in the fleet; 0 until it is first reported
 	rank int // rank of this balancer, from 0 on
@@ -202,7 +204,7 @@
 	p.log.WithField(logging.Classes, strings.Join(changed.ClassNames, ",")).Info("settings changed")
 }
 
-// nearDescriptorLimit reports whether the process is close to Config.MaxDescriptors.
+// nearDescriptorLimit reports whether descriptors are short: the process is close to Config.MaxDescriptors.
 func (p *Proxy) nearDescriptorLimit() bool {
 	return overload.DescriptorsShort(p.loop.OpenSockets(), p.cfg.MaxDescriptors)
 }
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -32,7 +32,7 @@
 		return
 	}
 	left := timeouts.ReattachAttempt(r.deadline - r.proxy.loop.Now())
-	r.attempts = 1
+	r.attempts = 1 // of any number of reattach attempts, the core counts only the one that succeeds
 	r.attempt = newAttempt(r, server, attemptLimits{number: 0, timeout: left})
 }
 
@@ -46,8 +46,8 @@
 	r.fail(answercause.ReattachFailed)
 }
 
-// answerReattaching sends the final answer of a reattaching request at once. It does not involve the decision core,
-// which does not know the request.
+// answerReattaching sends the final answer of a reattaching request at once: BUSY if its class allows the client to
+// retry, else ERR. It does not involve the decision core, which does not know the request.
 func (r *request) answerReattaching() {
 	mayHaveExecuted := r.attempt != nil && r.attempt.written
 	if r.retryPolicy.ClientRetrySafe(mayHaveExecuted) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -30,7 +30,7 @@
 	class       int             // index in classNames, or unknownClass
 	classNames  []string        // of the settings when the request arrived
 	retryPolicy retry.Policy    // of the class, when the request arrived
-	deadline    monotime.Micros // time by which the client must have its final answer
+	deadline    monotime.Micros // latest time of the final answer, unless it is established by then
 
 	attempt  *attempt // current or established attempt; nil for none
 	attempts int      // number of attempts started
@@ -45,7 +45,8 @@
 }
 
 // openRequest starts a request from its first line, given without its line end (text) and with it (line). With
-// rejectOnly the request is rejected. If no slot is free, it rejects the client and returns a request in stateClosed.
+// rejectOnly the request is rejected. If the client is answered at once, for example because no slot is free, the
+// returned request is in stateClosed.
 func (p *Proxy) openRequest(client downstream, text, line []byte, rejectOnly bool) *request {
 	r := &request{proxy: p, downstream: client, firstLine: line}
 	if !p.requests.put(r) {
@@ -123,7 +124,8 @@
 	p.core.dispatch(r.decisionRequest())
 }
 
-// announcedDeadline returns how long the client waits, from the OPEN line.
+// announcedDeadline returns the time that the client waits for its answer, counted from now, as its OPEN line states
+// it.
 func (r *request) announcedDeadline() monotime.Micros {
 	return monotime.Micros(r.open.DeadlineMillis) * monotime.Millisecond
 }
--- a/internal/proxy/request_set.go
+++ b/internal/proxy/request_set.go
@@ -33,8 +33,8 @@
 	*at = 0
 }
 
-// each yields the members. During the iteration any member may be removed, not only the one just yielded; a member may
-// then be yielded twice.
+// each yields the members. During the iteration any member may be removed, not only the one just yielded; another
+// member may then be yielded twice, but none is skipped.
 func (s *requestSet) each(yield func(*request) bool) {
 	for i := len(s.members) - 1; i >= 0; i-- {
 		if i < len(s.members) && !yield(s.members[i]) {
--- a/internal/proxy/request_state.go
+++ b/internal/proxy/request_state.go
@@ -38,7 +38,7 @@
 //	stateReattaching  → stateClosed        request.release
 //	stateEstablished  → stateHalfClosed    request.handleClientClosed: the client closed its sending side
 //	stateEstablished  → stateTransferring  transferSender.offer: offered to the successor
-//	stateEstablished  → stateClosed        request.release: moved, finished, or the client or server disconnected
+//	stateEstablished  → stateClosed        request.release: moved or finished, or the server disconnected
 //	stateHalfClosed   → stateClosed        request.release
 //	stateTransferring → stateEstablished   transferSender.reclaim: the successor did not accept it
 //	stateTransferring → stateClosed        request.release: the successor accepted it
--- a/internal/proxy/request_table.go
+++ b/internal/proxy/request_table.go
@@ -55,8 +55,9 @@
 }
 
 // handleServerListUpdate handles a change of the server list. It ends attempts that have not written their request and
-// whose server's listing has changed since it was chosen, so that the request is placed anew, and starts reattaching
-// requests whose server is now listed. A request that reattaches goes to its server whatever the server's state.
+// whose server, since it was chosen, has ceased to be ready, restarted or changed its address, so that the request is
+// placed anew. It starts reattaching requests whose server is now listed. A request that reattaches goes to its server
+// whatever the server's state.
 func (t *requestTable) handleServerListUpdate() {
 	for r := range t.unanswered.each {
 		if a := r.attempt; a != nil && a.invalidatedByListChange() {
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -42,12 +42,12 @@
 	proxy        *Proxy
 	cfg          *ResumeConfig
 	tokens       *resume.Validator // nil until resumption is first turned on
-	drains       *drainorder.Plan
+	drains       *drainorder.Plan  // the moves off draining servers; nil like tokens
 	drainTimer   eventloop.Ref
 	dueIDs       []uint32    // buffer, reused by moveDueStreams
 	openedToken  token.Token // token most recently opened by openToken
 	tokensIssued int
-	resumed      int
+	resumed      int // streams that were resumed with a token
 	streamIDs    *rand.Rand
 }
 
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -184,7 +184,7 @@
 }
 
 // appendToken appends a token for a client that is being moved. It appends nothing if the stream can't be continued, no
-// next server is known, or the token would be too long.
+// next server is known, or the name of the class or of the server is too long for a token.
 func (r *request) appendToken(to []byte) []byte {
 	x, s := r.resumable, &r.proxy.resumption
 	if !x.canContinue() || x.nextServer == nil || s.cfg == nil {
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -42,15 +42,15 @@
 	return d
 }
 
-// preserveZoneIndex replaces the index of the balancer's zone in reloaded settings by the index that the zone has had
-// since the process started, because servers and requests already known to the core use the old indexes.
+// preserveZoneIndex replaces the index of the balancer's zone in reloaded settings by the number that the zone has had
+// since the process started, because servers and requests already known to the core use these numbers.
 func (d *serverDirectory) preserveZoneIndex(changed *settings.Settings) {
 	if home := changed.Decision.Zone; home >= 0 && home < len(changed.ZoneNames) {
 		changed.Decision.Zone = d.zones.intern(changed.ZoneNames[home])
 	}
 }
 
-// open creates the discovery client and restores the cached list.
+// open creates the discovery client and restores the cached list, which is named "known" in the configuration file.
 func (d *serverDirectory) open(cfg Config) (cached discovery.Update, err error) {
 	d.client = discovery.NewClient(d.proxy.loop, cfg.Discovery, d.list, d)
 	if len(cfg.CachedList) == 0 {
@@ -153,7 +153,7 @@
 	fields[logging.DiscoveryFailures] = d.failures
 }
 
-// milliseconds converts an age for the log; a negative age becomes -1.
+// milliseconds converts an age for the log. A negative age, which means that nothing was received yet, becomes -1.
 func milliseconds(age monotime.Micros) int64 {
 	if age < 0 {
 		return -1
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -14,8 +14,8 @@
 type counters struct {
 	accepted        int // valid first lines, including those of rejected requests
 	established     int // connections that were established
-	rejected        int // requests that were rejected
-	failed          int // requests that failed
+	rejected        int // requests that were rejected (BUSY)
+	failed          int // requests that failed (ERR)
 	moved           int // connections that were moved
 	unresponsive    int // connections given up because their servers were unresponsive
 	protocolErrors  int // answers and messages that violate the protocol
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -21,7 +21,7 @@
 }
 
 // startTransfer offers the established connections to the process pid that listens at the Unix socket path, and later
-// moves those that were not transferred.
+// moves those that were not transferred. If it can't connect to that process, it moves all.
 func (d *drain) startTransfer(path string, pid int) {
 	p := d.proxy
 	t := &transferSender{proxy: p, plan: hotrestart.New(p.loop.Now(), d.duration)}
--- a/internal/proxy/upstream_mux.go
+++ b/internal/proxy/upstream_mux.go
@@ -32,8 +32,7 @@
 	return muxUpstreams{proxy: p, conns: map[uint32]*muxUpstreamConn{}}
 }
 
-// open dials a connection that the pool has decided to open. An immediate failure is handled in a later turn of the
-// event loop.
+// open dials a connection that the pool has decided to open. An immediate failure is handled after the current event.
 func (u *muxUpstreams) open(server *discovery.Server, id uint32) {
 	p := u.proxy
 	p.listener.evictIdle()
@@ -81,8 +80,8 @@
 	timer        eventloop.Ref     // set-up timeout, then the next checkAlive
 	lastReceived monotime.Micros
 	lastPing     monotime.Micros
-	failure      attemptoutcome.SharedFailure
-	failing      bool // attempts are being ended because the connection fails
+	failure      attemptoutcome.SharedFailure // tells whether a failure of the connection was already counted
+	failing      bool                         // attempts are being ended because the connection fails
 	closed       bool
 }
 
@@ -164,8 +163,9 @@
 	}
 }
 
-// fail closes the connection and ends all attempts on it with status. graceful reports whether the connection ended
-// with EOF or DISCONNECT.
+// fail closes the connection because of a failure with the outcome status. Attempts that wait for the connection end
+// with this outcome, or with ConnectFailed in place of Reset, as nothing was written for them; those with a channel end
+// as if the server had closed the channel. graceful reports whether the connection ended with EOF or DISCONNECT.
 func (c *muxUpstreamConn) fail(status outcome.Status, graceful bool) {
 	if c.closed {
 		return
@@ -197,7 +197,8 @@
 	return waiting
 }
 
-// releaseAttempt removes an attempt that is ending from the connection, and records whether its failure is shared.
+// releaseAttempt removes an attempt that is ending from the connection, and records whether a failure of the connection
+// was already counted with another attempt.
 func (c *muxUpstreamConn) releaseAttempt(a *attempt) {
 	delete(c.attempts, a)
 	c.proxy.upstreams.pool.Release(c.proxy.loop.Now(), c.id)
