--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// hollowMembersCmd is the command that a scale run starts processes of hollow members with; see package scale.
-type hollowMembersCmd struct{}
+// stubMembersCmd is the command that a scale run starts processes of hollow members with; see package scale.
+type stubMembersCmd struct{}
 
 // Run runs hollow members, controlled by commands on standard input.
-func (hollowMembersCmd) Run(s *streams) error { return scale.RunStubMembers(os.Stdin, s.out) }
+func (stubMembersCmd) Run(s *streams) error { return scale.RunStubMembers(os.Stdin, s.out) }
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -297,7 +297,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ring, err := tokenRing(&s.Resume.Keys)
+	ring, err := tokenKeyring(&s.Resume.Keys)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal([]byte(reply), &report); err != nil {
 		return fmt.Errorf("decode the member report from %s: %w", c.Mgmt, err)
 	}
-	if report.Degraded {
+	if report.Unhealthy {
 		_, _ = fmt.Fprintln(s.out, "this member's view is unreliable: it was paused, or receives nothing")
 	}
 	if err := report.printMembers(s.out); err != nil {
--- a/cmd/spurspread/membersreport.go
+++ b/cmd/spurspread/membersreport.go
@@ -13,11 +13,11 @@
 // membersReport is the reply to the admin command MEMBERS: the fleet as one member sees it. The first of Members is
 // that member itself. Times are ages in milliseconds; 0 if the time is unknown.
 type membersReport struct {
-	Degraded bool           `json:"doubts"`  // this member's own view is unreliable at present
-	Divisor  float64        `json:"divisor"` // of the rates that the whole fleet shares
-	Members  []memberReport `json:"members"`
-	Counts   peer.Counts    `json:"counts"`
-	Rack     string         `json:"rack,omitempty"`
+	Unhealthy bool           `json:"doubts"`  // this member's own view is unreliable at present
+	Divisor   float64        `json:"divisor"` // of the rates that the whole fleet shares
+	Members   []memberReport `json:"members"`
+	Counts    peer.Counts    `json:"counts"`
+	Rack      string         `json:"rack,omitempty"`
 	*ZonesReport
 }
 
@@ -69,7 +69,7 @@
 func (f *fleetMember) report() membersReport {
 	now := time.Now()
 	report := membersReport{
-		Degraded:    f.host.Unhealthy(),
+		Unhealthy:   f.host.Unhealthy(),
 		Divisor:     f.host.RateDivisor(),
 		Counts:      f.host.Counts(),
 		Rack:        f.rack,
--- a/cmd/spurspread/siteconfig.go
+++ b/cmd/spurspread/siteconfig.go
@@ -14,7 +14,7 @@
 	if r == nil {
 		return nil, nil
 	}
-	ring, err := tokenRing(&r.Keys)
+	ring, err := tokenKeyring(&r.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -23,16 +23,16 @@
 		TokenLifetime: r.Lifetime.Std().Milliseconds(),
 		ClockSkew:     r.Skew.Std().Milliseconds(),
 		MaxClaims:     r.MaxClaims,
-		DrainSpread:   eventloop.Micros(r.MoveSpread.Micros()),
+		DrainSpread:   eventloop.Micros(r.DrainSpread.Micros()),
 	}, nil
 }
 
-func tokenRing(keys *siteconfig.Keys) (*token.KeyRing, error) {
+func tokenKeyring(keys *siteconfig.Keys) (*token.Keyring, error) {
 	var ring []token.Key
 	for _, key := range keys.Key {
 		ring = append(ring, token.Key{Secret: key.Secret, Primary: key.IsPrimary()})
 	}
-	return token.NewKeyRing(ring)
+	return token.NewKeyring(ring)
 }
 
 // channelsConfig returns the proxy's configuration of multiplexed channels, or nil if they are off.
@@ -64,6 +64,6 @@
 		ConnectionsPerServer:  pool.ConnectionsPerServer,
 		Connections:           pool.MaxConnections,
 		IdleTimeout:           eventloop.Micros(pool.Idle.Micros()),
-		PlainTTL:              eventloop.Micros(pool.PlainOnlyTTL.Micros()),
+		PlainTTL:              eventloop.Micros(pool.PlainTTL.Micros()),
 	}
 }
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -43,7 +43,7 @@
 	if site.Resume == nil {
 		return fmt.Errorf("%s has no element <resume>, so it names no keys", c.Site)
 	}
-	ring, err := tokenRing(&site.Resume.Keys)
+	ring, err := tokenKeyring(&site.Resume.Keys)
 	if err != nil {
 		return err
 	}
--- a/internal/peer/packet/keyring.go
+++ b/internal/peer/packet/keyring.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	keyIDSize = 4
+	fingerprintSize = 4
 	// Overhead is the number of bytes by which an encrypted datagram is longer than its content.
-	Overhead = keyIDSize + chacha20poly1305.NonceSizeX + chacha20poly1305.Overhead
+	Overhead = fingerprintSize + chacha20poly1305.NonceSizeX + chacha20poly1305.Overhead
 )
 
 // Errors of NewKeyring.
@@ -40,8 +40,8 @@
 }
 
 type keyringEntry struct {
-	id   [keyIDSize]byte
-	aead cipher.AEAD
+	fingerprint [fingerprintSize]byte
+	aead        cipher.AEAD
 }
 
 // NewKeyring returns a keyring of the given keys, or an error that wraps ErrDuplicateKey or ErrPrimaryKey.
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.find(entry.id) != nil {
+		if r.find(entry.fingerprint) != nil {
 			return nil, fmt.Errorf("%w: key %d of %d", ErrDuplicateKey, i+1, len(keys))
 		}
 		r.keys = append(r.keys, entry)
@@ -77,13 +77,13 @@
 		return keyringEntry{}, fmt.Errorf("packet: %w", err)
 	}
 	hash := sha256.Sum256(key.Secret[:])
-	return keyringEntry{id: [keyIDSize]byte(hash[:]), aead: aead}, nil
+	return keyringEntry{fingerprint: [fingerprintSize]byte(hash[:]), aead: aead}, nil
 }
 
 // find returns the key with the given ID, nil if there is none.
-func (r *Keyring) find(id [keyIDSize]byte) *keyringEntry {
+func (r *Keyring) find(fingerprint [fingerprintSize]byte) *keyringEntry {
 	for i := range r.keys {
-		if r.keys[i].id == id {
+		if r.keys[i].fingerprint == fingerprint {
 			return &r.keys[i]
 		}
 	}
@@ -94,11 +94,11 @@
 func (r *Keyring) Seal(dst, plaintext []byte) []byte {
 	key := &r.keys[r.primary]
 	start := len(dst)
-	dst = append(dst, key.id[:]...)
+	dst = append(dst, key.fingerprint[:]...)
 	dst = append(dst, make([]byte, chacha20poly1305.NonceSizeX)...)
-	nonce := dst[start+keyIDSize:]
+	nonce := dst[start+fingerprintSize:]
 	_, _ = rand.Read(nonce) // never fails
-	return key.aead.Seal(dst, nonce, plaintext, dst[start:start+keyIDSize])
+	return key.aead.Seal(dst, nonce, plaintext, dst[start:start+fingerprintSize])
 }
 
 // Open decrypts a datagram and returns its content, which is valid until the next call. It returns ErrMalformed,
@@ -107,13 +107,13 @@
 	if len(datagram) <= Overhead || len(datagram) > MaxPlaintext+Overhead {
 		return nil, ErrMalformed
 	}
-	id, rest := datagram[:keyIDSize], datagram[keyIDSize:]
-	key := r.find([keyIDSize]byte(id))
+	fingerprint, rest := datagram[:fingerprintSize], datagram[fingerprintSize:]
+	key := r.find([fingerprintSize]byte(fingerprint))
 	if key == nil {
 		return nil, ErrUnknownKey
 	}
 	nonce, sealed := rest[:chacha20poly1305.NonceSizeX], rest[chacha20poly1305.NonceSizeX:]
-	plaintext, err := key.aead.Open(r.buf[:0], nonce, sealed, id)
+	plaintext, err := key.aead.Open(r.buf[:0], nonce, sealed, fingerprint)
 	if err != nil {
 		return nil, ErrForged
 	}
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -24,7 +24,7 @@
 // tokens.
 type ResumeConfig struct {
 	// KeyRing holds the keys that seal tokens; all balancers of the deployment share them.
-	KeyRing *token.KeyRing
+	KeyRing *token.Keyring
 	// TokenLifetime is the validity period of a token, in milliseconds.
 	TokenLifetime int64
 	// ClockSkew is the tolerated difference between clocks, in milliseconds. A larger value accepts tokens for longer.
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -16,9 +16,9 @@
 	return k
 }
 
-func ringWith(t *testing.T, keys ...token.Key) *token.KeyRing {
+func ringWith(t *testing.T, keys ...token.Key) *token.Keyring {
 	t.Helper()
-	r, err := token.NewKeyRing(keys)
+	r, err := token.NewKeyring(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 }
 
 // seal makes a token as a balancer would, changed by a test.
-func (g *harness) seal(ring *token.KeyRing, change func(*token.Token)) string {
+func (g *harness) seal(ring *token.Keyring, change func(*token.Token)) string {
 	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
 	g.inLoop(func() { t.IssuedAt = int64(g.loop.Now() / monotime.Millisecond) })
 	t.ExpiresAt = t.IssuedAt + 60_000
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -103,9 +103,9 @@
 	// MaxClaims bounds the tokens that are remembered, about 150 bytes each, by default 16,384. Once it is reached, new
 	// tokens are rejected.
 	MaxClaims int `xml:"claims,attr" default:"16384" min:"64" max:"1048576" doc:"tokens remembered at once, some 150 bytes each; at the bound new ones are refused"`
-	// MoveSpread is the period over which the moves off a draining server are spread, by default 1.5 s. A longer period
+	// DrainSpread is the period over which the moves off a draining server are spread, by default 1.5 s. A longer period
 	// spreads the load of the moves, but must end before the server stops.
-	MoveSpread xmlconfig.Duration `xml:"spread,attr" default:"1500ms" min:"100ms" max:"2200ms" doc:"over how long the moves off a draining node are spread"`
+	DrainSpread xmlconfig.Duration `xml:"spread,attr" default:"1500ms" min:"100ms" max:"2200ms" doc:"over how long the moves off a draining node are spread"`
 	// Keys seal tokens. Balancers and servers need the same keys.
 	Keys Keys `xml:"keys" doc:"what seals tokens; balancers and nodes have the same"`
 }
@@ -145,9 +145,9 @@
 	MaxConnections int `xml:"all,attr" default:"256" min:"1" max:"4096" doc:"trunks of one balancer"`
 	// Idle is the time after which a connection without channels is closed, by default 10 s.
 	Idle xmlconfig.Duration `xml:"idle,attr" default:"10s" min:"100ms" max:"10m" doc:"without a channel, until a trunk is closed"`
-	// PlainOnlyTTL is the time for which a server that does not support channels is remembered, by default 10 min. With
+	// PlainTTL is the time for which a server that does not support channels is remembered, by default 10 min. With
 	// a shorter time an upgraded server is noticed earlier, but each check costs an attempt.
-	PlainOnlyTTL xmlconfig.Duration `xml:"plain,attr" default:"10m" min:"1s" max:"24h" doc:"so long it is remembered that a node speaks plain lines only"`
+	PlainTTL xmlconfig.Duration `xml:"plain,attr" default:"10m" min:"1s" max:"24h" doc:"so long it is remembered that a node speaks plain lines only"`
 }
 
 // DefaultUpstreamPool returns the limits that apply if a site file gives none.
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -55,7 +55,7 @@
 // ID identifies a token. It is the first bytes of the nonce.
 type ID [16]byte
 
-// Token is the content of a token. After KeyRing.Open, Class and Server point into the ring's buffer.
+// Token is the content of a token. After Keyring.Open, Class and Server point into the ring's buffer.
 type Token struct {
 	ID            ID
 	IssuedAt      int64  // Unix time in milliseconds
@@ -70,15 +70,15 @@
 	Server        []byte // id of the only server that may accept the token
 }
 
-// Key is one key of a KeyRing.
+// Key is one key of a Keyring.
 type Key struct {
 	Secret  [chacha20poly1305.KeySize]byte
 	Primary bool // new tokens are sealed with it; other keys only open tokens
 }
 
-// KeyRing seals tokens with its primary key and opens tokens sealed with any of its keys. It is not safe for concurrent
+// Keyring seals tokens with its primary key and opens tokens sealed with any of its keys. It is not safe for concurrent
 // use.
-type KeyRing struct {
+type Keyring struct {
 	keys    []ringKey
 	primary int            // index of the primary key
 	buf     [maxBytes]byte // decoded text of the last call of Open
@@ -89,9 +89,9 @@
 	aead        cipher.AEAD
 }
 
-// NewKeyRing returns a ring of keys. It fails unless exactly one key is primary and all keys differ.
-func NewKeyRing(keys []Key) (*KeyRing, error) {
-	r := &KeyRing{primary: -1}
+// NewKeyring returns a ring of keys. It fails unless exactly one key is primary and all keys differ.
+func NewKeyring(keys []Key) (*Keyring, error) {
+	r := &Keyring{primary: -1}
 	for i, k := range keys {
 		aead, err := chacha20poly1305.NewX(k.Secret[:])
 		if err != nil {
@@ -116,7 +116,7 @@
 	return r, nil
 }
 
-func (r *KeyRing) find(fingerprint []byte) cipher.AEAD {
+func (r *Keyring) find(fingerprint []byte) cipher.AEAD {
 	for i := range r.keys {
 		if string(r.keys[i].fingerprint[:]) == string(fingerprint) {
 			return r.keys[i].aead
@@ -127,7 +127,7 @@
 
 // Seal appends the text of t to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which callers
 // must check.
-func (r *KeyRing) Seal(dst []byte, t *Token) []byte {
+func (r *Keyring) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
 	copy(raw[1:], r.keys[r.primary].fingerprint[:])
@@ -174,7 +174,7 @@
 
 // Open decrypts a token's text into t. The slices of t are valid until the next call of Open. After an error, which is
 // ErrMalformed, ErrUnknownKey or ErrForged, t is undefined.
-func (r *KeyRing) Open(text []byte, t *Token) error {
+func (r *Keyring) Open(text []byte, t *Token) error {
 	// Check before decoding, because the decoder ignores line ends and allocates memory for its errors.
 	if len(text) > MaxText || len(text)%4 != 0 {
 		return ErrMalformed
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -19,9 +19,9 @@
 	return k
 }
 
-func newKeyRing(t testing.TB, keys ...Key) *KeyRing {
+func newKeyring(t testing.TB, keys ...Key) *Keyring {
 	t.Helper()
-	r, err := NewKeyRing(keys)
+	r, err := NewKeyring(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 
 // Opening a sealed token returns the same content, and its text is at most MaxText long.
 func TestSealOpen(t *testing.T) {
-	r := newKeyRing(t, Key{repeatedSecret(1), true})
+	r := newKeyring(t, Key{repeatedSecret(1), true})
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SliceOfN(rapid.Byte(), 0, MaxName)
 		n := rapid.Uint64()
@@ -86,7 +86,7 @@
 	}
 	text := base64.RawURLEncoding.EncodeToString(aead.Seal(raw, raw[5:29], body, raw))
 	var got Token
-	if err := newKeyRing(t, Key{key, true}).Open([]byte(text), &got); err != nil {
+	if err := newKeyring(t, Key{key, true}).Open([]byte(text), &got); err != nil {
 		t.Fatal(err)
 	}
 	want := sampleToken()
@@ -99,11 +99,11 @@
 // Any text other than a sealed one is rejected with the right error, and without an allocation.
 func TestRejected(t *testing.T) {
 	previous, current := Key{repeatedSecret(1), false}, Key{repeatedSecret(2), true}
-	r := newKeyRing(t, previous, current)
+	r := newKeyring(t, previous, current)
 	tok := sampleToken()
 	good := r.Seal(nil, &tok)
 	previous.Primary = true
-	older := newKeyRing(t, previous).Seal(nil, &tok)
+	older := newKeyring(t, previous).Seal(nil, &tok)
 	var out Token
 	if err := r.Open(older, &out); err != nil {
 		t.Errorf("sealed with the previous key: %v", err)
@@ -131,7 +131,7 @@
 		"cut by four":       {good[:len(good)-4], ErrForged},
 		"cut by one":        {good[:len(good)-1], ErrMalformed},
 		"longer":            {append(bytes.Clone(good), "AAAA"...), ErrForged},
-		"of a removed key":  {newKeyRing(t, Key{repeatedSecret(9), true}).Seal(nil, &tok), ErrUnknownKey},
+		"of a removed key":  {newKeyring(t, Key{repeatedSecret(9), true}).Seal(nil, &tok), ErrUnknownKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := r.Open(c.text, &out); !errors.Is(err, c.want) {
@@ -151,7 +151,7 @@
 		"two primary keys":   {{repeatedSecret(1), true}, {repeatedSecret(2), true}},
 		"the same key twice": {{repeatedSecret(1), true}, {repeatedSecret(1), false}},
 	} {
-		if _, err := NewKeyRing(keys); err == nil {
+		if _, err := NewKeyring(keys); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -160,7 +160,7 @@
 // Only sealed texts open. A text that opens but is not among those sealed here, such as one from another fuzzing
 // process, must hold the same token.
 func FuzzOpen(f *testing.F) {
-	r := newKeyRing(f, Key{repeatedSecret(1), true})
+	r := newKeyring(f, Key{repeatedSecret(1), true})
 	tok := sampleToken()
 	f.Add(r.Seal(nil, &tok))
 	f.Add([]byte("AQAA"))
@@ -196,7 +196,7 @@
 }
 
 func BenchmarkSeal(b *testing.B) {
-	r, tok := newKeyRing(b, Key{repeatedSecret(1), true}), sampleToken()
+	r, tok := newKeyring(b, Key{repeatedSecret(1), true}), sampleToken()
 	dst := make([]byte, 0, MaxText)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -205,7 +205,7 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	r, tok := newKeyRing(b, Key{repeatedSecret(2), false}, Key{repeatedSecret(1), true}), sampleToken()
+	r, tok := newKeyring(b, Key{repeatedSecret(2), false}, Key{repeatedSecret(1), true}), sampleToken()
 	text := r.Seal(nil, &tok)
 	var out Token
 	b.ReportAllocs()
@@ -217,7 +217,7 @@
 }
 
 func BenchmarkRefuse(b *testing.B) {
-	r, tok := newKeyRing(b, Key{repeatedSecret(1), true}), sampleToken()
+	r, tok := newKeyring(b, Key{repeatedSecret(1), true}), sampleToken()
 	text := r.Seal(nil, &tok)
 	text[60] ^= 1
 	var out Token
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -67,7 +67,7 @@
 type Node struct {
 	cfg      Config
 	listener net.Listener
-	ring     *token.KeyRing // nil: it accepts no tokens
+	ring     *token.Keyring // nil: it accepts no tokens
 	session  *store.Client
 	started  resume.UnixMillis
 	running  barrier.Barrier // shut while the node hangs
@@ -106,7 +106,7 @@
 	n.started = unixMillis(now)
 	n.registry = resume.NewRegistry(cfg.ID, n.started, clockSkew, maxClaims)
 	if len(cfg.Keys) > 0 {
-		if n.ring, err = token.NewKeyRing(cfg.Keys); err != nil {
+		if n.ring, err = token.NewKeyring(cfg.Keys); err != nil {
 			_ = ln.Close()
 			return nil, err
 		}
