--- a/cmd/spurspread-lab/run.go
+++ b/cmd/spurspread-lab/run.go
@@ -67,7 +67,7 @@
 	Out        string `placeholder:"DIR" help:"Write the reports to this directory: JSON, CSV and charts."`
 	Spurspread string `placeholder:"FILE" help:"The balancer program; by default the one beside this program."`
 	Quiet      bool   `help:"Do not print progress."`
-	Fault      string `name:"plant" enum:",forget-claims,skip-message,repeat-message,no-delegate,every-delegate,wrong-summary" default:"" placeholder:"FAULT" help:"Inject a fault, to test that the checks detect it. In nodes: forget-claims, skip-message or repeat-message. In hollow members of scale runs: no-delegate, every-delegate or wrong-summary."`
+	Fault      string `name:"plant" enum:",forget-claims,skip-message,repeat-message,no-delegate,every-delegate,wrong-summary" default:"" placeholder:"FAULT" help:"Inject a fault, to test that the checks detect it. In nodes: forget-claims, skip-message or repeat-message. In stub members of scale runs: no-delegate, every-delegate or wrong-summary."`
 	scaleFlags `group:"Scale runs (scale-...)"`
 }
 
--- a/cmd/spurspread-lab/scale.go
+++ b/cmd/spurspread-lab/scale.go
@@ -18,8 +18,8 @@
 	return []scale.Experiment{scale.Rest, scale.Region, connectionsRun}
 }
 
-// connectionsRun is the scale run of one balancer with many connections. It ignores the flags, which are about a fleet;
-// its package does not import package scale.
+// connectionsRun is the scale run of one balancer with many connections. It ignores the flags, which are about a fleet.
+// It is defined here because package connections does not import package scale.
 var connectionsRun = scale.Experiment{
 	Name: connections.Name, About: connections.About,
 	Execute: func(ctx context.Context, o scale.Options) (*report.Report, error) {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// applyTo sets the flags of the experiment e if it is a scale run. It returns an error if e is none but flags are
-// given, if the fault can't be injected in experiments of its kind, or if a flag's value is out of range.
+// applyTo sets the flags of the experiment e if it is a scale run. It returns an error if flags are given for any other
+// experiment, if the fault can't be injected in experiments of its kind, or if a flag's value is out of range.
 func (f scaleFlags) applyTo(e runner, name, fault string) error {
 	isScaleFault := slices.Contains(scale.InjectedFaults, scale.InjectedFault(fault))
 	s, isScaleRun := e.(*scaleRun)
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// stubMembersCmd is the command that a scale run starts processes of hollow members with; see package scale.
+// stubMembersCmd runs the stub members of a scale run, which starts such processes itself; see package scale.
 type stubMembersCmd struct{}
 
-// Run runs hollow members, controlled by commands on standard input.
+// Run runs stub members, controlled by commands on standard input.
 func (stubMembersCmd) Run(s *streams) error { return scale.RunStubMembers(os.Stdin, s.out) }
--- a/cmd/spurspread-lab/virtual.go
+++ b/cmd/spurspread-lab/virtual.go
@@ -99,7 +99,7 @@
 	return simulation.WithFault(c.Fault, build), nil
 }
 
-// detectorBuilder creates the failure detector of member i of a cluster, for the start of this number.
+// detectorBuilder creates the failure detector of member i of a cluster at its start-th start, counted from 1.
 type detectorBuilder = func(w *simulation.Cluster, i, start int) simulation.Detector
 
 // runRepeats runs one script with each seed, at most Jobs at the same time. log may be nil.
@@ -142,7 +142,7 @@
 	return broken
 }
 
-// summary returns a line about all runs of a script.
+// summary returns a line about all runs of a script. The hash is that of the events of the first run.
 func summary(script string, results []*scenario.Result) string {
 	var bytes, detections []float64
 	for _, r := range results {
--- a/cmd/spurspread-sim/host.go
+++ b/cmd/spurspread-sim/host.go
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// start creates a balancer for the instance. Actions of an earlier balancer that are not yet in the reply are dropped.
+// start creates a balancer for the instance. Actions that an earlier balancer of the instance has returned in this
+// batch are dropped, if they are not yet in the reply.
 func (h *host) start(instance uint16, now decision.Micros, record simwire.Record) error {
 	s, err := settings.ParseText(record.SettingsText)
 	if err != nil {
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// stop removes the instance's balancer. Its actions that are not yet in the reply are dropped.
+// stop removes the instance's balancer. Actions that it has returned in this batch are dropped, if they are not yet in
+// the reply.
 func (h *host) stop(instance uint16) {
 	delete(h.balancers, instance)
 	h.actions = h.actions[:0]
--- a/cmd/spurspread/config.go
+++ b/cmd/spurspread/config.go
@@ -39,13 +39,13 @@
 	member  *peer.Config     // nil if membership is off
 }
 
-// processConfig holds the limits of the process (0: unlimited), its admin address, and its name on the platform.
+// processConfig holds the limits of the process, its admin address, and its name on the platform.
 type processConfig struct {
-	cores     float64
-	memoryMB  int64
-	sockets   int
+	cores     float64        // CPU cores to use, rounded down but at least 1; 0 means 1
+	memoryMB  int64          // 0: unlimited
+	sockets   int            // 0: unlimited
 	adminAddr netip.AddrPort // invalid without an admin listener
-	name      string
+	name      string         // "" if the platform gives none
 }
 
 // environmentMemoryLimit is the Go runtime's memory limit at the start of the process, in bytes: that of GOMEMLIMIT.
--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -37,7 +37,7 @@
 	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"Format of log lines: text or json."`
 }
 
-// streams are the environment variables, output streams and log format of a command.
+// streams holds what a command gets from its surroundings: the streams variables, where to write, and the log format.
 type streams struct {
 	getenv   func(string) string
 	out, err io.Writer
@@ -91,11 +91,11 @@
 func (versionCmd) Run(s *streams) error {
 	revision, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, set := range info.Settings {
+		for _, setting := range info.Settings {
 			switch {
-			case set.Key == "vcs.revision":
-				revision = set.Value
-			case set.Key == "vcs.modified" && set.Value == "true":
+			case setting.Key == "vcs.revision":
+				revision = setting.Value
+			case setting.Key == "vcs.modified" && setting.Value == "true":
 				changed = ", changed since"
 			}
 		}
--- a/cmd/spurspread/member.go
+++ b/cmd/spurspread/member.go
@@ -16,7 +16,8 @@
 	"spurspread/internal/siteconfig"
 )
 
-// joinSettleTime is the time in which a new member has usually found the others.
+// joinSettleTime is the time in which a new member has usually found the others. After it, memory that only the start
+// needed is released.
 const joinSettleTime = 5 * time.Second
 
 // fleetMember is this process as a member of the fleet of balancers. In a process without membership it is nil; all
@@ -70,7 +71,7 @@
 }
 
 // rotateKeys applies the keys of a reloaded site file. All other membership settings stay as they were at the start of
-// the process.
+// the process. cfg is nil if the file turns membership off; then the keys stay as well, until the process is restarted.
 func (f *fleetMember) rotateKeys(cfg *peer.Config) {
 	if f != nil && cfg != nil {
 		f.host.SetKeyring(cfg.Keyring)
--- a/cmd/spurspread/memberconfig.go
+++ b/cmd/spurspread/memberconfig.go
@@ -20,6 +20,7 @@
 		return nil, nil
 	}
 	cfg := &peer.Config{Name: cmp.Or(string(fleet.Member), name), RandomSeed: seed}
+	// The site file and the platform allow longer names than a datagram has room for.
 	if cfg.Name == "" || len(cfg.Name) > packet.MaxName {
 		return nil, fmt.Errorf("fleet: member name %q does not have 1 to %d characters",
 			cfg.Name, packet.MaxName)
@@ -51,7 +52,8 @@
 	return packet.NewKeyring(ring)
 }
 
-// memberAddress parses an address of the site file. An error begins with label, which names the attribute.
+// memberAddress parses an address of the site file. label precedes the address in an error: the name of the attribute
+// and a blank, or "".
 func memberAddress(label string, text xmlconfig.Address) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(string(text))
 	if err != nil {
--- a/cmd/spurspread/membersreport.go
+++ b/cmd/spurspread/membersreport.go
@@ -11,10 +11,10 @@
 )
 
 // membersReport is the reply to the admin command MEMBERS: the fleet as one member sees it. The first of Members is
-// that member itself. Times are ages in milliseconds; 0 if the time is unknown.
+// that member itself. SinceMillis and LastReceivedMillis are ages in milliseconds; 0 if the time is unknown.
 type membersReport struct {
 	Unhealthy bool           `json:"doubts"`  // this member's own view is unreliable at present
-	Divisor   float64        `json:"divisor"` // of the rates that the whole fleet shares
+	Divisor   float64        `json:"divisor"` // a budget of the whole fleet, divided by it, is this member's share
 	Members   []memberReport `json:"members"`
 	Counts    peer.Counts    `json:"counts"`
 	Rack      string         `json:"rack,omitempty"`
@@ -95,7 +95,8 @@
 	}
 }
 
-// ageMillis returns how long before now a time of the event loop was, in milliseconds; 0 if at is not set.
+// ageMillis returns how long before now a time of the event loop was, in milliseconds; 0 if at is not set. The event
+// loop's clock starts at the wall time, so the two can be compared.
 func ageMillis(at monotime.Micros, now time.Time) int64 {
 	if at <= 0 {
 		return 0
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -113,8 +113,8 @@
 	if p.proxy, err = proxy.New(p.loop, cfg.proxy, p.log); err != nil {
 		return err
 	}
-	// The files are named after the bound address: with port 0 in the configuration, several balancers may have the
-	// same configured one.
+	// The files are named after the bound address, not the configured one: several balancers may be configured with
+	// the same address and port 0.
 	p.listenAddr = p.proxy.Addr()
 	p.setRestartPaths()
 	p.lists.start(p.listenAddr)
--- a/cmd/spurspread/signals.go
+++ b/cmd/spurspread/signals.go
@@ -92,7 +92,8 @@
 	})
 }
 
-// reload reads both files again and applies them; if either is invalid, nothing changes.
+// reload reads both files again and applies what can change while the process serves: the memory limit, the settings of
+// the proxy (see proxy.Proxy.Reload) and the keys of membership. If either file is invalid, nothing changes.
 func (p *balancerProcess) reload() {
 	cfg, err := p.command.load(p.getenv)
 	if err != nil {
--- a/internal/channel/message.go
+++ b/internal/channel/message.go
@@ -45,12 +45,12 @@
 	TooManyConnections  uint32 = 12
 )
 
-// Names of the service, channel types and requests that are used.
+// Names that messages of these types carry.
 const (
-	Service   = "ssh-connection"
-	Stream    = "stream@spurspread"
-	Move      = "move@spurspread"
-	Keepalive = "keepalive@spurspread"
+	Service   = "ssh-connection"       // ServiceRequest, ServiceAccept: the only service
+	Stream    = "stream@spurspread"    // Open: the only channel type
+	Move      = "move@spurspread"      // Request: asks the recipient to move the stream elsewhere
+	Keepalive = "keepalive@spurspread" // GlobalRequest: a probe of an idle connection
 )
 
 // Message is a message of any type. Each field is used by the types that its comment names. The slices of a parsed
@@ -59,12 +59,12 @@
 	Type      Type
 	Channel   uint32 // the channel's number at the recipient; for Open, at the sender
 	Sender    uint32 // OpenConfirm: the channel's number at the sender
-	Window    uint32 // Open, OpenConfirm: the initial window; WindowAdjust: bytes to add
-	MaxPacket uint32 // Open, OpenConfirm: the most data that the sender accepts in one message
+	Window    uint32 // Open, OpenConfirm: the initial window in bytes; WindowAdjust: bytes to add
+	MaxPacket uint32 // Open, OpenConfirm: the most bytes of data that the sender accepts in one message
 	Code      uint32 // Disconnect, OpenFailure: reason; ExtendedData: kind; Unimplemented: sequence number
 	Name      []byte // ServiceRequest, ServiceAccept, GlobalRequest, Request, Open: the name
 	// Data, ExtendedData: the data; Open, OpenConfirm, Request, GlobalRequest, RequestSuccess: data specific to the
-	// type; OpenFailure, Disconnect: the description
+	// type; OpenFailure, Disconnect: the description; Ignore, Debug: the text, which Append writes and Parse skips
 	Data      []byte
 	WantReply bool // GlobalRequest, Request
 }
--- a/internal/channel/packet.go
+++ b/internal/channel/packet.go
@@ -46,6 +46,7 @@
 		return nil, 0, nil
 	}
 	text = bytes.TrimSuffix(buf[:end], []byte("\r"))
+	// 9 characters are "SSH-2.0-" and a software version of at least one character.
 	if !bytes.HasPrefix(text, []byte("SSH-2.0-")) && !bytes.HasPrefix(text, []byte("SSH-1.99-")) || len(text) < 9 {
 		return nil, end + 1, ErrIdent
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -31,7 +31,8 @@
 type Watcher interface {
 	// ListUpdated reports an update, after it has been applied to the server list.
 	ListUpdated(update Update)
-	// Failed reports that a call has failed or that the watch has ended, with the reason.
+	// Failed reports that a call has failed or that the watch has ended, with the reason. It is not called for a watch
+	// that the client itself retries or that another watch is about to replace.
 	Failed(reason error)
 	// WatchStateChanged reports a change of the subscription's state. reason is the failure that caused it, or nil. It
 	// is called before ListUpdated or Failed of the same event, and may call only the Client's Status method.
@@ -44,13 +45,13 @@
 	addr       netip.AddrPort
 	list       *ServerList
 	watcher    Watcher
-	generation uint64 // version of the list, assigned by the discovery service that published it
+	generation uint64 // version of the list, assigned by the discovery service that published it; 0: no list yet
 
 	watch        *call // the established watch; nil if there is none
 	pendingWatch *call // a watch that has not received its first object; nil if there is none
 
-	// addressChanged is true from a change of address until the first object arrives from the new one. Until then the
-	// list, its generation and the established watch are those of the previous address.
+	// addressChanged is true from a change of address until a watch at the new one has received its first object. Until
+	// then the list, its generation and the established watch are those of the previous address.
 	addressChanged bool
 	retryUntil     eventloop.Micros // end of the addressChangeWindow
 	retryTimer     eventloop.Ref
@@ -115,8 +116,8 @@
 // Watching reports whether a watch is established, pending or scheduled for a retry.
 func (d *Client) Watching() bool { return d.watch != nil || d.pendingWatch != nil || d.retryTimer != 0 }
 
-// ChangeAddress starts a watch at another address. The list, and the watch at the old address unless it ends, are kept
-// until the full list has arrived from the new address.
+// ChangeAddress starts a watch at another address. Until the full list has arrived from there, the client keeps the
+// list that it has, and does not close the watch at the old address.
 func (d *Client) ChangeAddress(addr netip.AddrPort) {
 	d.addr = addr
 	d.addressChanged = true
--- a/internal/discovery/json.go
+++ b/internal/discovery/json.go
@@ -85,11 +85,11 @@
 	lifecycle := item.Get("lifecycle").String()
 	state, known := parseLifecycle(lifecycle)
 	if !known {
-		return Server{}, malformedList("lifecycle %.40q", lifecycle)
+		return Server{}, malformedList("unknown lifecycle %.40q", lifecycle)
 	}
 	started := item.Get("startedAtMs").Int()
 	if started < 0 {
-		return Server{}, malformedList("startedAtMs %d", started)
+		return Server{}, malformedList("negative startedAtMs %d", started)
 	}
 	addr, err := netip.ParseAddrPort(item.Get("hostPort").String())
 	if err != nil {
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -141,7 +141,7 @@
 	statusLine, fields, _ := strings.Cut(text, "\r\n")
 	words := strings.SplitN(statusLine, " ", 3)
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") {
-		return malformed("status line %.40q", statusLine)
+		return malformed("invalid status line %.40q", statusLine)
 	}
 	if words[1] != "200" {
 		return fmt.Errorf("%w: status %.40q", ErrStatus, words[1])
@@ -165,13 +165,13 @@
 	switch name {
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return malformed("transfer encoding %.40q", value)
+			return malformed("unsupported transfer encoding %.40q", value)
 		}
 		r.state = stateChunkSize
 	case "content-length":
 		length, err := strconv.Atoi(value)
 		if err != nil || length < 0 || length > maxObjectBytes {
-			return malformed("content length %.40q", value)
+			return malformed("invalid or too large content length %.40q", value)
 		}
 		r.remaining = length
 	}
@@ -189,7 +189,7 @@
 	size, _, _ := strings.Cut(text, ";")
 	length, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 	if err != nil || length > maxObjectBytes {
-		return malformed("chunk size %.40q", size)
+		return malformed("invalid or too large chunk size %.40q", size)
 	}
 	r.state = stateChunk
 	r.remaining = int(length)
--- a/internal/discovery/serverlist.go
+++ b/internal/discovery/serverlist.go
@@ -19,10 +19,10 @@
 	Addr          netip.AddrPort // not valid if the published address could not be parsed
 	Zone          string
 	MachineType   string
-	Cell          uint64
+	Cell          uint64 // see decision.ScopeCell
 	State         ServerState
-	Weight        float64
-	StartedMillis int64 // start time, Unix milliseconds; 0 means long ago
+	Weight        float64 // relative capacity; 0 if not listed
+	StartedMillis int64   // start time, Unix milliseconds; 0 means long ago
 }
 
 // Update is one update of the list.
--- a/internal/discovery/status.go
+++ b/internal/discovery/status.go
@@ -2,9 +2,10 @@
 
 import "spurspread/internal/eventloop"
 
-// WatchState is the state of a Client's subscription. A new watch leads from WatchSubscribing to WatchEstablished, or,
-// while another one is established, from WatchRenewing to WatchEstablished. If a watch fails, the state is determined
-// by the remaining one, if any.
+// WatchState is the state of a Client's subscription, which lasts from Watch to StopWatching or to a failure that is
+// not retried, and may use several watches one after another. A new watch leads from WatchSubscribing to
+// WatchEstablished, or, while another one is established, from WatchRenewing to WatchEstablished. If a watch fails, the
+// state is determined by the remaining one, if any.
 type WatchState uint8
 
 // States of a subscription.
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -61,16 +61,16 @@
 // Open holds the arguments of a client's OPEN line. Its slices point into the parsed line, and its offsets refer to it.
 // The comments begin with the argument's name in the line.
 type Open struct {
-	ID                         uint64 // unique for every connection
-	Key                        uint64
-	Group                      uint64  // g
+	ID                         uint64  // unique for every connection
+	Key                        uint64  // the idempotency key
+	Group                      uint64  // g: connections of one group are placed on the same servers
 	Class                      []byte  // c
 	CurrentServer              []byte  // at: id of the server that has the connection already
 	DeadlineMillis             int64   // d: the client's deadline, in milliseconds from now
 	DeadlineStart, DeadlineEnd int     // d: offsets of the value in the line
 	Retry                      bool    // r=1: a retry by the client
 	Reconnected                bool    // again=1: the client reconnects after a break or a move
-	LoadHint                   float64 // h: the connection's usual load
+	LoadHint                   float64 // h: the connection's usual load, in microseconds of work per second
 	HasLoadHint                bool
 	Tenant                     uint64 // owner: 0 if the line names none
 	Token                      []byte // tok: "ask" or a resume token; only from clients that support tokens
@@ -160,7 +160,7 @@
 }
 
 // parseID returns the number for an id or a key: the value of a hexadecimal number, which is the usual form, or the
-// hash of any other word. Ids and keys are only compared, so the hash serves as well.
+// hash of any other word. Ids and keys are only compared for equality, for which a hash is as good.
 func parseID(word []byte) uint64 {
 	if v, err := strconv.ParseUint(string(word), 16, 64); err == nil {
 		return v
@@ -247,7 +247,8 @@
 	return ParseCursor(digits)
 }
 
-// ParseCursor parses the number of a message: at most 19 decimal digits, without leading zeros.
+// ParseCursor parses the number of a message: at most 19 decimal digits, which always fit into 64 bits, without leading
+// zeros.
 func ParseCursor(digits []byte) (uint64, bool) {
 	if len(digits) == 0 || len(digits) > 19 || digits[0] == '0' && len(digits) > 1 {
 		return 0, false
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -64,7 +64,7 @@
 	ReceiveWindowBytes = "receive_window_bytes" // bytes that peers may send, plus buffered bytes from them
 	QueuedBytes        = "queued_bytes"         // bytes that are buffered for clients and servers
 	MuxUpstreamsFailed = "mux_upstreams_failed" // counter: MuxUpstreams that broke or could not be opened
-	CorrelatedFailures = "correlated_failures"  // counter: further attempts that failed with such a connection
+	CorrelatedFailures = "correlated_failures"  // counter: attempts, beyond the first, that such a failure ended
 )
 
 // Fields about the membership of balancers.
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -29,14 +29,15 @@
 	AddressOverrides map[string]netip.AddrPort
 	// Site is this member's region and zone; the zero Site in a fleet without zones.
 	Site zonedirectory.Site
-	// ExpectedMembers is the configured size of the fleet. With zones, it is the initial rate divisor.
+	// ExpectedMembers is the configured size of the fleet: the initial rate divisor in a fleet with zones, not used
+	// without zones.
 	ExpectedMembers int
-	// Rank replaces the ranking of a zone's members by which its delegates are chosen. nil means the ranking of package
-	// zonedirectory; the laboratory sets it to inject a fault.
-	Rank func(of zonedirectory.ID, id zonedirectory.MemberID) uint64
+	// Rank replaces the ranking of a zone's members by which its delegates are chosen: those with the lowest ranks. nil
+	// means the ranking of package zonedirectory; the laboratory sets it to inject a fault.
+	Rank func(zone zonedirectory.ID, id zonedirectory.MemberID) uint64
 	// OnTick, if not nil, is called at each tick with the rate divisor, rounded up, and this member's position in the
-	// fleet (see Host.Position).
-	OnTick func(members, position int)
+	// fleet (see Host.RateDivisor and Host.Position).
+	OnTick func(divisor, position int)
 	// OpenSocket binds a socket and passes each datagram that it receives to receive. nil means a UDP socket on the
 	// event loop; the laboratory replaces it to simulate faulty links.
 	OpenSocket func(addr netip.AddrPort, receive func(from netip.AddrPort, datagram []byte)) (Socket, error)
--- a/internal/peer/counts.go
+++ b/internal/peer/counts.go
@@ -2,15 +2,17 @@
 
 // Counts holds event counts since the start of the process. Scripts depend on the JSON names.
 type Counts struct {
-	Sent      int64 `json:"Sent"`      // datagrams
+	Sent      int64 `json:"Sent"`      // datagrams, without Hellos
 	SentBytes int64 `json:"SentBytes"` // including the encryption overhead
 	// Received counts datagrams whose message was passed to membership or the zone directory.
 	Received int64 `json:"Taken"`
 	// Suppressed counts messages that were not sent because the budget was used up.
 	Suppressed int64 `json:"Saved"`
-	Malformed  int64 `json:"Malformed"`
+	// Malformed counts authentic datagrams whose content is no valid encoding.
+	Malformed int64 `json:"Malformed"`
 	// Forged counts datagrams that can't be decrypted: not authentic, with an unknown key, or of invalid length.
-	Forged   int64 `json:"Forged"`
+	Forged int64 `json:"Forged"`
+	// Replayed counts datagrams that were received before, or are too old to tell.
 	Replayed int64 `json:"Replayed"`
 	// Dropped counts datagrams that were discarded without decryption, because they exceeded the limit per second.
 	Dropped int64 `json:"Lost"`
--- a/internal/peer/host.go
+++ b/internal/peer/host.go
@@ -16,7 +16,8 @@
 	"spurspread/internal/peer/packet"
 )
 
-// instanceSeedBits is the number of low bits of an instance that are taken from the random seed.
+// instanceSeedBits is the number of low bits of an instance that are taken from the random seed. An instance is the
+// number of one process of a member: its start time in microseconds, followed by these bits.
 const instanceSeedBits = 12
 
 // Host is this process as a member of the fleet. Its methods must be called on the event loop.
@@ -55,7 +56,8 @@
 	sealed    []byte
 }
 
-// NameID returns the ID of the member with the given name.
+// NameID returns the ID of the member with the given name: the FNV-1a hash of the name, but never 0, which stands for
+// an unknown member.
 func NameID(name string) membership.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
@@ -108,7 +110,8 @@
 		Instance: uint64(now)<<instanceSeedBits | seedBits,
 	}
 	h.fleet = membership.New(membership.Config{
-		Self:        h.self,
+		Self: h.self,
+		// Greater than the incarnations of earlier processes with this name, if the clock is right.
 		Incarnation: uint64(now / monotime.Millisecond),
 		Seeds:       h.cfg.Seeds,
 		RandomSeed:  h.cfg.RandomSeed,
@@ -162,7 +165,7 @@
 	h.socket.Close()
 }
 
-// Addr returns the address that the member is bound to.
+// Addr returns the bound address of the member's socket.
 func (h *Host) Addr() netip.AddrPort { return h.socket.Addr() }
 
 // SetSeeds replaces the seed addresses.
@@ -192,7 +195,8 @@
 	return h.fleet.RateDivisor()
 }
 
-// Live returns the number of live members, in all zones that are reachable from some zone.
+// Live returns the number of live members in the fleet. Members of a zone that can't be reached, not even from another
+// zone, are not counted.
 func (h *Host) Live() int {
 	if h.zones.enabled() {
 		return h.zones.directory.Live()
--- a/internal/peer/packet/datagram.go
+++ b/internal/peer/packet/datagram.go
@@ -34,7 +34,7 @@
 	// ErrUnknownKey is returned for a datagram that names a key that is not in the keyring.
 	ErrUnknownKey = errors.New("datagram is encrypted with an unknown key")
 	// ErrForged is returned for a datagram that was not encrypted with the key that it names, or was altered.
-	ErrForged = errors.New("datagram failed authentication")
+	ErrForged = errors.New("datagram authentication failed")
 )
 
 // Envelope holds the fields that every datagram carries in addition to its message.
--- a/internal/peer/packet/directory.go
+++ b/internal/peer/packet/directory.go
@@ -19,7 +19,7 @@
 
 // EncodeDirectory appends the encoding of a directory message to b. e.Zone must not be 0. The first item that does not
 // fit into MaxPlaintext and all later ones are omitted: the receiver detects by the sender's digest that some are
-// missing.
+// missing. Elements over the maximum of a list, and bytes over the maximum of a string, are omitted, too.
 func EncodeDirectory(b []byte, e Envelope, m *zonedirectory.Message) []byte {
 	start := len(b)
 	b = appendPrefix(b, &e, byte(Hello)+byte(m.Kind), membership.ID(m.From))
--- a/internal/peer/packet/doc.go
+++ b/internal/peer/packet/doc.go
@@ -12,7 +12,8 @@
 //	1         kind: the kinds of membership.Message, then Hello, then the kinds of zonedirectory.Message
 //	8  8      instance of the receiver (0: unknown), number of this datagram among those of the sender's process
 //	8 uv 8    sender ID, its incarnation (not with a zonedirectory.Message), its instance
-//	addr      address of the sender: 1 byte of length (0, 4 or 16), the IP address, and unless the length is 0, 2 port
+//	addr      address of the sender: 1 length of the IP address (0, 4 or 16), the IP address, 2 port (none if the
+//	          length is 0)
 //	8  8      with version 2 only: zone of the sender, digest of all items of its directory
 //
 // In a membership.Message it is followed by:
--- a/internal/peer/packet/keyring.go
+++ b/internal/peer/packet/keyring.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	fingerprintSize = 4
+	fingerprintSize = 4 // bytes
 	// Overhead is the number of bytes by which an encrypted datagram is longer than its content.
 	Overhead = fingerprintSize + chacha20poly1305.NonceSizeX + chacha20poly1305.Overhead
 )
@@ -30,13 +30,13 @@
 	Primary bool
 }
 
-// Keyring encrypts and decrypts datagrams with XChaCha20-Poly1305. A datagram consists of a key ID (the first bytes of
-// the key's SHA-256), a random nonce and the ciphertext; the key ID is authenticated as additional data. A Keyring must
-// not be used concurrently.
+// Keyring encrypts and decrypts datagrams with XChaCha20-Poly1305. A datagram consists of the key's fingerprint (the
+// first bytes of its SHA-256), a random nonce and the ciphertext; the fingerprint is authenticated as additional data.
+// A Keyring must not be used concurrently.
 type Keyring struct {
 	keys    []keyringEntry
-	primary int // index in keys
-	buf     []byte
+	primary int    // index in keys
+	buf     []byte // content of the last datagram that was opened
 }
 
 type keyringEntry struct {
@@ -80,7 +80,7 @@
 	return keyringEntry{fingerprint: [fingerprintSize]byte(hash[:]), aead: aead}, nil
 }
 
-// find returns the key with the given ID, nil if there is none.
+// find returns the key with the given fingerprint, nil if there is none.
 func (r *Keyring) find(fingerprint [fingerprintSize]byte) *keyringEntry {
 	for i := range r.keys {
 		if r.keys[i].fingerprint == fingerprint {
--- a/internal/peer/packet/reader.go
+++ b/internal/peer/packet/reader.go
@@ -62,6 +62,7 @@
 
 func (r *reader) text(limit int) string { return string(r.next(r.boundedCount(limit))) }
 
+// appendString appends the length and the bytes of a string; bytes over limit are cut off.
 func appendString(b []byte, s string, limit int) []byte {
 	s = s[:min(len(s), limit)]
 	b = append(b, byte(len(s)))
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxSenders limits the number of processes and addresses that state is kept for.
+	// maxSenders bounds each of the maps that hold state by process or by source address.
 	maxSenders = 2 * membership.MaxMembers
 	// maxAddresses limits the number of known addresses of members: each member has up to two.
 	maxAddresses = 2 * maxSenders
 	// helloInterval is the minimum time between two Hellos to the same address.
 	helloInterval = 200 * monotime.Millisecond
 
-	// Limits on the number of datagrams decrypted in an admissionWindow, from addresses that have sent authentic
-	// datagrams and from others. Datagrams over the limit are dropped, since decryption takes some microseconds each.
+	// Limits on the number of datagrams decrypted in an admissionWindow, from known addresses (see admission) and from
+	// others. Datagrams over the limit are dropped, since decryption takes some microseconds each.
 	maxKnownPerSecond   = 4000
 	maxUnknownPerSecond = 400
 	admissionWindow     = 1 * monotime.Second
@@ -51,7 +51,7 @@
 
 // admission limits the number of datagrams that are decrypted, and so the cost of a flood.
 type admission struct {
-	known        map[netip.AddrPort]bool // addresses that have sent authentic datagrams
+	known        map[netip.AddrPort]bool // addresses that have sent an accepted datagram other than a Hello
 	windowStart  monotime.Micros
 	knownCount   int // in this window
 	unknownCount int
@@ -81,9 +81,10 @@
 	instance uint64
 }
 
-// acceptFresh reports whether a datagram is addressed to this process and was not received before, or is a Hello that
-// is addressed to no instance. Any other datagram that is not addressed to this instance may be a replay: its sender is
-// sent a Hello, from which it learns this instance, and sends its message again.
+// acceptFresh reports whether a datagram is to be processed: it is addressed to this instance and was not received
+// before, or it is a Hello that is addressed to no instance. A Hello that is addressed to another instance is dropped.
+// Any other datagram that is not addressed to this instance may be a replay: its sender is sent a Hello, from which it
+// learns this instance, and sends its message again.
 func (h *Host) acceptFresh(from netip.AddrPort, d *packet.Datagram) bool {
 	if d.ReceiverInstance != h.self.Instance {
 		if !d.IsHello() {
@@ -127,7 +128,8 @@
 	h.socket.Send(h.overrideAddr(to, id), h.sealHello(0))
 }
 
-// deliver passes on the message of an accepted datagram.
+// deliver stores the sender's addresses, and the instance if the datagram is a Hello, and passes on any other message.
+// The message counts as sent from the advertised address, if that is valid.
 func (h *Host) deliver(from netip.AddrPort, d *packet.Datagram) {
 	h.learnAddress(from, d.Addr, d.From())
 	if d.IsHello() {
--- a/internal/peer/takeover.go
+++ b/internal/peer/takeover.go
@@ -15,8 +15,8 @@
 )
 
 // handleDuplicate handles a datagram from a process with this member's name. A Hello that is not addressed to this
-// instance is answered with one. A Hello that is addressed to this instance ends its membership if the sender's
-// instance is later. Any other message goes to membership.
+// instance is answered with a Hello. A Hello that is addressed to this instance ends this process's membership if the
+// sender's instance is greater, which means that it has started later. Any other message goes to membership.
 func (h *Host) handleDuplicate(from netip.AddrPort, d *packet.Datagram) {
 	switch {
 	case d.Instance() == h.self.Instance: // sent by this process itself, see requestTakeover
--- a/internal/peer/zones.go
+++ b/internal/peer/zones.go
@@ -92,6 +92,7 @@
 		return
 	}
 	h.dispatchDirectory(h.zones.directory.Tick(now, h.localView(now)))
+	// The directory may name members of the own zone that membership does not know: request their views.
 	if unlisted := h.zones.directory.Introductions(now); len(unlisted) > 0 {
 		h.dispatch(h.fleet.SyncWith(unlisted))
 	}
@@ -101,8 +102,8 @@
 	}
 }
 
-// localView returns the state of this member's own zone for the directory, or nil if it has not changed since the last
-// call. The list of members is rebuilt only for a new revision of the view.
+// localView returns the state of this member's own zone for the directory, or nil if neither the revision of the view
+// nor this member's health has changed since the last call. The list of members is rebuilt only for a new revision.
 func (h *Host) localView(now monotime.Micros) *zonedirectory.LocalZone {
 	local := &h.zones.local
 	revision, unhealthy := h.fleet.Revision(), h.fleet.Unhealthy(now)
--- a/internal/restartproto/announcement.go
+++ b/internal/restartproto/announcement.go
@@ -48,7 +48,7 @@
 
 // IsSuccessor reports whether a names a successor of the process self: another process that is still alive and serves
 // the same listen address. Then self may stop listening at once, because the kernel gives new connections to the
-// successor.
+// successor. Start times need not be compared: the file names the process that announced itself last.
 func IsSuccessor(a Announcement, self int, listen netip.AddrPort, alive func(pid int) bool) bool {
 	return a.Version == Version && a.Listen == listen.String() && isOtherProcess(a.PID, self, alive)
 }
--- a/internal/restartproto/file.go
+++ b/internal/restartproto/file.go
@@ -11,7 +11,8 @@
 	"syscall"
 )
 
-// Version is the format version of both files. A file of another version is rejected.
+// Version is the format version of both files, and part of the paths of the files and the socket. A file of another
+// version is rejected.
 const Version = 1
 
 // replaceFile writes value as JSON to a temporary file beside path and renames it to path, so that a reader sees either
--- a/internal/restartproto/offer.go
+++ b/internal/restartproto/offer.go
@@ -16,8 +16,8 @@
 const maxUnanswered = 64
 
 // ConnectionOffer describes an established connection to the process that takes it over. It is sent with two
-// sockets, first the client's, then the server's. Times are ages in microseconds, because the processes have different
-// clocks.
+// sockets, first the client's, then the server's. ID, Key, Group, Class, LoadHint, Retry and Reconnected are from the
+// client's first line. Times are ages in microseconds, because the processes have different clocks.
 type ConnectionOffer struct {
 	Version        int     `json:"version"`
 	Ref            uint32  `json:"ref"` // the old process's reference, returned in the answer
@@ -30,7 +30,7 @@
 	Retry          bool    `json:"retry"`
 	Reconnected    bool    `json:"returned"`
 	Server         string  `json:"target"`  // the server's instance id
-	EndStatus      uint8   `json:"verdict"` // outcome.Status if the connection ended now, by its last reply
+	EndStatus      uint8   `json:"verdict"` // outcome.Status that follows from the last reply if the connection ends now
 	SinceLastReply int64   `json:"quiet"`   // age of the server's last line
 	Unanswered     []int64 `json:"waiting"` // ages of the client lines without a reply, oldest first
 }
--- a/internal/settings/mapping.go
+++ b/internal/settings/mapping.go
@@ -28,7 +28,7 @@
 	defaultMaxHeldRequests                   = math.MaxInt32
 )
 
-// settings translates all keys. It reads them in a fixed order, in which the error lists the problems, too.
+// settings translates all keys. It reads them in a fixed order; the error lists the problems in that order.
 func (p *parser) settings() (Settings, error) {
 	out := Settings{Decision: p.decisionSettings()}
 	out.ZoneNames = p.list(keyZoneNames)
@@ -80,7 +80,8 @@
 	}
 }
 
-// requestClasses reads the request classes, and sets the priority of each relative to the highest.
+// requestClasses reads the request classes, and sets the priority of each relative to the highest. If the highest is 0,
+// all relative priorities are 0.
 func (p *parser) requestClasses() []decision.Class {
 	var classes []decision.Class
 	objectives := p.list(keyMessageObjective)
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -7,7 +7,7 @@
 	"spurspread/decision/outcome"
 )
 
-// Flags of a request.
+// Flags of a request. All other bits are ignored.
 const (
 	flagLoadHint      = 1
 	flagRetry         = 2
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -13,8 +13,8 @@
 // Sizes in bytes.
 const (
 	headerSize  = 20 // of a batch: sequence, length, count, clock
-	eventSize   = 40
-	actionSize  = 16
+	eventSize   = 40 // of an event record
+	actionSize  = 16 // of an action record
 	entrySize   = 22 // of a server list entry
 	replyHeader = 12 // sequence, length, count
 
--- a/internal/siteconfig/keys.go
+++ b/internal/siteconfig/keys.go
@@ -33,7 +33,7 @@
 }
 
 // Key is one of Keys. To rotate keys, add the new key as 'accept' on all machines, then change it to 'mint' and the old
-// key to 'accept', and remove the old key after the last token that it sealed has expired.
+// key to 'accept', and remove the old key after the last token that was encrypted with it has expired.
 type Key struct {
 	ID   xmlconfig.Name `xml:"id,attr" use:"required" key:"keys" doc:"what the key is called in logs"`
 	File xmlconfig.Path `xml:"file,attr" use:"required" doc:"a file of 64 hexadecimal digits that nobody else may read"`
@@ -42,7 +42,7 @@
 	Secret [SecretSize]byte `xml:"-"` // the secret read from File
 }
 
-// IsPrimary reports whether the key seals new tokens or datagrams. All other keys only open them.
+// IsPrimary reports whether the key encrypts new tokens or datagrams. All other keys only decrypt.
 func (k *Key) IsPrimary() bool { return k.Use == usePrimary }
 
 // Fingerprint returns an identifier of a key that depends only on the secret, so that keys can be compared between
--- a/internal/siteconfig/site.go
+++ b/internal/siteconfig/site.go
@@ -51,12 +51,12 @@
 	Zone xmlconfig.Name `xml:"zone,attr" doc:"the failure domain that this member stands in: it has the full view of its members, and summaries of the others"`
 	// Rack is only displayed.
 	Rack xmlconfig.Name `xml:"rack,attr" doc:"the rack or switch within the zone; shown, and decides nothing"`
-	// Seeds are the members that this one contacts to join the fleet. With more seeds, more of them may be down at that
-	// time.
+	// Seeds are the members that this one contacts to join the fleet. One that is up is enough, so more seeds survive
+	// more failures.
 	Seeds Seeds `xml:"seeds" doc:"members that are asked for the others at the start; any of them may be down"`
 	// Overrides replace the advertised addresses of members, for example behind a NAT.
 	Overrides *AddressOverrides `xml:"reach" doc:"members that are reached from here at other addresses than they tell"`
-	// Keys seal datagrams. All members need the same keys.
+	// Keys encrypt datagrams. All members need the same keys.
 	Keys Keys `xml:"keys" doc:"what seals datagrams; all members have the same"`
 }
 
@@ -100,13 +100,13 @@
 	// Skew is the maximum difference between the clocks of balancers and servers, by default 2 s. If it is too low,
 	// valid tokens are rejected; the higher it is, the longer expired tokens are accepted.
 	Skew xmlconfig.Duration `xml:"skew,attr" default:"2s" min:"0s" max:"30s" doc:"how far the clocks of balancers and nodes may be apart"`
-	// MaxClaims bounds the tokens that are remembered, about 150 bytes each, by default 16,384. Once it is reached, new
-	// tokens are rejected.
+	// MaxClaims bounds the tokens that are remembered, about 150 bytes each, by default 16,384. A token is remembered
+	// once it has been presented, so that it is not used twice. Once the bound is reached, new tokens are rejected.
 	MaxClaims int `xml:"claims,attr" default:"16384" min:"64" max:"1048576" doc:"tokens remembered at once, some 150 bytes each; at the bound new ones are refused"`
-	// DrainSpread is the period over which the moves off a draining server are spread, by default 1.5 s. A longer period
-	// spreads the load of the moves, but must end before the server stops.
+	// DrainSpread is the period over which the moves off a draining server are spread, by default 1.5 s. A longer
+	// period spreads the load of the moves, but must end before the server stops.
 	DrainSpread xmlconfig.Duration `xml:"spread,attr" default:"1500ms" min:"100ms" max:"2200ms" doc:"over how long the moves off a draining node are spread"`
-	// Keys seal tokens. Balancers and servers need the same keys.
+	// Keys encrypt resume tokens. Balancers and servers need the same keys.
 	Keys Keys `xml:"keys" doc:"what seals tokens; balancers and nodes have the same"`
 }
 
@@ -118,8 +118,8 @@
 	Upstreams bool `xml:"nodes,attr" default:"true" doc:"hops share trunks, to nodes that speak channels"`
 	// MaxChannels bounds the channels of one client connection, by default 256.
 	MaxChannels int `xml:"most,attr" default:"256" min:"1" max:"4096" doc:"channels on one client connection"`
-	// OpenRate bounds the channels that one client connection may open per second, by default 200. Bursts may have as
-	// many channels as one second.
+	// OpenRate bounds the channels that one client connection may open per second, by default 200. It may open the
+	// channels of one second at once.
 	OpenRate xmlconfig.Rate `xml:"opens,attr" default:"200/s" min:"1/s" max:"100000/s" doc:"channels that one client connection may open, as many at once as in a second"`
 	// Window is the receive window of a channel in bytes, by default 64 KiB; it shrinks when memory is short. A larger
 	// window is faster over long distances, but slow readers then take more memory.
@@ -127,7 +127,7 @@
 	// FirstPacket is the time that a client has after its identification to send the service request, by default 2 s.
 	FirstPacket xmlconfig.Duration `xml:"first-packet,attr" default:"2s" min:"100ms" max:"3s" doc:"after the identification, until the service is asked for"`
 	// Idle is the time without data from a client after which its connection is probed, or closed if it has no
-	// channels; by default 30 s.
+	// channels; by default 30 s. A probed connection is closed after as long again without data.
 	Idle xmlconfig.Duration `xml:"idle,attr" default:"30s" min:"1s" max:"10m" doc:"without a word from a client: one without channels is ended, one with channels is asked, and ended after as long again"`
 	// UpstreamPool holds the limits of multiplexed connections to servers; nil means the defaults.
 	UpstreamPool *UpstreamPool `xml:"trunks" doc:"the shared connections to nodes"`
@@ -145,8 +145,8 @@
 	MaxConnections int `xml:"all,attr" default:"256" min:"1" max:"4096" doc:"trunks of one balancer"`
 	// Idle is the time after which a connection without channels is closed, by default 10 s.
 	Idle xmlconfig.Duration `xml:"idle,attr" default:"10s" min:"100ms" max:"10m" doc:"without a channel, until a trunk is closed"`
-	// PlainTTL is the time for which a server that does not support channels is remembered, by default 10 min. With
-	// a shorter time an upgraded server is noticed earlier, but each check costs an attempt.
+	// PlainTTL is the time for which a server that does not support channels is remembered, by default 10 min. With a
+	// shorter time an upgraded server is noticed earlier, but each check costs an attempt.
 	PlainTTL xmlconfig.Duration `xml:"plain,attr" default:"10m" min:"1s" max:"24h" doc:"so long it is remembered that a node speaks plain lines only"`
 }
 
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -15,7 +15,7 @@
 //	1 + n bytes   length and id of the server that may accept the token
 //	0 to 2 bytes  zeros, so that the total length is a multiple of three
 //
-// A token with a given nonce has exactly one valid text. Rejecting a text does not allocate memory.
+// With one key, no two texts decrypt to the same token and nonce. Rejecting a text does not allocate memory.
 package token
 
 import (
@@ -47,9 +47,9 @@
 
 // Errors of Open. Each is final: no retry of the same text can succeed.
 var (
-	ErrMalformed  = errors.New("malformed token")                     // does not have the format of a token
-	ErrUnknownKey = errors.New("token is sealed with an unknown key") // the key was removed, or never known
-	ErrForged     = errors.New("token authentication failed")         // forged, altered or truncated
+	ErrMalformed  = errors.New("malformed token")                        // does not have the format of a token
+	ErrUnknownKey = errors.New("token is encrypted with an unknown key") // the key was removed, or never known
+	ErrForged     = errors.New("token authentication failed")            // forged, altered or truncated
 )
 
 // ID identifies a token. It is the first bytes of the nonce.
@@ -73,11 +73,11 @@
 // Key is one key of a Keyring.
 type Key struct {
 	Secret  [chacha20poly1305.KeySize]byte
-	Primary bool // new tokens are sealed with it; other keys only open tokens
+	Primary bool // new tokens are encrypted with it; other keys only decrypt
 }
 
-// Keyring seals tokens with its primary key and opens tokens sealed with any of its keys. It is not safe for concurrent
-// use.
+// Keyring encrypts tokens with its primary key, and decrypts tokens that were encrypted with any of its keys. It is not
+// safe for concurrent use.
 type Keyring struct {
 	keys    []ringKey
 	primary int            // index of the primary key
@@ -89,7 +89,7 @@
 	aead        cipher.AEAD
 }
 
-// NewKeyring returns a ring of keys. It fails unless exactly one key is primary and all keys differ.
+// NewKeyring returns a keyring of the given keys. It fails unless exactly one key is primary and all keys differ.
 func NewKeyring(keys []Key) (*Keyring, error) {
 	r := &Keyring{primary: -1}
 	for i, k := range keys {
@@ -100,10 +100,11 @@
 		sum := sha256.Sum256(k.Secret[:])
 		fingerprint := [fingerprintSize]byte(sum[:])
 		if r.find(fingerprint[:]) != nil {
-			return nil, fmt.Errorf("token: key %d has the same fingerprint %x as an earlier key", i, fingerprint)
+			return nil, fmt.Errorf("token: a key is listed twice: key %d of %d, fingerprint %x",
+				i+1, len(keys), fingerprint)
 		}
 		if k.Primary && r.primary >= 0 {
-			return nil, errors.New("token: more than one primary key")
+			return nil, fmt.Errorf("token: exactly one key must be primary: more than one of %d is", len(keys))
 		}
 		if k.Primary {
 			r.primary = i
@@ -111,7 +112,7 @@
 		r.keys = append(r.keys, ringKey{fingerprint, aead})
 	}
 	if r.primary < 0 {
-		return nil, errors.New("token: no primary key")
+		return nil, fmt.Errorf("token: exactly one key must be primary: none of %d is", len(keys))
 	}
 	return r, nil
 }
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// Seal appends the text of t to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which callers
-// must check.
+// Seal encrypts t, appends its text to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which
+// callers must check.
 func (r *Keyring) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
@@ -202,7 +203,7 @@
 	return t.read(body)
 }
 
-// read parses a decrypted body. Even a body sealed by a holder of the key may be invalid.
+// read parses a decrypted body. Even a body that was encrypted by a holder of the key may be invalid.
 func (t *Token) read(body []byte) error {
 	var n [8]uint64
 	for i := range n {
--- a/internal/xmlconfig/schema.go
+++ b/internal/xmlconfig/schema.go
@@ -10,7 +10,7 @@
 
 // Schema returns the XSD 1.0 schema of the files that Read parses into a struct of the same type as of; doc is the
 // documentation of the schema. The schema accepts every file that Read accepts. It also accepts some that Read rejects,
-// because it can't express the bounds of values with units, the rules of Checkers, and checks of files that are named.
+// because it can't express the bounds of values with units, the rules of Checkers, or that a file named in it exists.
 func Schema(d Document, of any, doc string) []byte {
 	w := &writer{}
 	t := reflect.TypeOf(of)
--- a/internal/xmlconfig/value.go
+++ b/internal/xmlconfig/value.go
@@ -30,7 +30,8 @@
 
 func (b valueError) Error() string { return b.what }
 
-// Name is a name within a file or a deployment: at most 64 letters, digits, dots, dashes and underscores.
+// Name is a name within a file or a deployment: at most 64 letters, digits, dots, dashes and underscores, the first a
+// letter or digit.
 type Name string
 
 // Text is one line of text for humans, at most 256 characters.
@@ -39,10 +40,11 @@
 // Path is the path of a file. Unless it begins with a slash, it is relative to the folder of the configuration file.
 type Path string
 
-// Address is an IP address with a port; port 0 means any free port.
+// Address is an IP address with a port; port 0 means any free port. Only the pattern is checked: the user of the value
+// must parse it.
 type Address string
 
-// HostPort is a host name or IP address with a port.
+// HostPort is a host name or IP address with a port. Only the pattern is checked.
 type HostPort string
 
 // Duration is a duration, written as a number with a unit: us, ms, s, m or h.
@@ -117,12 +119,13 @@
 // UnmarshalText sets the path.
 func (v *Path) UnmarshalText(b []byte) error { *v = Path(b); return nil }
 
-// UnmarshalText sets the address. It does not check whether the address exists on this machine.
+// UnmarshalText sets the address. It does not parse the address.
 func (v *Address) UnmarshalText(b []byte) error { *v = Address(b); return nil }
 
 // UnmarshalText sets host and port. It does not look up the host.
 func (v *HostPort) UnmarshalText(b []byte) error { *v = HostPort(b); return nil }
 
+// The units by name: nanoseconds, bytes, and events per second.
 var (
 	timeUnits = map[string]float64{"us": 1e3, "ms": 1e6, "s": 1e9, "m": 60e9, "h": 3600e9}
 	sizeUnits = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
@@ -228,7 +231,8 @@
 	return out
 }
 
-// elementSpecOf reads the tags of a struct. Invalid tags are errors of the program, and cause a panic at the first use.
+// elementSpecOf reads the tags of a struct. A field of a type that no attribute can have is an error of the program and
+// causes a panic. An invalid number in the tags least and most counts as 0.
 func elementSpecOf(t reflect.Type) *elementSpec {
 	s := &elementSpec{}
 	for i := range t.NumField() {
@@ -364,6 +368,7 @@
 	return to.Elem(), 0, nil
 }
 
+// set parses an attribute's value, checks its bounds and stores it in v. A value out of bounds is a valueError.
 func (m fieldSpec) set(v reflect.Value, text string) error {
 	got, size, err := m.parse(text)
 	if err != nil {
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -9,7 +9,7 @@
 //	By    xmlconfig.Name     `xml:"by,attr" ref:"keys"`                // must be in that set
 //	Drain Drain              `xml:"drain"`                             // must be present
 //	Trace *Trace             `xml:"trace"`                             // may be present once
-//	Keys  []*Key             `xml:"key" most:"8" least:"1"`            // repeated
+//	Keys  []*Key             `xml:"key" most:"8" least:"1"`            // repeated, 1 to 8 times
 //
 // The children of an element are either all single, in any order, or all repeated, because XSD 1.0 can't express a
 // mixture in any order. An absent attribute has its default, or the zero value if it has no default.
