--- a/cmd/spurspread/main.go
+++ b/cmd/spurspread/main.go
@@ -37,19 +37,20 @@
 	LogFormat logging.Format `enum:"text,json" default:"text" env:"SPURSPREAD_LOG_FORMAT" help:"Format of log lines: text or json."`
 }
 
-// streams holds what a command gets from its surroundings: the streams variables, where to write, and the log format.
-type streams struct {
+// environment holds what a command gets from its surroundings: the environment variables, where to write, and the log
+// format.
+type environment struct {
 	getenv   func(string) string
 	out, err io.Writer
 	format   logging.Format
 }
 
 func main() {
-	os.Exit(run(os.Args[1:], &streams{getenv: os.Getenv, out: os.Stdout, err: os.Stderr}))
+	os.Exit(run(os.Args[1:], &environment{getenv: os.Getenv, out: os.Stdout, err: os.Stderr}))
 }
 
 // run parses and executes a command line, and returns the exit code.
-func run(args []string, s *streams) int {
+func run(args []string, s *environment) int {
 	var c cli
 	exited := notExited
 	parser, err := kong.New(
@@ -88,7 +89,7 @@
 type versionCmd struct{}
 
 // Run prints the version and the revision that are recorded in the binary.
-func (versionCmd) Run(s *streams) error {
+func (versionCmd) Run(s *environment) error {
 	revision, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -106,7 +106,7 @@
 		var out, errOut bytes.Buffer
 		code := run(
 			[]string{"serve", "--config=" + getenv("GW_CONFIG")},
-			&streams{getenv: getenv, out: &out, err: &errOut},
+			&environment{getenv: getenv, out: &out, err: &errOut},
 		)
 		if code != exitFailed || !strings.Contains(errOut.String(), want) || strings.Count(errOut.String(), "\n") != 1 {
 			t.Errorf("want %q, got %q and %d", want, errOut.String(), code)
@@ -236,7 +236,7 @@
 func command(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
-	code = run(args, &streams{getenv: func(string) string { return "" }, out: &stdout, err: &stderr})
+	code = run(args, &environment{getenv: func(string) string { return "" }, out: &stdout, err: &stderr})
 	return code, stdout.String(), stderr.String()
 }
 
--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -34,7 +34,7 @@
 }
 
 // Run asks a member for its report and prints it.
-func (c membersCmd) Run(s *streams) error {
+func (c membersCmd) Run(s *environment) error {
 	reply, err := callAdmin(c.Mgmt, "MEMBERS")
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 )
 
 // Run has a member publish the record, and prints its version.
-func (c recordCmd) Run(s *streams) error {
+func (c recordCmd) Run(s *environment) error {
 	if !validRecord(c.Name, c.Value) {
 		return errInvalidRecord
 	}
--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -41,7 +41,7 @@
 }
 
 // Run serves until SIGTERM or SIGINT has stopped the event loop.
-func (c *serveCmd) Run(s *streams) error {
+func (c *serveCmd) Run(s *environment) error {
 	// Signals are caught from before the first step until after the last: an uncaught SIGHUP would kill the process,
 	// and an uncaught SIGTERM would cut off its clients.
 	signals := make(chan os.Signal, maxPendingSignals)
--- a/cmd/spurspread/site.go
+++ b/cmd/spurspread/site.go
@@ -33,7 +33,7 @@
 const placeholderName = "a-member"
 
 // Run checks the file as serve does, and prints the features that it turns on.
-func (c siteCheck) Run(s *streams) error {
+func (c siteCheck) Run(s *environment) error {
 	site, err := siteconfig.Load(c.File)
 	if err != nil {
 		_, _ = fmt.Fprintln(s.err, err)
@@ -98,7 +98,7 @@
 }
 
 // Run prints the schema.
-func (siteSchema) Run(s *streams) error {
+func (siteSchema) Run(s *environment) error {
 	_, err := s.out.Write(siteconfig.Schema())
 	return err
 }
--- a/cmd/spurspread/tokens.go
+++ b/cmd/spurspread/tokens.go
@@ -35,7 +35,7 @@
 }
 
 // Run opens the token and prints its fields, one per line.
-func (c tokenInspect) Run(s *streams) error {
+func (c tokenInspect) Run(s *environment) error {
 	site, err := siteconfig.Load(c.Site)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // Run writes a random key to a new file.
-func (c tokenKey) Run(s *streams) error {
+func (c tokenKey) Run(s *environment) error {
 	secret := make([]byte, siteconfig.SecretSize)
 	_, _ = rand.Read(secret) // never returns an error
 	file, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
