--- a/cmd/spurspread-lab/virtual.go
+++ b/cmd/spurspread-lab/virtual.go
@@ -83,7 +83,7 @@
 // builder returns the function that creates members: the balancer's, or those of the named failure detector, with the
 // named fault.
 func (c *virtualCmd) builder() (build detectorBuilder, err error) {
-	build = simulation.Members(seedMembers)
+	build = simulation.BalancerMembers(seedMembers)
 	if c.Detector != "" {
 		build = simulation.Alternatives()[c.Detector]
 		if build == nil {
@@ -113,7 +113,7 @@
 		seed := c.Seed + uint64(i)
 		members := c.membersFor(seed)
 		group.Go(func() (err error) {
-			results[i], err = simulation.Play(script, members, seed, build, log)
+			results[i], err = simulation.Run(script, members, seed, build, log)
 			return err
 		})
 	}
--- a/lab/experiment/steps.go
+++ b/lab/experiment/steps.go
@@ -57,7 +57,7 @@
 		return pr.measureOthers(ctx, s)
 	case "hold-clients":
 		for _, c := range pr.firstClients {
-			c.Reads.Shut()
+			c.Reads.Close()
 		}
 	case "release-clients":
 		for _, c := range pr.firstClients {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -181,10 +181,10 @@
 }
 
 // Hang makes the node neither read nor write, with all its connections open, until Wake.
-func (n *Node) Hang() { n.running.Shut() }
+func (n *Node) Hang() { n.running.Close() }
 
 // StopReading makes the node stop reading, while it goes on sending, until Wake.
-func (n *Node) StopReading() { n.reading.Shut() }
+func (n *Node) StopReading() { n.reading.Close() }
 
 // Wake ends Hang and StopReading.
 func (n *Node) Wake() {
@@ -270,8 +270,8 @@
 // Read implements net.Conn.
 func (p pausableConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
-	p.node.running.Pass()
-	p.node.reading.Pass()
+	p.node.running.Wait()
+	p.node.reading.Wait()
 	return n, err
 }
 
--- a/lab/procs/config.go
+++ b/lab/procs/config.go
@@ -14,18 +14,18 @@
 
 func (p *Proc) configPath() string { return filepath.Join(p.fleet.Dir, p.Name+".json") }
 
-// writeSite writes the site file, with the process's membership of the fleet unless the fleet is without.
+// writeSite writes the site file, with a <fleet> element unless the fleet is WithoutMembership.
 func (p *Proc) writeSite() error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `<spurspread xmlns="urn:spurspread:site:1" name="rig">%s`, p.fleet.Site)
-	if !p.fleet.Apart {
+	if !p.fleet.WithoutMembership {
 		p.writeMembership(&b)
 	}
 	b.WriteString("\n</spurspread>\n")
 	return os.WriteFile(p.sitePath(), b.Bytes(), fileMode)
 }
 
-// writeMembership writes the <fleet> element. The process reaches every other by a link of the proxy.
+// writeMembership writes the <fleet> element. Its <reach> maps every other process to a link of the proxy.
 func (p *Proc) writeMembership(b *bytes.Buffer) {
 	f := p.fleet
 	fmt.Fprintf(b, "\n"+`  <fleet member="%s" listen="%s"%s><seeds>`, p.Name, f.addrs[p.index], p.zoneAttributes())
@@ -35,18 +35,18 @@
 	b.WriteString("</seeds><reach>")
 	for i, other := range f.Procs {
 		if i != p.index {
-			fmt.Fprintf(b, `<member name="%s" at="%s"/>`, other.Name, f.Net.Via(p.index, i))
+			fmt.Fprintf(b, `<member name="%s" at="%s"/>`, other.Name, f.Proxy.LinkAddr(p.index, i))
 		}
 	}
 	fmt.Fprintf(b, `</reach><keys><key id="rig" file="%s" use="mint"/></keys></fleet>`, f.keyPath())
 }
 
-// zoneAttributes are the attributes of <fleet> for the process's region and zone.
+// zoneAttributes returns the attributes of <fleet> for the process's region and zone.
 func (p *Proc) zoneAttributes() (attributes string) {
-	if p.fleet.Place == nil {
+	if p.fleet.ZoneOf == nil {
 		return ""
 	}
-	region, zone := p.fleet.Place(p.index)
+	region, zone := p.fleet.ZoneOf(p.index)
 	if region != "" {
 		attributes += fmt.Sprintf(` region="%s"`, region)
 	}
@@ -56,14 +56,14 @@
 	return attributes
 }
 
-// seedsOf are the addresses of the first few processes, as this one reaches them, or those of Seeds.
+// seedsOf returns the seed addresses of a process: those of Seeds, or else the links to the first seedCount processes.
 func (f *Fleet) seedsOf(i int) (seeds []netip.AddrPort) {
 	if f.Seeds != nil {
 		return f.Seeds(i)
 	}
 	for seed := range min(f.seedCount, len(f.Procs)) {
 		if seed != i {
-			seeds = append(seeds, f.Net.Via(i, seed))
+			seeds = append(seeds, f.Proxy.LinkAddr(i, seed))
 		}
 	}
 	return seeds
@@ -77,7 +77,7 @@
 	return os.WriteFile(p.configPath(), text, fileMode)
 }
 
-// config is the configuration that the platform would give the process, with the fleet's changes. Times are in
+// config returns the configuration that the platform would give the process, after ModifyConfig. Times are in
 // microseconds.
 func (p *Proc) config() map[string]any {
 	config := map[string]any{
@@ -90,12 +90,12 @@
 		"known": map[string]any{
 			"generation": 0,
 			"reset":      true,
-			"instances":  append([]any{}, p.fleet.Known...),
+			"instances":  append([]any{}, p.fleet.KnownServers...),
 		},
 		"settings": p.settings(),
 	}
-	if p.fleet.Change != nil {
-		p.fleet.Change(p.index, config)
+	if p.fleet.ModifyConfig != nil {
+		p.fleet.ModifyConfig(p.index, config)
 	}
 	return config
 }
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -103,7 +103,7 @@
 // pollRealOnce reads the view of a real member. The answer is dropped if the process was replaced while it was pending.
 func (f *fleet) pollRealOnce(member int) {
 	proc := f.realFleet.Procs[member]
-	if !proc.Runs() {
+	if !proc.Running() {
 		return
 	}
 	pid := proc.Pid()
@@ -206,7 +206,7 @@
 func (f *fleet) sampleRealUsage(member int, at int64) {
 	state := &f.realStates[member]
 	proc := f.realFleet.Procs[member]
-	if !proc.Runs() {
+	if !proc.Running() {
 		return
 	}
 	pid := proc.Pid()
--- a/lab/simulation/play.go
+++ b/lab/simulation/run.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// The links of a play: about those of one site.
+	// Delay and jitter of the links, about those within one site.
 	linkDelay  = 200 * time.Microsecond
 	linkJitter = 400 * time.Microsecond
-	// startSpan is the time within which all members are started.
+	// startSpan is the time over which the starts of the members are spread at random.
 	startSpan = Second
-	// maxJoinSeconds bounds how much longer than usual members may take to find each other.
-	maxJoinSeconds = 300
+	// maxExtraJoinSeconds bounds how much longer than scenario.JoinTime members may take to find each other.
+	maxExtraJoinSeconds = 300
 )
 
-// Play plays one of package scenario's scripts with members that build makes. The same seed brings the same events.
-// It returns an error where there is no such script.
-func Play(
+// Run runs the named script of package scenario on a cluster of members that build creates. The same seed produces the
+// same events. log receives a line for each fault and each false report; it may be nil. An error means that there is no
+// script of that name.
+func Run(
 	script string,
 	members int,
 	seed uint64,
@@ -30,13 +31,13 @@
 ) (*scenario.Result, error) {
 	run, ok := scenario.Find(script)
 	if !ok {
-		return nil, fmt.Errorf("no scenario %q; there are %v", script, scenario.Names())
+		return nil, fmt.Errorf("unknown scenario %q, expected one of %v", script, scenario.Names())
 	}
-	return PlayScript(script, run, members, seed, build, log), nil
+	return RunScript(script, run, members, seed, build, log), nil
 }
 
-// PlayScript is Play for a script that package scenario does not list. log may be nil.
-func PlayScript(
+// RunScript is like Run for a script that package scenario does not list. name is the script's name in the result.
+func RunScript(
 	name string,
 	run scenario.Script,
 	members int,
@@ -49,11 +50,11 @@
 		c.schedule(c.jitter(startSpan), faultEvent, i, 0, func() { c.Start(i) })
 	}
 	c.join()
-	clear(c.Bytes)
+	clear(c.SentBytes)
 	from := c.now
 	trial := scenario.New(c, log)
-	c.Changed = func(observer, of int, change membership.StateChange) {
-		trial.Changed(c.Now(), observer, of, change.From, change.To, change.Incarnation)
+	c.OnStateChange = func(observer, of int, change membership.StateChange) {
+		trial.StateChanged(c.Now(), observer, of, change.From, change.To, change.Incarnation)
 	}
 	trial.WatchViews()
 	last := run(trial)
@@ -64,20 +65,20 @@
 	return result
 }
 
-// bytesPerSecond is what each member has sent on average since then.
+// bytesPerSecond returns how many bytes a member has sent per second since the given time, as the mean of all members.
 func (c *Cluster) bytesPerSecond(from Micros) float64 {
 	sum := int64(0)
-	for _, bytes := range c.Bytes {
+	for _, bytes := range c.SentBytes {
 		sum += bytes
 	}
 	return float64(sum) / float64(c.Members()) / (c.now - from).Seconds()
 }
 
-// join runs until all members know each other: for scenario.JoinTime at least, and as long as it takes to disseminate
-// all members within the budget.
+// join runs the cluster until all members consider each other alive. It runs for at least scenario.JoinTime, and longer
+// where the rate limit of messages delays the dissemination of all members.
 func (c *Cluster) join() {
 	c.Run(c.now + Micros(scenario.JoinTime.Microseconds()))
-	for range maxJoinSeconds {
+	for range maxExtraJoinSeconds {
 		if c.allAlive() {
 			return
 		}
@@ -85,7 +86,7 @@
 	}
 }
 
-// allAlive reports whether each member considers all others alive.
+// allAlive reports whether every member considers all others alive.
 func (c *Cluster) allAlive() bool {
 	for i := range c.members {
 		for other := range c.members {
--- a/lab/simulation/zoned/balancer.go
+++ b/lab/simulation/zoned/balancer.go
@@ -7,11 +7,11 @@
 	"spurspread/lab/simulation"
 )
 
-// zoneHeaderBytes is how many bytes a datagram of membership has more than in a fleet without zones: the zone and the
-// digest.
+// zoneHeaderBytes is the size of the zone and the digest, which a datagram of membership has only if there are zones.
 const zoneHeaderBytes = 16
 
-// payload is a datagram's content: a message of either kind, and what all datagrams say of their sender.
+// payload is the content of a datagram: one message, of membership or of the zone directory, and the fields that every
+// datagram has about its sender.
 type payload struct {
 	membershipMessage *membership.Message
 	directoryMessage  *zonedirectory.Message
@@ -20,14 +20,14 @@
 	digest            uint64
 }
 
-// balancer is one member's process: a simulation.Detector.
+// balancer is one process of a member. It implements simulation.Detector.
 type balancer struct {
 	fleet     *membership.Fleet
 	directory *zonedirectory.Directory
 	id        membership.ID
 	zoneID    zonedirectory.ID
 	local     zonedirectory.LocalZone
-	fault     *Fault // nil: none
+	fault     *Fault // nil for none
 }
 
 func (b *balancer) membershipPackets(out []membership.Outgoing) []simulation.Packet {
@@ -35,7 +35,7 @@
 	for i := range out {
 		m := &out[i].Message
 		packets = append(packets, simulation.Packet{
-			To:      simulation.Index(out[i].To),
+			To:      simulation.MemberIndex(out[i].To),
 			Size:    packet.SealedSize(m) + zoneHeaderBytes,
 			Payload: payload{membershipMessage: m, id: b.id, zoneID: b.zoneID, digest: b.directory.Digest()},
 		})
@@ -48,7 +48,7 @@
 	for i := range out {
 		m := &out[i].Message
 		packets = append(packets, simulation.Packet{
-			To:      simulation.Index(out[i].To),
+			To:      simulation.MemberIndex(out[i].To),
 			Size:    packet.SealedDirectorySize(m),
 			Payload: payload{directoryMessage: m, id: b.id, zoneID: b.zoneID},
 		})
@@ -56,7 +56,7 @@
 	return packets
 }
 
-// Tick is part of simulation.Detector.
+// Tick implements simulation.Detector.
 func (b *balancer) Tick(now simulation.Micros) ([]simulation.Packet, []membership.StateChange) {
 	b.fleet.SetSeeds(b.directory.JoinSeeds(now))
 	out, changes := b.fleet.Tick(now)
@@ -71,7 +71,8 @@
 	return packets, changes
 }
 
-// updateLocal takes the view of the own zone from membership, its members only where they have changed.
+// updateLocal copies membership's view of the own zone into local, for the zone directory. It copies the members only
+// if they have changed.
 func (b *balancer) updateLocal(now simulation.Micros) {
 	local := &b.local
 	local.Unhealthy = b.fleet.Unhealthy(now)
@@ -91,7 +92,7 @@
 	}
 }
 
-// Receive is part of simulation.Detector.
+// Receive implements simulation.Detector.
 func (b *balancer) Receive(
 	now simulation.Micros,
 	from int,
@@ -115,16 +116,16 @@
 	return append(packets, b.membershipPackets(out)...), changes
 }
 
-// Leave is part of simulation.Detector.
+// Leave implements simulation.Detector.
 func (b *balancer) Leave(now simulation.Micros) []simulation.Packet {
 	out, _ := b.fleet.Leave(now)
 	return b.membershipPackets(out)
 }
 
-// StateOf is part of simulation.Detector.
+// StateOf implements simulation.Detector.
 func (b *balancer) StateOf(other int) membership.State {
 	return b.fleet.StateOf(simulation.MemberID(other))
 }
 
-// Incarnation is part of simulation.Detector.
+// Incarnation implements simulation.Detector.
 func (b *balancer) Incarnation() uint64 { return b.fleet.Incarnation() }
--- a/lab/simulation/zoned/checker.go
+++ b/lab/simulation/zoned/checker.go
@@ -9,98 +9,100 @@
 )
 
 const (
-	// issuerSamples: issuers are counted in one of so many samples.
-	issuerSamples = 5
-	// budgetSpan is the span, in seconds, in which bytes are counted.
-	budgetSpan = 10
+	// samplesPerIssuerCheck: one in this many samples compares the issuers of summaries.
+	samplesPerIssuerCheck = 5
+	// byteWindowSeconds is the length of the window over which the highest byte rate is measured, in seconds.
+	byteWindowSeconds = 10
 )
 
-// checker looks at a fleet from outside. All its counts begin at the last Mark but FalseDead.
+// checker samples the views of all members and counts what contradicts the injected faults. FalseDead counts from the
+// start of the fleet, everything else from the last ResetCounts.
 type checker struct {
 	fleet *Fleet
 
-	// FalseDead counts the members that another one of their zone declared dead while their process ran and nothing
-	// was severed.
+	// FalseDead counts the reports that a member of the reporter's zone is dead, although both processes run and no
+	// members are disconnected.
 	FalseDead int
-	// Factor is the greatest sum of all members' parts of a budget.
-	Factor float64
-	// Changes counts how often any member has considered a zone to be something else than before; Flaps how often the
-	// same member did that with the same zone, beyond the first time.
-	Changes int
-	Flaps   int
-	// Issuers counts how often a zone's summary had another issuer than before, as one member sees it.
-	Issuers int
-
-	states  [][]zonedirectory.Reachability // by member and zone
-	changed [][]int                        // the same
-	issuers map[zonedirectory.ID]zonedirectory.MemberID
-	samples int
-
-	markAt       simulation.Micros
-	bytesAtMark  []int64 // of each member, sent and received
-	nextSecondAt simulation.Micros
-	bytesBySec   [][]int64 // at the end of each of the last seconds
-	worstBytes   int64     // of any member in any budgetSpan
+	// MaxBudgetSum is the maximum, over all samples, of the sum of the members' shares of a fleet-wide budget. A
+	// member's share is the reciprocal of its rate divisor, and the ideal sum is 1.
+	MaxBudgetSum float64
+	// StateChanges counts the changes of a zone's state in the view of any member. Flaps is the maximum, over all pairs
+	// of a member and a zone, of the number of changes after the first.
+	StateChanges int
+	Flaps        int
+	// IssuerChanges counts how often a zone's summary changed its issuer, in the view of one member.
+	IssuerChanges int
+
+	states       [][]zonedirectory.Reachability // the last sample, by member and zone
+	changeCounts [][]int                        // changes of states, by member and zone
+	lastIssuers  map[zonedirectory.ID]zonedirectory.MemberID
+	samples      int
+
+	resetAt        simulation.Micros
+	bytesAtReset   []int64 // by member, sent and received
+	nextSecondAt   simulation.Micros
+	bytesBySecond  [][]int64 // bytes of each member at the end of each of the last seconds
+	maxWindowBytes int64     // of any member in any window of byteWindowSeconds
 }
 
-func (c *checker) begin(f *Fleet) {
+func (c *checker) attach(f *Fleet) {
 	c.fleet = f
 	n, zones := len(f.zoneOf), len(f.Zones)
 	c.states = make([][]zonedirectory.Reachability, n)
-	c.changed = make([][]int, n)
+	c.changeCounts = make([][]int, n)
 	for i := range n {
 		c.states[i] = make([]zonedirectory.Reachability, zones)
-		c.changed[i] = make([]int, zones)
+		c.changeCounts[i] = make([]int, zones)
 	}
-	f.Changed = func(observer, of int, change membership.StateChange) {
-		if change.To == membership.Dead && f.up[of] && f.up[observer] && len(f.severed) == 0 {
+	f.OnStateChange = func(observer, of int, change membership.StateChange) {
+		if change.To == membership.Dead && f.up[of] && f.up[observer] && len(f.disconnected) == 0 {
 			c.FalseDead++
 		}
 	}
-	c.Mark()
+	c.ResetCounts()
 }
 
-// Mark begins all counts again.
-func (c *checker) Mark() {
-	c.Factor = 0
-	c.Changes, c.Flaps, c.Issuers = 0, 0, 0
-	for i := range c.changed {
-		clear(c.changed[i])
-	}
-	c.issuers = map[zonedirectory.ID]zonedirectory.MemberID{}
-	c.markAt = c.now()
-	c.bytesAtMark = c.bytes()
-	c.nextSecondAt = c.markAt + simulation.Second
-	c.bytesBySec = nil
-	c.worstBytes = 0
+// ResetCounts sets all counts but FalseDead to 0.
+func (c *checker) ResetCounts() {
+	c.MaxBudgetSum = 0
+	c.StateChanges, c.Flaps, c.IssuerChanges = 0, 0, 0
+	for i := range c.changeCounts {
+		clear(c.changeCounts[i])
+	}
+	c.lastIssuers = map[zonedirectory.ID]zonedirectory.MemberID{}
+	c.resetAt = c.now()
+	c.bytesAtReset = c.bytes()
+	c.nextSecondAt = c.resetAt + simulation.Second
+	c.bytesBySecond = nil
+	c.maxWindowBytes = 0
 }
 
 func (c *checker) now() simulation.Micros { return simulation.Micros(c.fleet.Now().Microseconds()) }
 
-// bytes are those that each member has sent and received.
+// bytes returns the bytes that each member has sent and received since the start.
 func (c *checker) bytes() []int64 {
 	bytes := make([]int64, len(c.fleet.zoneOf))
 	for i := range bytes {
-		bytes[i] = c.fleet.Bytes[i] + c.fleet.Received[i]
+		bytes[i] = c.fleet.SentBytes[i] + c.fleet.ReceivedBytes[i]
 	}
 	return bytes
 }
 
-// sample looks at all members.
+// sample updates the counts from the views of all running members.
 func (c *checker) sample() {
-	parts := 0.0
+	shares := 0.0
 	for i, b := range c.fleet.members {
 		if b == nil || !c.fleet.up[i] {
 			continue
 		}
-		parts += 1 / b.directory.RateDivisor()
+		shares += 1 / b.directory.RateDivisor()
 		for zone, site := range c.fleet.sites {
-			c.noteState(i, zone, b.directory.State(site.ID()))
+			c.recordState(i, zone, b.directory.State(site.ID()))
 		}
 	}
-	c.Factor = max(c.Factor, parts)
+	c.MaxBudgetSum = max(c.MaxBudgetSum, shares)
 	c.samples++
-	if c.samples%issuerSamples == 0 {
+	if c.samples%samplesPerIssuerCheck == 0 {
 		c.countIssuers()
 	}
 	if c.now() >= c.nextSecondAt {
@@ -109,19 +111,20 @@
 	}
 }
 
-// noteState takes what a member considers a zone to be. Zones that are found or forgotten are no changes.
-func (c *checker) noteState(i, zone int, state zonedirectory.Reachability) {
+// recordState records the state of a zone in a member's view, and counts changes of it. A zone that is found or
+// forgotten does not count as a change.
+func (c *checker) recordState(i, zone int, state zonedirectory.Reachability) {
 	before := c.states[i][zone]
 	c.states[i][zone] = state
 	if before == state || before == 0 || state == 0 {
 		return
 	}
-	c.changed[i][zone]++
-	c.Changes++
-	c.Flaps = max(c.Flaps, c.changed[i][zone]-1)
+	c.changeCounts[i][zone]++
+	c.StateChanges++
+	c.Flaps = max(c.Flaps, c.changeCounts[i][zone]-1)
 }
 
-// countIssuers counts the changes of issuers, as the last member sees them that is up.
+// countIssuers counts the changes of issuers in the view of the running member with the highest number.
 func (c *checker) countIssuers() {
 	for i, b := range slices.Backward(c.fleet.members) {
 		if !c.fleet.up[i] {
@@ -129,42 +132,42 @@
 		}
 		for _, v := range b.directory.Views() {
 			id := v.Site.ID()
-			if before, known := c.issuers[id]; known && before != v.Issuer {
-				c.Issuers++
+			if before, known := c.lastIssuers[id]; known && before != v.Issuer {
+				c.IssuerChanges++
 			}
-			c.issuers[id] = v.Issuer
+			c.lastIssuers[id] = v.Issuer
 		}
 		return
 	}
 }
 
-// countBytes takes the bytes at the end of a second.
+// countBytes records the members' bytes at the end of a second, and updates maxWindowBytes.
 func (c *checker) countBytes() {
-	c.bytesBySec = append(c.bytesBySec, c.bytes())
-	if len(c.bytesBySec) <= budgetSpan {
+	c.bytesBySecond = append(c.bytesBySecond, c.bytes())
+	if len(c.bytesBySecond) <= byteWindowSeconds {
 		return
 	}
-	last := c.bytesBySec[len(c.bytesBySec)-1]
-	for i, before := range c.bytesBySec[0] {
-		c.worstBytes = max(c.worstBytes, last[i]-before)
+	last := c.bytesBySecond[len(c.bytesBySecond)-1]
+	for i, before := range c.bytesBySecond[0] {
+		c.maxWindowBytes = max(c.maxWindowBytes, last[i]-before)
 	}
-	c.bytesBySec = c.bytesBySec[1:]
+	c.bytesBySecond = c.bytesBySecond[1:]
 }
 
-// BytesPerS are the bytes a second of a member since the last Mark, sent and received: on average, of the member with
-// the most, and of any in the worst ten seconds.
+// BytesPerS returns how many bytes per second a member has sent and received since the last ResetCounts: the mean and
+// the highest value of all members, and the highest of any member in any window of byteWindowSeconds.
 func (c *checker) BytesPerS() (mean, highest, worst float64) {
-	seconds := (c.now() - c.markAt).Seconds()
+	seconds := (c.now() - c.resetAt).Seconds()
 	bytes := c.bytes()
 	for i := range bytes {
-		perSecond := float64(bytes[i]-c.bytesAtMark[i]) / seconds
+		perSecond := float64(bytes[i]-c.bytesAtReset[i]) / seconds
 		mean += perSecond / float64(len(bytes))
 		highest = max(highest, perSecond)
 	}
-	return mean, highest, float64(c.worstBytes) / budgetSpan
+	return mean, highest, float64(c.maxWindowBytes) / byteWindowSeconds
 }
 
-// AllReachable reports whether all members that are up consider all zones Reachable and count all that are up.
+// AllReachable reports whether every running member has all zones as Reachable and counts all running members as live.
 func (f *Fleet) AllReachable() bool {
 	up := 0
 	for _, runs := range f.up {
@@ -172,12 +175,12 @@
 			up++
 		}
 	}
-	return f.Count(nil, up, func(s zonedirectory.Reachability) bool { return s == zonedirectory.Reachable })
+	return f.AllCount(nil, up, func(s zonedirectory.Reachability) bool { return s == zonedirectory.Reachable })
 }
 
-// Count reports whether all members of zones, or of all where zones is nil, count so many live ones, and consider all
-// zones to be in a state that is accepted.
-func (f *Fleet) Count(zones []int, live int, accepted func(zonedirectory.Reachability) bool) bool {
+// AllCount reports whether every running member of the given zones, or of all zones if zones is nil, counts this many
+// live members in the whole fleet and has every zone in an accepted state.
+func (f *Fleet) AllCount(zones []int, live int, accepted func(zonedirectory.Reachability) bool) bool {
 	for _, i := range f.MembersOf(zones) {
 		if !f.up[i] {
 			continue
@@ -195,8 +198,8 @@
 	return true
 }
 
-// Hold reports whether all members of some zones consider others to be in a state.
-func (f *Fleet) Hold(zones, others []int, state zonedirectory.Reachability) bool {
+// AllSee reports whether all running members of some zones have each of the other given zones in a state.
+func (f *Fleet) AllSee(zones, others []int, state zonedirectory.Reachability) bool {
 	for _, i := range f.MembersOf(zones) {
 		for _, zone := range others {
 			if f.up[i] && f.members[i].directory.State(f.sites[zone].ID()) != state {
@@ -207,8 +210,8 @@
 	return true
 }
 
-// HaveRecord reports whether all members of some zones have a record.
-func (f *Fleet) HaveRecord(zones []int, record zonedirectory.Record) bool {
+// AllHaveRecord reports whether all running members of some zones, or of all zones if zones is nil, have a record.
+func (f *Fleet) AllHaveRecord(zones []int, record zonedirectory.Record) bool {
 	for _, i := range f.MembersOf(zones) {
 		if f.up[i] && !slices.Contains(f.members[i].directory.Records(), record) {
 			return false
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	// seedsPerZone is how many members of each zone all know from the start.
+	// seedsPerZone is the number of members of each zone that are seeds of the whole fleet.
 	seedsPerZone = 2
-	// startSpan is the time within which all members are started.
+	// startSpan is the time over which the starts of the members are spread at random.
 	startSpan = time.Second
-	// leaveTime is how long a process that leaves runs on.
-	leaveTime = 500 * time.Millisecond
-	// sampleInterval is how often the checker looks at the fleet.
+	// leaveDelay is the time from a member's announcement that it leaves to the end of its process, as in package
+	// simulation.
+	leaveDelay = 500 * time.Millisecond
+	// sampleInterval is the time between two samples of the checker.
 	sampleInterval = 50 * time.Millisecond
-	// instanceStartBits is how many bits of an instance count the member's starts.
+	// instanceStartBits is the number of low bits of an instance that hold the start count.
 	instanceStartBits = 8
 )
 
-// Fleet is a fleet that is played. Its members are numbered through, zone by zone.
+// Fleet is a simulated fleet and its checker. Members are numbered from 0, zone by zone.
 type Fleet struct {
 	*simulation.Cluster
 	checker
 
-	// Zones has the members of each zone.
-	Zones   [][]int
-	shape   Shape
-	sites   []zonedirectory.Site // of zones
-	zoneOf  []int                // the zone of each member
-	up      []bool               // whether each member's process runs
-	members []*balancer          // the processes
-	fault   *Fault               // nil: none
+	// Zones lists the members of each zone.
+	Zones    [][]int
+	topology Topology
+	sites    []zonedirectory.Site // by zone
+	zoneOf   []int                // by member
+	up       []bool               // by member: whether its process runs
+	members  []*balancer          // by member: its current process; nil before the first start
+	fault    *Fault               // nil for none
 
-	links     [][]*link.Link  // from zone to zone
-	severed   map[[2]int]bool // members between which nothing arrives, in one direction
-	lostLinks link.Link       // between these
+	links            [][]*link.Link  // from zone to zone
+	disconnected     map[[2]int]bool // pairs of sender and receiver whose packets are lost
+	disconnectedLink link.Link       // the link of all these pairs
 }
 
-// New returns a fleet whose members are started within startSpan, all with a fault where that is not nil.
-func New(shape Shape, seed uint64, fault *Fault) *Fleet {
+// New returns a fleet whose members start at random times within startSpan. fault, if it is not nil, is injected into
+// all of them.
+func New(topology Topology, seed uint64, fault *Fault) *Fleet {
 	f := &Fleet{
-		shape:     shape,
-		sites:     shape.sites(),
-		fault:     fault,
-		links:     shape.links(seed),
-		severed:   map[[2]int]bool{},
-		lostLinks: link.Link{Partitioned: true},
+		topology:         topology,
+		sites:            topology.sites(),
+		fault:            fault,
+		links:            topology.links(seed),
+		disconnected:     map[[2]int]bool{},
+		disconnectedLink: link.Link{Partitioned: true},
 	}
-	for zone, members := range shape.Members {
+	for zone, members := range topology.ZoneSizes {
 		f.Zones = append(f.Zones, nil)
 		for range members {
 			f.Zones[zone] = append(f.Zones[zone], len(f.zoneOf))
@@ -64,23 +66,23 @@
 	f.up = make([]bool, n)
 	f.members = make([]*balancer, n)
 	f.Cluster = simulation.NewCluster(n, seed, link.Link{}, f.build)
-	f.LinkBetween = f.between
-	f.begin(f)
+	f.LinkBetween = f.linkBetween
+	f.attach(f)
 	for i := range n {
 		f.After(time.Duration(f.Rand().Int64N(int64(startSpan))), func() { f.start(i) })
 	}
 	return f
 }
 
-// between is the link from one member to another.
-func (f *Fleet) between(from, to int) *link.Link {
-	if f.severed[[2]int{from, to}] {
-		return &f.lostLinks
+// linkBetween returns the link from one member to another.
+func (f *Fleet) linkBetween(from, to int) *link.Link {
+	if f.disconnected[[2]int{from, to}] {
+		return &f.disconnectedLink
 	}
 	return f.links[f.zoneOf[from]][f.zoneOf[to]]
 }
 
-// build makes a member's process.
+// build creates a process of a member. It is the cluster's simulation.Builder.
 func (f *Fleet) build(c *simulation.Cluster, i, start int) simulation.Detector {
 	now := simulation.Micros(c.Now().Microseconds())
 	site := f.sites[f.zoneOf[i]]
@@ -124,7 +126,7 @@
 }
 
 func (f *Fleet) seeds() []netip.AddrPort {
-	zones := f.shape.SeedZones
+	zones := f.topology.SeedZones
 	if zones == nil {
 		zones = f.allZones()
 	}
@@ -142,7 +144,7 @@
 	f.Start(i)
 }
 
-// Crash ends processes without an announcement.
+// Crash ends the processes of members without an announcement.
 func (f *Fleet) Crash(members ...int) {
 	for _, i := range members {
 		f.up[i] = false
@@ -150,7 +152,7 @@
 	}
 }
 
-// Restart ends processes without an announcement and starts new ones in their place.
+// Restart ends the processes of members without an announcement, and starts new ones at once.
 func (f *Fleet) Restart(members ...int) {
 	f.Crash(members...)
 	for _, i := range members {
@@ -158,13 +160,13 @@
 	}
 }
 
-// Leave ends a process in the planned way.
+// Leave ends a member's process in the planned way, with an announcement.
 func (f *Fleet) Leave(i int) {
 	f.Stop(i)
-	f.After(leaveTime, func() { f.up[i] = false })
+	f.After(leaveDelay, func() { f.up[i] = false })
 }
 
-// SetPartition has nothing arrive from some zones at others, or all again.
+// SetPartition sets whether the links from some zones to others, in this direction, are partitioned.
 func (f *Fleet) SetPartition(from, to []int, partitioned bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -175,28 +177,30 @@
 	}
 }
 
-// Sever has nothing arrive from some members at others.
-func (f *Fleet) Sever(from, to []int) {
+// Disconnect drops all packets from some members to others from now on.
+func (f *Fleet) Disconnect(from, to []int) {
 	for _, a := range from {
 		for _, b := range to {
-			f.severed[[2]int{a, b}] = true
+			f.disconnected[[2]int{a, b}] = true
 		}
 	}
 }
 
-// Reconnect ends what Sever has done.
-func (f *Fleet) Reconnect() { clear(f.severed) }
+// Reconnect reverts all calls of Disconnect.
+func (f *Fleet) Reconnect() { clear(f.disconnected) }
 
-// In lists the zones of a region.
-func (f *Fleet) In(region int) []int { return f.zonesWhere(func(r int) bool { return r == region }) }
+// ZonesIn returns the zones of a region.
+func (f *Fleet) ZonesIn(region int) []int {
+	return f.zonesWhere(func(r int) bool { return r == region })
+}
 
-// Outside lists the zones that are not in a region.
-func (f *Fleet) Outside(region int) []int {
+// ZonesOutside returns the zones that are not in a region.
+func (f *Fleet) ZonesOutside(region int) []int {
 	return f.zonesWhere(func(r int) bool { return r != region })
 }
 
 func (f *Fleet) zonesWhere(inRegion func(region int) bool) []int {
-	return slices.DeleteFunc(f.allZones(), func(zone int) bool { return !inRegion(f.shape.Region[zone]) })
+	return slices.DeleteFunc(f.allZones(), func(zone int) bool { return !inRegion(f.topology.ZoneRegions[zone]) })
 }
 
 func (f *Fleet) allZones() []int {
@@ -207,7 +211,7 @@
 	return zones
 }
 
-// MembersOf lists the members of zones, of all where zones is nil.
+// MembersOf returns the members of some zones, or of all zones if zones is nil.
 func (f *Fleet) MembersOf(zones []int) []int {
 	if zones == nil {
 		zones = f.allZones()
@@ -219,7 +223,8 @@
 	return members
 }
 
-// Delegates lists the first n candidates of a zone by rank, as one of its members sees them.
+// Delegates returns the n first-ranked candidates for delegate of a zone, in the view of the zone's first running
+// member; nil if no member of the zone runs.
 func (f *Fleet) Delegates(zone, n int) []int {
 	for _, i := range f.Zones[zone] {
 		if !f.up[i] {
@@ -237,18 +242,18 @@
 func indexes(contacts []zonedirectory.Contact) []int {
 	var members []int
 	for _, contact := range contacts {
-		members = append(members, simulation.Index(contact.Addr))
+		members = append(members, simulation.MemberIndex(contact.Addr))
 	}
 	return members
 }
 
-// Publish has a member publish a record.
+// Publish publishes a record at a member.
 func (f *Fleet) Publish(i int, name, value string) (zonedirectory.Record, error) {
 	return f.members[i].directory.Publish(simulation.Micros(f.Now().Microseconds()), name, value)
 }
 
-// For lets time pass.
-func (f *Fleet) For(d time.Duration) {
+// RunFor runs the fleet for d, and takes the checker's samples.
+func (f *Fleet) RunFor(d time.Duration) {
 	until := f.Now() + d
 	for f.Now() < until {
 		next := min(until, f.Now()+sampleInterval)
@@ -257,11 +262,11 @@
 	}
 }
 
-// Until lets time pass until a condition holds, for limit at most, and returns how long that took.
-func (f *Fleet) Until(limit time.Duration, holds func() bool) time.Duration {
+// RunUntil runs the fleet until a condition holds, for limit at most, and returns the virtual time that passed.
+func (f *Fleet) RunUntil(limit time.Duration, holds func() bool) time.Duration {
 	from := f.Now()
 	for !holds() && f.Now()-from < limit {
-		f.For(sampleInterval)
+		f.RunFor(sampleInterval)
 	}
 	return f.Now() - from
 }
