--- a/cmd/spurspread/serve.go
+++ b/cmd/spurspread/serve.go
@@ -41,7 +41,7 @@
 }
 
 // Run serves until SIGTERM or SIGINT has stopped the event loop.
-func (c *serveCmd) Run(s *streams) error {
+func (c *serveCmd) Run(s *environment) error {
 	// Signals are caught from before the first step until after the last: an uncaught SIGHUP would kill the process,
 	// and an uncaught SIGTERM would cut off its clients.
 	signals := make(chan os.Signal, maxPendingSignals)
@@ -113,8 +113,8 @@
 	if p.proxy, err = proxy.New(p.loop, cfg.proxy, p.log); err != nil {
 		return err
 	}
-	// The files are named after the bound address: with port 0 in the configuration, several balancers may have the
-	// same configured one.
+	// The files are named after the bound address, not the configured one: several balancers may be configured with
+	// the same address and port 0.
 	p.listenAddr = p.proxy.Addr()
 	p.setRestartPaths()
 	p.lists.start(p.listenAddr)
