--- a/cmd/spurspread-sim/main_test.go
+++ b/cmd/spurspread-sim/main_test.go
@@ -94,6 +94,7 @@
 	return n
 }
 
+// Two instances in one host decide independently: each gets the actions for its own request.
 func TestTwoInstances(t *testing.T) {
 	in := append(startBatch(4, 9), batch(2, 1001000, nil, forInstance(4), request(1), forInstance(9), request(2))...)
 	var out bytes.Buffer
@@ -103,10 +104,12 @@
 	_, _, rest := actions(t, out.Bytes())
 	codes, instances, rest := actions(t, rest)
 	if len(rest) != 0 || count(codes, 1040) != 2 || instances[0] != 4 || instances[len(instances)-1] != 9 {
-		t.Fatalf("codes %v of instances %v, %d bytes left over", codes, instances, len(rest))
+		t.Fatalf("codes %v of instances %v, %d bytes left over; want code 1040 twice, of 4 and then 9, and no bytes",
+			codes, instances, len(rest))
 	}
 }
 
+// An instance that is stopped in the same batch as a request sends no actions, and a later request to it is an error.
 func TestStopDiscardsActions(t *testing.T) {
 	in := append(startBatch(4), batch(2, 1001000, nil, forInstance(4), request(1), record(1040))...)
 	var out bytes.Buffer
@@ -115,11 +118,11 @@
 	}
 	_, _, rest := actions(t, out.Bytes())
 	if codes, _, _ := actions(t, rest); len(codes) != 0 {
-		t.Fatalf("actions of a stopped instance: %v", codes)
+		t.Fatalf("actions of a stopped instance: %v, want none", codes)
 	}
 	err := run(bytes.NewReader(append(in, batch(3, 1002000, nil, forInstance(4), request(2))...)), &out)
 	if err == nil || !strings.Contains(err.Error(), "instance 4: not started") {
-		t.Fatalf("request to a stopped instance: %v", err)
+		t.Fatalf("request to a stopped instance: %v, want the error that it is not started", err)
 	}
 }
 
@@ -167,7 +170,7 @@
 			}
 		}
 		if string(encodeUint16s(of9)) != string(encodeUint16s(codesAlone)) {
-			t.Fatalf("codes %v with another instance, %v alone", of9, codesAlone)
+			t.Fatalf("codes %v with another instance, %v alone, want the same", of9, codesAlone)
 		}
 		both, alone = restBoth, restAlone
 	}
@@ -178,6 +181,7 @@
 	return b
 }
 
+// Input that ends before a batch begins is not an error.
 func TestCleanEnd(t *testing.T) {
 	if err := run(bytes.NewReader(nil), &bytes.Buffer{}); err != nil {
 		t.Fatal(err)
--- a/cmd/spurspread/goroutines_test.go
+++ b/cmd/spurspread/goroutines_test.go
@@ -22,7 +22,7 @@
 	select {
 	case <-h.done:
 	default:
-		t.Error("the goroutine has not ended")
+		t.Error("the goroutine of the signal handler has not ended after stop")
 	}
 }
 
@@ -50,7 +50,7 @@
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("close is blocked by the write")
+		t.Fatal("close has not returned within 10 s of a blocked write")
 	}
 }
 
@@ -77,7 +77,7 @@
 	select {
 	case <-f.seedsDone:
 	default:
-		t.Error("the goroutine has not ended")
+		t.Error("the goroutine that resolves seeds has not ended after close")
 	}
 	(*fleetMember)(nil).close() // as in a process without membership
 }
--- a/cmd/spurspread/hotrestart_test.go
+++ b/cmd/spurspread/hotrestart_test.go
@@ -49,10 +49,10 @@
 	}
 	got, err := s.in.ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("echo of %q is %q: %w", text, got, err)
+		return fmt.Errorf("read echo of %q: got %q: %w", text, got, err)
 	}
 	if got != text {
-		return fmt.Errorf("echo of %q is %q", text, got)
+		return fmt.Errorf("echo of %q is %q, want the same line", text, got)
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 	for i := range established {
 		s, answer, err := open(clients, "index-sync", i)
 		if answer != "UP 1\r\n" {
-			t.Fatalf("stream %d: %q, %v", i, answer, err)
+			t.Fatalf("stream %d: answer %q, %v, want UP 1", i, answer, err)
 		}
 		streams = append(streams, s)
 	}
@@ -99,7 +99,7 @@
 		for id := 1000; !stop.Load(); id++ {
 			s, answer, err := open(clients, "index-sync", id)
 			if answer != "UP 1\r\n" && !strings.HasPrefix(answer, "BUSY") {
-				t.Errorf("client that connected during the hot restart: %q, %v", answer, err)
+				t.Errorf("client that connected during the hot restart: answer %q, %v, want UP 1 or BUSY", answer, err)
 			}
 			if s != nil {
 				_ = s.c.Close()
@@ -113,7 +113,7 @@
 	}
 	old.logged("hot restart: connections transferred to successor")
 	if err := old.cmd.Wait(); err != nil {
-		t.Errorf("the old process ended with %v", err)
+		t.Errorf("the old process ended with %v, want exit code 0", err)
 	}
 	for from := rounds.Load(); rounds.Load() < from+50*established && !t.Failed(); {
 		time.Sleep(time.Millisecond)
@@ -123,7 +123,7 @@
 	t.Logf("%d rounds, %d new clients", rounds.Load(), newClients)
 	for i := range established {
 		if _, again := requested.Load(fmt.Sprintf("%08x", i)); again {
-			t.Errorf("request of stream %d reached a server again", i)
+			t.Errorf("request of stream %d reached a server again, want it sent once", i)
 		}
 	}
 	// The connections are now those of the new process, which moves them all when it stops.
@@ -132,12 +132,12 @@
 	}
 	for i, s := range streams {
 		if got, err := s.in.ReadString('\n'); got != "MOVE\r\n" {
-			t.Errorf("stream %d: %q, %v", i, got, err)
+			t.Errorf("stream %d: got %q, %v, want MOVE", i, got, err)
 		}
 		_ = s.c.Close()
 	}
 	if err := next.cmd.Wait(); err != nil {
-		t.Errorf("the new process ended with %v", err)
+		t.Errorf("the new process ended with %v, want exit code 0", err)
 	}
 }
 
@@ -178,12 +178,12 @@
 		t.Fatal(err)
 	}
 	if err := old.cmd.Wait(); err != nil {
-		t.Errorf("the old process ended with %v", err)
+		t.Errorf("the old process ended with %v, want exit code 0", err)
 	}
 	for i := range 16 {
 		s, answer, err := open(clients, "index-sync", i)
 		if answer != "UP 1\r\n" {
-			t.Fatalf("client %d: %q, %v", i, answer, err)
+			t.Fatalf("client %d: answer %q, %v, want UP 1", i, answer, err)
 		}
 		_ = s.c.Close()
 	}
@@ -195,9 +195,9 @@
 		t.Fatal(err)
 	}
 	if err := next.cmd.Wait(); err != nil {
-		t.Errorf("the new process ended with %v", err)
+		t.Errorf("the new process ended with %v, want exit code 0", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 0 {
-		t.Errorf("files left after both processes ended: %v", left)
+		t.Errorf("files left after both processes ended: %v, want none", left)
 	}
 }
--- a/cmd/spurspread/idle_test.go
+++ b/cmd/spurspread/idle_test.go
@@ -42,13 +42,13 @@
 	for i := range 20 {
 		s, answer, err := open(clients, "index-sync", i)
 		if answer != "UP 1\r\n" {
-			t.Fatalf("client %d: %q, %v", i, answer, err)
+			t.Fatalf("client %d: answer %q, %v, want UP 1", i, answer, err)
 		}
 		t.Cleanup(func() { _ = s.c.Close() })
 		peak = max(peak, p.descriptors())
 	}
 	if peak > limit || peak < limit*3/4 {
-		t.Errorf("at most %d descriptors open, want no more than the limit of %d, and at least 3/4 of it", peak, limit)
+		t.Errorf("peak of %d open descriptors, want at most the limit of %d, and at least 3/4 of it", peak, limit)
 	}
 	ln, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
--- a/cmd/spurspread/main_test.go
+++ b/cmd/spurspread/main_test.go
@@ -109,7 +109,7 @@
 			&environment{getenv: getenv, out: &out, err: &errOut},
 		)
 		if code != exitFailed || !strings.Contains(errOut.String(), want) || strings.Count(errOut.String(), "\n") != 1 {
-			t.Errorf("want %q, got %q and %d", want, errOut.String(), code)
+			t.Errorf("got standard error %q and code %d, want one line with %q and code 1", errOut.String(), code, want)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	if got := acceptDiscoveryRequest(t, oldDiscovery); !strings.Contains(got, "index=1 ") {
-		t.Errorf("request %q", got)
+		t.Errorf("first call to the old discovery: %q, want index=1", got)
 	}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -201,7 +201,7 @@
 		t.Helper()
 		_, _ = fmt.Fprint(c, "PING\r\n")
 		if got, err := rd.ReadString('\n'); got != "PONG\r\n" {
-			t.Fatalf("%q, %v", got, err)
+			t.Fatalf("PING answered with %q, %v, want PONG", got, err)
 		}
 	}
 	answers()
@@ -218,7 +218,7 @@
 	signal(unix.SIGHUP)
 	// Generations of one discovery mean nothing to another, so the full list is requested.
 	if got := acceptDiscoveryRequest(t, newDiscovery); !strings.Contains(got, "index=0 ") {
-		t.Errorf("request %q", got)
+		t.Errorf("first call to the new discovery: %q, want index=0", got)
 	}
 	answers()
 	signal(unix.SIGHUP)
@@ -277,7 +277,8 @@
 	} {
 		code, out, errOut := command(t, c.args...)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errOut, c.errOut) {
-			t.Errorf("%q: code %d, %q, %q", c.args, code, out, errOut)
+			t.Errorf("%q: code %d, output %q, errors %q; want code %d, output with %q, errors with %q",
+				c.args, code, out, errOut, c.code, c.out, c.errOut)
 		}
 	}
 }
@@ -305,7 +306,8 @@
 	code, out, errOut := command(t, "token", "inspect", "--site="+file, string(text))
 	if code != exitOK || !strings.Contains(out, "top      41\n") ||
 		!strings.Contains(out, "server   s1, started long ago") {
-		t.Errorf("%d, %q, %q", code, out, errOut)
+		t.Errorf("token inspect: code %d, output %q, errors %q; want code %d, top 41 and server s1",
+			code, out, errOut, exitOK)
 	}
 	// Replaced by a letter of the base64 alphabet, so that decoding succeeds and the seal is what fails.
 	if text[70] != 'A' {
@@ -315,7 +317,8 @@
 	}
 	if code, _, errOut := command(t, "token", "inspect", "--site="+file, string(text)); code != exitFailed ||
 		!strings.Contains(errOut, "token authentication failed") {
-		t.Errorf("%d, %q", code, errOut)
+		t.Errorf("inspect an altered token: code %d, errors %q; want code %d and failed authentication",
+			code, errOut, exitFailed)
 	}
 }
 
@@ -393,7 +396,7 @@
 	}
 	for first.log.Scan() {
 		if text := first.log.Text(); strings.Contains(text, "hot restart: successor accepts new clients") {
-			t.Error(text)
+			t.Errorf("logged %q, want no hot restart to another listen address", text)
 		}
 	}
 	if err := first.cmd.Wait(); err != nil {
@@ -411,11 +414,11 @@
 		oldAdmin, newAdmin := freePort(t), freePort(t)
 		old := start(t, "GW_CONFIG="+path, "GW_MGMT="+oldAdmin, "TMPDIR="+tmp)
 		if got := exchangeLine(t, oldAdmin, "PING\r\n"); got != "+OK serving" {
-			t.Fatalf("old PING: %q", got)
+			t.Fatalf("PING to the old process: %q, want +OK serving", got)
 		}
 		start(t, "GW_CONFIG="+path, "GW_MGMT="+newAdmin, "TMPDIR="+tmp)
 		if got := exchangeLine(t, newAdmin, "PING\r\n"); got != "+OK serving" {
-			t.Fatalf("new PING: %q", got)
+			t.Fatalf("PING to the new process: %q, want +OK serving", got)
 		}
 		if err := old.cmd.Process.Signal(unix.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -429,17 +432,17 @@
 		// If the old process were still listening, about half of these would reach it and be rejected.
 		for i := range 40 {
 			if got := exchangeLine(t, clients, "PING\r\n"); got != "PONG" {
-				t.Fatalf("killed %v, client %d after the hot restart: %q", kill, i, got)
+				t.Fatalf("killed %v, client %d after the hot restart: %q, want PONG", kill, i, got)
 			}
 		}
 		if !kill {
 			if err := old.cmd.Wait(); err != nil {
-				t.Errorf("the old process ended with %v", err)
+				t.Errorf("the old process ended with %v, want exit code 0", err)
 			}
 		}
 		announcements, _ := filepath.Glob(filepath.Join(tmp, "spurspread-*.v1.json"))
 		if len(announcements) != 1 {
-			t.Errorf("announcements %v", announcements)
+			t.Errorf("announcements %v, want only that of the new process", announcements)
 		}
 	}
 }
--- a/cmd/spurspread/memberscmd_test.go
+++ b/cmd/spurspread/memberscmd_test.go
@@ -40,15 +40,15 @@
 func TestMembersWithoutZones(t *testing.T) {
 	var v membersReport
 	if err := json.Unmarshal([]byte(withoutZones), &v); err != nil || v.ZonesReport != nil {
-		t.Fatalf("%+v, %v", v, err)
+		t.Fatalf("parsed as %+v, %v, want no report of zones", v, err)
 	}
 	if again, err := json.Marshal(v); err != nil || string(again) != withoutZones {
-		t.Errorf("%s, %v", again, err)
+		t.Errorf("encoded again as %s, %v, want the same text", again, err)
 	}
 	addr, _ := fakeAdmin(t, "+OK "+withoutZones)
 	code, out, errOut := command(t, "members", "--mgmt", addr)
 	if lines := strings.Count(out, "\n"); code != exitOK || lines != 2 {
-		t.Errorf("code %d, %q, %q", code, out, errOut)
+		t.Errorf("members: code %d, output %q, errors %q; want code %d and 2 lines", code, out, errOut, exitOK)
 	}
 }
 
@@ -68,7 +68,7 @@
 		"limits  7        two words\n",
 	} {
 		if code != exitOK || !strings.Contains(out, want) {
-			t.Errorf("code %d, no %q in\n%s%s", code, want, out, errOut)
+			t.Errorf("members: code %d, want %d and %q in\n%s%s", code, exitOK, want, out, errOut)
 		}
 	}
 }
@@ -78,7 +78,8 @@
 	addr, sent := fakeAdmin(t, "+OK 17")
 	code, out, errOut := command(t, "record", "limits", "two words", "--mgmt", addr)
 	if got := <-sent; code != exitOK || got != "RECORD limits two words\r\n" || out != "limits has version 17\n" {
-		t.Errorf("code %d, %q, %q, %q", code, got, out, errOut)
+		t.Errorf("record: code %d, sent %q, output %q, errors %q; want code %d and version 17",
+			code, got, out, errOut, exitOK)
 	}
 	for _, c := range [][2]string{
 		{"two words", "x"},
@@ -91,14 +92,15 @@
 	} {
 		if code, _, errOut := command(t, "record", c[0], c[1], "--mgmt", "127.0.0.1:1"); code != exitFailed ||
 			!strings.Contains(errOut, errInvalidRecord.Error()) {
-			t.Errorf("%q: code %d, %q", c, code, errOut)
+			t.Errorf("record %q: code %d, errors %q; want code %d and %q",
+				c, code, errOut, exitFailed, errInvalidRecord)
 		}
 	}
 	closed := listener(t)
 	_ = closed.Close()
 	code, _, errOut = command(t, "record", "n", "v", "--mgmt", closed.Addr().String())
 	if code != exitFailed || errOut == "" {
-		t.Errorf("code %d, %q", code, errOut)
+		t.Errorf("record at a closed address: code %d, errors %q; want code %d and a text", code, errOut, exitFailed)
 	}
 }
 
@@ -120,7 +122,7 @@
 	}
 	if code, out, errOut := command(t, "site", "check", file); code != exitOK ||
 		!strings.Contains(out, "2 seeds, region east, zone east-1, rack r7") {
-		t.Errorf("code %d, %q, %q", code, out, errOut)
+		t.Errorf("site check: code %d, output %q, errors %q; want code %d and the zone", code, out, errOut, exitOK)
 	}
 }
 
@@ -129,9 +131,9 @@
 	if at, err := localSite(&siteconfig.Membership{Region: "east", Zone: "east-1"}); err != nil ||
 		at.Region != "east" ||
 		at.Zone != "east-1" {
-		t.Errorf("%+v, %v", at, err)
+		t.Errorf("localSite = %+v, %v, want region east and zone east-1", at, err)
 	}
 	if _, err := localSite(&siteconfig.Membership{Zone: "a-name-that-has-more-than-32-bytes"}); err == nil {
-		t.Error("a zone name that is too long for datagrams was accepted")
+		t.Error("a zone name of more than 32 bytes was accepted, want an error")
 	}
 }
--- a/cmd/spurspread/reload_test.go
+++ b/cmd/spurspread/reload_test.go
@@ -33,7 +33,7 @@
 	}
 	established, got, err := open(clients, "index-sync", id)
 	if got != "UP 1\r\n" {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("answer %q, %v, want UP 1", got, err)
 	}
 	// In each of these files the class is renamed, too, which shows whether a file was applied in part.
 	renamed := strings.Replace(good, `"index-sync"`, `"renamed"`, 1)
@@ -66,7 +66,7 @@
 			t.Errorf("%s: the log has %q, want the file and %q", c.name, line, c.fault)
 		}
 		if old, fresh := answer("index-sync"), answer("renamed"); old != "UP 1\r\n" || fresh != "ERR\r\n" {
-			t.Errorf("%s: the old class got the reply %q, the renamed class %q", c.name, old, fresh)
+			t.Errorf("%s: the old class got the reply %q, the renamed class %q, want UP 1 and ERR", c.name, old, fresh)
 		}
 	}
 	write(renamed)
@@ -75,7 +75,7 @@
 	}
 	p.logged("settings changed")
 	if old, fresh := answer("index-sync"), answer("renamed"); old != "ERR\r\n" || fresh != "UP 1\r\n" {
-		t.Errorf("reloaded: the old class got the reply %q, the renamed class %q", old, fresh)
+		t.Errorf("reloaded: the old class got the reply %q, the renamed class %q, want ERR and UP 1", old, fresh)
 	}
 	if err := established.exchange(); err != nil {
 		t.Error(err)
--- a/cmd/spurspread/stopsoak_test.go
+++ b/cmd/spurspread/stopsoak_test.go
@@ -141,7 +141,7 @@
 	for i := range scenario.established {
 		s, answer, err := open(clients, "index-sync", i)
 		if err != nil || !strings.HasPrefix(answer, "UP ") {
-			t.Fatalf("connection %d: %q, %v", i, answer, err)
+			t.Fatalf("connection %d: answer %q, %v, want UP", i, answer, err)
 		}
 		t.Cleanup(func() { _ = s.c.Close() })
 		go streamLines(s.c)
@@ -205,12 +205,12 @@
 	} {
 		v := &violations{}
 		if check(v); len(v.all) != 1 {
-			t.Errorf("%s: %q", name, v.all)
+			t.Errorf("%s: violations %q, want one", name, v.all)
 		}
 	}
 	v := &violations{}
 	v.checkEstablished("c", bufio.NewReader(strings.NewReader("line 1\r\nMOVE\r\n")))
 	if v.checkAnswer("c", strings.NewReader("BUSY 1\r\n")); len(v.all) > 0 {
-		t.Errorf("violations reported for correct connections: %q", v.all)
+		t.Errorf("violations reported for correct connections: %q, want none", v.all)
 	}
 }
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -17,29 +17,32 @@
 		}
 	}
 	if answerIn <= 0 || answerIn >= 2*sec {
-		t.Fatalf("the answer is due after %d", answerIn)
+		t.Fatalf("the answer is due after %d us, want more than 0 and less than 2 s", answerIn)
 	}
 	g.now += answerIn
 	if n := len(actionsOf[Reject](g.handle(TimerFired{deadlineTimer.forRequest(1)}))); n != 1 {
-		t.Fatalf("%d rejections", n)
+		t.Fatalf("%d rejections when the answer is due, want 1", n)
 	}
 	if actions := g.handle(TimerFired{deadlineTimer.forRequest(1)}); len(actions) != 0 {
-		t.Fatalf("after the answer: %v", actions)
+		t.Fatalf("actions after the answer: %v, want none", actions)
 	}
 }
 
+// A request that reaches its deadline during an attempt is rejected and the attempt cancelled. Once the attempt has
+// ended, neither the request nor a count of it is left.
 func TestAnswerWhileAnAttemptIsUnderWay(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	id, s := g.request()
 	actions := g.handle(TimerFired{deadlineTimer.forRequest(id)})
 	if len(actionsOf[Reject](actions)) != 1 || len(actionsOf[CancelAttempt](actions)) != 1 {
-		t.Fatalf("at the deadline: %v", actions)
+		t.Fatalf("actions at the deadline: %v, want a Reject and a CancelAttempt", actions)
 	}
 	if actions := g.endAttempt(id, s, 0, outcome.Cancelled); len(actions) != 0 {
-		t.Fatalf("after the answer: %v", actions)
+		t.Fatalf("actions after the answer: %v, want none", actions)
 	}
 	if len(g.b.requests) != 0 || g.b.serversByID[s].pendingAttempts != 0 {
-		t.Fatalf("left behind: %d requests, %d pending", len(g.b.requests), g.b.serversByID[s].pendingAttempts)
+		t.Fatalf("%d requests and %d pending attempts left, want none",
+			len(g.b.requests), g.b.serversByID[s].pendingAttempts)
 	}
 }
 
@@ -64,15 +67,15 @@
 		actions := g.handle(RequestExpired{id})
 		if len(actionsOf[Fail](actions))+len(actionsOf[Reject](actions)) != 1 ||
 			len(actionsOf[Fail](actions)) == 1 != c.fails {
-			t.Errorf("%+v: %v", c, actions)
+			t.Errorf("%+v: got %v, want one final answer: Fail if fails is true, else Reject", c, actions)
 		}
 		again := append(g.handle(RequestExpired{id}), g.endAttempt(id, sv, 0, outcome.Cancelled)...)
 		if len(again) != 0 {
-			t.Errorf("%+v: a second answer: %v", c, again)
+			t.Errorf("%+v: actions after the answer: %v, want none", c, again)
 		}
 		established, _ := g.connect()
 		if actions := g.handle(RequestExpired{established}); len(actions) != 0 {
-			t.Errorf("%+v: actions for an established connection: %v", c, actions)
+			t.Errorf("%+v: actions for an established connection: %v, want none", c, actions)
 		}
 	}
 }
@@ -80,7 +83,7 @@
 func TestClassOutOfRangeIsAnswered(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(1, 0))
 	if n := len(actionsOf[StartAttempt](g.handle(Request{ID: 1, TimeLeft: sec, Class: 40, Tenant: 90}))); n != 1 {
-		t.Fatalf("%d attempts", n)
+		t.Fatalf("%d attempts for a request of an unknown class, want 1", n)
 	}
 }
 
@@ -93,7 +96,7 @@
 			g.now += 200 * ms
 			id, s := g.requestNow()
 			if s == 0 {
-				t.Fatalf("no attempt for %d", id)
+				t.Fatalf("no attempt was started for request %d", id)
 			}
 			if i%5 < hanging {
 				g.endAttempt(id, s, 0, outcome.TimedOut)
@@ -128,11 +131,11 @@
 		g := newHarness(t, testSettings(), serverList(6, 2))
 		attempts := actionsOf[StartAttempt](pinned(g, 102))
 		if len(attempts) != 1 || attempts[0].Server != 102 || attempts[0].Timeout < 1900*ms {
-			t.Fatalf("%+v", attempts)
+			t.Fatalf("got %+v, want one attempt at server 102 that may take nearly 2 s", attempts)
 		}
 		if actions := g.endAttempt(g.next, 102, 0, outcome.ServerFull); len(actionsOf[Reject](actions)) != 1 ||
 			len(actionsOf[StartAttempt](actions)) != 0 {
-			t.Fatalf("after its one attempt: %+v", actions)
+			t.Fatalf("after its one attempt: %+v, want a Reject and no attempt", actions)
 		}
 	}
 	for name, change := range map[string]func(g *harness){
@@ -143,28 +146,28 @@
 		g := newHarness(t, testSettings(), serverList(6, 0))
 		change(g)
 		if actions := pinned(g, 3); len(actionsOf[Reject](actions)) != 1 {
-			t.Errorf("%s: %+v", name, actions)
+			t.Errorf("%s: got %+v, want a Reject", name, actions)
 		}
 	}
 	g := newHarness(t, testSettings(), serverList(6, 0))
 	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
 	if actions := pinned(g, 3); len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("no capacity yet: %+v", actions)
+		t.Fatalf("without capacity: %+v, want the request held", actions)
 	}
 	g.now += 2*sec - answerMargin - minAttemptTimeout + 1
 	if actions := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](actions)) != 1 ||
 		len(actionsOf[StartAttempt](actions)) != 0 {
-		t.Errorf("started too late to be established: %+v", actions)
+		t.Errorf("too late to be established: %+v, want a Reject and no attempt", actions)
 	}
 	if actions := pinned(g, 3); len(actionsOf[StartAttempt](actions)) != 1 {
-		t.Fatalf("with capacity: %+v", actions)
+		t.Fatalf("with capacity: %+v, want an attempt", actions)
 	}
 	g.b.serversByID[3].budget.Tokens, g.b.serversByID[3].budget.RefilledAt = 0, g.now
 	if actions := pinned(g, 3); len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("no capacity again: %+v", actions)
+		t.Fatalf("without capacity again: %+v, want the request held", actions)
 	}
 	g.b.serversByID[3].State = Draining
 	if actions := g.handle(TimerFired{holdTimer.forRequest(g.next)}); len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("held while its server began to drain: %+v", actions)
+		t.Errorf("its server drains while it is held: %+v, want a Reject", actions)
 	}
 }
--- a/decision/answercause_test.go
+++ b/decision/answercause_test.go
@@ -18,7 +18,7 @@
 	for _, a := range actionsOf[Fail](actions) {
 		return a.Cause
 	}
-	t.Fatalf("no final answer in %v", actions)
+	t.Fatalf("no final answer in %v, want a Reject or a Fail", actions)
 	return answercause.Unknown
 }
 
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -61,7 +61,8 @@
 	}
 	home, other, large := sent(0, 2), sent(1, 2), sent(1, 4)
 	if other == 0 || other > home/2 || large <= other {
-		t.Errorf("%d to the home zone, %d to another, %d to a large server", home, other, large)
+		t.Errorf("%d to the home zone, %d to another, want 1 to half as many; %d to a large server, want more",
+			home, other, large)
 	}
 }
 
@@ -72,7 +73,7 @@
 	s.StartedAt, s.budget.GrantsLeft = g.now, 1
 	g.b.spendConnectionBudget(g.now, s, &request{relativeWork: 0.05})
 	if s.budget.GrantsLeft > 0 {
-		t.Fatalf("%v grants left", s.budget.GrantsLeft)
+		t.Fatalf("%v grants left, want the only one spent", s.budget.GrantsLeft)
 	}
 }
 
@@ -102,13 +103,15 @@
 		if got[1] != 1.5*slowstart.Burst*part || got[2] != slowstart.Burst/2*part ||
 			got[101] != slowstart.Burst*part ||
 			got[0] == 0 {
-			t.Fatalf("%d balancers, requests by server in the first burst: %v", balancers, got)
+			t.Fatalf("%d balancers, requests by server in the first burst: %v, want bursts in proportion to weights",
+				balancers, got)
 		}
 		clear(got)
 		g.now += sec
 		sendMany()
 		if n := got[1] + got[2] + got[101]; n < 3*slowstart.Rate*part-3 || n > 3*slowstart.Rate*part {
-			t.Fatalf("%d balancers, requests by server after a second: %v", balancers, got)
+			t.Fatalf("%d balancers, requests by server after a second: %v, want %v in all",
+				balancers, got, 3*slowstart.Rate*part)
 		}
 	}
 }
@@ -156,11 +159,11 @@
 	g.b.markConnected(g.now, s)
 	g.connectMany(40)
 	if len(s.connections) != before {
-		t.Fatalf("%d connections before, %d after", before, len(s.connections))
+		t.Fatalf("%d connections after 40 more requests, want still %d", len(s.connections), before)
 	}
 	g.advance(4 * sec)
 	if g.connectMany(40); len(s.connections) <= before {
-		t.Fatalf("still %d connections after 4 s without latency reports", before)
+		t.Fatalf("still %d connections after 4 s without latency reports, want more", before)
 	}
 }
 
--- a/decision/concurrency/concurrency_test.go
+++ b/decision/concurrency/concurrency_test.go
@@ -42,23 +42,23 @@
 func TestShedProbability(t *testing.T) {
 	l := limiterAfter(repeat(300, Failed)...)
 	if p := l.ShedProbability(1); p < 0.4 || p >= 0.5 { // 300 attempts, 160 free
-		t.Errorf("a single balancer sheds with probability %v", p)
+		t.Errorf("a single balancer sheds with probability %v, want 0.4 to 0.5", p)
 	}
 	if p := l.ShedProbability(0.01); p < 0.98 {
-		t.Errorf("one of a hundred sheds with probability %v", p)
+		t.Errorf("one of a hundred sheds with probability %v, want at least 0.98", p)
 	}
 	for range 300 {
 		l.Record(Established, 20*millisecond)
 	}
 	if p := l.ShedProbability(0.01); p != 0 {
-		t.Errorf("sheds with probability %v though half of the set-ups were established", p)
+		t.Errorf("sheds with probability %v though half of the set-ups were established, want 0", p)
 	}
 	l = limiterAfter(repeat(300, Failed)...)
 	for range 400 {
 		l.Decay()
 	}
 	if p := l.ShedProbability(0); p > 0.02 {
-		t.Errorf("sheds with probability %v long after the failures", p)
+		t.Errorf("sheds with probability %v long after the failures, want at most 0.02", p)
 	}
 }
 
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -2,7 +2,9 @@
 
 import "testing"
 
-func TestLongUnhealthyRefreshesServerListAtPlacement(t *testing.T) {
+// If a server has been Unhealthy for longer than longUnhealthyAfter, the requests placed then cause one poll of
+// discovery. It is delayed by a time that differs between balancers, since all of them would poll together otherwise.
+func TestLongUnhealthyServerCausesOnePoll(t *testing.T) {
 	s := testSettings()
 	s.PollDiscovery, s.AllowProbes = true, false
 	g := newHarness(t, s, serverList(2, 0))
@@ -57,7 +59,7 @@
 			}
 			m.run(start + 18*sec)
 			if len(answered) != n {
-				t.Errorf("%d balancers, seed %d: %d have an answer", n, seed, len(answered))
+				t.Errorf("%d balancers, seed %d: discovery has answered only %d", n, seed, len(answered))
 			}
 		}
 	}
--- a/decision/drainorder/drainorder_test.go
+++ b/decision/drainorder/drainorder_test.go
@@ -42,13 +42,14 @@
 		p.StartDrain(0, 1, connections, duration) // has no effect
 		ids, at := moves(p, 0)
 		if len(ids) != n {
-			t.Fatalf("%d of %d connections fell due", len(ids), n)
+			t.Fatalf("%d of %d connections fell due, want all", len(ids), n)
 		}
 		seen := map[uint32]bool{}
 		parts := map[uint64]int{}
 		for i, id := range ids {
 			if seen[id] || at[i] > duration {
-				t.Fatalf("connection %d fell due twice or too late, at %d", id, at[i])
+				t.Fatalf("connection %d fell due a second time, or too late: at %d us, want at most %d",
+					id, at[i], duration)
 			}
 			seen[id] = true
 			if g := connections[id].Group; i == 0 || g != connections[ids[i-1]].Group {
@@ -56,17 +57,19 @@
 			}
 			interval := duration / monotime.Micros(n)
 			if even := duration * monotime.Micros(i) / monotime.Micros(n); at[i] < even-1 || at[i] > even+interval+1 {
-				t.Fatalf("move %d of %d at %d of %d", i, n, at[i], duration)
+				t.Fatalf("move %d of %d at %d us, want %d to %d", i, n, at[i], even-1, even+interval+1)
 			}
 		}
 		for group, n := range parts {
 			if n > 1 {
-				t.Fatalf("group %d is split into %d parts", group, n)
+				t.Fatalf("group %d fell due in %d parts, want 1", group, n)
 			}
 		}
 	})
 }
 
+// A connection that is established at a draining server joins its drain, even after the drain's duration has passed.
+// Without a drain it is not added. Cancelling the drain of one server does not affect that of another.
 func TestAddAndCancel(t *testing.T) {
 	p := New(1)
 	if p.AddConnection(0, 1, 5) {
--- a/decision/drainschedule/drainschedule_test.go
+++ b/decision/drainschedule/drainschedule_test.go
@@ -15,15 +15,17 @@
 	for i := range n {
 		at := MoveDelay(span, i, n)
 		if at < last || at >= span || i > 0 && at-last > span/2/n {
-			t.Fatalf("move %d at %d, after one at %d", i, at, last)
+			t.Fatalf("move %d at %d us, after %d us; want moves in order, at most %d us apart and before %d us",
+				i, at, last, span/2/n, span)
 		}
 		last = at
 	}
 	if at := MoveDelay(0, 0, 1); at != FirstMoveDelay {
-		t.Errorf("with no time left: moved at %d", at)
+		t.Errorf("with no time left: moved at %d us, want %d", at, FirstMoveDelay)
 	}
 }
 
+// A drain lasts as long as the longest deadline, at most 3 s.
 func TestDuration(t *testing.T) {
 	for want, deadlines := range map[monotime.Micros][]monotime.Micros{
 		0:               nil,
@@ -38,6 +40,8 @@
 	}
 }
 
+// New requests are rejected once a drain has lasted longer than 600 ms. A planned stop without a successor rejects them
+// at once.
 func TestRejectsNew(t *testing.T) {
 	for name, c := range map[string]struct {
 		state State
@@ -56,6 +60,7 @@
 	}
 }
 
+// A stopping process is done when nothing remains, but not before 600 ms, or when its time is up.
 func TestFinished(t *testing.T) {
 	for name, c := range map[string]struct {
 		elapsed   monotime.Micros
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -158,7 +158,8 @@
 			}
 			for second, n := range q.calls {
 				if n > c.maxInSecond {
-					t.Errorf("%s, seed %d: %d calls in second %d", name, seed, n, second-start/sec)
+					t.Errorf("%s, seed %d: %d calls in second %d, want at most %d",
+						name, seed, n, second-start/sec, c.maxInSecond)
 				}
 				inTenSeconds := 0
 				for later := range Micros(10) {
@@ -205,7 +206,8 @@
 		pairs += len(servers)
 	}
 	if len(serversByGroup) != 12 || pairs > 24 || len(used) < 5 {
-		t.Errorf("%d groups, %d pairs of group and server, %d of 8 servers used", len(serversByGroup), pairs, len(used))
+		t.Errorf("%d groups on %d pairs of group and server and %d of 8 servers, want 12 on at most 24 and at least 5",
+			len(serversByGroup), pairs, len(used))
 	}
 }
 
@@ -297,12 +299,12 @@
 			all += sums[second]
 			allowed += limit
 			if chance := 3 * math.Sqrt(limit); sums[second] > limit+chance {
-				t.Errorf("%s: %.1f attempts in second %d, %.1f allowed",
+				t.Errorf("%s: %.1f attempts in second %d, want at most %.1f and random variation",
 					name, sums[second]/manyFleetSeeds, second, limit/manyFleetSeeds)
 			}
 		}
 		if all < c.minUsed*allowed {
-			t.Errorf("%s: %.0f attempts of %.0f allowed", name, all, allowed)
+			t.Errorf("%s: %.0f attempts of %.0f allowed, want at least %.0f", name, all, allowed, c.minUsed*allowed)
 		}
 	}
 }
--- a/decision/fleetsize/fleetsize_test.go
+++ b/decision/fleetsize/fleetsize_test.go
@@ -15,14 +15,14 @@
 	e.Update(start, 10)
 	e.ExpectReconnect()
 	if p := e.ChargeReconnect(); p != 1 {
-		t.Fatalf("price %v while the fleet is complete", p)
+		t.Fatalf("price %v while the fleet is complete, want 1", p)
 	}
 	e.Update(start+monotime.Second, 5)
 	e.ExpectReconnect()
 	e.ExpectReconnect()
 	prices := [3]float64{e.ChargeReconnect(), e.ChargeReconnect(), e.ChargeReconnect()}
 	if !e.Reduced() || prices != [3]float64{reconnectPrice, reconnectPrice, 1} {
-		t.Fatalf("reduced %v, prices %v", e.Reduced(), prices)
+		t.Fatalf("reduced %v, prices %v, want true and two reconnects at %v", e.Reduced(), prices, reconnectPrice)
 	}
 	e.ExpectReconnect()
 	if e.Update(start+12*monotime.Second, 5); e.ChargeReconnect() != 1 {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -167,7 +167,7 @@
 	actions := g.handle(Request{ID: g.next, TimeLeft: 2 * sec, Group: group, LoadHint: load, HasLoadHint: true})
 	attempts := actionsOf[StartAttempt](actions)
 	if len(attempts) != 1 {
-		g.t.Fatalf("%v", actions)
+		g.t.Fatalf("got %v, want one attempt", actions)
 	}
 	server := attempts[0].Server
 	g.handle(Established{ID: g.next, Server: server, SetupTime: 10 * ms})
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -15,10 +15,12 @@
 	g.connect()
 	if s := g.b.serversByID[1]; s.health != healthConnected || s.enteredAt[healthConnected] != g.now ||
 		s.enteredAt[healthUnknown] != start {
-		t.Fatalf("health %v, states entered at %v", s.health, s.enteredAt)
+		t.Fatalf("health %v, states entered at %v, want Connected since %d", s.health, s.enteredAt, g.now)
 	}
 }
 
+// A failed connect or a time-out demotes a server at once. A full server, a single reset, and an attempt that was
+// cancelled or is inconclusive do not.
 func TestFailuresDemote(t *testing.T) {
 	for _, status := range []outcome.Status{outcome.ConnectFailed, outcome.TimedOut} {
 		g := newHarness(t, testSettings(), serverList(4, 0))
@@ -48,13 +50,15 @@
 		id, s := g.request()
 		attempts := actionsOf[StartAttempt](g.endAttempt(id, s, 0, outcome.ErrorResponse))
 		if len(attempts) != 1 || attempts[0].Server == s || g.health(s) == healthUnhealthy {
-			t.Fatalf("after the first error: attempts %v, health %v", attempts, g.health(s))
+			t.Fatalf("after the first error: attempts %v, health %v, want one attempt elsewhere and no demotion",
+				attempts, g.health(s))
 		}
 		other := attempts[0].Server
 		if second == outcome.OK {
 			g.handle(Established{ID: id, Attempt: 1, Server: other, SetupTime: 10 * ms})
 			if g.health(s) != healthUnhealthy || g.health(other) != healthConnected {
-				t.Errorf("health of the first server %v, of the second %v", g.health(s), g.health(other))
+				t.Errorf("health of the first server %v, of the second %v, want Unhealthy and Connected",
+					g.health(s), g.health(other))
 			}
 			continue
 		}
@@ -63,7 +67,7 @@
 			t.Errorf("after the second error: %v, want a Reject", actions)
 		}
 		if g.health(s) == healthUnhealthy || g.health(other) == healthUnhealthy || g.b.setupLimiter.FailuresShared() {
-			t.Errorf("health of the first server %v, of the second %v, failures shared %v",
+			t.Errorf("health of the first server %v, of the second %v, failures shared %v, want no demotion and false",
 				g.health(s), g.health(other), g.b.setupLimiter.FailuresShared())
 		}
 	}
@@ -83,6 +87,7 @@
 	}
 }
 
+// A demoted server is probed. It is Unhealthy after a failed probe, and Connected after a successful one.
 func TestValidationBeforeReturn(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(4, 0))
 	id, s := g.request()
@@ -108,18 +113,19 @@
 		g.b.demoteForFailure(g.now, g.b.serversByID[uint32(1+i)])
 	}
 	if n := len(actionsOf[ProbeServer](g.advance(5 * sec))); n != maxConcurrentProbes {
-		t.Fatalf("%d probes under way, the limit is %d", n, maxConcurrentProbes)
+		t.Fatalf("%d probes under way, want %d, the limit", n, maxConcurrentProbes)
 	}
 }
 
+// A server that has been Pending for pendingTimeout ranks with the healthy servers.
 func TestPendingTimeoutRanksWithConnected(t *testing.T) {
 	s := &server{health: healthPending}
 	s.enteredAt[healthPending] = start
 	if r := healthRank(start+pendingTimeout-1, s); r != rankPending {
-		t.Fatalf("rank %d before the time-out", r)
+		t.Fatalf("rank %d before the time-out, want %d", r, rankPending)
 	}
 	if r := healthRank(start+pendingTimeout, s); r != rankHealthy {
-		t.Fatalf("rank %d after the time-out", r)
+		t.Fatalf("rank %d after the time-out, want %d", r, rankHealthy)
 	}
 }
 
@@ -175,7 +181,7 @@
 }
 
 // A slow or failing store makes set-ups fail at all servers: no server is at fault, and retries add load to the store.
-func TestSharedFailuresDemoteNobodyAndAreNotRetried(t *testing.T) {
+func TestSharedFailuresAreNotRetriedAndDemoteNoServer(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(20, 0))
 	for range 30 {
 		g.b.recordSetup(outcome.ErrorResponse, 0)
@@ -198,14 +204,14 @@
 		g.b.serversByID[1].lastResetAt = g.now // the first of a pair
 		id, s := g.request()
 		if n := len(actionsOf[StartAttempt](g.endAttempt(id, s, 0, status))); n != 0 {
-			t.Fatalf("status %v: retried at once", status)
+			t.Fatalf("status %v: retried at the paused server", status)
 		}
 		if _, s := g.request(); s != 0 {
-			t.Fatalf("status %v: another attempt was started", status)
+			t.Fatalf("status %v: the paused server got another request", status)
 		}
 		g.now += pause*5/4 + 1
 		if _, s := g.request(); s == 0 {
-			t.Fatalf("status %v: still paused", status)
+			t.Fatalf("status %v: no attempt after a pause of %d us", status, pause)
 		}
 	}
 }
@@ -225,7 +231,7 @@
 			g.handle(AttemptEnded{ID: r.id, Server: 1, Status: outcome.Reset, RequestClosed: true})
 		}
 		if s.health != want {
-			t.Errorf("two resets %d apart: health %v", gap, s.health)
+			t.Errorf("two resets %d us apart: health %v, want %v", gap, s.health, want)
 		}
 	}
 }
--- a/decision/hotrestart/hotrestart_test.go
+++ b/decision/hotrestart/hotrestart_test.go
@@ -77,7 +77,7 @@
 func (m *transferModel) answer(t *rapid.T) {
 	id, accepted := drawID(t), rapid.Bool().Draw(t, "accepted")
 	if got := m.transfer.Answered(id, accepted); got != m.pending[id] {
-		t.Fatalf("answer for connection %d was accepted: %v", id, got)
+		t.Fatalf("Answered(%d, %v) = %v, want %v", id, accepted, got, m.pending[id])
 	}
 	if m.pending[id] {
 		delete(m.pending, id)
@@ -90,11 +90,11 @@
 	returned := m.transfer.LinkClosed()
 	m.linked = false
 	if len(returned) != len(m.pending) || !slices.IsSorted(returned) {
-		t.Fatalf("connections %v returned, pending %v", returned, m.pending)
+		t.Fatalf("connections %v returned, want the pending ones %v, sorted", returned, m.pending)
 	}
 	for _, id := range returned {
 		if !m.pending[id] || m.transferred[id] {
-			t.Fatalf("connection %d returned, but was not pending", id)
+			t.Fatalf("connection %d returned, which was not pending or is transferred", id)
 		}
 		m.declined[id] = true
 	}
@@ -109,11 +109,12 @@
 	drain, closeLink := m.transfer.DrainRemaining(m.now)
 	want := !m.draining && (!m.linked || m.now >= m.deadline)
 	if drain != want || closeLink != (want && len(m.pending) > 0) {
-		t.Fatalf("at %d: drain %v, close the link %v", m.now, drain, closeLink)
+		t.Fatalf("at %d us: drain %v, close the link %v; want drain %v, and the link closed only with offers pending",
+			m.now, drain, closeLink, want)
 	}
 	m.draining = m.draining || drain
 	if m.transfer.Draining() != m.draining {
-		t.Fatal("Draining differs from the model")
+		t.Fatalf("Draining() = %v, want %v", m.transfer.Draining(), m.draining)
 	}
 }
 
@@ -144,7 +145,7 @@
 	} {
 		s := transferableState()
 		if change(&s); New(0, OfferPeriod).Offer(1, s) {
-			t.Errorf("%s: offered", name)
+			t.Errorf("%s: offered, want no offer", name)
 		}
 	}
 }
@@ -165,7 +166,7 @@
 	} {
 		c := good
 		if change(&c); AcceptTransfer(c) {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: accepted, want a rejection", name)
 		}
 	}
 }
--- a/decision/keepalive/keepalive_test.go
+++ b/decision/keepalive/keepalive_test.go
@@ -6,6 +6,7 @@
 	"spurspread/decision/monotime"
 )
 
+// An upstream connection is pinged after 2 s without data, at most every 2 s, and closed after 5 s.
 func TestUpstream(t *testing.T) {
 	const now, ms = 100 * monotime.Second, monotime.Millisecond
 	for name, c := range map[string]struct {
@@ -25,6 +26,8 @@
 	}
 }
 
+// A downstream connection is pinged after three quarters of the idle time-out. It is closed after the idle time-out, or
+// after twice that time if it has channels.
 func TestDownstream(t *testing.T) {
 	const idle = 20 * monotime.Second
 	for name, c := range map[string]struct {
--- a/decision/lifecycle/lifecycle_test.go
+++ b/decision/lifecycle/lifecycle_test.go
@@ -52,7 +52,7 @@
 	} {
 		got, err := Parse([]byte(c.line))
 		if !errors.Is(err, c.err) || err == nil && got != (Command{CommandRecord, c.name, c.value}) {
-			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
+			t.Errorf("Parse(%q) = %+v, %v, want name %q, value %q, %v", c.line, got, err, c.name, c.value, c.err)
 		}
 	}
 }
@@ -95,7 +95,8 @@
 		withoutArguments := command == Command{Kind: command.Kind}
 		if len(b) > LineLimit(b) || command.Kind > CommandRecord ||
 			command.Kind != CommandRecord && !withoutArguments {
-			t.Fatalf("Parse(%q) = %v", b, command)
+			t.Fatalf("Parse(%q) = %+v, want a known command within its line limit, arguments only for RECORD",
+				b, command)
 		}
 	})
 }
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -18,7 +18,8 @@
 		}
 		for s, carried := range loads {
 			if utilization := carried / 2; utilization > 0.75 {
-				t.Errorf("load %v: server %d has a utilization of %.2f; by server: %v", load, s, utilization, loads)
+				t.Errorf("load %v: server %d has a utilization of %.2f, want at most 0.75; by server: %v",
+					load, s, utilization, loads)
 			}
 		}
 		if load < 50_000 && len(loads) != 1 {
@@ -129,7 +130,7 @@
 			Request{ID: g.next, TimeLeft: 2 * sec, Class: class, Group: 1, LoadHint: 100_000, HasLoadHint: true},
 		)
 		if n := len(actionsOf[StartAttempt](actions)); n != want {
-			t.Errorf("class %d: %d attempts", class, n)
+			t.Errorf("class %d: %d attempts, want %d", class, n, want)
 		}
 	}
 }
@@ -160,6 +161,7 @@
 	}
 }
 
+// A load report shows a utilization only if it has the column and a finite value that is not negative.
 func TestLoadReportsWithoutUtilization(t *testing.T) {
 	s := testSettings()
 	s.LoadReportColumns = []string{"concurrent", "x0"}
--- a/decision/membership/membership_test.go
+++ b/decision/membership/membership_test.go
@@ -200,13 +200,14 @@
 		for _, s := range append(out, more...) {
 			pinged = pinged || s.Message.Kind == Ping
 			if s.Message.Kind != Ping && s.Message.Kind != Ack || len(s.Message.Updates) > 0 {
-				t.Fatalf("sent %+v", s.Message)
+				t.Fatalf("sent %+v, want only pings and acks without updates", s.Message)
 			}
 		}
 		out = nil
 	}
 	if !pinged || f.Suppressed == suppressed {
-		t.Fatalf("pinged %v, %d messages suppressed", pinged, f.Suppressed-suppressed)
+		t.Fatalf("pinged %v, %d messages suppressed, want pings and at least 1 suppressed",
+			pinged, f.Suppressed-suppressed)
 	}
 }
 
@@ -230,7 +231,8 @@
 		f.receiveUpdates(now, 2, c.update)
 		alive, live, known, dead := len(f.Alive()), f.Live(), f.Known(), f.Dead()
 		if f.Revision() == before || alive != c.alive || live != c.live || known != c.known || dead != 0 {
-			t.Errorf("%v: %d alive, %d live, %d known, %d dead", c.update.State, alive, live, known, dead)
+			t.Errorf("%v: %d alive, %d live, %d known, %d dead, want %d, %d, %d, 0 and a new revision",
+				c.update.State, alive, live, known, dead, c.alive, c.live, c.known)
 		}
 	}
 }
@@ -240,7 +242,7 @@
 	f, _ := fleetOf(4)
 	out, _ := f.SyncWith([]netip.AddrPort{addr(1), addr(9)})
 	if len(out) != 1 || out[0].To != addr(9) || out[0].Message.Kind != SyncSums {
-		t.Fatalf("sent %+v", out)
+		t.Fatalf("sent %+v, want one SyncSums to %v", out, addr(9))
 	}
 }
 
@@ -253,6 +255,6 @@
 	out, _ := f.Receive(now, addr(9), ping)
 	if len(out) != 2 || out[0].Message.Kind != Ack || out[1].Message.Kind != SyncSums ||
 		out[1].Receiver != selfOf(9).ID {
-		t.Fatalf("sent %+v", out)
+		t.Fatalf("sent %+v, want an Ack, and SyncSums to member 9", out)
 	}
 }
--- a/decision/membership/queue_test.go
+++ b/decision/membership/queue_test.go
@@ -12,15 +12,15 @@
 	}
 	first := q.takeBatch(2*updateBytes(&Update{Name: "n1"}), MaxUpdates, limit)
 	if len(first) != 2 {
-		t.Fatalf("%d of three updates, two fit", len(first))
+		t.Fatalf("%d of three updates, want the two that fit", len(first))
 	}
 	if next := q.takeBatch(maxUpdateBytes, 1, limit); len(next) != 1 || next[0].ID == first[0].ID ||
 		next[0].ID == first[1].ID {
-		t.Fatalf("%v after %v", next, first)
+		t.Fatalf("got %v after %v, want the update that was not sent yet", next, first)
 	}
 	q.enqueue(updateOf(1, Dead, 1, 0))
 	if again := q.takeBatch(maxUpdateBytes, 1, limit); again[0].ID != selfOf(1).ID || again[0].State != Dead {
-		t.Fatalf("%+v was sent before the newest update", again[0])
+		t.Fatalf("%+v was sent first, want the newest update: member 1 is dead", again[0])
 	}
 	total := 0
 	for {
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(q.items) != 0 || q.freshCount != 0 {
-		t.Fatalf("%d updates are left, %d of them fresh", len(q.items), q.freshCount)
+		t.Fatalf("%d updates are left, %d of them fresh, want none", len(q.items), q.freshCount)
 	}
 	q.enqueue(updateOf(2, Dead, 3, 0))
 	q.countReceived(updateOf(2, Dead, 2, 0), limit) // older
--- a/decision/membership/ratedivisor_test.go
+++ b/decision/membership/ratedivisor_test.go
@@ -13,7 +13,7 @@
 	d.observe(start, 16, 16)
 	d.observe(start+TickInterval, 40, 40)
 	if d.current() != 40 {
-		t.Fatalf("divisor %v after 24 members have joined", d.current())
+		t.Fatalf("divisor %v after 24 members have joined 16, want 40", d.current())
 	}
 	now := start + TickInterval
 	before := d.current()
@@ -21,7 +21,7 @@
 		now += TickInterval
 		d.observe(now, 20, 40)
 		if v := d.current(); v > before || before-v > 0.1 {
-			t.Fatalf("divisor %v, then %v", before, v)
+			t.Fatalf("divisor %v, then %v a tick later, want a fall of at most 0.1", before, v)
 		}
 		before = d.current()
 	}
@@ -30,7 +30,7 @@
 		d.observe(now, 3, 40)
 	}
 	if v := d.current(); v < 40/MaxBudgetExcess {
-		t.Fatalf("divisor %v, though 40 members may be running", v)
+		t.Fatalf("divisor %v, want at least %v, since 40 members may be running", v, 40/MaxBudgetExcess)
 	}
 }
 
@@ -43,7 +43,7 @@
 		r.Observe(now, 10, 10)
 	}
 	if v := r.Value(); v < 400 || v > 650 {
-		t.Errorf("divisor %.0f after half a minute", v)
+		t.Errorf("divisor %.0f after half a minute, want 400 to 650", v)
 	}
 	for now := monotime.Micros(start + 30*monotime.Second); now <= start+600*monotime.Second; now += monotime.Second {
 		r.Observe(now, 10, 100)
@@ -52,6 +52,6 @@
 		t.Errorf("divisor %.0f in the end, want 50", v)
 	}
 	if r.Observe(start+601*monotime.Second, 700, 800); r.Value() != 700 {
-		t.Error("divisor does not rise at once")
+		t.Errorf("divisor %.0f with 700 members, want 700 at once", r.Value())
 	}
 }
--- a/decision/membership/suspicion_test.go
+++ b/decision/membership/suspicion_test.go
@@ -9,25 +9,25 @@
 
 // A member that does not answer is suspected only after two others report the same, and is dead only after a suspicion
 // of MinSuspicionTimeout.
-func TestOneObserverSuspectsNobody(t *testing.T) {
+func TestSuspicionNeedsSeveralReports(t *testing.T) {
 	f, now := fleetOf(6)
 	f.run(&now, 10*monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("member is %v after one report", s)
+		t.Fatalf("member is %v after one report, want alive", s)
 	}
 	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 4))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Alive {
-		t.Fatalf("member is %v after two reports in a fleet of six", s)
+		t.Fatalf("member is %v after two reports in a fleet of six, want alive", s)
 	}
 	f.receiveUpdates(now, 5, updateOf(3, Suspect, 1, 5))
 	f.run(&now, monotime.Second, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Suspect {
-		t.Fatalf("member is %v after three reports", s)
+		t.Fatalf("member is %v after three reports, want suspect", s)
 	}
 	f.run(&now, MinSuspicionTimeout, 3)
 	if s := f.StateOf(selfOf(3).ID); s != Dead {
-		t.Fatalf("member is %v %d ms later", s, MinSuspicionTimeout/monotime.Millisecond)
+		t.Fatalf("member is %v %d ms later, want dead", s, MinSuspicionTimeout/monotime.Millisecond)
 	}
 }
 
@@ -36,7 +36,7 @@
 	f, now := fleetOf(6)
 	f.receiveUpdates(now, 4, updateOf(3, Suspect, 1, 0), updateOf(3, Suspect, 1, 5))
 	if f.run(&now, 3*MinSuspicionTimeout); f.StateOf(selfOf(3).ID) == Dead {
-		t.Fatal("dead, though it answers")
+		t.Fatal("member that answers pings is dead")
 	}
 }
 
@@ -56,11 +56,11 @@
 	reports := f.FailureReports
 	now += 10 * monotime.Second
 	if _, changes := f.Tick(now); len(changes) > 0 || f.Pauses != 1 || !f.Unhealthy(now) {
-		t.Fatalf("changes %v, %d pauses", changes, f.Pauses)
+		t.Fatalf("changes %v, %d pauses, unhealthy %v, want none, 1 and true", changes, f.Pauses, f.Unhealthy(now))
 	}
 	f.run(&now, unhealthyAfterPause-TickInterval, 3)
 	if s := f.StateOf(selfOf(3).ID); f.FailureReports != reports || s != Suspect {
-		t.Fatalf("%d reports after a pause, member is %v", f.FailureReports-reports, s)
+		t.Fatalf("%d reports after a pause, member is %v, want none and suspect", f.FailureReports-reports, s)
 	}
 }
 
@@ -75,7 +75,7 @@
 	f.receiveUpdates(now, 2)
 	now += TickInterval
 	if f.Tick(now); f.StateOf(selfOf(3).ID) == Dead {
-		t.Fatal("dead by a suspicion from before the isolation")
+		t.Fatal("member is dead because of a suspicion from before the isolation")
 	}
 }
 
@@ -91,7 +91,8 @@
 		f.receiveDeadReport(now, watched.Self)
 	}
 	if watched.state != Dead || now-start >= MinSuspicionTimeout {
-		t.Fatalf("peer is %v after %d ms", watched.state, (now-start)/monotime.Millisecond)
+		t.Fatalf("peer is %v after %d ms, want dead before %d ms", watched.state, (now-start)/monotime.Millisecond,
+			MinSuspicionTimeout/monotime.Millisecond)
 	}
 }
 
@@ -116,17 +117,17 @@
 	out, _ := f.receiveUpdates(now, 2, updateOf(3, Alive, 2, 0))
 	if s := f.StateOf(selfOf(3).ID); s != Dead || len(out) != 1 || out[0].Message.Kind != Ping ||
 		out[0].Receiver != selfOf(3).ID {
-		t.Fatalf("member is %v, sent %+v", s, out)
+		t.Fatalf("member is %v, sent %+v, want dead and one ping to it", s, out)
 	}
 	ack := messageOf(3, Ack)
 	ack.Seq = out[0].Message.Seq
 	ack.Incarnation = 2
 	if f.Receive(now+monotime.Millisecond, addr(3), ack); f.StateOf(selfOf(3).ID) != Alive {
-		t.Fatal("not alive after an ack")
+		t.Fatal("member that this one declared dead is not alive after its ack")
 	}
 	f.receiveUpdates(now, 2, updateOf(6, Dead, 1, 0))
 	if f.receiveUpdates(now, 2, updateOf(6, Alive, 2, 0)); f.StateOf(selfOf(6).ID) != Alive {
-		t.Fatal("dead by an update, but not restored by one")
+		t.Fatal("member that is dead by an update is not alive after a newer update")
 	}
 }
 
@@ -141,7 +142,7 @@
 	}
 	f.receiveDeadReport(now, selfOf(2))
 	if queued := f.dissemination.items[selfOf(6).ID]; queued != nil {
-		t.Fatalf("still disseminated: %+v", queued)
+		t.Fatalf("the death of member 6 is still disseminated: %+v", queued)
 	}
 	now += TickInterval
 	out, _ := f.Tick(now)
@@ -153,8 +154,8 @@
 	t.Fatal("the dead member 3 is not pinged")
 }
 
-// Of two members, one whose acks all get lost while its other messages arrive is not declared dead, since nobody else
-// can confirm the failure. It is declared dead once it falls silent, and at once if it reports this member dead.
+// Of two members, one whose acks all get lost while its other messages arrive is not declared dead, since no third
+// member can confirm the failure. It is declared dead once it falls silent, and at once if it reports this member dead.
 func TestOneOfTwoInContactIsNotDead(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(f *Fleet, now *monotime.Micros)
@@ -169,7 +170,7 @@
 			f.receiveUpdates(now, 2)
 		}
 		if s := f.StateOf(selfOf(2).ID); s == Dead {
-			t.Fatalf("%s: dead, though it sends messages", name)
+			t.Fatalf("%s: member that sends messages is dead", name)
 		}
 		c.end(f, &now)
 		f.run(&now, c.span, 2)
--- a/decision/messagedelay/messagedelay_test.go
+++ b/decision/messagedelay/messagedelay_test.go
@@ -38,10 +38,10 @@
 		slow, _ := e.IsSlow(c.now, limit)
 		took, known := e.Median(c.now, limit)
 		if slow != (took > limit) {
-			t.Errorf("step %d: median %d, slow %v", i, took, slow)
+			t.Errorf("step %d: median %d, slow %v, want %v", i, took, slow, took > limit)
 		}
 		if known != c.known || known && e.reportDue(c.now, took > limit) != c.due {
-			t.Errorf("step %d: median %d, known %v", i, took, known)
+			t.Errorf("step %d: median %d, known %v, want known %v and a report due: %v", i, took, known, c.known, c.due)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		t.Error("reported without a connection")
 	}
 	if latency, due := e.Report(0, limit, true); !due || latency != 2*limit {
-		t.Errorf("slow server: latency %d, due %v", latency, due)
+		t.Errorf("slow server: latency %d, due %v, want %d and true", latency, due, 2*limit)
 	}
 	e.SelfReported(1500 * millisecond)
 	e.Record(1500*millisecond, 1)
@@ -68,7 +68,7 @@
 		t.Error("fast lines override the latency that the server reports")
 	}
 	if latency, due := e.Report(1500*millisecond+selfReportValidity, limit, true); due {
-		t.Errorf("latency %d reported without a sample", latency)
+		t.Errorf("latency %d reported without a sample, want no report", latency)
 	}
 	e = slowNow()
 	e.SelfReported(0)
@@ -110,7 +110,8 @@
 		slow, known := e.IsSlow(now, limit)
 		median, medianKnown := e.Median(now, limit)
 		if known != medianKnown || slow != (median > limit) {
-			t.Fatalf("slow %v, %v; median %d, %v of %+v", slow, known, median, medianKnown, e)
+			t.Fatalf("slow %v, known %v; median %d, known %v; want slow only above %d, of %+v",
+				slow, known, median, medianKnown, limit, e)
 		}
 	})
 }
--- a/decision/overload/overload_test.go
+++ b/decision/overload/overload_test.go
@@ -101,10 +101,11 @@
 			}
 			opened++
 			if open >= limit {
-				t.Fatalf("channel opened beyond the limit of %d", limit)
+				t.Fatalf("channel opened beside %d others, want at most %d in all", open, limit)
 			}
 			if most := rate + rate*float64(now)/float64(monotime.Second); float64(opened) > most+1e-6 {
-				t.Fatalf("%d channels opened within %d µs at a rate of %v a second", opened, now, rate)
+				t.Fatalf("%d channels opened within %d µs at a rate of %v a second, want at most %.0f",
+					opened, now, rate, most)
 			}
 		}
 	})
--- a/decision/placement_test.go
+++ b/decision/placement_test.go
@@ -62,7 +62,7 @@
 	}
 	g.handle(ServerListUpdate{Kind: UpdateFull, Entries: nil})
 	if _, s := g.request(); s != 0 {
-		t.Fatalf("request sent to server %d, which the full list does not contain", s)
+		t.Fatalf("request sent to server %d, want none: the full list is empty", s)
 	}
 }
 
@@ -111,7 +111,8 @@
 		g.endAttempt(id, s, 0, outcome.Cancelled)
 	}
 	if got[1] < 2850 || got[1] > 3150 {
-		t.Errorf("of 4000 requests the server of weight 3 got %d, that of weight 1 got %d", got[1], got[2])
+		t.Errorf("of 4000 requests the server of weight 3 got %d, want 2850 to 3150; that of weight 1 got %d",
+			got[1], got[2])
 	}
 }
 
--- a/decision/polling/confirmation_test.go
+++ b/decision/polling/confirmation_test.go
@@ -20,7 +20,7 @@
 			return now - start
 		}
 	}
-	t.Fatal("never polled")
+	t.Fatal("no poll was due during the simulated time")
 	return 0
 }
 
@@ -33,7 +33,8 @@
 				s := startedSchedule(rank, n)
 				most := max(s.Grace-latenessMargin, first)
 				if after := simulateFirstRequest(t, s, first); after > most {
-					t.Fatalf("rank %d of %d, first request after %d ms: polls after %d ms", rank, n, first/ms, after/ms)
+					t.Fatalf("rank %d of %d, first request after %d ms: polls after %d ms, want at most %d",
+						rank, n, first/ms, after/ms, most/ms)
 				}
 			}
 		}
@@ -52,7 +53,7 @@
 	}
 	for part, got := range polls {
 		if got > n/parts*5/4 {
-			t.Errorf("%d of %d first polls in quarter %d", got, n, part)
+			t.Errorf("%d of %d first polls in quarter %d, want at most %d", got, n, part, n/parts*5/4)
 		}
 	}
 }
@@ -80,11 +81,11 @@
 	} {
 		s := startedSchedule(0, 3)
 		if !s.ListUsable(late - 1) {
-			t.Errorf("%s: not usable at first", name)
+			t.Errorf("%s: list not usable before confirmationTime has passed", name)
 		}
 		s.RequestConfirmation(late)
 		if c.then(s); s.ListUsable(late) != c.want {
-			t.Errorf("%s: usable %v", name, !c.want)
+			t.Errorf("%s: list usable: %v, want %v", name, !c.want, c.want)
 		}
 	}
 }
--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -182,7 +182,7 @@
 				t.Logf("%d balancers, grace %d ms, %+v: the last has the list after %d ms, at most %d calls a second",
 					n, grace/ms, o, r.last/ms, r.largest())
 				if most := listDeadline + grace - latenessMargin; r.last < 0 || r.last > most {
-					t.Errorf("%d balancers, grace %d ms, %+v: has the list after %d ms, not within %d",
+					t.Errorf("%d balancers, grace %d ms, %+v: the last has the list after %d ms, want at most %d",
 						n, grace/ms, o, r.last/ms, most/ms)
 				}
 			}
@@ -199,7 +199,7 @@
 			t.Logf("%d balancers, grace %d ms: the last has the list after %d ms, at most %d calls a second",
 				n, grace/ms, r.last/ms, r.largest())
 			if most := listDeadline + grace; r.last < 0 || r.last > most {
-				t.Errorf("%d balancers, grace %d ms: has the list after %d ms, not within %d",
+				t.Errorf("%d balancers, grace %d ms: the last has the list after %d ms, want at most %d",
 					n, grace/ms, r.last/ms, most/ms)
 			}
 		}
--- a/decision/polling/polling_test.go
+++ b/decision/polling/polling_test.go
@@ -39,17 +39,17 @@
 		s.Failed(now)
 		wait := s.nextPoll - now
 		if most := minBackoff/2 + minBackoff<<i; wait < minBackoff/2 || wait > most || s.PollDue(s.nextPoll-1) {
-			t.Fatalf("failure %d: next poll after %d, want at most %d", i, wait, most)
+			t.Fatalf("failure %d: next poll after %d us, want %d to %d", i, wait, minBackoff/2, most)
 		}
 		longest = max(longest, wait)
 	}
 	if longest <= minBackoff*3/2 {
-		t.Fatalf("failures in a row: longest wait is only %d", longest)
+		t.Fatalf("failures in a row: longest wait is %d us, want more than %d", longest, minBackoff*3/2)
 	}
 	s.PollDue(s.nextPoll)
 	s.Answered(now)
 	if s.PollDue(now+60*second) || s.failures != 0 {
-		t.Fatal("polled despite a live watch")
+		t.Fatal("polled despite a live watch, or still counts failures after an answer")
 	}
 }
 
@@ -60,13 +60,14 @@
 		for rank := range n {
 			s := startedSchedule(rank, n)
 			if s.nextPoll <= start || s.nextPoll-start > s.MaxInterval {
-				t.Fatalf("balancer %d of %d first polls after %d", rank, n, s.nextPoll-start)
+				t.Fatalf("balancer %d of %d first polls after %d us, want 1 to %d",
+					rank, n, s.nextPoll-start, s.MaxInterval)
 			}
 			pollsBySecond[s.nextPoll/second]++
 		}
 		for at, polls := range pollsBySecond {
 			if most := max(11, n/10+1); polls > most {
-				t.Errorf("%d of %d poll in second %d", polls, n, at)
+				t.Errorf("%d of %d poll in second %d, want at most %d", polls, n, at, most)
 			}
 		}
 	}
@@ -77,11 +78,11 @@
 	s := startedSchedule(0, 3)
 	s.PollDue(s.nextPoll)
 	if s.Answered(start); s.RefreshAllowed(start + minRefreshInterval - 1) {
-		t.Fatal("refresh allowed too soon")
+		t.Fatal("refresh allowed before minRefreshInterval has passed")
 	}
 	now := start + minRefreshInterval
 	if !s.RefreshAllowed(now) {
-		t.Fatal("refresh not allowed")
+		t.Fatal("refresh not allowed after minRefreshInterval")
 	}
 	s.ScheduleRefresh(now)
 	if s.RefreshAllowed(now) || s.nextPoll <= now || s.nextPoll > now+s.SpreadTime() || !s.PollDue(s.nextPoll) ||
--- a/decision/rebalance_test.go
+++ b/decision/rebalance_test.go
@@ -23,11 +23,11 @@
 		g.advance(sec)
 	}
 	if g.health(slow) != healthUnhealthy || moved == 0 {
-		t.Fatalf("health %v, %d moved", g.health(slow), moved)
+		t.Fatalf("slow server: health %v, %d connections moved, want Unhealthy and at least 1", g.health(slow), moved)
 	}
 	for range 50 {
 		if _, s := g.request(); s == slow {
-			t.Fatal("a slow server got a new request")
+			t.Fatalf("server %d, which is slow, got a new request", slow)
 		}
 	}
 	g.reportLatency(byServer[slow][0], slow, 10)
@@ -50,7 +50,8 @@
 			moved += float64(len(g.reportLatency(byServer[2], 2, secondLatency)))
 		}
 		if moved > 1.5*part*before || moved < 0.4*part*before {
-			t.Errorf("%.0f of %.0f connections moved at a latency of %v ms after 400 ms", moved, before, secondLatency)
+			t.Errorf("%.0f of %.0f connections moved at a latency of %v ms after 400 ms, want %.0f to %.0f",
+				moved, before, secondLatency, 0.4*part*before, 1.5*part*before)
 		}
 	}
 }
@@ -101,7 +102,7 @@
 		byServer := g.connectMany(100)
 		g.b.serversByID[2].latency.ConnectionCapacity = 0
 		if n := len(g.reportLatency(byServer[1], 1, ratio*100)); (n > 0) != wantMoves {
-			t.Errorf("%d connections moved at %.1f times the objective", n, ratio)
+			t.Errorf("%d connections moved at %.1f times the objective, want moves: %v", n, ratio, wantMoves)
 		}
 	}
 }
@@ -148,7 +149,8 @@
 		n := len(actionsOf[MoveConnection](g.advance(tickInterval)))
 		if more := len(actionsOf[MoveConnection](g.advance(tickInterval * 4))); (n > 0) != c.wantMoves || n == 6 ||
 			more != 0 {
-			t.Errorf("%s: %d of 6 connections moved at the first tick, %d later", name, n, more)
+			t.Errorf("%s: %d of 6 connections moved at the first tick, %d later, want moves: %v, never all, none later",
+				name, n, more, c.wantMoves)
 		}
 	}
 }
@@ -192,7 +194,8 @@
 			asWanted = first <= before/2 && left == 1 && draining.connections[0].resumable
 		}
 		if !asWanted || len(ready.connections) != 20 {
-			t.Errorf("%s: %d moved at the first tick, %d later, %d of %d left", name, first, later, left, before)
+			t.Errorf("%s: %d moved at the first tick, %d later, %d of %d left; want moves: %v",
+				name, first, later, left, before, c.wantMoves)
 		}
 	}
 }
@@ -228,15 +231,16 @@
 		}
 		next := all[0].NextServer
 		if next == at || next == warmingUp || next == paused || next > 100 {
-			t.Fatalf("moved from server %d to %d, with %d warming up and %d paused", at, next, warmingUp, paused)
+			t.Fatalf("moved from server %d to %d, want another of the home zone than %d, warming up, and %d, paused",
+				at, next, warmingUp, paused)
 		}
 		targets[next]++
 		if actions := g.handle(MoveRequested{ID: id}); len(actions) != 0 {
-			t.Fatalf("actions for a second MoveRequested: %+v", actions)
+			t.Fatalf("actions for a second MoveRequested: %+v, want none", actions)
 		}
 		if actions := g.endAttempt(id, at, 0, outcome.Cancelled); len(actions) != 0 || len(g.b.requests) != 0 ||
 			g.b.serversByID[at].pendingAttempts+g.b.serversByID[at].closingConnections != 0 {
-			t.Fatalf("after the end of the connection: actions %+v, or counts that remain", actions)
+			t.Fatalf("after the end of the connection: actions %+v, want none, and no request or count left", actions)
 		}
 	}
 	if len(targets) < 5 {
--- a/decision/recall/recall_test.go
+++ b/decision/recall/recall_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// An attempt is recalled if its server's listing is no longer the one that it was chosen by. It is not recalled once its
+// request was written, nor if the client names the server.
 func TestNeeded(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.0.1:80")
 	chosen := Listing{Ready: true, StartedAt: 1_700_000_000_000, Addr: at}
@@ -25,11 +27,11 @@
 		}
 		a.Written = true
 		if Needed(a) {
-			t.Errorf("%s: recalled after its request was written", name)
+			t.Errorf("%s: Needed = true after the request was written, want false", name)
 		}
 		a.Written, a.Placed = false, false
 		if Needed(a) {
-			t.Errorf("%s: recalled though its client names the server", name)
+			t.Errorf("%s: Needed = true though the client names the server, want false", name)
 		}
 	}
 }
--- a/decision/requests_test.go
+++ b/decision/requests_test.go
@@ -11,10 +11,10 @@
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	id, s := g.request()
 	if actions := g.handle(RequestCancelled{id}); len(actionsOf[CancelAttempt](actions)) != 1 {
-		t.Fatalf("on cancellation: %v", actions)
+		t.Fatalf("actions on cancellation: %v, want a CancelAttempt", actions)
 	}
 	if actions := g.endAttempt(id, s, 0, outcome.TimedOut); len(actions) != 0 {
-		t.Fatalf("after cancellation: %v", actions)
+		t.Fatalf("actions after the cancelled attempt has ended: %v, want none", actions)
 	}
 }
 
@@ -39,10 +39,12 @@
 	}
 	id, s := g.request()
 	if actions := g.endAttempt(id, s, 3, outcome.Reset); len(actions) != 0 || g.health(s) == healthUnhealthy {
-		t.Errorf("end of an attempt that was never started: %v, or a demotion", actions)
+		t.Errorf("end of an attempt that was never started: actions %v, health %v, want none and no demotion",
+			actions, g.health(s))
 	}
 }
 
+// A connection that an earlier process established counts at its server, and leaves nothing behind when it ends.
 func TestExistingConnections(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(2, 0))
 	g.handle(ExistingConnection{Request: Request{ID: 5}, Server: 2})
@@ -72,7 +74,7 @@
 		switch a := action.(type) {
 		case StartAttempt:
 			if p.answered[a.ID] {
-				p.t.Fatalf("an attempt for request %d after its answer", a.ID)
+				p.t.Fatalf("an attempt for request %d after its final answer", a.ID)
 			}
 			p.attempts = append(p.attempts, a)
 			p.attemptCounts[a.ID]++
@@ -89,7 +91,7 @@
 func (p *requestSimulator) answer(id uint32) {
 	p.t.Helper()
 	if p.answered[id] {
-		p.t.Fatalf("a second answer to request %d", id)
+		p.t.Fatalf("a second final answer to request %d", id)
 	}
 	p.answered[id] = true
 }
@@ -144,7 +146,8 @@
 		hasServer := r.state != requestWaiting
 		isCharged := r.state == requestConnecting || r.state == requestEstablished
 		if (r.server != nil) != hasServer || isCharged && r.chargedTo != r.server {
-			p.t.Fatalf("request %d in state %d at server %v, charged to %v", id, r.state, r.server, r.chargedTo)
+			p.t.Fatalf("request %d in state %d: server %v, charged to %v do not match the state",
+				id, r.state, r.server, r.chargedTo)
 		}
 		if r.chargedTo != nil {
 			charged[r.chargedTo]++
@@ -184,7 +187,8 @@
 			p.step()
 		}
 		if len(p.attempts) < 100 || len(p.answered) < 100 {
-			t.Errorf("seed %d: only %d attempts and %d answers", seed, len(p.attempts), len(p.answered))
+			t.Errorf("seed %d: %d attempts and %d answers, want at least 100 each",
+				seed, len(p.attempts), len(p.answered))
 		}
 	}
 }
@@ -220,7 +224,7 @@
 	g.b.setupLimiter.Limit = 2
 	g.now += sec
 	if id, server := g.requestNow(); server == 0 {
-		t.Errorf("request %d is held while nothing is being set up", id)
+		t.Errorf("request %d is held though no set-up is under way", id)
 	}
 	for _, s := range g.b.servers {
 		if int(s.connectionCount()) < 20 {
--- a/decision/resume/invariant_test.go
+++ b/decision/resume/invariant_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// giveUp has the balancer end an attempt that the server may still accept.
-func (d *deployment) giveUp(t *rapid.T) {
+// abandon has the balancer end an attempt that the server may still accept.
+func (d *deployment) abandon(t *rapid.T) {
 	a := d.draw(t, sent, accepted)
 	if a.closed {
 		t.Skip()
@@ -243,7 +243,7 @@
 func (d *deployment) check(t *rapid.T) {
 	for token, n := range d.timesLive {
 		if n > 1 {
-			t.Fatalf("token %d has been live %d times", token, n)
+			t.Fatalf("token %d has been live %d times, want at most once", token, n)
 		}
 	}
 	for _, v := range d.validators {
@@ -259,7 +259,7 @@
 		"present":       d.present,
 		"arrive":        d.arrive,
 		"establish":     d.establish,
-		"give up":       d.giveUp,
+		"give up":       d.abandon,
 		"never sent":    d.neverSent,
 		"close":         d.close,
 		"kill server":   d.killServer,
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -103,7 +103,7 @@
 	} {
 		v, p := NewValidator(skew, 4), acceptable()
 		if why := p.claim(v); why != Accepted {
-			t.Fatal(why)
+			t.Fatalf("%s: first claim: %v, want %v", name, why, Accepted)
 		}
 		if got := c.then(v, p.grant.ID); got != c.why {
 			t.Errorf("%s: %v, want %v", name, got, c.why)
@@ -201,15 +201,15 @@
 	}
 	r.Release(ID{1})
 	if got := claim(t0, 3); got != Accepted {
-		t.Errorf("after a release: %v", got)
+		t.Errorf("claim after a release: %v, want %v", got, Accepted)
 	}
 	g := testGrant()
 	g.ID, g.ExpiresAt = ID{0}, t0+lifetime
 	if got := r.Claim(t0+lifetime-1, &g, &request, StreamLog{}, false); got != InUse {
-		t.Errorf("before expiry: %v", got)
+		t.Errorf("claim of a pending token before it expires: %v, want %v", got, InUse)
 	}
 	if got := claim(t0+lifetime+second, 4); got != Accepted {
-		t.Errorf("after expiry: %v", got)
+		t.Errorf("claim after another has expired: %v, want %v", got, Accepted)
 	}
 	if pending, _, _ := r.Counts(); pending != 1 {
 		t.Errorf("%d pending, want 1", pending)
@@ -221,32 +221,32 @@
 	r, first, request := testRegistry(4), testGrant(), testRequest()
 	claim := func(now UnixMillis, g *Grant) Reason { return r.Claim(now, g, &request, StreamLog{}, false) }
 	if got := claim(t0, &first); got != Accepted {
-		t.Fatal(got)
+		t.Fatalf("first claim: %v, want %v", got, Accepted)
 	}
 	r.Established(first.ID)
 	r.Closed(first.ID)
 	later := testGrant()
 	later.ID, later.IssuedAt, later.ExpiresAt = ID{2}, t0+2*lifetime, t0+3*lifetime
 	if got := claim(t0+2*lifetime, &later); got != Accepted {
-		t.Error(got)
+		t.Errorf("claim of a later token after the clock went forward: %v, want %v", got, Accepted)
 	}
 	if got := claim(t0+1, &first); got != Expired {
-		t.Errorf("after the clock went forward and back: %v", got)
+		t.Errorf("first token after the clock went forward and back: %v, want %v", got, Expired)
 	}
 	fresh := testGrant()
 	fresh.ID, fresh.ExpiresAt = ID{3}, t0+lifetime+1
 	if got := claim(t0+2, &fresh); got != Accepted {
-		t.Errorf("a new token after that: %v", got)
+		t.Errorf("a new token after the clock went back: %v, want %v", got, Accepted)
 	}
 }
 
 func TestReasonWords(t *testing.T) {
 	for r := Malformed; r < reasonCount; r++ {
 		if got, ok := ParseReason([]byte(r.String())); !ok || got != r {
-			t.Errorf("the word of %v does not parse to it", r)
+			t.Errorf("ParseReason(%q) = %v, %v, want the reason and true", r.String(), got, ok)
 		}
 	}
 	if _, ok := ParseReason([]byte("honoured")); ok {
-		t.Error("the word of Accepted parsed as a reason")
+		t.Error("ParseReason accepted \"honoured\", the word of Accepted, want false")
 	}
 }
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -10,11 +10,11 @@
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	attempts := actionsOf[StartAttempt](g.handle(Request{ID: 1, TimeLeft: 2 * sec}))
 	if attempts[0].Timeout <= 0 || attempts[0].Timeout > sec {
-		t.Fatalf("the first attempt times out after %d of %d", attempts[0].Timeout, 2*sec)
+		t.Fatalf("the first attempt times out after %d us of %d, want at most 1 s", attempts[0].Timeout, 2*sec)
 	}
 	again := actionsOf[StartAttempt](g.endAttempt(1, attempts[0].Server, 0, outcome.TimedOut))
 	if len(again) != 1 || again[0].Server == attempts[0].Server {
-		t.Fatalf("the second attempt: %v after %v", again, attempts)
+		t.Fatalf("attempts %v after %v timed out, want one at another server", again, attempts)
 	}
 }
 
@@ -25,7 +25,7 @@
 		g.b.recordSetup(outcome.OK, 600*ms)
 	}
 	if s := actionsOf[StartAttempt](g.handle(Request{ID: 1, TimeLeft: 2 * sec})); s[0].Timeout < 1900*ms {
-		t.Fatalf("the attempt times out after %d, want nearly all of 2 s", s[0].Timeout)
+		t.Fatalf("the attempt times out after %d us, want nearly all of 2 s", s[0].Timeout)
 	}
 }
 
@@ -52,7 +52,7 @@
 	next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.ConnectFailed))
 	actions := g.endAttempt(id, next[0].Server, 1, outcome.ConnectFailed)
 	if len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("after the last attempt: %v", actions)
+		t.Fatalf("after the last attempt: %v, want a Reject and no attempt", actions)
 	}
 }
 
@@ -62,10 +62,11 @@
 	id, sv := g.request()
 	actions := g.endAttempt(id, sv, 0, outcome.ConnectFailed)
 	if len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("with no budget: %v", actions)
+		t.Fatalf("without a retry budget: %v, want a Reject and no attempt", actions)
 	}
 }
 
+// A request that is not idempotent is retried only after attempts that cannot have been executed.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency = NonIdempotent
@@ -76,16 +77,16 @@
 		t.Fatal("an attempt that cannot have been executed was not retried")
 	}
 	if left := g.b.requests[id].deadline - g.now; next[0].Timeout != left {
-		t.Errorf("an attempt that can't be retried times out after %d of %d", next[0].Timeout, left)
+		t.Errorf("an attempt that can't be retried times out after %d us, want all the %d left", next[0].Timeout, left)
 	}
 	// A request that may not be sent to any server again is answered at once, not at its deadline.
 	actions := g.endAttempt(id, next[0].Server, 1, outcome.TimedOut)
 	if len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 ||
 		len(actionsOf[StartAttempt](actions)) != 0 {
-		t.Fatalf("after an attempt that may have been executed: %v", actions)
+		t.Fatalf("after an attempt that may have been executed: %v, want only a Fail", actions)
 	}
 	if actions := g.handle(TimerFired{deadlineTimer.forRequest(id)}); len(actions) != 0 {
-		t.Fatalf("a second answer: %v", actions)
+		t.Fatalf("actions at the deadline, after the answer: %v, want none", actions)
 	}
 }
 
@@ -98,7 +99,7 @@
 	id, sv := g.request()
 	sent := g.now
 	if first := g.b.requests[id]; first.attemptHistory.MayHaveExecuted() {
-		t.Fatal("the attempt counts as executed before its end")
+		t.Fatal("MayHaveExecuted is true before the attempt has ended, want false")
 	}
 	g.now += 100 * ms
 	next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.Reset))
@@ -110,10 +111,12 @@
 	g.now = sent + 300*ms
 	actions := g.endAttempt(id, next[0].Server, 1, outcome.Inconclusive)
 	if len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("after the window: %v", actions)
+		t.Fatalf("after the window: %v, want a Reject and no attempt", actions)
 	}
 }
 
+// A request with an idempotency key that may have been executed is retried only in the cell that knows the key, and only
+// within the deduplication window.
 func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentWithKey, ScopeCell, sec
@@ -124,7 +127,7 @@
 		id, sv := g.request()
 		next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.TimedOut))
 		if len(next) != 1 || g.b.serversByID[next[0].Server].Cell != g.b.serversByID[sv].Cell {
-			t.Fatalf("after %d: %v", sv, next)
+			t.Fatalf("after a time-out at server %d: %v, want one attempt in the same cell", sv, next)
 		}
 		g.now += sec
 		actions := append(
@@ -132,7 +135,7 @@
 			g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
 		if len(actionsOf[StartAttempt](actions)) != 0 || len(actionsOf[Fail](actions)) != 1 ||
 			len(actionsOf[Reject](actions)) != 0 {
-			t.Fatalf("outside the window: %v", actions)
+			t.Fatalf("outside the window: %v, want only a Fail", actions)
 		}
 	}
 }
@@ -176,7 +179,7 @@
 		g.advance(tickInterval)
 	}
 	if n := sendRequests(g, 100, outcome.OK); n != 100 {
-		t.Errorf("%d attempts for 100 requests once the servers accept them again", n)
+		t.Errorf("%d attempts for 100 requests once the servers accept them again, want 100", n)
 	}
 }
 
@@ -186,7 +189,7 @@
 	for range 300 {
 		sendRequests(g, 1, outcome.ErrorResponse)
 		if n := sendRequests(g, 2, outcome.OK); n != 2 {
-			t.Fatalf("%d attempts for 2 valid requests of another client", n)
+			t.Fatalf("%d attempts for 2 valid requests of another client, want 2", n)
 		}
 	}
 }
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -54,17 +54,17 @@
 		}
 		allowed, clientSafe := model(p, executed, age, same)
 		if got := p.RetryAllowedAt(&history, now, next); got != allowed {
-			t.Fatalf("%+v %+v: retry allowed: %v", p, history, got)
+			t.Fatalf("%+v %+v: RetryAllowedAt = %v, want %v", p, history, got, allowed)
 		}
 		if got := p.ClientRetrySafe(history.MayHaveExecuted()); got != clientSafe {
-			t.Fatalf("%+v %+v: client's retry safe: %v", p, history, got)
+			t.Fatalf("%+v %+v: ClientRetrySafe = %v, want %v", p, history, got, clientSafe)
 		}
 		if p.RetryForbidden(&history, now) && p.RetryAllowedAt(&history, now, next) {
-			t.Fatalf("%+v %+v: forbidden and allowed", p, history)
+			t.Fatalf("%+v %+v: retry both forbidden and allowed", p, history)
 		}
 		latest := firstSentAt + p.DedupWindow - deliveryMargin
 		if deadline, bounded := p.RetryDeadline(&history); bounded && deadline > latest {
-			t.Fatalf("%+v %+v: deadline %d", p, history, deadline)
+			t.Fatalf("%+v %+v: RetryDeadline = %d, want at most %d", p, history, deadline, latest)
 		}
 	})
 }
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -143,14 +143,14 @@
 func TestMeanLoad(t *testing.T) {
 	m := &LoadModel{}
 	if m.Observe(1.5); m.MeanLoad() > 0.3 {
-		t.Errorf("mean %v after one heavy connection", m.MeanLoad())
+		t.Errorf("mean %v after one heavy connection, want at most 0.3", m.MeanLoad())
 	}
 	for i := range 200 {
 		m.Observe([]float64{0.05, 0.15}[i%2])
 	}
 	m.ObserveHint(100)
 	if math.Abs(m.MeanLoad()-0.1) > 0.02 {
-		t.Errorf("mean %v of loads around 0.1", m.MeanLoad())
+		t.Errorf("mean %v of loads around 0.1, want 0.08 to 0.12", m.MeanLoad())
 	}
 }
 
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -37,10 +37,11 @@
 				return len(actionsOf[StartAttempt](actions)) > 0
 			}
 			if got := retried(earlier, earlierServer); got != (c.before == Idempotent) {
-				t.Errorf("request before the change: retried %v under %v", got, c.before)
+				t.Errorf("request before the change: retried %v under %v, want %v",
+					got, c.before, c.before == Idempotent)
 			}
 			if got := retried(later, laterServer); got != (c.after == Idempotent) {
-				t.Errorf("request after the change: retried %v under %v", got, c.after)
+				t.Errorf("request after the change: retried %v under %v, want %v", got, c.after, c.after == Idempotent)
 			}
 		})
 	}
--- a/decision/upstreampool/limits_test.go
+++ b/decision/upstreampool/limits_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if at, failed := m.failedAt[server]; failed && m.now < at+initialBackoff {
-		t.Fatalf("opened %d us after a failure", m.now-at)
+		t.Fatalf("opened %d us after a failure, want at least %d", m.now-at, initialBackoff)
 	}
 	m.opening[c.Connection] = server
 }
@@ -117,7 +117,7 @@
 	m.pool.MarkPlain(m.now, id, rapid.Bool().Draw(t, "confirmed"))
 	m.removeConnection(id)
 	if c := m.pool.Acquire(m.now, server); c.Kind != PlainLines {
-		t.Fatalf("channel to a server with plain lines only: %+v", c)
+		t.Fatalf("channel to a server with plain lines only: %+v, want PlainLines", c)
 	}
 }
 
@@ -154,13 +154,15 @@
 	byConnection, byServer := map[uint32]int{}, map[uint32]int{}
 	for _, id := range m.channels {
 		if byConnection[id]++; byConnection[id] > m.limits.ChannelsPerConnection {
-			t.Fatalf("%d channels on connection %d", byConnection[id], id)
+			t.Fatalf("%d channels on connection %d, want at most %d",
+				byConnection[id], id, m.limits.ChannelsPerConnection)
 		}
 	}
 	for _, connections := range []map[uint32]uint32{m.opening, m.open} {
 		for _, server := range connections {
 			if byServer[server]++; byServer[server] > m.limits.ConnectionsPerServer {
-				t.Fatalf("%d connections to server %d", byServer[server], server)
+				t.Fatalf("%d connections to server %d, want at most %d",
+					byServer[server], server, m.limits.ConnectionsPerServer)
 			}
 		}
 	}
--- a/decision/zonedirectory/gossip_test.go
+++ b/decision/zonedirectory/gossip_test.go
@@ -45,6 +45,6 @@
 		}
 	}
 	if sent["older"] > 0 || sent["newer"] == 0 {
-		t.Errorf("one round of gossip sent %v", sent)
+		t.Errorf("one round of gossip sent %v, want only the newer item", sent)
 	}
 }
--- a/decision/zonedirectory/zonedirectory_test.go
+++ b/decision/zonedirectory/zonedirectory_test.go
@@ -230,12 +230,12 @@
 func TestPublishErrors(t *testing.T) {
 	d := newDirectory(3, 3)
 	if _, err := d.Publish(start, strings.Repeat("x", MaxName+1), ""); !errors.Is(err, ErrInvalidRecord) {
-		t.Error(err)
+		t.Errorf("Publish with a name over MaxName: %v, want %v", err, ErrInvalidRecord)
 	}
 	for i := range MaxRecords + 1 {
 		_, err := d.Publish(start, fmt.Sprint(i), "")
 		if tooMany := errors.Is(err, ErrTooManyRecords); tooMany != (i == MaxRecords) {
-			t.Error(i, err)
+			t.Errorf("Publish of record %d: %v, want %v only from %d on", i, err, ErrTooManyRecords, MaxRecords)
 		}
 	}
 }
@@ -274,7 +274,8 @@
 		t.Errorf("%d bytes in 20 s, want at most %d", bytes, limit)
 	}
 	if len(d.introducedAt) > maxIntroduced+1 || len(d.divergedSince) > maxDivergedPeers {
-		t.Error("introducedAt or divergedSince exceeds its bound")
+		t.Errorf("%d entries in introducedAt and %d in divergedSince, want at most %d and %d",
+			len(d.introducedAt), len(d.divergedSince), maxIntroduced+1, maxDivergedPeers)
 	}
 }
 
@@ -306,16 +307,16 @@
 	d.Receive(sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
 	run(d, sec, 30*sec)
 	if d.State(zone) != Unknown || d.Live() != 1 || d.Known() != 6 {
-		t.Fatalf("zone is %v, %d live, %d known", d.State(zone), d.Live(), d.Known())
+		t.Fatalf("zone is %v, %d live, %d known, want unknown, 1 and 6", d.State(zone), d.Live(), d.Known())
 	}
 	run(d, 30*sec, 650*sec)
 	d.Receive(650*sec, addr(8), updateFrom(8, 2, remoteSummary(7)))
 	if run(d, 650*sec, 651*sec); d.State(zone) != 0 || d.Known() != 1 {
-		t.Fatalf("zone is %v, %d known", d.State(zone), d.Known())
+		t.Fatalf("zone is %v, %d known, want a forgotten zone and 1", d.State(zone), d.Known())
 	}
 	d.Receive(651*sec, addr(9), updateFrom(9, 1, remoteSummary(7)))
 	if run(d, 651*sec, 651*sec); d.State(zone) != Reachable || d.Live() != 6 {
-		t.Fatalf("zone is %v, %d live", d.State(zone), d.Live())
+		t.Fatalf("zone is %v, %d live, want reachable and 6", d.State(zone), d.Live())
 	}
 }
 
@@ -325,11 +326,11 @@
 	const sec = monotime.Second
 	d := newDirectory(1, 1500)
 	if d.RateDivisor() < 1490 {
-		t.Fatal(d.RateDivisor())
+		t.Fatalf("divisor %.0f at the start, want at least 1490", d.RateDivisor())
 	}
 	run(d, sec, 31*sec)
 	if v := d.RateDivisor(); v < 600 || v > 1000 {
-		t.Fatalf("divisor %.0f after half a minute", v)
+		t.Fatalf("divisor %.0f after half a minute, want 600 to 1000", v)
 	}
 	large := Summary{Site: site(1), Version: 1, Issuer: 9, Live: 2000, Known: 2000}
 	d.Receive(31*sec, addr(9), updateFrom(9, 1, Item{Summary: &large}))
--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	if conn, err := net.Dial("tcp", addr); err == nil {
 		_ = conn.Close()
-		t.Fatalf("another process listens on %s", addr)
+		t.Fatalf("another process already listens on %s, want the address free", addr)
 	}
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -75,7 +75,7 @@
 			return run
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("make %s: nothing listens on %s", target, addr)
+			t.Fatalf("make %s: nothing listens on %s within %v", target, addr, waitTimeout)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	case text := <-run.printed:
 		return text
 	case <-time.After(waitTimeout):
-		run.t.Fatal("make has not ended after SIGINT")
+		run.t.Fatalf("make has not ended within %v of SIGINT", waitTimeout)
 		return ""
 	}
 }
--- a/example/toy/toy_test.go
+++ b/example/toy/toy_test.go
@@ -69,7 +69,7 @@
 	})
 	for end := time.Now().Add(awaitTimeout); in.request("PING") != "PONG"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the balancer did not answer PING in time")
+			t.Fatalf("the balancer did not answer PING within %v", awaitTimeout)
 		}
 	}
 	return in
@@ -150,7 +150,7 @@
 	heavy.awaitLine("LOAD 1500000")
 	for i := range 5 {
 		if p := pushed.open(2+i, "watch", ",g=2,h=20000"); p.node == heavy.node {
-			t.Errorf("connection %d went to %s, which has no capacity left", i, p.node)
+			t.Errorf("connection %d went to %s, want the other node: this one has no capacity left", i, p.node)
 		}
 	}
 
@@ -163,7 +163,7 @@
 			byNode[p.node] = p
 		}
 		if len(byNode) < 2 {
-			t.Fatalf("%s: all of 100 connections went to one node: %v", class, byNode)
+			t.Fatalf("%s: all of 100 connections went to one node, want both: %v", class, byNode)
 		}
 		in.d.nodes[0].drain()
 		in.d.notifyWatches()
@@ -172,7 +172,7 @@
 		byNode["toy-2"].awaitLine("still there")
 		for i := range 20 {
 			if p := in.open(2000+i, class, ",h=1000"); p.node != "toy-2" {
-				t.Fatalf("%s: connection %d went to the draining node %s", class, i, p.node)
+				t.Fatalf("%s: connection %d went to %s, want toy-2: the other node is draining", class, i, p.node)
 			}
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -112,7 +112,7 @@
 
 // Clients that connect and send nothing do not delay the commands of others, even if there are more of them than
 // MaxConnections.
-func TestSilentConnectionsDelayNobody(t *testing.T) {
+func TestSilentConnectionsDelayNoCommand(t *testing.T) {
 	addr, connections := serveCounted(t)
 	var silent []net.Conn
 	for range 3 * admin.MaxConnections {
@@ -129,10 +129,10 @@
 	}()
 	start := time.Now()
 	if got := sendCommand(t, addr, "PING\r\n", false); got != "+OK serving" {
-		t.Fatalf("PING among silent connections: %q", got)
+		t.Fatalf("PING among silent connections: %q, want +OK serving", got)
 	}
 	if n := connections(); n > admin.MaxConnections {
-		t.Errorf("%d connections are open; at most %d", n, admin.MaxConnections)
+		t.Errorf("%d connections are open, want at most %d", n, admin.MaxConnections)
 	}
 	// Each silent connection gets a reply and is closed, either displaced or by its timeout, so none keeps a
 	// descriptor.
@@ -140,7 +140,7 @@
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 		answer, _ := bufio.NewReader(c).ReadString('\n')
 		if !strings.HasPrefix(answer, "-ERR") {
-			t.Errorf("silent connection %d: %q", i, answer)
+			t.Errorf("silent connection %d: %q, want -ERR", i, answer)
 		}
 	}
 	t.Logf("answered in %v", time.Since(start))
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -133,14 +133,15 @@
 			packet := Append(nil, &p.ours)
 			payload, size, err := SplitPacket(packet)
 			if err != nil || size != len(packet) || size%8 != 0 || size < 16 || packet[4] < 4 {
-				t.Fatalf("%+v: %v, %d of %d", p.ours, err, size, len(packet))
+				t.Fatalf("%+v: %v, size %d of %d bytes; want all, a multiple of 8, and 4 bytes of padding",
+					p.ours, err, size, len(packet))
 			}
 			if want := ssh.Marshal(p.rfc); !bytes.Equal(payload, want) {
 				t.Fatalf("%+v\nours %x\nrfc  %x", p.ours, payload, want)
 			}
 			var got Message
 			if err := Parse(payload, &got); err != nil {
-				t.Fatalf("%+v: %v", p.ours, err)
+				t.Fatalf("parse %+v: %v", p.ours, err)
 			}
 			if d := cmp.Diff(normalize(p.ours), normalize(got)); d != "" {
 				t.Fatal(d)
@@ -195,7 +196,7 @@
 	} {
 		payload, n, err := SplitPacket(c.in)
 		if n != c.n || !errors.Is(err, c.err) || (n > 0) != (payload != nil) {
-			t.Errorf("%s: %d, %v", name, n, err)
+			t.Errorf("%s: size %d, %v, want %d, %v", name, n, err, c.n, c.err)
 		}
 	}
 }
@@ -218,7 +219,7 @@
 	} {
 		text, n, err := SplitIdentification([]byte(c.in))
 		if string(text) != c.text && c.err == nil || n != c.n || !errors.Is(err, c.err) {
-			t.Errorf("%s: %q, %d, %v", name, text, n, err)
+			t.Errorf("%s: %q, size %d, %v, want %q, %d, %v", name, text, n, err, c.text, c.n, c.err)
 		}
 	}
 }
@@ -238,7 +239,7 @@
 	data, buf := make([]byte, MaxData), make([]byte, 0, MaxPacket)
 	packet := Append(nil, &Message{Type: Data, Channel: 9, Data: data})
 	if len(packet) > MaxPacket {
-		t.Fatalf("%d bytes", len(packet))
+		t.Fatalf("the longest packet has %d bytes, want at most %d", len(packet), MaxPacket)
 	}
 	m := Message{Type: Data, Channel: 9, Data: data}
 	var read Message
@@ -251,7 +252,7 @@
 			t.Fatal("packet was not parsed")
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations, want 0", n)
 	}
 }
 
@@ -279,13 +280,13 @@
 		var same Message
 		if err := Parse(back, &same); m.Type != Ignore && m.Type != Debug && isKnownType(m.Type) &&
 			(err != nil || cmp.Diff(normalize(m), normalize(same)) != "") {
-			t.Errorf("%x: %+v, %+v, %v", payload, m, same, err)
+			t.Errorf("%x: parsed as %+v, again as %+v, %v; want the same", payload, m, same, err)
 		}
 		if m.Type == Data {
 			var rfc dataMsg
 			if err := ssh.Unmarshal(payload, &rfc); err != nil || rfc.ID != m.Channel ||
 				!bytes.Equal(rfc.Data, m.Data) {
-				t.Errorf("%x: %+v, %v", payload, rfc, err)
+				t.Errorf("%x: the independent implementation decodes %+v, %v, want %+v", payload, rfc, err, m)
 			}
 		}
 	})
@@ -302,7 +303,8 @@
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		payload, n, err := SplitPacket(buf)
 		if err == nil && n > 0 && (n > len(buf) || len(payload) == 0 || len(payload) > n-9) {
-			t.Errorf("%x: %d, %d", buf, n, len(payload))
+			t.Errorf("%x: packet of %d bytes, payload of %d, want 1 to the packet without 9 bytes",
+				buf, n, len(payload))
 		}
 		_, _, _ = SplitIdentification(buf)
 	})
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -45,7 +45,7 @@
 			t.Fatalf("reported %q, want %q", got, text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not reported: %q", text)
+		t.Fatalf("%q not reported within 10 s", text)
 	}
 }
 
@@ -132,7 +132,7 @@
 	_, _ = second.Write([]byte(watchHead + chunk(`{"generation":42,"instances":[`+server1+`]}`)))
 	w.want(t, "43") // an object older than the list changes nothing
 	if n, err := first.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Fatal("the old watch is not closed")
+		t.Fatal("the old watch is not closed after the new one has received an object")
 	}
 	_, _ = second.Write([]byte(chunk(`{"generation":44,"instances":[` + server1 + `]}`)))
 	w.want(t, "44 s1")
@@ -207,7 +207,7 @@
 			c.receiveBody([]byte(text[at:min(at+step, len(text))]))
 		}
 		if c.err != nil {
-			t.Fatalf("step %d: %v", step, c.err)
+			t.Fatalf("parts of %d bytes: %v, want no error", step, c.err)
 		}
 		for _, want := range []string{"41 s1 s2", "42 s1", "41 s1 s2"} {
 			w.want(t, want)
@@ -235,16 +235,16 @@
 	c.receiveBody([]byte("{\n"))
 	for part := []byte(strings.Repeat("1", 1000) + "\n"); c.err == nil; c.receiveBody(part) {
 		if len(c.object) > maxObjectBytes+2000 {
-			t.Fatalf("%d bytes are buffered", len(c.object))
+			t.Fatalf("%d bytes of an object are buffered, want at most %d", len(c.object), maxObjectBytes)
 		}
 	}
 	if !errors.Is(c.err, ErrMalformedList) {
-		t.Errorf("in lines: %v", c.err)
+		t.Errorf("in lines: %v, want %v", c.err, ErrMalformedList)
 	}
 	c, _ = newPendingWatch(t)
 	c.receiveBody([]byte(strings.Repeat("1", maxObjectBytes+1)))
 	if !errors.Is(c.err, ErrTooLarge) {
-		t.Errorf("without lines: %v", c.err)
+		t.Errorf("without lines: %v, want %v", c.err, ErrTooLarge)
 	}
 }
 
@@ -269,7 +269,7 @@
 					break // the client has closed it
 				}
 				if sent == 64 { // twelve seconds, or sixteen times maxObjectBytes
-					t.Fatal("the watch is not closed")
+					t.Fatal("a watch that never completes an object is not closed")
 				}
 				time.Sleep(c.pause)
 			}
@@ -341,6 +341,6 @@
 	got := make(chan Status)
 	l.Post(func() { got <- d.Status() })
 	if s := <-got; s.State != WatchNone || s.Generation != 42 || s.Calls != 2 || s.ListAge < 0 || s.LastByteAge < 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v, want no watch, generation 42 and 2 calls", s)
 	}
 }
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -21,11 +21,12 @@
 			r := responseParser{onBody: func(b []byte) { got.Write(b) }}
 			for at := 0; at < len(c.in); at += step {
 				if err := r.feed([]byte(c.in[at:min(at+step, len(c.in))])); err != nil {
-					t.Fatalf("%s, step %d: %v", name, step, err)
+					t.Fatalf("%s, parts of %d bytes: %v, want no error", name, step, err)
 				}
 			}
 			if got.String() != c.body || r.state != stateComplete {
-				t.Fatalf("%s, step %d: %q, state %d", name, step, got.String(), r.state)
+				t.Fatalf("%s, parts of %d bytes: body %q, state %d, want %q and state %d",
+					name, step, got.String(), r.state, c.body, stateComplete)
 			}
 		}
 	}
@@ -48,7 +49,7 @@
 	} {
 		r := responseParser{onBody: func([]byte) {}}
 		if err := r.feed([]byte(in)); !errors.Is(err, want) {
-			t.Errorf("%.40q: %v", in, err)
+			t.Errorf("%.40q: %v, want %v", in, err, want)
 		}
 	}
 }
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -159,7 +159,8 @@
 			}
 		}
 		if checked < want {
-			t.Errorf("%s names only %d symbols; it must name rules and terms by their symbols", page, checked)
+			t.Errorf("%s names %d symbols, want at least %d: it must name rules and terms by their symbols",
+				page, checked, want)
 		}
 	}
 }
--- a/internal/eventloop/drain_test.go
+++ b/internal/eventloop/drain_test.go
@@ -48,11 +48,11 @@
 	for i, c := range clients {
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only to end the test on a failure
 		if got, err := bufio.NewReader(c).ReadString('\n'); got != "hi\n" {
-			t.Fatalf("client %d: %q, %v", i, got, err)
+			t.Fatalf("client %d: got %q, %v, want hi", i, got, err)
 		}
 	}
 	if len(accepted) != queued || l.OpenSockets() != queued {
-		t.Errorf("accepted %d, %d sockets open", len(accepted), l.OpenSockets())
+		t.Errorf("accepted %d, %d sockets open, want %d of each", len(accepted), l.OpenSockets(), queued)
 	}
 	for _, c := range accepted {
 		c.Close()
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -22,7 +22,7 @@
 		s.Drop(r) // a second time does nothing
 	}
 	if s.Len() != 0 || len(s.slots) > 100 {
-		t.Fatalf("%d in use, %d slots", s.Len(), len(s.slots))
+		t.Fatalf("%d in use, %d slots, want 0 and at most 100", s.Len(), len(s.slots))
 	}
 	if _, ok := s.Get(0); ok {
 		t.Fatal("the zero Ref is found")
@@ -40,7 +40,7 @@
 		s.Drop(r)
 	}
 	if !slices.Equal(got, []int{0, 2}) || s.Len() != 0 {
-		t.Fatalf("%v, %d left", got, s.Len())
+		t.Fatalf("All yielded %v, %d left, want 0 and 2, and none left", got, s.Len())
 	}
 }
 
@@ -56,18 +56,18 @@
 	d.cancel(cancelled)
 	d.cancel(cancelled)
 	if at, ok := d.next(); !ok || at != 10 {
-		t.Fatalf("next %d, %v", at, ok)
+		t.Fatalf("next deadline at %d, %v, want 10 and true", at, ok)
 	}
 	d.run(10)
 	// A deadline that is set by a callback runs in the next turn, even if it is due already.
 	d.set(10, func() { d.set(10, record(7)) })
 	d.run(25)
 	if !slices.Equal(got, []int{1, 2}) {
-		t.Fatalf("%v", got)
+		t.Fatalf("deadlines %v ran until 25, want 1 and 2", got)
 	}
 	d.run(40)
 	if !slices.Equal(got, []int{1, 2, 7, 3}) || d.slots.Len() != 0 {
-		t.Fatalf("%v, %d slots", got, d.slots.Len())
+		t.Fatalf("deadlines %v ran until 40, %d left, want 1, 2, 7 and 3, and none left", got, d.slots.Len())
 	}
 }
 
@@ -109,9 +109,9 @@
 		t.Fatal(err)
 	}
 	if accepted != 0 || ln.resumeTimer == 0 {
-		t.Fatalf("accepted %d, resume timer %d", accepted, ln.resumeTimer)
+		t.Fatalf("accepted %d, resume timer %d, want 0 and a timer", accepted, ln.resumeTimer)
 	}
 	if err := l.Run(); err != nil || accepted != 1 {
-		t.Fatalf("%v, accepted %d", err, accepted)
+		t.Fatalf("loop ended with %v, accepted %d, want no error and 1", err, accepted)
 	}
 }
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -92,7 +92,7 @@
 	}
 	l.runTurn(t)
 	if len(far.fds) != 1 || far.texts[0] != "take it" {
-		t.Fatalf("%+v", far)
+		t.Fatalf("received %+v, want one descriptor with the text \"take it\"", far)
 	}
 	served.Release()
 	events := make([]unix.EpollEvent, 8)
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	if n, err := unix.EpollWait(l.epollFD, events, 50); n != 0 || err != nil {
-		t.Errorf("%d events of the released socket, %v", n, err)
+		t.Errorf("%d events of the released socket, %v, want none", n, err)
 	}
 	adopted, err := l.Adopt(far.fds[0], noopOwner{})
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	var buf [16]byte
 	if n, err := adopted.Read(buf[:]); string(buf[:n]) != "hello" {
-		t.Errorf("%q, %v", buf[:n], err)
+		t.Errorf("read %q, %v from the adopted socket, want hello", buf[:n], err)
 	}
 	adopted.Close()
 	_ = unix.Close(fd)
@@ -123,17 +123,17 @@
 	}
 	l.runTurn(t)
 	if len(far.texts) != 1 || len(far.texts[0]) != MaxPacket || far.ended != 0 {
-		t.Errorf("%d packets, %d ends", len(far.texts), far.ended)
+		t.Errorf("%d packets, %d ends after one of MaxPacket, want 1 and 0", len(far.texts), far.ended)
 	}
 	if err := near.Send(make([]byte, MaxPacket+1)); err != nil {
 		t.Fatal(err)
 	}
 	l.runTurn(t)
 	if len(far.texts) != 1 || far.ended != 1 {
-		t.Errorf("%d packets, %d ends", len(far.texts), far.ended)
+		t.Errorf("%d packets, %d ends after one over MaxPacket, want 1 and 1", len(far.texts), far.ended)
 	}
 	if _, err := l.Adopt(l.wakeFD, noopOwner{}); err == nil {
-		t.Error("an eventfd was adopted as a stream socket")
+		t.Error("Adopt accepted an eventfd as a stream socket, want an error")
 	}
 }
 
@@ -160,13 +160,13 @@
 	}
 	near.Shutdown()
 	if err := far.Send([]byte("late")); !errors.Is(err, unix.EPIPE) {
-		t.Errorf("a late answer: %v", err)
+		t.Errorf("send after the peer's Shutdown: %v, want %v", err, unix.EPIPE)
 	}
 	for range 4 {
 		l.runTurn(t)
 	}
 	if len(received.texts) != 1 || received.texts[0] != "in time" || received.ended != 1 {
-		t.Errorf("%+v", received)
+		t.Errorf("received %+v, want only \"in time\", then the end", received)
 	}
 }
 
@@ -175,7 +175,7 @@
 	l := newLoop(t)
 	path := filepath.Join(t.TempDir(), "s.sock")
 	if _, err := l.DialPackets(path, os.Getpid(), &packetRecorder{}); err == nil {
-		t.Error("connected without a listener")
+		t.Error("DialPackets connected without a listener, want an error")
 	}
 	accepted := 0
 	for i := range 2 {
@@ -184,19 +184,19 @@
 		}
 	}
 	if _, err := l.DialPackets(path, 1, &packetRecorder{}); err == nil || !strings.Contains(err.Error(), "not 1") {
-		t.Errorf("another process: %v", err)
+		t.Errorf("another process listens: %v, want an error that it is not 1", err)
 	}
 	l.runTurn(t)
 	if accepted != 2 {
 		t.Errorf("accepted by listener %d, want 2", accepted)
 	}
 	if leftovers, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".*")); len(leftovers) > 0 {
-		t.Errorf("temporary files left: %v", leftovers)
+		t.Errorf("temporary files left: %v, want none", leftovers)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("mode of the socket file: %v, %v, want 0600", info.Mode(), err)
 	}
 	if _, err := l.ListenPackets(filepath.Join(path, "none", "s"), nil); err == nil {
-		t.Error("listening in a directory that does not exist")
+		t.Error("ListenPackets in a directory that does not exist returned no error")
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -45,7 +45,7 @@
 	forbidden := []string{"os", "net", "time", "io/fs", "sync", "syscall", "context", "log", "math/rand", "crypto/rand"}
 	for _, d := range deps(t, "spurspread/decision/...") {
 		if isUnder(d, "spurspread") && !isUnder(d, "spurspread/decision") {
-			t.Errorf("a decision depends on %s", d)
+			t.Errorf("a decision depends on %s, want only packages in decision", d)
 		}
 	}
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}}: {{join .Imports " "}}`, "spurspread/decision/...").
@@ -57,7 +57,7 @@
 		pkg, imports, _ := strings.Cut(line, ": ")
 		for _, i := range strings.Fields(imports) {
 			if slices.Contains(forbidden, i) {
-				t.Errorf("%s imports %s", pkg, i)
+				t.Errorf("%s imports %s, which decisions must not import", pkg, i)
 			}
 			if !isUnder(i, "spurspread") ||
 				slices.Contains(sharedPackages, i) && !slices.Contains(sharedPackages, pkg) {
@@ -82,7 +82,7 @@
 			"crypto/tls",
 			"gonum.org",
 		) {
-			t.Errorf("the data plane depends on %s", d)
+			t.Errorf("the data plane depends on %s, which it must not", d)
 		}
 	}
 }
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -28,7 +28,7 @@
 	} {
 		text, n, err := SplitLine([]byte(c.in))
 		if string(text) != c.text || n != c.n || !errors.Is(err, c.err) {
-			t.Errorf("%s: %q, %d, %v", name, text, n, err)
+			t.Errorf("%s: line %q, size %d, %v, want %q, %d, %v", name, text, n, err, c.text, c.n, c.err)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 		t.Errorf("%+v, %v", o, err)
 	}
 	if o, err = ParseOpen([]byte("OPEN a user-7 c=chat,d=0")); err != nil || o.Key == 0 || o.DeadlineMillis != 0 {
-		t.Errorf("a key that is a word: %+v, %v", o, err)
+		t.Errorf("a key that is a word: %+v, %v, want a key other than 0 and deadline 0", o, err)
 	}
 	for _, bad := range []string{
 		"OPEN", "OPEN a", "OPEN a b", "OPEN a b ", "OPEN  b c=x", "OPEN a b c", "OPEN a b c=x,", "OPEN a b =x",
@@ -82,14 +82,14 @@
 		"": Other,
 	} {
 		if got, v := ParseServerLine([]byte(in)); got != want || (got == Load) != (v == 12.5) {
-			t.Errorf("%q: %d, %v", in, got, v)
+			t.Errorf("%q: kind %d, value %v, want kind %d, and 12.5 only for LOAD", in, got, v, want)
 		}
 	}
 }
 
 func TestAppendBusy(t *testing.T) {
 	if got := string(AppendBusy(AppendBusy(nil, 0), 340)); got != "BUSY\r\nBUSY 340\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want BUSY without a delay, then BUSY 340", got)
 	}
 }
 
@@ -104,7 +104,8 @@
 			s.Feed([]byte(stream[at:min(at+step, len(stream))]), func(l []byte) { got = append(got, string(l)) })
 		}
 		if want := "one||LOAD 3|" + long[:48] + "|BYE"; strings.Join(got, "|") != want || s.AtLineStart() {
-			t.Fatalf("reads of %d bytes: lines %q, at line start %v", step, got, s.AtLineStart())
+			t.Fatalf("reads of %d bytes: lines %q, at line start %v, want %q and false",
+				step, got, s.AtLineStart(), want)
 		}
 	}
 }
@@ -127,10 +128,11 @@
 		if o.DeadlineStart < 0 || o.DeadlineEnd > len(text) || o.DeadlineStart > o.DeadlineEnd ||
 			strconv.FormatInt(o.DeadlineMillis, 10) != strings.TrimLeft(string(text[o.DeadlineStart:o.DeadlineEnd]),
 				"0") && o.DeadlineMillis != 0 {
-			t.Errorf("%q: deadline %d at offsets %d to %d", text, o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd)
+			t.Errorf("%q: deadline %d does not match offsets %d to %d",
+				text, o.DeadlineMillis, o.DeadlineStart, o.DeadlineEnd)
 		}
 		if n, ok := ParseCursor(o.Cursor); ok && strconv.FormatUint(n, 10) != string(o.Cursor) {
-			t.Errorf("%q: cursor %d", text, n)
+			t.Errorf("%q: cursor %d, want %q", text, n, o.Cursor)
 		}
 	})
 }
@@ -147,13 +149,13 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		kind, value := ParseServerLine(text)
 		if kind != Load && value != 0 || value < 0 {
-			t.Errorf("%q: %v, %v", text, kind, value)
+			t.Errorf("%q: kind %v, value %v, want a value only for LOAD, and not below 0", text, kind, value)
 		}
 		if n, ok := MessageNumber(text); ok && (kind != Other || !bytes.HasPrefix(text, fmt.Appendf(nil, "#%d ", n))) {
-			t.Errorf("%q: number %d", text, n)
+			t.Errorf("%q: message number %d, want a line of kind Other that begins with it", text, n)
 		}
 		if n, ok := ResumeCursor(text); ok && !bytes.HasSuffix(text, fmt.Appendf(nil, "from=%d", n)) {
-			t.Errorf("%q: from %d", text, n)
+			t.Errorf("%q: cursor %d, want a line that ends with it", text, n)
 		}
 	})
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -36,6 +36,6 @@
 	}
 	if err := json.Unmarshal(out.Bytes(), &line); err != nil || line.Msg != "statistics" ||
 		line.Level != "info" || line.Connections != 3 {
-		t.Errorf("%s: %v", out.Bytes(), err)
+		t.Errorf("logged %s: %v, want msg statistics, level info and 3 connections", out.Bytes(), err)
 	}
 }
--- a/internal/logging/page_test.go
+++ b/internal/logging/page_test.go
@@ -21,7 +21,7 @@
 	for _, dir := range []string{"../../cmd/spurspread", "../proxy", "../peer", "../discovery", "../admin"} {
 		found, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(found) == 0 {
-			t.Fatalf("%s: %d files, %v", dir, len(found), err)
+			t.Fatalf("%s: %d files, %v, want at least 1", dir, len(found), err)
 		}
 		files = append(files, found...)
 	}
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(logged) < 20 {
-		t.Errorf("found only %d messages", len(logged))
+		t.Errorf("found %d messages, want at least 20", len(logged))
 	}
 	_, table, _ := strings.Cut(messages, "## Messages")
 	table, fields, _ := strings.Cut(table, "## Fields")
@@ -102,7 +102,7 @@
 	}
 	names := literals(t, "fields.go", fieldName)
 	if len(names) < 30 {
-		t.Errorf("found only %d fields", len(names))
+		t.Errorf("found %d fields, want at least 30", len(names))
 	}
 	for _, name := range names {
 		if !strings.Contains(fields, "`"+name) {
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -158,18 +158,18 @@
 	client, server := newPair(1000, 10)
 	exchange(t, client, server)
 	if !client.ready {
-		t.Fatal("not ready")
+		t.Fatal("the client is not ready after both sides exchanged all bytes")
 	}
 	a := client.open("OPEN 1")
 	exchange(t, client, server)
 	b := server.streams[0]
 	if line, err := channel.ParseString([]byte(b.opened)); err != nil || string(line) != "OPEN 1" {
-		t.Fatalf("%q, %v", b.opened, err)
+		t.Fatalf("the server got the open text %q, %v, want OPEN 1", b.opened, err)
 	}
 	b.ch.Confirm([]byte("UP r"))
 	exchange(t, client, server)
 	if a.confirmed != "yes UP r" {
-		t.Fatalf("%q", a.confirmed)
+		t.Fatalf("confirmed with %q, want yes UP r", a.confirmed)
 	}
 	// EOF in one direction, and data after it in the other.
 	a.write([]byte("T 1\r\n"))
@@ -178,12 +178,14 @@
 	b.write([]byte("OK\r\n"))
 	exchange(t, client, server)
 	if string(b.got) != "T 1\r\n" || !errors.Is(b.end, io.EOF) || string(a.got) != "OK\r\n" || a.end != nil {
-		t.Fatalf("%q %v, %q %v", b.got, b.end, a.got, a.end)
+		t.Fatalf("server read %q, end %v; client read %q, end %v; want T 1 and EOF, OK and no end",
+			b.got, b.end, a.got, a.end)
 	}
 	b.ch.CloseAfterFlush(channel.Move, channel.AppendString(nil, []byte("T")))
 	exchange(t, client, server)
 	if !errors.Is(a.end, io.EOF) || len(a.requests) != 1 || client.c.Len()+server.c.Len() != 0 {
-		t.Fatalf("%v, %q, %d left", a.end, a.requests, client.c.Len()+server.c.Len())
+		t.Fatalf("end %v, requests %q, %d channels left, want EOF, one request and none",
+			a.end, a.requests, client.c.Len()+server.c.Len())
 	}
 	// A rejection, a close without EOF, and a close before the answer.
 	rejected, reset, closed := client.open("OPEN 2"), client.open("OPEN 3"), client.open("OPEN 4")
@@ -198,12 +200,14 @@
 	if rejected.rejected != "4 BUSY 70" || reset.end == nil || errors.Is(reset.end, io.EOF) ||
 		server.streams[3].end == nil ||
 		errors.Is(server.streams[3].end, io.EOF) {
-		t.Errorf("%q, %v, %v", rejected.rejected, reset.end, server.streams[3].end)
+		t.Errorf("rejected with %q, want 4 BUSY 70; ends %v and %v, want errors other than EOF",
+			rejected.rejected, reset.end, server.streams[3].end)
 	}
 	client.c.Ping()
 	exchange(t, client, server)
 	if client.pingsAnswered != 1 || client.c.Len()+server.c.Len() != 0 {
-		t.Errorf("%d pings answered, %d channels left", client.pingsAnswered, client.c.Len()+server.c.Len())
+		t.Errorf("%d pings answered, %d channels left, want 1 and 0",
+			client.pingsAnswered, client.c.Len()+server.c.Len())
 	}
 }
 
@@ -330,7 +334,7 @@
 			continue
 		}
 		if c.want != "" && what != "a disconnect" && !bytes.Contains(e.wire.buffered, []byte(err.Error())) {
-			t.Errorf("%s: the peer was not sent the error", what)
+			t.Errorf("%s: the peer was not sent the error %q", what, err)
 		}
 		if c.want != "" && e.c.Feed([]byte("more")) != nil {
 			t.Errorf("%s: the connection continues after its end", what)
@@ -425,21 +429,22 @@
 	}
 	exchange(t, client, server)
 	if got := len(client.streams[0].ch.receiveBuffer); got == 0 || got > 20_000 {
-		t.Errorf("%d bytes of the stalled channel buffered", got)
+		t.Errorf("%d bytes of the stalled channel buffered, want 1 to 20000", got)
 	}
 	if server.streams[0].ch.Pending() != 80_000 {
-		t.Errorf("%d bytes pending at the sender", server.streams[0].ch.Pending())
+		t.Errorf("%d bytes pending at the sender, want 80000", server.streams[0].ch.Pending())
 	}
 	for i, s := range client.streams[1:] {
 		if len(s.got) != 100_000 || server.streams[1+i].ch.Pending() != 0 {
-			t.Errorf("channel %d: %d bytes received", 1+i, len(s.got))
+			t.Errorf("channel %d: %d bytes received, want 100000, and none pending", 1+i, len(s.got))
 		}
 	}
 	client.streams[0].stalled = false
 	client.streams[0].Readable()
 	exchange(t, client, server)
 	if len(client.streams[0].got) != 100_000 || server.streams[0].flushed == 0 {
-		t.Errorf("after the stall: %d bytes, flushed %d times", len(client.streams[0].got), server.streams[0].flushed)
+		t.Errorf("after the stall: %d bytes, flushed %d times, want 100000 and at least once",
+			len(client.streams[0].got), server.streams[0].flushed)
 	}
 	before := server.streams[1].ch.sendWindow
 	adjust := channel.Append(
@@ -447,7 +452,7 @@
 		&channel.Message{Type: channel.WindowAdjust, Channel: uint32(server.streams[1].ch.localID), Window: 5},
 	)
 	if err := server.c.Feed(adjust); err != nil || server.streams[1].ch.sendWindow != before+5 {
-		t.Errorf("%v, a window of %d enlarged by 5 is %d", err, before, server.streams[1].ch.sendWindow)
+		t.Errorf("%v, a window of %d enlarged by 5 is %d, want the sum", err, before, server.streams[1].ch.sendWindow)
 	}
 	// With the wire full, each channel sends one packet in turn.
 	server.wire.Write(make([]byte, sendHighWaterMark))
@@ -463,10 +468,10 @@
 			t.Fatal(err)
 		}
 		if m.Channel == last {
-			t.Errorf("channel %d had two turns in a row", last)
+			t.Errorf("channel %d had two turns in a row, want another one between", last)
 		}
 		if b, last = b[n:], m.Channel; len(m.Data) > turnBytes {
-			t.Errorf("a turn of %d bytes", len(m.Data))
+			t.Errorf("a turn of %d bytes, want at most %d", len(m.Data), turnBytes)
 		}
 	}
 }
@@ -479,10 +484,10 @@
 	openAll(t, client, server, 300)
 	exchange(t, client, server)
 	if p := server.c.cfg.Budget.Committed(); p > 50_000+300*64 {
-		t.Errorf("%d bytes committed", p)
+		t.Errorf("%d bytes committed, want at most %d", p, 50_000+300*64)
 	}
 	if first, last := client.streams[0].ch.sendWindow, client.streams[299].ch.sendWindow; first < 3000 || last != 64 {
-		t.Errorf("windows of %d and %d", first, last)
+		t.Errorf("windows of %d and %d, want at least 3000 and 64", first, last)
 	}
 	server.streams[0].stalled = true
 	client.streams[0].write(make([]byte, 3000))
@@ -494,7 +499,7 @@
 	server.streams[0].ch.Close()
 	for _, e := range []*side{client, server} {
 		if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
-			t.Errorf("%s: %d bytes committed, %d channels", e.name, p, e.c.Len())
+			t.Errorf("%s: %d bytes committed, %d channels left, want none", e.name, p, e.c.Len())
 		}
 	}
 }
@@ -507,12 +512,12 @@
 	for range 100_000 {
 		if err := server.c.Feed(request); err != nil {
 			if server.wire.Pending() > maxUnreadReplies+1000 {
-				t.Errorf("%d bytes buffered", server.wire.Pending())
+				t.Errorf("%d bytes of replies buffered, want at most %d", server.wire.Pending(), maxUnreadReplies+1000)
 			}
 			return
 		}
 	}
-	t.Error("the connection does not end")
+	t.Error("the connection has not ended after 100000 requests without a reply read")
 }
 
 // randomRun performs random actions, drawn by rapid, on the two sides of a connection.
@@ -569,7 +574,7 @@
 		exchange(t, m.client, m.server)
 		for _, e := range []*side{m.client, m.server} {
 			if p := e.c.cfg.Budget.Committed(); p != 0 || e.c.Len() != 0 {
-				t.Fatalf("%s: %d bytes committed, %d channels left", e.name, p, e.c.Len())
+				t.Fatalf("%s: %d bytes committed, %d channels left, want none", e.name, p, e.c.Len())
 			}
 		}
 	})
@@ -615,7 +620,7 @@
 		"": func(t *rapid.T) {
 			for _, e := range []*side{m.client, m.server} {
 				if e.c.cfg.Budget.Committed() < 0 {
-					t.Fatalf("%s: %d bytes committed", e.name, e.c.cfg.Budget.Committed())
+					t.Fatalf("%s: %d bytes committed, want at least 0", e.name, e.c.cfg.Budget.Committed())
 				}
 			}
 		},
@@ -641,7 +646,8 @@
 // prefix of that, and all of it if the channel is open on both sides.
 func checkDirection(t *rapid.T, from, to *stream, established bool) {
 	if !bytes.HasPrefix(from.sent, to.got) {
-		t.Fatalf("%s sent %d bytes, and the %d bytes received differ", from.e.name, len(from.sent), len(to.got))
+		t.Fatalf("%s sent %d bytes, and the %d bytes received are not their beginning",
+			from.e.name, len(from.sent), len(to.got))
 	}
 	open := established && from.ch.owner != nil && to.ch.owner != nil && !from.ch.sentClose && !to.ch.sentClose
 	if open && len(from.sent) != len(to.got) {
@@ -669,7 +675,7 @@
 		}
 		client.wire.buffered = client.wire.buffered[:0]
 	}); n > 0 {
-		t.Errorf("%v allocations per line", n)
+		t.Errorf("%v allocations per line, want 0", n)
 	}
 }
 
@@ -744,7 +750,7 @@
 			s.ch.Close()
 		}
 		if e.c.Len() != 0 || e.c.cfg.Budget.Committed() != 0 {
-			t.Errorf("%d channels left, %d bytes committed", e.c.Len(), e.c.cfg.Budget.Committed())
+			t.Errorf("%d channels left, %d bytes committed, want none", e.c.Len(), e.c.cfg.Budget.Committed())
 		}
 	})
 }
--- a/internal/peer/host_test.go
+++ b/internal/peer/host_test.go
@@ -159,7 +159,7 @@
 	)
 	s.do(func() {
 		if next.fleet.Superseded() {
-			t.Error("the later process has ended its membership")
+			t.Error("the later process is superseded, want the earlier one")
 		}
 	})
 }
@@ -177,7 +177,7 @@
 	s.await("datagrams with the old key are rejected", func() bool { return a.Counts().Forged > 0 })
 	s.do(func() {
 		if n := a.Counts(); n.Received != received {
-			t.Errorf("%d datagrams with a withdrawn key were accepted", n.Received-received)
+			t.Errorf("%d datagrams with a withdrawn key were accepted, want 0", n.Received-received)
 		}
 		b.SetKeyring(newKeyring(t, 2))
 	})
@@ -205,7 +205,7 @@
 	})
 	s.do(func() {
 		if n := a.Counts(); n.Forged > n.Dropped {
-			t.Errorf("of a flood, %d datagrams were decrypted and only %d dropped", n.Forged, n.Dropped)
+			t.Errorf("of a flood, %d datagrams were decrypted and %d dropped, want more dropped", n.Forged, n.Dropped)
 		}
 	})
 	s.await("members are received during the flood", func() bool { return a.Counts().Received > received+4 })
--- a/internal/peer/packet/directory_test.go
+++ b/internal/peer/packet/directory_test.go
@@ -172,7 +172,8 @@
 		if d, err := Decode(b); err != nil || len(b) > MaxPlaintext ||
 			len(d.Directory.Versions) != len(message.Versions) ||
 			len(d.Directory.Items) != len(message.Items) {
-			t.Errorf("%d bytes, %v, %+v", len(b), err, d.Directory)
+			t.Errorf("%d bytes, %v, %+v, want at most %d bytes with all versions and items",
+				len(b), err, d.Directory, MaxPlaintext)
 		}
 	}
 }
@@ -189,17 +190,17 @@
 		m := fullMessage()
 		change(&m)
 		if _, err := Decode(EncodeDirectory(nil, e, &m)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want %v", name, err, ErrMalformed)
 		}
 	}
 	m := fullMessage()
 	b := EncodeDirectory(nil, e, &m)
 	b[0] = versionFlat
 	if _, err := Decode(b); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a directory message in the version without zones: %v", err)
+		t.Errorf("a directory message in the version without zones: %v, want %v", err, ErrMalformed)
 	}
 	b[0] = versionZones + 1
 	if _, err := Decode(b); !errors.Is(err, ErrUnknownVersion) {
-		t.Errorf("a later version: %v", err)
+		t.Errorf("a later version: %v, want %v", err, ErrUnknownVersion)
 	}
 }
--- a/internal/peer/packet/golden_test.go
+++ b/internal/peer/packet/golden_test.go
@@ -67,7 +67,7 @@
 	messages := goldenMessages()
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(lines) != len(messages) {
-		t.Fatalf("%d lines for %d messages", len(lines), len(messages))
+		t.Fatalf("%d golden lines for %d messages, want as many", len(lines), len(messages))
 	}
 	for _, line := range lines {
 		name, want, _ := strings.Cut(line, " ")
--- a/internal/peer/packet/keyring_test.go
+++ b/internal/peer/packet/keyring_test.go
@@ -26,10 +26,10 @@
 	newRing := newKeyring(t, key(2, true))
 	sealed := oldRing.Seal(nil, []byte("content"))
 	if got, err := bothRing.Open(sealed); err != nil || string(got) != "content" {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("decrypted with a secondary key: %q, %v, want content", got, err)
 	}
 	if _, err := newRing.Open(sealed); !errors.Is(err, ErrUnknownKey) {
-		t.Errorf("a withdrawn key: %v", err)
+		t.Errorf("a withdrawn key: %v, want %v", err, ErrUnknownKey)
 	}
 	for i := range sealed {
 		altered := bytes.Clone(sealed)
@@ -40,7 +40,7 @@
 	}
 	for _, length := range []int{0, Overhead, MaxPlaintext + Overhead + 1} {
 		if _, err := bothRing.Open(make([]byte, length)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%d bytes: %v", length, err)
+			t.Errorf("datagram of %d bytes: %v, want %v", length, err, ErrMalformed)
 		}
 	}
 }
--- a/internal/peer/packet/membership_test.go
+++ b/internal/peer/packet/membership_test.go
@@ -108,7 +108,8 @@
 	d, err := Decode(b)
 	if got := d.Membership; err != nil || len(b) > MaxPlaintext || len(got.Updates) < 8 ||
 		len(got.Updates[0].Name) != MaxName {
-		t.Fatalf("%d bytes, %d updates, %v", len(b), len(got.Updates), err)
+		t.Fatalf("%d bytes, %d updates, %v, want at most %d bytes and at least 8 updates",
+			len(b), len(got.Updates), err, MaxPlaintext)
 	}
 }
 
--- a/internal/peer/zones_test.go
+++ b/internal/peer/zones_test.go
@@ -50,7 +50,7 @@
 		if f, z := flat.Counts(), zoned.Counts(); f.Received+f.Malformed+z.Received+z.Malformed != 0 ||
 			len(flat.View()) != 1 ||
 			len(zoned.View()) != 1 {
-			t.Errorf("%+v, %+v", f, z)
+			t.Errorf("counts %+v and %+v, want nothing received or malformed, and only themselves in both views", f, z)
 		}
 	})
 }
@@ -219,7 +219,8 @@
 		}
 		if a.Zones() != nil || a.Records() != nil || a.Live() != 2 || a.Known() != 2 ||
 			a.Position()+b.Position() != 1 {
-			t.Errorf("%v %v %d %d", a.Zones(), a.Records(), a.Live(), a.Known())
+			t.Errorf("zones %v, records %v, %d live, %d known, want none, none, 2 and 2",
+				a.Zones(), a.Records(), a.Live(), a.Known())
 		}
 	})
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// A dial that fails because this process has no descriptors left is no evidence against the server.
+// A dial that fails because this process has no descriptors left does not count against the server.
 func TestDescriptorExhaustionIsInconclusive(t *testing.T) {
 	for err, want := range map[error]outcome.Status{
 		unix.EMFILE:       outcome.Inconclusive,
--- a/internal/proxy/channels_drain_test.go
+++ b/internal/proxy/channels_drain_test.go
@@ -127,7 +127,7 @@
 	}
 	h.listAsDraining(0)
 	if clients[0].expectMove() == "" {
-		t.Error("client was moved without a token")
+		t.Error("client was moved without a token, want one")
 	}
 	if c.Err() != nil {
 		t.Error("client connection ended:", c.Err())
@@ -150,7 +150,7 @@
 		return closed
 	}
 	if advance(40 * monotime.Second) {
-		t.Error("closed before the keepalive request was sent")
+		t.Error("idle connection closed after 40 s, want a keepalive request first")
 	}
 	for waiting := eventloop.Micros(1); waiting > 0; { // until the client's answer has arrived
 		h.onLoop(func() {
@@ -162,7 +162,7 @@
 		})
 	}
 	if !advance(61 * monotime.Second) {
-		t.Error("not closed though the client stayed idle")
+		t.Error("idle connection still open 61 s after the last answer, want it closed")
 	}
 	client.expectEnd(true)
 }
--- a/internal/proxy/channels_test.go
+++ b/internal/proxy/channels_test.go
@@ -286,7 +286,7 @@
 	h.listAsDraining(0)
 	tok := client.expectMove()
 	if tok == "" {
-		t.Fatal("client was moved without a token")
+		t.Fatal("client was moved without a token, want one")
 	}
 	again, err := c.Open(trimLineEnd(resumeLine + tok))
 	h.check(err)
--- a/internal/proxy/channels_upstream_test.go
+++ b/internal/proxy/channels_upstream_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("got %+v, want status %d", o, outcome.Reset)
 		}
 		if outcomes[o.ID]++; outcomes[o.ID] > 1 {
-			t.Errorf("request %d has more than one outcome", o.ID)
+			t.Errorf("request %d has %d outcomes, want 1", o.ID, outcomes[o.ID])
 		}
 		if !o.CauseAlreadyReported {
 			counted++
@@ -146,8 +146,8 @@
 	}
 }
 
-// A server without support for channels is asked for them only once, and the attempt that asked goes on over a plain
-// connection.
+// A server is asked only once whether it supports channels. If it does not, the attempt that asked continues over a
+// plain connection.
 func TestServerWithoutChannels(t *testing.T) {
 	for name, answer := range map[string]func(p *peer){
 		"closes": func(p *peer) { _ = p.Close() },
@@ -174,7 +174,7 @@
 			second.expect("UP r2\r\n")
 			for range 2 {
 				if o := await[decision.Established](h); o.Attempt != 0 {
-					t.Errorf("got %+v, want attempt 0: asking for channels is no attempt", o)
+					t.Errorf("got %+v, want attempt 0: asking for channels must not count as an attempt", o)
 				}
 			}
 		})
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -23,7 +23,7 @@
 	late := h.connect(otherOpenLine)
 	server := h.acceptUpstream(0)
 	server.readLine()
-	// Both have arrived when the loop goes on; it may read either first.
+	// Both have arrived when the loop continues, and it may read either first.
 	h.onLoop(func() {
 		late.send("too early\r\n")
 		server.send("UP r1\r\n")
@@ -49,7 +49,7 @@
 	known := requestids.New()
 	for id := range uint64(3 * requestids.MaxFinished) {
 		if !known.Add(id) || known.Add(id) {
-			t.Fatalf("id %d was not added exactly once", id)
+			t.Fatalf("id %d must be added the first time and rejected the second", id)
 		}
 		known.Finish(id)
 	}
@@ -89,7 +89,7 @@
 		}
 	}
 	if sent == 60<<20 {
-		t.Errorf("the proxy accepted all %d bytes", sent)
+		t.Errorf("the proxy accepted all %d bytes, want the connection closed before", sent)
 	}
 	left := -1
 	for until := time.Now().Add(testTimeout); left != 0 && time.Now().Before(until); {
@@ -127,8 +127,8 @@
 	})
 }
 
-// Every malformed first line is answered with ERR, and the proxy goes on serving others. Pings must not be pipelined,
-// but may arrive in pieces.
+// Every malformed first line is answered with ERR, and the proxy still serves other clients. Pings must not be
+// pipelined, but may arrive in pieces.
 func TestBadFirstLines(t *testing.T) {
 	h := newHarness(t, 0, nil, nil)
 	for _, bad := range []string{
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -185,7 +185,7 @@
 			}
 		case <-timeout:
 			var none T
-			h.t.Fatalf("no %T event arrived", none)
+			h.t.Fatalf("no %T event arrived within %v", none, testTimeout)
 			return none
 		}
 	}
--- a/internal/proxy/lameduck_test.go
+++ b/internal/proxy/lameduck_test.go
@@ -59,7 +59,7 @@
 	select {
 	case err := <-h.stopped:
 		h.stopped <- err
-		t.Fatalf("a lame duck stopped: %v", err)
+		t.Fatalf("the loop of a lame duck stopped with %v, want it to keep running", err)
 	default:
 	}
 	if got := h.adminCommand(lifecycle.CommandRejoin); got != "+OK serving" {
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// The data buffered for a slow client is bounded: its server is not read until the client has caught up. Meanwhile the
-// server neither counts as unresponsive nor has its message latency measured.
+// The data buffered for a slow client is bounded: its server is not read until the client has caught up. During
+// that time the server does not count as unresponsive, and its message latency is not measured.
 func TestSlowReader(t *testing.T) {
 	h := newHarness(t, 1, sendToFirst, nil)
 	client, server := h.establish()
@@ -57,7 +57,7 @@
 		unresponsive = h.proxy.stats.unresponsive
 	})
 	if unresponsive != 0 {
-		t.Fatal("server of a slow client counted as unresponsive")
+		t.Fatalf("%d unresponsive servers, want 0: the client is slow", unresponsive)
 	}
 	client.send("T 1\r\n")
 	server.expect("T 1\r\n")
@@ -73,7 +73,7 @@
 	}()
 	for i := range lines {
 		if got := client.readLine(); got != "0123456789abcdef0123456789abcdef\r\n" {
-			t.Fatalf("line %d: %q", i, got)
+			t.Fatalf("line %d is %q, want it unchanged", i, got)
 		}
 	}
 }
--- a/internal/proxy/ordering_test.go
+++ b/internal/proxy/ordering_test.go
@@ -13,8 +13,8 @@
 )
 
 // These tests fix the order in which concurrent events are handled: what a peer does inside onLoop happens while the
-// loop is blocked, so that all of it has arrived when the loop goes on. docs/design/ordering.md has the table of states
-// and events.
+// loop is blocked, so that all of it has arrived when the loop continues. docs/design/ordering.md has the table of
+// states and events.
 
 // openLineWithID returns a request line with the given id.
 func openLineWithID(id int) string { return fmt.Sprintf("OPEN %04x 7f3a c=sync,d=60000\r\n", id) }
@@ -267,7 +267,7 @@
 			client.expectEnd(true)
 			for len(h.events) > 0 {
 				if ev, ok := (<-h.events).(decision.Established); ok {
-					t.Errorf("got %+v after the attempt ended", ev)
+					t.Errorf("got %+v after the attempt ended, want no such event", ev)
 				}
 			}
 		})
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -12,11 +12,11 @@
 // If the server's listing changes while an attempt is connecting, the attempt ends before the request is sent.
 func TestListChangeEndsUnsentAttempt(t *testing.T) {
 	for name, entry := range map[string]string{
-		"draining":   `"lifecycle":"Terminating"`,
-		"gone":       `"lifecycle":"Gone"`,
-		"restarted":  `"lifecycle":"Ready","startedAtMs":1700000000000`,
-		"moved":      `"lifecycle":"Ready","hostPort":"127.0.0.1:1"`,
-		"not listed": "",
+		"draining":      `"lifecycle":"Terminating"`,
+		"gone":          `"lifecycle":"Gone"`,
+		"restarted":     `"lifecycle":"Ready","startedAtMs":1700000000000`,
+		"other address": `"lifecycle":"Ready","hostPort":"127.0.0.1:1"`,
+		"not listed":    "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, decideNothing, nil)
--- a/internal/proxy/request_set_test.go
+++ b/internal/proxy/request_set_test.go
@@ -48,7 +48,7 @@
 		}
 		for r, stays := range in {
 			if stays && !seen[r] {
-				t.Fatal("each did not yield a request that stayed a member")
+				t.Fatal("each did not yield a request that was not removed during the iteration")
 			}
 		}
 	})
--- a/internal/proxy/retryafter_test.go
+++ b/internal/proxy/retryafter_test.go
@@ -37,7 +37,7 @@
 	h.connect(openLine).expect("BUSY\r\n")
 }
 
-// A request that reattaches to a server that stays unreachable makes only few attempts before it is given up.
+// A request that reattaches to a server that stays unreachable makes at most 20 attempts before it is answered.
 func TestReattachingBacksOff(t *testing.T) {
 	attempts := 0
 	for waited := timeouts.Reattach(timeouts.MaxReattach); waited > 0; attempts++ {
--- a/internal/proxy/scale_bench_test.go
+++ b/internal/proxy/scale_bench_test.go
@@ -56,7 +56,7 @@
 	return p
 }
 
-// BenchmarkSweep measures the sweep, which runs five times a second and blocks the loop meanwhile.
+// BenchmarkSweep measures the sweep, which runs five times a second and blocks the loop while it runs.
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -12,7 +12,7 @@
 	"spurspread/internal/discovery"
 )
 
-// Changes of the server list that come together are saved once: the whole list, without removed servers, under the
+// Changes of the server list that arrive together are saved once: the full list, without removed servers, under the
 // discovery address that it came from. After a change of that address, nothing is saved until the new address has sent
 // a list.
 func TestListIsSaved(t *testing.T) {
@@ -57,7 +57,7 @@
 }
 
 // If the first request arrives long after the start, the cached server list may be outdated: the request waits for
-// discovery and is not sent to a server that is gone by then.
+// discovery and is not sent to a server that has been removed by then.
 func TestFirstRequestWaitsForDiscovery(t *testing.T) {
 	a := newDiscoveryStub(t)
 	a.h = newHarnessWithCore(t, 1, func(cfg *Config) { cfg.Discovery = a.addr() })
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -338,7 +338,8 @@
 }
 
 // A client that is to be moved in the middle of a line from its server is moved once the line is complete. If the line
-// is never completed, the connection is reset after a while; and if client or server close meanwhile, it ends as usual.
+// is never completed, the connection is reset after a while. If the client or the server closes before that, it ends as
+// usual.
 func TestMoveInMiddleOfLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(client, server *peer)
@@ -384,7 +385,7 @@
 			h.expectOutcome(c.want, true)
 			for len(h.events) > 0 {
 				if ev, ok := (<-h.events).(decision.AttemptEnded); ok {
-					t.Errorf("got a second outcome: %+v", ev)
+					t.Errorf("got a second outcome: %+v, want one", ev)
 				}
 			}
 		})
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -87,7 +87,7 @@
 						quarter.Done()
 					}
 					if got, err := to.rd.ReadString('\n'); got != fmt.Sprintf("line %d\r\n", i) {
-						t.Errorf("line %d arrived as %q, %v", i, got, err)
+						t.Errorf("line %d arrived as %q, %v; want it once and in order", i, got, err)
 						if i < lines/4 {
 							quarter.Done()
 						}
@@ -227,8 +227,8 @@
 	}
 }
 
-// A connection is not read while it is offered to the successor, since either process may own it. What arrives
-// meanwhile is forwarded once that is settled: here by the old process, as the successor never answers.
+// A connection is not read while it is offered to the successor, since either process may own it. Data that arrives
+// during the offer is forwarded once the owner is known: here by the old process, since the successor never answers.
 func TestOfferedConnectionIsNotRead(t *testing.T) {
 	h := newHarness(t, 1, sendToFirst, nil)
 	path, pid := stubSuccessor(nil)(h)
@@ -313,8 +313,8 @@
 	}
 }
 
-// A packet at the successor's socket that is no valid offer is refused, leaves no descriptor open, and does not disturb
-// other connections.
+// A packet at the successor's socket that is not a valid offer is refused, leaves no descriptor open, and does not
+// disturb other connections.
 func TestBadOffers(t *testing.T) {
 	h := newHarness(t, 1, sendToFirst, nil)
 	_, path := h.successor()
--- a/internal/proxy/unserved_test.go
+++ b/internal/proxy/unserved_test.go
@@ -50,6 +50,6 @@
 		t.Errorf("counters for %d classes, want at most %d", n, maxUnservedClasses+2)
 	}
 	if counters.byClass[otherClass] == nil {
-		t.Error("classes beyond the limit are not counted as " + otherClass)
+		t.Errorf("no counters for class %q, want the classes beyond the limit counted there", otherClass)
 	}
 }
--- a/internal/restartproto/announcement_test.go
+++ b/internal/restartproto/announcement_test.go
@@ -29,7 +29,7 @@
 	}
 	left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".spurspread-handover-*"))
 	if len(left) > 0 {
-		t.Errorf("temporary files remain: %v", left)
+		t.Errorf("temporary files remain: %v, want none", left)
 	}
 }
 
@@ -62,7 +62,7 @@
 		}
 	}
 	if _, err := ReadAnnouncement(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) {
-		t.Errorf("missing: %v", err)
+		t.Errorf("missing file: %v, want an error that it does not exist", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 		{"no announcement", Announcement{}, false},
 	} {
 		if got := IsSuccessor(c.n, 7, listenAddr, alive); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: IsSuccessor = %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/restartproto/file_test.go
+++ b/internal/restartproto/file_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("%v, want %v", err, ErrNotRegular)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("blocked on a FIFO without a writer")
+			t.Fatal("blocked for 10 s on a FIFO without a writer")
 		}
 	}
 }
--- a/internal/restartproto/offer_test.go
+++ b/internal/restartproto/offer_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%s: %v; want %q, %v", c.name, err, c.want, c.kind)
 		}
 		if got.Ref != 1<<32-1 && c.name != "cut off" { // the decoder sets no fields from truncated JSON
-			t.Errorf("%s: ref %d", c.name, got.Ref)
+			t.Errorf("%s: ref %d, want %d", c.name, got.Ref, uint32(1<<32-1))
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	for _, accepted := range []bool{true, false} {
 		ref, got, err := DecodeAnswer(EncodeAnswer(1<<32-1, accepted))
 		if ref != 1<<32-1 || got != accepted || err != nil {
-			t.Errorf("%v: %d, %v, %v", accepted, ref, got, err)
+			t.Errorf("answer %v decoded as ref %d, %v, %v, want ref %d", accepted, ref, got, err, uint32(1<<32-1))
 		}
 	}
 	for _, text := range []string{"", "+", "7", "*7", "+x", "-4294967296", "+ 7", "++7"} {
@@ -97,13 +97,13 @@
 			t.Fatal(err)
 		}
 		if got, err := DecodeOffer(again); err != nil || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", s) {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("decoded again as %+v, %v, want %+v", got, err, s)
 		}
 	})
 }
 
 func TestSocketPath(t *testing.T) {
 	if got := SocketPath("/tmp", listenAddr); got != "/tmp/spurspread-127.0.0.1_8081.v1.sock" {
-		t.Error(got)
+		t.Errorf("socket path %q, want the directory, address and version", got)
 	}
 }
--- a/internal/restartproto/serverlist_test.go
+++ b/internal/restartproto/serverlist_test.go
@@ -14,7 +14,7 @@
 func TestServerListRoundTrip(t *testing.T) {
 	path := ServerListPath(t.TempDir(), listenAddr)
 	if filepath.Base(path) != "spurspread-127.0.0.1_8081.v1.list.json" {
-		t.Error(path)
+		t.Errorf("path %q, want the address and version in the name", path)
 	}
 	want := ServerList{
 		PID:       42,
@@ -27,12 +27,12 @@
 	}
 	got, err := ReadServerList(path)
 	if err != nil || got.Version != Version || got.PID != 42 || string(got.Snapshot) != `{"generation":7}` {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, %v, want version %d, pid 42 and the snapshot", got, err, Version)
 	}
 	long := want
 	long.Snapshot = []byte(`"` + strings.Repeat("a", maxServerListBytes) + `"`)
 	if err := WriteServerList(path, long); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a list over the maximum size: %v", err)
+		t.Errorf("a list over the maximum size: %v, want %v", err, ErrTooLarge)
 	}
 	for text, kind := range map[string]error{
 		"": ErrMalformed, "{}": ErrVersion, `{"version":2,"pid":1}`: ErrVersion, `{"version":1,"x":1}`: ErrMalformed,
@@ -61,7 +61,7 @@
 			change(&l)
 		}
 		if got := CanInherit(l, 7, listenAddr, discoveryAddr, alive); got != (change == nil) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: CanInherit = %v, want %v", name, got, change == nil)
 		}
 	}
 }
--- a/internal/settings/range_test.go
+++ b/internal/settings/range_test.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			if s.ConnectTimeout <= 0 {
-				t.Errorf("%s=%s: connect timeout of %d µs", key, value, s.ConnectTimeout)
+				t.Errorf("%s=%s: connect timeout of %d µs, want more than 0", key, value, s.ConnectTimeout)
 			}
 			t.Run(key+"="+value, func(t *testing.T) { simulate(t, s.Decision) })
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -44,18 +44,18 @@
 	if s.Balancers != 2 || s.Zones != 2 || s.Zone != 1 || !s.PollDiscovery || s.Passthrough || !s.AllowProbes ||
 		s.AllowCancel ||
 		s.InitialCapacity != 0.16 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v do not match the text", s)
 	}
 	if c := s.Classes[0]; c.Idempotency != decision.IdempotentWithKey || c.DedupScope != decision.ScopeCell ||
 		c.DedupWindow != 5000000 ||
 		c.MessageLatencyObjective != 60000 {
-		t.Errorf("%+v", c)
+		t.Errorf("class %+v, want a key that is known to a cell for 5 s, and an objective of 60 ms", c)
 	}
 	if s.Tenants[0].ConnectionQuota != 66 || s.Tenants[1].ConnectionQuota != 0 || s.Tenants[0].Share != 0.3 {
-		t.Errorf("%+v", s.Tenants)
+		t.Errorf("tenants %+v, want quotas of 66 and 0, and a share of 0.3", s.Tenants)
 	}
 	if !reflect.DeepEqual(s.LoadReportColumns, []string{"x0", "load_share"}) {
-		t.Errorf("%v", s.LoadReportColumns)
+		t.Errorf("load report columns %v, want x0 and load_share", s.LoadReportColumns)
 	}
 }
 
@@ -93,7 +93,7 @@
 		text := strings.Replace(minimal, key+"=", key+"=x", 1)
 		_, err := ParseText([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), wanted.text) || !errors.Is(err, wanted.kind) {
-			t.Errorf("invalid value of %s: %v", key, err)
+			t.Errorf("invalid value of %s: %v, want %q and %v", key, err, wanted.text, wanted.kind)
 		}
 	}
 	var kept []string
@@ -104,17 +104,17 @@
 	}
 	if _, err := ParseText([]byte(strings.Join(kept, "\n"))); err == nil ||
 		!strings.Contains(err.Error(), "rules.drain_grace: missing") {
-		t.Errorf("missing: %v", err)
+		t.Errorf("without rules.drain_grace: %v, want an error that it is missing", err)
 	}
 	if _, err := ParseText([]byte("what is this")); !errors.Is(err, ErrNoSeparator) {
-		t.Errorf("a line without '=': %v", err)
+		t.Errorf("a line without '=': %v, want %v", err, ErrNoSeparator)
 	}
 	huge := strings.Replace(minimal, "count=1", "count=9999999", 1)
 	if _, err := ParseText([]byte(huge)); !errors.Is(err, ErrTooMany) {
-		t.Errorf("a huge count: %v", err)
+		t.Errorf("a huge count: %v, want %v", err, ErrTooMany)
 	}
 	if _, err := ParseText(make([]byte, maxTextBytes+1)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a huge text: %v", err)
+		t.Errorf("a huge text: %v, want %v", err, ErrTooLong)
 	}
 }
 
@@ -125,7 +125,7 @@
 	_, err := ParseText([]byte(text))
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got %v, want an InvalidError", err)
 	}
 	want := []KeyError{
 		{"rank", "missing", ErrMissing},
@@ -141,7 +141,7 @@
 	}
 	var first *KeyError
 	if !errors.As(err, &first) || first.Key != "rank" || !errors.Is(err, ErrNotPositive) || errors.Is(err, ErrTooMany) {
-		t.Errorf("%v, %v", first, err)
+		t.Errorf("first problem %v of %v, want rank: %v", first, err, ErrNotPositive)
 	}
 	const all = "settings: rank: missing\nrules.cold: \"-1\" is not a number from 0 to 1e+15\n" +
 		"limits.most_tries: 0 is not greater than 0"
@@ -166,7 +166,7 @@
 	}
 	for _, bad := range []string{"", "[]", "{", "7", `{"rank":"x"}`, `{"request_classes":{"count":-1}}`} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%q was accepted", bad)
+			t.Errorf("%q was accepted, want an error", bad)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 		!reflect.DeepEqual(s.ZoneNames, []string{"a", "b"}) ||
 		s.ConnectTimeout != 1_000_000 ||
 		s.ReportsMessageLatency {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got %+v, %v, want class index_sync, zones a and b, and a connect timeout of 1 s", s, err)
 	}
 }
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -123,24 +123,24 @@
 		{Server: 0x2c9011f2, StableID: 0x2c9011f2, Zone: 1, State: decision.Ready, Weight: 1.5, StartedAt: 0x5d1420},
 	}
 	if err != nil || got.Kind != ServerList || !reflect.DeepEqual(got.Entries, want) {
-		t.Errorf("server list: %v, %+v", err, got.Entries)
+		t.Errorf("server list: %v, %+v, want %+v", err, got.Entries, want)
 	}
 	if got, err = decodeOne(t, nil, "5604 00 02 2900000000000000"); err != nil || got.Kind != ListUpdate ||
 		got.ListKind != decision.UpdateCached {
-		t.Errorf("list update: %v, %+v", err, got)
+		t.Errorf("list update: %v, %+v, want a cached list", err, got)
 	}
 	if got, err = decodeOne(t, []byte("a=b"), "e803 0900000000000000 00000000 03000000"); err != nil ||
 		got.Kind != Start || got.Seed != 9 || string(got.SettingsText) != "a=b" {
-		t.Errorf("start: %v, %+v", err, got)
+		t.Errorf("start: %v, %+v, want seed 9 and settings a=b", err, got)
 	}
 	if got, err = decodeOne(t, nil, "6004 0300"); err != nil || got.Kind != SelectInstance || got.Instance != 3 {
-		t.Errorf("select instance: %v, %+v", err, got)
+		t.Errorf("select instance: %v, %+v, want instance 3", err, got)
 	}
 	if got, err = decodeOne(t, nil, "1004"); err != nil || got.Kind != Stop {
-		t.Errorf("stop: %v, %+v", err, got)
+		t.Errorf("stop: %v, %+v, want kind %v", err, got, Stop)
 	}
 	if got, err = decodeOne(t, []byte("hi"), "2404 01000000 00000000 02000000"); err != nil || got.Kind != Ignored {
-		t.Errorf("message from a peer: %v, %+v", err, got)
+		t.Errorf("message from a peer: %v, %+v, want kind %v", err, got, Ignored)
 	}
 }
 
@@ -179,7 +179,7 @@
 	}
 	r.Begin(1)
 	if got := hex.EncodeToString(r.Bytes()); got != "010000000400000000000000" {
-		t.Fatalf("empty reply %s", got)
+		t.Fatalf("empty reply %s, want only a header of sequence 1", got)
 	}
 }
 
@@ -187,7 +187,7 @@
 	var r Reply
 	r.Begin(1)
 	if err := r.Add(0, []decision.Action{nil}); !errors.Is(err, ErrUnknownAction) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got %v, want %v", err, ErrUnknownAction)
 	}
 }
 
@@ -209,11 +209,11 @@
 		"clock":            {encodeBatch(1, math.MaxUint64, nil), ErrMalformedFrame},
 	} {
 		if _, err := NewReader(bytes.NewReader(c.in)).Next(); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
 	if _, err := decodeOne(t, nil, "0100"); !errors.Is(err, ErrUnknownEvent) {
-		t.Errorf("unknown code: %v", err)
+		t.Errorf("unknown code: %v, want %v", err, ErrUnknownEvent)
 	}
 	for name, record := range map[string]string{
 		"unknown outcome":    "fc03 c4913a5d 00 074a1203 0100 44480000 01 00",
@@ -227,7 +227,7 @@
 		"message past tail":  "2404 01000000 00000000 02000000",
 	} {
 		if _, err := decodeOne(t, nil, record); !errors.Is(err, ErrMalformedRecord) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want %v", name, err, ErrMalformedRecord)
 		}
 	}
 }
@@ -241,7 +241,8 @@
 	_, err := NewReader(bytes.NewReader(in)).Next()
 	runtime.ReadMemStats(&after)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || after.TotalAlloc-before.TotalAlloc > 8<<20 {
-		t.Fatalf("%v, %d bytes", err, after.TotalAlloc-before.TotalAlloc)
+		t.Fatalf("%v, %d bytes allocated, want an unexpected EOF and at most 8 MiB",
+			err, after.TotalAlloc-before.TotalAlloc)
 	}
 }
 
@@ -274,7 +275,7 @@
 			for i := range b.Count {
 				r, err := b.Record(i)
 				if err == nil && r.Kind == ServerList && len(r.Entries)*entrySize > len(in) {
-					t.Fatalf("%d entries from %d bytes", len(r.Entries), len(in))
+					t.Fatalf("%d entries from %d bytes, want no more than fit", len(r.Entries), len(in))
 				}
 			}
 		}
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -62,7 +62,7 @@
 func TestBroken(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.xml")
 	if err != nil || len(files) < 25 {
-		t.Fatal(len(files), err)
+		t.Fatalf("%d broken files, %v, want at least 25", len(files), err)
 	}
 	dir := siteDir(t)
 	for _, file := range files {
@@ -82,7 +82,7 @@
 			_, err = Load(path)
 			var fieldErrors xmlconfig.FieldErrors
 			if !errors.As(err, &fieldErrors) {
-				t.Fatalf("%v", err)
+				t.Fatalf("got %v, want field errors", err)
 			}
 			lines := strings.Split(string(want[1]), " | ")
 			if len(fieldErrors) != len(lines) {
@@ -131,13 +131,13 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(path); err != nil || !validates(t, path) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Load = %v, want a file that is accepted by Load and the schema", name, err)
 		}
 	}
 	s, err := Load(filepath.Join(dir, "full.xml"))
 	if err != nil || s.Resume.Lifetime.Std().Minutes() != 10 || len(s.Resume.Keys.Key) != 2 ||
 		s.Resume.Keys.Key[1].Secret[0] != 1 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("full.xml: %+v, %v, want a lifetime of 10 minutes and 2 keys", s, err)
 	}
 	if s, err = Load("../../deploy/spurspread.xml"); err != nil || s.Resume != nil {
 		t.Errorf("the site file in deploy turns a feature on: %+v, %v", s, err)
@@ -155,7 +155,7 @@
 		err := xmlconfig.Read("fuzz.xml", text, document(), &Site{})
 		var fieldErrors xmlconfig.FieldErrors
 		if err != nil && (!errors.As(err, &fieldErrors) || len(fieldErrors) == 0) {
-			t.Errorf("%v", err)
+			t.Errorf("got %v, want field errors or none", err)
 		}
 	})
 }
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -58,10 +58,10 @@
 		text := r.Seal(nil, &in)
 		var out Token
 		if err := r.Open(text, &out); err != nil || !equalTokens(in, out) {
-			t.Fatalf("%v: %+v, %+v", err, in, out)
+			t.Fatalf("opened as %+v, %v, want %+v", out, err, in)
 		}
 		if len(text) > MaxText {
-			t.Fatalf("%d characters", len(text))
+			t.Fatalf("%d characters, want at most %d", len(text), MaxText)
 		}
 	})
 }
@@ -92,7 +92,7 @@
 	want := sampleToken()
 	copy(want.ID[:], bytes.Repeat([]byte{0xab}, 16))
 	if !equalTokens(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("opened as %+v, want %+v", got, want)
 	}
 }
 
@@ -106,7 +106,7 @@
 	older := newKeyring(t, previous).Seal(nil, &tok)
 	var out Token
 	if err := r.Open(older, &out); err != nil {
-		t.Errorf("sealed with the previous key: %v", err)
+		t.Errorf("sealed with the previous key: %v, want no error", err)
 	}
 	change := func(at int) []byte {
 		b := bytes.Clone(good)
@@ -138,7 +138,7 @@
 				t.Errorf("%v, want %v", err, c.want)
 			}
 			if n := testing.AllocsPerRun(100, func() { _ = r.Open(c.text, &out) }); n != 0 {
-				t.Errorf("%v allocations", n)
+				t.Errorf("%v allocations, want 0", n)
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 		"the same key twice": {{repeatedSecret(1), true}, {repeatedSecret(1), false}},
 	} {
 		if _, err := NewKeyring(keys); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: NewKeyring returned no error", name)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var out Token
 		if err := r.Open(text, &out); err == nil && !sealed[string(text)] && out.numbers() != tok.numbers() {
-			t.Errorf("%q opens to %+v", text, out)
+			t.Errorf("%q, which was not sealed here, opens to %+v", text, out)
 		}
 	})
 }
@@ -190,7 +190,7 @@
 		}
 		var out Token
 		if out.read(body) == nil && len(body) > minBodySize+len(out.Class)+len(out.Server)+2 {
-			t.Errorf("%x read as %+v", body, out)
+			t.Errorf("%x with bytes beyond its fields is read as %+v, want an error", body, out)
 		}
 	})
 }
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if got.Wait.Std() != 250*time.Millisecond || got.Room != 64<<10 || !got.Loud {
-		t.Errorf("defaults: %+v", got)
+		t.Errorf("defaults: %+v, want a wait of 250 ms, room for 64 KiB, and loud", got)
 	}
 }
 
@@ -102,12 +102,12 @@
 	var got []string
 	var fieldErrors FieldErrors
 	if !errors.As(err, &fieldErrors) {
-		t.Fatalf("not field errors: %v", err)
+		t.Fatalf("got %v, want field errors", err)
 	}
 	for _, f := range fieldErrors {
 		got = append(got, fmt.Sprintf("%d %s", f.Line, f.Where))
 		if f.Fix == "" || f.What == "" || !strings.HasPrefix(f.Error(), "f.xml:") {
-			t.Errorf("%+v", f)
+			t.Errorf("field error %+v, want a problem, a correction and the file's name", f)
 		}
 	}
 	want := "3 fleet@wait|4 fleet@room|5 fleet@nonsense|6 nodes|7 node@cores|8 node@id|9 node@peer|12 " +
@@ -165,14 +165,14 @@
 		err := Read("f.xml", []byte(text), document, &fleet{})
 		var fieldErrors FieldErrors
 		if err != nil && (!errors.As(err, &fieldErrors) || len(fieldErrors) == 0) {
-			t.Fatalf("%v", err)
+			t.Fatalf("got %v, want field errors or none", err)
 		}
 		if err == nil {
 			return
 		}
 		for _, f := range fieldErrors {
 			if f.Line < 1 || f.Line > strings.Count(text, "\n")+1 {
-				t.Fatalf("%q: %v", text, f)
+				t.Fatalf("%q: %v, want a line of the file", text, f)
 			}
 		}
 	})
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -248,12 +248,12 @@
 	rows := f.Rows(file, map[string]float64{"bytes": 4096})
 	p := check("| a | b | c | d | e | f | g | h | i | basis |", rows)
 	if len(p.Problems) > 0 || len(rows) != 2 || p.Measured != 7 || p.Formulas != 1 {
-		t.Errorf("rows %q: %+v", rows, p)
+		t.Errorf("rows %q: %+v, want 2 rows, 7 measured figures, 1 formula and no problem", rows, p)
 	}
 	rows = f.Predictions(file)
 	p = check("| a | b | c | d | basis |", rows)
 	if len(p.Problems) > 0 || len(rows) != 1 || p.Measured != 3 {
-		t.Errorf("predictions %q: %+v", rows, p)
+		t.Errorf("predictions %q: %+v, want 1 row, 3 measured figures and no problem", rows, p)
 	}
 }
 
@@ -268,7 +268,7 @@
 		t.Fatal(err)
 	}
 	if replaced != "| `bytes` | - | - | not measured |\n"+rows[0]+"\nelse" {
-		t.Errorf("replaced: %q", replaced)
+		t.Errorf("replaced: %q, want only the row of the same width replaced, by %q", replaced, rows[0])
 	}
 	if _, err := Replace(replaced, rows); !errors.Is(err, ErrNoRow) {
 		t.Errorf("replacing with a row that is not on the page: %v, want ErrNoRow", err)
@@ -406,11 +406,11 @@
 		}
 		runs, err := Read(path)
 		if err != nil || len(runs) != 1 {
-			t.Fatalf("%s: %+v, %v", name, runs, err)
+			t.Fatalf("%s: %+v, %v, want one run", name, runs, err)
 		}
 		r := runs[0]
 		if r.Seed != 7 || r.Commit != "abc+" || r.Command != "bin/spurlab run x" || r.Figures["bytes"] != 5.5 {
-			t.Errorf("%s: wrong run %+v", name, r)
+			t.Errorf("%s: run %+v, want seed 7, commit abc+, the command and 5.5 bytes", name, r)
 		}
 	}
 	for name, text := range map[string]string{"none.json": "[]", "bad.json": "{", "none.csv": "", "bad.csv": "a,\"b"} {
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -126,7 +126,7 @@
 	} {
 		f := observe(t, time.Now(), c.script).TakeFigures()
 		if !c.want(&f) {
-			t.Errorf("%s: %+v", name, f)
+			t.Errorf("%s: unexpected figures %+v", name, f)
 		}
 	}
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -107,11 +107,11 @@
 	for _, name := range Names() {
 		e, err := Find(name)
 		if err != nil || string(e.Name) != name {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Find(%q): %v, want the experiment of that name", name, err)
 		}
 	}
 	if _, err := Find("nothing"); err == nil || !strings.Contains(err.Error(), "token-drain") {
-		t.Errorf("unknown name: %v", err)
+		t.Errorf("unknown name: %v, want an error that lists the names", err)
 	}
 	_, err := Read("x.xml", []byte(`<experiment xmlns="urn:spurspread:experiment:1" name="x" about="y">
 <fleet nodes="2"/><load node="2"/><passes><pass name="a"/></passes>
@@ -119,6 +119,6 @@
 <step do="kill-balancer" balancer="3"/></steps><bounds><bound name="b"/></bounds></experiment>`))
 	var fieldErrors xmlconfig.FieldErrors
 	if !errors.As(err, &fieldErrors) || len(fieldErrors) != 3 || fieldErrors[1].Line != 3 || fieldErrors[2].Line != 4 {
-		t.Errorf("invalid indexes: %v", err)
+		t.Errorf("invalid indexes: %v, want 3 field errors, the last two in lines 3 and 4", err)
 	}
 }
--- a/lab/loadgen/loadgen_test.go
+++ b/lab/loadgen/loadgen_test.go
@@ -34,7 +34,7 @@
 		c, reader, err := Open(ln.Addr().String(), "OPEN 1 2", 0)
 		up := answer == "UP 1\r\n"
 		if up != (err == nil) || up != (reader != nil) || !up && !errors.Is(err, ErrRefused) {
-			t.Errorf("%q: %v", answer, err)
+			t.Errorf("answer %q: %v, want a reader for UP, else ErrRefused", answer, err)
 		}
 		if c != nil {
 			_ = c.Close()
@@ -44,6 +44,6 @@
 	addr := ln.Addr().String()
 	_ = ln.Close()
 	if _, _, err := Open(addr, "OPEN 1 2", 0); err == nil || errors.Is(err, ErrRefused) {
-		t.Errorf("no listener: %v", err)
+		t.Errorf("no listener: %v, want an error other than ErrRefused", err)
 	}
 }
--- a/lab/netloop/loop_test.go
+++ b/lab/netloop/loop_test.go
@@ -147,7 +147,8 @@
 	call := func(goroutine, number int) {
 		made[goroutine]++
 		if made[goroutine] != number+1 {
-			t.Errorf("call %d of goroutine %d was its call %d", number, goroutine, made[goroutine])
+			t.Errorf("call %d of goroutine %d was made as number %d, want them in order",
+				number, goroutine, made[goroutine])
 		}
 		left--
 		if left == 0 {
--- a/lab/packageindex/packageindex_test.go
+++ b/lab/packageindex/packageindex_test.go
@@ -23,10 +23,11 @@
 		now := x.Epoch.Add(time.Duration(rapid.IntRange(-1_000_000, 1_000_000_000).Draw(t, "since")) * time.Microsecond)
 		head := x.Head(key, now)
 		if head > 0 && x.Due(key, head).After(now) || !x.Due(key, head+1).After(now) {
-			t.Fatalf("head %d: due %v, next %v, now %v", head, x.Due(key, head), x.Due(key, head+1), now)
+			t.Fatalf("head %d due %v, next message %v, now %v; want now between",
+				head, x.Due(key, head), x.Due(key, head+1), now)
 		}
 		if f := x.OldestCursor(key, now); f > head || head-f > x.RetainedMessages {
-			t.Fatalf("oldest cursor %d, head %d", f, head)
+			t.Fatalf("oldest cursor %d, head %d, want at most %d messages between", f, head, x.RetainedMessages)
 		}
 		line := x.AppendMessage(nil, key, head)
 		if !bytes.Equal(line, x.AppendMessage(nil, key, head)) {
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("the state of a crashed member is %q, want dead", s)
 	}
 	if code := f.Procs[3].Stop(); code != 0 {
-		t.Errorf("exit code %d after SIGTERM; last log lines: %v", code, f.Procs[3].LogTail())
+		t.Errorf("exit code %d after SIGTERM, want 0; last log lines: %v", code, f.Procs[3].LogTail())
 	}
 	f.awaitConverged(t, "all members see the stop", 0, 1, 2)
 	if s, _ := f.state(t, 0, 3); s != "left" {
@@ -193,7 +193,8 @@
 	f.Proxy.Heal()
 	f.awaitConverged(t, "all members are alive", f.all()...)
 	if s, after := v.State("n2"); s == "dead" || after < before {
-		t.Errorf("member n2 is %q under incarnation %d, before the faults under %d", s, after, before)
+		t.Errorf("member n2 is %q under incarnation %d, want it live, and not under an older one than %d",
+			s, after, before)
 	}
 }
 
--- a/lab/procs/zones_test.go
+++ b/lab/procs/zones_test.go
@@ -64,13 +64,13 @@
 	publish := exec.Command(program, "record", "limits", "two words", "--mgmt", f.Procs[0].ManagementAddr)
 	out, err := publish.CombinedOutput()
 	if err != nil || !strings.HasPrefix(string(out), "limits has version ") {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("record: %v: %s, want its version", err, out)
 	}
 	hasRecord := func(_ int, v *View) bool { return v.Record("limits") == "two words" }
 	f.awaitViews(t, "the record is in the other zone", hasRecord)
 	show := exec.Command(program, "members", "--mgmt", f.Procs[1].ManagementAddr)
 	if out, err = show.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("members: %v: %s", err, out)
 	}
 	for _, want := range []string{"4 members live in all zones", "zone-0", "own", "two words"} {
 		if !strings.Contains(string(out), want) {
@@ -100,7 +100,7 @@
 	f.awaitZones(t, "the restarted zone is reachable", "reachable", 4)
 	for _, i := range []int{1, 3} {
 		if code := f.Procs[i].Stop(); code != 0 {
-			t.Errorf("exit code %d after SIGTERM; last log lines: %v", code, f.Procs[i].LogTail())
+			t.Errorf("exit code %d after SIGTERM, want 0; last log lines: %v", code, f.Procs[i].LogTail())
 		}
 	}
 	f.awaitZones(t, "the zone has left", "left", 2)
@@ -112,7 +112,7 @@
 	text, err := f.Procs[0].Admin("MEMBERS")
 	if err != nil || strings.Contains(text, "zone") || strings.Contains(text, "records") ||
 		strings.Contains(text, "OtherVersion") {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("MEMBERS answered %s, %v, want no zones, records or OtherVersion", text, err)
 	}
 	if _, err := f.Procs[0].Admin("RECORD limits 7"); err == nil || !strings.Contains(err.Error(), "no zones") {
 		t.Error(err)
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if got.Seed != 3 || got.Pass || len(got.Bounds) != 4 || got.Bounds[2].OK || got.Figures["honoured"] != 7 {
-		t.Errorf("unexpected report: %+v", got)
+		t.Errorf("report %+v, want seed 3, no pass, 4 bounds of which the third is missed, and honoured 7", got)
 	}
 }
 
--- a/lab/scale/connections/connections_test.go
+++ b/lab/scale/connections/connections_test.go
@@ -69,11 +69,12 @@
 	fitted, ok := fitLine([]float64{1000, 2000, 3000, 4000}, []float64{3, 5, 7, 9})
 	if !ok || math.Abs(fitted.intercept-1) > 1e-9 || math.Abs(fitted.slope-0.002) > 1e-12 ||
 		fitted.residual > 1e-9 || math.Abs(fitted.growth-3) > 1e-9 {
-		t.Errorf("line through exact points: %+v, %v", fitted, ok)
+		t.Errorf("line through exact points: %+v, %v, want intercept 1, slope 0.002, growth 3 and no residual",
+			fitted, ok)
 	}
 	fitted, ok = fitLine([]float64{1, 2, 3, 4}, []float64{10, 10, 10, 14})
 	if !ok || fitted.residual < 0.1 || fitted.residual > 0.2 {
-		t.Errorf("line with one distant point: %+v, %v", fitted, ok)
+		t.Errorf("line with one distant point: %+v, %v, want a residual of 0.1 to 0.2", fitted, ok)
 	}
 	for _, x := range [][]float64{{1, 2, 3}, {5, 5, 5, 5}, nil} {
 		if fitted, ok := fitLine(x, make([]float64, len(x))); ok {
--- a/lab/scale/process_test.go
+++ b/lab/scale/process_test.go
@@ -25,7 +25,8 @@
 	}
 	usage, err := processTreeUsage()
 	if err != nil || usage.processes < 2 || usage.residentBytes <= 0 || checkLimits(usage) != nil {
-		t.Errorf("usage of this process and its child: %+v, %v", usage, err)
+		t.Errorf("usage of this process and its child: %+v, %v, want at least 2 processes, within the limits",
+			usage, err)
 	}
 	if checkLimits(processUsage{processes: maxRunProcesses + 1}) == nil ||
 		checkLimits(processUsage{residentBytes: (maxRunMegabytes + 1) << 20}) == nil {
--- a/lab/scale/sweep_test.go
+++ b/lab/scale/sweep_test.go
@@ -22,7 +22,8 @@
 	summary := s.report()
 	if summary.Pass || summary.Figures["control_bytes_per_s"] != 125 ||
 		summary.Figures["control_bytes_per_s_at_60"] != 60 || summary.Notes["not valid_at_300"] != "late" {
-		t.Errorf("wrong summary of three sizes: %+v", summary)
+		t.Errorf("summary of three sizes %+v, want no pass, 125 as the worst value, 60 at size 60 and a note on 300",
+			summary)
 	}
 	if _, had := summary.Figures["control_bytes_per_s_at_300"]; had || len(summary.Charts) == 0 ||
 		len(summary.Charts[0].Series[0].X) != 2 {
--- a/lab/simulation/digest_test.go
+++ b/lab/simulation/digest_test.go
@@ -22,7 +22,7 @@
 
 func TestRunDigests(t *testing.T) {
 	if len(runDigests) != len(scenario.Names()) {
-		t.Errorf("%d digests for %d scripts", len(runDigests), len(scenario.Names()))
+		t.Errorf("%d digests for %d scripts, want as many", len(runDigests), len(scenario.Names()))
 	}
 	for _, name := range scenario.Names() {
 		r, err := Run(name, 8, 3, BalancerMembers(3), nil)
