--- a/decision/polling/fleet_test.go
+++ b/decision/polling/fleet_test.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// The same if discovery is available, and all open watches stop receiving data at once.
+// If discovery is available and all open watches stop receiving data at once, each balancer also has the list before it
+// must stop acting on the older one.
 func TestInformedInTimeAfterSilence(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 1500} {
 		for _, grace := range graces() {
--- a/decision/recall/recall_test.go
+++ b/decision/recall/recall_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An attempt is recalled if its server's listing is no longer the one that it was chosen by. It is not recalled once its
+// An attempt is recalled if its server was chosen as Ready and is listed differently now. It is not recalled once its
 // request was written, nor if the client names the server.
 func TestNeeded(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.0.1:80")
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// A request with an idempotency key that may have been executed is retried only in the cell that knows the key, and only
-// within the deduplication window.
+// A request with an idempotency key that may have been executed is retried only in the cell that knows the key, and
+// only within the deduplication window.
 func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentWithKey, ScopeCell, sec
--- a/internal/proxy/connect_timeout_test.go
+++ b/internal/proxy/connect_timeout_test.go
@@ -30,7 +30,8 @@
 	client.expect("UP 1\r\n")
 }
 
-// The same for a probe: a server that answers must not be reported as failed.
+// If the loop is delayed, it may handle a probe's connect timeout before the event of its established connection. The
+// probe of a server that answers must not be reported as failed.
 func TestProbeTimeoutBeforeConnectEvent(t *testing.T) {
 	h := newHarness(t, 1, decideNothing, func(cfg *Config) { cfg.Settings.ConnectTimeout = 1 })
 	h.check(h.servers[0].SetDeadline(time.Now().Add(testTimeout)))
--- a/internal/proxy/stop_ordering_test.go
+++ b/internal/proxy/stop_ordering_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// The same for a request that is reattaching, which a drain answers at once.
+// A drain answers a reattaching request at once, as the class's retry rules allow.
 func TestFinalAnswerOfReattachingRequestOnDrain(t *testing.T) {
 	for name, c := range idempotencyRules {
 		t.Run(name, func(t *testing.T) {
--- a/lab/scale/bounds_test.go
+++ b/lab/scale/bounds_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Datagrams sent to a killed member are no cost of it: its running span ends with the kill.
+// Datagrams sent to a killed member do not count as its cost: its running span ends with the kill.
 func TestRunningSpanEndsAtKill(t *testing.T) {
 	r := &run{killedAt: map[int]int64{3: 500}}
 	whole := span{100, 1000}
