--- a/lab/capacity/formula.go
+++ b/lab/capacity/formula.go
@@ -166,8 +166,8 @@
 	binaryError = 1e-9
 )
 
-// rendersAs reports whether the first number of a text is a value, rounded to the same number of decimals. If a percent
-// sign follows the number, it is the value in percent.
+// rendersAs reports whether the first number of a text is v, rounded to the decimals that the number has. A number with
+// a percent sign must be v in percent.
 func rendersAs(text string, v float64) bool {
 	at := numberPattern.FindStringIndex(text)
 	if at == nil {
--- a/lab/checker/client.go
+++ b/lab/checker/client.go
@@ -23,8 +23,8 @@
 	lastLine    string // the final answer, or MOVE; "": none yet
 }
 
-// endReason returns the reason for the client's next open after this connection: its end, with AfterToken if it had
-// presented a token.
+// endReason returns how the connection ended, as the reason for the client's next open. what describes the end; it is
+// preceded by AfterToken if the client had presented a token.
 func (k *clientConn) endReason(what string) string {
 	if k.hasToken {
 		return AfterToken + what
--- a/lab/checker/figures.go
+++ b/lab/checker/figures.go
@@ -27,7 +27,8 @@
 	SessionOpens map[string]int
 	// StartOvers counts opens without a token that clients sent, by the client's reason.
 	StartOvers map[string]int
-	// Answers counts the final answers to opens with a token that clients read, by their first words.
+	// Answers counts the final answers to opens with a token that clients read: by their first word, STALE by the whole
+	// line, and "end" if the connection ended without an answer.
 	Answers map[string]int
 
 	Watched       WatchedFigures
@@ -52,7 +53,7 @@
 	}
 }
 
-// Add adds the figures of a later period, except for Watched, which is kept for single periods only.
+// Add adds the figures of a later period, except for Watched, which is meaningful for a single period only.
 func (f *Figures) Add(later Figures) {
 	f.Messages += later.Messages
 	f.Lost += later.Lost
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -61,7 +61,7 @@
 
 // Client is one emulated client. Only Reads may be used from other goroutines than that of Run.
 type Client struct {
-	Reads               barrier.Barrier // while it is shut, the client does not read from an established connection
+	Reads               barrier.Barrier // while it is closed, the client does not read from an established connection
 	cfg                 Config
 	rng                 *rand.Rand
 	cursor              uint64 // last message received; valid if hasCursor
@@ -134,7 +134,7 @@
 	defer stop()
 	if k.err != nil {
 		// Without an answer it is unknown whether the token was used. It is kept: when it is presented again, the
-		// node that it names answers that.
+		// answer of the node that it names shows that.
 		return c.retryWait()
 	}
 	switch k.answer.Word {
--- a/lab/client/garbage.go
+++ b/lab/client/garbage.go
@@ -20,9 +20,9 @@
 	tokenLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 )
 
-// SendGarbage presents random tokens on one connection after another, as fast as they are answered, until the context
-// is done. It adds the tokens that it has sent to sent, and those that were refused with STALE to answered. An error
-// means that it could not connect.
+// SendGarbage presents random tokens, each on a new connection and as fast as they are answered, until the context is
+// done. It adds the tokens that it has sent to sent, and those that were refused with STALE to answered. An error means
+// that it could not connect.
 func SendGarbage(ctx context.Context, addr string, rng *rand.Rand, sent, answered *atomic.Int64) error {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp", addr, garbageTimeout)
--- a/lab/client/link.go
+++ b/lab/client/link.go
@@ -21,11 +21,11 @@
 // that several clients share (SharedLink).
 type Link interface {
 	// open opens a stream, and waits for its answer until the deadline. The result is never nil; its err is set if
-	// there was no answer. The stream's bytes are recorded by wrap.
+	// there was no answer. wrap is called with the stream, and records its lines.
 	open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn
 }
 
-// wrapper returns a stream whose bytes are recorded.
+// wrapper wraps a stream so that its lines are recorded.
 type wrapper func(recorder.Stream) *recorder.Conn
 
 // conn is a stream for which an open was sent, with the answer.
@@ -144,8 +144,8 @@
 	return l.conn
 }
 
-// errNoAnswer is the error of an open that was not answered until its deadline.
-var errNoAnswer = errors.New("no answer until the deadline")
+// errNoAnswer is the error of an open that was not answered by its deadline.
+var errNoAnswer = errors.New("no answer before the deadline")
 
 func (l *SharedLink) open(ctx context.Context, o *proto.Open, deadline time.Time, wrap wrapper) *conn {
 	connection, err := l.connect(ctx, deadline)
--- a/lab/deployment/balancer.go
+++ b/lab/deployment/balancer.go
@@ -167,8 +167,8 @@
 	close(done)
 }
 
-// freeAddr returns an unused address that the kernel does not assign to another socket in the meantime: it assigns
-// ports of 127.0.0.1 to outgoing connections and most listeners, and this is another address of 127.0.0.0/8.
+// freeAddr returns an unused address. It is on a random IP of 127.0.0.0/8 other than 127.0.0.1, on which outgoing
+// connections and most listeners get their ports, so that no other socket gets the port before it is used.
 func freeAddr() (string, error) {
 	ip := net.IPv4(127, byte(64+rand.IntN(128)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -144,7 +144,7 @@
 	}
 	text, err := experiments.Files.ReadFile(name + ".xml")
 	if err != nil {
-		return nil, fmt.Errorf("%w %q; known are %s", ErrUnknown, name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w %q, expected one of %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
 	return Read(name+".xml", text)
 }
--- a/lab/experiment/figures.go
+++ b/lab/experiment/figures.go
@@ -29,9 +29,11 @@
 	drain := pr.drainMillis()
 	pr.balancerFigures()
 	pr.connectionFigures()
+	// Further names under which experiment files bound these figures.
 	pr.extra["last_channel_moved_ms"] = drain
 	pr.extra["moved_late_ms"] = drain
 	pr.extra["buffered_bytes"] = pr.extra["balancer_kept"]
+	// The channels of broken connections whose failure a balancer did not log as correlated with another one.
 	pr.extra["evidence"] = pr.extra["channels_on_broken_trunks"] - pr.extra["balancer_echoes"]
 	for _, figures := range []map[string]float64{
 		pr.streamFigures(), pr.tokenFigures(), pr.timeFigures(), pr.extra,
--- a/lab/experiment/pass.go
+++ b/lab/experiment/pass.go
@@ -15,7 +15,7 @@
 
 const (
 	// deliverySlack is added to the interval between messages: a stream counts as behind at the end of a pass if it
-	// misses a message that was due for longer than their sum.
+	// lacks a message that has been due for longer than their sum.
 	deliverySlack = 500 * time.Millisecond
 	// firstSettleTimeout bounds the time until all streams are established before the first step.
 	firstSettleTimeout = 2 * time.Minute
@@ -40,7 +40,7 @@
 	options          Options
 	pass             *Pass
 	drainAnnouncedAt map[int]time.Time  // when discovery first sent a node's drain to a balancer, by the node's index
-	firstFaultAt     time.Time          // when the steps began
+	firstFaultAt     time.Time          // when the steps began, which counts as the time of the first fault
 	total            checker.Figures    // collected from the checker since the steps began
 	extra            map[string]float64 // figures by name that are not derived from total
 	firstStreams     map[uint64]bool    // keys of the first stream of each shared connection
--- a/lab/experiment/steps.go
+++ b/lab/experiment/steps.go
@@ -245,7 +245,7 @@
 }
 
 // compareWithBefore adds the figures of siblings, the streams that the fault does not affect directly. Without a
-// preceding watch as "before" there is no ratio, so a bound on the ratio is broken.
+// preceding watch step with the prefix "before" there is no ratio, so a bound on the ratio is broken.
 func (pr *passRunner) compareWithBefore(w watchResult) {
 	pr.extra["sibling_max_gap_ms"] = max(pr.extra["sibling_max_gap_ms"], millis(w.gap))
 	pr.extra["sibling_ends"] += float64(w.ends)
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -66,8 +66,8 @@
 	return p, nil
 }
 
-// listenFrom opens the sockets at which one process reaches the others. It returns those that it has opened also with
-// an error.
+// listenFrom opens the sockets at which one process reaches the others. After an error it also returns those that it
+// has opened.
 func (p *Proxy) listenFrom(from int) ([]*proxyLink, error) {
 	row := make([]*proxyLink, len(p.addrs))
 	for to := range p.addrs {
--- a/lab/members/cost.go
+++ b/lab/members/cost.go
@@ -119,7 +119,7 @@
 }
 
 // measureIdle adds the resident memory of both balancers to the report, and the CPU time that the one with membership
-// has used.
+// has used since its start, per second of idleTime.
 func (r *run) measureIdle(measured [variants]*procs.Proc) {
 	without := deployment.ResidentBytes(measured[withoutMembership].Pid()) / bytesPerMiB
 	with := deployment.ResidentBytes(measured[withMembership].Pid()) / bytesPerMiB
--- a/lab/members/rates.go
+++ b/lab/members/rates.go
@@ -22,13 +22,13 @@
 	warmNodes       = 3
 	warmUpTime      = 100 * time.Second // from the cold server's start until it is warm
 	initialCapacity = 0.13              // the cold server's capacity at its start, as a fraction of a warm one's
-	coldFactor      = 3.0               // multiple of the members' budget of one server that the cold one may get
+	coldFactor      = 3.0               // overload_factor: multiple of its capacity that the cold server may get
 )
 
 // The budget of set-ups to a cold server, for all members of its zone together; see decision/slowstart.
 const (
-	budgetRate  = 3.8 // set-ups per second
-	budgetShare = 0.6
+	budgetRate  = 3.8 // set-ups per second that a warm server can take (slowstart.WarmUpRate)
+	budgetShare = 0.6 // largest fraction of the budget that the balancers of the server's zone use
 )
 
 const (
--- a/lab/netloop/listener.go
+++ b/lab/netloop/listener.go
@@ -19,8 +19,8 @@
 	acceptPause Micros = 20_000
 )
 
-// Listener accepts connections on one address. It is registered edge-triggered, so that a timer starts the next round
-// for the connections that one round has left in the queue.
+// Listener accepts connections on one address. It is registered edge-triggered: epoll does not report again the
+// connections that a round has left in the queue, so a timer starts the next round.
 type Listener struct {
 	loop      *Loop
 	fd        int // closedDescriptor once closed
--- a/lab/node/conn.go
+++ b/lab/node/conn.go
@@ -167,7 +167,7 @@
 // takesTokens reports whether the client presented a resume token or asked for one.
 func (c *conn) takesTokens() bool { return c.request.WantsToken || c.request.Token != "" }
 
-// admit reports whether the stream is established. If it is not, admit has answered the first line.
+// admit establishes the stream, or answers the first line with a refusal. It reports whether the stream is established.
 func (c *conn) admit() bool {
 	n := c.node
 	n.running.Wait()
@@ -293,8 +293,9 @@
 }
 
 // resumeCursor returns the number of the message after which the stream continues: the client's cursor, or the last
-// message of the index if the client has none. If messages after the client's cursor are no longer retained, the
-// stream continues later, and the client learns that from the answer's from=.
+// message of the index if the client has none. A cursor of 0 counts as none if the client asks for a token. If messages
+// after the client's cursor are no longer retained, the stream continues later, and the client learns that from the
+// answer's from=.
 func (c *conn) resumeCursor() uint64 {
 	index := c.node.cfg.Index
 	key := c.request.Key
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -68,11 +68,11 @@
 type Node struct {
 	cfg      Config
 	listener net.Listener
-	ring     *token.KeyRing // nil: it accepts no tokens
+	ring     *token.KeyRing // nil: tokens are not checked
 	session  *store.Client
 	started  resume.UnixMillis
-	running  barrier.Barrier // shut while the node hangs
-	reading  barrier.Barrier // shut while the node sends but does not read
+	running  barrier.Barrier // closed while the node hangs
+	reading  barrier.Barrier // closed while the node sends but does not read
 
 	mu                 sync.Mutex
 	registry           *resume.Registry
--- a/lab/procs/admin.go
+++ b/lab/procs/admin.go
@@ -42,14 +42,14 @@
 // View is the view of the fleet that one process reports for the command MEMBERS. Live, Zones and Records are reported
 // only in fleets with zones; there Members has only the members of the process's own zone.
 type View struct {
-	Suspicions bool    `json:"doubts"`
-	Divisor    float64 `json:"divisor"`
-	Members    []struct {
+	Degraded bool    `json:"doubts"`  // the process considers its own view unreliable at present
+	Divisor  float64 `json:"divisor"` // of the rates that the whole fleet shares
+	Members  []struct {
 		Name        string  `json:"name"`
 		State       string  `json:"state"`
 		Incarnation uint64  `json:"incarnation"`
-		LostOut     float64 `json:"lost_out"`
-		LostIn      float64 `json:"lost_in"`
+		LostOut     float64 `json:"lost_out"` // fraction of pings that were lost, from 0 to 1
+		LostIn      float64 `json:"lost_in"`  // fraction of replies to pings that were lost, from 0 to 1
 	} `json:"members"`
 	Live  int `json:"live"`
 	Zones []struct {
--- a/lab/procs/proc.go
+++ b/lab/procs/proc.go
@@ -127,7 +127,7 @@
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %s never answered: %v", ErrStart, p.Name, p.LogTail())
+			return fmt.Errorf("%w: %s did not answer in time: %v", ErrStart, p.Name, p.LogTail())
 		}
 	}
 }
--- a/lab/procs/testbed.go
+++ b/lab/procs/testbed.go
@@ -245,7 +245,7 @@
 		defer s.wg.Done()
 		if err := s.fleet.Procs[i].Start(); err != nil {
 			select {
-			case <-s.quit: // the stage ended before the process had started
+			case <-s.quit: // the testbed was closed before the process had started
 			case s.startErrors <- err:
 			}
 		}
--- a/lab/scale/connections/figures.go
+++ b/lab/scale/connections/figures.go
@@ -14,7 +14,7 @@
 	intercept float64
 	slope     float64
 	residual  float64 // greatest distance of a point from the line, relative to the line's value there
-	growth    float64 // ratio of the line's values at the greatest and smallest number; 0 if the latter is not over 0
+	growth    float64 // ratio of the line's values at the greatest and smallest number; 0 if the latter is not positive
 }
 
 // minFitPoints is the minimum number of points for a line.
--- a/lab/scale/connections/unanswered.go
+++ b/lab/scale/connections/unanswered.go
@@ -52,7 +52,8 @@
 		r.note(m, "silent", "not valid: %d of %d were connected at once", held, count)
 		return nil
 	}
-	// Scaled to the full number: the balancer closes the first after 2 s, before a busy machine has accepted the last.
+	// Scaled to the full number: the balancer closes the first connections after 2 s, which may be before a busy
+	// machine has accepted the last.
 	m.figures["mb_silent"] = after.megabytesSince(before) * float64(count) / float64(held)
 	m.figures["us_per_accept"] = microsPerItem(after.cpu-before.cpu, held)
 	return nil
@@ -78,8 +79,8 @@
 // busy machine a few connections take longer than the platform allows.
 func nearlyAll(count, all int) bool { return count >= all-all/100 }
 
-// measureUnanswered measures clients whose first line no server answers, once a condition holds. The name is part of
-// the names of figures.
+// measureUnanswered measures clients whose first line no server answers, once a condition holds. If it does not hold
+// within maxWait/2, a note says so and there are no figures. The name is part of the names of figures.
 func (r *run) measureUnanswered(b *balancer, m *measurement, name string, holds func() bool) error {
 	r.logProgress("%d clients whose first line is not answered (%s)", m.size, name)
 	r.servers.withholding.Store(true)
--- a/lab/scale/connections/worker.go
+++ b/lab/scale/connections/worker.go
@@ -53,7 +53,7 @@
 	return w, nil
 }
 
-// measureLag records the lag of the loop when a time is due, and repeats that at lagInterval.
+// measureLag sets a timer for the time due, records how late it fires, and sets the next one lagInterval later.
 func (w *worker) measureLag(due netloop.Micros) {
 	w.loop.After(due-w.loop.Now(), func() {
 		now := w.loop.Now()
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -24,10 +24,11 @@
 	maxProcesses         = 6  // of stub members
 	maxLoopsPerProcess   = 2
 	membersPerLoop       = 30 // stub members for each loop; a smaller fleet has fewer loops
-	minLoops             = 2  // lower limit of the bound that follows from the number of cores
+	minLoops             = 2  // loops that are allowed however few cores the machine has
 )
 
-// startSpread is the time over which all members are started: like after a power failure, but not at one instant.
+// startSpread is the time over which all members are started. They start together, as after a power failure, but not at
+// the same instant.
 const startSpread = 4 * time.Second
 
 // fleetStream identifies the random number stream of scenarios, which is drawn from the seed of the run.
--- a/lab/scale/link_socket.go
+++ b/lab/scale/link_socket.go
@@ -34,7 +34,8 @@
 	return s, nil
 }
 
-// Send sends a datagram over the link to the member with the address.
+// Send sends a datagram over the link to the member with the address. To any other address, and to the member itself,
+// it is sent without a link.
 func (s *linkSocket) Send(to netip.AddrPort, datagram []byte) {
 	datagram = s.member.corruptSummary(datagram)
 	s.member.sentBytes += int64(len(datagram))
--- a/lab/scale/monitor.go
+++ b/lab/scale/monitor.go
@@ -26,7 +26,8 @@
 	partitioned map[[2]int]bool // links that lose all datagrams, by rack of the sender and rack of the receiver
 	loops       map[loopID]*loopView
 
-	// recording is whether observations count for the figures: it is set once all members have joined.
+	// recording is set once all members have joined. Before that, lags, flaps and the sum of shares are not recorded;
+	// false deaths and suspicions are counted from the start.
 	recording    bool
 	starvedUntil int64 // end of the grace time after the last timer that was late; wall clock, microseconds
 
@@ -47,8 +48,8 @@
 	loop    int // within the process
 }
 
-// recovery identifies the event that an observer considers a subject alive or reachable again after it had declared it
-// dead or unreachable.
+// recovery identifies an observer and a subject that the observer considers alive or reachable again, after it had
+// considered it dead or not reachable.
 type recovery struct {
 	observer int
 	subject  int // member, or zone if isZone is set
--- a/lab/scale/real_member.go
+++ b/lab/scale/real_member.go
@@ -22,7 +22,7 @@
 	slowPollInterval = time.Second
 )
 
-// realState holds the values that were read of a real member from its admin interface and from the kernel.
+// realState holds the values that were read about a real member from its management address and from the kernel.
 type realState struct {
 	fastPolling       atomic.Bool
 	reportedSentBytes atomic.Int64 // bytes that the member reports as sent since its start
@@ -153,12 +153,12 @@
 	}
 }
 
-// memberChangedMessage is the message, in quotes, that the program logs when the state of a member changes.
-const memberChangedMessage = `"a member has changed"`
+// stateChangeMessage is the log message that reports a member's change of state, as a JSON string.
+const stateChangeMessage = `"a member has changed"`
 
 // handleLogLine applies a line from the log of a real member.
 func (f *fleet) handleLogLine(member int, line string) {
-	if !strings.Contains(line, memberChangedMessage) {
+	if !strings.Contains(line, stateChangeMessage) {
 		return
 	}
 	var entry struct {
@@ -201,8 +201,8 @@
 	}
 }
 
-// sampleRealUsage reads the processor time and memory of a real member. The time of a new process counts from its
-// second reading.
+// sampleRealUsage reads the processor time and memory of a real member. The processor time that a new process uses
+// before its first reading is not counted.
 func (f *fleet) sampleRealUsage(member int, at int64) {
 	state := &f.realStates[member]
 	proc := f.realFleet.Procs[member]
--- a/lab/scale/rest.go
+++ b/lab/scale/rest.go
@@ -21,7 +21,7 @@
 const (
 	// defaultRestTime is the time without faults before the first fault, which is measured as the time at rest.
 	defaultRestTime = 30 * time.Second
-	// settleTime is the time before that in which members complete protocol exchanges that are in progress.
+	// settleTime is the time before the time at rest in which members complete protocol exchanges that are in progress.
 	settleTime = 3 * time.Second
 	// trafficDelay is the time that a run waits after its last fault for the samples that contain its traffic.
 	trafficDelay = 2 * time.Second
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// join starts all members and waits until each of them knows all others. Observations count from then on.
+// join starts all members and waits until each of them knows all others. Then recording begins; see monitor.recording.
 func (r *run) join(ctx context.Context) error {
 	r.log("%d members, %d of them real, in %d zones of %d regions",
 		r.topology.Members, r.topology.RealMembers, r.topology.Zones, r.topology.Regions)
@@ -213,7 +213,8 @@
 	return nil
 }
 
-// noteMissedBound notes that a condition was not met in time. It returns an error if that ends the run.
+// noteMissedBound notes that a condition was not met in time. It returns an error, which ends the run, if failFast is
+// set.
 func (r *run) noteMissedBound(bound, fault string) error {
 	r.monitor.mu.Lock()
 	defer r.monitor.mu.Unlock()
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -5,8 +5,8 @@
 //
 // A run starts a fleet, waits until all members know each other, executes its scenario (crashes, restarts, published
 // records, partitions), and reports figures, which are checked against bounds. Members are observed from outside: the
-// package knows the admin interface, the log and the datagram format of the balancer, and makes no decision for it. A
-// run whose own processes were short of processor time is not valid, and reports no figure of the fleet.
+// package knows the management commands, the log and the datagram format of the balancer, and makes no decision for it.
+// A run whose own processes were short of processor time is not valid, and reports no figure of the fleet.
 //
 // Rest and Region are the runs. RunStubMembers is the main function of a process of stub members, which a run starts as
 // a child process. Stub members are called "hollow" in the names of figures and faults and of the command that starts
--- a/lab/scale/series.go
+++ b/lab/scale/series.go
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// windowRates returns the growth per second of the total of some series in each window of a span. If the span is
-// shorter than a window, it is the only one.
+// windowRates returns the growth per second of the total of some series in each window of a span. A span that is
+// shorter than a window counts as one window.
 func windowRates(all []*series, over span) []float64 {
 	width := min(int64(windowMicros), over.to-over.from)
 	if width <= 0 {
--- a/lab/scale/slope/slope.go
+++ b/lab/scale/slope/slope.go
@@ -35,7 +35,7 @@
 
 // Point is the value of a figure in one run.
 type Point struct {
-	Size  float64 // quantity that the figure may grow with, such as members or connections; over 0
+	Size  float64 // quantity that the figure may grow with, such as members or connections; positive
 	Seed  uint64
 	Value float64
 }
@@ -48,7 +48,7 @@
 	RMS         float64 // root mean square of the relative residuals
 	MaxResidual float64 // greatest relative residual
 	// Exponent is the slope of log(value) over log(size): 0 for a constant, 1 for a value that is proportional to the
-	// size, over 1 for one that grows faster. NaN if a value is not over 0.
+	// size, greater than 1 for one that grows faster. NaN if a value is not positive.
 	Exponent float64
 	Sizes    []float64 // of the points, ascending
 	Runs     int
@@ -58,7 +58,7 @@
 
 // Fit fits a line to points. The error wraps ErrTooFew if there are fewer than MinSizes sizes or fewer than MinSeeds
 // seeds at one of them, ErrDuplicate if a size and seed occur twice, ErrNotFinite if a value is not finite or a size is
-// not finite and over 0, and ErrZero if a value is 0.
+// not finite and positive, and ErrZero if a value is 0.
 func Fit(points []Point) (Line, error) {
 	sizes, err := checkPoints(points)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// growthExponent returns the slope of log(y) over log(x), NaN if a y is not over 0.
+// growthExponent returns the slope of log(y) over log(x), NaN if a y is not positive.
 func growthExponent(x, y []float64) float64 {
 	logX := make([]float64, len(x))
 	logY := make([]float64, len(y))
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -10,7 +10,7 @@
 	// maxPause is the longest pause for which a member must not be declared dead.
 	maxPause = 2 * time.Second
 	// minRunBetweenPauses is the minimum time between two pauses of a member; with less time they count as one pause.
-	// In between the member must refute a suspicion, of which the others may remind it only after half a second.
+	// The member needs that time to refute a suspicion, of which the others may remind it only after half a second.
 	minRunBetweenPauses = 500 * time.Millisecond
 	// Views are compared every minViewInterval, or, in large fleets, every viewIntervalPerMember times the number of
 	// members, since the cost of a comparison is quadratic in that number.
@@ -26,12 +26,13 @@
 	members   []memberHistory
 	lastFault time.Duration // time of the last change of faults
 
-	// FalseDead counts the reports that a running member is dead, although it was paused for no longer than maxPause
-	// and no links were partitioned. DeclaredDead counts the same reports, however long the member was paused.
+	// FalseDead counts the reports that a member is dead although its process has not ended, was paused for no longer
+	// than maxPause, and no links were partitioned. DeclaredDead counts the same reports, however long the member was
+	// paused.
 	FalseDead      int
 	DeclaredDead   int
 	DeadReturned   int             // reports that a dead member is alive again, without a newer incarnation
-	Flaps          int             // maximum returns of one member from dead to alive at one observer, after one fault
+	Flaps          int             // most returns of a member from dead to alive, seen by one observer after one fault
 	DetectionTimes []time.Duration // time from a crash to a member's report of it, for each report
 	Divergence     time.Duration   // longest time after the last change of faults at which views still differed
 
@@ -42,13 +43,13 @@
 
 // memberHistory records the faults of a member. Times are those of the testbed.
 type memberHistory struct {
-	up           bool
-	stopping     bool          // a planned stop has begun
-	killedAt     time.Duration // 0 while it runs
-	pausedUntil  time.Duration
-	runningSince time.Duration // the start of its last pause, or of the first one that counts as one with it
-	longestPause time.Duration // since its start
-	exempt       bool
+	up             bool
+	stopping       bool          // a planned stop has begun
+	killedAt       time.Duration // 0 if it was not killed
+	pausedUntil    time.Duration
+	pauseStartedAt time.Duration // start of its last pause, or of the first of several that count as one
+	longestPause   time.Duration // since its start
+	exempt         bool          // see Checker.Exempt
 }
 
 func newChecker(s Testbed, log func(string, ...any)) *Checker {
@@ -99,10 +100,10 @@
 	m := &c.members[i]
 	now := c.testbed.Now()
 	if now > m.pausedUntil+minRunBetweenPauses {
-		m.runningSince = now
+		m.pauseStartedAt = now
 	}
 	m.pausedUntil = max(m.pausedUntil, now+d)
-	m.longestPause = max(m.longestPause, m.pausedUntil-m.runningSince)
+	m.longestPause = max(m.longestPause, m.pausedUntil-m.pauseStartedAt)
 }
 
 // running reports whether a member's process has not ended and is not paused.
@@ -111,7 +112,8 @@
 	return m.up && c.testbed.Now() >= m.pausedUntil
 }
 
-// expectedAlive reports whether it is false to declare a member dead, apart from its pauses.
+// expectedAlive reports whether it would be a mistake to declare a member dead. It does not take the member's pauses
+// into account.
 func (c *Checker) expectedAlive(m *memberHistory) bool {
 	return m.up && !m.stopping && !m.exempt && !c.partitioned
 }
@@ -145,7 +147,8 @@
 	key := [2]int{observer, of}
 	if dead := c.deadIncarnation[key]; incarnation <= dead {
 		c.DeadReturned++
-		c.log("member %d has member %d alive under incarnation %d, dead under %d", observer, of, incarnation, dead)
+		c.log("member %d reports member %d alive under incarnation %d, after dead under %d",
+			observer, of, incarnation, dead)
 	}
 	c.flapCounts[key]++
 	if !c.members[of].exempt && !c.members[observer].exempt {
@@ -194,9 +197,9 @@
 	return last
 }
 
-// viewsContradict reports whether the views of any two running members, connected by links that work both ways, differ
-// on whether a third member is in the fleet. It also reports whether one of them has the other one not in the fleet, or
-// an ended member in it.
+// viewsContradict reports whether the views of any two running members, connected directly or through others by links
+// that work both ways, differ on whether a third member is in the fleet. It also reports true if one of them does not
+// see the other in the fleet, or sees a member in it that has ended.
 func (c *Checker) viewsContradict() bool {
 	parts := c.partitions()
 	size := map[int]int{}
@@ -215,8 +218,8 @@
 	return false
 }
 
-// contradictOn reports whether the views of one member contradict each other. parts has the part of the fleet in which
-// each observer is, and size has the number of members of each part.
+// contradictOn reports whether the observers' views of one member contradict each other. parts has the part of the
+// fleet in which each observer is, and size has the number of members of each part.
 func (c *Checker) contradictOn(of int, parts []int, size map[int]int) bool {
 	m := &c.members[of]
 	seenInPart := map[int]bool{}
--- a/lab/scenario/result.go
+++ b/lab/scenario/result.go
@@ -10,7 +10,7 @@
 const (
 	MaxDetectionTime  = 4 * time.Second // from a crash to a member's report of it, for 99% of all reports
 	MaxViewDivergence = 5 * time.Second // time after the last change of faults at which views may still differ
-	MaxFlaps          = 1               // returns of one member from dead to alive at one observer, after one fault
+	MaxFlaps          = 1               // returns of a member from dead to alive, seen by one observer after one fault
 	MaxBytesPerSecond = 4096            // sent by a member, on average
 )
 
@@ -90,11 +90,11 @@
 	return broken
 }
 
-// DetectionQuantile returns a quantile of DetectionTimes, for a part from 0 to 1; 0 if there are none.
-func (r *Result) DetectionQuantile(part float64) time.Duration {
+// DetectionQuantile returns the quantile q, from 0 to 1, of DetectionTimes; 0 if there are none.
+func (r *Result) DetectionQuantile(q float64) time.Duration {
 	if len(r.DetectionTimes) == 0 {
 		return 0
 	}
 	all := slices.Sorted(slices.Values(r.DetectionTimes))
-	return all[min(int(part*float64(len(all))), len(all)-1)]
+	return all[min(int(q*float64(len(all))), len(all)-1)]
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -37,7 +37,7 @@
 // Names returns the names of all scripts, sorted.
 func Names() []string { return slices.Sorted(maps.Keys(scripts())) }
 
-// partition partitions a link.
+// partition makes a link lose all messages.
 func partition(l *link.Link) { l.Partitioned = true }
 
 // scheduleHeal schedules the healing of all links.
@@ -94,8 +94,8 @@
 	return at
 }
 
-// loseHalfOfOne loses half of the messages from and to one member. If that member fails to reach others, this must not
-// get them declared dead.
+// loseHalfOfOne loses half of the messages from and to one member. That the member fails to reach others must not get
+// them declared dead.
 func loseHalfOfOne(t *Trial) time.Duration {
 	one := t.Rand().IntN(t.Members())
 	t.InjectFault(time.Second, fmt.Sprintf("half of the messages from and to member %d are lost", one), func() {
@@ -127,8 +127,8 @@
 }
 
 // restartMembers ends members, alternately by a kill and by a planned stop, and restarts them under their names. The
-// restart follows less than a detection period after the kill, or after the maximum time of the stop. On a testbed that
-// is a ClockStepper, some members restart with a clock that is a day behind.
+// restart follows 20 to 400 ms after the kill, which is less than a detection takes, or StopTime plus 20 to 400 ms
+// after the stop. On a testbed that is a ClockStepper, some members restart with a clock that is a day behind.
 func restartMembers(t *Trial) time.Duration {
 	at := time.Second
 	for round := range 6 {
@@ -297,7 +297,8 @@
 	return at + MaxViewDivergence
 }
 
-// lossy returns a change of links: they lose a part of all messages, and delay the others by up to 20 ms.
+// lossy returns a change of a link, which then loses the given fraction of all messages, from 0 to 1, and delays the
+// others by up to 20 ms.
 func lossy(loss float64) func(*link.Link) {
 	return func(l *link.Link) {
 		l.Loss = loss
@@ -305,8 +306,8 @@
 	}
 }
 
-// KillsUnderLoss returns a script that kills four members, one after the other, while the given part of all messages,
-// from 0 to 1, is lost.
+// KillsUnderLoss returns a script that kills four members, one after the other, while the given fraction of all
+// messages, from 0 to 1, is lost.
 func KillsUnderLoss(loss float64) Script {
 	return func(t *Trial) time.Duration {
 		t.InjectFault(time.Second, fmt.Sprintf("%.0f%% of all messages are lost", 100*loss), func() {
--- a/lab/simulation/cluster.go
+++ b/lab/simulation/cluster.go
@@ -59,7 +59,7 @@
 // member is the state of one member and its current process.
 type member struct {
 	detector    Detector
-	reported    []membership.State // its last reported state of each member
+	reported    []membership.State // the state of each member that it reported last
 	up          bool
 	pausedUntil Micros
 	inbox       []delivery // datagrams that arrived while it was paused
@@ -99,7 +99,7 @@
 // Rand returns the random source of the cluster and its scripts.
 func (c *Cluster) Rand() *rand.Rand { return c.rng }
 
-// Now returns the current virtual time.
+// Now returns the current virtual time, which begins at startTime rather than at 0.
 func (c *Cluster) Now() time.Duration { return time.Duration(c.now) * time.Microsecond }
 
 // After schedules a call after a delay.
--- a/lab/simulation/detector.go
+++ b/lab/simulation/detector.go
@@ -10,6 +10,8 @@
 
 // Detector is one process of a member, with its algorithm for failure detection and membership.
 type Detector interface {
+	// Tick, Receive and Leave return the packets to send. Tick and Receive also return the changes of other members'
+	// states in this member's view.
 	Tick(now Micros) ([]Packet, []membership.StateChange)
 	Receive(now Micros, from int, p Packet) ([]Packet, []membership.StateChange)
 	Leave(now Micros) []Packet
--- a/lab/simulation/fault.go
+++ b/lab/simulation/fault.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// WithFault returns a Builder that adds the named fault of Faults to each detector of build.
+// WithFault returns a Builder that adds the named fault of Faults to each detector of build. The name must be one of
+// Faults.
 func WithFault(name string, build Builder) Builder {
 	injectFault := Faults()[name]
 	return func(c *Cluster, i, start int) Detector { return injectFault(build(c, i, start), i) }
--- a/lab/simulation/randomswim.go
+++ b/lab/simulation/randomswim.go
@@ -59,7 +59,7 @@
 type swimMessage struct {
 	kind      swimKind
 	target    int // of an indirect ping, the member to ping; of an ack, the member that answered
-	requester int // who asked for an indirect ping; in a ping and its ack that number plus 1, or 0 for a direct ping
+	requester int // of an indirect ping, who asked for it; of a ping and its ack, that number plus 1, or 0 if none
 	updates   []swimUpdate
 }
 
--- a/lab/simulation/run.go
+++ b/lab/simulation/run.go
@@ -75,7 +75,8 @@
 }
 
 // join runs the cluster until all members consider each other alive. It runs for at least scenario.JoinTime, and longer
-// where the rate limit of messages delays the dissemination of all members.
+// where the rate limit of messages delays the dissemination of all members. After maxExtraJoinSeconds more it returns
+// even if they do not.
 func (c *Cluster) join() {
 	c.Run(c.now + Micros(scenario.JoinTime.Microseconds()))
 	for range maxExtraJoinSeconds {
--- a/lab/simulation/zoned/fault.go
+++ b/lab/simulation/zoned/fault.go
@@ -8,7 +8,8 @@
 
 // Fault is a defect that can be injected into all members, to show that the checker finds it. Its functions may be nil.
 type Fault struct {
-	// rank returns a member's replacement for the order in which delegates are chosen.
+	// rank is called for each process. It returns the function that ranks candidates for delegate, in place of the
+	// balancer's own.
 	rank func() func(zonedirectory.ID, zonedirectory.MemberID) uint64
 	// receive changes a message before a member's directory receives it.
 	receive func(*balancer, *zonedirectory.Message)
--- a/lab/simulation/zoned/fleet.go
+++ b/lab/simulation/zoned/fleet.go
@@ -166,7 +166,8 @@
 	f.After(leaveDelay, func() { f.up[i] = false })
 }
 
-// SetPartition sets whether the links from some zones to others, in this direction, are partitioned.
+// SetPartition sets whether the links from some zones to others, in this direction, are partitioned. Links within a
+// zone are not changed.
 func (f *Fleet) SetPartition(from, to []int, partitioned bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -223,8 +224,8 @@
 	return members
 }
 
-// Delegates returns the n first-ranked candidates for delegate of a zone, in the view of the zone's first running
-// member; nil if no member of the zone runs.
+// Delegates returns the n first-ranked candidates for delegate of a zone, in the view of the first running member of
+// the zone that knows any; nil if there is none.
 func (f *Fleet) Delegates(zone, n int) []int {
 	for _, i := range f.Zones[zone] {
 		if !f.up[i] {
