--- a/cmd/spurspread/memberscmd.go
+++ b/cmd/spurspread/memberscmd.go
@@ -34,7 +34,7 @@
 }
 
 // Run asks a member for its report and prints it.
-func (c membersCmd) Run(s *streams) error {
+func (c membersCmd) Run(s *environment) error {
 	reply, err := callAdmin(c.Mgmt, "MEMBERS")
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal([]byte(reply), &report); err != nil {
 		return fmt.Errorf("decode the member report from %s: %w", c.Mgmt, err)
 	}
-	if report.Degraded {
+	if report.Unhealthy {
 		_, _ = fmt.Fprintln(s.out, "this member's view is unreliable: it was paused, or receives nothing")
 	}
 	if err := report.printMembers(s.out); err != nil {
@@ -134,7 +134,7 @@
 )
 
 // Run has a member publish the record, and prints its version.
-func (c recordCmd) Run(s *streams) error {
+func (c recordCmd) Run(s *environment) error {
 	if !validRecord(c.Name, c.Value) {
 		return errInvalidRecord
 	}
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -18,9 +18,9 @@
 }
 
 // newRing returns a key ring of these keys.
-func newRing(t *testing.T, keys ...token.Key) *token.KeyRing {
+func newRing(t *testing.T, keys ...token.Key) *token.Keyring {
 	t.Helper()
-	r, err := token.NewKeyRing(keys)
+	r, err := token.NewKeyring(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 }
 
 // seal returns a token for resumeLine, sealed as a balancer would; change, if not nil, may alter it before.
-func (h *harness) seal(ring *token.KeyRing, change func(*token.Token)) string {
+func (h *harness) seal(ring *token.Keyring, change func(*token.Token)) string {
 	t := token.Token{Stream: 3, Key: 0x7f, Group: 0x5c, LastSequence: 2, Class: []byte("sync"), Server: []byte("s1")}
 	h.onLoop(func() { t.IssuedAt = int64(h.loop.Now() / monotime.Millisecond) })
 	t.ExpiresAt = t.IssuedAt + 60_000
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -15,7 +15,7 @@
 //	1 + n bytes   length and id of the server that may accept the token
 //	0 to 2 bytes  zeros, so that the total length is a multiple of three
 //
-// A token with a given nonce has exactly one valid text. Rejecting a text does not allocate memory.
+// With one key, no two texts decrypt to the same token and nonce. Rejecting a text does not allocate memory.
 package token
 
 import (
@@ -47,15 +47,15 @@
 
 // Errors of Open. Each is final: no retry of the same text can succeed.
 var (
-	ErrMalformed  = errors.New("malformed token")                     // does not have the format of a token
-	ErrUnknownKey = errors.New("token is sealed with an unknown key") // the key was removed, or never known
-	ErrForged     = errors.New("token authentication failed")         // forged, altered or truncated
+	ErrMalformed  = errors.New("malformed token")                        // does not have the format of a token
+	ErrUnknownKey = errors.New("token is encrypted with an unknown key") // the key was removed, or never known
+	ErrForged     = errors.New("token authentication failed")            // forged, altered or truncated
 )
 
 // ID identifies a token. It is the first bytes of the nonce.
 type ID [16]byte
 
-// Token is the content of a token. After KeyRing.Open, Class and Server point into the ring's buffer.
+// Token is the content of a token. After Keyring.Open, Class and Server point into the ring's buffer.
 type Token struct {
 	ID            ID
 	IssuedAt      int64  // Unix time in milliseconds
@@ -70,15 +70,15 @@
 	Server        []byte // id of the only server that may accept the token
 }
 
-// Key is one key of a KeyRing.
+// Key is one key of a Keyring.
 type Key struct {
 	Secret  [chacha20poly1305.KeySize]byte
-	Primary bool // new tokens are sealed with it; other keys only open tokens
+	Primary bool // new tokens are encrypted with it; other keys only decrypt
 }
 
-// KeyRing seals tokens with its primary key and opens tokens sealed with any of its keys. It is not safe for concurrent
-// use.
-type KeyRing struct {
+// Keyring encrypts tokens with its primary key, and decrypts tokens that were encrypted with any of its keys. It is not
+// safe for concurrent use.
+type Keyring struct {
 	keys    []ringKey
 	primary int            // index of the primary key
 	buf     [maxBytes]byte // decoded text of the last call of Open
@@ -89,9 +89,9 @@
 	aead        cipher.AEAD
 }
 
-// NewKeyRing returns a ring of keys. It fails unless exactly one key is primary and all keys differ.
-func NewKeyRing(keys []Key) (*KeyRing, error) {
-	r := &KeyRing{primary: -1}
+// NewKeyring returns a keyring of the given keys. It fails unless exactly one key is primary and all keys differ.
+func NewKeyring(keys []Key) (*Keyring, error) {
+	r := &Keyring{primary: -1}
 	for i, k := range keys {
 		aead, err := chacha20poly1305.NewX(k.Secret[:])
 		if err != nil {
@@ -100,10 +100,11 @@
 		sum := sha256.Sum256(k.Secret[:])
 		fingerprint := [fingerprintSize]byte(sum[:])
 		if r.find(fingerprint[:]) != nil {
-			return nil, fmt.Errorf("token: key %d has the same fingerprint %x as an earlier key", i, fingerprint)
+			return nil, fmt.Errorf("token: a key is listed twice: key %d of %d, fingerprint %x",
+				i+1, len(keys), fingerprint)
 		}
 		if k.Primary && r.primary >= 0 {
-			return nil, errors.New("token: more than one primary key")
+			return nil, fmt.Errorf("token: exactly one key must be primary: more than one of %d is", len(keys))
 		}
 		if k.Primary {
 			r.primary = i
@@ -111,12 +112,12 @@
 		r.keys = append(r.keys, ringKey{fingerprint, aead})
 	}
 	if r.primary < 0 {
-		return nil, errors.New("token: no primary key")
+		return nil, fmt.Errorf("token: exactly one key must be primary: none of %d is", len(keys))
 	}
 	return r, nil
 }
 
-func (r *KeyRing) find(fingerprint []byte) cipher.AEAD {
+func (r *Keyring) find(fingerprint []byte) cipher.AEAD {
 	for i := range r.keys {
 		if string(r.keys[i].fingerprint[:]) == string(fingerprint) {
 			return r.keys[i].aead
@@ -125,9 +126,9 @@
 	return nil
 }
 
-// Seal appends the text of t to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which callers
-// must check.
-func (r *KeyRing) Seal(dst []byte, t *Token) []byte {
+// Seal encrypts t, appends its text to dst and sets t.ID. It panics if Class or Server is longer than MaxName, which
+// callers must check.
+func (r *Keyring) Seal(dst []byte, t *Token) []byte {
 	var raw [maxBytes]byte
 	raw[0] = version
 	copy(raw[1:], r.keys[r.primary].fingerprint[:])
@@ -174,7 +175,7 @@
 
 // Open decrypts a token's text into t. The slices of t are valid until the next call of Open. After an error, which is
 // ErrMalformed, ErrUnknownKey or ErrForged, t is undefined.
-func (r *KeyRing) Open(text []byte, t *Token) error {
+func (r *Keyring) Open(text []byte, t *Token) error {
 	// Check before decoding, because the decoder ignores line ends and allocates memory for its errors.
 	if len(text) > MaxText || len(text)%4 != 0 {
 		return ErrMalformed
@@ -202,7 +203,7 @@
 	return t.read(body)
 }
 
-// read parses a decrypted body. Even a body sealed by a holder of the key may be invalid.
+// read parses a decrypted body. Even a body that was encrypted by a holder of the key may be invalid.
 func (t *Token) read(body []byte) error {
 	var n [8]uint64
 	for i := range n {
