--- a/lab/discoveryserver/watch.go
+++ b/lab/discoveryserver/watch.go
@@ -22,7 +22,7 @@
 	}
 	generation, err := strconv.ParseUint(query.Get("index"), 10, 64)
 	if err != nil {
-		http.Error(w, "index is not a number", http.StatusBadRequest)
+		http.Error(w, "index is no number", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -240,7 +240,7 @@
 			t.partitionInto(parts)
 		})
 		at += t.randomTime(8*time.Second, 12*time.Second)
-		t.scheduleHeal(at, "the partition is healed")
+		t.scheduleHeal(at, "healed")
 		at += 8 * time.Second
 	}
 	t.InjectFault(at, "the links between two members begin to fail and recover", func() { t.SetPartitioned(false) })
