--- a/decision/answercause/answercause.go
+++ b/decision/answercause/answercause.go
@@ -1,5 +1,5 @@
 // Package answercause names the causes for which a balancer itself, in place of a server, gives a request its final
-// answer. Operators read the names in the statistics. It decides nothing and has no state.
+// answer. Operators read the names in the statistics. The package decides nothing and has no state.
 package answercause
 
 // Cause is the reason for which a request got its final answer from the balancer.
@@ -30,7 +30,7 @@
 const (
 	DescriptorsShort Cause = iota + ErrorConfirmed + 1 // the process is near its limit of descriptors
 	ShuttingDown                                       // the process drains
-	TooManyHeld                                        // limits.most_held requests, established or not, exist
+	TooManyHeld                                        // limits.most_held is reached; established requests count, too
 	SlotsUsed                                          // the proxy's table of requests is full
 	Malformed                                          // the first line can't be parsed, or did not come in time
 	UnknownClass                                       // the settings have no such class
--- a/decision/drainorder/drainorder.go
+++ b/decision/drainorder/drainorder.go
@@ -18,7 +18,7 @@
 	"spurspread/decision/monotime"
 )
 
-// noneDue is what Due returns as next if no move is left.
+// noneDue is the value that Due returns as next if no move is left.
 const noneDue monotime.Micros = -1
 
 // seedStream is the second half of the random source's seed. It makes the draws differ from those of other sources with
--- a/decision/drainschedule/drainschedule.go
+++ b/decision/drainschedule/drainschedule.go
@@ -26,7 +26,7 @@
 	// CheckInterval is the interval at which the progress of a drain is checked.
 	CheckInterval = 20 * monotime.Millisecond
 	// firstLineTime is the time in which a connection that arrives while the process is stopping must send its first
-	// line; the client may have sent the line already.
+	// line; its line may already be in transmission.
 	firstLineTime = 300 * monotime.Millisecond
 	// firstMoveDivisor sets the fraction of the duration that passes before the first move.
 	firstMoveDivisor = 2
@@ -42,7 +42,7 @@
 	return min(longest, maxDuration)
 }
 
-// State is the progress of a process with a drain.
+// State describes a process that may be draining.
 type State struct {
 	Draining    bool
 	Stopping    bool            // the process ends when it has drained; otherwise it is a lame duck
@@ -59,10 +59,11 @@
 	return s.Draining && s.Elapsed > MinDuration
 }
 
-// MoveDelay returns when the i-th of n established connections is moved if all are to be moved within span. The moves
-// are spread over the second half of span, because clients that are moved all at once return all at once. Until its
-// move each connection is served; and if processes restart one after another, the previous one may still be unavailable
-// in the first half. The last move is early enough for a line then in transmission to end before the process does.
+// MoveDelay returns the time, since the drain began, at which the i-th of n established connections is moved if all are
+// to be moved within span. The moves are spread over the second half of span, because clients that are moved all at
+// once return all at once. Until its move each connection is served; and if processes restart one after another, the
+// previous one may still be unavailable in the first half. The last move is early enough for a line then in
+// transmission to end before the process does.
 func MoveDelay(span monotime.Micros, i, n int) monotime.Micros {
 	last := max(span-(MoveLineTimeout-shutdownGrace), FirstMoveDelay)
 	first := min(max(FirstMoveDelay, span/firstMoveDivisor), last)
@@ -84,10 +85,10 @@
 	return firstLineTime
 }
 
-// Finished reports whether a stopping process is done with what remaining counts: nothing remains and MinDuration has
-// passed, or the time is up. The process closes its listener when it is done with its requests and multiplexed client
-// connections. It stops when it is also done with the new connections that may still send a first line and with the
-// clients that have not closed after their final answer.
+// Finished reports whether a stopping process need not wait any longer: MinDuration has passed and remaining, the
+// number of connections and requests that it waits for, is 0, or the time is up. The caller uses it twice. To close the
+// listener, it counts the requests and the multiplexed client connections. To stop the process, it also counts the new
+// connections that may still send a first line and the clients that have not closed after their final answer.
 func Finished(elapsed, duration monotime.Micros, remaining int) bool {
 	timeUp := elapsed >= duration+shutdownGrace
 	nothingLeft := elapsed >= MinDuration && remaining == 0
--- a/decision/health.go
+++ b/decision/health.go
@@ -270,8 +270,8 @@
 
 // onMessageLatencyMetric updates the latency estimate of a server. A server that is slow is demoted, and the tokens of
 // all servers are capped at a burst, since the others are about to get its load. If its latency also exceeds the move
-// threshold (latency.MoveThreshold), it is paused and some of its connections move. A server that is no longer slow is
-// Connected.
+// threshold (latency.MoveThreshold), it is paused and some of its connections move. A report that the server is not
+// slow makes it Connected.
 func (b *Balancer) onMessageLatencyMetric(now Micros, ev ConnectionMetric) {
 	s := b.serversByID[ev.Server]
 	if s == nil {
--- a/decision/hotrestart/predecessor.go
+++ b/decision/hotrestart/predecessor.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// MaxPendingOffers is the largest number of unanswered offers. Each holds two descriptors in both processes, which
-	// share the limit of one balancer (at least 512): 64 are an eighth of that.
+	// MaxPendingOffers is the largest number of unanswered offers. Each offer holds two descriptors in each of the two
+	// processes. Together these have the descriptor limit of one balancer, at least 512; the 64 descriptors of 32
+	// offers in one process are an eighth of that.
 	MaxPendingOffers = 32
 	// OfferPeriod is the time for which connections are offered. A line in transmission ends sooner than that, and
 	// connections that can't be transferred by then still have most of the longest deadline left in which to be moved.
--- a/decision/latency/latency.go
+++ b/decision/latency/latency.go
@@ -28,8 +28,8 @@
 	minReportInterval = 400 * monotime.Millisecond
 	// backlogDrainTime is the time, in microseconds, within which a server's backlog should be worked off.
 	backlogDrainTime = 2 * float64(monotime.Second)
-	// capacityDecrease is the fraction of its connections that becomes the capacity of a server whose delay is above
-	// MoveThreshold.
+	// capacityDecrease limits the capacity of a server whose delay is above MoveThreshold, as a fraction of the
+	// connections that it has.
 	capacityDecrease = 0.9
 	// capacityGrowth is the fraction by which the capacity grows per second without a recent report.
 	capacityGrowth = 0.05
--- a/decision/membership/awareness.go
+++ b/decision/membership/awareness.go
@@ -36,8 +36,8 @@
 }
 
 // isolated reports whether this member appears cut off from all others: it has received nothing for isolationTimeout.
-// If there is only one other member, that one may just as well be dead, and is considered dead after
-// PairSuspicionTimeout.
+// If there is only one other member, silence may also mean that the other one has died; after PairSuspicionTimeout that
+// is assumed, and this member no longer counts as isolated.
 func (f *Fleet) isolated(now monotime.Micros) bool {
 	silence := now - f.lastContact
 	switch f.liveOthers() {
--- a/decision/membership/config.go
+++ b/decision/membership/config.go
@@ -24,8 +24,8 @@
 	// know of a crash within about 3 s.
 	MinSuspicionTimeout = 2 * monotime.Second
 	// PairSuspicionTimeout applies while there are only two members: after this time without any message from the other
-	// one, a member considers the other one dead instead of itself isolated. Unlike Lifeguard's maximum, it does not
-	// limit the suspicion timer.
+	// one, a member considers the other one dead instead of itself isolated. Unlike the maximum suspicion timeout of
+	// Lifeguard (an extension of SWIM), it does not limit the suspicion timer.
 	PairSuspicionTimeout = 6 * monotime.Second
 	// MaxUpdates bounds the updates in one message. At about 30 bytes per update, a datagram stays within 1,200 bytes.
 	MaxUpdates = 32
--- a/decision/membership/fleet.go
+++ b/decision/membership/fleet.go
@@ -75,7 +75,7 @@
 	dissemination disseminationQueue
 	nextGossipAt  monotime.Micros
 	updateBudget  float64 // bytes of updates that may be sent now
-	controlBudget float64 // the same for everything except pings and acks
+	controlBudget float64 // bytes that may be sent now of everything else, except pings and acks
 
 	// Anti-entropy.
 	digest     uint64
--- a/decision/membership/identity.go
+++ b/decision/membership/identity.go
@@ -38,7 +38,7 @@
 	case state > Alive && incarnation >= f.incarnation:
 		f.refuteFailure(state, incarnation)
 	case state == Alive && incarnation > f.incarnation:
-		f.refute(incarnation) // used by an earlier process whose clock was ahead
+		f.refute(incarnation) // an earlier process of this name, whose clock was ahead, has used that incarnation
 	}
 }
 
@@ -56,7 +56,7 @@
 			f.handleDuplicate(u.Instance, u.Incarnation)
 		}
 	case u.Incarnation > f.incarnation:
-		f.refute(u.Incarnation) // used by an earlier process whose clock was ahead
+		f.refute(u.Incarnation) // as in refuteReportedState: used by an earlier process of this name
 	}
 }
 
--- a/decision/membership/probe.go
+++ b/decision/membership/probe.go
@@ -36,8 +36,8 @@
 	// suspectsPerSlowdown is the number of additional suspects for which the interval between two probes of each
 	// suspect grows by probeTimeout.
 	suspectsPerSlowdown = 8
-	// ownProbeDelay is the time after which a member considers probing a suspect that its own probes have not found
-	// failed; see probeSuspect.
+	// ownProbeDelay is the interval at which a member considers probing a suspect that none of its own probes has
+	// failed to reach; see probeSuspect.
 	ownProbeDelay = 4 * monotime.Second
 
 	// A sweep probes members that this one does not watch. It is active while the moving average of failed probes
--- a/decision/membership/suspicion.go
+++ b/decision/membership/suspicion.go
@@ -22,8 +22,9 @@
 	minRequiredReports = 2
 	// failureReportTimeout is the time after which an unconfirmed failure report expires.
 	failureReportTimeout = 2 * monotime.Second
-	// indirectEvidenceDelay is the minimum age of a suspicion learned from others: about the time that an update takes
-	// to reach all members.
+	// indirectEvidenceDelay is about the time that an update takes to reach all members. A suspicion learned from
+	// others is assumed to have started this long ago. One confirmed by this member starts at most this long, plus one
+	// round trip, before its own report.
 	indirectEvidenceDelay = 300 * monotime.Millisecond
 	// maxSuspicionBackdate bounds the time by which the start of a suspicion precedes its confirmation.
 	maxSuspicionBackdate = 1 * monotime.Second
@@ -140,8 +141,8 @@
 }
 
 // corroborate decides whether this member probes p because another one has reported it, and if so starts the probe. The
-// watchers of p always do. Since these may have failed too, WatchersPerMember of all members also do on average,
-// regardless of the fleet's size; in a small fleet, all do.
+// watchers of p always do. Since these may have failed too, each other member does so with a probability that gives
+// WatchersPerMember probes on average, regardless of the fleet's size; in a small fleet, all do.
 func (f *Fleet) corroborate(now monotime.Micros, p *peer) {
 	drawn := f.rng.IntN(max(f.countState(Alive), 1)) < WatchersPerMember
 	if drawn || slices.Contains(f.watchTargets(), p) {
--- a/decision/overload/overload.go
+++ b/decision/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload decides what the proxy rejects, closes or limits when descriptors or memory are short or the process
-// is shutting down. These decisions come before the core places a request, and don't involve it. The package has no
-// sockets; the caller passes the counts.
+// Package overload decides what the proxy rejects, closes or limits when file descriptors or memory are short or the
+// process is shutting down. These decisions come before the core places a request, and don't involve it. The package
+// has no sockets; the caller passes the counts.
 package overload
 
 import (
@@ -33,7 +33,8 @@
 	// then arrives in parts.
 	MinChannelWindow = 2 << 10
 
-	// maxDiscardedBytes is the number of bytes read and discarded of a client that has its final answer.
+	// maxDiscardedBytes is the number of bytes that the proxy reads and discards from a client after its final answer,
+	// before it stops reading.
 	maxDiscardedBytes = 256 << 10
 )
 
@@ -82,7 +83,7 @@
 // Arrival describes a request that has just been read. Held and MaxHeld count requests that have not ended, not only
 // those that wait for a server.
 type Arrival struct {
-	DescriptorsShort bool // its connection was accepted only to reject it, or is being closed
+	DescriptorsShort bool // its connection was accepted while descriptors were short, or is being closed to free one
 	ShuttingDown     bool // the process accepts no new requests
 	Held             int  // including this one
 	MaxHeld          int  // the largest number allowed
--- a/decision/placement.go
+++ b/decision/placement.go
@@ -17,7 +17,7 @@
 	// loadExponent determines how fast a server's selection weight falls with its connections; see selectionWeight.
 	loadExponent = 2.0
 	// loadOffset is the number of connections, at a relative weight of 1, up to which the selection weight hardly
-	// falls. With fewer connections, load should not spread a group over several servers.
+	// falls. Up to this number, load should not be a reason to spread a group over several servers.
 	loadOffset = 10.0
 )
 
@@ -32,7 +32,8 @@
 func (b *Balancer) inHomeZone(s *server) bool { return int(s.Zone) == b.settings.Zone }
 
 // pickServer selects a server for r among those that can receive it now: it prefers the best health rank, then the home
-// zone, and within these draws at random by selection weight. It returns nil if no server can receive the request now.
+// zone, then servers that are warming up, and otherwise draws at random by selection weight. It returns nil if no
+// server can receive the request now.
 func (b *Balancer) pickServer(now Micros, r *request) *server {
 	policy := r.class.RetryPolicy()
 	if policy.RetryForbidden(&r.attemptHistory, now) {
@@ -106,8 +107,8 @@
 //
 //   - r was not the last request that was sent to s, so that a retry goes to another server;
 //   - s has spare capacity;
-//   - if s is warming up (warmup below 1), there is a slow-start grant for it and r has an admission cost, which the
-//     requests of moveTarget have not;
+//   - if s is warming up (warmup below 1), there is a slow-start grant for it and r has an admission cost (moveTarget
+//     passes a request without one);
 //   - where servers report loads, s has utilization left for the load of r at the priority of its class.
 func (b *Balancer) mayReceive(now Micros, r *request, s *server, warmup float64) bool {
 	if s.wasLastTriedBy(r) || !b.hasSpareCapacity(now, s, r.admissionCost) {
--- a/decision/polling/doc.go
+++ b/decision/polling/doc.go
@@ -8,9 +8,10 @@
 //
 // Invariant: however many balancers there are, each polls so soon after a failure that the answer can arrive before the
 // balancer must stop acting on an older list. A failure does not show whether discovery is unavailable or has too many
-// callers. A retry cycle therefore becomes longer than that only after several failures in a row, and not if discovery
-// was seen to answer quickly enough for all balancers.
+// callers. A retry cycle therefore becomes too long for this only after failures have persisted for some time, and not
+// if discovery was seen to answer quickly enough for all balancers.
 //
-// A process that has just started holds a list of unknown age. Once it has requests to place, it polls before that list
-// may have been outdated for Grace. From then on it places no request until discovery has answered or failed.
+// A process that has just started holds a list of unknown age. Once it has requests to place, it polls within
+// confirmationTime of its start, before any entry of that list can have been outdated for Grace. After that time it
+// places no request until discovery has answered, or the poll has failed or has been in flight for confirmationTimeout.
 package polling
--- a/decision/polling/polling.go
+++ b/decision/polling/polling.go
@@ -4,8 +4,8 @@
 
 // Time limits for lists and calls.
 const (
-	// listDeadline is the time in which a balancer must know a change, counted from when discovery has the change and
-	// can be reached.
+	// listDeadline is the time within which a balancer must know of a change, counted from the moment at which
+	// discovery has the change and can be reached.
 	listDeadline = 6 * monotime.Second
 	// watchSilenceTimeout is the time without data after which a watch is assumed to be broken.
 	watchSilenceTimeout = 2800 * monotime.Millisecond
--- a/decision/rebalance.go
+++ b/decision/rebalance.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxMoveSetupShare is the fraction of a class's latency objective up to which the present set-up latency allows
-	// connections of the class to be moved, since each has to be set up again elsewhere.
+	// maxMoveSetupShare is the maximum set-up latency at which connections of a class are moved, as a fraction of the
+	// class's latency objective, since each has to be set up again elsewhere.
 	maxMoveSetupShare = 0.4
 	// forcedMoveLatencyRatio is the message latency, as a multiple of the class's objective, above which connections
 	// are moved even if no other server has spare capacity.
@@ -21,8 +21,9 @@
 )
 
 // moveFromSlowServer moves connections off a server whose latency exceeds the move threshold. Each connection moves
-// with the probability that latency.Estimate.ExcessFraction returns. All balancers see the same latency and move the
-// same fraction of their connections, so it is at most maxMovedShare, and less while a part of the fleet is missing.
+// with the probability that latency.Estimate.ExcessFraction returns. Since all balancers see the same latency and move
+// the same fraction of their connections, that probability is limited to maxMovedShare, and to less while a part of the
+// fleet is missing.
 //
 // A connection moves only if the latency is above latency.MoveThreshold times its own class's objective, if set-ups are
 // fast, and if either another server has spare capacity or the latency is above forcedMoveLatencyRatio. Where servers
--- a/decision/resume/grant.go
+++ b/decision/resume/grant.go
@@ -8,8 +8,9 @@
 
 	// MaxLifetime is the longest lifetime that a token may have.
 	MaxLifetime = 10 * minute
-	// minAgeForZeroStart is the time that a server must have run for a token without a start time to be accepted as
-	// naming its present run: longer than MaxLifetime, by more than clocks may differ.
+	// minAgeForZeroStart is the time that a server must have run before it accepts a token whose ServerStartedAt is 0.
+	// It exceeds MaxLifetime by more than clocks may differ, so any such token that is still valid was issued during
+	// the present run.
 	minAgeForZeroStart = 15 * minute
 )
 
@@ -21,13 +22,13 @@
 	ID              ID
 	IssuedAt        UnixMillis // by the issuing balancer's clock
 	ExpiresAt       UnixMillis // by the same clock
-	Class           string     // these four are those of the stream
+	Class           string     // of the stream, as are Key, Group and Tenant
 	Key             uint64
 	Group           uint64
 	Tenant          uint64
 	LastDelivered   uint64     // cursor of the last message delivered when the token was issued
 	Server          string     // ID of the server that holds the stream
-	ServerStartedAt UnixMillis // by that server's clock; 0: before any token was issued that is still valid
+	ServerStartedAt UnixMillis // by that server's clock; 0: earlier than the issue of any token that is still valid
 }
 
 // StreamRequest is the request with which a client presents a token.
--- a/decision/resume/registry.go
+++ b/decision/resume/registry.go
@@ -45,8 +45,8 @@
 	return r.claims.claim(now, grant)
 }
 
-// isForThisRun reports whether a grant names the present run of this server: by its start time, or by none if the
-// server has run for minAgeForZeroStart, longer than any token is valid.
+// isForThisRun reports whether a grant is for the present run of this server: its start time is that of this run, or it
+// is 0 and the server has run for minAgeForZeroStart, which is longer than any token is valid.
 func (r *Registry) isForThisRun(now UnixMillis, grant *Grant) bool {
 	if grant.ServerStartedAt == r.startedAt {
 		return true
--- a/decision/serverload/gauge.go
+++ b/decision/serverload/gauge.go
@@ -3,7 +3,8 @@
 import "spurspread/decision/monotime"
 
 // A server refreshes its load report only once or twice a second, and the report arrives late, so it shows the
-// utilization at some moment within the last reportWindow. The samples of the known utilization cover that window.
+// utilization at some moment within the last reportWindow. The last historySize samples of the known utilization, taken
+// at least sampleInterval apart, cover that window.
 const (
 	reportWindow   = 2500 * monotime.Millisecond
 	sampleInterval = 200 * monotime.Millisecond
--- a/decision/serverload/rebalance.go
+++ b/decision/serverload/rebalance.go
@@ -45,9 +45,10 @@
 }
 
 // SelectConnectionsToMove selects connections to move, so as to take the wanted load, in cores, off a server. It
-// returns their indices and the sum of their loads. Connections that relieve the server most per move go first: the
-// last few of a group, which take the group's cost along, before heavy ones of other groups. A connection or a whole
-// group is selected only if its load is at most moveOvershoot times the load that still has to be moved.
+// returns their indices and the sum of their loads. Connections that relieve the server most per move go first. A group
+// with few connections at the server thus goes before heavy connections of larger groups, because moving all of it also
+// takes off the group's cost. A connection or a whole group is selected only if its load is at most moveOvershoot times
+// the load that still has to be moved.
 func SelectConnectionsToMove(
 	model *LoadModel, connections []Connection, wanted float64,
 ) (selected []int, load float64) {
--- a/decision/serverload/reports.go
+++ b/decision/serverload/reports.go
@@ -17,7 +17,7 @@
 type ReportBudget struct{ credits float64 }
 
 // Earn adds the credit of one request. cost is the cost of a load report as a fraction of the value of a request. A
-// cost of 0 or less means that it is not set, and earns nothing.
+// cost of 0 or less is not set, and the request then earns nothing.
 func (b *ReportBudget) Earn(cost float64) {
 	if cost > 0 {
 		b.credits += reportCostFraction / cost
--- a/decision/serverload/selection.go
+++ b/decision/serverload/selection.go
@@ -24,7 +24,7 @@
 	// maxUtilizationLimit is the limit for the class with the highest priority. Between the two limits, connections of
 	// that class are admitted while those of lower classes are rejected.
 	maxUtilizationLimit = 0.8
-	// maxAddedFraction is the largest fraction of its utilization limit that one connection counts as.
+	// maxAddedFraction bounds the utilization that one connection counts for, as a fraction of the utilization limit.
 	maxAddedFraction = 0.5
 )
 
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -73,7 +73,7 @@
 	// ReportsConnectionLoad is set if servers report the load of each connection; default false. Requests are then
 	// placed by load instead of by number of connections, and overloaded servers are rebalanced.
 	ReportsConnectionLoad bool
-	// DynamicWeights is set if a listed weight is the server's cores divided by 1 + its connections per core. By
+	// DynamicWeights is set if a listed weight is the server's cores divided by (1 + its connections per core). By
 	// default a weight does not depend on use.
 	DynamicWeights bool
 	// ClockResolution is the resolution of the caller's clock; default 1 ms. Not used.
@@ -106,8 +106,8 @@
 	// WarmupTime is the time after its start at which a server has its full capacity.
 	WarmupTime Micros
 	// DrainGrace is the time after a draining server's change of state in discovery within which it may still get
-	// attempts from balancers that have not learned of the change yet. The polling schedule uses this time for the poll
-	// that brings the change; a balancer that knows of it sends no more attempts.
+	// attempts from balancers that have not learned of the change yet. The polling schedule may use all of this time
+	// before the poll that brings the change. A balancer that knows of the change sends no more attempts.
 	DrainGrace Micros
 	// OverloadWindow is the time for which a starting server withstands OverloadFactor times its capacity. Both
 	// determine the slow-start budget: smaller values protect servers, larger ones use them sooner.
--- a/decision/slowstart/budget.go
+++ b/decision/slowstart/budget.go
@@ -48,8 +48,9 @@
 }
 
 // Spend charges a connection to the budget: to the grants if the server is warming up, otherwise to its tokens. work is
-// the connection's work as a multiple of the mean, but at least 1; perGrant is the work that one grant covers, the mean
-// of such multiples; price is the number of tokens that a connection of work 1 costs.
+// the connection's work as a multiple of the mean, but at least 1; perGrant is the work that one grant covers, in the
+// same unit, which is the mean of work over all connections; price is the number of tokens that a connection of work 1
+// costs.
 func (b *Budget) Spend(warmingUp bool, work, perGrant, price float64) {
 	if warmingUp {
 		b.GrantsLeft -= work / perGrant
--- a/decision/slowstart/doc.go
+++ b/decision/slowstart/doc.go
@@ -12,5 +12,5 @@
 // monotime.Micros.
 //
 // Invariant: in any window of time, whichever balancers have requests, all of them together use at most the grants of
-// SlotsPerWindow + grantLifetime slots, and exceed them only if requests take more work than a grant covers.
+// SlotsPerWindow + grantLifetime slots, unless requests take more work than a grant covers.
 package slowstart
--- a/decision/slowstart/grants.go
+++ b/decision/slowstart/grants.go
@@ -23,8 +23,8 @@
 
 	// sameZoneFraction is the largest fraction of a warming server's budget that the balancers in its zone use.
 	sameZoneFraction = 0.6
-	// crossZoneFraction is the amount that a balancer of another zone uses, as a fraction of that of a balancer in the
-	// server's zone, because crossing zones costs more.
+	// crossZoneFraction is the number of grants that a balancer of another zone uses, relative to a balancer in the
+	// server's zone. It is below 1 because crossing zones costs more.
 	crossZoneFraction = 1 / 3.
 	// unevenLoadFraction is the fraction of the budget that is granted if the loads of connections differ. A grant
 	// covers the mean load, so this leaves room for the few heavy connections.
@@ -44,12 +44,13 @@
 	crossZoneStep   = 0x91e10da5c79e7b1d
 )
 
-// Constants that convert 64 random-like bits to a float64 from 0 to 1: their upper 53 bits divided by 2^53.
+// Constants that convert 64 random-like bits to a float64. The upper 53 bits divided by 2^53 give a number from 0 to 1;
+// hashRange, 2^64, is the number of different values of the 64 bits.
 const (
 	mantissaBits  = 53
 	droppedBits   = 64 - mantissaBits
 	mantissaRange = 1 << mantissaBits
-	circle        = 1 << 64
+	hashRange     = 1 << 64
 )
 
 // Fleet describes the balancers that share a warming server's budget, and this balancer's place among them.
@@ -73,8 +74,8 @@
 
 // GrantAvailable reports whether this balancer may send a warming server one more connection in this slot: at least one
 // whole grant must be left. quota is the number of grants that all balancers together have in a window. A balancer
-// can't use another's grants, and unused ones expire. A connection that takes more work than a grant covers is repaid
-// from this balancer's next grants.
+// can't use another's grants, and unused ones expire. If a connection takes more work than a grant covers, the excess
+// is taken from this balancer's next grants.
 func (b *Budget) GrantAvailable(slot int64, quota float64, fleet Fleet) bool {
 	if slot >= b.NextSlot {
 		for s := max(b.firstUsefulSlot(slot), b.NextSlot); s <= slot; s++ {
@@ -85,8 +86,8 @@
 	return b.GrantsLeft >= 1
 }
 
-// firstUsefulSlot returns the earliest slot whose grants can matter in this one: those that have not expired and, if
-// there is a debt, those that repay it.
+// firstUsefulSlot returns the earliest slot whose grants can be used in the given slot: grants that have not expired
+// or, if there is a debt, grants that repay it.
 func (b *Budget) firstUsefulSlot(slot int64) int64 {
 	if b.GrantsLeft < 0 {
 		return slot - maxRepaidSlots
@@ -140,11 +141,11 @@
 // keepsGrant reports whether this balancer uses a grant that it is dealt: always in the server's zone, otherwise for
 // crossZoneFraction of them.
 func (f Fleet) keepsGrant(term uint64) bool {
-	return f.SameZone || float64(f.ServerID+term*crossZoneStep) < crossZoneFraction*circle
+	return f.SameZone || float64(f.ServerID+term*crossZoneStep) < crossZoneFraction*hashRange
 }
 
 // grantRatio returns the ratio of the grants that are dealt to the budget. Balancers of other zones keep only
-// crossZoneFraction of their grants, so more are dealt: just as many that the grants kept add up to the budget,
+// crossZoneFraction of their grants, so more are dealt: enough for those that are kept to add up to the budget,
 // provided that each zone has the same number of balancers. The ratio is bounded, so that the balancers in the server's
 // zone use at most sameZoneFraction of the budget.
 func (f Fleet) grantRatio() float64 {
--- a/decision/splitmix/splitmix.go
+++ b/decision/splitmix/splitmix.go
@@ -1,4 +1,5 @@
-// Package splitmix implements the 64-bit hash of a number that decisions share. It imports nothing of this module.
+// Package splitmix implements the 64-bit integer hash that several packages of decisions use. It imports nothing of
+// this module.
 package splitmix
 
 // Gamma is the increment of splitmix64. Adding its multiples to a number yields several distinct hashes of that number.
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -75,8 +75,8 @@
 // least minReattachAttempt.
 func ReattachAttempt(left monotime.Micros) monotime.Micros { return max(left, minReattachAttempt) }
 
-// Attempt returns the time-out of an attempt, never negative: the time-out of its placement (0 for none), but no longer
-// than the time left to its client.
+// Attempt returns the time-out of an attempt, never negative: placed, the time-out given when it was placed (0 for
+// none), but no longer than the time left to its client.
 func Attempt(placed, left monotime.Micros) monotime.Micros {
 	if placed == 0 || placed > left {
 		placed = left
@@ -88,7 +88,8 @@
 // but no longer than the time left to the attempt.
 func Connect(left, connectTimeout monotime.Micros) monotime.Micros { return min(left, connectTimeout) }
 
-// MuxSetup returns the time in which a multiplexed connection must be ready for channels, from dialling on.
+// MuxSetup returns the time in which a multiplexed connection must be ready for channels, counted from the start of the
+// dial.
 func MuxSetup(connectTimeout monotime.Micros) monotime.Micros {
 	return muxSetupConnects * connectTimeout
 }
@@ -99,7 +100,8 @@
 }
 
 // AnswerDeadline returns the time at which an attempt without an answer is abandoned: its deadline or, if the request
-// is not completely written, writeBy (0 for no such limit), after which the request must not be executed any more.
+// is not completely written, the earlier of its deadline and writeBy (0 for no such limit), after which the request
+// must not be executed any more.
 func AnswerDeadline(deadline, writeBy monotime.Micros, written bool) monotime.Micros {
 	if !written && writeBy > 0 {
 		return min(deadline, writeBy)
@@ -117,8 +119,9 @@
 
 // Unresponsive reports whether an established connection is abandoned because its server does not reply. lastReply is
 // the time at which the last line came from the server; oldestUnanswered is the time at which the oldest line without a
-// reply was sent to it. A pause of the client that is longer than clientLineInterval does not count against the server.
-// The core moves connections away from slow servers much sooner; this is the protocol's limit for those that remain.
+// reply was sent to it. If the client sent nothing for a while before that line, at most clientLineInterval of that
+// pause counts against the server. The core moves connections away from slow servers much sooner; this is the
+// protocol's limit for those that remain.
 func Unresponsive(now, lastReply, oldestUnanswered monotime.Micros) bool {
 	return now-max(lastReply, oldestUnanswered-clientLineInterval) > UnresponsiveTimeout
 }
--- a/decision/upstreampool/pool.go
+++ b/decision/upstreampool/pool.go
@@ -17,9 +17,9 @@
 	// stableAfter is the time for which a connection must have been established for its failure to count as the first
 	// one again.
 	stableAfter = 10 * monotime.Second
-	// unconfirmedPlainTTL applies to a server that merely broke off the connection: for this time it is assumed to
-	// understand plain lines only. Such a server breaks off because it leaves the rest unread; but so does a server
-	// that dies.
+	// unconfirmedPlainTTL is the time for which a server that closed the connection without any answer is assumed to
+	// understand plain lines only. Such a server closes the connection with the rest of the data unread, but a server
+	// that dies closes it in the same way.
 	unconfirmedPlainTTL = 10 * monotime.Second
 )
 
@@ -125,7 +125,7 @@
 }
 
 // MarkPlain records that the server of a connection understands plain lines only, and removes the connection. This
-// holds for PlainTTL or, if the server merely broke off the connection and confirmed is false, for at most
+// holds for PlainTTL or, if confirmed is false because the server only closed the connection, for at most
 // unconfirmedPlainTTL.
 func (p *Pool) MarkPlain(now monotime.Micros, id uint32, confirmed bool) {
 	c := p.connections[id]
--- a/decision/zonedirectory/antientropy.go
+++ b/decision/zonedirectory/antientropy.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// adoptTombstones forgets the Unknown or Left zones that another member of the local zone, which has known them for
-// longer, has already forgotten.
+// adoptTombstones forgets the Unknown or Left zones that another member of the local zone has already forgotten. That
+// member may have seen them in that state earlier.
 func (d *Directory) adoptTombstones(versions []ItemVersion) {
 	for _, v := range versions {
 		e := d.items[v.Key]
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -34,7 +34,7 @@
 	synced             bool            // has synchronized with a member of the zone
 	lastToLeave        bool            // this member is the last one of its zone, and is leaving
 	leaveAnnouncements int             // times that lastToLeave was announced to other zones
-	unlistedSince      monotime.Micros // first of the present series of such messages; see unlistedAt
+	unlistedSince      monotime.Micros // start of the series of such messages that ends at unlistedAt
 	unlistedAt         monotime.Micros // last message from a member of the local zone that is not in local
 	observation        observationState
 	conflict           issuerConflict
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -172,7 +172,7 @@
 }
 
 // shouldPush reports whether the local zone sends an item to another zone: its own summary, all records, and the
-// summaries of zones that are not connected to that zone.
+// summaries of zones that do not reach that zone directly, or that it does not reach.
 func (d *Directory) shouldPush(e *entry, to *zoneState) bool {
 	if e.Summary == nil {
 		return true
--- a/decision/zonedirectory/doc.go
+++ b/decision/zonedirectory/doc.go
@@ -12,7 +12,8 @@
 // other zones: they probe other zones, push new items to them, and publish in their own zone, as an Observation, which
 // zones they cannot reach. The first delegate issues the zone's Summary.
 //
-// Invariant: of each summary, observation and record, the newest version is kept regardless of the order of arrival. An
-// unreachable zone is a single fact, its Reachability, and never makes its members dead: their share of the rate
-// divisor decreases slowly, and ends no earlier than zoneRetention after the zone became unreachable.
+// Invariant: of each summary, observation and record, the newest version is kept regardless of the order of arrival.
+// That a zone is unreachable is recorded only as the Reachability of that zone; its members are never declared dead for
+// it. Their share of the rate divisor decreases slowly, and ends no earlier than zoneRetention after the zone became
+// unreachable.
 package zonedirectory
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -270,7 +270,7 @@
 		a.proxy.loop.Cancel(&a.timer)
 		r.establish(text)
 	case lineproto.Bye:
-		// The request is already served completely: the server's line is the final answer.
+		// The server has already served the whole request (BYE): its line is the final answer.
 		r.downstream.sendFinal(append(text, lineEnd...))
 		r.finish(outcome.OK)
 	case lineproto.Stale:
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -8,8 +8,8 @@
 // Everything runs on the goroutine of one event loop; only New, before the loop runs, may be called from elsewhere.
 // Proxy connects these components:
 //
-//   - listener: the listening socket, and the downstream connections that are not used by a single request: idle,
-//     lingering and multiplexed ones
+//   - listener: the listening socket, and the idle, lingering and multiplexed downstream connections; a plain
+//     connection that carries a request belongs to that request
 //   - requestTable: the requests, from the first line to the end of the connection
 //   - serverDirectory: service discovery and the server list
 //   - latencyTable: the message latency of each server, which is the time that it takes to answer a line
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,8 +9,8 @@
 	"spurspread/internal/eventloop"
 )
 
-// listener owns the listening socket and the downstream connections that are not used by a single request: those that
-// have not sent a first line, those that linger, and the multiplexed ones.
+// listener owns the listening socket and all downstream connections except plain ones that carry a request: it owns
+// those that have not sent a first line, those that linger, and the multiplexed ones.
 type listener struct {
 	proxy     *Proxy
 	socket    *eventloop.Listener
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -27,7 +27,8 @@
 	KeyRing *token.Keyring
 	// TokenLifetime is the validity period of a token, in milliseconds.
 	TokenLifetime int64
-	// ClockSkew is the tolerated difference between clocks, in milliseconds. A larger value accepts tokens for longer.
+	// ClockSkew is the tolerated difference between clocks, in milliseconds. With a larger value, tokens are accepted
+	// from balancers whose clocks are further ahead.
 	ClockSkew int64
 	// MaxClaims limits the presented tokens that are remembered so that none is accepted twice. When the limit is
 	// reached, further tokens are rejected.
