--- a/decision/concurrency/concurrency.go
+++ b/decision/concurrency/concurrency.go
@@ -128,7 +128,7 @@
 func (l *Limiter) SetupLatency() float64 { return l.setupLatency }
 
 // FailuresShared reports whether set-ups fail for a reason that all servers share: their failure rate is above
-// sharedFailureRate. While it is true the core demotes no server for error responses and time-outs (failed connects and
+// sharedFailureRate. While it is true the core demotes no server for error responses and timeouts (failed connects and
 // repeated resets still demote), and retries no set-up, as retries would prolong the failures.
 func (l *Limiter) FailuresShared() bool { return l.failureRate > sharedFailureRate }
 
--- a/decision/health.go
+++ b/decision/health.go
@@ -100,7 +100,7 @@
 //   - An attempt that ends with OK, without having been established, makes the server Connected.
 //   - A failed connect demotes it.
 //   - An error response demotes it, unless failures are shared by all servers.
-//   - A time-out demotes it for slowness, unless failures are shared by all servers.
+//   - A timeout demotes it for slowness, unless failures are shared by all servers.
 //   - A second reset within resetPairWindow demotes and pauses it: an overloaded server drops connections, and one that
 //     has died resets all of them.
 //   - A rejection because the server is full only pauses it.
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A failed connect or a time-out demotes a server at once. A full server, a single reset, and an attempt that was
+// A failed connect or a timeout demotes a server at once. A full server, a single reset, and an attempt that was
 // cancelled or is inconclusive do not.
 func TestFailuresDemote(t *testing.T) {
 	for _, status := range []outcome.Status{outcome.ConnectFailed, outcome.TimedOut} {
@@ -122,10 +122,10 @@
 	s := &server{health: healthPending}
 	s.enteredAt[healthPending] = start
 	if r := healthRank(start+pendingTimeout-1, s); r != rankPending {
-		t.Fatalf("rank %d before the time-out, want %d", r, rankPending)
+		t.Fatalf("rank %d before the timeout, want %d", r, rankPending)
 	}
 	if r := healthRank(start+pendingTimeout, s); r != rankHealthy {
-		t.Fatalf("rank %d after the time-out, want %d", r, rankHealthy)
+		t.Fatalf("rank %d after the timeout, want %d", r, rankHealthy)
 	}
 }
 
--- a/decision/keepalive/keepalive.go
+++ b/decision/keepalive/keepalive.go
@@ -22,10 +22,10 @@
 	upstreamPingInterval = 2 * monotime.Second
 	// UpstreamTimeout is the time without data after which an upstream connection is closed, with all its channels.
 	UpstreamTimeout = 5 * monotime.Second
-	// downstreamCheckDivisor is the number of checks of a client within its idle time-out.
+	// downstreamCheckDivisor is the number of checks of a client within its idle timeout.
 	downstreamCheckDivisor = 4
 	// downstreamTimeoutFactor is the time without data after which a client with channels is disconnected, as a
-	// multiple of its idle time-out.
+	// multiple of its idle timeout.
 	downstreamTimeoutFactor = 2
 )
 
@@ -41,14 +41,14 @@
 	return Keep
 }
 
-// DownstreamCheckInterval returns the interval at which a client's connection is checked, given its idle time-out.
+// DownstreamCheckInterval returns the interval at which a client's connection is checked, given its idle timeout.
 func DownstreamCheckInterval(idle monotime.Micros) monotime.Micros {
 	return idle / downstreamCheckDivisor
 }
 
 // Downstream returns the verdict on a client's connection. quiet is the time since data last arrived, idle is the
-// connection's idle time-out, and channels is the number of its channels. The connection is pinged from one
-// DownstreamCheckInterval before the idle time-out on. It is closed after the idle time-out if it has no channels,
+// connection's idle timeout, and channels is the number of its channels. The connection is pinged from one
+// DownstreamCheckInterval before the idle timeout on. It is closed after the idle timeout if it has no channels,
 // otherwise after twice that time.
 func Downstream(quiet, idle monotime.Micros, channels int) Verdict {
 	switch {
--- a/decision/keepalive/keepalive_test.go
+++ b/decision/keepalive/keepalive_test.go
@@ -17,7 +17,7 @@
 		"quiet":                  {2000 * ms, 9000 * ms, Ping},
 		"quiet, pinged recently": {3000 * ms, 1999 * ms, Keep},
 		"quiet, pinged earlier":  {3000 * ms, 2000 * ms, Ping},
-		"just before time-out":   {4999 * ms, 1000 * ms, Keep},
+		"just before timeout":    {4999 * ms, 1000 * ms, Keep},
 		"timed out":              {5000 * ms, 1000 * ms, Close},
 	} {
 		if got := Upstream(now, now-c.received, now-c.ping); got != c.want {
@@ -26,7 +26,7 @@
 	}
 }
 
-// A downstream connection is pinged after three quarters of the idle time-out. It is closed after the idle time-out, or
+// A downstream connection is pinged after three quarters of the idle timeout. It is closed after the idle timeout, or
 // after twice that time if it has channels.
 func TestDownstream(t *testing.T) {
 	const idle = 20 * monotime.Second
@@ -47,6 +47,6 @@
 		}
 	}
 	if got := DownstreamCheckInterval(idle); got != 5*monotime.Second {
-		t.Errorf("checked every %d, want a quarter of the idle time-out", got)
+		t.Errorf("checked every %d, want a quarter of the idle timeout", got)
 	}
 }
--- a/decision/outcome/outcome.go
+++ b/decision/outcome/outcome.go
@@ -10,7 +10,7 @@
 	OK            Status = iota // the connection was established, or an established one was closed normally
 	ErrorResponse               // the server answered with an error
 	ServerFull                  // the server rejected the attempt without executing it
-	TimedOut                    // no answer within the attempt's time-out
+	TimedOut                    // no answer within the attempt's timeout
 	ConnectFailed               // no connection could be opened; nothing was sent
 	Reset                       // the connection was reset or lost
 	Cancelled                   // the balancer or the client cancelled it
--- a/decision/retries.go
+++ b/decision/retries.go
@@ -15,9 +15,9 @@
 
 	// attemptTimeoutShare is the fraction of the remaining time that an attempt gets if another attempt may follow.
 	attemptTimeoutShare = 0.45
-	// minAttemptTimeout is the minimum time-out of an attempt after which another may follow.
+	// minAttemptTimeout is the minimum timeout of an attempt after which another may follow.
 	minAttemptTimeout = 80 * ms
-	// setupTimeoutFactor is the minimum time-out of such an attempt as a multiple of the present set-up latency.
+	// setupTimeoutFactor is the minimum timeout of such an attempt as a multiple of the present set-up latency.
 	setupTimeoutFactor = 4.0
 	// minSplitAttempts is the number of attempts of minAttemptTimeout that must fit into the remaining time for an
 	// attempt to get only a part of it.
@@ -71,7 +71,7 @@
 	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, b.maxRetryTokens())
 }
 
-// attemptTimeout returns the time-out of the attempt that r has just started. It is all of the remaining time if no
+// attemptTimeout returns the timeout of the attempt that r has just started. It is all of the remaining time if no
 // other attempt can follow. Otherwise it is attemptTimeoutShare of that time, but at least minAttemptTimeout and
 // setupTimeoutFactor times the present set-up latency, so that slow set-ups are not abandoned just before they succeed.
 func (b *Balancer) attemptTimeout(now Micros, r *request) Micros {
--- a/decision/retries_test.go
+++ b/decision/retries_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A few servers that hang do not raise the set-up latency, which would lengthen time-outs and stop moves.
+// A few servers that hang do not raise the set-up latency, which would lengthen timeouts and stop moves.
 func TestHangingServersDoNotCountAsSharedSlowness(t *testing.T) {
 	g := newHarness(t, testSettings(), serverList(3, 0))
 	for i := range 200 {
@@ -127,7 +127,7 @@
 		id, sv := g.request()
 		next := actionsOf[StartAttempt](g.endAttempt(id, sv, 0, outcome.TimedOut))
 		if len(next) != 1 || g.b.serversByID[next[0].Server].Cell != g.b.serversByID[sv].Cell {
-			t.Fatalf("after a time-out at server %d: %v, want one attempt in the same cell", sv, next)
+			t.Fatalf("after a timeout at server %d: %v, want one attempt in the same cell", sv, next)
 		}
 		g.now += sec
 		actions := append(
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -30,7 +30,7 @@
 				t.Fatal("no attempt was started")
 			}
 			retried := func(id, server uint32) bool {
-				// After a time-out the attempt may have been executed, so only an idempotent class is retried.
+				// After a timeout the attempt may have been executed, so only an idempotent class is retried.
 				actions := append(
 					g.endAttempt(id, server, 0, outcome.TimedOut),
 					g.handle(TimerFired{deadlineTimer.forRequest(id)})...)
--- a/decision/timeouts/timeouts.go
+++ b/decision/timeouts/timeouts.go
@@ -30,7 +30,7 @@
 	// abandoned. The protocol allows 7 s, which must also cover the time in which a line in transmission may end and
 	// the interval between two checks.
 	UnresponsiveTimeout = 5500 * monotime.Millisecond
-	// minReattachAttempt is the shortest time-out of an attempt at a server that the client names.
+	// minReattachAttempt is the shortest timeout of an attempt at a server that the client names.
 	minReattachAttempt = 1 * monotime.Millisecond
 	// minReattachRetry and maxReattachRetry bound the pause, before jitter, between attempts at a server that the
 	// client names.
@@ -47,7 +47,7 @@
 	// clientLineInterval is the interval at which clients send lines.
 	clientLineInterval = 2 * monotime.Second
 	// muxSetupConnects is the time that a multiplexed connection may take until it is ready, as a multiple of the
-	// connect time-out: after connecting it identifies itself and requests its service.
+	// connect timeout: after connecting it identifies itself and requests its service.
 	muxSetupConnects = 3
 )
 
@@ -71,11 +71,11 @@
 	return monotime.Micros(float64(pause) * (minFactor + factorRange*variate))
 }
 
-// ReattachAttempt returns the time-out of an attempt at the server that a client names: the time left to the client, at
+// ReattachAttempt returns the timeout of an attempt at the server that a client names: the time left to the client, at
 // least minReattachAttempt.
 func ReattachAttempt(left monotime.Micros) monotime.Micros { return max(left, minReattachAttempt) }
 
-// Attempt returns the time-out of an attempt, never negative: placed, the time-out given when it was placed (0 for
+// Attempt returns the timeout of an attempt, never negative: placed, the timeout given when it was placed (0 for
 // none), but no longer than the time left to its client.
 func Attempt(placed, left monotime.Micros) monotime.Micros {
 	if placed == 0 || placed > left {
@@ -84,7 +84,7 @@
 	return max(placed, 0)
 }
 
-// Connect returns the time in which an attempt's own connection must be established: the settings' connect time-out,
+// Connect returns the time in which an attempt's own connection must be established: the settings' connect timeout,
 // but no longer than the time left to the attempt.
 func Connect(left, connectTimeout monotime.Micros) monotime.Micros { return min(left, connectTimeout) }
 
--- a/decision/timeouts/timeouts_test.go
+++ b/decision/timeouts/timeouts_test.go
@@ -19,7 +19,7 @@
 		"reattaching, as announced":        {Reattach(2 * sec), 2 * sec},
 		"reattaching, overdue":             {ReattachAttempt(-5), 1 * ms},
 		"reattaching, time left":           {ReattachAttempt(2 * sec), 2 * sec},
-		"attempt without its own time-out": {Attempt(0, 2*sec), 2 * sec},
+		"attempt without its own timeout":  {Attempt(0, 2*sec), 2 * sec},
 		"attempt longer than client waits": {Attempt(3*sec, 2*sec), 2 * sec},
 		"attempt shorter":                  {Attempt(1*sec, 2*sec), 1 * sec},
 		"client is overdue":                {Attempt(1*sec, -5), 0},
--- a/internal/eventloop/packets_test.go
+++ b/internal/eventloop/packets_test.go
@@ -47,7 +47,7 @@
 	return l
 }
 
-// connectPackets returns the dialling end of a connection at path, and the recorder of the accepting end.
+// connectPackets returns the dialing end of a connection at path, and the recorder of the accepting end.
 func connectPackets(t *testing.T, l *Loop, path string) (near *PacketConn, far *packetRecorder) {
 	t.Helper()
 	far = &packetRecorder{}
--- a/lab/sshchan/conn.go
+++ b/lab/sshchan/conn.go
@@ -49,7 +49,7 @@
 	DisconnectReason string
 }
 
-// Client starts the protocol on a dialled connection, and waits until the peer accepts the service. window is the
+// Client starts the protocol on a dialed connection, and waits until the peer accepts the service. window is the
 // receive window to grant on each channel, in bytes. After an error the caller has to close raw.
 func Client(raw net.Conn, window uint32) (*Conn, error) {
 	c := newConn(raw, bufio.NewReaderSize(raw, maxPacket+len(identification)), false, window)
