--- a/decision/resume/invariant_test.go
+++ b/decision/resume/invariant_test.go
@@ -134,14 +134,14 @@
 	a := d.draw(t, sent)
 	g, request := d.tokens[a.token], testRequest()
 	draining := drawOneOfTwo(t, "draining") == 1
-	why := d.registries[a.registry].Claim(d.registryClock(a.registry), &g, &request, StreamLog{}, draining)
-	if why == Accepted {
+	reason := d.registries[a.registry].Claim(d.registryClock(a.registry), &g, &request, StreamLog{}, draining)
+	if reason == Accepted {
 		a.state = accepted
 		return
 	}
 	a.state = over
 	if v := d.validatorOf(a); v != nil {
-		v.RejectedByServer(g.ID, why)
+		v.RejectedByServer(g.ID, reason)
 	}
 }
 
--- a/decision/resume/registry.go
+++ b/decision/resume/registry.go
@@ -33,8 +33,8 @@
 	if grant.ExpiresAt-grant.IssuedAt > MaxLifetime {
 		return Malformed
 	}
-	if why := grant.checkRequest(now, r.skew, request); why != Accepted {
-		return why
+	if reason := grant.checkRequest(now, r.skew, request); reason != Accepted {
+		return reason
 	}
 	if draining {
 		return ServerDraining
--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -83,7 +83,7 @@
 func TestTokenPresentedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		then  func(v *Validator, id ID) Reason
-		why   Reason // the reason that the client gets
+		reason   Reason // the reason that the client gets
 		again Reason
 	}{
 		"first attempt pending":        {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
@@ -102,11 +102,11 @@
 		"rejected by the server":       {rejectedByServer, LogGap, AlreadyUsed},
 	} {
 		v, p := NewValidator(skew, 4), acceptable()
-		if why := p.claim(v); why != Accepted {
-			t.Fatalf("%s: first claim: %v, want %v", name, why, Accepted)
+		if reason := p.claim(v); reason != Accepted {
+			t.Fatalf("%s: first claim: %v, want %v", name, reason, Accepted)
 		}
-		if got := c.then(v, p.grant.ID); got != c.why {
-			t.Errorf("%s: %v, want %v", name, got, c.why)
+		if got := c.then(v, p.grant.ID); got != c.reason {
+			t.Errorf("%s: %v, want %v", name, got, c.reason)
 		}
 		p.now++
 		if got := p.claim(v); got != c.again {
--- a/decision/resume/validator.go
+++ b/decision/resume/validator.go
@@ -55,9 +55,9 @@
 }
 
 // Reject counts a rejection and returns its reason.
-func (v *Validator) Reject(why Reason) Reason {
-	v.Verdicts[why]++
-	return why
+func (v *Validator) Reject(reason Reason) Reason {
+	v.Verdicts[reason]++
+	return reason
 }
 
 // Established records that an attempt with the token was established.
@@ -95,9 +95,9 @@
 
 // RejectedByServer records that the server itself rejected the token, which is final: the attempt was not executed and
 // never will be.
-func (v *Validator) RejectedByServer(id ID, why Reason) Reason {
+func (v *Validator) RejectedByServer(id ID, reason Reason) Reason {
 	v.claims.advance(id, stateUsed)
-	return v.Reject(why)
+	return v.Reject(reason)
 }
 
 // Counts returns the numbers of pending, live and used tokens.
--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -60,13 +60,13 @@
 		r.resumable = &resumableStream{id: s.streamIDs.Uint64(), cursor: cursor, moveStatus: outcome.Cancelled}
 		return true
 	}
-	why := resume.Malformed
+	reason := resume.Malformed
 	if cursorOK && len(r.open.Cursor) > 0 && len(r.open.CurrentServer) == 0 {
 		// Check the seal first: a claim takes memory, which a forged token must not use up.
-		why = s.openToken(r.open.Token)
+		reason = s.openToken(r.open.Token)
 	}
-	if why != resume.Accepted {
-		r.rejectToken(s.tokens.Reject(why))
+	if reason != resume.Accepted {
+		r.rejectToken(s.tokens.Reject(reason))
 		return false
 	}
 	return r.claimStream(cursor)
@@ -84,8 +84,8 @@
 		Cursor: cursor,
 	}
 	server := r.proxy.servers.list.ByID(s.openedToken.Server)
-	if why := s.tokens.Claim(s.now(), &grant, &line, listedServer(server)); why != resume.Accepted {
-		r.rejectToken(why)
+	if reason := s.tokens.Claim(s.now(), &grant, &line, listedServer(server)); reason != resume.Accepted {
+		r.rejectToken(reason)
 		return false
 	}
 	r.resumable = &resumableStream{
@@ -101,8 +101,8 @@
 }
 
 // rejectToken sends STALE as the final answer, after which the client starts over without its token.
-func (r *request) rejectToken(why resume.Reason) {
-	r.answer([]byte("STALE " + why.String() + lineEnd))
+func (r *request) rejectToken(reason resume.Reason) {
+	r.answer([]byte("STALE " + reason.String() + lineEnd))
 }
 
 // answerStaleIfDue sends STALE if the end of an attempt has made the token unusable, and reports whether it did.
@@ -135,20 +135,20 @@
 // handleTokenRejection handles STALE from a server; word is the reason. If the request has no token, or the reason is
 // unknown, the answer is a protocol error.
 func (r *request) handleTokenRejection(word []byte) {
-	why, ok := resume.ParseReason(word)
+	reason, ok := resume.ParseReason(word)
 	if r.resumable == nil || !r.resumable.claimed || !ok {
 		r.proxy.stats.protocolErrors++
 		r.attempt.end(outcome.ErrorResponse)
 		return
 	}
-	r.endTokenAttempt(why)
+	r.endTokenAttempt(reason)
 }
 
-// endTokenAttempt ends an attempt whose server can't accept the token, for the reason why.
-func (r *request) endTokenAttempt(why resume.Reason) {
+// endTokenAttempt ends an attempt whose server can't accept the token, for the given reason.
+func (r *request) endTokenAttempt(reason resume.Reason) {
 	x := r.resumable
 	x.claimed = false
-	x.staleReason = r.proxy.resumption.tokens.RejectedByServer(x.claim, why)
+	x.staleReason = r.proxy.resumption.tokens.RejectedByServer(x.claim, reason)
 	// The request was not executed, and the rejection is no evidence about the server's health.
 	r.attempt.end(outcome.Inconclusive)
 	if r.state.unanswered() {
