--- a/internal/proxy/resume_request.go
+++ b/internal/proxy/resume_request.go
@@ -76,7 +76,7 @@
 func (r *request) claimStream(cursor uint64) bool {
 	s := &r.proxy.resumption
 	grant := s.grant()
-	line := resume.StreamRequest{
+	streamRequest := resume.StreamRequest{
 		Class:  string(r.open.Class),
 		Key:    r.open.Key,
 		Group:  r.open.Group,
@@ -84,7 +84,7 @@
 		Cursor: cursor,
 	}
 	server := r.proxy.servers.list.ByID(s.openedToken.Server)
-	if reason := s.tokens.Claim(s.now(), &grant, &line, listedServer(server)); reason != resume.Accepted {
+	if reason := s.tokens.Claim(s.now(), &grant, &streamRequest, listedServer(server)); reason != resume.Accepted {
 		r.rejectToken(reason)
 		return false
 	}
