--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -82,9 +82,9 @@
 // The same token is presented again, after each possible end of its first attempt and while that is pending or live.
 func TestTokenPresentedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		then  func(v *Validator, id ID) Reason
-		reason   Reason // the reason that the client gets
-		again Reason
+		then   func(v *Validator, id ID) Reason
+		reason Reason // the reason that the client gets
+		again  Reason
 	}{
 		"first attempt pending":        {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
 		"established":                  {established, Accepted, InUse},
