--- a/decision/zonedirectory/delegate.go
+++ b/decision/zonedirectory/delegate.go
@@ -121,8 +121,8 @@
 		return
 	}
 	age := now - d.startedAt
-	met := d.synced && len(d.zonePeers) > 0
-	d.settled = met && age >= syncedSettleTime || age >= unsyncedSettleTime+d.stagger()
+	syncedWithPeers := d.synced && len(d.zonePeers) > 0
+	d.settled = syncedWithPeers && age >= syncedSettleTime || age >= unsyncedSettleTime+d.stagger()
 }
 
 // stagger returns this member's share of settleStagger, in proportion to its rank hash.
--- a/decision/zonedirectory/dissemination.go
+++ b/decision/zonedirectory/dissemination.go
@@ -181,8 +181,8 @@
 	if id == d.ownZone || id == to.id {
 		return id == d.ownZone
 	}
-	of := d.zoneByID(id)
-	return of != nil && of.reportsUnreachable(to.id) || to.reportsUnreachable(id)
+	summarizedZone := d.zoneByID(id)
+	return summarizedZone != nil && summarizedZone.reportsUnreachable(to.id) || to.reportsUnreachable(id)
 }
 
 // notifyReplacedIssuers sends the new summary of a zone to the issuer of the summary that it has replaced. If that zone
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -27,8 +27,9 @@
 	backoffFactor    = 2
 )
 
-// issuerConflict is the state of a conflict with another issuer of the local zone's summary.
-type issuerConflict struct {
+// issuerState is the state of this member as an issuer of the local zone's summary: its last summary, a conflict with
+// another issuer, and changes of the unreachable zones that the next summary will report.
+type issuerState struct {
 	issuedAt      monotime.Micros // time of the last summary by this member, 0 if there is none
 	conflictSince monotime.Micros // start of the current conflict, 0 if there is none
 	overridden    bool            // this member has overridden the other issuer's summary
