--- a/decision/serverload/gauge.go
+++ b/decision/serverload/gauge.go
@@ -40,33 +40,33 @@
 }
 
 // knownUtilization returns the known load divided by the server's present capacity, without the correction by reports.
-func (g *Gauge) knownUtilization(model *LoadModel, warmUp float64) float64 {
+func (g *Gauge) knownUtilization(model *LoadModel, warmup float64) float64 {
 	load := g.OwnLoad + (g.OtherConnections+GroupCost*float64(g.GroupCount))*model.meanLoad
-	return load / (g.Size * warmUp)
+	return load / (g.Size * warmup)
 }
 
 // Utilization returns the server's load divided by its capacity, 0 or more: the known utilization, corrected by the
 // last report.
-func (g *Gauge) Utilization(model *LoadModel, warmUp float64) float64 {
-	return max(g.knownUtilization(model, warmUp)+g.reportOffset, 0)
+func (g *Gauge) Utilization(model *LoadModel, warmup float64) float64 {
+	return max(g.knownUtilization(model, warmup)+g.reportOffset, 0)
 }
 
 // SampleUtilization records the known utilization, to be compared with reports that show this moment. It is called
 // several times a second and ignores calls within sampleInterval of the last sample.
-func (g *Gauge) SampleUtilization(now monotime.Micros, model *LoadModel, warmUp float64) {
+func (g *Gauge) SampleUtilization(now monotime.Micros, model *LoadModel, warmup float64) {
 	last := (g.nextSample + historySize - 1) % historySize
 	if now-g.history[last].at < sampleInterval {
 		return
 	}
-	g.history[g.nextSample] = sample{at: now, utilization: g.knownUtilization(model, warmUp)}
+	g.history[g.nextSample] = sample{at: now, utilization: g.knownUtilization(model, warmup)}
 	g.nextSample = (g.nextSample + 1) % historySize
 }
 
 // ApplyReport corrects the known utilization by a load report. The correction is the distance of the reported
 // utilization from the range that was known within reportWindow. A report within that range corrects nothing, because
 // it may be as old as the sample that it matches.
-func (g *Gauge) ApplyReport(now monotime.Micros, model *LoadModel, warmUp, utilization float64) {
-	low := g.knownUtilization(model, warmUp)
+func (g *Gauge) ApplyReport(now monotime.Micros, model *LoadModel, warmup, utilization float64) {
+	low := g.knownUtilization(model, warmup)
 	high := low
 	for _, s := range g.history {
 		if s.at != 0 && now-s.at <= reportWindow {
--- a/decision/serverload/rebalance.go
+++ b/decision/serverload/rebalance.go
@@ -23,15 +23,15 @@
 )
 
 // SpareCapacity returns the load, in cores, that the server can accept before it reaches targetUtilization.
-func (g *Gauge) SpareCapacity(model *LoadModel, warmUp float64) float64 {
-	return max(targetUtilization-g.Utilization(model, warmUp), 0) * g.Size * warmUp
+func (g *Gauge) SpareCapacity(model *LoadModel, warmup float64) float64 {
+	return max(targetUtilization-g.Utilization(model, warmup), 0) * g.Size * warmup
 }
 
 // ExcessLoad returns how much of this balancer's load, in cores, is to be moved off the server: 0 below
 // overloadUtilization or within rebalanceInterval of the last moves, otherwise this balancer's proportional part of the
 // load above targetUtilization.
-func (g *Gauge) ExcessLoad(now monotime.Micros, model *LoadModel, warmUp float64) float64 {
-	utilization := g.Utilization(model, warmUp)
+func (g *Gauge) ExcessLoad(now monotime.Micros, model *LoadModel, warmup float64) float64 {
+	utilization := g.Utilization(model, warmup)
 	if utilization < overloadUtilization || now-g.RebalancedAt < rebalanceInterval {
 		return 0
 	}
--- a/decision/serverload/selection.go
+++ b/decision/serverload/selection.go
@@ -31,12 +31,12 @@
 // addedUtilization returns the utilization that one more connection of this load, in cores, adds. addsNoGroup says that
 // the connection has no group, or one of which the server has connections already; otherwise the cost of its group is
 // included.
-func (g *Gauge) addedUtilization(model *LoadModel, warmUp, load float64, addsNoGroup bool) float64 {
+func (g *Gauge) addedUtilization(model *LoadModel, warmup, load float64, addsNoGroup bool) float64 {
 	added := max(load, minLoad)
 	if !addsNoGroup {
 		added += model.groupCost()
 	}
-	return added / (g.Size * warmUp)
+	return added / (g.Size * warmup)
 }
 
 // HasCapacityFor reports whether the server can accept one more connection of this load, in cores. addsNoGroup is as
@@ -44,20 +44,20 @@
 // 0 to 1; it places the utilization limit between minUtilizationLimit and maxUtilizationLimit. A connection counts as
 // at most maxAddedFraction of the limit, so that a server below half of its limit accepts any connection: one that
 // would fill a server by itself would find no better place after a rejection.
-func (g *Gauge) HasCapacityFor(model *LoadModel, warmUp, load float64, addsNoGroup bool, priority float64) bool {
+func (g *Gauge) HasCapacityFor(model *LoadModel, warmup, load float64, addsNoGroup bool, priority float64) bool {
 	limit := minUtilizationLimit + (maxUtilizationLimit-minUtilizationLimit)*priority
-	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
-	return g.Utilization(model, warmUp)+min(added, limit*maxAddedFraction) <= limit
+	added := g.addedUtilization(model, warmup, load, addsNoGroup)
+	return g.Utilization(model, warmup)+min(added, limit*maxAddedFraction) <= limit
 }
 
 // SelectionWeight returns how likely the server is selected for a connection of this load, in cores, relative to other
 // servers. addsNoGroup is as for addedUtilization; crossZone says that the server is in another zone. The weight is
 // above 0, proportional to the server's size, and falls with the connection's cost: the load that the connection adds
 // to the server as a multiple of a usual load, increased at a well utilized server and across zones.
-func (g *Gauge) SelectionWeight(model *LoadModel, warmUp, load float64, addsNoGroup, crossZone bool) float64 {
-	added := g.addedUtilization(model, warmUp, load, addsNoGroup)
+func (g *Gauge) SelectionWeight(model *LoadModel, warmup, load float64, addsNoGroup, crossZone bool) float64 {
+	added := g.addedUtilization(model, warmup, load, addsNoGroup)
 	usualLoad := max(load, model.meanLoad, minLoad)
-	utilization := g.Utilization(model, warmUp) + added
+	utilization := g.Utilization(model, warmup) + added
 	cost := added * g.Size / usualLoad * (1 + math.Pow(utilization/costDoublesAt, utilizationExponent))
 	if crossZone {
 		cost *= crossZoneCostFactor
--- a/decision/serverload/serverload_test.go
+++ b/decision/serverload/serverload_test.go
@@ -170,20 +170,20 @@
 			OtherConnections: upTo(1000, "others"),
 			reportOffset:     upTo(5, "offset") - 2.5,
 		}
-		warmUp, load := 0.05+upTo(0.95, "warm-up factor"), upTo(10, "load")
-		weight := g.SelectionWeight(m, warmUp, load, false, false)
+		warmup, load := 0.05+upTo(0.95, "warm-up factor"), upTo(10, "load")
+		weight := g.SelectionWeight(m, warmup, load, false, false)
 		if !(weight > 0) || math.IsInf(weight, 0) {
 			r.Fatalf("weight %v", weight)
 		}
-		if grouped := g.SelectionWeight(m, warmUp, load, true, false); grouped < weight {
+		if grouped := g.SelectionWeight(m, warmup, load, true, false); grouped < weight {
 			r.Fatalf("weight %v with its group, %v without", grouped, weight)
 		}
-		if crossZone := g.SelectionWeight(m, warmUp, load, false, true); crossZone >= weight {
+		if crossZone := g.SelectionWeight(m, warmup, load, false, true); crossZone >= weight {
 			r.Fatalf("weight %v across zones, %v within", crossZone, weight)
 		}
 		loaded := g
 		loaded.OwnLoad += 1 + upTo(10, "more")
-		if loaded.SelectionWeight(m, warmUp, load, false, false) > weight {
+		if loaded.SelectionWeight(m, warmup, load, false, false) > weight {
 			r.Fatal("weight rises with load")
 		}
 	})
