--- a/lab/procs/admin.go
+++ b/lab/procs/admin.go
@@ -42,9 +42,9 @@
 // View is the view of the fleet that one process reports for the command MEMBERS. Live, Zones and Records are reported
 // only in fleets with zones; there Members has only the members of the process's own zone.
 type View struct {
-	Degraded bool    `json:"doubts"`  // the process considers its own view unreliable at present
-	Divisor  float64 `json:"divisor"` // of the rates that the whole fleet shares
-	Members  []struct {
+	Unhealthy bool    `json:"doubts"`  // the process considers its own view unreliable at present
+	Divisor   float64 `json:"divisor"` // of the rates that the whole fleet shares
+	Members   []struct {
 		Name        string  `json:"name"`
 		State       string  `json:"state"`
 		Incarnation uint64  `json:"incarnation"`
--- a/lab/procs/procs_test.go
+++ b/lab/procs/procs_test.go
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	v, err := f.Procs[5].View()
-	if err != nil || !v.Degraded {
+	if err != nil || !v.Unhealthy {
 		t.Errorf("the view of a member that receives nothing has no suspicions: %+v, %v", v, err)
 	}
 	f.Proxy.Heal()
