--- a/decision/recall/recall_test.go
+++ b/decision/recall/recall_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An attempt is cancelled and its request placed again if the listing of the server chosen as Ready has changed since. It
-// is not cancelled once its request was written, nor if the client names the server.
+// An attempt is cancelled and its request placed again if its server was chosen as Ready and is listed differently now.
+// The attempt continues if its request was written, or if the client names the server.
 func TestNeeded(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.0.1:80")
 	chosen := Listing{Ready: true, StartedAt: 1_700_000_000_000, Addr: at}
