--- a/decision/resume/resume_test.go
+++ b/decision/resume/resume_test.go
@@ -82,9 +82,9 @@
 // The same token is presented again, after each possible end of its first attempt and while that is pending or live.
 func TestTokenPresentedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		then  func(v *Validator, id ID) Reason
-		why   Reason // the reason that the client gets
-		again Reason
+		then   func(v *Validator, id ID) Reason
+		reason Reason // the reason that the client gets
+		again  Reason
 	}{
 		"first attempt pending":        {func(*Validator, ID) Reason { return Accepted }, Accepted, InUse},
 		"established":                  {established, Accepted, InUse},
@@ -102,11 +102,11 @@
 		"rejected by the server":       {rejectedByServer, LogGap, AlreadyUsed},
 	} {
 		v, p := NewValidator(skew, 4), acceptable()
-		if why := p.claim(v); why != Accepted {
-			t.Fatalf("%s: first claim: %v, want %v", name, why, Accepted)
+		if reason := p.claim(v); reason != Accepted {
+			t.Fatalf("%s: first claim: %v, want %v", name, reason, Accepted)
 		}
-		if got := c.then(v, p.grant.ID); got != c.why {
-			t.Errorf("%s: %v, want %v", name, got, c.why)
+		if got := c.then(v, p.grant.ID); got != c.reason {
+			t.Errorf("%s: %v, want %v", name, got, c.reason)
 		}
 		p.now++
 		if got := p.claim(v); got != c.again {
