--- a/decision/fleetsize/fleetsize.go
+++ b/decision/fleetsize/fleetsize.go
@@ -11,8 +11,9 @@
 import "spurspread/decision/monotime"
 
 const (
-	// reducedFraction is the fraction of the capacity that must be missing for the fleet to count as reduced. More
-	// clients return in that case than the remaining servers had connections.
+	// reducedFraction is the fraction of the capacity that must be missing for the fleet to count as reduced. The
+	// clients of the missing servers then add to the load that the remaining servers already have, faster than these
+	// can accept them, so returning clients are admitted more slowly.
 	reducedFraction = 0.07
 	// reconnectPrice is the number of tokens that the connection of a returning client costs in a reduced fleet, where
 	// others cost 1.
@@ -55,8 +56,8 @@
 
 // ChargeReconnect returns the price of the connection of a client that connects now, in tokens of a warm server's
 // bucket (the core's admission cost). It is 1 unless the fleet is reduced and reconnects are expected. Then it is
-// reconnectPrice, and the number of expected reconnects falls by one. The remaining servers of a reduced fleet have a
-// higher load than usual, and so accept returning clients more slowly.
+// reconnectPrice, and the number of expected reconnects falls by one. The higher price admits returning clients more
+// slowly, because the remaining servers of a reduced fleet get them in addition to the load that they already have.
 func (e *Estimate) ChargeReconnect() float64 {
 	if !e.Reduced() || e.expectedReconnects < 1 {
 		return 1
--- a/decision/zonedirectory/directory.go
+++ b/decision/zonedirectory/directory.go
@@ -37,7 +37,7 @@
 	unlistedSince      monotime.Micros // start of the series of such messages that ends at unlistedAt
 	unlistedAt         monotime.Micros // last message from a member of the local zone that is not in local
 	observation        observationState
-	conflict           issuerState
+	issuing            issuerState
 
 	// The zones.
 	zones            []*zoneState // ascending by ID, including the local zone
--- a/decision/zonedirectory/summary.go
+++ b/decision/zonedirectory/summary.go
@@ -78,20 +78,20 @@
 	}
 	next := d.ownSummary()
 	current := d.zoneByID(d.ownZone)
-	conflict := &d.conflict
+	issuing := &d.issuing
 	if current != nil && current.sameContent(&next) {
 		d.endConflict(now, current.Issuer)
 		return
 	}
-	tooEarly := conflict.issuedAt > 0 && now-conflict.issuedAt < issueInterval && !d.lastToLeave
-	if tooEarly || now < conflict.backoffUntil || d.unreachableChanging(now, current, &next) {
+	tooEarly := issuing.issuedAt > 0 && now-issuing.issuedAt < issueInterval && !d.lastToLeave
+	if tooEarly || now < issuing.backoffUntil || d.unreachableChanging(now, current, &next) {
 		return
 	}
 	if current != nil && d.acceptsCompetingSummary(now, current, &next) {
 		return
 	}
-	conflict.issuedAt = now
-	conflict.conflictSince = 0
+	issuing.issuedAt = now
+	issuing.conflictSince = 0
 	d.Issued++
 	next.Version = d.nextVersion(now, summaryKey(d.ownZone))
 	d.store(now, newEntry(Item{Summary: &next}))
@@ -100,30 +100,30 @@
 // endConflict records that the current summary is correct. It resets the backoff if this member issued that summary
 // more than maxIssuerBackoff ago.
 func (d *Directory) endConflict(now monotime.Micros, issuer MemberID) {
-	conflict := &d.conflict
-	conflict.conflictSince = 0
-	if issuer == d.cfg.Self.ID && now-conflict.issuedAt > maxIssuerBackoff {
-		conflict.backoff = 0
-		conflict.overridden = false
+	issuing := &d.issuing
+	issuing.conflictSince = 0
+	if issuer == d.cfg.Self.ID && now-issuing.issuedAt > maxIssuerBackoff {
+		issuing.backoff = 0
+		issuing.overridden = false
 	}
 }
 
 // unreachableChanging reports whether to delay the next summary because the set of unreachable zones is still changing:
 // more changes usually follow at once, and issuing an incomplete set would delay the complete one by issueInterval.
 func (d *Directory) unreachableChanging(now monotime.Micros, current *zoneState, next *Summary) bool {
-	conflict := &d.conflict
+	issuing := &d.issuing
 	if current == nil || d.lastToLeave || slices.Equal(current.Unreachable, next.Unreachable) {
-		conflict.pendingSince = 0
+		issuing.pendingSince = 0
 		return false
 	}
-	if !slices.Equal(conflict.pendingUnreachable, next.Unreachable) {
-		conflict.pendingUnreachable = next.Unreachable
-		conflict.pendingChangedAt = now
+	if !slices.Equal(issuing.pendingUnreachable, next.Unreachable) {
+		issuing.pendingUnreachable = next.Unreachable
+		issuing.pendingChangedAt = now
 	}
-	if conflict.pendingSince == 0 {
-		conflict.pendingSince = now
+	if issuing.pendingSince == 0 {
+		issuing.pendingSince = now
 	}
-	return now-conflict.pendingChangedAt < unreachableStableTime && now-conflict.pendingSince < issueInterval
+	return now-issuing.pendingChangedAt < unreachableStableTime && now-issuing.pendingSince < issueInterval
 }
 
 // preferredOver reports whether the current summary of a zone is preferred to another one: the one with more live
@@ -148,22 +148,22 @@
 // the other issuer issues again after that, it is still running, and its summary is kept for the duration of the
 // backoff.
 func (d *Directory) mayOverride(now monotime.Micros, next *Summary) bool {
-	conflict := &d.conflict
-	if conflict.overridden {
-		conflict.backoff = min(max(backoffFactor*conflict.backoff, minIssuerBackoff), maxIssuerBackoff)
-		conflict.backoffUntil = now + conflict.backoff
-		conflict.conflictSince = 0
-		conflict.overridden = false
+	issuing := &d.issuing
+	if issuing.overridden {
+		issuing.backoff = min(max(backoffFactor*issuing.backoff, minIssuerBackoff), maxIssuerBackoff)
+		issuing.backoffUntil = now + issuing.backoff
+		issuing.conflictSince = 0
+		issuing.overridden = false
 		d.IssuerBackoffs++
 		return false
 	}
-	if conflict.conflictSince == 0 {
-		conflict.conflictSince = now
+	if issuing.conflictSince == 0 {
+		issuing.conflictSince = now
 	}
-	if now-conflict.conflictSince < d.overrideDelayFor(next) {
+	if now-issuing.conflictSince < d.overrideDelayFor(next) {
 		return false
 	}
-	conflict.overridden = true
+	issuing.overridden = true
 	return true
 }
 
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -72,8 +72,8 @@
 	}
 	fields[logging.TokensIssued] = s.tokensIssued
 	fields[logging.Resumed] = s.resumed
-	for why, n := range s.tokens.Verdicts {
-		if reason := resume.Reason(why); n > 0 && reason != resume.Accepted {
+	for verdict, n := range s.tokens.Verdicts {
+		if reason := resume.Reason(verdict); n > 0 && reason != resume.Accepted {
 			fields[logging.TokensRejected+reason.String()] = n
 		}
 	}
